--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -248,14 +248,14 @@
             relay,
             ticket: ntf.0,
             endpoint: &endpoint.0,
-            give_up_after: time_out.nanos(),
+            give_up_after: time_out.as_nanos(),
         },
         Command::Cancel { ntf, push } => wire::Cmd::AbortAttempt { relay, ticket: ntf.0, go: *push },
         Command::Throttle { ntf, retry_in } => {
-            wire::Cmd::Bounce { relay, ticket: ntf.0, retry_in: retry_in.nanos() }
+            wire::Cmd::Bounce { relay, ticket: ntf.0, retry_in: retry_in.as_nanos() }
         }
         Command::Expire(ntf) => wire::Cmd::Fail { relay, ticket: ntf.0 },
-        Command::Wake(after) => wire::Cmd::NotifyMe { relay, wait: after.nanos(), label: "wake" },
+        Command::Wake(after) => wire::Cmd::NotifyMe { relay, wait: after.as_nanos(), label: "wake" },
         Command::Subscribe => wire::Cmd::Listen { relay, active: true },
         Command::CloseIdle(endpoint) => wire::Cmd::DropConns { relay, endpoint: &endpoint.0 },
         Command::Log(line) => wire::Cmd::SayLog { relay, line },
--- a/crates/balancing/src/endpoint.rs
+++ b/crates/balancing/src/endpoint.rs
@@ -156,7 +156,7 @@
     /// The share of its late calls that went badly: declined, failed, in error or silent. An endpoint may pass its
     /// health checks and answer some requests while it fails others.
     pub(crate) fn trouble(&self, now: Time) -> f64 {
-        let halvings = now.since(self.trouble_at).secs() / TROUBLE_HALVES.secs();
+        let halvings = now.since(self.trouble_at).as_secs_f64() / TROUBLE_HALVES.as_secs_f64();
         self.trouble * 0.5_f64.powf(halvings)
     }
 
@@ -196,7 +196,7 @@
     /// Seconds that a call likely loses to the endpoint's failures, if a bad one loses `time_out`.
     pub(crate) fn failure_secs(&self, now: Time, time_out: Span) -> f64 {
         let pause = if self.is_aside(now) { self.failed_until.since(now) + time_out } else { Span::ZERO };
-        pause.secs() + self.trouble(now) * time_out.secs()
+        pause.as_secs_f64() + self.trouble(now) * time_out.as_secs_f64()
     }
 
     /// Requests that it works on at a time.
@@ -212,11 +212,11 @@
     /// The calls of others: what was told passes over into `usual` as it ages.
     fn others(&self, now: Time, usual: f64) -> f64 {
         let Some(told) = self.told else { return usual };
-        let age = (now.since(told.at).secs() / LOAD_VALID.secs()).min(1.0);
+        let age = (now.since(told.at).as_secs_f64() / LOAD_VALID.as_secs_f64()).min(1.0);
         f64::from(told.others()) * (1.0 - age) + usual * age
     }
 }
 
 fn pause(first: Span, doublings: u32) -> Span {
-    first.times(f64::from(1_u32 << doublings.min(MOST_DOUBLINGS))).min(LONGEST_PAUSE)
+    first.mul_f64(f64::from(1_u32 << doublings.min(MOST_DOUBLINGS))).min(LONGEST_PAUSE)
 }
--- a/crates/balancing/src/service_time.rs
+++ b/crates/balancing/src/service_time.rs
@@ -48,20 +48,20 @@
 impl ServiceTime {
     /// A call has held its slot for so long.
     pub(crate) fn record_held(&mut self, held: Span) {
-        self.held.add(held.secs());
+        self.held.add(held.as_secs_f64());
     }
 
     /// A call with so many tokens of its prompt to be read began to answer after so long.
     pub(crate) fn record_first_event(&mut self, unread_tokens: f64, lasted: Span) {
         self.unread.add(unread_tokens);
-        self.to_first_event.add(lasted.secs());
+        self.to_first_event.add(lasted.as_secs_f64());
         self.unread_squared.add(unread_tokens * unread_tokens);
-        self.product.add(unread_tokens * lasted.secs());
+        self.product.add(unread_tokens * lasted.as_secs_f64());
     }
 
     /// What is expected of the next call, with or without a prompt, at endpoints of so many slots.
     pub(crate) fn expected(&self, has_prompt: bool, slots: f64) -> ExpectedTime {
-        let held = if self.held.get() > 0.0 { self.held.get() } else { UNMEASURED.secs() };
+        let held = if self.held.get() > 0.0 { self.held.get() } else { UNMEASURED.as_secs_f64() };
         let per_token = self.reading_secs_per_token();
         let reading = per_token * self.unread.get();
         let per_call = if has_prompt && reading > 0.0 { reading } else { held / slots.max(1.0) };
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -40,22 +40,22 @@
     }
 
     /// A span of so many seconds; anything that is not a positive number gives zero.
-    pub fn from_secs(secs: f64) -> Self {
+    pub fn from_secs_f64(secs: f64) -> Self {
         Span((secs * 1e9) as u64)
     }
 
     /// The span in nanoseconds.
-    pub const fn nanos(self) -> u64 {
+    pub const fn as_nanos(self) -> u64 {
         self.0
     }
 
     /// The span in seconds.
-    pub fn secs(self) -> f64 {
+    pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e9
     }
 
     /// The span taken `factor` times; a factor that is not a positive number gives zero.
-    pub fn times(self, factor: f64) -> Self {
+    pub fn mul_f64(self, factor: f64) -> Self {
         Span((self.0 as f64 * factor) as u64)
     }
 }
--- a/crates/configuration/src/check.rs
+++ b/crates/configuration/src/check.rs
@@ -256,7 +256,7 @@
     fn retention(&mut self, part: Part, retention_s: Option<f64>) -> Span {
         let Some(retention_s) = retention_s else { return DEFAULT_RETENTION };
         let retention = self.number(part, "retentionS", Some(retention_s), MAX_SPAN_MS / 1e3);
-        Span::from_secs(retention.unwrap_or(0.0))
+        Span::from_secs_f64(retention.unwrap_or(0.0))
     }
 
     /// The services of a route; `None` only if something was found.
@@ -321,7 +321,7 @@
     /// A span in milliseconds; `None` if it is missing or 0.
     fn span_ms(&mut self, part: Part, field: &str, value: Option<f64>) -> Option<Span> {
         let millis = self.number(part, field, value, MAX_SPAN_MS)?;
-        let span = Span::from_secs(millis / 1e3);
+        let span = Span::from_secs_f64(millis / 1e3);
         // A tiny span stays one: only 0 itself means "not given".
         Some(span.max(Span::from_nanos(1)))
     }
--- a/crates/configuration/tests/robust.rs
+++ b/crates/configuration/tests/robust.rs
@@ -76,7 +76,7 @@
         match Configuration::read(value.to_string().as_bytes()) {
             Ok(configuration) => {
                 for route in &configuration.routes {
-                    prop_assert!(route.max_retries > 0 && route.timeout.nanos() > 0);
+                    prop_assert!(route.max_retries > 0 && route.timeout.as_nanos() > 0);
                     prop_assert!(!route.service_for(0).0.is_empty());
                 }
             }
--- a/crates/control/src/placement.rs
+++ b/crates/control/src/placement.rs
@@ -96,7 +96,7 @@
             primary,
             in_sync: members,
             joining: Vec::new(),
-            lost_copies: 0,
+            lost_replicas: 0,
         };
         load.add(&assignment);
         assignments.push(assignment);
--- a/crates/control/src/plan.rs
+++ b/crates/control/src/plan.rs
@@ -101,7 +101,7 @@
             self.drop_retiring(&mut planned);
             self.choose_primary(&mut planned, &mut load);
             self.add_joining(partition, &mut planned, &mut load);
-            planned.lost_copies = self.lost_copies(&planned, assignment.lost_copies);
+            planned.lost_replicas = self.lost_copies(&planned, assignment.lost_replicas);
             next.push(planned);
         }
         if self.input.view.calm && next == *present {
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -134,12 +134,15 @@
             assert_eq!(new.primary, old.primary, "a report counts only with the primary that gave it");
         }
         assert!(new.joining.iter().all(|joining| !new.in_sync.contains(joining)));
-        if new.lost_copies > 0 {
+        if new.lost_replicas > 0 {
             assert!(
                 new.joining.is_empty(),
                 "nothing is acknowledged on fewer copies while one is being made"
             );
-            assert!(new.in_sync.len() + usize::from(new.lost_copies) <= REQUIRED, "no more than are missing");
+            assert!(
+                new.in_sync.len() + usize::from(new.lost_replicas) <= REQUIRED,
+                "no more than are missing"
+            );
         }
         let members: BTreeSet<_> = new.in_sync.iter().chain(&new.joining).collect();
         assert_eq!(members.len(), new.in_sync.len() + new.joining.len(), "nobody twice");
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -75,7 +75,7 @@
         primary: DiskId(primary),
         in_sync: vec![DiskId(21), DiskId(22)],
         joining: vec![DiskId(24)],
-        lost_copies,
+        lost_replicas: lost_copies,
     };
     StoreMap {
         version: 350,
--- a/crates/control/tests/plan.rs
+++ b/crates/control/tests/plan.rs
@@ -100,7 +100,8 @@
 fn fewer_copies_are_enough_only_while_the_others_are_lost_beyond_doubt() {
     // Guards: `others_are_lost` and `others_seen` in `lost_copies`.
     let mut tier = Tier::of(1..=2);
-    let allowed = |tier: &Tier, copies: u16| tier.partitions().iter().all(|held| held.lost_copies == copies);
+    let allowed =
+        |tier: &Tier, copies: u16| tier.partitions().iter().all(|held| held.lost_replicas == copies);
     tier.lose(1);
     tier.step(&[]).unwrap();
     assert!(allowed(&tier, 0), "it may only have hiccuped");
@@ -126,7 +127,7 @@
     tier.lose_surely(1);
     tier.lose_surely(2);
     tier.step(&[]).unwrap();
-    assert!(tier.partitions().iter().all(|held| held.lost_copies == 0));
+    assert!(tier.partitions().iter().all(|held| held.lost_replicas == 0));
     assert!(tier.partitions().iter().all(|held| held.in_sync.len() + held.joining.len() >= REQUIRED));
 }
 
--- a/crates/emulator/src/clock.rs
+++ b/crates/emulator/src/clock.rs
@@ -21,7 +21,7 @@
 
     /// The simulation has been played up to `time`.
     pub fn set(&self, time: Time) {
-        self.0.store(time.since(Time::default()).nanos(), Ordering::Relaxed);
+        self.0.store(time.since(Time::default()).as_nanos(), Ordering::Relaxed);
     }
 }
 
@@ -62,7 +62,7 @@
         match started {
             Some(started) if Handle::try_current().is_ok() => {
                 let elapsed = Instant::now().saturating_duration_since(started.instant);
-                Time::from_nanos(started.at.since(Time::default()).nanos() + elapsed.as_nanos() as u64)
+                Time::from_nanos(started.at.since(Time::default()).as_nanos() + elapsed.as_nanos() as u64)
             }
             _ => self.world.now(),
         }
@@ -70,6 +70,6 @@
 
     /// From now until `time`.
     pub fn until(&self, time: Time) -> Duration {
-        Duration::from_nanos(time.since(self.now()).nanos())
+        Duration::from_nanos(time.since(self.now()).as_nanos())
     }
 }
--- a/crates/emulator/src/disk.rs
+++ b/crates/emulator/src/disk.rs
@@ -14,7 +14,7 @@
 
 use juniperwing_clock::{Span, Time};
 use juniperwing_node::sync::lock;
-use juniperwing_storage::disk::Disk;
+use juniperwing_storage::file_system::FileSystem;
 
 use crate::chance::Chance;
 use crate::clock::MachineClock;
@@ -96,7 +96,7 @@
 
     /// How long the calls took since this was last asked.
     pub fn take_time(&self) -> Duration {
-        Duration::from_nanos(std::mem::replace(&mut self.lock().spent, Span::ZERO).nanos())
+        Duration::from_nanos(std::mem::replace(&mut self.lock().spent, Span::ZERO).as_nanos())
     }
 
     /// The process is killed: what it had not begun by `now` is not done.
@@ -158,7 +158,7 @@
 impl State {
     fn cost_of(&self, operation: &Operation) -> Span {
         match operation {
-            Operation::SyncFile(_) | Operation::SyncFolder(_) => SYNC.times(f64::from(self.slowness)),
+            Operation::SyncFile(_) | Operation::SyncFolder(_) => SYNC.mul_f64(f64::from(self.slowness)),
             _ => CALL,
         }
     }
@@ -243,8 +243,8 @@
     }
 }
 
-impl Disk for SimulatedDisk {
-    fn make_folder(&self, folder: &Path) -> io::Result<()> {
+impl FileSystem for SimulatedDisk {
+    fn create_dir_all(&self, folder: &Path) -> io::Result<()> {
         // Folders are made at the first start; that their own names may be lost is not simulated.
         let mut state = self.lock();
         state.seen.folders.insert(folder.to_owned());
@@ -258,7 +258,7 @@
         Ok(state.seen.files.get(&file).cloned().unwrap_or_default())
     }
 
-    fn list(&self, folder: &Path) -> io::Result<Vec<OsString>> {
+    fn read_dir(&self, folder: &Path) -> io::Result<Vec<OsString>> {
         let state = self.lock();
         let inside = state.seen.names.keys().filter(|path| path.parent() == Some(folder));
         Ok(inside.filter_map(|path| path.file_name().map(ToOwned::to_owned)).collect())
--- a/crates/emulator/src/endpoints.rs
+++ b/crates/emulator/src/endpoints.rs
@@ -60,11 +60,11 @@
             }
             match self.chance.below(4) {
                 0 => {}
-                1 => self.insist(InstanceState::Gone).await,
+                1 => self.insist(InstanceState::Terminated).await,
                 _ => {
                     self.insist(InstanceState::Draining).await;
                     sleep(SERVE_ON).await;
-                    self.insist(InstanceState::Gone).await;
+                    self.insist(InstanceState::Terminated).await;
                 }
             }
             self.history.add(clock::now(), Seen::EndpointSilent { id: self.id() });
@@ -108,7 +108,7 @@
 
     fn call(&self, said: InstanceState) -> Call {
         let (id, sequence) = (self.id(), self.sequence);
-        if said == InstanceState::Gone {
+        if said == InstanceState::Terminated {
             return Call { line: format!("DELETE /instances/{id}"), body: Vec::new(), base: None };
         }
         let state = if said == InstanceState::Draining { "draining" } else { "ready" };
--- a/crates/emulator/src/host.rs
+++ b/crates/emulator/src/host.rs
@@ -8,7 +8,7 @@
 use juniperwing_clock::Time;
 use juniperwing_node::host::{Host, Pending, SimulatedDatagrams, SimulatedListener, SimulatedStream};
 use juniperwing_node::sync::lock;
-use juniperwing_storage::disk::Disk;
+use juniperwing_storage::file_system::FileSystem;
 
 use crate::chance::Chance;
 use crate::clock::{MachineClock, WorldTime};
@@ -53,7 +53,7 @@
     }
 
     fn time_of_day_ms(&self) -> u64 {
-        DAYBREAK_MS + self.clock.now().since(Time::default()).nanos() / 1_000_000
+        DAYBREAK_MS + self.clock.now().since(Time::default()).as_nanos() / 1_000_000
     }
 
     fn random(&self) -> u64 {
@@ -90,7 +90,7 @@
         Ok(Arc::new(Datagrams { ports: self.ports.clone(), address, mailbox }))
     }
 
-    fn disk(&self) -> Arc<dyn Disk> {
+    fn disk(&self) -> Arc<dyn FileSystem> {
         Arc::<SimulatedDisk>::clone(&self.disk)
     }
 
--- a/crates/emulator/src/machine.rs
+++ b/crates/emulator/src/machine.rs
@@ -65,7 +65,7 @@
     pub fn run(&mut self, until: Time) -> bool {
         let Some(process) = self.process.as_mut().filter(|_| !self.frozen) else { return false };
         let _entered = enter(Arc::<SimulatedHost>::clone(&self.host) as Arc<dyn Host>);
-        let end = process.started + Duration::from_nanos(until.since(process.started_at).nanos());
+        let end = process.started + Duration::from_nanos(until.since(process.started_at).as_nanos());
         process.runtime.block_on(async move { tokio::time::sleep_until(end).await });
         let ended = process.main.is_finished();
         if ended {
@@ -84,7 +84,7 @@
         self.frozen = false;
         let Some(process) = &mut self.process else { return };
         let _entered = enter(Arc::<SimulatedHost>::clone(&self.host) as Arc<dyn Host>);
-        let end = process.started + Duration::from_nanos(now.since(process.started_at).nanos());
+        let end = process.started + Duration::from_nanos(now.since(process.started_at).as_nanos());
         process.runtime.block_on(async {
             let missed = end.saturating_duration_since(Instant::now());
             tokio::time::advance(missed).await;
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -70,7 +70,7 @@
     print!("{day}");
     let history = play(&day, true);
     for (at, seen) in &history {
-        println!("{:9.3} {seen:?}", at.since(Time::default()).secs());
+        println!("{:9.3} {seen:?}", at.since(Time::default()).as_secs_f64());
     }
     let findings = judge(&day, &history);
     findings.iter().for_each(|finding| println!("{finding}"));
--- a/crates/emulator/src/oracle.rs
+++ b/crates/emulator/src/oracle.rs
@@ -65,7 +65,7 @@
 
 impl fmt::Display for Finding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let at = self.at.since(Time::default()).secs();
+        let at = self.at.since(Time::default()).as_secs_f64();
         write!(f, "{:?} at {at:.3} s: {}", self.property, self.detail)
     }
 }
--- a/crates/emulator/src/oracle/endpoints.rs
+++ b/crates/emulator/src/oracle/endpoints.rs
@@ -84,7 +84,7 @@
                 view.is_stable(from, at_ms) && lives_through(life, from.saturating_sub(CONTACT_MS), at_ms);
             if in_touch && life.held(id, at) == Some(InstanceState::Ready) {
                 let relay = life.relay;
-                let since = acknowledged.since(Time::default()).secs();
+                let since = acknowledged.since(Time::default()).as_secs_f64();
                 let detail = format!("{id} at edge-{relay}, acknowledged by core-{keeper} at {since:.3} s");
                 return findings.add(Property::DrainedButReady, at, detail);
             }
--- a/crates/emulator/src/relay.rs
+++ b/crates/emulator/src/relay.rs
@@ -10,7 +10,7 @@
 use juniperwing_protocol::NodeName;
 use juniperwing_protocol::registry::Instance;
 use juniperwing_protocol::replication::Version;
-use juniperwing_protocol::subscription::{Applied, Subscribe, Update};
+use juniperwing_protocol::subscription::{AppliedVersions, Subscribe, Update};
 use tokio::sync::watch;
 
 use crate::history::{History, Seen};
@@ -43,7 +43,7 @@
         node: NodeName::from(format!("edge-{relay}").as_str()),
         zone: "a".into(),
         address,
-        subscriber: juniperwing_protocol::subscription::Subscriber::Relay,
+        subscriber: juniperwing_protocol::subscription::SubscriberKind::Relay,
         configuration: Version::default(),
     };
     let first = seeds.borrow_and_update().clone();
@@ -92,9 +92,9 @@
         }
     }
 
-    fn applied(&self) -> Applied {
+    fn applied(&self) -> AppliedVersions {
         let held = lock(&self.held);
-        Applied { configuration: held.configuration, stores: held.stores, ..Applied::default() }
+        AppliedVersions { configuration: held.configuration, stores: held.stores, ..AppliedVersions::default() }
     }
 
     fn configuration(&self) -> Version {
--- a/crates/emulator/src/stability.rs
+++ b/crates/emulator/src/stability.rs
@@ -36,7 +36,7 @@
 
 /// Milliseconds from the beginning of the day.
 pub fn millis(time: Time) -> u64 {
-    time.since(Time::default()).nanos() / 1_000_000
+    time.since(Time::default()).as_nanos() / 1_000_000
 }
 
 /// A process that was told to end was away.
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -13,39 +13,39 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Invariant {
     /// A keeper accepts no epoch below one that it has accepted or promised.
-    EpochNeverFalls,
+    EpochNeverDecreases,
     /// An epoch number stands for one primary, one in-sync set and one set of voters.
-    OneEpochForANumber,
+    EpochNumberIsUnique,
     /// The committed version of a keeper never falls within a life.
-    CommittedVersionNeverFalls,
+    CommittedVersionNeverDecreases,
     /// What a primary commits is on its own disk and in sync on as many disks as are required.
-    CommittedIsDurable,
+    CommittedVersionIsDurable,
     /// An order that is answered 200 is part of the committed state.
     AcknowledgedOrderIsCommitted,
     /// The configuration in force at a relay never falls within a life.
-    ConfigurationNeverFalls,
+    ConfigurationVersionNeverDecreases,
     /// The store map of a store never falls below one that it has acted on.
-    StoreMapNeverFalls,
+    StoreMapVersionNeverDecreases,
     /// What is reserved and spent by a program never exceeds its budget when a turn is admitted.
     ReservationsWithinBudget,
     /// A turn is settled at no more tokens than were reserved for it.
-    SettledWithinReservation,
+    CommitWithinReservation,
     /// A turn is kept with one content.
-    TurnIsKeptOnce,
+    StoredTurnIsImmutable,
     /// A write is acknowledged only when every replica that counts has it, and there are enough of them.
     AcknowledgedOnAllReplicas,
     /// Event ids rise within an answer.
-    EventIdsRise,
+    EventIdsIncrease,
     /// An answer that is passed on bears the id of the request.
-    AnswerOfTheRequest,
+    ResponseMatchesRequest,
     /// A request that may run once is not sent again once it may have run.
-    SentOnceUnlessRepeatable,
+    SentOnceUnlessIdempotent,
     /// Statuses that promise that a request has not run are given only where that is known.
-    PromiseOnlyIfNotRun,
+    NotExecutedOnlyIfKnown,
     /// A relay without requests holds no bytes of bodies.
-    NoBytesHeldWhenIdle,
+    NoBufferedBytesWhenIdle,
     /// A relay without requests holds no slots at endpoints.
-    NoSlotsHeldWhenIdle,
+    NoOccupiedSlotsWhenIdle,
     /// A task that a process cannot do without runs as long as the process.
     EssentialTaskRuns,
 }
@@ -53,52 +53,52 @@
 impl Invariant {
     /// All of them.
     pub const ALL: [Invariant; 18] = [
-        Invariant::EpochNeverFalls,
-        Invariant::OneEpochForANumber,
-        Invariant::CommittedVersionNeverFalls,
-        Invariant::CommittedIsDurable,
+        Invariant::EpochNeverDecreases,
+        Invariant::EpochNumberIsUnique,
+        Invariant::CommittedVersionNeverDecreases,
+        Invariant::CommittedVersionIsDurable,
         Invariant::AcknowledgedOrderIsCommitted,
-        Invariant::ConfigurationNeverFalls,
-        Invariant::StoreMapNeverFalls,
+        Invariant::ConfigurationVersionNeverDecreases,
+        Invariant::StoreMapVersionNeverDecreases,
         Invariant::ReservationsWithinBudget,
-        Invariant::SettledWithinReservation,
-        Invariant::TurnIsKeptOnce,
+        Invariant::CommitWithinReservation,
+        Invariant::StoredTurnIsImmutable,
         Invariant::AcknowledgedOnAllReplicas,
-        Invariant::EventIdsRise,
-        Invariant::AnswerOfTheRequest,
-        Invariant::SentOnceUnlessRepeatable,
-        Invariant::PromiseOnlyIfNotRun,
-        Invariant::NoBytesHeldWhenIdle,
-        Invariant::NoSlotsHeldWhenIdle,
+        Invariant::EventIdsIncrease,
+        Invariant::ResponseMatchesRequest,
+        Invariant::SentOnceUnlessIdempotent,
+        Invariant::NotExecutedOnlyIfKnown,
+        Invariant::NoBufferedBytesWhenIdle,
+        Invariant::NoOccupiedSlotsWhenIdle,
         Invariant::EssentialTaskRuns,
     ];
 
     /// Its name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
-            Invariant::EpochNeverFalls => "epoch_never_falls",
-            Invariant::OneEpochForANumber => "one_epoch_for_a_number",
-            Invariant::CommittedVersionNeverFalls => "committed_version_never_falls",
-            Invariant::CommittedIsDurable => "committed_is_durable",
+            Invariant::EpochNeverDecreases => "epoch_never_falls",
+            Invariant::EpochNumberIsUnique => "one_epoch_for_a_number",
+            Invariant::CommittedVersionNeverDecreases => "committed_version_never_falls",
+            Invariant::CommittedVersionIsDurable => "committed_is_durable",
             Invariant::AcknowledgedOrderIsCommitted => "acknowledged_order_is_committed",
-            Invariant::ConfigurationNeverFalls => "configuration_never_falls",
-            Invariant::StoreMapNeverFalls => "store_map_never_falls",
+            Invariant::ConfigurationVersionNeverDecreases => "configuration_never_falls",
+            Invariant::StoreMapVersionNeverDecreases => "store_map_never_falls",
             Invariant::ReservationsWithinBudget => "reservations_within_budget",
-            Invariant::SettledWithinReservation => "settled_within_reservation",
-            Invariant::TurnIsKeptOnce => "turn_is_kept_once",
+            Invariant::CommitWithinReservation => "settled_within_reservation",
+            Invariant::StoredTurnIsImmutable => "turn_is_kept_once",
             Invariant::AcknowledgedOnAllReplicas => "acknowledged_on_all_replicas",
-            Invariant::EventIdsRise => "event_ids_rise",
-            Invariant::AnswerOfTheRequest => "answer_of_the_request",
-            Invariant::SentOnceUnlessRepeatable => "sent_once_unless_repeatable",
-            Invariant::PromiseOnlyIfNotRun => "promise_only_if_not_run",
-            Invariant::NoBytesHeldWhenIdle => "no_bytes_held_when_idle",
-            Invariant::NoSlotsHeldWhenIdle => "no_slots_held_when_idle",
+            Invariant::EventIdsIncrease => "event_ids_rise",
+            Invariant::ResponseMatchesRequest => "answer_of_the_request",
+            Invariant::SentOnceUnlessIdempotent => "sent_once_unless_repeatable",
+            Invariant::NotExecutedOnlyIfKnown => "promise_only_if_not_run",
+            Invariant::NoBufferedBytesWhenIdle => "no_bytes_held_when_idle",
+            Invariant::NoOccupiedSlotsWhenIdle => "no_slots_held_when_idle",
             Invariant::EssentialTaskRuns => "essential_task_runs",
         }
     }
 
     /// Its place in [`Invariant::ALL`].
-    fn index(self) -> usize {
+    fn position(self) -> usize {
         self as usize
     }
 }
@@ -136,12 +136,12 @@
 
 /// How often a condition has not held in this process.
 pub fn violations(invariant: Invariant) -> u64 {
-    VIOLATIONS[invariant.index()].load(Ordering::Relaxed)
+    VIOLATIONS[invariant.position()].load(Ordering::Relaxed)
 }
 
 #[cold]
 fn violated(invariant: Invariant, details: String) {
-    VIOLATIONS[invariant.index()].fetch_add(1, Ordering::Relaxed);
+    VIOLATIONS[invariant.position()].fetch_add(1, Ordering::Relaxed);
     let violation = Violation { invariant, details };
     if let Some(reporter) = REPORTER.get() {
         reporter(&violation);
--- a/crates/invariants/tests/invariants.rs
+++ b/crates/invariants/tests/invariants.rs
@@ -20,11 +20,11 @@
     let reported: Arc<Mutex<Vec<Violation>>> = Arc::default();
     let seen = Arc::clone(&reported);
     assert!(report_to(Box::new(move |violation| seen.lock().unwrap().push(violation.clone()))));
-    check(Invariant::EventIdsRise, true, || unreachable!("details of what holds"));
-    let violated = catch_unwind(|| check(Invariant::EventIdsRise, false, || "request r-1".to_owned()));
+    check(Invariant::EventIdsIncrease, true, || unreachable!("details of what holds"));
+    let violated = catch_unwind(|| check(Invariant::EventIdsIncrease, false, || "request r-1".to_owned()));
     assert_eq!(violated.is_err(), cfg!(debug_assertions));
-    assert_eq!(violations(Invariant::EventIdsRise), 1);
-    assert_eq!(violations(Invariant::TurnIsKeptOnce), 0);
-    let expected = Violation { invariant: Invariant::EventIdsRise, details: "request r-1".to_owned() };
+    assert_eq!(violations(Invariant::EventIdsIncrease), 1);
+    assert_eq!(violations(Invariant::StoredTurnIsImmutable), 0);
+    let expected = Violation { invariant: Invariant::EventIdsIncrease, details: "request r-1".to_owned() };
     assert_eq!(*reported.lock().unwrap(), [expected]);
 }
--- a/crates/lab/src/adapter.rs
+++ b/crates/lab/src/adapter.rs
@@ -123,7 +123,7 @@
     fn ask(&mut self, now: Time, happened: &[Value]) -> Result<Vec<Command>, String> {
         let mut shared = self.wire.borrow_mut();
         let wire = shared.as_mut().map_err(|e| e.clone())?;
-        let now = now.since(Time::default()).nanos();
+        let now = now.since(Time::default()).as_nanos();
         let mut line = json!({"now": now, "happened": happened}).to_string();
         line.push('\n');
         wire.input.write_all(line.as_bytes()).and_then(|()| wire.input.flush()).map_err(|e| e.to_string())?;
@@ -200,7 +200,7 @@
         }
         Event::Accepted(ntf) => happened.push(json!({"m": "Accept", "relay": relay, "ticket": ntf.id.0,
             "bound-for": ntf.destination.0, "org": ntf.account.map(|account| account.name.clone()),
-            "object": ntf.key, "valid-until": ntf.valid_until.since(Time::default()).nanos(), "cls": ntf.topic.name})),
+            "object": ntf.key, "valid-until": ntf.valid_until.since(Time::default()).as_nanos(), "cls": ntf.topic.name})),
         Event::Ended(outcome) => happened.push(answer(relay, &outcome)),
         Event::Withdrawn(ntf) => happened.push(json!({"m": "Withdrawn", "relay": relay, "ticket": ntf.0})),
         Event::Woken => happened.push(json!({"m": "Ring", "relay": relay, "label": "wake"})),
@@ -224,9 +224,9 @@
         Status::Skipped => "skipped",
     };
     let stats = outcome.limit.map(|limit| vec![limit.left, limit.rate]).unwrap_or_default();
-    let wait = outcome.wait.unwrap_or_default().nanos().div_ceil(1_000_000);
+    let wait = outcome.wait.unwrap_or_default().as_nanos().div_ceil(1_000_000);
     json!({"m": "Answer", "relay": relay, "ticket": outcome.ntf.0, "go": outcome.push,
-        "endpoint": &*outcome.endpoint.0, "status": status, "spent": outcome.spent.nanos(),
+        "endpoint": &*outcome.endpoint.0, "status": status, "spent": outcome.spent.as_nanos(),
         "settled": outcome.settled, "detail": wait, "server-stats": stats})
 }
 
@@ -242,12 +242,12 @@
             Effect::OnceOnly => ("side_effect", "all"),
         };
         json!({"name": topic.name, "semantics": semantics, "dedup-scope": scope, "fifo-by-key": topic.ordered,
-            "aim": topic.objective.nanos(), "hard-limit": topic.ttl.nanos(), "worth": topic.benefit,
-            "late-value": topic.late_share, "repeat-window": topic.effect.window().unwrap_or_default().nanos()})
+            "aim": topic.objective.as_nanos(), "hard-limit": topic.ttl.as_nanos(), "worth": topic.benefit,
+            "late-value": topic.late_share, "repeat-window": topic.effect.window().unwrap_or_default().as_nanos()})
     };
     let account = |account: &Arc<juniperwing::interface::Account>| json!({"name": account.name, "quota-per-s": account.quota});
     json!({
-        "balancers": facts.relays, "discovery": "subscribe", "tick": facts.tick.nanos(),
+        "balancers": facts.relays, "discovery": "subscribe", "tick": facts.tick.as_nanos(),
         "weight-source": if facts.rates_listed { "rough" } else { "none" },
         "classes": fleet.topics.iter().map(class).collect::<Vec<_>>(),
         "accounts": fleet.accounts.iter().map(account).collect::<Vec<_>>(),
@@ -256,11 +256,11 @@
             "per-call": fleet.kinds.iter().map(|kind| kind.per_call).collect::<Vec<_>>(),
             "separate-routes": fleet.kinds.iter().map(|kind| kind.separate_routes).collect::<Vec<_>>()},
         "load-report": {"how": "answers", "fields": ["x0", "x1"]},
-        "ceilings": {"max-attempts": allowed.pushes, "max-retry-after": allowed.longest_retry.nanos(),
+        "ceilings": {"max-attempts": allowed.pushes, "max-retry-after": allowed.longest_retry.as_nanos(),
             "retry-after": allowed.longest_retry > Span::ZERO, "cancel": allowed.cancel, "probes": allowed.probes,
             "second-copies": true, "most-held": allowed.held},
-        "rules": {"ask-every": figures.ask_every.nanos(), "cold": figures.cold.nanos(),
+        "rules": {"ask-every": figures.ask_every.as_nanos(), "cold": figures.cold.as_nanos(),
             "cold-from": figures.cold_from, "fall-multiple": figures.fall_multiple,
-            "tip-after": figures.tip_after.nanos(), "settle-after-doubt": figures.settle.nanos()}
+            "tip-after": figures.tip_after.as_nanos(), "settle-after-doubt": figures.settle.as_nanos()}
     })
 }
--- a/crates/lab/src/baselines.rs
+++ b/crates/lab/src/baselines.rs
@@ -231,10 +231,10 @@
             return self.forget(ntf.0);
         }
         let growth = 2f64.powi(held.pushes.min(16) as i32 - 1);
-        let most = BACKOFF.times(growth).min(LONGEST_BACKOFF);
+        let most = BACKOFF.mul_f64(growth).min(LONGEST_BACKOFF);
         held.ready = match self.style {
             Style::Oracle => now,
-            _ => now + most.times(self.chance.random()),
+            _ => now + most.mul_f64(self.chance.random()),
         };
     }
 
@@ -381,7 +381,7 @@
                 Style::OneTry | Style::Oracle => left,
                 // A once-only one has no second try: it is waited for.
                 _ if held.ntf.topic.effect == Effect::OnceOnly => left,
-                _ => held.ntf.topic.objective.times(TIME_OUT).min(left),
+                _ => held.ntf.topic.objective.mul_f64(TIME_OUT).min(left),
             };
             if held.pushes > 0 {
                 self.saved -= 1.0;
--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -4,7 +4,7 @@
 //! disk) therefore holds nothing up: records that find the queue full are dropped, and their number is logged once there
 //! is room.
 
-mod whole_lines;
+mod line_buffered;
 
 use std::fmt;
 use std::io::Write;
@@ -15,7 +15,7 @@
 use slog::{Drain, Level, Logger, OwnedKV, SendSyncRefUnwindSafeKV};
 use slog_async::{Async, AsyncGuard, OverflowStrategy};
 
-use crate::whole_lines::WholeLines;
+use crate::line_buffered::LineBuffered;
 
 /// Records that may wait to be written; more are dropped and counted.
 const QUEUE_LENGTH: usize = 4_096;
@@ -29,7 +29,7 @@
     W: Write + Send + 'static,
     V: SendSyncRefUnwindSafeKV + 'static,
 {
-    let lines = slog_json::Json::new(WholeLines::new(output)).add_default_keys().build();
+    let lines = slog_json::Json::new(LineBuffered::new(output)).add_default_keys().build();
     let (queue, writer) = Async::new(Mutex::new(lines).ignore_res())
         .chan_size(QUEUE_LENGTH)
         .overflow_strategy(OverflowStrategy::DropAndReport)
--- a/crates/log/src/whole_lines.rs
+++ b/crates/log/src/line_buffered.rs
@@ -5,18 +5,18 @@
 /// Hands whole lines on in one write each, so that lines of several processes don't mix and a line costs one system
 /// call.
 #[derive(Debug)]
-pub(crate) struct WholeLines<W> {
+pub(crate) struct LineBuffered<W> {
     inner: W,
     line: Vec<u8>,
 }
 
-impl<W: Write> WholeLines<W> {
+impl<W: Write> LineBuffered<W> {
     pub(crate) fn new(inner: W) -> Self {
-        WholeLines { inner, line: Vec::new() }
+        LineBuffered { inner, line: Vec::new() }
     }
 }
 
-impl<W: Write> Write for WholeLines<W> {
+impl<W: Write> Write for LineBuffered<W> {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.line.extend_from_slice(bytes);
         if self.line.ends_with(b"\n") {
--- a/crates/membership/src/chance.rs
+++ b/crates/membership/src/chance.rs
@@ -27,7 +27,7 @@
     /// `span` lengthened or shortened by up to `share` of itself.
     pub fn jitter(&mut self, span: Span, share: f64) -> Span {
         let unit = (self.bits() >> 11) as f64 / (1u64 << 53) as f64;
-        span.times(1.0 - share + 2.0 * share * unit)
+        span.mul_f64(1.0 - share + 2.0 * share * unit)
     }
 
     /// Puts `items` in a random order.
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -61,7 +61,7 @@
 impl Prober {
     /// Nothing is under way; the first probe comes within an interval.
     pub fn new(now: Time, timings: &Timings, chance: &mut Chance) -> Self {
-        let half = timings.probe_interval.times(0.5);
+        let half = timings.probe_interval.mul_f64(0.5);
         Prober {
             probe_interval: timings.probe_interval,
             next_probe: now + chance.jitter(half, 1.0),
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -71,7 +71,7 @@
     /// How long a suspicion lasts among `members` members.
     pub fn suspicion_time_out(&self, members: usize) -> Span {
         let scale = ((members + 1) as f64).log10().max(1.0);
-        self.probe_interval.times(self.suspicion_multiplier * scale)
+        self.probe_interval.mul_f64(self.suspicion_multiplier * scale)
     }
 }
 
--- a/crates/membership/tests/cost.rs
+++ b/crates/membership/tests/cost.rs
@@ -74,5 +74,5 @@
         let alive = |machine: &usize| network.view(150, *machine) == Some(Status::Alive);
         network.running().filter(alive).count() == 200
     });
-    println!("a new one of 200 knows all after {:.1} s", time.secs());
+    println!("a new one of 200 knows all after {:.1} s", time.as_secs_f64());
 }
--- a/crates/membership/tests/failures.rs
+++ b/crates/membership/tests/failures.rs
@@ -11,7 +11,7 @@
         let mut network = Network::new(count, count as u64);
         network.start_all();
         let time = network.run_until_true(seconds(12.0), "all known", Network::converged);
-        println!("{count} members know each other {:.1} s after the start", time.secs());
+        println!("{count} members know each other {:.1} s after the start", time.as_secs_f64());
         assert!(network.take_deaths().is_empty());
     }
 }
@@ -36,7 +36,7 @@
         let time = network.run_until_true(seconds(bound), "found dead", |network| {
             network.all_hold(count - 1, Status::Dead)
         });
-        println!("{count} members: a death is known to all after {:.1} s", time.secs());
+        println!("{count} members: a death is known to all after {:.1} s", time.as_secs_f64());
         let dead = network.take_deaths();
         assert!(dead.iter().all(|id| *id == network.machines[count - 1].me.id), "only that one");
     }
@@ -177,7 +177,7 @@
         network.take_deaths();
         network.cuts.clear();
         let time = network.run_until_true(seconds(bound), "whole again", Network::converged);
-        println!("{count} members, {split} cut off for {lasts} s: whole after {:.1} s", time.secs());
+        println!("{count} members, {split} cut off for {lasts} s: whole after {:.1} s", time.as_secs_f64());
     }
 }
 
--- a/crates/membership/tests/virtual_network/mod.rs
+++ b/crates/membership/tests/virtual_network/mod.rs
@@ -75,7 +75,7 @@
 
 /// A time after the start of the network.
 pub fn seconds(count: f64) -> Span {
-    Span::from_secs(count)
+    Span::from_secs_f64(count)
 }
 
 fn address(number: usize) -> SocketAddr {
@@ -252,7 +252,7 @@
     pub fn run_until_true(&mut self, limit: Span, what: &str, done: impl Fn(&Network) -> bool) -> Span {
         let begin = self.now;
         while !done(self) {
-            assert!(self.now.since(begin) < limit, "not within {} s: {what}", limit.secs());
+            assert!(self.now.since(begin) < limit, "not within {} s: {what}", limit.as_secs_f64());
             self.run(Span::from_millis(100));
         }
         self.now.since(begin)
--- a/crates/model/src/clients.rs
+++ b/crates/model/src/clients.rs
@@ -72,7 +72,7 @@
 
 impl Keys {
     fn key(&mut self, at: Time, slot: usize, destination: usize, parts: &[f64]) -> (String, usize) {
-        let generation = at.since(Time::default()).nanos() / self.life.nanos().max(1);
+        let generation = at.since(Time::default()).as_nanos() / self.life.as_nanos().max(1);
         // One after the other, so that what is drawn for one hangs on no arrival.
         while self.drawn <= generation {
             let relays = (0..self.slots).map(|_| weighted(&mut self.chance, parts)).collect();
@@ -106,7 +106,7 @@
         scenario: &Scenario, fleet: &Fleet, chance: &Chance, spells: &[Spell], struck: &[Struck],
         hot_relays: Vec<(usize, Vec<usize>, ChaCha8Rng)>,
     ) -> Traffic {
-        let (plan, span) = (&scenario.traffic, Span::from_secs(scenario.span_s.least));
+        let (plan, span) = (&scenario.traffic, Span::from_secs_f64(scenario.span_s.least));
         let (load, end) = (plan.load.least, Time::default() + span);
         let rates: Vec<f64> = fleet.destinations.iter().map(|d| d.rate()).collect();
         let all: Vec<usize> = (0..rates.len()).collect();
@@ -153,7 +153,7 @@
         for destination in 0..rates.len() {
             let mut draws = chance.stream(Concern::Keys, destination);
             let slots = (plan.keys.draw(&mut draws).round() as usize).max(1);
-            let life = Span::from_secs(plan.key_life_s.draw(&mut draws));
+            let life = Span::from_secs_f64(plan.key_life_s.draw(&mut draws));
             let relays = BTreeMap::new();
             traffic.keys.push(Keys { chance: draws, slots, life, drawn: 0, relays });
         }
@@ -181,12 +181,12 @@
                 return None;
             }
             let gap: f64 = Exp1.sample(&mut from.chance);
-            from.at = from.at + Span::from_secs(gap / from.rate);
+            from.at = from.at + Span::from_secs_f64(gap / from.rate);
             if from.at >= from.to {
                 return None;
             }
             // Thinned to the load of the moment: drawn at the peak, each kept with its share of it.
-            let turn = std::f64::consts::TAU * from.at.since(Time::default()).secs() / swing_s;
+            let turn = std::f64::consts::TAU * from.at.since(Time::default()).as_secs_f64() / swing_s;
             let (mut now, mut peak) = (1.0 + swing * turn.sin(), 1.0 + swing);
             if let Some(spell) = from.spell {
                 (now, peak) = (spells[spell].factor(from.at) - 1.0, spells[spell].size - 1.0);
@@ -205,7 +205,7 @@
             let mut all: Vec<Arrival> = (0..size)
                 .map(|_| {
                     let late = self.sources[source].chance.random::<f64>() * CLUMP_MS / 1_000.0;
-                    let at = start + Span::from_secs(late);
+                    let at = start + Span::from_secs_f64(late);
                     self.arrival(source, destination, at, fleet, spells, struck)
                 })
                 .collect();
@@ -255,10 +255,10 @@
         for spell in self.hurries.iter().map(|n| &spells[*n]).filter(|spell| spell.acts(at)) {
             // Those of the struck share want it in less time, and then no longer.
             if hurried < spell.extent {
-                ends = Some(ttl.times(spell.size));
+                ends = Some(ttl.mul_f64(spell.size));
             }
         }
-        let taken_back = (impatient < self.impatient).then(|| ttl.times(late));
+        let taken_back = (impatient < self.impatient).then(|| ttl.mul_f64(late));
         let patience = match (ends, taken_back) {
             (Some(a), Some(b)) => Some(a.min(b)),
             (a, b) => a.or(b),
@@ -275,6 +275,6 @@
     if again >= plan.again {
         return None;
     }
-    let own = Span::from_secs(backoff / 1_000.0 * f64::from(1u32 << again.min(8)));
+    let own = Span::from_secs_f64(backoff / 1_000.0 * f64::from(1u32 << again.min(8)));
     Some(retry_in.filter(|span| heeds && *span > Span::ZERO).unwrap_or(own))
 }
--- a/crates/model/src/endpoint.rs
+++ b/crates/model/src/endpoint.rs
@@ -177,7 +177,7 @@
     pub(crate) fn level(&self, now: Time) -> f64 {
         let Some(back) = self.back else { return 1.0 };
         let (from, span) = self.plan.cold;
-        let risen = if span > Span::ZERO { now.since(back).secs() / span.secs() } else { 1.0 };
+        let risen = if span > Span::ZERO { now.since(back).as_secs_f64() / span.as_secs_f64() } else { 1.0 };
         (from + (1.0 - from) * risen).min(1.0)
     }
 
@@ -187,7 +187,7 @@
             return f64::INFINITY;
         }
         let recent = self.reached.iter().filter(|r| now.since(r.at) <= window).map(|r| r.weight).sum::<f64>();
-        multiple * self.plan.capacity * self.level(now) * window.secs() - recent
+        multiple * self.plan.capacity * self.level(now) * window.as_secs_f64() - recent
     }
 
     /// Work reaches it. A cold one falls over when what reached it in `window` is more than `multiple` times what it
@@ -202,7 +202,7 @@
             self.sum -= first.weight;
             self.reached.pop_front();
         }
-        let most = multiple * self.plan.capacity * self.level(now) * window.secs() + slack;
+        let most = multiple * self.plan.capacity * self.level(now) * window.as_secs_f64() + slack;
         self.fallen = self.sum > most;
         self.fallen
     }
--- a/crates/model/src/figures.rs
+++ b/crates/model/src/figures.rs
@@ -159,7 +159,7 @@
 
 /// The benefit of a delivery after `spent`, as a share of its full benefit.
 pub fn worth(topic: &Topic, spent: Span) -> f64 {
-    let (spent, objective, ttl) = (spent.secs() * 1_000.0, topic.objective_ms, topic.ttl_ms);
+    let (spent, objective, ttl) = (spent.as_secs_f64() * 1_000.0, topic.objective_ms, topic.ttl_ms);
     if spent <= objective {
         return 1.0;
     }
@@ -193,7 +193,7 @@
     }
 
     pub(crate) fn second(&mut self, at: Time) -> &mut Second {
-        let place = at.since(Time::default()).secs() as usize;
+        let place = at.since(Time::default()).as_secs_f64() as usize;
         let seconds = &mut self.figures.seconds;
         if seconds.len() <= place {
             seconds.resize(place + 1, Second::default());
@@ -226,7 +226,7 @@
             part.benefit += benefit * share;
         });
         let topics = self.figures.topics.len();
-        let us = (spent.nanos() / 1_000).clamp(1, LONGEST_US);
+        let us = (spent.as_nanos() / 1_000).clamp(1, LONGEST_US);
         for place in [Some(topic), account.map(|account| topics + account)].into_iter().flatten() {
             if let Some(latencies) = self.latencies.get_mut(place) {
                 latencies.saturating_record(us);
--- a/crates/model/src/fleet.rs
+++ b/crates/model/src/fleet.rs
@@ -148,7 +148,7 @@
 
 /// A span of so many milliseconds, whole or not.
 pub(crate) fn span_ms(ms: f64) -> Span {
-    Span::from_secs(ms / 1_000.0)
+    Span::from_secs_f64(ms / 1_000.0)
 }
 
 impl Fleet {
@@ -223,7 +223,7 @@
             let limited = limit.told(1.0).unwrap_or(f64::INFINITY);
             let cold = (
                 scenario.rules.cold_from.draw(&mut draws),
-                Span::from_secs(scenario.rules.cold_s.draw(&mut draws)),
+                Span::from_secs_f64(scenario.rules.cold_s.draw(&mut draws)),
             );
             let rough = 0.5 + draws.random::<f64>();
             let first_lane = self.lanes.len();
@@ -289,7 +289,7 @@
                 longest_retry: span_ms(scenario.clients.longest_retry_ms),
                 probes: false,
                 cancel: true,
-                idle: Span::from_secs(scenario.network.idle_s),
+                idle: Span::from_secs_f64(scenario.network.idle_s),
             };
             let seed = chance.stream(Concern::Policies, place).random();
             let (zone, distance) = (place % self.zones.len(), draws.random());
@@ -379,9 +379,9 @@
 fn figures(scenario: &Scenario) -> RuleFigures {
     let rules = &scenario.rules;
     RuleFigures {
-        ask_every: Span::from_secs(rules.ask_every_s),
+        ask_every: Span::from_secs_f64(rules.ask_every_s),
         cold_from: rules.cold_from.least,
-        cold: Span::from_secs(rules.cold_s.most),
+        cold: Span::from_secs_f64(rules.cold_s.most),
         fall_multiple: rules.fall_multiple,
         tip_after: span_ms(rules.tip_after_ms),
         settle: span_ms(rules.settle_ms),
--- a/crates/model/src/judge.rs
+++ b/crates/model/src/judge.rs
@@ -493,8 +493,8 @@
         while back.reached.front().is_some_and(|first| now.since(first.0) > figures.tip_after) {
             back.reached.pop_front();
         }
-        let present = back.capacity * (from + (1.0 - from) * passed.secs() / span.secs());
-        let most = figures.fall_multiple * present * figures.tip_after.secs() + figures.fall_slack;
+        let present = back.capacity * (from + (1.0 - from) * passed.as_secs_f64() / span.as_secs_f64());
+        let most = figures.fall_multiple * present * figures.tip_after.as_secs_f64() + figures.fall_slack;
         let all: f64 = back.reached.iter().map(|r| r.2).sum();
         if all <= most {
             return;
@@ -510,8 +510,8 @@
             "lane {lane}, back since {:.3} s, was sent {all:.1} in {:.1} s where {most:.1} would do ({:.1} times its \
              present capacity), {:.0} % of it by relays that had seen it fail; {} relays",
             secs(back.at),
-            figures.tip_after.secs(),
-            all / (present * figures.tip_after.secs()),
+            figures.tip_after.as_secs_f64(),
+            all / (present * figures.tip_after.as_secs_f64()),
             blamed / all * 100.0,
             relays.len()
         );
@@ -530,5 +530,5 @@
 }
 
 fn secs(time: Time) -> f64 {
-    time.since(Time::default()).secs()
+    time.since(Time::default()).as_secs_f64()
 }
--- a/crates/model/src/limit.rs
+++ b/crates/model/src/limit.rs
@@ -55,11 +55,11 @@
             Limit::None => {}
             Limit::Rate { rate, depth, left, at } => {
                 let most = (*rate * factor * *depth).max(1.0);
-                *left = (*left + *rate * factor * now.since(*at).secs()).min(most);
+                *left = (*left + *rate * factor * now.since(*at).as_secs_f64()).min(most);
                 *at = now;
             }
             Limit::Window { span, used, .. } => {
-                let place = now.since(Time::default()).nanos() / span.nanos().max(1);
+                let place = now.since(Time::default()).as_nanos() / span.as_nanos().max(1);
                 if used.0 != place {
                     *used = (place, 0.0);
                 }
@@ -83,7 +83,7 @@
                 within
             }
             Limit::Window { rate, span, used } => {
-                let most = (*rate * factor * span.secs()).max(1.0).floor();
+                let most = (*rate * factor * span.as_secs_f64()).max(1.0).floor();
                 let within = used.1 < most;
                 if within || refused_count {
                     used.1 += 1.0;
@@ -102,7 +102,7 @@
                 (*left / (*rate * factor * *depth).max(1.0)).clamp(0.0, 1.0)
             }
             Limit::Window { rate, span, used } => {
-                (1.0 - used.1 / (*rate * factor * span.secs()).max(1.0)).clamp(0.0, 1.0)
+                (1.0 - used.1 / (*rate * factor * span.as_secs_f64()).max(1.0)).clamp(0.0, 1.0)
             }
         }
     }
@@ -113,11 +113,11 @@
         match self {
             Limit::None => Span::ZERO,
             Limit::Rate { rate, left, .. } => {
-                Span::from_secs((1.0 - *left).max(0.0) / (*rate * factor).max(1e-9))
+                Span::from_secs_f64((1.0 - *left).max(0.0) / (*rate * factor).max(1e-9))
             }
             Limit::Window { span, .. } => {
-                let span = span.nanos().max(1);
-                Span::from_nanos(span - now.since(Time::default()).nanos() % span)
+                let span = span.as_nanos().max(1);
+                Span::from_nanos(span - now.since(Time::default()).as_nanos() % span)
             }
         }
     }
--- a/crates/model/src/woes.rs
+++ b/crates/model/src/woes.rs
@@ -30,9 +30,9 @@
 impl Spell {
     /// A trouble of a resolved scenario.
     pub fn of(trouble: &Trouble, topic: Option<usize>, account: Option<usize>) -> Spell {
-        let from = Time::default() + Span::from_secs(trouble.start_s.least);
-        let to = from + Span::from_secs(trouble.span_s.least);
-        let (ramp, what) = (Span::from_secs(trouble.ramp_s.least), trouble.what);
+        let from = Time::default() + Span::from_secs_f64(trouble.start_s.least);
+        let to = from + Span::from_secs_f64(trouble.span_s.least);
+        let (ramp, what) = (Span::from_secs_f64(trouble.ramp_s.least), trouble.what);
         Spell { what, from, to, ramp, size: trouble.size.least, extent: trouble.extent.least, topic, account }
     }
 
@@ -44,7 +44,7 @@
     /// Its factor by now: from 1 to its size over the ramp.
     pub fn factor(&self, now: Time) -> f64 {
         let risen = if self.ramp > Span::ZERO {
-            (now.since(self.from).secs() / self.ramp.secs()).min(1.0)
+            (now.since(self.from).as_secs_f64() / self.ramp.as_secs_f64()).min(1.0)
         } else {
             1.0
         };
@@ -54,8 +54,8 @@
     /// When a trouble that comes and goes goes on again, if it stands still now: it does so for its size, every four
     /// times that.
     fn goes_on(&self, now: Time) -> Option<Time> {
-        let size = Span::from_secs(self.size).nanos().max(1);
-        let passed = now.since(self.from).nanos() % (4 * size);
+        let size = Span::from_secs_f64(self.size).as_nanos().max(1);
+        let passed = now.since(self.from).as_nanos() % (4 * size);
         (passed < size).then(|| now + Span::from_nanos(size - passed))
     }
 }
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -100,7 +100,7 @@
             self.queue.put(self.spells[place].to, Happens::Edge(place));
         }
         self.queue.put(Time::from_nanos(1_000_000_000), Happens::Second);
-        let span = Span::from_secs(self.scenario.span_s.least);
+        let span = Span::from_secs_f64(self.scenario.span_s.least);
         let longest = self.scenario.topic.iter().map(|topic| topic.ttl_ms).fold(0.0, f64::max);
         let last = Time::default() + span + ms(longest) + TAIL;
         let edges =
@@ -186,7 +186,7 @@
         let before = self.now - Span::from_nanos(1);
         let second = self.ledger.second(before);
         (second.out, second.held) = (out, held);
-        let place = before.since(Time::default()).secs() as usize;
+        let place = before.since(Time::default()).as_secs_f64() as usize;
         for (destination, n) in &self.watched {
             let mut lanes: BTreeSet<usize> = BTreeSet::new();
             let ends = &self.fleet.destinations[*destination].endpoints;
@@ -211,7 +211,7 @@
 
     fn watch(&mut self, destination: usize, what: impl Fn(&mut Watched) -> &mut Vec<f64>, count: f64) {
         if let Some(place) = self.watched.get(&destination) {
-            let second = self.now.since(Time::default()).secs() as usize;
+            let second = self.now.since(Time::default()).as_secs_f64() as usize;
             let series = what(&mut self.ledger.figures.watched[*place]);
             series.resize(series.len().max(second + 1), 0.0);
             series[second] += count;
--- a/crates/model/src/world/calls.rs
+++ b/crates/model/src/world/calls.rs
@@ -119,7 +119,7 @@
         let trips = 2.0 * self.scenario.network.handshake_rtts * slow;
         let kind = &self.scenario.kind[self.fleet.destinations[endpoint.plan.destination].kind];
         let work = ms(kind.handshake_work_ms * slow);
-        self.queue.put(now + call.one_way.times(trips) + work, Happens::Reach(id));
+        self.queue.put(now + call.one_way.mul_f64(trips) + work, Happens::Reach(id));
     }
 
     /// The last byte of a call reaches the endpoint.
@@ -202,7 +202,7 @@
         let work = endpoint.service(work / destination.speed, self.fleet.topics[first].try_cv);
         let slow = endpoint.struck.factor(&self.spells, Woe::Slow, now) / self.lanes[call.lane].level(now);
         let from = endpoint.struck.goes_on(&self.spells, now).unwrap_or(now);
-        self.queue.put(from + Span::from_secs(work * slow), Happens::Served(id));
+        self.queue.put(from + Span::from_secs_f64(work * slow), Happens::Served(id));
     }
 
     pub(super) fn served(&mut self, id: CallId) {
--- a/crates/model/src/world/ends.rs
+++ b/crates/model/src/world/ends.rs
@@ -103,7 +103,7 @@
             let idle = node.idle.entry(place).or_default();
             idle.push(now);
             if idle.len() == 1 {
-                let after = Span::from_secs(self.scenario.network.idle_s * RETIRED_AT);
+                let after = Span::from_secs_f64(self.scenario.network.idle_s * RETIRED_AT);
                 self.queue.put(now + after, Happens::Retire { relay, endpoint: place });
             }
         } else if up {
@@ -113,7 +113,7 @@
 
     /// Connections that have been idle for long are closed.
     pub(super) fn retire(&mut self, relay: usize, endpoint: usize) {
-        let after = Span::from_secs(self.scenario.network.idle_s * RETIRED_AT);
+        let after = Span::from_secs_f64(self.scenario.network.idle_s * RETIRED_AT);
         let node = &mut self.nodes[relay];
         let Some(idle) = node.idle.get_mut(&endpoint) else { return };
         let before = idle.len();
--- a/crates/model/src/world/hand_in.rs
+++ b/crates/model/src/world/hand_in.rs
@@ -25,7 +25,8 @@
         let account = self.fleet.destinations[destination].account;
         let mut benefit = self.scenario.topic[topic].benefit;
         if let Some(share) = account.map(|account| &mut self.shares[account]) {
-            share.left = (share.left + share.quota * at.since(share.at).secs()).min(share.quota.max(1.0));
+            share.left =
+                (share.left + share.quota * at.since(share.at).as_secs_f64()).min(share.quota.max(1.0));
             share.at = share.at.max(at);
             if share.left < 1.0 {
                 benefit *= share.over;
--- a/crates/model/src/world/troubles.rs
+++ b/crates/model/src/world/troubles.rs
@@ -38,11 +38,11 @@
     pub(super) fn changed(&mut self, endpoint: usize, readiness: Readiness) {
         self.readiness[endpoint] = readiness;
         let stale = self.spells.iter().filter(|spell| spell.what == Woe::ListStale && spell.acts(self.now));
-        let later = Span::from_secs(stale.map(|spell| spell.size).sum());
+        let later = Span::from_secs_f64(stale.map(|spell| spell.size).sum());
         let down = self.list_down();
         for relay in 0..self.nodes.len() {
             let node = &mut self.nodes[relay];
-            let after = Span::from_secs(self.scenario.list.notice_s.draw(&mut node.list)) + later;
+            let after = Span::from_secs_f64(self.scenario.list.notice_s.draw(&mut node.list)) + later;
             if !node.up || !node.watches || down {
                 node.missed.insert(endpoint);
                 continue;
@@ -68,14 +68,15 @@
             Woe::Kill | Woe::Lose if begins => {
                 let relays = self.struck_relays[place].clone();
                 let kept = spell.what == Woe::Kill;
-                relays.into_iter().for_each(|relay| self.kill(relay, kept, Span::from_secs(spell.size)));
+                relays.into_iter().for_each(|relay| self.kill(relay, kept, Span::from_secs_f64(spell.size)));
             }
             Woe::Deploy if begins => {
                 let ends = self.struck_ends[place].clone();
-                let each = spell.to.since(spell.from).times(1.0 / ends.len().max(1) as f64);
+                let each = spell.to.since(spell.from).mul_f64(1.0 / ends.len().max(1) as f64);
                 for (n, endpoint) in ends.into_iter().enumerate() {
-                    let at = spell.from + each.times(n as f64);
-                    self.queue.put(at, Happens::Drain { endpoint, gone_after: Span::from_secs(spell.size) });
+                    let at = spell.from + each.mul_f64(n as f64);
+                    self.queue
+                        .put(at, Happens::Drain { endpoint, gone_after: Span::from_secs_f64(spell.size) });
                 }
             }
             _ => {}
@@ -92,7 +93,7 @@
             self.lanes[lane].endpoints.iter().map(|e| &self.endpoints[*e]).filter(|e| !e.gone).peekable();
         let out = live.peek().is_some() && live.all(|end| end.struck.out(spells, now));
         let record = &mut self.lanes[lane];
-        let least = Span::from_secs(self.scenario.rules.least_outage_s);
+        let least = Span::from_secs_f64(self.scenario.rules.least_outage_s);
         match record.note_out(out, now, least) {
             Some(Outage::Began) => self.judge.outage(lane),
             Some(Outage::Ended) => {
--- a/crates/node/src/check_configuration.rs
+++ b/crates/node/src/check_configuration.rs
@@ -64,7 +64,7 @@
     };
     let kept = if route.kept { ", kept" } else { "" };
     let (host, prefix, most) = (&route.hostname, &route.path_prefix, route.max_retries);
-    let seconds = route.timeout.secs();
+    let seconds = route.timeout.as_secs_f64();
     format!("{host}{prefix}: {kind}{kept}, up to {seconds} s, up to {most} endpoints")
 }
 
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -32,7 +32,7 @@
         return host.random();
     }
     let mut hasher = RandomState::new().build_hasher();
-    hasher.write_u64(now().since(Time::default()).nanos());
+    hasher.write_u64(now().since(Time::default()).as_nanos());
     hasher.write_u64(time_of_day_ms());
     hasher.write_u32(std::process::id());
     hasher.finish()
@@ -40,5 +40,5 @@
 
 /// A span as the type that timers take.
 pub fn duration(span: Span) -> std::time::Duration {
-    std::time::Duration::from_nanos(span.nanos())
+    std::time::Duration::from_nanos(span.as_nanos())
 }
--- a/crates/node/src/host.rs
+++ b/crates/node/src/host.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 use juniperwing_clock::Time;
-use juniperwing_storage::disk::Disk;
+use juniperwing_storage::file_system::FileSystem;
 use slog::{Logger, warn};
 use tokio::task::JoinError;
 use tokio::time::Instant;
@@ -61,7 +61,7 @@
     fn bind(&self, address: SocketAddr) -> io::Result<Arc<dyn SimulatedDatagrams>>;
 
     /// Its disk.
-    fn disk(&self) -> Arc<dyn Disk>;
+    fn disk(&self) -> Arc<dyn FileSystem>;
 
     /// How long the calls to the disk took that were made since this was last asked.
     fn take_disk_time(&self) -> Duration;
@@ -122,13 +122,13 @@
 #[derive(Debug)]
 pub struct Entered {
     before: Option<Arc<dyn Host>>,
-    _disk: juniperwing_storage::disk::Entered,
+    _disk: juniperwing_storage::file_system::SimulationGuard,
 }
 
 /// Makes this thread a simulated machine until the guard is dropped.
 #[must_use]
 pub fn enter(host: Arc<dyn Host>) -> Entered {
-    let disk = juniperwing_storage::disk::enter(host.disk());
+    let disk = juniperwing_storage::file_system::simulate(host.disk());
     Entered { before: SIMULATED.replace(Some(host)), _disk: disk }
 }
 
@@ -178,7 +178,7 @@
     if host.waits_for_disk_on_a_thread() {
         let disk = host.disk();
         let on_that_disk = move || {
-            let _entered = juniperwing_storage::disk::enter(disk);
+            let _entered = juniperwing_storage::file_system::simulate(disk);
             work()
         };
         return tokio::task::spawn_blocking(on_that_disk).await;
--- a/crates/node/src/keeper/confirmation.rs
+++ b/crates/node/src/keeper/confirmation.rs
@@ -60,9 +60,9 @@
         match self.primary_place() {
             PrimaryPlace::Here => self.own_current_version().await,
             PrimaryPlace::At(address) => {
-                let question = Message::Registry(RegistryMessage::ReadCommitted);
+                let question = Message::Registry(RegistryMessage::ReadCommittedVersion);
                 match self.peers.call(address, question, self.times.confirmed_within).await {
-                    Ok(Message::Registry(RegistryMessage::Committed { version })) => version,
+                    Ok(Message::Registry(RegistryMessage::CommittedVersion { version })) => version,
                     _ => None,
                 }
             }
--- a/crates/node/src/keeper/control_listener.rs
+++ b/crates/node/src/keeper/control_listener.rs
@@ -15,7 +15,7 @@
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use hyper_util::service::TowerToHyperService;
-use juniperwing_protocol::registry::{Order, OrderAnswer};
+use juniperwing_protocol::registry::{Order, OrderReply};
 use juniperwing_protocol::{InstanceId, NodeName};
 use juniperwing_registry::parse_heartbeat;
 use serde::{Deserialize, Serialize};
@@ -176,7 +176,7 @@
 }
 
 /// The version that a configuration builds on.
-fn base_of(headers: &HeaderMap) -> Result<u64, OrderAnswer> {
+fn base_of(headers: &HeaderMap) -> Result<u64, OrderReply> {
     let mut values = headers.get_all(header::IF_MATCH).iter();
     let Some(value) = values.next() else {
         return Err(bad_call("If-Match", "missing: the version that the configuration builds on"));
@@ -195,7 +195,7 @@
     inner.bytes().all(|byte| byte.is_ascii_digit()).then(|| inner.parse().ok())?
 }
 
-async fn read_body(call: Request, limit: usize) -> Result<Bytes, OrderAnswer> {
+async fn read_body(call: Request, limit: usize) -> Result<Bytes, OrderReply> {
     let body: Body = call.into_body();
     match timeout(BODY_WITHIN, Limited::new(body, limit).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
@@ -206,7 +206,7 @@
     }
 }
 
-fn too_large(limit: usize) -> OrderAnswer {
+fn too_large(limit: usize) -> OrderReply {
     let finding = juniperwing_registry::Finding {
         place: "body".to_owned(),
         problem: format!("longer than {limit} bytes"),
@@ -214,7 +214,7 @@
     json(413, &Findings { findings: [finding] })
 }
 
-fn bad_call(place: &str, problem: &str) -> OrderAnswer {
+fn bad_call(place: &str, problem: &str) -> OrderReply {
     let finding = juniperwing_registry::Finding { place: place.to_owned(), problem: problem.to_owned() };
     json(400, &Findings { findings: [finding] })
 }
@@ -226,7 +226,7 @@
     }
 }
 
-fn respond(answer: OrderAnswer) -> Response {
+fn respond(answer: OrderReply) -> Response {
     let mut response = Response::new(Body::from(answer.body));
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     *response.status_mut() = status;
--- a/crates/node/src/keeper/discovery.rs
+++ b/crates/node/src/keeper/discovery.rs
@@ -97,7 +97,7 @@
 
     fn instances_taken(&self, applied: bool) -> Message {
         let epoch = self.lock().consensus.replica.epoch().number;
-        Message::Registry(RegistryMessage::InstancesTaken { epoch, applied })
+        Message::Registry(RegistryMessage::InstancesMerged { epoch, applied })
     }
 
     /// Expires endpoints that nobody hears of, while this keeper hears what the others hear.
@@ -136,7 +136,7 @@
         {
             let state = &mut *self.lock();
             match answer {
-                Some((link, RegistryMessage::InstancesTaken { epoch, applied })) => {
+                Some((link, RegistryMessage::InstancesMerged { epoch, applied })) => {
                     state.contact.answered(clock::now(), to.disk, asked_at, epoch);
                     if applied || !confirm {
                         state.exchange.answered(to.disk, number, link);
--- a/crates/node/src/keeper/inbox.rs
+++ b/crates/node/src/keeper/inbox.rs
@@ -6,7 +6,7 @@
 use juniperwing_protocol::Message;
 use juniperwing_protocol::registry::RegistryMessage;
 use juniperwing_protocol::replication::ReplicationMessage;
-use juniperwing_protocol::subscription::{Applied, Subscribe};
+use juniperwing_protocol::subscription::{AppliedVersions, Subscribe};
 use juniperwing_replication::Event;
 use slog::info;
 use tokio::time::Instant;
@@ -62,39 +62,39 @@
                 self.lock().contact.heard(clock::now(), from);
                 self.merge_instances(changed, &refreshed, confirm, reply);
             }
-            RegistryMessage::Distribute { version, wait_ms } => {
+            RegistryMessage::DistributeConfiguration { version, wait_ms } => {
                 let keeper = Arc::clone(self);
                 let wait = Duration::from_millis(u64::from(wait_ms.min(MAX_WAIT_MS)));
                 tokio::spawn(async move {
                     keeper.distribute_here(version, Instant::now() + wait).await;
-                    reply.send(Message::Registry(RegistryMessage::Distributed));
+                    reply.send(Message::Registry(RegistryMessage::ConfigurationDistributed));
                 });
             }
             RegistryMessage::Order(order) => {
                 let keeper = Arc::clone(self);
                 tokio::spawn(async move {
                     let answer = keeper.order_passed_on(order).await;
-                    reply.send(Message::Registry(RegistryMessage::OrderAnswer(answer)));
+                    reply.send(Message::Registry(RegistryMessage::OrderReply(answer)));
                 });
             }
-            RegistryMessage::ReadCommitted => {
+            RegistryMessage::ReadCommittedVersion => {
                 let keeper = Arc::clone(self);
                 tokio::spawn(async move {
                     let version = keeper.own_current_version().await;
-                    reply.send(Message::Registry(RegistryMessage::Committed { version }));
+                    reply.send(Message::Registry(RegistryMessage::CommittedVersion { version }));
                 });
             }
-            RegistryMessage::StoresSeen { from, stores } => {
+            RegistryMessage::ReachableStores { from, stores } => {
                 let epoch = self.stores_seen(from, stores);
-                reply.send(Message::Registry(RegistryMessage::Seen { epoch }));
+                reply.send(Message::Registry(RegistryMessage::ReachableStoresReply { epoch }));
             }
             RegistryMessage::CaughtUp(reports) => self.caught_up(reports),
             // Answers come to those that called.
-            RegistryMessage::InstancesTaken { .. }
-            | RegistryMessage::Distributed
-            | RegistryMessage::Committed { .. }
-            | RegistryMessage::Seen { .. }
-            | RegistryMessage::OrderAnswer(_) => {}
+            RegistryMessage::InstancesMerged { .. }
+            | RegistryMessage::ConfigurationDistributed
+            | RegistryMessage::CommittedVersion { .. }
+            | RegistryMessage::ReachableStoresReply { .. }
+            | RegistryMessage::OrderReply(_) => {}
         }
     }
 
@@ -108,7 +108,7 @@
         }
     }
 
-    fn applied(self: &Arc<Self>, link: &Link, applied: Applied) {
+    fn applied(self: &Arc<Self>, link: &Link, applied: AppliedVersions) {
         self.lock().subscribers.applied(link.id(), &applied);
         self.progress.notify_waiters();
         if !applied.caught_up.is_empty() {
--- a/crates/node/src/keeper/orders.rs
+++ b/crates/node/src/keeper/orders.rs
@@ -9,7 +9,7 @@
     ControlState, PutDecision, RetireDecision, RetirementState, decide_put, decide_retire, retirement_state,
 };
 use juniperwing_invariants::{Invariant, check};
-use juniperwing_protocol::registry::{Order, OrderAnswer, RegistryMessage};
+use juniperwing_protocol::registry::{Order, OrderReply, RegistryMessage};
 use juniperwing_protocol::replication::Version;
 use juniperwing_protocol::{Message, NodeName};
 use juniperwing_replication::Versioned;
@@ -52,7 +52,7 @@
 /// What an attempt to carry out an order came to.
 enum Attempt {
     /// The answer.
-    Answered(OrderAnswer),
+    Answered(OrderReply),
     /// Not here or not now.
     Again(Obstacle),
 }
@@ -86,7 +86,7 @@
 
 impl Keeper {
     /// Carries out an order that an operator sent to this keeper, here or at the primary.
-    pub(super) async fn order(self: &Arc<Self>, order: Order) -> OrderAnswer {
+    pub(super) async fn order(self: &Arc<Self>, order: Order) -> OrderReply {
         let began = Instant::now();
         let deadline = began + patience_for(&order);
         loop {
@@ -116,7 +116,7 @@
 
     /// Logs what became of an order that changes something, and of every order without a clear answer.
     fn log_order(
-        &self, order: &Order, answer: &OrderAnswer, place: PrimaryPlace, obstacle: Option<Obstacle>,
+        &self, order: &Order, answer: &OrderReply, place: PrimaryPlace, obstacle: Option<Obstacle>,
         began: Instant,
     ) {
         self.order_answers.count(answer.status);
@@ -134,7 +134,7 @@
     }
 
     /// Carries out an order that another keeper passed on; it goes no further.
-    pub(super) async fn order_passed_on(self: &Arc<Self>, order: Order) -> OrderAnswer {
+    pub(super) async fn order_passed_on(self: &Arc<Self>, order: Order) -> OrderReply {
         let deadline = Instant::now() + patience_for(&order) - HOP;
         while self.primary_place() == PrimaryPlace::Here {
             if let Attempt::Answered(answer) = self.order_here(&order, deadline).await {
@@ -152,7 +152,7 @@
         let within = deadline.saturating_duration_since(Instant::now());
         let message = Message::Registry(RegistryMessage::Order(order.clone()));
         match self.peers.call(address, message, within).await {
-            Ok(Message::Registry(RegistryMessage::OrderAnswer(answer))) if answer.status != UNAVAILABLE => {
+            Ok(Message::Registry(RegistryMessage::OrderReply(answer))) if answer.status != UNAVAILABLE => {
                 Attempt::Answered(answer)
             }
             _ => Attempt::Again(Obstacle::PrimaryUnclear),
@@ -236,7 +236,7 @@
         }
     }
 
-    fn retire_state(&self, state: &ControlState, node: &NodeName) -> OrderAnswer {
+    fn retire_state(&self, state: &ControlState, node: &NodeName) -> OrderReply {
         if let Some(progress) = retirement_state(state, &self.lock().store_view, node) {
             return json(200, &StateBody { state: state_name(progress) });
         }
@@ -252,7 +252,7 @@
         let mut calls = JoinSet::new();
         for address in self.keepers_in_reach() {
             let keeper = Arc::clone(self);
-            let message = Message::Registry(RegistryMessage::Distribute { version, wait_ms });
+            let message = Message::Registry(RegistryMessage::DistributeConfiguration { version, wait_ms });
             calls.spawn(async move { drop(keeper.peers.call(address, message, apply_within).await) });
         }
         self.distribute_here(version, until).await;
@@ -282,14 +282,14 @@
 /// What a question was answered in time. A process that was frozen may have its answer only long after the
 /// state that it tells of was confirmed; then it is no longer given out as the newest. Orders are answered
 /// only by what no later state changes, and their answers are given at any time.
-fn in_time(order: &Order, answer: OrderAnswer, deadline: Instant) -> OrderAnswer {
+fn in_time(order: &Order, answer: OrderReply, deadline: Instant) -> OrderReply {
     let is_question = matches!(order, Order::GetConfiguration | Order::RetireState { .. });
     if is_question && Instant::now() > deadline { unavailable() } else { answer }
 }
 
-fn configuration_of(state: &ControlState) -> OrderAnswer {
+fn configuration_of(state: &ControlState) -> OrderReply {
     match &state.configuration {
-        Some(configuration) => OrderAnswer { status: 200, body: configuration.body.to_vec() },
+        Some(configuration) => OrderReply { status: 200, body: configuration.body.to_vec() },
         None => json(404, &refusal("no configuration yet")),
     }
 }
@@ -313,11 +313,11 @@
     }
 }
 
-fn unknown_machine() -> OrderAnswer {
+fn unknown_machine() -> OrderReply {
     json(404, &refusal("no such machine"))
 }
 
-fn stale(current: u64) -> OrderAnswer {
+fn stale(current: u64) -> OrderReply {
     let error = "builds on another version than the current one";
     json(412, &Refusal { error, current: Some(current) })
 }
@@ -327,11 +327,11 @@
 }
 
 /// No answer: the order may come into force or not, and is to be sent again.
-pub(super) fn unavailable() -> OrderAnswer {
+pub(super) fn unavailable() -> OrderReply {
     json(UNAVAILABLE, &refusal("no primary can be reached"))
 }
 
-pub(super) fn json(status: u16, body: &impl Serialize) -> OrderAnswer {
+pub(super) fn json(status: u16, body: &impl Serialize) -> OrderReply {
     // Plain structures of numbers and text always have a JSON form.
-    OrderAnswer { status, body: serde_json::to_vec(body).unwrap_or_default() }
+    OrderReply { status, body: serde_json::to_vec(body).unwrap_or_default() }
 }
--- a/crates/node/src/keeper/record_file.rs
+++ b/crates/node/src/keeper/record_file.rs
@@ -14,7 +14,7 @@
 use juniperwing_protocol::replication::{Epoch, Version};
 use juniperwing_protocol::{DiskId, EpochNumber};
 use juniperwing_replication::{Ballot, Record};
-use juniperwing_storage::{StorageError, VersionFiles, identity, layout};
+use juniperwing_storage::{SnapshotFiles, StorageError, identity, layout};
 use serde::{Deserialize, Serialize};
 use snafu::{ResultExt, Snafu};
 
@@ -57,7 +57,7 @@
     /// Whether the disk counts as lost.
     fn is_loss(&self) -> bool {
         match self {
-            DiskError::Refused { source } => source.is_damage(),
+            DiskError::Refused { source } => source.is_corruption(),
             DiskError::Malformed { .. } => false,
             DiskError::Missing | DiskError::Foreign { .. } => true,
         }
@@ -116,8 +116,8 @@
 /// The identity goes first: a record that is still there after a loss of power is a foreign one then.
 fn start_over(folder: &Path, disk: DiskId, loss: DiskError) -> Result<Opened, DiskError> {
     identity::renew(folder, disk.0).context(RefusedSnafu)?;
-    let files = VersionFiles::clear(folder, STATE_NAME).context(RefusedSnafu)?;
-    let ballots = VersionFiles::clear(folder, BALLOT_NAME).context(RefusedSnafu)?;
+    let files = SnapshotFiles::clear(folder, STATE_NAME).context(RefusedSnafu)?;
+    let ballots = SnapshotFiles::clear(folder, BALLOT_NAME).context(RefusedSnafu)?;
     let file = RecordFile { disk, files, ballots, written: None };
     Ok(Opened { disk, file, record: None, loss: Some(loss) })
 }
@@ -126,8 +126,8 @@
 #[derive(Debug)]
 pub struct RecordFile {
     disk: DiskId,
-    files: VersionFiles,
-    ballots: VersionFiles,
+    files: SnapshotFiles,
+    ballots: SnapshotFiles,
     /// The state that the newest record holds.
     written: Option<(Version, Arc<Vec<u8>>)>,
 }
@@ -135,8 +135,8 @@
 impl RecordFile {
     /// Opens the files and reads the newest record of this disk with its newest ballot.
     fn open(folder: &Path, disk: DiskId) -> Result<(Self, Option<Record>), DiskError> {
-        let (files, newest) = VersionFiles::open(folder, STATE_NAME).context(RefusedSnafu)?;
-        let (ballots, newest_ballot) = VersionFiles::open(folder, BALLOT_NAME).context(RefusedSnafu)?;
+        let (files, newest) = SnapshotFiles::open(folder, STATE_NAME).context(RefusedSnafu)?;
+        let (ballots, newest_ballot) = SnapshotFiles::open(folder, BALLOT_NAME).context(RefusedSnafu)?;
         let mut record = newest.map(|bytes| decode_record(&bytes, disk)).transpose()?;
         let later = newest_ballot.map(|bytes| decode_ballot(&bytes, disk)).transpose()?;
         if let Some((number, ballot)) = later {
--- a/crates/node/src/keeper/stores.rs
+++ b/crates/node/src/keeper/stores.rs
@@ -41,7 +41,7 @@
             stores
         };
         for voter in self.other_voters() {
-            let message = RegistryMessage::StoresSeen { from, stores: stores.clone() };
+            let message = RegistryMessage::ReachableStores { from, stores: stores.clone() };
             tokio::spawn(Arc::clone(self).report_stores_to(voter, message));
         }
         self.pass_on_caught_up();
@@ -52,7 +52,7 @@
         let asked_at = clock::now();
         let within = self.times.peer_answers_within;
         let answer = self.peers.call(voter.address, Message::Registry(report), within).await;
-        if let Ok(Message::Registry(RegistryMessage::Seen { epoch })) = answer {
+        if let Ok(Message::Registry(RegistryMessage::ReachableStoresReply { epoch })) = answer {
             self.lock().contact.answered(clock::now(), voter.disk, asked_at, epoch);
         }
     }
--- a/crates/node/src/keeper/subscribers.rs
+++ b/crates/node/src/keeper/subscribers.rs
@@ -12,7 +12,7 @@
 use juniperwing_protocol::registry::Instance;
 use juniperwing_protocol::replication::Version;
 use juniperwing_protocol::subscription::{
-    Applied, InstancesUpdate, StoreNode, Subscribe, Subscriber, Update,
+    AppliedVersions, InstancesUpdate, StoreNode, Subscribe, SubscriberKind, Update,
 };
 use juniperwing_protocol::{InstanceId, Message};
 
@@ -50,7 +50,7 @@
     link: Link,
     stage: Stage,
     subscribe: Subscribe,
-    applied: Applied,
+    applied: AppliedVersions,
     told_keepers: Vec<SocketAddr>,
     told_configuration: Version,
     told_stores: u64,
@@ -76,7 +76,7 @@
         }
         self.newest.0 += 1;
         let told_configuration = subscribe.configuration;
-        let applied = Applied { configuration: told_configuration, ..Applied::default() };
+        let applied = AppliedVersions { configuration: told_configuration, ..AppliedVersions::default() };
         let subscription = Subscription {
             link: link.clone(),
             stage: Stage::Unconfirmed(self.newest),
@@ -116,7 +116,7 @@
     }
 
     /// A subscriber confirms what it has applied. It never goes back.
-    pub(super) fn applied(&mut self, link: LinkId, applied: &Applied) {
+    pub(super) fn applied(&mut self, link: LinkId, applied: &AppliedVersions) {
         let Some(subscription) = self.subscriptions.get_mut(&link) else { return };
         let known = &mut subscription.applied;
         known.configuration = known.configuration.max(applied.configuration);
@@ -218,7 +218,8 @@
     fn tell_all_instances(&mut self, instances: Vec<Instance>, revision: u64, complete: bool) {
         if is_relay(&self.subscribe) {
             self.told_complete = complete;
-            let update = InstancesUpdate { revision, whole: true, complete, instances };
+            let update =
+                InstancesUpdate { revision, is_snapshot: true, is_registry_complete: complete, instances };
             self.tell(Update::Instances(update));
         }
     }
@@ -230,7 +231,12 @@
         }
         self.told_complete = complete;
         let instances = changed.to_vec();
-        self.tell(Update::Instances(InstancesUpdate { revision, whole: false, complete, instances }));
+        self.tell(Update::Instances(InstancesUpdate {
+            revision,
+            is_snapshot: false,
+            is_registry_complete: complete,
+            instances,
+        }));
     }
 
     fn tell_stores(&mut self, tellable: &Tellable) {
@@ -244,12 +250,12 @@
 }
 
 fn is_relay(subscribe: &Subscribe) -> bool {
-    subscribe.subscriber == Subscriber::Relay
+    subscribe.subscriber == SubscriberKind::Relay
 }
 
 /// The store that subscribes, if it is one.
 pub(super) fn store_of(subscribe: &Subscribe) -> Option<StoreNode> {
-    let Subscriber::Store { disk } = subscribe.subscriber else { return None };
+    let SubscriberKind::Store { disk } = subscribe.subscriber else { return None };
     Some(StoreNode {
         disk,
         node: subscribe.node.clone(),
--- a/crates/node/src/link/connection.rs
+++ b/crates/node/src/link/connection.rs
@@ -75,7 +75,7 @@
     /// Answers.
     pub fn send(self, message: Message) {
         if self.call != CallId::default() {
-            self.link.put(&Envelope { call: self.call, answer: true, message });
+            self.link.put(&Envelope { call: self.call, is_reply: true, message });
         }
     }
 }
@@ -146,7 +146,7 @@
 
     /// Sends a message that nobody answers. It is lost if the link breaks.
     pub fn send(&self, message: Message) {
-        self.put(&Envelope { call: CallId::default(), answer: false, message });
+        self.put(&Envelope { call: CallId::default(), is_reply: false, message });
     }
 
     /// Sends a message and waits for its answer.
@@ -164,7 +164,7 @@
         }
         // Also when this future is dropped, the call must not stay in the table.
         let _guard = OpenCall { link: self, call };
-        self.put(&Envelope { call, answer: false, message });
+        self.put(&Envelope { call, is_reply: false, message });
         match timeout(within, receiver).await {
             Ok(Ok(answer)) => Ok(answer),
             Ok(Err(_)) => Err(CallError::Broken),
@@ -191,9 +191,9 @@
     fn take(&self, envelope: Envelope, service: &Arc<dyn Service>) {
         match envelope.message {
             Message::Ping => {
-                self.put(&Envelope { call: envelope.call, answer: true, message: Message::Pong })
+                self.put(&Envelope { call: envelope.call, is_reply: true, message: Message::Pong })
             }
-            message if envelope.answer => {
+            message if envelope.is_reply => {
                 if let Some(caller) = lock(&self.shared.calls).remove(&envelope.call) {
                     // A caller that no longer waits has dropped its end.
                     let _ = caller.send(message);
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -39,7 +39,7 @@
 use juniperwing_membership::Role;
 use juniperwing_protocol::Message;
 use juniperwing_protocol::identity::NodeName;
-use juniperwing_protocol::subscription::{Subscribe, Subscriber as Kind};
+use juniperwing_protocol::subscription::{Subscribe, SubscriberKind as Kind};
 use slog::{Logger, info, warn};
 use tokio::net::TcpListener;
 use tokio::sync::watch;
@@ -122,8 +122,8 @@
             return;
         }
         let (bytes, slots) = (self.memory.held(), self.dispatcher.taken());
-        check(Invariant::NoBytesHeldWhenIdle, bytes == 0, || format!("{bytes} bytes"));
-        check(Invariant::NoSlotsHeldWhenIdle, slots == 0, || format!("{slots} slots"));
+        check(Invariant::NoBufferedBytesWhenIdle, bytes == 0, || format!("{bytes} bytes"));
+        check(Invariant::NoOccupiedSlotsWhenIdle, slots == 0, || format!("{slots} slots"));
     }
 
     /// Waits until the process ends at once.
--- a/crates/node/src/relay/connections.rs
+++ b/crates/node/src/relay/connections.rs
@@ -62,7 +62,7 @@
     /// The answer that now goes out ends by `deadline`, however slowly the client reads it.
     pub fn set_deadline(&self, deadline: Time) {
         let latest = (deadline + PAST_DEADLINE).since(Time::default());
-        self.answer_by.store(latest.nanos(), Ordering::Relaxed);
+        self.answer_by.store(latest.as_nanos(), Ordering::Relaxed);
     }
 
     fn heard(&self) {
@@ -226,5 +226,5 @@
 }
 
 fn nanos() -> u64 {
-    now().since(Time::default()).nanos()
+    now().since(Time::default()).as_nanos()
 }
--- a/crates/node/src/relay/exchange.rs
+++ b/crates/node/src/relay/exchange.rs
@@ -105,15 +105,15 @@
     pub fn patience(&self) -> Span {
         let left = self.left();
         match (&self.program, self.route.target_latency) {
-            (None, Some(objective)) => objective.times(PATIENCE).min(left),
-            _ => left.times(PATIENCE_OF_PROGRAMS),
+            (None, Some(objective)) => objective.mul_f64(PATIENCE).min(left),
+            _ => left.mul_f64(PATIENCE_OF_PROGRAMS),
         }
     }
 
     /// The headers for an endpoint.
     pub fn headers_for(&self, endpoint: &InstanceId) -> HeaderMap {
         let mut headers = self.headers.clone();
-        let left = self.deadline.since(now()).nanos() / 1_000_000;
+        let left = self.deadline.since(now()).as_nanos() / 1_000_000;
         headers.insert(header_name(headers::DEADLINE_MS), HeaderValue::from(left));
         let priority = self.route.priority.min(LAST_PRIORITY);
         headers.insert(header_name(headers::PRIORITY), HeaderValue::from(priority));
--- a/crates/node/src/relay/fate.rs
+++ b/crates/node/src/relay/fate.rs
@@ -165,7 +165,7 @@
 
     fn refusal(self) -> Response<RelayBody> {
         let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE);
-        let seconds = format!("{:.3}", self.retry_after().secs());
+        let seconds = format!("{:.3}", self.retry_after().as_secs_f64());
         if let Ok(value) = HeaderValue::from_str(&seconds) {
             answer.headers_mut().insert(header::RETRY_AFTER, value);
         }
--- a/crates/node/src/relay/frontend.rs
+++ b/crates/node/src/relay/frontend.rs
@@ -236,7 +236,7 @@
 /// The shorter of what the client and what the operator allows.
 fn time_allowed(route: &Route, headers: &HeaderMap) -> Span {
     let deadline: Option<f64> = header_text(headers, headers::DEADLINE_MS).trim().parse().ok();
-    deadline.map_or(route.timeout, |millis| Span::from_secs(millis / 1_000.0).min(route.timeout))
+    deadline.map_or(route.timeout, |millis| Span::from_secs_f64(millis / 1_000.0).min(route.timeout))
 }
 
 /// Reads the body whole, within its bounds.
--- a/crates/node/src/relay/snapshot.rs
+++ b/crates/node/src/relay/snapshot.rs
@@ -12,7 +12,7 @@
 use juniperwing_protocol::identity::InstanceId;
 use juniperwing_protocol::registry::{Instance, InstanceState};
 use juniperwing_protocol::replication::Version;
-use juniperwing_protocol::subscription::{Applied, InstancesUpdate, StoreMap, Update};
+use juniperwing_protocol::subscription::{AppliedVersions, InstancesUpdate, StoreMap, Update};
 use rpds::HashTrieMapSync;
 use slog::{Logger, error, info};
 use tokio::sync::watch;
@@ -81,7 +81,7 @@
     /// Whether all that is needed to serve is known.
     fn is_complete(&self, now: Time, heartbeat: Span) -> bool {
         let Some(configuration) = &self.configuration else { return false };
-        let aged = |first| now.since(first) >= heartbeat.times(HEARTBEATS_UNTIL_KNOWN);
+        let aged = |first| now.since(first) >= heartbeat.mul_f64(HEARTBEATS_UNTIL_KNOWN);
         let endpoints = self.heard.complete || self.heard.first.is_some_and(aged);
         endpoints && (!configuration.keeps_turns || !self.stores.partitions.is_empty())
     }
@@ -189,10 +189,10 @@
                 let entry = Known { instance: newest, told_at: now };
                 snapshot.instances.insert_mut(instance.id.clone(), entry);
             }
-            if update.whole {
+            if update.is_snapshot {
                 changed.extend(self.drop_unnamed(snapshot, update, now));
                 snapshot.heard.first.get_or_insert(now);
-                snapshot.heard.complete |= update.complete;
+                snapshot.heard.complete |= update.is_registry_complete;
             }
         });
         // In force before this returns: nothing more goes to an endpoint that leaves.
@@ -204,13 +204,15 @@
     /// Forgets what a complete update does not name and nobody has told of for long; gives back what was ready.
     fn drop_unnamed(&self, snapshot: &mut Snapshot, update: &InstancesUpdate, now: Time) -> Vec<Instance> {
         let named: HashSet<&InstanceId> = update.instances.iter().map(|instance| &instance.id).collect();
-        let patience = self.heartbeat.times(HEARTBEATS_UNTIL_DROPPED);
+        let patience = self.heartbeat.mul_f64(HEARTBEATS_UNTIL_DROPPED);
         let full = snapshot.instances.size() > MOST_GONE;
         let is_old = |known: &Known| now.since(known.told_at) > patience;
         let dropped: Vec<Instance> = snapshot
             .instances
             .values()
-            .filter(|known| !named.contains(&known.instance.id) && is_old(known) && (update.complete || full))
+            .filter(|known| {
+                !named.contains(&known.instance.id) && is_old(known) && (update.is_registry_complete || full)
+            })
             .map(|known| Instance { state: InstanceState::Expired, ..known.instance.clone() })
             .collect();
         for instance in &dropped {
@@ -254,11 +256,13 @@
 /// What a relay acts on never goes back within a life.
 fn check_rises(before: &Snapshot, after: &Snapshot) {
     let version = |snapshot: &Snapshot| snapshot.configuration.as_ref().map(|in_force| in_force.version);
-    check(Invariant::ConfigurationNeverFalls, version(before) <= version(after), || {
+    check(Invariant::ConfigurationVersionNeverDecreases, version(before) <= version(after), || {
         format!("{:?} is followed by {:?}", version(before), version(after))
     });
     let (held, told) = (before.stores.version, after.stores.version);
-    check(Invariant::StoreMapNeverFalls, held <= told, || format!("map {held} is followed by {told}"));
+    check(Invariant::StoreMapVersionNeverDecreases, held <= told, || {
+        format!("map {held} is followed by {told}")
+    });
 }
 
 impl Sink for World {
@@ -271,9 +275,9 @@
         }
     }
 
-    fn applied(&self) -> Applied {
+    fn applied(&self) -> AppliedVersions {
         let stores = self.snapshot().stores.version;
-        Applied { configuration: self.configuration(), stores, ..Applied::default() }
+        AppliedVersions { configuration: self.configuration(), stores, ..AppliedVersions::default() }
     }
 
     fn configuration(&self) -> Version {
--- a/crates/node/src/relay/stream.rs
+++ b/crates/node/src/relay/stream.rs
@@ -232,7 +232,7 @@
             (Some(behind), Some(id)) => id > behind,
             _ => true,
         };
-        check(Invariant::EventIdsRise, rises, || {
+        check(Invariant::EventIdsIncrease, rises, || {
             format!("request {}, event {:?}", self.exchange.trace.request_id(), event.id)
         });
     }
--- a/crates/node/src/relay/trace.rs
+++ b/crates/node/src/relay/trace.rs
@@ -131,7 +131,7 @@
     pub fn sending(&self, may_repeat: bool) {
         let state = lock(&self.state);
         let once = may_repeat || !state.may_have_run;
-        check(Invariant::SentOnceUnlessRepeatable, once, || format!("request {}", state.request));
+        check(Invariant::SentOnceUnlessIdempotent, once, || format!("request {}", state.request));
     }
 
     /// The answer goes out.
@@ -176,12 +176,12 @@
         let is_own = !headers.contains_key(SERVER_SIGNATURE);
         let breaks_promise = is_own && self.may_have_run && PROMISES.contains(&answer.status());
         let request = &self.request;
-        check(Invariant::PromiseOnlyIfNotRun, !breaks_promise, || {
+        check(Invariant::NotExecutedOnlyIfKnown, !breaks_promise, || {
             format!("request {request}, status {}", answer.status())
         });
         let mut ids = headers.get_all(REQUEST_ID).iter();
         let is_of_the_request = is_own || ids.all(|id| id.as_bytes() == request.as_bytes());
-        check(Invariant::AnswerOfTheRequest, is_of_the_request, || format!("request {request}"));
+        check(Invariant::ResponseMatchesRequest, is_of_the_request, || format!("request {request}"));
     }
 
     fn has_failed(&self) -> bool {
@@ -295,5 +295,5 @@
 }
 
 fn millis(span: Span) -> u64 {
-    span.nanos() / 1_000_000
+    span.as_nanos() / 1_000_000
 }
--- a/crates/node/src/relay/turn.rs
+++ b/crates/node/src/relay/turn.rs
@@ -83,10 +83,10 @@
             request: turn.request.clone(),
             previous: turn.previous.clone(),
             budget,
-            most_tokens: turn.most.or(budget).unwrap_or(0),
+            max_tokens: turn.most.or(budget).unwrap_or(0),
             imported: Vec::new(),
         };
-        let within = exchange.left().times(BEGIN_SHARE);
+        let within = exchange.left().mul_f64(BEGIN_SHARE);
         let chain = match core.sessions.begin(begin, duration(within)).await {
             Ok(chain) => chain,
             Err(fault) => {
@@ -153,10 +153,10 @@
             previous: self.previous.clone(),
             input: Arc::from(&*self.input),
             output: Arc::from(std::mem::take(&mut self.output)),
-            retention_ms: retention.nanos() / 1_000_000,
+            retention_ms: retention.as_nanos() / 1_000_000,
             endpoint: Some(endpoint.0.clone()),
         };
-        let finish = FinishTurn { kept: Some(turn), ..self.settled() };
+        let finish = FinishTurn { stored_turn: Some(turn), ..self.settled() };
         let within = KEEP_WITHIN.min(left + KEEP_AT_DEADLINE);
         self.sessions.finish(finish, duration(within)).await?;
         self.reserved = false;
@@ -165,7 +165,7 @@
 
     fn settled(&self) -> FinishTurn {
         let tokens = self.most.map_or(self.handed_out, |most| self.handed_out.min(most));
-        FinishTurn { program: self.program.clone(), request: self.request.clone(), tokens, kept: None }
+        FinishTurn { program: self.program.clone(), request: self.request.clone(), tokens, stored_turn: None }
     }
 }
 
--- a/crates/node/src/sessions_client.rs
+++ b/crates/node/src/sessions_client.rs
@@ -187,8 +187,8 @@
         loop {
             let reply = self.ask(&begin.program, SessionCall::Begin(begin.clone()), until).await;
             match reply.map_err(|trouble| SessionError::Unavailable { trouble })? {
-                SessionReply::Begun { chain } => return Ok(Begun { chain }),
-                SessionReply::BudgetSpent => return Err(SessionError::BudgetSpent),
+                SessionReply::TurnBegun { chain } => return Ok(Begun { chain }),
+                SessionReply::BudgetExhausted => return Err(SessionError::BudgetSpent),
                 SessionReply::UnknownTurn if begin.imported.is_empty() => {
                     let wrong = SessionError::Unavailable { trouble: StoreFault::WrongAnswer.into() };
                     let previous = begin.previous.as_ref().ok_or(wrong)?;
@@ -211,7 +211,7 @@
         let until = Instant::now() + within;
         let program = finish.program.clone();
         match self.ask(&program, SessionCall::Finish(finish), until).await {
-            Ok(SessionReply::Finished) => Ok(()),
+            Ok(SessionReply::TurnFinished) => Ok(()),
             Ok(_) => Err(NotSettled { trouble: StoreFault::WrongAnswer.into() }),
             Err(trouble) => Err(NotSettled { trouble }),
         }
@@ -317,7 +317,7 @@
         let mut certain = true;
         while let Some(ended) = calls.join_next().await {
             match ended {
-                Ok(Ok(SessionReply::Found { chain })) => return Search::Found(chain),
+                Ok(Ok(SessionReply::TurnFound { chain })) => return Search::Found(chain),
                 Ok(Ok(SessionReply::UnknownTurn)) => {}
                 _ => certain = false,
             }
--- a/crates/node/src/settings/control_times.rs
+++ b/crates/node/src/settings/control_times.rs
@@ -52,7 +52,7 @@
         let spread_within = CALLER_PATIENCE - ANSWER_MARGIN;
         let peer_answers_within = spread_within - HOP;
         let configuration = Duration::from_millis(bounds.config_apply_ms).mul_f64(CONFIGURATION_SHARE);
-        let contact_window = Span::from_millis(bounds.contact_ms).times(CONTACT_SHARE);
+        let contact_window = Span::from_millis(bounds.contact_ms).mul_f64(CONTACT_SHARE);
         ControlTimes {
             contact_window: contact_window.max(MIN_CONTACT_WINDOW),
             spread_within,
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -112,7 +112,7 @@
             node: NodeName::from(settings.node_name.as_str()),
             zone: settings.zone.as_str().into(),
             address: settings.own_address(Port::Store),
-            subscriber: subscription::Subscriber::Store { disk },
+            subscriber: subscription::SubscriberKind::Store { disk },
             configuration: Version::default(),
         };
         let seeds = settings.seed_keepers();
--- a/crates/node/src/store/core.rs
+++ b/crates/node/src/store/core.rs
@@ -8,7 +8,7 @@
 use juniperwing_clock::{Span, Time};
 use juniperwing_protocol::Message;
 use juniperwing_protocol::replication::Version;
-use juniperwing_protocol::subscription::{Applied, Update};
+use juniperwing_protocol::subscription::{AppliedVersions, Update};
 use juniperwing_protocol::transfer::TransferRequest;
 use juniperwing_sessions::{AskerId, Command, Event, Moment, Store, TransferCallId};
 use juniperwing_storage::SegmentNumber;
@@ -269,12 +269,12 @@
         }
     }
 
-    fn applied(&self) -> Applied {
+    fn applied(&self) -> AppliedVersions {
         let state = self.0.lock();
-        Applied {
+        AppliedVersions {
             stores: state.store.map_version(),
             caught_up: state.store.caught_up(),
-            ..Applied::default()
+            ..AppliedVersions::default()
         }
     }
 
--- a/crates/node/src/store/disk.rs
+++ b/crates/node/src/store/disk.rs
@@ -6,7 +6,7 @@
 
 use juniperwing_protocol::DiskId;
 use juniperwing_sessions::{Event, Limits, Store, StoredRecord, decode_batch, encode_batch};
-use juniperwing_storage::{SegmentFiles, SegmentNumber, StorageError, VersionFiles, identity, layout};
+use juniperwing_storage::{SegmentLog, SegmentNumber, SnapshotFiles, StorageError, identity, layout};
 use slog::{Logger, info, warn};
 use tokio::sync::mpsc;
 use tokio::time::timeout;
@@ -46,8 +46,8 @@
 
 /// The batches of a store, and the map version that it must not fall behind.
 pub(super) struct Disk {
-    files: SegmentFiles,
-    map_version: VersionFiles,
+    files: SegmentLog,
+    map_version: SnapshotFiles,
 }
 
 impl Disk {
@@ -60,7 +60,7 @@
         let mut store = Store::new(disk, limits);
         let mut batches = 0_u64;
         let mut is_readable = true;
-        let files = SegmentFiles::open_each(folder.join(FOLDER), |batch| {
+        let files = SegmentLog::replay(folder.join(FOLDER), |batch| {
             batches += 1;
             let bytes = batch.contents.len() as u64;
             match decode_batch(&batch.contents) {
@@ -73,12 +73,12 @@
         })?;
         // Its checksum is right, so another release wrote it; others count on what it holds.
         if !is_readable {
-            return Err(StorageError::OtherLayout { path: folder.join(FOLDER) });
+            return Err(StorageError::UnsupportedLayout { path: folder.join(FOLDER) });
         }
-        let (map_version, newest) = VersionFiles::open(folder, MAP_VERSION)?;
+        let (map_version, newest) = SnapshotFiles::open(folder, MAP_VERSION)?;
         if let Some(bytes) = newest {
             let version =
-                bytes.try_into().map_err(|_| StorageError::OtherLayout { path: folder.to_owned() })?;
+                bytes.try_into().map_err(|_| StorageError::UnsupportedLayout { path: folder.to_owned() })?;
             store.recover_map_version(u64::from_le_bytes(version));
         }
         info!(log, "recovered"; "batches" => batches);
@@ -157,7 +157,7 @@
 }
 
 /// Writes a batch; the error is `None` if the records cannot be encoded.
-fn write(files: &mut SegmentFiles, records: &[StoredRecord]) -> Result<Event, Option<StorageError>> {
+fn write(files: &mut SegmentLog, records: &[StoredRecord]) -> Result<Event, Option<StorageError>> {
     let contents = encode_batch(records).map_err(|_| None)?;
     let segment = files.append(&contents).map_err(Some)?;
     Ok(Event::BatchWritten { segment: segment.0, bytes: contents.len() as u64 })
--- a/crates/node/src/subscriber.rs
+++ b/crates/node/src/subscriber.rs
@@ -12,7 +12,7 @@
 
 use juniperwing_protocol::Message;
 use juniperwing_protocol::replication::Version;
-use juniperwing_protocol::subscription::{Applied, Subscribe, Update};
+use juniperwing_protocol::subscription::{AppliedVersions, Subscribe, Update};
 use tokio::sync::{Notify, oneshot};
 use tokio::time::timeout;
 
@@ -31,7 +31,7 @@
     fn apply(&self, update: Update);
 
     /// What is applied. `instances` is filled in by the subscription.
-    fn applied(&self) -> Applied;
+    fn applied(&self) -> AppliedVersions;
 
     /// The configuration held; it is not sent again.
     fn configuration(&self) -> Version;
--- a/crates/node/tests/gossip.rs
+++ b/crates/node/tests/gossip.rs
@@ -14,7 +14,7 @@
 use juniperwing_node::subscriber::{Sink, Subscriber};
 use juniperwing_protocol::NodeName;
 use juniperwing_protocol::replication::Version;
-use juniperwing_protocol::subscription::{Applied, Subscribe, Subscriber as Kind, Update};
+use juniperwing_protocol::subscription::{AppliedVersions, Subscribe, SubscriberKind as Kind, Update};
 use slog::{Discard, Logger, o};
 use tokio::net::TcpListener;
 use tokio::sync::watch;
@@ -134,8 +134,8 @@
 impl Sink for Nothing {
     fn apply(&self, _: Update) {}
 
-    fn applied(&self) -> Applied {
-        Applied::default()
+    fn applied(&self) -> AppliedVersions {
+        AppliedVersions::default()
     }
 
     fn configuration(&self) -> Version {
--- a/crates/node/tests/keeper.rs
+++ b/crates/node/tests/keeper.rs
@@ -4,7 +4,7 @@
 
 use juniperwing_protocol::DiskId;
 use juniperwing_protocol::registry::InstanceState;
-use juniperwing_protocol::subscription::Subscriber;
+use juniperwing_protocol::subscription::SubscriberKind;
 
 use keepers::{Keepers, Observer, configuration, heartbeat};
 
@@ -108,7 +108,7 @@
 async fn a_relay_is_told_what_is_in_force_and_what_changes() {
     let keepers = Keepers::start(3).await;
     assert_eq!(keepers.put(0, 0, &configuration(3)).await.status, 200);
-    let mut relay = Observer::subscribe(keepers.internal(1), Subscriber::Relay);
+    let mut relay = Observer::subscribe(keepers.internal(1), SubscriberKind::Relay);
     relay.until_configuration(&configuration(3)).await;
     assert_eq!(keepers.put(2, 3, &configuration(4)).await.status, 200);
     // Acknowledged means that the relay has confirmed it.
@@ -119,7 +119,7 @@
 async fn a_drain_is_acknowledged_when_relays_of_other_keepers_know() {
     let keepers = Keepers::start(3).await;
     assert_eq!(keepers.put(0, 0, &configuration(3)).await.status, 200);
-    let mut relay = Observer::subscribe(keepers.internal(1), Subscriber::Relay);
+    let mut relay = Observer::subscribe(keepers.internal(1), SubscriberKind::Relay);
     keepers.until_heartbeat(0, "i-1", &heartbeat("ready", 1)).await;
     relay.until_instance("i-1", InstanceState::Ready).await;
     keepers.until_heartbeat(0, "i-1", &heartbeat("draining", 2)).await;
@@ -127,7 +127,7 @@
     keepers.until_heartbeat(2, "i-1", &heartbeat("ready", 1)).await;
     assert_eq!(relay.instance_state("i-1"), Some(InstanceState::Draining));
     keepers.until_deleted(2, "i-1").await;
-    assert_eq!(relay.instance_state("i-1"), Some(InstanceState::Gone));
+    assert_eq!(relay.instance_state("i-1"), Some(InstanceState::Terminated));
 }
 
 // Guard: `end_instance` waits until what it changed has spread.
@@ -135,14 +135,14 @@
 async fn an_end_without_a_drain_is_acknowledged_when_relays_of_other_keepers_know() {
     let keepers = Keepers::start(3).await;
     assert_eq!(keepers.put(0, 0, &configuration(3)).await.status, 200);
-    let mut relay = Observer::subscribe(keepers.internal(1), Subscriber::Relay);
+    let mut relay = Observer::subscribe(keepers.internal(1), SubscriberKind::Relay);
     keepers.until_heartbeat(0, "i-1", &heartbeat("ready", 1)).await;
     relay.until_instance("i-1", InstanceState::Ready).await;
     keepers.until_deleted(2, "i-1").await;
-    assert_eq!(relay.instance_state("i-1"), Some(InstanceState::Gone));
+    assert_eq!(relay.instance_state("i-1"), Some(InstanceState::Terminated));
     // It serves on for a while, and a heartbeat that it sent before may come seconds late.
     keepers.until_heartbeat(0, "i-1", &heartbeat("ready", 2)).await;
-    assert_eq!(relay.instance_state("i-1"), Some(InstanceState::Gone));
+    assert_eq!(relay.instance_state("i-1"), Some(InstanceState::Terminated));
 }
 
 #[tokio::test]
@@ -161,7 +161,7 @@
     let keepers = Keepers::start(3).await;
     let mut stores = Vec::new();
     for number in 1..=3 {
-        let subscriber = Subscriber::Store { disk: DiskId(number) };
+        let subscriber = SubscriberKind::Store { disk: DiskId(number) };
         stores.push(Observer::subscribe(keepers.internal(number as usize - 1), subscriber));
     }
     let first = stores[0].until_in_sync(3).await;
@@ -191,11 +191,11 @@
 async fn a_store_is_emptied_only_while_enough_others_remain() {
     let keepers = Keepers::start(1).await;
     let address = keepers.internal(0);
-    let mut first = Observer::subscribe(address, Subscriber::Store { disk: DiskId(1) });
+    let mut first = Observer::subscribe(address, SubscriberKind::Store { disk: DiskId(1) });
     first.until_stores(|map| !map.partitions.is_empty()).await;
-    let node = keepers::node_name(&Subscriber::Store { disk: DiskId(1) });
+    let node = keepers::node_name(&SubscriberKind::Store { disk: DiskId(1) });
     assert_eq!(keepers.retire(0, &node).await.status, 409);
-    let _second = Observer::subscribe(address, Subscriber::Store { disk: DiskId(2) });
+    let _second = Observer::subscribe(address, SubscriberKind::Store { disk: DiskId(2) });
     let joining =
         first.until_stores(|map| map.partitions.iter().all(|held| held.joining == [DiskId(2)])).await;
     assert_eq!(keepers.retire(0, &node).await.status, 200);
--- a/crates/node/tests/keeper_contact.rs
+++ b/crates/node/tests/keeper_contact.rs
@@ -4,7 +4,7 @@
 mod keepers;
 
 use juniperwing_protocol::registry::{Instance, InstanceState};
-use juniperwing_protocol::subscription::Subscriber;
+use juniperwing_protocol::subscription::SubscriberKind;
 
 use keepers::{Gate, Keepers, Observer, Peer, configuration, heartbeat};
 
@@ -87,10 +87,10 @@
         peers[0].until_primary().await;
         peers[0].propose(0, &configuration(3));
     }
-    let mut before = Observer::subscribe(keepers.internal(real), Subscriber::Relay);
+    let mut before = Observer::subscribe(keepers.internal(real), SubscriberKind::Relay);
     before.until_configuration(&configuration(3)).await;
     set_gates(&peers, gate);
-    let relay = Observer::subscribe(keepers.internal(real), Subscriber::Relay);
+    let relay = Observer::subscribe(keepers.internal(real), SubscriberKind::Relay);
     // The order waits for a primary that can be reached, so the relay has had time to be told something.
     keepers.until_heartbeat_status(real, 503).await;
     assert_eq!(keepers.try_get(real).await.unwrap().status, 503);
@@ -100,7 +100,7 @@
     };
     primary.propose(3, &configuration(4));
     primary.until_configuration(4).await;
-    let mut later = Observer::subscribe(keepers.internal(real), Subscriber::Relay);
+    let mut later = Observer::subscribe(keepers.internal(real), SubscriberKind::Relay);
     assert_eq!(keepers.try_get(real).await.unwrap().status, 503);
     assert_eq!((relay.updates(), later.updates()), (0, 0));
     set_gates(&peers, Gate::OPEN);
@@ -133,7 +133,7 @@
     set_gates(&peers, Gate::CLOSED);
     keepers.until_heartbeat_status(BACKUP, 503).await;
     let disk = juniperwing_protocol::DiskId(7);
-    let store = Observer::subscribe(keepers.internal(BACKUP), Subscriber::Store { disk });
+    let store = Observer::subscribe(keepers.internal(BACKUP), SubscriberKind::Store { disk });
     assert_eq!(keepers.try_get(BACKUP).await.unwrap().status, 503);
     assert_eq!(store.updates(), 0);
     set_gates(&peers, Gate::OPEN);
@@ -150,7 +150,7 @@
     assert_eq!(keepers.delete(BACKUP, "i-1").await.unwrap().status, 503);
     set_gates(&peers, Gate::OPEN);
     keepers.until_deleted(BACKUP, "i-1").await;
-    assert!(peers.iter().any(|peer| peer.instance_state("i-1") == Some(InstanceState::Gone)));
+    assert!(peers.iter().any(|peer| peer.instance_state("i-1") == Some(InstanceState::Terminated)));
 }
 
 /// Guard: `InstancesTaken::applied`. A keeper whose relays lack the end has taken it and does not confirm it.
@@ -207,11 +207,11 @@
     let keepers = Keepers::start(3).await;
     let other = (frozen + 1) % 3;
     assert_eq!(keepers.put(other, 0, &configuration(3)).await.status, 200);
-    let mut before = Observer::subscribe(keepers.internal(frozen), Subscriber::Relay);
+    let mut before = Observer::subscribe(keepers.internal(frozen), SubscriberKind::Relay);
     before.until_configuration(&configuration(3)).await;
     let stands_still = keepers.freeze(frozen).await;
     assert_eq!(keepers.put(other, 3, &configuration(4)).await.status, 200);
-    let mut relay = Observer::subscribe(keepers.internal(frozen), Subscriber::Relay);
+    let mut relay = Observer::subscribe(keepers.internal(frozen), SubscriberKind::Relay);
     relay.until_subscribed().await;
     drop(stands_still);
     relay.until_configuration(&configuration(4)).await;
@@ -241,7 +241,7 @@
     keepers.restart(BACKUP).await;
     // The others answer it, so what it hears is passed on.
     keepers.until_heartbeat(BACKUP, "i-2", &heartbeat("ready", 1)).await;
-    let relay = Observer::subscribe(keepers.internal(BACKUP), Subscriber::Relay);
+    let relay = Observer::subscribe(keepers.internal(BACKUP), SubscriberKind::Relay);
     relay.until_subscribed().await;
     assert_eq!(keepers.try_get(BACKUP).await.unwrap().status, 503);
     assert_eq!(relay.updates(), 0);
--- a/crates/node/tests/keeper_growth.rs
+++ b/crates/node/tests/keeper_growth.rs
@@ -4,7 +4,7 @@
 
 use std::fs;
 
-use juniperwing_protocol::subscription::Subscriber;
+use juniperwing_protocol::subscription::SubscriberKind;
 use keepers::{Keepers, Observer, configuration};
 
 const CHANGES: u64 = 40;
@@ -64,6 +64,6 @@
 /// Starts the first keeper, which must tell a relay the newest configuration first of all, and soon.
 async fn expect_caught_up(keepers: &mut Keepers, newest: u64) {
     keepers.restart(0).await;
-    let mut relay = Observer::subscribe(keepers.internal(0), Subscriber::Relay);
+    let mut relay = Observer::subscribe(keepers.internal(0), SubscriberKind::Relay);
     relay.until_configuration(&configuration(newest)).await;
 }
--- a/crates/node/tests/keepers/observer.rs
+++ b/crates/node/tests/keepers/observer.rs
@@ -7,7 +7,9 @@
 use juniperwing_node::link::{Link, Reply, Service};
 use juniperwing_protocol::registry::InstanceState;
 use juniperwing_protocol::replication::Version;
-use juniperwing_protocol::subscription::{Applied, CaughtUp, StoreMap, Subscribe, Subscriber, Update};
+use juniperwing_protocol::subscription::{
+    AppliedVersions, CaughtUp, StoreMap, Subscribe, SubscriberKind, Update,
+};
 use juniperwing_protocol::{DiskId, Message, NodeName, PartitionId};
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
@@ -24,7 +26,7 @@
     configurations: Vec<String>,
     instances: BTreeMap<String, InstanceState>,
     stores: Arc<StoreMap>,
-    applied: Applied,
+    applied: AppliedVersions,
     link: Option<Link>,
 }
 
@@ -43,10 +45,10 @@
 }
 
 /// The machine that a subscriber says it is on.
-pub fn node_name(subscriber: &Subscriber) -> String {
+pub fn node_name(subscriber: &SubscriberKind) -> String {
     match subscriber {
-        Subscriber::Relay => "edge-1".to_owned(),
-        Subscriber::Store { disk } => format!("store-{disk}"),
+        SubscriberKind::Relay => "edge-1".to_owned(),
+        SubscriberKind::Store { disk } => format!("store-{disk}"),
     }
 }
 
@@ -99,16 +101,16 @@
 
 impl Observer {
     /// Subscribes to the keeper at `address`.
-    pub fn subscribe(address: SocketAddr, subscriber: Subscriber) -> Self {
+    pub fn subscribe(address: SocketAddr, subscriber: SubscriberKind) -> Self {
         Self::start(address, subscriber, Recorder::default())
     }
 
     /// Subscribes as a relay that takes updates and never says that it has applied one.
     pub fn subscribe_stuck(address: SocketAddr) -> Self {
-        Self::start(address, Subscriber::Relay, Recorder { is_stuck: true, ..Recorder::default() })
+        Self::start(address, SubscriberKind::Relay, Recorder { is_stuck: true, ..Recorder::default() })
     }
 
-    fn start(address: SocketAddr, subscriber: Subscriber, recorder: Recorder) -> Self {
+    fn start(address: SocketAddr, subscriber: SubscriberKind, recorder: Recorder) -> Self {
         let recorder = Arc::new(recorder);
         let subscribe = Subscribe {
             node: NodeName::from(node_name(&subscriber).as_str()),
--- a/crates/node/tests/keepers/peer.rs
+++ b/crates/node/tests/keepers/peer.rs
@@ -239,10 +239,10 @@
                 let told = changed.into_iter().map(|instance| (instance.id, instance.state));
                 self.lock().instances.extend(told);
                 self.news.notify_waiters();
-                RegistryMessage::InstancesTaken { epoch, applied: confirm && gate.applies_instances }
+                RegistryMessage::InstancesMerged { epoch, applied: confirm && gate.applies_instances }
             }
-            RegistryMessage::StoresSeen { .. } => RegistryMessage::Seen { epoch },
-            RegistryMessage::ReadCommitted => {
+            RegistryMessage::ReachableStores { .. } => RegistryMessage::ReachableStoresReply { epoch },
+            RegistryMessage::ReadCommittedVersion => {
                 let token = {
                     let mut state = self.lock();
                     let token = ReadToken(state.token());
@@ -288,7 +288,7 @@
         let mut state = self.lock();
         let version = state.replica.committed().map(|committed| committed.version).filter(|_| is_confirmed);
         let Some(reply) = state.reads.remove(&token).filter(|_| state.gate.tells) else { return };
-        reply.send(Message::Registry(RegistryMessage::Committed { version }));
+        reply.send(Message::Registry(RegistryMessage::CommittedVersion { version }));
     }
 
     fn send(self: &Arc<Self>, to: SocketAddr, message: ReplicationMessage) {
@@ -304,7 +304,7 @@
     async fn tick(self: Arc<Self>) {
         loop {
             let pause = self.lock().wake_at.since(self.now());
-            let pause = Duration::from_nanos(pause.nanos());
+            let pause = Duration::from_nanos(pause.as_nanos());
             if timeout(pause, self.wake.notified()).await.is_err() {
                 self.lock().wake_at = Time::NEVER;
                 self.handle(Event::Tick);
--- a/crates/node/tests/link.rs
+++ b/crates/node/tests/link.rs
@@ -21,8 +21,8 @@
 impl Service for Recorder {
     fn message(&self, link: &Link, message: Message, reply: Reply) {
         match message {
-            Message::Registry(RegistryMessage::Distribute { .. }) => {
-                reply.send(Message::Registry(RegistryMessage::Distributed));
+            Message::Registry(RegistryMessage::DistributeConfiguration { .. }) => {
+                reply.send(Message::Registry(RegistryMessage::ConfigurationDistributed));
             }
             Message::Pong => link.close(),
             other => self.messages.lock().unwrap().push(other),
@@ -31,7 +31,7 @@
 }
 
 fn question() -> Message {
-    Message::Registry(RegistryMessage::Distribute { version: Default::default(), wait_ms: 1 })
+    Message::Registry(RegistryMessage::DistributeConfiguration { version: Default::default(), wait_ms: 1 })
 }
 
 async fn server() -> (SocketAddr, Arc<Recorder>) {
@@ -47,7 +47,7 @@
     let (address, _) = server().await;
     let pool = LinkPool::new(Arc::new(Recorder::default()));
     let answer = pool.call(address, question(), WITHIN).await.unwrap();
-    assert_eq!(answer, Message::Registry(RegistryMessage::Distributed));
+    assert_eq!(answer, Message::Registry(RegistryMessage::ConfigurationDistributed));
     let first = pool.link(address).await.unwrap();
     pool.call(address, question(), WITHIN).await.unwrap();
     assert_eq!(first.id(), pool.link(address).await.unwrap().id());
@@ -110,7 +110,7 @@
     let (address, recorder) = server().await;
     let body = vec![0; BYTES];
     let message = Message::Registry(RegistryMessage::Order(Order::PutConfiguration { base: 0, body }));
-    let envelope = Envelope { call: CallId::default(), answer: false, message: message.clone() };
+    let envelope = Envelope { call: CallId::default(), is_reply: false, message: message.clone() };
     let bytes = envelope.encode().unwrap();
     let mut stream = tokio::net::TcpStream::connect(address).await.unwrap();
     let (mut reader, mut writer) = stream.split();
--- a/crates/node/tests/link_answers.rs
+++ b/crates/node/tests/link_answers.rs
@@ -25,11 +25,14 @@
 
 /// A message that bears a number; answers bear that of their question.
 fn numbered(number: u32) -> Message {
-    Message::Registry(RegistryMessage::Distribute { version: Default::default(), wait_ms: number })
+    Message::Registry(RegistryMessage::DistributeConfiguration {
+        version: Default::default(),
+        wait_ms: number,
+    })
 }
 
 fn answer(call: CallId, number: u32) -> Vec<u8> {
-    Envelope { call, answer: true, message: numbered(number) }.encode().unwrap()
+    Envelope { call, is_reply: true, message: numbered(number) }.encode().unwrap()
 }
 
 /// The other end of a link, as bytes.
--- a/crates/node/tests/record_file.rs
+++ b/crates/node/tests/record_file.rs
@@ -12,7 +12,7 @@
 use juniperwing_protocol::EpochNumber;
 use juniperwing_protocol::replication::Version;
 use juniperwing_replication::{Ballot, Record};
-use juniperwing_storage::disk;
+use juniperwing_storage::file_system;
 use proptest::collection::vec;
 use proptest::prelude::*;
 
@@ -82,7 +82,7 @@
     #[test]
     fn the_newest_confirmed_record_comes_back(seed: u64, lives in lives()) {
         let disk = Arc::new(ForgetfulDisk::new(seed));
-        let _entered = disk::enter(disk.clone());
+        let _entered = file_system::simulate(disk.clone());
         let mut history = History::default();
         for life in lives {
             disk.die_after(life.calls);
--- a/crates/node/tests/relay/planned_work.rs
+++ b/crates/node/tests/relay/planned_work.rs
@@ -52,7 +52,7 @@
     }
     let mut stream = bench.send(request("POST", "/e/x", "a2", "")).await.into_body();
     next_piece(&mut stream).await.unwrap().unwrap();
-    bench.tell(false, vec![instance(&leaving, InstanceState::Gone, 2)]);
+    bench.tell(false, vec![instance(&leaving, InstanceState::Terminated, 2)]);
     // Neither a late heartbeat nor news of a drain that came late brings it back.
     bench.tell(false, vec![instance(&leaving, InstanceState::Ready, 3)]);
     bench.tell(false, vec![instance(&leaving, InstanceState::Draining, 4)]);
--- a/crates/node/tests/relay/resumption.rs
+++ b/crates/node/tests/relay/resumption.rs
@@ -86,7 +86,7 @@
         let answer = read(bench.send(request("POST", path, "9c41", "")).await).await;
         assert_eq!(answer.body.as_deref(), Some(format!("{FOURTH}{FIFTH}").as_bytes()), "{path}");
     }
-    let kept = bench.stores.finished.lock().unwrap()[0].kept.clone().unwrap();
+    let kept = bench.stores.finished.lock().unwrap()[0].stored_turn.clone().unwrap();
     assert_eq!(&*kept.output, b"four\nfive\n", "only data is kept");
 }
 
--- a/crates/node/tests/relay/support.rs
+++ b/crates/node/tests/relay/support.rs
@@ -216,7 +216,8 @@
     }
 
     pub fn tell(&self, whole: bool, instances: Vec<Instance>) {
-        let update = InstancesUpdate { revision: 1, whole, complete: whole, instances };
+        let update =
+            InstancesUpdate { revision: 1, is_snapshot: whole, is_registry_complete: whole, instances };
         self.world.apply(Update::Instances(update));
     }
 
--- a/crates/node/tests/relay/turns.rs
+++ b/crates/node/tests/relay/turns.rs
@@ -53,12 +53,12 @@
     let begun = bench.stores.begun.lock().unwrap()[0].clone();
     assert_eq!((&*begun.program.0, &*begun.request.0), ("p1", "t3"));
     assert_eq!(
-        (begun.previous, begun.budget, begun.most_tokens),
+        (begun.previous, begun.budget, begun.max_tokens),
         (Some(RequestId::from("t2")), Some(1080), 135)
     );
     let finished = bench.stores.finished.lock().unwrap()[0].clone();
     assert_eq!(finished.tokens, 6, "a stride of three for each event");
-    let kept = finished.kept.unwrap();
+    let kept = finished.stored_turn.unwrap();
     assert_eq!((&*kept.input, &*kept.output), (&b"in3"[..], &b"one\ntwo\nmore\n"[..]));
     assert_eq!((kept.previous, kept.endpoint.as_deref()), (Some(RequestId::from("t2")), Some("i-1")));
     assert_eq!(kept.retention_ms, 60_000);
@@ -83,7 +83,7 @@
     assert_eq!(answer.status, StatusCode::OK);
     soon(bench.stores.told.notified()).await;
     let later = bench.stores.later.lock().unwrap()[0].clone();
-    assert_eq!((&*later.request.0, later.tokens, later.kept), ("t1", 6, None));
+    assert_eq!((&*later.request.0, later.tokens, later.stored_turn), ("t1", 6, None));
 }
 
 #[tokio::test]
--- a/crates/node/tests/store.rs
+++ b/crates/node/tests/store.rs
@@ -11,7 +11,7 @@
 use juniperwing_node::store::run_until;
 use juniperwing_protocol::session::{BeginTurn, FinishTurn, Turn};
 use juniperwing_protocol::{ProgramId, RequestId};
-use juniperwing_storage::SegmentFiles;
+use juniperwing_storage::SegmentLog;
 use slog::{Discard, Logger, o};
 use stores::{COUNT, Stores, WITHIN};
 
@@ -26,7 +26,7 @@
         request: RequestId::from(request),
         previous: previous.map(RequestId::from),
         budget,
-        most_tokens: 40,
+        max_tokens: 40,
         imported: Vec::new(),
     }
 }
@@ -47,14 +47,14 @@
         program: ProgramId::from(program),
         request: RequestId::from(request),
         tokens: 10,
-        kept: Some(turn(request, previous)),
+        stored_turn: Some(turn(request, previous)),
     }
 }
 
 /// The end of a turn that fills a segment.
 fn filling(number: usize) -> FinishTurn {
     let mut filling = keep("p", &format!("filling-{number}"), Some("t2"));
-    filling.kept.as_mut().unwrap().output = Arc::from(vec![b'x'; 1 << 20]);
+    filling.stored_turn.as_mut().unwrap().output = Arc::from(vec![b'x'; 1 << 20]);
     filling
 }
 
@@ -93,7 +93,7 @@
     }
     let third = || stores.client.begin(begin("p", "c", None, Some(100)), WITHIN);
     assert_eq!(third().await, Err(SessionError::BudgetSpent));
-    let settled = FinishTurn { kept: None, ..keep("p", "a", None) };
+    let settled = FinishTurn { stored_turn: None, ..keep("p", "a", None) };
     stores.client.finish_later(settled);
     assert_eq!(stores.client.settlements_lost(), 0);
     let begun = async {
@@ -192,14 +192,14 @@
     let mut stores = Stores::start("other-release").await;
     keep_two(&stores).await;
     stores.running[0].take().unwrap().kill();
-    let (mut segments, before) = SegmentFiles::open(stores.data(0).join("sessions")).unwrap();
+    let (mut segments, before) = SegmentLog::open(stores.data(0).join("sessions")).unwrap();
     segments.append(&[0xff; 40]).unwrap();
     let settings = stores.settings(0);
     let started = run_until(&settings, Logger::root(Discard, o!()), pending());
     let refused = tokio::time::timeout(Duration::from_secs(5), started).await;
     let Ok(Err(error)) = refused else { panic!("it has started") };
     assert!(error.to_string().contains("release"), "{error}");
-    let (_, after) = SegmentFiles::open(stores.data(0).join("sessions")).unwrap();
+    let (_, after) = SegmentLog::open(stores.data(0).join("sessions")).unwrap();
     assert_eq!(after.len(), before.len() + 1, "nothing is lost");
 }
 
@@ -246,7 +246,7 @@
 async fn a_spent_budget_stays_spent_through_the_loss_of_all_stores() {
     let mut stores = Stores::start("spent").await;
     stores.client.begin(begin("p", "settled", None, Some(100)), WITHIN).await.unwrap();
-    let settled = FinishTurn { kept: None, tokens: 40, ..keep("p", "settled", None) };
+    let settled = FinishTurn { stored_turn: None, tokens: 40, ..keep("p", "settled", None) };
     stores.client.finish(settled, WITHIN).await.unwrap();
     // Begun and never settled: it counts at its most.
     stores.client.begin(begin("p", "open", None, Some(100)), WITHIN).await.unwrap();
--- a/crates/node/tests/stores/mod.rs
+++ b/crates/node/tests/stores/mod.rs
@@ -11,7 +11,7 @@
 use juniperwing_node::sessions_client::SessionsClient;
 use juniperwing_node::settings::Settings;
 use juniperwing_protocol::subscription::{
-    Assignment, CaughtUp, StoreMap, StoreNode, Subscribe, Subscriber, Update,
+    Assignment, CaughtUp, StoreMap, StoreNode, Subscribe, SubscriberKind, Update,
 };
 use juniperwing_protocol::{DiskId, EpochNumber, Message};
 use slog::{Discard, Logger, o};
@@ -45,7 +45,7 @@
         let mut state = self.state.lock().unwrap();
         match message {
             Message::Subscribe(subscribe) => {
-                let Subscriber::Store { disk } = subscribe.subscriber else { return };
+                let SubscriberKind::Store { disk } = subscribe.subscriber else { return };
                 state.stores.insert(disk, (node(&subscribe, disk), link.clone()));
                 link.send(Message::Update(Update::Stores(state.map.clone())));
             }
@@ -120,7 +120,7 @@
             primary: in_sync[partition % in_sync.len()],
             in_sync: in_sync.to_vec(),
             joining: joining.to_vec(),
-            lost_copies: 0,
+            lost_replicas: 0,
         });
         let stores = state.stores.values().map(|(store, _)| store.clone()).collect();
         state.map = Arc::new(StoreMap { version, stores, partitions: partitions.collect() });
--- a/crates/node/tests/subscriber.rs
+++ b/crates/node/tests/subscriber.rs
@@ -7,7 +7,7 @@
 use juniperwing_node::link::{Link, Reply, Service, serve};
 use juniperwing_node::subscriber::{Sink, Subscriber};
 use juniperwing_protocol::replication::Version;
-use juniperwing_protocol::subscription::{self, Applied, InstancesUpdate, Subscribe, Update};
+use juniperwing_protocol::subscription::{self, AppliedVersions, InstancesUpdate, Subscribe, Update};
 use juniperwing_protocol::{Message, NodeName};
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
@@ -34,7 +34,11 @@
         *self.link.lock().unwrap() = Some(link.clone());
         self.news.notify_waiters();
         if self.answers {
-            let update = InstancesUpdate { whole: true, complete: true, ..InstancesUpdate::default() };
+            let update = InstancesUpdate {
+                is_snapshot: true,
+                is_registry_complete: true,
+                ..InstancesUpdate::default()
+            };
             link.send(Message::Update(Update::Instances(update)));
         }
     }
@@ -80,8 +84,8 @@
         self.told.notify_one();
     }
 
-    fn applied(&self) -> Applied {
-        Applied::default()
+    fn applied(&self) -> AppliedVersions {
+        AppliedVersions::default()
     }
 
     fn configuration(&self) -> Version {
@@ -99,7 +103,7 @@
         node: NodeName::from("edge-1"),
         zone: "a".into(),
         address: "127.0.0.1:1".parse().unwrap(),
-        subscriber: subscription::Subscriber::Relay,
+        subscriber: subscription::SubscriberKind::Relay,
         configuration: Version::default(),
     }
 }
--- a/crates/protocol/src/envelope.rs
+++ b/crates/protocol/src/envelope.rs
@@ -6,7 +6,7 @@
 use crate::registry::RegistryMessage;
 use crate::replication::ReplicationMessage;
 use crate::session::{SessionReply, SessionRequest};
-use crate::subscription::{Applied, Subscribe, Update};
+use crate::subscription::{AppliedVersions, Subscribe, Update};
 use crate::transfer::{TransferReply, TransferRequest};
 
 /// The largest encoded envelope, in bytes.
@@ -22,7 +22,7 @@
     /// The call that this is, or answers.
     pub call: CallId,
     /// Whether this answers a call.
-    pub answer: bool,
+    pub is_reply: bool,
     /// What is said.
     pub message: Message,
 }
@@ -43,7 +43,7 @@
     /// A keeper tells a subscriber what is in force.
     Update(Update),
     /// A subscriber confirms what it has applied.
-    Applied(Applied),
+    Applied(AppliedVersions),
     /// A relay asks a store.
     SessionRequest(SessionRequest),
     /// A store answers a relay.
--- a/crates/protocol/src/registry.rs
+++ b/crates/protocol/src/registry.rs
@@ -19,7 +19,7 @@
     /// It was not heard of for too long; a later heartbeat brings it back.
     Expired,
     /// It has said that it ends. Final.
-    Gone,
+    Terminated,
 }
 
 /// What is known of an endpoint.
@@ -47,7 +47,7 @@
         let rank = |instance: &Instance| match instance.state {
             InstanceState::Ready | InstanceState::Expired => 0,
             InstanceState::Draining => 1,
-            InstanceState::Gone => 2,
+            InstanceState::Terminated => 2,
         };
         (rank(self), self.sequence, self.state) > (rank(known), known.sequence, known.state)
     }
@@ -77,7 +77,7 @@
         confirm: bool,
     },
     /// Answers [`RegistryMessage::Instances`].
-    InstancesTaken {
+    InstancesMerged {
         /// The highest epoch that the answering keeper knows.
         epoch: EpochNumber,
         /// Whether every relay subscribed to the answering keeper has applied all instances told so far, this
@@ -86,34 +86,34 @@
     },
     /// The primary asks: bring your subscribers to this configuration and answer when they have it, or after
     /// the time given.
-    Distribute {
+    DistributeConfiguration {
         /// The configuration's version, as in [`crate::subscription::Update::Configuration`].
         version: Version,
         /// Milliseconds to wait for subscribers at the most.
         wait_ms: u32,
     },
     /// Answers [`RegistryMessage::Distribute`].
-    Distributed,
+    ConfigurationDistributed,
     /// An operator's order that another keeper took, passed on to the primary.
     Order(Order),
     /// Its answer.
-    OrderAnswer(OrderAnswer),
+    OrderReply(OrderReply),
     /// Asks the primary for the newest committed version, confirmed by a majority after this was received.
-    ReadCommitted,
+    ReadCommittedVersion,
     /// Answers [`RegistryMessage::ReadCommitted`].
-    Committed {
+    CommittedVersion {
         /// The version; `None` if it could not be confirmed here.
         version: Option<Version>,
     },
     /// Stores whose links to the telling keeper are alive.
-    StoresSeen {
+    ReachableStores {
         /// Who tells.
         from: DiskId,
         /// The stores.
         stores: Vec<StoreNode>,
     },
     /// Answers [`RegistryMessage::StoresSeen`]: shows the asker that it reaches this keeper.
-    Seen {
+    ReachableStoresReply {
         /// The highest epoch that the answering keeper knows.
         epoch: EpochNumber,
     },
@@ -149,7 +149,7 @@
 
 /// How an order ended: an HTTP status and a JSON body.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct OrderAnswer {
+pub struct OrderReply {
     /// The HTTP status.
     pub status: u16,
     /// The body.
--- a/crates/protocol/src/replication.rs
+++ b/crates/protocol/src/replication.rs
@@ -82,12 +82,12 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ReplicationBody {
     /// Asks, before anything is promised, whether a candidate would be let through.
-    Canvass {
+    PreVote {
         /// The number that the candidate would propose; pairs the answer with it.
         number: EpochNumber,
     },
     /// Answers [`ReplicationBody::Canvass`]; binds to nothing.
-    CanvassAnswer {
+    PreVoteReply {
         /// The number asked about.
         number: EpochNumber,
         /// Whether no live primary was heard of late.
@@ -96,7 +96,7 @@
         epoch: Epoch,
     },
     /// The primary steps down and asks a backup to become a candidate at once.
-    TakeOver {
+    TransferLeadership {
         /// The primary's epoch.
         epoch: EpochNumber,
     },
@@ -125,7 +125,7 @@
         number: EpochNumber,
     },
     /// A higher number was promised.
-    Refused {
+    Rejected {
         /// That number.
         promised: EpochNumber,
     },
@@ -150,7 +150,7 @@
         state: Vec<u8>,
     },
     /// A replica has this version on disk.
-    Confirm {
+    WriteAck {
         /// The epoch that it goes by.
         epoch: EpochNumber,
         /// The version.
@@ -166,7 +166,7 @@
         round: u64,
     },
     /// Answers a heartbeat: no higher epoch was promised.
-    HeartbeatAnswer {
+    HeartbeatReply {
         /// The heartbeat's epoch.
         epoch: EpochNumber,
         /// The heartbeat's round.
@@ -180,7 +180,7 @@
         voter: Voter,
     },
     /// At the very first start: a seed tells its disk to the founder.
-    Found {
+    Bootstrap {
         /// It, as a voter.
         voter: Voter,
     },
--- a/crates/protocol/src/session.rs
+++ b/crates/protocol/src/session.rs
@@ -55,7 +55,7 @@
     /// Tokens that all turns of the program may generate together; `None` if there is no limit.
     pub budget: Option<u64>,
     /// The most that this turn may generate.
-    pub most_tokens: u64,
+    pub max_tokens: u64,
     /// Turns of another program that this one continues from, found in another partition: to be kept here too.
     pub imported: Vec<Turn>,
 }
@@ -70,7 +70,7 @@
     /// Tokens handed to the client.
     pub tokens: u64,
     /// The turn itself, if its answer is whole and its route keeps turns.
-    pub kept: Option<Turn>,
+    pub stored_turn: Option<Turn>,
 }
 
 /// A kept turn. Never changes but for its expiry.
@@ -96,18 +96,18 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum SessionReply {
     /// The reservation is on enough disks. The chain up to `previous` comes oldest first.
-    Begun {
+    TurnBegun {
         /// The turns before, oldest first.
         chain: Vec<Turn>,
     },
     /// The budget is spent: the turn must not run.
-    BudgetSpent,
+    BudgetExhausted,
     /// The partition does not know the turn, and it is certain of that.
     UnknownTurn,
     /// The turn is settled, and kept if that was asked, on enough disks.
-    Finished,
+    TurnFinished,
     /// The turn asked for and those before it, oldest first.
-    Found {
+    TurnFound {
         /// The chain.
         chain: Vec<Turn>,
     },
--- a/crates/protocol/src/subscription.rs
+++ b/crates/protocol/src/subscription.rs
@@ -13,7 +13,7 @@
 
 /// What a subscriber is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Subscriber {
+pub enum SubscriberKind {
     /// A relay: wants configuration, endpoints and the store map.
     Relay,
     /// A store: wants the store map, and is placed by it.
@@ -33,7 +33,7 @@
     /// Where it listens for the tier's own messages.
     pub address: SocketAddr,
     /// What it is.
-    pub subscriber: Subscriber,
+    pub subscriber: SubscriberKind,
     /// The configuration that it holds already; it is not sent again.
     pub configuration: Version,
 }
@@ -62,16 +62,16 @@
     /// Counts the keeper's updates to this subscriber; confirmed by [`Applied`].
     pub revision: u64,
     /// Whether all instances that the keeper knows are in it.
-    pub whole: bool,
+    pub is_snapshot: bool,
     /// Whether the keeper has run for long enough to have heard of every live endpoint.
-    pub complete: bool,
+    pub is_registry_complete: bool,
     /// The instances.
     pub instances: Vec<Instance>,
 }
 
 /// What a subscriber has applied.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Applied {
+pub struct AppliedVersions {
     /// The configuration in force at the subscriber.
     pub configuration: Version,
     /// The highest [`InstancesUpdate::revision`] applied.
@@ -130,7 +130,7 @@
     pub joining: Vec<DiskId>,
     /// How many of the required copies may be missing while the machines that should hold them are lost. It is 0
     /// as soon as any other store can hold one.
-    pub lost_copies: u16,
+    pub lost_replicas: u16,
 }
 
 impl StoreMap {
--- a/crates/protocol/src/transfer.rs
+++ b/crates/protocol/src/transfer.rs
@@ -16,7 +16,7 @@
     /// Tokens that count against the budget.
     pub tokens: u64,
     /// Whether `tokens` is what was handed out, not the most that may be.
-    pub settled: bool,
+    pub is_committed: bool,
     /// The turn, if it is kept.
     pub turn: Option<Turn>,
     /// When it may be forgotten, in milliseconds of the time of day.
@@ -69,7 +69,7 @@
         /// How many ranges there are.
         ranges: u16,
         /// Those wanted.
-        wanted: Vec<u16>,
+        requested: Vec<u16>,
         /// Programs that may be forgotten by this time of day, in milliseconds, are passed over.
         live_after_ms: u64,
         /// The last record of the page before.
--- a/crates/protocol/tests/golden.rs
+++ b/crates/protocol/tests/golden.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use golden_files::assert_golden;
-use juniperwing_protocol::registry::{Instance, InstanceState, Order, OrderAnswer, Refresh, RegistryMessage};
+use juniperwing_protocol::registry::{Instance, InstanceState, Order, OrderReply, Refresh, RegistryMessage};
 use juniperwing_protocol::replication::{
     Epoch, NumberedChange, ReplicationBody, ReplicationMessage, Version, Voter,
 };
@@ -14,7 +14,8 @@
     BeginTurn, FinishTurn, PartitionEpoch, SessionCall, SessionReply, SessionRequest, Turn,
 };
 use juniperwing_protocol::subscription::{
-    Applied, Assignment, CaughtUp, InstancesUpdate, StoreMap, StoreNode, Subscribe, Subscriber, Update,
+    AppliedVersions, Assignment, CaughtUp, InstancesUpdate, StoreMap, StoreNode, Subscribe, SubscriberKind,
+    Update,
 };
 use juniperwing_protocol::transfer::{Record, RecordKey, TransferReply, TransferRequest};
 use juniperwing_protocol::{
@@ -53,11 +54,11 @@
 }
 
 fn call(message: Message) -> Envelope {
-    Envelope { call: CallId(300), answer: false, message }
+    Envelope { call: CallId(300), is_reply: false, message }
 }
 
 fn answer(message: Message) -> Envelope {
-    Envelope { call: CallId(70_000), answer: true, message }
+    Envelope { call: CallId(70_000), is_reply: true, message }
 }
 
 fn replication(body: ReplicationBody) -> Envelope {
@@ -132,7 +133,7 @@
         instance("instance-ready", InstanceState::Ready, 501),
         instance("instance-draining", InstanceState::Draining, 502),
         instance("instance-expired", InstanceState::Expired, 503),
-        instance("instance-gone", InstanceState::Gone, 504),
+        instance("instance-gone", InstanceState::Terminated, 504),
     ]
 }
 
@@ -178,7 +179,7 @@
         program: ProgramId::from("program-1"),
         request: RequestId::from(request),
         tokens,
-        settled,
+        is_committed: settled,
         turn,
         expires_at_ms,
     };
@@ -201,12 +202,12 @@
     use ReplicationBody::*;
     let number = EpochNumber(0x0000_0002_0000_0101);
     vec![
-        ("replication-canvass", replication(Canvass { number })),
+        ("replication-canvass", replication(PreVote { number })),
         (
             "replication-canvass-answer",
-            replication(CanvassAnswer { number, granted: true, epoch: epoch(201) }),
+            replication(PreVoteReply { number, granted: true, epoch: epoch(201) }),
         ),
-        ("replication-take-over", replication(TakeOver { epoch: EpochNumber(202) })),
+        ("replication-take-over", replication(TransferLeadership { epoch: EpochNumber(202) })),
         ("replication-prepare", replication(Prepare { number })),
         (
             "replication-promise",
@@ -214,9 +215,9 @@
         ),
         ("replication-accept", replication(Accept { epoch: epoch(206) })),
         ("replication-accepted", replication(Accepted { number })),
-        ("replication-refused", replication(Refused { promised: EpochNumber(u64::MAX) })),
+        ("replication-refused", replication(Rejected { promised: EpochNumber(u64::MAX) })),
         ("replication-join", replication(Join { voter: voter(14, "elder", ipv6(7014)) })),
-        ("replication-found", replication(Found { voter: voter(15, "fir", ipv4(7015)) })),
+        ("replication-found", replication(Bootstrap { voter: voter(15, "fir", ipv4(7015)) })),
         ("replication-leave", replication(Leave)),
     ]
 }
@@ -233,8 +234,8 @@
     let snapshot =
         Snapshot { epoch: epoch_number, version: version(215, 216), state: vec![0, 1, 127, 128, 255] };
     let heartbeat = Heartbeat { epoch: epoch(219), committed: version(220, 221), round: 222 };
-    let behind = HeartbeatAnswer { epoch: epoch_number, round: 223, version: None };
-    let on_disk = HeartbeatAnswer { epoch: epoch_number, round: 224, version: Some(version(225, 226)) };
+    let behind = HeartbeatReply { epoch: epoch_number, round: 223, version: None };
+    let on_disk = HeartbeatReply { epoch: epoch_number, round: 224, version: Some(version(225, 226)) };
     let changes = Changes {
         epoch: epoch_number,
         base: version(227, 228),
@@ -246,7 +247,7 @@
     vec![
         ("replication-write", replication(write)),
         ("replication-snapshot", replication(snapshot)),
-        ("replication-confirm", replication(Confirm { epoch: epoch_number, version: version(217, 218) })),
+        ("replication-confirm", replication(WriteAck { epoch: epoch_number, version: version(217, 218) })),
         ("replication-heartbeat", replication(heartbeat)),
         ("replication-heartbeat-answer-behind", replication(behind)),
         ("replication-heartbeat-answer-on-disk", replication(on_disk)),
@@ -267,15 +268,18 @@
         ("registry-instances", registry_call(instances)),
         (
             "registry-instances-taken",
-            registry_answer(InstancesTaken { epoch: EpochNumber(310), applied: true }),
+            registry_answer(InstancesMerged { epoch: EpochNumber(310), applied: true }),
         ),
-        ("registry-distribute", registry_call(Distribute { version: version(311, 312), wait_ms: 1_500 })),
-        ("registry-distributed", registry_answer(Distributed)),
-        ("registry-read-committed", registry_call(ReadCommitted)),
-        ("registry-committed", registry_answer(Committed { version: Some(version(313, 314)) })),
-        ("registry-committed-unconfirmed", registry_answer(Committed { version: None })),
-        ("registry-stores-seen", registry_call(StoresSeen { from: DiskId(32), stores: stores() })),
-        ("registry-seen", registry_answer(Seen { epoch: EpochNumber(315) })),
+        (
+            "registry-distribute",
+            registry_call(DistributeConfiguration { version: version(311, 312), wait_ms: 1_500 }),
+        ),
+        ("registry-distributed", registry_answer(ConfigurationDistributed)),
+        ("registry-read-committed", registry_call(ReadCommittedVersion)),
+        ("registry-committed", registry_answer(CommittedVersion { version: Some(version(313, 314)) })),
+        ("registry-committed-unconfirmed", registry_answer(CommittedVersion { version: None })),
+        ("registry-stores-seen", registry_call(ReachableStores { from: DiskId(32), stores: stores() })),
+        ("registry-seen", registry_answer(ReachableStoresReply { epoch: EpochNumber(315) })),
         ("registry-caught-up", registry_call(CaughtUp(caught_up()))),
     ]
 }
@@ -283,7 +287,7 @@
 fn orders() -> Table {
     let order = |order| registry_call(RegistryMessage::Order(order));
     let node = NodeName::from("maple");
-    let reply = OrderAnswer { status: 409, body: br#"{"generation":7}"#.to_vec() };
+    let reply = OrderReply { status: 409, body: br#"{"generation":7}"#.to_vec() };
     vec![
         (
             "order-put-configuration",
@@ -292,7 +296,7 @@
         ("order-get-configuration", order(Order::GetConfiguration)),
         ("order-retire", order(Order::Retire { node: node.clone(), duration_s: 12.5 })),
         ("order-retire-state", order(Order::RetireState { node })),
-        ("order-answer", registry_answer(RegistryMessage::OrderAnswer(reply))),
+        ("order-answer", registry_answer(RegistryMessage::OrderReply(reply))),
     ]
 }
 
@@ -306,11 +310,15 @@
             configuration: version(330, 331),
         }))
     };
-    let applied =
-        Applied { configuration: version(332, 333), instances: 334, stores: 335, caught_up: caught_up() };
+    let applied = AppliedVersions {
+        configuration: version(332, 333),
+        instances: 334,
+        stores: 335,
+        caught_up: caught_up(),
+    };
     vec![
-        ("subscribe-relay", subscribe(Subscriber::Relay)),
-        ("subscribe-store", subscribe(Subscriber::Store { disk: DiskId(23) })),
+        ("subscribe-relay", subscribe(SubscriberKind::Relay)),
+        ("subscribe-store", subscribe(SubscriberKind::Store { disk: DiskId(23) })),
         ("applied", answer(Message::Applied(applied))),
     ]
 }
@@ -321,11 +329,16 @@
     // One update for each flag, so that the two cannot change places.
     let whole = InstancesUpdate {
         revision: 342,
-        whole: true,
-        complete: false,
+        is_snapshot: true,
+        is_registry_complete: false,
         instances: instances_of_every_state(),
     };
-    let complete = InstancesUpdate { revision: 343, whole: false, complete: true, instances: Vec::new() };
+    let complete = InstancesUpdate {
+        revision: 343,
+        is_snapshot: false,
+        is_registry_complete: true,
+        instances: Vec::new(),
+    };
     vec![
         ("update-keepers", update(Update::Keepers(vec![ipv4(7201), ipv6(7202)]))),
         ("update-configuration", update(Update::Configuration { version: version(340, 341), body })),
@@ -341,7 +354,7 @@
         primary: DiskId(primary),
         in_sync: vec![DiskId(21), DiskId(22)],
         joining: vec![DiskId(24)],
-        lost_copies,
+        lost_replicas: lost_copies,
     };
     StoreMap {
         version: 350,
@@ -356,7 +369,7 @@
         request: RequestId::from("request-3"),
         previous: Some(RequestId::from("request-2")),
         budget: Some(9_001),
-        most_tokens: 802,
+        max_tokens: 802,
         imported: vec![first_turn(), second_turn()],
     };
     let begin_first = BeginTurn { previous: None, budget: None, imported: Vec::new(), ..begin.clone() };
@@ -364,9 +377,9 @@
         program: ProgramId::from("program-3"),
         request: RequestId::from("request-4"),
         tokens: 803,
-        kept: Some(second_turn()),
+        stored_turn: Some(second_turn()),
     };
-    let finish_unkept = FinishTurn { kept: None, ..finish.clone() };
+    let finish_unkept = FinishTurn { stored_turn: None, ..finish.clone() };
     let at =
         |partition, epoch| PartitionEpoch { partition: PartitionId(partition), epoch: EpochNumber(epoch) };
     let find = SessionCall::Find {
@@ -385,11 +398,11 @@
 fn session_replies() -> Table {
     use SessionReply::*;
     vec![
-        ("session-begun", session_answer(Begun { chain: vec![first_turn(), second_turn()] })),
-        ("session-budget-spent", session_answer(BudgetSpent)),
+        ("session-begun", session_answer(TurnBegun { chain: vec![first_turn(), second_turn()] })),
+        ("session-budget-spent", session_answer(BudgetExhausted)),
         ("session-unknown-turn", session_answer(UnknownTurn)),
-        ("session-finished", session_answer(Finished)),
-        ("session-found", session_answer(Found { chain: vec![first_turn()] })),
+        ("session-finished", session_answer(TurnFinished)),
+        ("session-found", session_answer(TurnFound { chain: vec![first_turn()] })),
         ("session-not-primary", session_answer(NotPrimary { epoch: EpochNumber(810) })),
         ("session-unavailable", session_answer(Unavailable)),
     ]
@@ -405,7 +418,7 @@
         partition,
         epoch,
         ranges: 903,
-        wanted: vec![1, 300, 902],
+        requested: vec![1, 300, 902],
         live_after_ms: 1_700_000_000_004,
         after,
     };
--- a/crates/protocol/tests/partitions.rs
+++ b/crates/protocol/tests/partitions.rs
@@ -8,7 +8,7 @@
         primary: Default::default(),
         in_sync: Vec::new(),
         joining: Vec::new(),
-        lost_copies: 0,
+        lost_replicas: 0,
     };
     StoreMap { partitions: vec![assignment; partitions], ..StoreMap::default() }
 }
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -66,7 +66,7 @@
     /// Whether it has run, in contact with the other keepers, for long enough to have heard of every live
     /// endpoint and of every end.
     pub fn is_complete(&self, now: Time) -> bool {
-        now.since(self.silence_from) >= self.settings.heartbeat.times(COMPLETE_HEARTBEATS)
+        now.since(self.silence_from) >= self.settings.heartbeat.mul_f64(COMPLETE_HEARTBEATS)
     }
 
     /// All instances, those that have ended included.
@@ -131,11 +131,11 @@
             self.insert(now, tombstone.clone());
             return Some(tombstone);
         };
-        if entry.instance.state == InstanceState::Gone {
+        if entry.instance.state == InstanceState::Terminated {
             return None;
         }
         entry.heard = now;
-        entry.instance.state = InstanceState::Gone;
+        entry.instance.state = InstanceState::Terminated;
         Some(entry.instance.clone())
     }
 
@@ -159,7 +159,7 @@
     /// they took after it may be unknown here.
     pub fn expire(&mut self, now: Time, confirmed_at: Time) -> Vec<Instance> {
         self.forget(now);
-        let limit = self.settings.heartbeat.times(EXPIRY_HEARTBEATS);
+        let limit = self.settings.heartbeat.mul_f64(EXPIRY_HEARTBEATS);
         let mut expired = Vec::new();
         for entry in self.entries.values_mut() {
             let living = matches!(entry.instance.state, InstanceState::Ready | InstanceState::Draining);
@@ -169,7 +169,7 @@
             }
             // A drain is final: an instance that drains and falls silent has ended.
             let draining = entry.instance.state == InstanceState::Draining;
-            entry.instance.state = if draining { InstanceState::Gone } else { InstanceState::Expired };
+            entry.instance.state = if draining { InstanceState::Terminated } else { InstanceState::Expired };
             expired.push(entry.instance.clone());
         }
         expired
@@ -213,7 +213,7 @@
 
     fn refresh(&mut self, now: Time, refresh: &Refresh) -> Option<Instance> {
         let entry = self.entries.get_mut(&refresh.id)?;
-        let ended = entry.instance.state == InstanceState::Gone;
+        let ended = entry.instance.state == InstanceState::Terminated;
         if ended || refresh.sequence < entry.instance.sequence {
             return None;
         }
@@ -238,8 +238,8 @@
             let Some(entry) = self.entries.get_mut(other) else { continue };
             let older = entry.first_heard < first_heard;
             let silent = now.since(entry.heard) >= ADDRESS_SILENCE;
-            if older && silent && entry.instance.state != InstanceState::Gone {
-                entry.instance.state = InstanceState::Gone;
+            if older && silent && entry.instance.state != InstanceState::Terminated {
+                entry.instance.state = InstanceState::Terminated;
                 entry.heard = now;
                 gone.push(entry.instance.clone());
             }
@@ -252,7 +252,9 @@
         let old: Vec<InstanceId> = self
             .entries
             .iter()
-            .filter(|(_, entry)| matches!(entry.instance.state, InstanceState::Gone | InstanceState::Expired))
+            .filter(|(_, entry)| {
+                matches!(entry.instance.state, InstanceState::Terminated | InstanceState::Expired)
+            })
             .filter(|(_, entry)| now.since(entry.heard) >= TOMBSTONE_LIFE)
             .map(|(id, _)| id.clone())
             .collect();
@@ -291,7 +293,7 @@
 /// Whether a call is older than what is known, or comes from an instance that has ended or may not go back.
 fn is_late(call: &Instance, known: &Instance) -> bool {
     match known.state {
-        InstanceState::Gone => true,
+        InstanceState::Terminated => true,
         InstanceState::Draining => call.state != InstanceState::Draining || call.sequence < known.sequence,
         InstanceState::Expired => call.sequence <= known.sequence && call.state == InstanceState::Ready,
         InstanceState::Ready => call.sequence < known.sequence && call.state != InstanceState::Draining,
@@ -314,7 +316,7 @@
         address: SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)),
         zone: "".into(),
         capacity: 0,
-        state: InstanceState::Gone,
+        state: InstanceState::Terminated,
         sequence: 0,
     }
 }
--- a/crates/registry/tests/registry.rs
+++ b/crates/registry/tests/registry.rs
@@ -75,11 +75,11 @@
 fn an_end_leaves_a_tombstone_for_longer_than_a_late_call_takes() {
     let mut registry = registry();
     registry.heartbeat(at(0), ready("a", 1));
-    assert_eq!(registry.remove(at(1), &"a".into()).map(|gone| gone.state), Some(InstanceState::Gone));
+    assert_eq!(registry.remove(at(1), &"a".into()).map(|gone| gone.state), Some(InstanceState::Terminated));
     assert_eq!(registry.remove(at(2), &"a".into()), None);
     assert_eq!(registry.heartbeat(at(3), ready("a", 2)), HeartbeatOutcome::Late);
     registry.expire(at(59_000), at(59_000));
-    assert_eq!(state_of(&registry, "a"), Some(InstanceState::Gone));
+    assert_eq!(state_of(&registry, "a"), Some(InstanceState::Terminated));
     registry.expire(at(1) + TOMBSTONE_LIFE, at(1) + TOMBSTONE_LIFE);
     assert!(registry.is_empty());
 }
@@ -153,7 +153,7 @@
     let mut registry = registry();
     registry.heartbeat(at(0), ready("a", 1));
     registry.heartbeat(at(2_500), ready("b", 1));
-    assert_eq!(state_of(&registry, "a"), Some(InstanceState::Gone));
+    assert_eq!(state_of(&registry, "a"), Some(InstanceState::Terminated));
     assert_eq!(state_of(&registry, "b"), Some(InstanceState::Ready));
 }
 
--- a/crates/relay/src/event_loop.rs
+++ b/crates/relay/src/event_loop.rs
@@ -173,7 +173,7 @@
     /// Waits for the next happenings, no longer than `until`, and gathers all that there are.
     pub fn wait(&mut self, until: Time) -> Turn {
         let until = self.dues.first().map_or(until, |due| due.0.min(until)).min(self.accept_at);
-        let mut left = Duration::from_nanos(until.since(self.clock.now()).nanos());
+        let mut left = Duration::from_nanos(until.since(self.clock.now()).as_nanos());
         let mut turn = Turn { happenings: std::mem::take(&mut self.again), ..Turn::default() };
         if !turn.happenings.is_empty() {
             left = Duration::ZERO;
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -69,7 +69,7 @@
 /// How long the endpoint said to wait, by the head of its answer.
 pub fn wait(headers: &Headers) -> Option<Span> {
     let secs = headers.get("Retry-After")?.parse().ok().filter(|secs: &f64| secs.is_finite())?;
-    Some(Span::from_secs(secs)).filter(|wait| *wait > Span::ZERO)
+    Some(Span::from_secs_f64(secs)).filter(|wait| *wait > Span::ZERO)
 }
 
 /// What the endpoint told of its limit.
@@ -116,7 +116,7 @@
         ] {
             let response = read(&format!("HTTP/1.1 {head}Content-Length: 0\n\n"));
             let fate = fates(&response, &["1"], many)[0];
-            let wait = wait(&response.headers).map(|wait| wait.nanos() / 1_000_000);
+            let wait = wait(&response.headers).map(|wait| wait.as_nanos() / 1_000_000);
             trace += &format!("{many:<5} {:?} over {} wait {wait:?}\n", fate.status, fate.over);
         }
         expect![[r#"
@@ -151,7 +151,7 @@
         for (id, fate) in ids.iter().zip(fates(&response, &ids, true)) {
             trace += &format!("{id:<9} {:?} over {}\n", fate.status, fate.over);
         }
-        trace += &format!("wait {:?}", wait(&response.headers).map(Span::secs));
+        trace += &format!("wait {:?}", wait(&response.headers).map(Span::as_secs_f64));
         expect![[r#"
             delivered Delivered over true
             failed    Error over false
--- a/crates/relay/src/send.rs
+++ b/crates/relay/src/send.rs
@@ -133,7 +133,7 @@
     /// Goes by other settings from now on; connections under way keep the times they were given. Idle ones go where
     /// that would be too long.
     pub fn adopt(&mut self, net: &mut Net, connections: Connections) {
-        let told = |span: Span| if span > Span::ZERO { span.nanos() } else { u64::MAX };
+        let told = |span: Span| if span > Span::ZERO { span.as_nanos() } else { u64::MAX };
         if told(connections.idle) < told(self.connections.idle) {
             self.idle.clear();
             std::mem::take(&mut self.resting).into_keys().for_each(|token| net.close(token));
@@ -520,7 +520,7 @@
         }
         if clean && !never {
             let idle = Some(self.connections.idle).filter(|span| *span > Span::ZERO);
-            net.due(token, idle.map_or(Time::NEVER, |span| now + span.times(RETIRED_AT)));
+            net.due(token, idle.map_or(Time::NEVER, |span| now + span.mul_f64(RETIRED_AT)));
             self.idle.entry(call.endpoint.clone()).or_default().push(token);
             self.resting.insert(token, call.endpoint);
         } else {
@@ -574,7 +574,7 @@
 
 /// As a header states it.
 fn whole_millis(span: Span) -> String {
-    (span.nanos() / 1_000_000).max(1).to_string()
+    (span.as_nanos() / 1_000_000).max(1).to_string()
 }
 
 /// A push, or without one a probe, that ended with no answer.
--- a/crates/relay/src/serve.rs
+++ b/crates/relay/src/serve.rs
@@ -251,7 +251,7 @@
         }
         match self.store.get(ntf.0).map(|kept| &kept.taken) {
             Some(taken) if taken.history.end.is_none() => up.tried += 1,
-            Some(taken) if taken.valid_until > now.since(Time::default()).nanos() => up.vain += 1,
+            Some(taken) if taken.valid_until > now.since(Time::default()).as_nanos() => up.vain += 1,
             _ => up.late += 1,
         }
         if up.untried.is_empty() {
@@ -364,7 +364,7 @@
     /// Tells the core how pushes and probes ended.
     fn outcomes(&mut self, now: Time) {
         for (endpoint, wait) in self.send.take_told() {
-            debug!(self.log, "a wait was told"; "endpoint" => &*endpoint.0, "ms" => wait.nanos() / 1_000_000);
+            debug!(self.log, "a wait was told"; "endpoint" => &*endpoint.0, "ms" => wait.as_nanos() / 1_000_000);
             self.route.tell(Event::Told { endpoint, wait });
         }
         for ended in self.send.take_ended() {
@@ -375,7 +375,7 @@
                 continue;
             };
             debug!(self.log, "push ended"; "n" => ntf.0, "push" => push, "endpoint" => &*endpoint.0,
-                "status" => format!("{status:?}"), "ms" => spent.nanos() / 1_000_000,
+                "status" => format!("{status:?}"), "ms" => spent.as_nanos() / 1_000_000,
                 "left" => limit.map(|limit| limit.left), "rate" => limit.map(|limit| limit.rate));
             self.store.returned(ntf.0, status.may_have_run(), status.may_be_running().then_some(now));
             if fate.over {
@@ -408,7 +408,7 @@
                         self.answer(tokens, *ntf, Answer::Throttled(*retry_in));
                         self.heard(*ntf);
                     } else {
-                        self.end(*ntf, End::HandedBack(retry_in.nanos() / 1_000_000), now);
+                        self.end(*ntf, End::HandedBack(retry_in.as_nanos() / 1_000_000), now);
                     }
                 }
                 Command::Expire(ntf) => {
--- a/crates/relay/src/store.rs
+++ b/crates/relay/src/store.rs
@@ -98,7 +98,7 @@
         let effect = match topic.effect {
             Effect::Repeatable => Repeat::Runs,
             Effect::Collapsible { group, window } => {
-                Repeat::Dropped { all: group == Group::All, window: window.nanos() }
+                Repeat::Dropped { all: group == Group::All, window: window.as_nanos() }
             }
             Effect::OnceOnly => Repeat::Never,
         };
@@ -345,7 +345,7 @@
 }
 
 fn nanos(time: Time) -> u64 {
-    time.since(Time::default()).nanos()
+    time.since(Time::default()).as_nanos()
 }
 
 fn encode(to: &mut Vec<u8>, record: &Record, body: &[u8]) {
--- a/crates/relay/src/take_in.rs
+++ b/crates/relay/src/take_in.rs
@@ -172,7 +172,7 @@
             Answer::Accepted => self.respond(net, token, 202, &[]),
             Answer::Throttled(Span::ZERO) => self.respond(net, token, 429, &[]),
             Answer::Throttled(wait) => {
-                let wait = format!("{:.3}", wait.secs());
+                let wait = format!("{:.3}", wait.as_secs_f64());
                 self.respond(net, token, 429, &[("Retry-After", &wait)]);
             }
             Answer::Unavailable => self.respond(net, token, 503, &[]),
--- a/crates/replication/src/candidacy.rs
+++ b/crates/replication/src/candidacy.rs
@@ -127,7 +127,7 @@
         let granted = BTreeSet::from([self.me()]);
         let give_up_at = now + self.settings.timings.attempt;
         self.stage = Stage::Canvassing(Canvass { number, granted, give_up_at });
-        self.send_all(&deciders(&self.known), &ReplicationBody::Canvass { number });
+        self.send_all(&deciders(&self.known), &ReplicationBody::PreVote { number });
     }
 
     pub(crate) fn canvass_answered(
@@ -163,7 +163,7 @@
             settle_at: None,
             proposal: None,
             resend_at: now + self.settings.timings.resend,
-            give_up_at: now + self.settings.timings.attempt.times(2.0),
+            give_up_at: now + self.settings.timings.attempt.mul_f64(2.0),
         }));
         self.send_all(&deciders(&self.known), &ReplicationBody::Prepare { number });
     }
@@ -330,7 +330,7 @@
     /// Gives a canvass or an election up and waits longer than the last time.
     pub(crate) fn back_off(&mut self, now: Time) {
         self.attempts = self.attempts.saturating_add(1);
-        let most = self.settings.timings.election.times(f64::from(self.attempts.min(MAX_BACK_OFF)));
+        let most = self.settings.timings.election.mul_f64(f64::from(self.attempts.min(MAX_BACK_OFF)));
         self.election_at = now + self.settings.timings.heartbeat + self.jitter.up_to(most);
         self.stage = Stage::Following;
     }
@@ -370,7 +370,7 @@
     /// Knows of a higher epoch now.
     pub(crate) fn learn(&mut self, epoch: &Epoch) {
         self.highest_number = self.highest_number.max(epoch.number);
-        check(Invariant::OneEpochForANumber, is_same_epoch(epoch, &self.known), || {
+        check(Invariant::EpochNumberIsUnique, is_same_epoch(epoch, &self.known), || {
             format!("disk {}, {epoch:?} and {:?}", self.me().0, self.known)
         });
         if is_news(epoch, &self.known) {
@@ -381,7 +381,7 @@
     /// Accepts an epoch; what rests on it waits for the disk.
     pub(crate) fn adopt(&mut self, epoch: Epoch) {
         let least = self.ballot.accepted.number.max(self.ballot.promised);
-        check(Invariant::EpochNeverFalls, epoch.number >= least, || {
+        check(Invariant::EpochNeverDecreases, epoch.number >= least, || {
             format!("disk {}, epoch {} after {}", self.me().0, epoch.number.0, least.0)
         });
         self.learn(&epoch);
--- a/crates/replication/src/catch_up.rs
+++ b/crates/replication/src/catch_up.rs
@@ -168,7 +168,7 @@
             latest,
             state: &self.latest.encoded,
             changes: &office.changes,
-            resend: timings.confirm.times(0.5),
+            resend: timings.confirm.mul_f64(0.5),
             bytes_per_ms: timings.slowest_bytes_per_ms,
         };
         let mut sends = Vec::new();
--- a/crates/replication/src/follower.rs
+++ b/crates/replication/src/follower.rs
@@ -78,13 +78,13 @@
             Stage::Following | Stage::Canvassing(_) => !self.hears_primary(now),
         };
         let epoch = self.known.clone();
-        self.send(to, ReplicationBody::CanvassAnswer { number, granted, epoch });
+        self.send(to, ReplicationBody::PreVoteReply { number, granted, epoch });
     }
 
     pub(crate) fn prepare(&mut self, now: Time, to: SocketAddr, number: EpochNumber) {
         let promised = self.ballot.promised;
         if number < promised {
-            self.send(to, ReplicationBody::Refused { promised });
+            self.send(to, ReplicationBody::Rejected { promised });
             return;
         }
         if number > promised {
@@ -104,7 +104,7 @@
         let held = self.ballot.accepted.number;
         let promised = self.ballot.promised;
         if number < promised {
-            self.send(to, ReplicationBody::Refused { promised });
+            self.send(to, ReplicationBody::Rejected { promised });
             return;
         }
         if is_founding(number) && held != EpochNumber::default() && held != number {
@@ -124,7 +124,7 @@
         let number = epoch.number;
         let promised = self.ballot.promised;
         if number < promised {
-            self.send(to, ReplicationBody::Refused { promised });
+            self.send(to, ReplicationBody::Rejected { promised });
             return;
         }
         if number > self.ballot.accepted.number {
@@ -141,7 +141,7 @@
             self.show_latest();
         }
         let version = Some(self.latest.version).filter(|_| self.disk.is_clean());
-        self.send(to, ReplicationBody::HeartbeatAnswer { epoch: number, round, version });
+        self.send(to, ReplicationBody::HeartbeatReply { epoch: number, round, version });
         if version.is_none() {
             self.confirm(to, number);
         }
@@ -154,7 +154,7 @@
     fn obeys(&mut self, now: Time, to: SocketAddr, epoch: EpochNumber) -> bool {
         let promised = self.ballot.promised;
         if epoch < promised {
-            self.send(to, ReplicationBody::Refused { promised });
+            self.send(to, ReplicationBody::Rejected { promised });
         }
         let obeys = epoch == promised && epoch == self.ballot.accepted.number;
         if obeys {
@@ -217,7 +217,7 @@
 
     fn confirm(&mut self, to: SocketAddr, epoch: EpochNumber) {
         let version = self.latest.version;
-        self.send_when_durable(to, ReplicationBody::Confirm { epoch, version });
+        self.send_when_durable(to, ReplicationBody::WriteAck { epoch, version });
     }
 
     /// The latest state is committed.
@@ -225,7 +225,7 @@
         let version = self.latest.version;
         let shown = self.committed.as_ref().map(|committed| committed.version);
         if shown != Some(version) {
-            check(Invariant::CommittedVersionNeverFalls, shown < Some(version), || {
+            check(Invariant::CommittedVersionNeverDecreases, shown < Some(version), || {
                 format!("disk {}, {version:?} after {shown:?}", self.me().0)
             });
             self.committed = Some(self.latest.clone());
--- a/crates/replication/src/founding.rs
+++ b/crates/replication/src/founding.rs
@@ -31,7 +31,7 @@
             self.found_by(voter);
             self.found(now);
         } else if let Some(founder) = self.settings.seeds.iter().min().copied() {
-            self.send(founder, ReplicationBody::Found { voter });
+            self.send(founder, ReplicationBody::Bootstrap { voter });
         }
     }
 
--- a/crates/replication/src/jitter.rs
+++ b/crates/replication/src/jitter.rs
@@ -15,6 +15,6 @@
 
     /// A span from nothing up to `most`.
     pub(crate) fn up_to(&mut self, most: Span) -> Span {
-        Span::from_nanos(self.0.bits() % (most.nanos().max(1)))
+        Span::from_nanos(self.0.bits() % (most.as_nanos().max(1)))
     }
 }
--- a/crates/replication/src/primary.rs
+++ b/crates/replication/src/primary.rs
@@ -188,7 +188,7 @@
             office.peers.iter().filter(|(disk, peer)| in_sync.contains(disk) && peer.held == Some(latest));
         let copies = 1 + confirmed.count();
         let durable = self.disk.version() == latest && copies >= self.settings.required_copies;
-        check(Invariant::CommittedIsDurable, durable && copies == in_sync.len(), || {
+        check(Invariant::CommittedVersionIsDurable, durable && copies == in_sync.len(), || {
             format!("disk {}, version {latest:?}, {copies} copies, in sync {in_sync:?}", self.me().0)
         });
     }
@@ -219,8 +219,8 @@
         let Some(office) = &self.office else { return false };
         let confirm = self.settings.timings.confirm;
         let is_due = |since: Time| {
-            let turn = Span::from_nanos(now.since(since).nanos() % HOLD_EVERY.nanos());
-            turn >= confirm && turn < confirm + confirm.times(HOLD)
+            let turn = Span::from_nanos(now.since(since).as_nanos() % HOLD_EVERY.as_nanos());
+            turn >= confirm && turn < confirm + confirm.mul_f64(HOLD)
         };
         office.peers.values().any(|peer| {
             let answers = now.since(peer.last_answer) < confirm && now >= peer.leaves_until;
@@ -277,7 +277,7 @@
         let Some(successor) = self.successor(now) else { return };
         if self.office.as_ref().is_some_and(is_settled) {
             let to = successor.voter.address;
-            self.send(to, ReplicationBody::TakeOver { epoch });
+            self.send(to, ReplicationBody::TransferLeadership { epoch });
         }
     }
 
@@ -337,7 +337,7 @@
     /// A voter promised a number above this epoch's. If nobody takes office under it, this primary seeks an
     /// epoch above it, so that the voter can follow again.
     pub(crate) fn outbid(&mut self, now: Time) {
-        let patience = self.settings.timings.election.times(0.5) + self.jitter.up_to(Span::from_millis(100));
+        let patience = self.settings.timings.election.mul_f64(0.5) + self.jitter.up_to(Span::from_millis(100));
         let Some(office) = &mut self.office else { return };
         office.outbid_at.get_or_insert(now + patience);
     }
@@ -359,7 +359,7 @@
         if voter.disk == self.me() {
             return;
         }
-        let asks_until = now + self.settings.timings.ask.times(ASKINGS);
+        let asks_until = now + self.settings.timings.ask.mul_f64(ASKINGS);
         if let Some(office) = &mut self.office {
             if self.ballot.accepted.voters.contains(&voter) {
                 return;
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -88,7 +88,7 @@
         let mut jitter = Jitter::new(seed);
         let was_primary = ballot.accepted.primary == settings.me.disk;
         let patience = if was_primary { RETURN } else { settings.timings.election };
-        let election_at = now + patience + jitter.up_to(patience.times(0.5));
+        let election_at = now + patience + jitter.up_to(patience.mul_f64(0.5));
         Ok(Replica {
             settings,
             jitter,
@@ -221,7 +221,7 @@
         let Timings { election, stagger, .. } = self.settings.timings;
         let place = self.known.in_sync.iter().position(|disk| *disk == self.settings.me.disk);
         let rank = place.unwrap_or_default().saturating_sub(1);
-        election + stagger.times(rank as f64) + self.jitter.up_to(stagger.times(0.5))
+        election + stagger.mul_f64(rank as f64) + self.jitter.up_to(stagger.mul_f64(0.5))
     }
 
     pub(crate) fn command(&mut self, command: Command) {
@@ -252,18 +252,18 @@
             return;
         }
         match body {
-            ReplicationBody::Canvass { number } => self.answer_canvass(now, address, number),
-            ReplicationBody::CanvassAnswer { number, granted, epoch } => {
+            ReplicationBody::PreVote { number } => self.answer_canvass(now, address, number),
+            ReplicationBody::PreVoteReply { number, granted, epoch } => {
                 self.canvass_answered(from, number, granted, epoch);
             }
-            ReplicationBody::TakeOver { epoch } => self.take_over(now, epoch),
+            ReplicationBody::TransferLeadership { epoch } => self.take_over(now, epoch),
             ReplicationBody::Prepare { number } => self.prepare(now, address, number),
             ReplicationBody::Promise { number, accepted, version } => {
                 self.promised(now, from, number, accepted, version);
             }
             ReplicationBody::Accept { epoch } => self.accept(now, address, epoch),
             ReplicationBody::Accepted { number } => self.accepted(from, number),
-            ReplicationBody::Refused { promised } => self.refused(now, promised),
+            ReplicationBody::Rejected { promised } => self.refused(now, promised),
             ReplicationBody::Write { epoch, base, version, change } => {
                 self.take_write(now, address, epoch, (base, version), &change);
             }
@@ -273,15 +273,15 @@
             ReplicationBody::Snapshot { epoch, version, state } => {
                 self.take_snapshot(now, address, epoch, version, state);
             }
-            ReplicationBody::Confirm { epoch, version } => self.confirmed(now, from, epoch, version),
+            ReplicationBody::WriteAck { epoch, version } => self.confirmed(now, from, epoch, version),
             ReplicationBody::Heartbeat { epoch, committed, round } => {
                 self.follow(now, address, epoch, committed, round);
             }
-            ReplicationBody::HeartbeatAnswer { epoch, round, version } => {
+            ReplicationBody::HeartbeatReply { epoch, round, version } => {
                 self.heartbeat_answered(now, from, epoch, round, version);
             }
             ReplicationBody::Join { voter } => self.asked_in(now, from, voter),
-            ReplicationBody::Found { voter } => self.found_by(voter),
+            ReplicationBody::Bootstrap { voter } => self.found_by(voter),
             ReplicationBody::Leave => self.asked_out(now, from),
         }
     }
--- a/crates/replication/tests/catch_up.rs
+++ b/crates/replication/tests/catch_up.rs
@@ -28,7 +28,7 @@
     let bytes = world.bytes_sent;
     world.start_after(absent, Span::from_millis(1));
     world.expect_whole(Span::from_millis(20_000), "the return of a keeper");
-    (world.now.since(begun).nanos() / 1_000_000, world.bytes_sent - bytes)
+    (world.now.since(begun).as_nanos() / 1_000_000, world.bytes_sent - bytes)
 }
 
 /// Fails without the changes that are kept (snapshots alone never reach a version that moves on), and if what is
--- a/crates/replication/tests/common/mod.rs
+++ b/crates/replication/tests/common/mod.rs
@@ -571,7 +571,7 @@
 
     /// What every keeper thinks, for the report of a failure.
     pub fn picture(&self) -> String {
-        let mut lines = vec![format!("at {} ms", self.now.since(Time::default()).nanos() / 1_000_000)];
+        let mut lines = vec![format!("at {} ms", self.now.since(Time::default()).as_nanos() / 1_000_000)];
         for (index, machine) in self.machines.iter().enumerate() {
             let line = match &machine.replica {
                 Some(replica) => format!(
--- a/crates/replication/tests/guards.rs
+++ b/crates/replication/tests/guards.rs
@@ -99,13 +99,13 @@
         self.now = Time::from_nanos(10_000_000_000);
         let said = self.hand(Event::Tick);
         let canvass = said.iter().find_map(|body| match body {
-            ReplicationBody::Canvass { number } => Some(*number),
+            ReplicationBody::PreVote { number } => Some(*number),
             _ => None,
         });
         let number = canvass.expect("a canvass");
         let epoch = self.replica.epoch().clone();
         for from in 2..=5 {
-            let granted = ReplicationBody::CanvassAnswer { number, granted: true, epoch: epoch.clone() };
+            let granted = ReplicationBody::PreVoteReply { number, granted: true, epoch: epoch.clone() };
             self.hear(from, granted);
         }
         number
@@ -128,7 +128,7 @@
 }
 
 fn confirms(said: &[ReplicationBody]) -> bool {
-    said.iter().any(|body| matches!(body, ReplicationBody::Confirm { .. }))
+    said.iter().any(|body| matches!(body, ReplicationBody::WriteAck { .. }))
 }
 
 #[test]
@@ -143,7 +143,7 @@
     let mut said = keeper.hear(2, write);
     said.extend(keeper.sync());
     assert!(!confirms(&said), "{said:?}");
-    assert!(said.contains(&ReplicationBody::Refused { promised: number(2) }));
+    assert!(said.contains(&ReplicationBody::Rejected { promised: number(2) }));
     assert_eq!(keeper.replica.latest().version, version(1, 7));
 }
 
@@ -168,7 +168,7 @@
     let said = keeper.hear(2, heartbeat(3));
     let claims = said
         .iter()
-        .any(|body| matches!(body, ReplicationBody::HeartbeatAnswer { version, .. } if version.is_some()));
+        .any(|body| matches!(body, ReplicationBody::HeartbeatReply { version, .. } if version.is_some()));
     assert!(!claims, "{said:?}");
 }
 
@@ -250,7 +250,7 @@
 
     let newcomer = Voter { node: voter(3).node, ..voter(4) };
     keeper.hear(4, ReplicationBody::Join { voter: newcomer.clone() });
-    let said = keeper.hear(4, ReplicationBody::Confirm { epoch: first, version: version(1, 7) });
+    let said = keeper.hear(4, ReplicationBody::WriteAck { epoch: first, version: version(1, 7) });
     let second = said.iter().find_map(|body| match body {
         ReplicationBody::Prepare { number } => Some(*number),
         _ => None,
@@ -274,12 +274,12 @@
     assert!(!keeper.replica.epoch().voters.is_empty() && keeper.replica.epoch().number == first);
     let mut higher = epoch(9);
     higher.in_sync = vec![DiskId(2), DiskId(3)];
-    let late = ReplicationBody::CanvassAnswer { number: first, granted: true, epoch: higher.clone() };
+    let late = ReplicationBody::PreVoteReply { number: first, granted: true, epoch: higher.clone() };
     keeper.hear(3, late);
     // A newcomer that holds its state would make it change its epoch.
     let newcomer = Voter { node: voter(3).node, ..voter(4) };
     let mut said = keeper.hear(4, ReplicationBody::Join { voter: newcomer });
-    said.extend(keeper.hear(4, ReplicationBody::Confirm { epoch: first, version: version(1, 7) }));
+    said.extend(keeper.hear(4, ReplicationBody::WriteAck { epoch: first, version: version(1, 7) }));
     said.extend(keeper.sync());
     assert!(!said.iter().any(|body| matches!(body, ReplicationBody::Prepare { .. })), "{said:?}");
     assert!(!keeper.replica.is_primary());
--- a/crates/replication/tests/second_loss.rs
+++ b/crates/replication/tests/second_loss.rs
@@ -93,7 +93,7 @@
                     let struck_at = world.now;
                     world.run(Span::from_millis(10));
                     world.expect_progress(BORNE, &what);
-                    longest.fetch_max(world.now.since(struck_at).nanos() / 1_000_000, Ordering::Relaxed);
+                    longest.fetch_max(world.now.since(struck_at).as_nanos() / 1_000_000, Ordering::Relaxed);
                     world.heal();
                     world.expect_whole(WHOLE, &what);
                 }
--- a/crates/restart/src/fit.rs
+++ b/crates/restart/src/fit.rs
@@ -34,7 +34,8 @@
     /// spread of the part of the curve beyond it.
     pub(crate) fn of(samples: &VecDeque<Sample>) -> Option<Fit> {
         let newest = samples.back()?.at;
-        let weight = |s: &Sample| 0.5f64.powf(newest.since(s.at).secs() / HALF_AGE.secs()).max(1e-9);
+        let weight =
+            |s: &Sample| 0.5f64.powf(newest.since(s.at).as_secs_f64() / HALF_AGE.as_secs_f64()).max(1e-9);
         let aged: Vec<(f64, &Sample)> = samples.iter().map(|s| (weight(s), s)).collect();
         let total: f64 = aged.iter().map(|a| a.0).sum();
         let mu = aged.iter().map(|(weight, s)| weight * s.ln_secs).sum::<f64>() / total;
@@ -63,7 +64,7 @@
 
     /// The logarithm of the chance that evenly spaced tries all miss: the chance itself saturates.
     fn ln_miss(&self, left: Span, tries: u32) -> f64 {
-        let z = (((left.secs() / f64::from(tries)).ln() - self.mu) / self.sigma).min(36.0);
+        let z = (((left.as_secs_f64() / f64::from(tries)).ln() - self.mu) / self.sigma).min(36.0);
         f64::from(tries) * upper_tail(z).ln()
     }
 
@@ -74,7 +75,7 @@
         while n < tries_left.min(MOST_TRIES) && self.ln_miss(left, n + 1) <= self.ln_miss(left, n) {
             n += 1;
         }
-        left.times(1.0 / f64::from(n)).max(Span::from_nanos(1)).min(left)
+        left.mul_f64(1.0 / f64::from(n)).max(Span::from_nanos(1)).min(left)
     }
 }
 
--- a/crates/restart/src/lib.rs
+++ b/crates/restart/src/lib.rs
@@ -30,7 +30,7 @@
 impl LatencyModel {
     /// Takes in how long a try lasted that ended at `now`; censored if it was abandoned before its end.
     pub fn record(&mut self, now: Time, lasted: Span, censored: bool) {
-        let ln_secs = lasted.secs().max(SHORTEST_SECS).ln();
+        let ln_secs = lasted.as_secs_f64().max(SHORTEST_SECS).ln();
         self.samples.push_back(Sample { at: now, ln_secs, censored });
         if self.samples.len() > SAMPLES {
             self.samples.pop_front();
@@ -46,8 +46,8 @@
     /// The fitted median, no longer than the longest try completed: tries cut short do not say how long they
     /// last. Without this bound one that sees little gives up all that comes, for good. Zero until warm.
     pub fn median(&self) -> Span {
-        let longest = Span::from_secs(self.completed().reduce(f64::max).map_or(0.0, f64::exp));
-        self.fit.map_or(Span::ZERO, |fit| Span::from_secs(fit.mu.exp()).min(longest))
+        let longest = Span::from_secs_f64(self.completed().reduce(f64::max).map_or(0.0, f64::exp));
+        self.fit.map_or(Span::ZERO, |fit| Span::from_secs_f64(fit.mu.exp()).min(longest))
     }
 
     /// How long the next try may last: until warm, all the time left. One that may not be run a second time
@@ -66,7 +66,7 @@
         let mut done: Vec<f64> = self.completed().collect();
         done.sort_by(f64::total_cmp);
         let known = done.get(done.len() * 9 / 10).filter(|_| done.len() >= WARM_UP);
-        known.map(|ln_secs| Span::from_secs(ln_secs.exp()))
+        known.map(|ln_secs| Span::from_secs_f64(ln_secs.exp()))
     }
 
     /// How many tries in a row, up to the latest, were censored.
--- a/crates/restart/tests/restart.rs
+++ b/crates/restart/tests/restart.rs
@@ -21,7 +21,7 @@
 
 /// The paper's sequence of chances, taken literally: `1 - (1 - F(d / n))^n`.
 fn chance(fit: Fit, left: Span, tries: u32) -> f64 {
-    let z = ((left.secs() / f64::from(tries)).ln() - fit.mu) / fit.sigma;
+    let z = ((left.as_secs_f64() / f64::from(tries)).ln() - fit.mu) / fit.sigma;
     let within = 1.0 - libm::erfc(z / std::f64::consts::SQRT_2) / 2.0;
     1.0 - (1.0 - within).powi(tries as i32)
 }
@@ -46,7 +46,7 @@
     let left = millis(2_000);
     let tries = best_tries(model.fit().expect("warm"), left, TRIES);
     assert!(tries > 1, "restarts pay for latencies that vary so much");
-    assert_eq!(model.time_out(left, TRIES), left.times(1.0 / f64::from(tries)));
+    assert_eq!(model.time_out(left, TRIES), left.mul_f64(1.0 / f64::from(tries)));
 }
 
 #[test]
@@ -79,7 +79,7 @@
 fn the_cutoff_lies_at_the_median() {
     let model = seen(&[200; 10]);
     let median = model.median();
-    assert!(median.nanos().abs_diff(millis(200).nanos()) < 1_000, "{median:?}");
+    assert!(median.as_nanos().abs_diff(millis(200).as_nanos()) < 1_000, "{median:?}");
     assert!(model.worth_trying(median));
     assert!(!model.worth_trying(median - Span::from_nanos(1)));
     assert!(!LatencyModel::default().worth_trying(Span::ZERO));
@@ -121,12 +121,13 @@
 fn the_usual_latency_is_what_nine_in_ten_stay_under() {
     assert_eq!(seen(&[100; WARM_UP - 1]).usual(), None);
     let usual = seen(&[10, 20, 30, 40, 50, 60, 70, 80, 90, 100]).usual().expect("enough are known");
-    assert!(usual.nanos().abs_diff(millis(100).nanos()) < 1_000, "{usual:?}");
+    assert!(usual.as_nanos().abs_diff(millis(100).as_nanos()) < 1_000, "{usual:?}");
 }
 
 #[test]
 fn no_latency_and_endless_latency_do_no_harm() {
-    for strange in [Span::ZERO, Span::from_nanos(u64::MAX), Span::from_secs(f64::NAN), Span::from_secs(-1.0)]
+    for strange in
+        [Span::ZERO, Span::from_nanos(u64::MAX), Span::from_secs_f64(f64::NAN), Span::from_secs_f64(-1.0)]
     {
         let mut model = LatencyModel::default();
         for _ in 0..40 {
@@ -161,7 +162,7 @@
         let near = |tries| (chance(fit, left, tries) - chance(fit, left, tries + 1)).abs() < 1e-12;
         prop_assume!(!(1..=tries_left).any(|tries| sure(tries) || near(tries)));
         let best = best_tries(fit, left, tries_left);
-        prop_assert_eq!(fit.time_out(left, tries_left), left.times(1.0 / f64::from(best)));
+        prop_assert_eq!(fit.time_out(left, tries_left), left.mul_f64(1.0 / f64::from(best)));
     }
 
     #[test]
--- a/crates/sessions/src/counts.rs
+++ b/crates/sessions/src/counts.rs
@@ -99,7 +99,8 @@
             records: self.tables.values().map(|table| table.records().count() as u64).sum(),
             record_bytes: self.tables.values().map(|table| table.bytes()).sum(),
             disk_bytes: self.ledger.bytes(),
-            reservations: led().flat_map(|table| table.records()).filter(|held| !held.settled).count() as u64,
+            reservations: led().flat_map(|table| table.records()).filter(|held| !held.is_committed).count()
+                as u64,
             writes: self.writes.len() as u64,
             unavailable: unavailable.to_vec(),
         }
--- a/crates/sessions/src/levelling.rs
+++ b/crates/sessions/src/levelling.rs
@@ -155,7 +155,7 @@
                     partition,
                     epoch,
                     ranges,
-                    wanted: wanted.clone(),
+                    requested: wanted.clone(),
                     live_after_ms,
                     after,
                 };
@@ -207,7 +207,7 @@
             partition: step.partition,
             epoch: lead.epoch,
             ranges: DIGEST_RANGES,
-            wanted: wanted.clone(),
+            requested: wanted.clone(),
             live_after_ms: step.live_after_ms,
             after: Some(after),
         };
--- a/crates/sessions/src/merge.rs
+++ b/crates/sessions/src/merge.rs
@@ -14,16 +14,16 @@
 }
 
 fn merge_account(record: &mut Record, other: &Record) -> bool {
-    let before = (record.settled, record.tokens, record.expires_at_ms);
-    if other.settled && !record.settled {
-        record.settled = true;
+    let before = (record.is_committed, record.tokens, record.expires_at_ms);
+    if other.is_committed && !record.is_committed {
+        record.is_committed = true;
         record.tokens = other.tokens;
-    } else if other.settled == record.settled {
+    } else if other.is_committed == record.is_committed {
         record.tokens = record.tokens.max(other.tokens);
     }
     // Never earlier: a replica that lacks the newer record must not take the program for live for longer.
     record.expires_at_ms = record.expires_at_ms.max(other.expires_at_ms);
-    before != (record.settled, record.tokens, record.expires_at_ms)
+    before != (record.is_committed, record.tokens, record.expires_at_ms)
 }
 
 /// One try runs once, so there is one turn of it. Should there be two all the same, every replica must choose
--- a/crates/sessions/src/primary.rs
+++ b/crates/sessions/src/primary.rs
@@ -67,7 +67,7 @@
                 self.finish(asker, partition, finish);
             }
             SessionCall::Begin(begin) if begin.budget.is_none() && begin.previous.is_none() => {
-                self.answer(asker, SessionReply::Begun { chain: Vec::new() });
+                self.answer(asker, SessionReply::TurnBegun { chain: Vec::new() });
             }
             SessionCall::Begin(_) if !self.is_levelled(partition) => self.wait_for_level(asker, request),
             SessionCall::Begin(begin) => {
@@ -93,10 +93,12 @@
             match self.admit(partition, begin, budget) {
                 Admission::Admitted(record) => records.push(*record),
                 Admission::Settled => return self.answer_undecided(asker, Undecided::AlreadySettled),
-                Admission::Spent => return self.deny(asker, request, SessionReply::BudgetSpent, certainty),
+                Admission::Spent => {
+                    return self.deny(asker, request, SessionReply::BudgetExhausted, certainty);
+                }
             }
         }
-        let reply = SessionReply::Begun { chain };
+        let reply = SessionReply::TurnBegun { chain };
         if records.is_empty() {
             return self.answer(asker, reply);
         }
@@ -127,7 +129,7 @@
             program: begin.program.clone(),
             request: turn.request.clone(),
             tokens: 0,
-            settled: true,
+            is_committed: true,
             turn: Some(turn.clone()),
             expires_at_ms,
         };
@@ -138,12 +140,12 @@
     fn admit(&self, partition: PartitionId, begin: &BeginTurn, budget: u64) -> Admission {
         let table = self.tables.get(&partition);
         let known = table.and_then(|table| table.record(&begin.program, &begin.request));
-        if known.is_some_and(|record| record.settled) {
+        if known.is_some_and(|record| record.is_committed) {
             return Admission::Settled;
         }
         let reserved = known.map_or(0, |record| record.tokens);
         let spent = table.map_or(0, |table| table.tokens_except(&begin.program, &begin.request));
-        let tokens = begin.most_tokens.max(reserved);
+        let tokens = begin.max_tokens.max(reserved);
         // A reservation that is there already proves nothing: an old primary may have left it unacknowledged.
         if spent.saturating_add(tokens) > budget {
             return Admission::Spent;
@@ -152,7 +154,7 @@
             program: begin.program.clone(),
             request: begin.request.clone(),
             tokens,
-            settled: false,
+            is_committed: false,
             turn: None,
             expires_at_ms: self.moment.time_of_day_ms.saturating_add(RESERVED_MEMORY_MS),
         }))
@@ -174,21 +176,21 @@
             return;
         };
         let name = || format!("program {}, request {}", finish.program.0, finish.request.0);
-        let within = known.settled || finish.tokens <= known.tokens;
-        check(Invariant::SettledWithinReservation, within, name);
-        let same = match (&known.turn, &finish.kept) {
+        let within = known.is_committed || finish.tokens <= known.tokens;
+        check(Invariant::CommitWithinReservation, within, name);
+        let same = match (&known.turn, &finish.stored_turn) {
             (Some(known), Some(kept)) => known.output == kept.output && known.input == kept.input,
             _ => true,
         };
-        check(Invariant::TurnIsKeptOnce, same, name);
+        check(Invariant::StoredTurnIsImmutable, same, name);
     }
 
     fn finish(&mut self, asker: AskerId, partition: PartitionId, finish: FinishTurn) {
-        if finish.kept.as_ref().is_some_and(|turn| turn.request != finish.request) {
+        if finish.stored_turn.as_ref().is_some_and(|turn| turn.request != finish.request) {
             return self.answer_undecided(asker, Undecided::WrongTurn);
         }
         self.check_settlement(partition, &finish);
-        let memory_ms = match &finish.kept {
+        let memory_ms = match &finish.stored_turn {
             Some(turn) => turn.retention_ms.clamp(KEPT_MEMORY_MS, MAX_RETENTION_MS),
             None => BUDGET_MEMORY_MS,
         };
@@ -196,11 +198,11 @@
             program: finish.program,
             request: finish.request,
             tokens: finish.tokens,
-            settled: true,
-            turn: finish.kept,
+            is_committed: true,
+            turn: finish.stored_turn,
             expires_at_ms: self.moment.time_of_day_ms.saturating_add(memory_ms),
         };
-        self.write(partition, vec![record], asker, SessionReply::Finished);
+        self.write(partition, vec![record], asker, SessionReply::TurnFinished);
     }
 
     fn find(
@@ -210,7 +212,7 @@
         // What is held is true, whoever leads the partition.
         let held = self.tables.values().map(|table| table.chain_of_any(turn));
         if let Some(Chain::Found(chain)) = held.into_iter().find(|chain| matches!(chain, Chain::Found(_))) {
-            return self.answer(asker, SessionReply::Found { chain });
+            return self.answer(asker, SessionReply::TurnFound { chain });
         }
         for named in &partitions {
             if self.leads.get(&named.partition).is_none_or(|lead| lead.epoch < named.epoch) {
@@ -300,7 +302,7 @@
 
     /// How many of the required copies are on lost machines and not asked for.
     pub(crate) fn lost_copies(&self, partition: PartitionId) -> usize {
-        self.map.assignment(partition).map_or(0, |assignment| usize::from(assignment.lost_copies))
+        self.map.assignment(partition).map_or(0, |assignment| usize::from(assignment.lost_replicas))
     }
 
     /// Whether memory or disk is used up to the point from which on nothing new is admitted.
--- a/crates/sessions/src/program.rs
+++ b/crates/sessions/src/program.rs
@@ -62,7 +62,7 @@
     hash.text(&record.program.0);
     hash.text(&record.request.0);
     hash.number(record.tokens);
-    hash.number(u64::from(record.settled));
+    hash.number(u64::from(record.is_committed));
     hash.number(record.expires_at_ms);
     if let Some(turn) = &record.turn {
         hash.number(turn.input.len() as u64);
--- a/crates/sessions/src/replica.rs
+++ b/crates/sessions/src/replica.rs
@@ -81,9 +81,9 @@
             TransferRequest::Digests { partition, ranges, live_after_ms, .. } => {
                 self.wait_for_disk(Waiter::Digests { asker, partition, ranges, live_after_ms });
             }
-            TransferRequest::Records { partition, ranges, wanted, live_after_ms, after, .. } => {
+            TransferRequest::Records { partition, ranges, requested, live_after_ms, after, .. } => {
                 let table = self.tables.entry(partition).or_default();
-                let page = table.page(ranges, &wanted, live_after_ms, after.as_ref());
+                let page = table.page(ranges, &requested, live_after_ms, after.as_ref());
                 let reply = TransferReply::Records { records: page.records, next: page.next };
                 self.answer_transfer(asker, reply);
             }
--- a/crates/sessions/src/store.rs
+++ b/crates/sessions/src/store.rs
@@ -202,7 +202,7 @@
             return;
         }
         let before = std::mem::replace(&mut self.map, map);
-        check(Invariant::StoreMapNeverFalls, before.version < self.map.version, || {
+        check(Invariant::StoreMapVersionNeverDecreases, before.version < self.map.version, || {
             format!("disk {}, map {} after {}", self.disk.0, self.map.version, before.version)
         });
         let count = self.map.partitions.len().max(before.partitions.len()) as u16;
