--- a/crates/sessions/tests/common/clients.rs
+++ b/crates/sessions/tests/common/clients.rs
@@ -69,7 +69,7 @@
             request,
             previous,
             budget: chance.percent(90).then_some(BUDGET),
-            most_tokens: MOST,
+            max_tokens: MOST,
             imported: Vec::new(),
         };
         // A program either has a budget in all its turns or in none.
@@ -131,7 +131,7 @@
                 self.begun(begin, reply, operation_copy.asked_at, now, chance)
             }
             (SessionCall::Finish(finish), Some(reply)) => {
-                assert_eq!(reply, SessionReply::Finished);
+                assert_eq!(reply, SessionReply::TurnFinished);
                 self.operations.remove(&number);
                 self.finished(finish, now);
                 None
@@ -157,8 +157,12 @@
         if chance.percent(50) {
             return None;
         }
-        let finish =
-            FinishTurn { program: begin.program.clone(), request: begin.request, tokens: 0, kept: None };
+        let finish = FinishTurn {
+            program: begin.program.clone(),
+            request: begin.request,
+            tokens: 0,
+            stored_turn: None,
+        };
         Some(self.add(now, begin.program, SessionCall::Finish(finish)))
     }
 
@@ -166,7 +170,7 @@
         &mut self, begin: &BeginTurn, reply: SessionReply, asked_at: Time, now: Time, chance: &mut Chance,
     ) -> Option<u64> {
         match reply {
-            SessionReply::Begun { chain } => {
+            SessionReply::TurnBegun { chain } => {
                 self.check_chain(begin.previous.as_ref(), &chain);
                 self.run(begin, now, chance)
             }
@@ -178,7 +182,7 @@
                 self.denied += 1;
                 None
             }
-            SessionReply::BudgetSpent => {
+            SessionReply::BudgetExhausted => {
                 assert!(begin.budget.is_some());
                 self.denied += 1;
                 None
@@ -206,18 +210,22 @@
             previous: begin.previous.clone(),
             input: Arc::from(format!("in {}", begin.request).into_bytes()),
             output: Arc::from(format!("out {}", begin.request).into_bytes()),
-            retention_ms: RETENTION.nanos() / 1_000_000,
+            retention_ms: RETENTION.as_nanos() / 1_000_000,
             endpoint: None,
         });
-        let finish =
-            FinishTurn { program: begin.program.clone(), request: begin.request.clone(), tokens, kept };
+        let finish = FinishTurn {
+            program: begin.program.clone(),
+            request: begin.request.clone(),
+            tokens,
+            stored_turn: kept,
+        };
         Some(self.add(now, begin.program.clone(), SessionCall::Finish(finish)))
     }
 
     fn finished(&mut self, finish: &FinishTurn, now: Time) {
         self.active.insert(finish.program.clone(), now);
         self.worked.insert(finish.program.clone(), now);
-        if let Some(turn) = finish.kept.clone() {
+        if let Some(turn) = finish.stored_turn.clone() {
             let program = finish.program.clone();
             self.kept.insert(finish.request.clone(), Kept { turn, program, acknowledged_at: now });
         }
--- a/crates/sessions/tests/common/cluster.rs
+++ b/crates/sessions/tests/common/cluster.rs
@@ -320,7 +320,7 @@
                 continue;
             }
             next.joining = present.iter().filter(|disk| !next.in_sync.contains(disk)).copied().collect();
-            next.lost_copies = if next.joining.is_empty() { lost_copies(next.in_sync.len()) } else { 0 };
+            next.lost_replicas = if next.joining.is_empty() { lost_copies(next.in_sync.len()) } else { 0 };
             if !next.in_sync.contains(&next.primary) || self.chance.percent(5) {
                 next.primary = next.in_sync[self.chance.below(next.in_sync.len())];
             }
@@ -448,7 +448,7 @@
         primary: disks[partition % disks.len()],
         in_sync: disks.clone(),
         joining: Vec::new(),
-        lost_copies: 0,
+        lost_replicas: 0,
     });
     StoreMap { version: 0, stores: Vec::new(), partitions: partitions.collect() }
 }
--- a/crates/sessions/tests/common/node.rs
+++ b/crates/sessions/tests/common/node.rs
@@ -71,7 +71,7 @@
     }
 
     pub fn moment(&self, now: Time) -> Moment {
-        let elapsed_ms = now.since(Time::default()).nanos() / 1_000_000;
+        let elapsed_ms = now.since(Time::default()).as_nanos() / 1_000_000;
         Moment { now, time_of_day_ms: self.clock_ms + elapsed_ms }
     }
 
--- a/crates/sessions/tests/filling.rs
+++ b/crates/sessions/tests/filling.rs
@@ -26,7 +26,7 @@
         primary: DiskId(1),
         in_sync: vec![DiskId(1)],
         joining: vec![DiskId(2)],
-        lost_copies: 0,
+        lost_replicas: 0,
     };
     let partitions = vec![assignment; PARTITIONS];
     Arc::new(StoreMap { version: 1, stores: vec![store(1), store(2)], partitions })
--- a/crates/sessions/tests/golden.rs
+++ b/crates/sessions/tests/golden.rs
@@ -41,7 +41,7 @@
         program: ProgramId::from("program-1"),
         request: RequestId::from(request),
         tokens,
-        settled,
+        is_committed: settled,
         turn,
         expires_at_ms: 1_700_000_000_000 + tokens,
     };
--- a/crates/sessions/tests/merge.rs
+++ b/crates/sessions/tests/merge.rs
@@ -25,7 +25,7 @@
             program: ProgramId::from("p"),
             request: RequestId::from("r"),
             tokens,
-            settled,
+            is_committed: settled,
             turn,
             expires_at_ms,
         },
@@ -58,7 +58,7 @@
     #[test]
     fn nothing_is_taken_back(a in record(), b in record()) {
         let whole = merged(&[&a, &b]);
-        prop_assert!(whole.settled || !a.settled);
+        prop_assert!(whole.is_committed || !a.is_committed);
         prop_assert!(whole.turn.is_some() || a.turn.is_none());
         prop_assert!(whole.expires_at_ms >= a.expires_at_ms);
     }
--- a/crates/sessions/tests/one_copy.rs
+++ b/crates/sessions/tests/one_copy.rs
@@ -30,7 +30,7 @@
         primary: OWN,
         in_sync: in_sync.to_vec(),
         joining: joining.to_vec(),
-        lost_copies,
+        lost_replicas: lost_copies,
     };
     let stores = vec![store(OWN), store(OTHER)];
     Event::Map(Arc::new(StoreMap { version, stores, partitions: vec![assignment] }))
@@ -50,7 +50,7 @@
         request: RequestId::from(request),
         previous: previous.map(RequestId::from),
         budget: Some(100),
-        most_tokens: 40,
+        max_tokens: 40,
         imported: Vec::new(),
     };
     let request =
@@ -97,10 +97,10 @@
 fn with_the_other_copy_known_to_be_lost_turns_begin_and_are_denied() {
     let mut store = Store::new(OWN, LIMITS);
     store.handle(NOW, alone(2));
-    let begun = SessionReply::Begun { chain: Vec::new() };
+    let begun = SessionReply::TurnBegun { chain: Vec::new() };
     assert_eq!(decide(&mut store, "a", None), Some(begun.clone()));
     assert_eq!(decide(&mut store, "b", None), Some(begun));
-    assert_eq!(decide(&mut store, "c", None), Some(SessionReply::BudgetSpent));
+    assert_eq!(decide(&mut store, "c", None), Some(SessionReply::BudgetExhausted));
     assert_eq!(decide(&mut store, "d", Some("nobody")), Some(SessionReply::UnknownTurn));
 }
 
@@ -122,7 +122,7 @@
     assert_eq!(decide(&mut store, "a", None), None);
     assert_eq!(reply(&store.handle(NOW, map(2, &[OWN], &[], 0))), None);
     let commands = store.handle(NOW, alone(3));
-    assert_eq!(reply(&commands), Some(&SessionReply::Begun { chain: Vec::new() }));
+    assert_eq!(reply(&commands), Some(&SessionReply::TurnBegun { chain: Vec::new() }));
 }
 
 #[test]
@@ -162,5 +162,5 @@
     store.handle(NOW, joined(3));
     assert_eq!(decide(&mut store, "a", None), Some(SessionReply::Unavailable));
     store.handle(NOW, alone(4));
-    assert_eq!(decide(&mut store, "a", None), Some(SessionReply::Begun { chain: Vec::new() }));
+    assert_eq!(decide(&mut store, "a", None), Some(SessionReply::TurnBegun { chain: Vec::new() }));
 }
--- a/crates/sessions/tests/traces.rs
+++ b/crates/sessions/tests/traces.rs
@@ -36,7 +36,7 @@
         primary,
         in_sync: vec![OWN, OTHER],
         joining: Vec::new(),
-        lost_copies: 0,
+        lost_replicas: 0,
     };
     Arc::new(StoreMap { version, stores: vec![store(OWN), store(OTHER)], partitions: vec![assignment] })
 }
@@ -62,7 +62,10 @@
     }
 
     fn moment(&self) -> Moment {
-        Moment { now: self.now, time_of_day_ms: 1_000 + self.now.since(Time::default()).nanos() / 1_000_000 }
+        Moment {
+            now: self.now,
+            time_of_day_ms: 1_000 + self.now.since(Time::default()).as_nanos() / 1_000_000,
+        }
     }
 
     fn handle(&mut self, event: Event) -> Vec<Command> {
@@ -142,7 +145,7 @@
         request: RequestId::from(request),
         previous: previous.map(RequestId::from),
         budget,
-        most_tokens: 40,
+        max_tokens: 40,
         imported: Vec::new(),
     })
 }
@@ -152,7 +155,7 @@
         program: ProgramId::from("p"),
         request: RequestId::from(request),
         tokens,
-        kept: None,
+        stored_turn: None,
     })
 }
 
@@ -172,7 +175,7 @@
         program: ProgramId::from("p"),
         request: RequestId::from(request),
         tokens: 1,
-        kept: Some(turn(request, previous)),
+        stored_turn: Some(turn(request, previous)),
     })
 }
 
@@ -181,7 +184,7 @@
         program: ProgramId::from("p"),
         request: RequestId::from(request),
         tokens: 5,
-        settled: true,
+        is_committed: true,
         turn: None,
         expires_at_ms: 100_000,
     }
@@ -191,7 +194,7 @@
     TransferRequest::Write { partition: PARTITION, epoch: EpochNumber(epoch), records: vec![record("w")] }
 }
 
-const BEGUN: SessionReply = SessionReply::Begun { chain: Vec::new() };
+const BEGUN: SessionReply = SessionReply::TurnBegun { chain: Vec::new() };
 
 #[test]
 fn a_turn_is_begun_when_both_disks_have_the_reservation() {
@@ -221,10 +224,10 @@
     let mut trace = Trace::leading();
     assert_eq!(trace.decide(1, begin("a", None, Some(100))), BEGUN);
     assert_eq!(trace.decide(2, begin("b", None, Some(100))), BEGUN);
-    assert_eq!(trace.decide(3, begin("c", None, Some(100))), SessionReply::BudgetSpent);
-    assert_eq!(trace.decide(4, finish("a", 15)), SessionReply::Finished);
+    assert_eq!(trace.decide(3, begin("c", None, Some(100))), SessionReply::BudgetExhausted);
+    assert_eq!(trace.decide(4, finish("a", 15)), SessionReply::TurnFinished);
     assert_eq!(trace.decide(5, begin("c", None, Some(100))), BEGUN);
-    assert_eq!(trace.decide(6, begin("d", None, Some(100))), SessionReply::BudgetSpent);
+    assert_eq!(trace.decide(6, begin("d", None, Some(100))), SessionReply::BudgetExhausted);
 }
 
 #[test]
@@ -232,7 +235,7 @@
     let mut trace = Trace::leading();
     assert_eq!(trace.decide(1, begin("a", None, Some(50))), BEGUN);
     assert_eq!(trace.decide(2, begin("a", None, Some(50))), BEGUN);
-    assert_eq!(trace.decide(3, finish("a", 0)), SessionReply::Finished);
+    assert_eq!(trace.decide(3, finish("a", 0)), SessionReply::TurnFinished);
     assert_eq!(trace.decide(4, begin("a", None, Some(50))), SessionReply::Unavailable);
     assert_eq!(trace.decide(5, begin("b", None, Some(50))), BEGUN);
 }
@@ -241,7 +244,7 @@
 fn a_reservation_that_an_old_primary_left_behind_does_not_admit() {
     let (mut trace, _) = Trace::new();
     trace.handle(Event::Map(map(2, 2, OTHER)));
-    let reserved = Record { tokens: 40, settled: false, ..record("a") };
+    let reserved = Record { tokens: 40, is_committed: false, ..record("a") };
     let records = vec![reserved, Record { tokens: 40, ..record("b") }];
     let request = TransferRequest::Write { partition: PARTITION, epoch: EpochNumber(2), records };
     trace.handle(Event::Transfer { asker: AskerId(1), request });
@@ -249,25 +252,25 @@
     let (call, _) = call_of(&trace.handle(Event::Map(map(3, 3, OWN))));
     let level = trace.store.table(PARTITION).unwrap().digests(16, trace.moment().time_of_day_ms);
     trace.answer(call, TransferReply::Digests(level));
-    assert_eq!(trace.decide(2, begin("a", None, Some(79))), SessionReply::BudgetSpent);
+    assert_eq!(trace.decide(2, begin("a", None, Some(79))), SessionReply::BudgetExhausted);
     assert_eq!(trace.decide(3, begin("a", None, Some(80))), BEGUN);
 }
 
 #[test]
 fn settling_again_with_less_does_not_give_tokens_back() {
     let mut trace = Trace::leading();
-    assert_eq!(trace.decide(1, finish("a", 20)), SessionReply::Finished);
-    assert_eq!(trace.decide(2, finish("a", 0)), SessionReply::Finished);
-    assert_eq!(trace.decide(3, begin("b", None, Some(50))), SessionReply::BudgetSpent);
+    assert_eq!(trace.decide(1, finish("a", 20)), SessionReply::TurnFinished);
+    assert_eq!(trace.decide(2, finish("a", 0)), SessionReply::TurnFinished);
+    assert_eq!(trace.decide(3, begin("b", None, Some(50))), SessionReply::BudgetExhausted);
 }
 
 #[test]
 fn a_chain_comes_oldest_first() {
     let mut trace = Trace::leading();
-    assert_eq!(trace.decide(1, keep("a", None)), SessionReply::Finished);
-    assert_eq!(trace.decide(2, keep("b", Some("a"))), SessionReply::Finished);
+    assert_eq!(trace.decide(1, keep("a", None)), SessionReply::TurnFinished);
+    assert_eq!(trace.decide(2, keep("b", Some("a"))), SessionReply::TurnFinished);
     let chain = vec![turn("a", None), turn("b", Some("a"))];
-    assert_eq!(trace.decide(3, begin("c", Some("b"), None)), SessionReply::Begun { chain });
+    assert_eq!(trace.decide(3, begin("c", Some("b"), None)), SessionReply::TurnBegun { chain });
 }
 
 #[test]
@@ -403,9 +406,9 @@
     let (mut trace, commands) = Trace::with(Limits { memory_bytes: 100, ..LIMITS });
     let (call, _) = call_of(&commands);
     trace.answer(call, TransferReply::Digests(vec![0; 16]));
-    assert_eq!(trace.decide(1, keep("a", None)), SessionReply::Finished);
+    assert_eq!(trace.decide(1, keep("a", None)), SessionReply::TurnFinished);
     assert_eq!(trace.decide(2, begin("b", None, Some(100))), SessionReply::Unavailable);
-    assert_eq!(trace.decide(3, finish("b", 0)), SessionReply::Finished);
+    assert_eq!(trace.decide(3, finish("b", 0)), SessionReply::TurnFinished);
 }
 
 #[test]
@@ -444,7 +447,7 @@
 #[test]
 fn a_clock_that_jumps_forward_drops_nothing() {
     let mut trace = Trace::leading();
-    assert_eq!(trace.decide(1, keep("a", None)), SessionReply::Finished);
+    assert_eq!(trace.decide(1, keep("a", None)), SessionReply::TurnFinished);
     trace.now = trace.now + Span::from_millis(20_000);
     let jumped = Moment { time_of_day_ms: 10_000_000_000, ..trace.moment() };
     trace.store.handle(jumped, Event::Tick);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -229,10 +229,10 @@
             write!(f, "; zone {home} first")?;
         }
         write!(f, "; {} slots, {} pushes, {} held", allowance.slots, allowance.pushes, allowance.held)?;
-        write!(f, ", {} s to come back at the most", allowance.longest_retry.secs())?;
-        write!(f, ", connections idle for {} s", allowance.idle.secs())?;
-        write!(f, "; cold from {} for {} s", figures.cold_from, figures.cold.secs())?;
-        write!(f, ", falls above {} times for {} s", figures.fall_multiple, figures.tip_after.secs())?;
+        write!(f, ", {} s to come back at the most", allowance.longest_retry.as_secs_f64())?;
+        write!(f, ", connections idle for {} s", allowance.idle.as_secs_f64())?;
+        write!(f, "; cold from {} for {} s", figures.cold_from, figures.cold.as_secs_f64())?;
+        write!(f, ", falls above {} times for {} s", figures.fall_multiple, figures.tip_after.as_secs_f64())?;
         write!(f, "; topic types {}", names(self.topics.iter().map(|topic| topic.name.as_str()).collect()))?;
         write!(f, "; kinds {}", names(self.kinds.iter().map(|kind| kind.name.as_str()).collect()))
     }
--- a/crates/soak/src/fault/disk.rs
+++ b/crates/soak/src/fault/disk.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use juniperwing_node::sync::lock;
-use juniperwing_storage::disk::Disk;
+use juniperwing_storage::file_system::FileSystem;
 
 use super::rules::{DiskFault, LiveRules};
 
@@ -57,8 +57,8 @@
     io::Error::new(io::ErrorKind::StorageFull, "the soak lets the disk be full")
 }
 
-impl Disk for FaultyDisk {
-    fn make_folder(&self, folder: &Path) -> io::Result<()> {
+impl FileSystem for FaultyDisk {
+    fn create_dir_all(&self, folder: &Path) -> io::Result<()> {
         self.fault();
         fs::create_dir_all(folder)
     }
@@ -72,7 +72,7 @@
         Ok(contents)
     }
 
-    fn list(&self, folder: &Path) -> io::Result<Vec<OsString>> {
+    fn read_dir(&self, folder: &Path) -> io::Result<Vec<OsString>> {
         self.fault();
         fs::read_dir(folder)?.map(|entry| Ok(entry?.file_name())).collect()
     }
--- a/crates/soak/src/fault/host.rs
+++ b/crates/soak/src/fault/host.rs
@@ -9,7 +9,7 @@
 
 use juniperwing_clock::Time;
 use juniperwing_node::host::{Host, Pending, SimulatedDatagrams, SimulatedListener, SimulatedStream};
-use juniperwing_storage::disk::Disk;
+use juniperwing_storage::file_system::FileSystem;
 use tokio::net::{TcpListener, TcpSocket, UdpSocket};
 
 use super::disk::FaultyDisk;
@@ -80,7 +80,7 @@
         Ok(Arc::new(Datagrams { socket, rules: self.rules.clone() }))
     }
 
-    fn disk(&self) -> Arc<dyn Disk> {
+    fn disk(&self) -> Arc<dyn FileSystem> {
         Arc::<FaultyDisk>::clone(&self.disk)
     }
 
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -11,7 +11,7 @@
 pub enum StorageError {
     /// A failed access to the disk.
     #[snafu(display("{action} {}: {source}", path.display()))]
-    Refused {
+    Io {
         /// What was tried.
         action: &'static str,
         /// On what.
@@ -22,7 +22,7 @@
     /// A file does not hold what was written to it. No loss of power brings this about, so what was confirmed
     /// may be missing: the folder counts as lost.
     #[snafu(display("{} holds {found}", path.display()))]
-    Damaged {
+    Corrupt {
         /// The file.
         path: PathBuf,
         /// What is found in it.
@@ -30,7 +30,7 @@
     },
     /// A file is whole, or a folder is, but of another release's layout.
     #[snafu(display("{} has the layout of another release", path.display()))]
-    OtherLayout {
+    UnsupportedLayout {
         /// The file.
         path: PathBuf,
     },
@@ -38,7 +38,7 @@
 
 impl StorageError {
     /// Whether what the folder held has to be given up.
-    pub fn is_damage(&self) -> bool {
-        matches!(self, StorageError::Damaged { .. })
+    pub fn is_corruption(&self) -> bool {
+        matches!(self, StorageError::Corrupt { .. })
     }
 }
--- a/crates/storage/src/disk.rs
+++ b/crates/storage/src/file_system.rs
@@ -11,13 +11,13 @@
 use std::sync::Arc;
 
 /// A simulated file system.
-pub trait Disk: Debug + Send + Sync {
+pub trait FileSystem: Debug + Send + Sync {
     /// Makes a folder and those above it.
     ///
     /// # Errors
     ///
     /// As the call of [`std::fs`] that this one stands for; so do those of the other functions.
-    fn make_folder(&self, folder: &Path) -> io::Result<()>;
+    fn create_dir_all(&self, folder: &Path) -> io::Result<()>;
 
     /// The contents of a file.
     ///
@@ -31,7 +31,7 @@
     /// # Errors
     ///
     /// See [`Disk::make_folder`].
-    fn list(&self, folder: &Path) -> io::Result<Vec<OsString>>;
+    fn read_dir(&self, folder: &Path) -> io::Result<Vec<OsString>>;
 
     /// Makes an empty file in place of any that has this name.
     ///
@@ -70,28 +70,28 @@
 }
 
 thread_local! {
-    static SIMULATED: RefCell<Option<Arc<dyn Disk>>> = const { RefCell::new(None) };
+    static SIMULATED: RefCell<Option<Arc<dyn FileSystem>>> = const { RefCell::new(None) };
 }
 
 /// As long as it lives, this thread uses a simulated disk; it is used by simulations only.
 #[derive(Debug)]
-pub struct Entered {
-    before: Option<Arc<dyn Disk>>,
+pub struct SimulationGuard {
+    before: Option<Arc<dyn FileSystem>>,
 }
 
 /// Makes this thread use a simulated disk until the guard is dropped.
 #[must_use]
-pub fn enter(disk: Arc<dyn Disk>) -> Entered {
-    Entered { before: SIMULATED.replace(Some(disk)) }
+pub fn simulate(disk: Arc<dyn FileSystem>) -> SimulationGuard {
+    SimulationGuard { before: SIMULATED.replace(Some(disk)) }
 }
 
-impl Drop for Entered {
+impl Drop for SimulationGuard {
     fn drop(&mut self) {
         SIMULATED.set(self.before.take());
     }
 }
 
-fn simulated() -> Option<Arc<dyn Disk>> {
+fn simulated() -> Option<Arc<dyn FileSystem>> {
     SIMULATED.with_borrow(Clone::clone)
 }
 
@@ -99,7 +99,7 @@
 pub(crate) fn create_dir_all(folder: impl AsRef<Path>) -> io::Result<()> {
     match simulated() {
         None => std::fs::create_dir_all(folder),
-        Some(disk) => disk.make_folder(folder.as_ref()),
+        Some(disk) => disk.create_dir_all(folder.as_ref()),
     }
 }
 
@@ -115,7 +115,7 @@
 pub(crate) fn list(folder: &Path) -> io::Result<Vec<OsString>> {
     match simulated() {
         None => std::fs::read_dir(folder)?.map(|entry| Ok(entry?.file_name())).collect(),
-        Some(disk) => disk.list(folder),
+        Some(disk) => disk.read_dir(folder),
     }
 }
 
@@ -139,7 +139,7 @@
 #[derive(Debug)]
 pub(crate) enum File {
     Real(std::fs::File),
-    Simulated { disk: Arc<dyn Disk>, path: Box<Path> },
+    Simulated { disk: Arc<dyn FileSystem>, path: Box<Path> },
 }
 
 impl File {
--- a/crates/storage/src/file.rs
+++ b/crates/storage/src/frame.rs
@@ -6,8 +6,8 @@
 
 use snafu::ResultExt;
 
-use crate::disk::{self, File};
-use crate::error::{DamagedSnafu, OtherLayoutSnafu, RefusedSnafu, StorageError};
+use crate::error::{CorruptSnafu, IoSnafu, StorageError, UnsupportedLayoutSnafu};
+use crate::file_system::{self, File};
 
 /// Begins a frame.
 type Magic = [u8; 8];
@@ -54,31 +54,31 @@
 /// Writes a new file of one version and syncs it.
 pub(crate) fn write_version(path: &Path, number: u64, contents: &[u8]) -> Result<(), StorageError> {
     let numbered = [&number.to_le_bytes(), contents].concat();
-    let mut file = File::create(path).context(RefusedSnafu { action: "creating", path })?;
-    file.write_all(&frame(VERSION, &numbered)).context(RefusedSnafu { action: "writing", path })?;
-    file.sync_all().context(RefusedSnafu { action: "syncing", path })
+    let mut file = File::create(path).context(IoSnafu { action: "creating", path })?;
+    file.write_all(&frame(VERSION, &numbered)).context(IoSnafu { action: "writing", path })?;
+    file.sync_all().context(IoSnafu { action: "syncing", path })
 }
 
 /// The contents of the version that has this number.
 pub(crate) fn read_version(path: &Path, number: u64) -> Result<Vec<u8>, StorageError> {
-    let bytes = disk::read(path).context(RefusedSnafu { action: "reading", path })?;
+    let bytes = file_system::read(path).context(IoSnafu { action: "reading", path })?;
     if only_frame(BATCH, &bytes).is_some() {
-        return OtherLayoutSnafu { path }.fail();
+        return UnsupportedLayoutSnafu { path }.fail();
     }
     let numbered = only_frame(VERSION, &bytes).and_then(<[u8]>::split_first_chunk::<8>);
     let Some((held, contents)) = numbered else {
-        return DamagedSnafu { path, found: "a torn version" }.fail();
+        return CorruptSnafu { path, found: "a torn version" }.fail();
     };
     if u64::from_le_bytes(*held) != number {
-        return DamagedSnafu { path, found: "another version" }.fail();
+        return CorruptSnafu { path, found: "another version" }.fail();
     }
     Ok(contents.to_vec())
 }
 
 /// Makes what a file holds last, also what a process that was killed wrote to it.
 pub(crate) fn sync_file(path: &Path) -> Result<(), StorageError> {
-    let opened = File::open(path).context(RefusedSnafu { action: "opening", path })?;
-    opened.sync_all().context(RefusedSnafu { action: "syncing", path })
+    let opened = File::open(path).context(IoSnafu { action: "opening", path })?;
+    opened.sync_all().context(IoSnafu { action: "syncing", path })
 }
 
 /// Makes the names in a folder last as they are.
@@ -89,7 +89,7 @@
 /// The files of a folder whose names are `prefix`, a number in hexadecimal, and nothing else; in the order of
 /// the numbers.
 pub(crate) fn numbered(folder: &Path, prefix: &str) -> Result<Vec<u64>, StorageError> {
-    let names = disk::list(folder).context(RefusedSnafu { action: "listing", path: folder })?;
+    let names = file_system::list(folder).context(IoSnafu { action: "listing", path: folder })?;
     let mut numbers = Vec::new();
     for name in names {
         let digits = name.to_str().and_then(|name| name.strip_prefix(prefix));
--- a/crates/storage/src/identity.rs
+++ b/crates/storage/src/identity.rs
@@ -3,8 +3,8 @@
 
 use std::path::Path;
 
-use crate::error::{OtherLayoutSnafu, StorageError};
-use crate::version::VersionFiles;
+use crate::error::{StorageError, UnsupportedLayoutSnafu};
+use crate::snapshot_files::SnapshotFiles;
 
 const NAME: &str = "identity";
 
@@ -15,8 +15,8 @@
 ///
 /// If the folder cannot be read or written, or holds what another release wrote.
 pub fn open(folder: &Path, drawn: u64) -> Result<(u64, bool), StorageError> {
-    let (mut files, newest) = match VersionFiles::open(folder, NAME) {
-        Err(error) if error.is_damage() => (VersionFiles::clear(folder, NAME)?, None),
+    let (mut files, newest) = match SnapshotFiles::open(folder, NAME) {
+        Err(error) if error.is_corruption() => (SnapshotFiles::clear(folder, NAME)?, None),
         opened => opened?,
     };
     let Some(bytes) = newest else {
@@ -26,7 +26,7 @@
     // Whole, and not a number: another release wrote it. A new one in its place would give up what the folder holds.
     match bytes.try_into() {
         Ok(known) => Ok((u64::from_le_bytes(known), false)),
-        Err(_) => OtherLayoutSnafu { path: folder }.fail(),
+        Err(_) => UnsupportedLayoutSnafu { path: folder }.fail(),
     }
 }
 
@@ -36,5 +36,5 @@
 ///
 /// If the folder cannot be written.
 pub fn renew(folder: &Path, drawn: u64) -> Result<(), StorageError> {
-    VersionFiles::clear(folder, NAME)?.write(&drawn.to_le_bytes())
+    SnapshotFiles::clear(folder, NAME)?.write(&drawn.to_le_bytes())
 }
--- a/crates/storage/src/layout.rs
+++ b/crates/storage/src/layout.rs
@@ -5,8 +5,8 @@
 
 use std::path::Path;
 
-use crate::error::{OtherLayoutSnafu, StorageError};
-use crate::version::VersionFiles;
+use crate::error::{StorageError, UnsupportedLayoutSnafu};
+use crate::snapshot_files::SnapshotFiles;
 
 /// The layout of folders that do not say theirs.
 const FIRST: u32 = 1;
@@ -17,13 +17,13 @@
 ///
 /// [`StorageError::OtherLayout`] if they have another one, or if the folder cannot be read or written.
 pub fn check(folder: &Path, name: &str, layout: u32) -> Result<(), StorageError> {
-    let (mut files, newest) = VersionFiles::open(folder, &format!("layout-{name}"))?;
+    let (mut files, newest) = SnapshotFiles::open(folder, &format!("layout-{name}"))?;
     let found = match newest {
         Some(bytes) => bytes.try_into().ok().map(u32::from_le_bytes),
         None => Some(FIRST),
     };
     if found != Some(layout) {
-        return OtherLayoutSnafu { path: folder }.fail();
+        return UnsupportedLayoutSnafu { path: folder }.fail();
     }
     if files.newest() == 0 { files.write(&layout.to_le_bytes()) } else { Ok(()) }
 }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -7,14 +7,14 @@
 //!
 //! All calls block on the disk; call them from a thread that may wait.
 
-pub mod disk;
 mod error;
-mod file;
+pub mod file_system;
+mod frame;
 pub mod identity;
 pub mod layout;
-mod segment;
-mod version;
+mod segment_log;
+mod snapshot_files;
 
 pub use error::StorageError;
-pub use segment::{Batch, SegmentFiles, SegmentNumber};
-pub use version::VersionFiles;
+pub use segment_log::{Batch, SegmentLog, SegmentNumber};
+pub use snapshot_files::SnapshotFiles;
--- a/crates/storage/src/segment.rs
+++ b/crates/storage/src/segment_log.rs
@@ -9,9 +9,9 @@
 
 use snafu::ResultExt;
 
-use crate::disk::{self, File};
-use crate::error::{RefusedSnafu, StorageError};
-use crate::file;
+use crate::error::{IoSnafu, StorageError};
+use crate::file_system::{self, File};
+use crate::frame;
 
 const PREFIX: &str = "segment-";
 /// The size at which a segment is sealed, in bytes.
@@ -32,7 +32,7 @@
 
 /// Keeps batches in segments until these are removed.
 #[derive(Debug)]
-pub struct SegmentFiles {
+pub struct SegmentLog {
     folder: PathBuf,
     next: u64,
     open: Option<OpenSegment>,
@@ -48,12 +48,12 @@
 impl OpenSegment {
     /// Writes a batch and makes it last.
     fn write(&mut self, frame: &[u8], path: &Path) -> Result<(), StorageError> {
-        self.file.write_all(frame).context(RefusedSnafu { action: "writing", path })?;
-        self.file.sync_data().context(RefusedSnafu { action: "syncing", path })
+        self.file.write_all(frame).context(IoSnafu { action: "writing", path })?;
+        self.file.sync_data().context(IoSnafu { action: "syncing", path })
     }
 }
 
-impl SegmentFiles {
+impl SegmentLog {
     /// Opens the folder (made if missing) and reads all whole batches in order. What is torn never counted; it
     /// is passed over.
     ///
@@ -62,7 +62,7 @@
     /// If the folder cannot be made, listed or read.
     pub fn open(folder: impl Into<PathBuf>) -> Result<(Self, Vec<Batch>), StorageError> {
         let mut batches = Vec::new();
-        let files = SegmentFiles::open_each(folder, |batch| batches.push(batch))?;
+        let files = SegmentLog::replay(folder, |batch| batches.push(batch))?;
         Ok((files, batches))
     }
 
@@ -72,30 +72,30 @@
     /// # Errors
     ///
     /// If the folder cannot be made, listed or read.
-    pub fn open_each(folder: impl Into<PathBuf>, mut take: impl FnMut(Batch)) -> Result<Self, StorageError> {
+    pub fn replay(folder: impl Into<PathBuf>, mut take: impl FnMut(Batch)) -> Result<Self, StorageError> {
         let folder = folder.into();
-        disk::create_dir_all(&folder).context(RefusedSnafu { action: "making", path: &folder })?;
-        let numbers = file::numbered(&folder, PREFIX)?;
+        file_system::create_dir_all(&folder).context(IoSnafu { action: "making", path: &folder })?;
+        let numbers = frame::numbered(&folder, PREFIX)?;
         if let Some(newest) = numbers.last() {
             // A process that was killed may have left a batch that a loss of power would still undo.
-            file::sync_file(&folder.join(file::name(PREFIX, *newest)))?;
+            frame::sync_file(&folder.join(frame::name(PREFIX, *newest)))?;
         }
         for number in &numbers {
-            let path = folder.join(file::name(PREFIX, *number));
-            let bytes = disk::read(&path).context(RefusedSnafu { action: "reading", path: &path })?;
+            let path = folder.join(frame::name(PREFIX, *number));
+            let bytes = file_system::read(&path).context(IoSnafu { action: "reading", path: &path })?;
             let segment = SegmentNumber(*number);
             let mut rest = bytes.as_slice();
-            while let Some((contents, behind)) = file::first_batch(rest) {
+            while let Some((contents, behind)) = frame::first_batch(rest) {
                 take(Batch { segment, contents: contents.to_vec() });
                 rest = behind;
             }
             if rest.len() == bytes.len() {
                 // What cannot be removed now is looked at again after the next start.
-                let _ = disk::remove_file(&path);
+                let _ = file_system::remove_file(&path);
             }
         }
         let next = numbers.last().map_or(1, |last| last + 1);
-        Ok(SegmentFiles { folder, next, open: None })
+        Ok(SegmentLog { folder, next, open: None })
     }
 
     /// Appends a batch and tells its segment. When this returns, the batch outlasts a loss of power.
@@ -109,12 +109,12 @@
             None => self.create()?,
         };
         let path = self.path(segment.number);
-        let frame = file::batch_frame(contents);
+        let frame = frame::batch_frame(contents);
         if let Err(error) = segment.write(&frame, &path) {
             // Sealed by being dropped. One without a whole batch would only take room; if it cannot be removed now, it
             // goes after the next start.
             if segment.bytes == 0 {
-                let _ = disk::remove_file(&path);
+                let _ = file_system::remove_file(&path);
             }
             return Err(error);
         }
@@ -132,22 +132,22 @@
     pub fn remove(&mut self, number: SegmentNumber) -> Result<(), StorageError> {
         self.open.take_if(|open| open.number == number);
         let path = self.path(number);
-        disk::remove_file(&path).context(RefusedSnafu { action: "removing", path: &path })
+        file_system::remove_file(&path).context(IoSnafu { action: "removing", path: &path })
     }
 
     fn create(&mut self) -> Result<OpenSegment, StorageError> {
         let number = SegmentNumber(self.next);
         self.next += 1;
         let path = self.path(number);
-        let file = File::create(&path).context(RefusedSnafu { action: "creating", path: &path })?;
-        if let Err(error) = file::sync_folder(&self.folder) {
-            let _ = disk::remove_file(&path);
+        let file = File::create(&path).context(IoSnafu { action: "creating", path: &path })?;
+        if let Err(error) = frame::sync_folder(&self.folder) {
+            let _ = file_system::remove_file(&path);
             return Err(error);
         }
         Ok(OpenSegment { number, file, bytes: 0 })
     }
 
     fn path(&self, number: SegmentNumber) -> PathBuf {
-        Path::join(&self.folder, file::name(PREFIX, number.0))
+        Path::join(&self.folder, frame::name(PREFIX, number.0))
     }
 }
--- a/crates/storage/src/version.rs
+++ b/crates/storage/src/snapshot_files.rs
@@ -5,9 +5,9 @@
 
 use snafu::ResultExt;
 
-use crate::disk;
-use crate::error::{RefusedSnafu, StorageError};
-use crate::file;
+use crate::error::{IoSnafu, StorageError};
+use crate::file_system;
+use crate::frame;
 
 /// Versions kept beside the newest.
 const KEPT: usize = 1;
@@ -18,13 +18,13 @@
 /// A version gets its name only when its contents are synced, so whatever power losses leave, a name stands for
 /// a whole version, and it counts only when the folder is synced behind it.
 #[derive(Debug)]
-pub struct VersionFiles {
+pub struct SnapshotFiles {
     folder: PathBuf,
     prefix: String,
     kept: Vec<u64>,
 }
 
-impl VersionFiles {
+impl SnapshotFiles {
     /// Opens the state named `name` in `folder` (made if missing) and reads its newest version, which outlasts a
     /// loss of power from then on.
     ///
@@ -34,17 +34,17 @@
     /// older one is not read in its place, since the newest may have been confirmed.
     pub fn open(folder: impl Into<PathBuf>, name: &str) -> Result<(Self, Option<Vec<u8>>), StorageError> {
         let folder = folder.into();
-        disk::create_dir_all(&folder).context(RefusedSnafu { action: "making", path: &folder })?;
+        file_system::create_dir_all(&folder).context(IoSnafu { action: "making", path: &folder })?;
         let prefix = format!("{name}-");
         remove_all(&folder, &format!("{ASIDE}{prefix}"))?;
-        let kept = file::numbered(&folder, &prefix)?;
+        let kept = frame::numbered(&folder, &prefix)?;
         // A process that was killed may have left a name that a loss of power would still undo.
-        file::sync_folder(&folder)?;
+        frame::sync_folder(&folder)?;
         let newest = match kept.last() {
-            Some(number) => Some(file::read_version(&folder.join(file::name(&prefix, *number)), *number)?),
+            Some(number) => Some(frame::read_version(&folder.join(frame::name(&prefix, *number)), *number)?),
             None => None,
         };
-        Ok((VersionFiles { folder, prefix, kept }, newest))
+        Ok((SnapshotFiles { folder, prefix, kept }, newest))
     }
 
     /// Removes all versions of a state, for good, and opens it empty.
@@ -55,8 +55,8 @@
     pub fn clear(folder: impl Into<PathBuf>, name: &str) -> Result<Self, StorageError> {
         let folder = folder.into();
         remove_all(&folder, &format!("{name}-"))?;
-        file::sync_folder(&folder)?;
-        VersionFiles::open(folder, name).map(|(files, _)| files)
+        frame::sync_folder(&folder)?;
+        SnapshotFiles::open(folder, name).map(|(files, _)| files)
     }
 
     /// The number of the newest version; 0 if there is none. A version that could not be written may have had the
@@ -72,14 +72,14 @@
     /// If the disk refuses; the version before is untouched then. The new one may come back after a start.
     pub fn write(&mut self, contents: &[u8]) -> Result<(), StorageError> {
         let number = self.kept.last().map_or(1, |newest| newest + 1);
-        let name = file::name(&self.prefix, number);
+        let name = frame::name(&self.prefix, number);
         let path = self.folder.join(&name);
         let aside = self.folder.join(format!("{ASIDE}{name}"));
-        file::write_version(&aside, number, contents)?;
-        disk::rename(&aside, &path).context(RefusedSnafu { action: "renaming", path: &aside })?;
+        frame::write_version(&aside, number, contents)?;
+        file_system::rename(&aside, &path).context(IoSnafu { action: "renaming", path: &aside })?;
         // From here on the name may be seen, so it is not given to anything else.
         self.kept.push(number);
-        file::sync_folder(&self.folder)?;
+        frame::sync_folder(&self.folder)?;
         self.remove_old();
         Ok(())
     }
@@ -87,7 +87,7 @@
     /// An old version that stays by a failure does no harm; it is tried again with the next.
     fn remove_old(&mut self) {
         while self.kept.len() > 1 + KEPT {
-            if remove(&self.folder.join(file::name(&self.prefix, self.kept[0]))).is_err() {
+            if remove(&self.folder.join(frame::name(&self.prefix, self.kept[0]))).is_err() {
                 return;
             }
             self.kept.remove(0);
@@ -96,17 +96,17 @@
 }
 
 fn remove_all(folder: &Path, prefix: &str) -> Result<(), StorageError> {
-    for number in file::numbered(folder, prefix)? {
-        remove(&folder.join(file::name(prefix, number)))?;
+    for number in frame::numbered(folder, prefix)? {
+        remove(&folder.join(frame::name(prefix, number)))?;
     }
     Ok(())
 }
 
 /// Removes a file, or finds it gone.
 fn remove(path: &Path) -> Result<(), StorageError> {
-    match disk::remove_file(path) {
+    match file_system::remove_file(path) {
         Err(error) if error.kind() != io::ErrorKind::NotFound => {
-            Err(error).context(RefusedSnafu { action: "removing", path })
+            Err(error).context(IoSnafu { action: "removing", path })
         }
         _ => Ok(()),
     }
--- a/crates/storage/tests/common/mod.rs
+++ b/crates/storage/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Mutex, MutexGuard};
 
-use juniperwing_storage::disk::Disk;
+use juniperwing_storage::file_system::FileSystem;
 
 type FileId = usize;
 
@@ -174,8 +174,8 @@
     }
 }
 
-impl Disk for ForgetfulDisk {
-    fn make_folder(&self, _folder: &Path) -> io::Result<()> {
+impl FileSystem for ForgetfulDisk {
+    fn create_dir_all(&self, _folder: &Path) -> io::Result<()> {
         self.call().map(drop)
     }
 
@@ -183,7 +183,7 @@
         Ok(self.call()?.file(path)?.now())
     }
 
-    fn list(&self, folder: &Path) -> io::Result<Vec<OsString>> {
+    fn read_dir(&self, folder: &Path) -> io::Result<Vec<OsString>> {
         let contents = self.call()?;
         let inside = contents.names.keys().filter(|path| path.parent() == Some(folder));
         Ok(inside.filter_map(|path| path.file_name()).map(OsString::from).collect())
--- a/crates/storage/tests/full_disk.rs
+++ b/crates/storage/tests/full_disk.rs
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use juniperwing_storage::disk::{Disk, enter};
-use juniperwing_storage::{SegmentFiles, VersionFiles};
+use juniperwing_storage::file_system::{FileSystem, simulate};
+use juniperwing_storage::{SegmentLog, SnapshotFiles};
 
 /// The real file system, except that it may be full.
 #[derive(Debug, Default)]
@@ -20,8 +20,8 @@
     }
 }
 
-impl Disk for FullDisk {
-    fn make_folder(&self, folder: &Path) -> io::Result<()> {
+impl FileSystem for FullDisk {
+    fn create_dir_all(&self, folder: &Path) -> io::Result<()> {
         fs::create_dir_all(folder)
     }
 
@@ -29,7 +29,7 @@
         fs::read(path)
     }
 
-    fn list(&self, folder: &Path) -> io::Result<Vec<OsString>> {
+    fn read_dir(&self, folder: &Path) -> io::Result<Vec<OsString>> {
         fs::read_dir(folder)?.map(|entry| Ok(entry?.file_name())).collect()
     }
 
@@ -71,8 +71,8 @@
 fn batches_that_could_not_be_written_take_no_room() {
     let folder = folder("segments");
     let disk = Arc::new(FullDisk::default());
-    let _entered = enter(Arc::clone(&disk) as Arc<dyn Disk>);
-    let (mut segments, _) = SegmentFiles::open(&folder).unwrap();
+    let _entered = simulate(Arc::clone(&disk) as Arc<dyn FileSystem>);
+    let (mut segments, _) = SegmentLog::open(&folder).unwrap();
     segments.append(b"confirmed").unwrap();
     disk.set_full(true);
     segments.append(&[b'x'; 1_000]).unwrap_err();
@@ -83,7 +83,7 @@
     assert_eq!(bytes_in(&folder), after_one, "what failed piles up");
     disk.set_full(false);
     segments.append(b"later").unwrap();
-    let (_, batches) = SegmentFiles::open(&folder).unwrap();
+    let (_, batches) = SegmentLog::open(&folder).unwrap();
     let contents: Vec<&[u8]> = batches.iter().map(|batch| &*batch.contents).collect();
     assert_eq!(contents, [&b"confirmed"[..], b"later"]);
     fs::remove_dir_all(folder).unwrap();
@@ -93,8 +93,8 @@
 fn versions_that_could_not_be_written_take_no_room() {
     let folder = folder("versions");
     let disk = Arc::new(FullDisk::default());
-    let _entered = enter(Arc::clone(&disk) as Arc<dyn Disk>);
-    let (mut files, _) = VersionFiles::open(&folder, "state").unwrap();
+    let _entered = simulate(Arc::clone(&disk) as Arc<dyn FileSystem>);
+    let (mut files, _) = SnapshotFiles::open(&folder, "state").unwrap();
     files.write(b"confirmed").unwrap();
     disk.set_full(true);
     files.write(&[b'x'; 1_000]).unwrap_err();
@@ -103,6 +103,6 @@
         files.write(&[b'x'; 1_000]).unwrap_err();
     }
     assert_eq!(bytes_in(&folder), after_one, "what failed piles up");
-    assert_eq!(VersionFiles::open(&folder, "state").unwrap().1.as_deref(), Some(&b"confirmed"[..]));
+    assert_eq!(SnapshotFiles::open(&folder, "state").unwrap().1.as_deref(), Some(&b"confirmed"[..]));
     fs::remove_dir_all(folder).unwrap();
 }
--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 
 use golden_files::assert_golden;
-use juniperwing_storage::{SegmentFiles, VersionFiles, identity, layout};
+use juniperwing_storage::{SegmentLog, SnapshotFiles, identity, layout};
 
 /// Stands in a file name for the first version or segment.
 const FIRST: &str = "0000000000000001";
@@ -66,21 +66,21 @@
 fn a_segment_has_its_golden_bytes() {
     let batches = vec![b"one".to_vec(), Vec::new(), b"three \x00\x7f\x80\xff".to_vec()];
     let write = |folder: &Path, batches: &Vec<Vec<u8>>| {
-        let (mut files, _) = SegmentFiles::open(folder).unwrap();
+        let (mut files, _) = SegmentLog::open(folder).unwrap();
         for batch in batches {
             assert_eq!(files.append(batch).unwrap().0, 1);
         }
     };
     let read = |folder: &Path| {
-        let (_, batches) = SegmentFiles::open(folder).unwrap();
+        let (_, batches) = SegmentLog::open(folder).unwrap();
         assert!(batches.iter().all(|batch| batch.segment.0 == 1));
         batches.into_iter().map(|batch| batch.contents).collect()
     };
     assert_file("segments", &format!("segment-{FIRST}"), &[("batches", batches)], write, read);
 }
 
-fn open_versions(folder: &Path) -> (VersionFiles, Option<Vec<u8>>) {
-    VersionFiles::open(folder, "state").unwrap()
+fn open_versions(folder: &Path) -> (SnapshotFiles, Option<Vec<u8>>) {
+    SnapshotFiles::open(folder, "state").unwrap()
 }
 
 /// Asserts that `write` makes the file `name` with the golden bytes, and that `read` reads the value from a folder
--- a/crates/storage/tests/power_loss.rs
+++ b/crates/storage/tests/power_loss.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 use common::ForgetfulDisk;
-use juniperwing_storage::{SegmentFiles, SegmentNumber, StorageError, VersionFiles, disk};
+use juniperwing_storage::{SegmentLog, SegmentNumber, SnapshotFiles, StorageError, file_system};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
@@ -49,7 +49,7 @@
 /// Plays the lives one after the other on one disk; the last one is not interrupted.
 fn play(seed: u64, lives: &[Life], mut live: impl FnMut(usize) -> Result<(), StorageError>) {
     let disk = Arc::new(ForgetfulDisk::new(seed));
-    let _entered = disk::enter(disk.clone());
+    let _entered = file_system::simulate(disk.clone());
     for life in lives {
         disk.die_after(life.calls);
         // It dies of its last call.
@@ -67,8 +67,8 @@
         let mut written = 0;
         let mut confirmed = 0;
         play(seed, &lives, |writes| {
-            let opened = VersionFiles::open(FOLDER, "state");
-            let damage = opened.as_ref().err().filter(|error| error.is_damage());
+            let opened = SnapshotFiles::open(FOLDER, "state");
+            let damage = opened.as_ref().err().filter(|error| error.is_corruption());
             assert!(damage.is_none(), "{damage:?}");
             let (mut files, newest) = opened?;
             let read = newest.as_deref().map_or(0, number_of);
@@ -90,7 +90,7 @@
         let mut confirmed: BTreeSet<u64> = BTreeSet::new();
         let mut removed: BTreeSet<SegmentNumber> = BTreeSet::new();
         play(seed, &lives, |writes| {
-            let (mut files, batches) = SegmentFiles::open(FOLDER)?;
+            let (mut files, batches) = SegmentLog::open(FOLDER)?;
             let read: Vec<u64> = batches.iter().map(|batch| number_of(&batch.contents)).collect();
             assert!(batches.iter().all(|batch| batch.contents == contents(number_of(&batch.contents))));
             assert!(read.is_sorted());
--- a/crates/storage/tests/storage.rs
+++ b/crates/storage/tests/storage.rs
@@ -3,7 +3,7 @@
 use std::fs;
 use std::path::PathBuf;
 
-use juniperwing_storage::{Batch, SegmentFiles, StorageError, VersionFiles, identity, layout};
+use juniperwing_storage::{Batch, SegmentLog, SnapshotFiles, StorageError, identity, layout};
 
 struct Folder(PathBuf);
 
@@ -30,21 +30,21 @@
 #[test]
 fn the_newest_version_is_read_and_old_ones_go() {
     let folder = Folder::new("newest");
-    let (mut files, newest) = VersionFiles::open(&folder.0, "state").unwrap();
+    let (mut files, newest) = SnapshotFiles::open(&folder.0, "state").unwrap();
     assert_eq!(newest, None);
     for contents in ["one", "two", "three", "four"] {
         files.write(contents.as_bytes()).unwrap();
     }
     assert_eq!(folder.files().len(), 2);
-    assert_eq!(VersionFiles::open(&folder.0, "state").unwrap().1.as_deref(), Some(&b"four"[..]));
-    assert_eq!(VersionFiles::open(&folder.0, "other").unwrap().1, None);
+    assert_eq!(SnapshotFiles::open(&folder.0, "state").unwrap().1.as_deref(), Some(&b"four"[..]));
+    assert_eq!(SnapshotFiles::open(&folder.0, "other").unwrap().1, None);
 }
 
 /// Fails if `open` looks for an older version behind one that is torn.
 #[test]
 fn a_torn_version_is_never_replaced_by_an_older_one() {
     let folder = Folder::new("torn");
-    let (mut files, _) = VersionFiles::open(&folder.0, "state").unwrap();
+    let (mut files, _) = SnapshotFiles::open(&folder.0, "state").unwrap();
     files.write(b"one").unwrap();
     files.write(b"two").unwrap();
     let newest = folder.files().pop().unwrap();
@@ -67,7 +67,7 @@
 #[test]
 fn an_older_version_under_the_newest_name_is_found() {
     let folder = Folder::new("older");
-    let (mut files, _) = VersionFiles::open(&folder.0, "state").unwrap();
+    let (mut files, _) = SnapshotFiles::open(&folder.0, "state").unwrap();
     files.write(b"one").unwrap();
     files.write(b"two").unwrap();
     let paths = folder.files();
@@ -78,49 +78,49 @@
 #[test]
 fn a_version_still_aside_was_never_confirmed() {
     let folder = Folder::new("aside");
-    let (mut files, _) = VersionFiles::open(&folder.0, "state").unwrap();
+    let (mut files, _) = SnapshotFiles::open(&folder.0, "state").unwrap();
     files.write(b"one").unwrap();
     files.write(b"two").unwrap();
     fs::rename(folder.files().pop().unwrap(), folder.0.join("aside-state-0000000000000009")).unwrap();
-    assert_eq!(VersionFiles::open(&folder.0, "state").unwrap().1.as_deref(), Some(&b"one"[..]));
+    assert_eq!(SnapshotFiles::open(&folder.0, "state").unwrap().1.as_deref(), Some(&b"one"[..]));
     assert_eq!(folder.files().len(), 1, "what is aside does not pile up");
 }
 
 #[test]
 fn a_state_that_was_cleared_is_empty_and_a_version_written_then_is_the_newest() {
     let folder = Folder::new("cleared");
-    let (mut files, _) = VersionFiles::open(&folder.0, "state").unwrap();
+    let (mut files, _) = SnapshotFiles::open(&folder.0, "state").unwrap();
     files.write(b"one").unwrap();
     files.write(b"two").unwrap();
     fs::write(folder.files().pop().unwrap(), b"torn").unwrap();
-    let mut files = VersionFiles::clear(&folder.0, "state").unwrap();
-    assert_eq!(VersionFiles::open(&folder.0, "state").unwrap().1, None);
+    let mut files = SnapshotFiles::clear(&folder.0, "state").unwrap();
+    assert_eq!(SnapshotFiles::open(&folder.0, "state").unwrap().1, None);
     files.write(b"three").unwrap();
-    assert_eq!(VersionFiles::open(&folder.0, "state").unwrap().1.as_deref(), Some(&b"three"[..]));
+    assert_eq!(SnapshotFiles::open(&folder.0, "state").unwrap().1.as_deref(), Some(&b"three"[..]));
 }
 
 /// A layout that is not known must not make a folder count as lost.
 #[test]
 fn a_version_of_another_release_is_no_damage() {
     let folder = Folder::new("release");
-    let (mut segments, _) = SegmentFiles::open(&folder.0).unwrap();
+    let (mut segments, _) = SegmentLog::open(&folder.0).unwrap();
     segments.append(b"one").unwrap();
     fs::rename(folder.files().pop().unwrap(), folder.0.join("state-0000000000000001")).unwrap();
-    let error = VersionFiles::open(&folder.0, "state").unwrap_err();
-    assert!(!error.is_damage() && error.to_string().contains("another release"), "{error}");
+    let error = SnapshotFiles::open(&folder.0, "state").unwrap_err();
+    assert!(!error.is_corruption() && error.to_string().contains("another release"), "{error}");
 }
 
 /// Opens the state of a folder, which must be found damaged, and tells what is said of it.
 fn open_damaged(folder: &Folder) -> String {
-    let error = VersionFiles::open(&folder.0, "state").unwrap_err();
-    assert!(error.is_damage(), "{error}");
+    let error = SnapshotFiles::open(&folder.0, "state").unwrap_err();
+    assert!(error.is_corruption(), "{error}");
     error.to_string()
 }
 
 #[test]
 fn batches_come_back_in_order_without_removed_segments() {
     let folder = Folder::new("batches");
-    let (mut files, found) = SegmentFiles::open(&folder.0).unwrap();
+    let (mut files, found) = SegmentLog::open(&folder.0).unwrap();
     assert!(found.is_empty());
     let first = files.append(b"a").unwrap();
     assert_eq!(files.append(b"b").unwrap(), first);
@@ -128,17 +128,17 @@
     let second = files.append(b"c").unwrap();
     assert!(second > first);
     files.append(b"d").unwrap();
-    let (mut files, found) = SegmentFiles::open(&folder.0).unwrap();
+    let (mut files, found) = SegmentLog::open(&folder.0).unwrap();
     assert_eq!(contents(&found), [b"c", b"d"]);
     assert!(found.iter().all(|batch| batch.segment == second));
     assert!(files.append(b"e").unwrap() > second);
-    assert_eq!(contents(&SegmentFiles::open(&folder.0).unwrap().1), [b"c", b"d", b"e"]);
+    assert_eq!(contents(&SegmentLog::open(&folder.0).unwrap().1), [b"c", b"d", b"e"]);
 }
 
 #[test]
 fn a_torn_batch_is_passed_over_and_nothing_is_appended_behind_it() {
     let folder = Folder::new("torn-batch");
-    let (mut files, _) = SegmentFiles::open(&folder.0).unwrap();
+    let (mut files, _) = SegmentLog::open(&folder.0).unwrap();
     for contents in [b"a", b"b", b"c"] {
         files.append(contents).unwrap();
     }
@@ -147,10 +147,10 @@
     let frame = bytes.len() / 3;
     for length in 0..bytes.len() {
         fs::write(&segment, &bytes[..length]).unwrap();
-        let (mut files, found) = SegmentFiles::open(&folder.0).unwrap();
+        let (mut files, found) = SegmentLog::open(&folder.0).unwrap();
         assert_eq!(found.len(), length / frame, "{length} bytes");
         files.append(b"z").unwrap();
-        let (_, found) = SegmentFiles::open(&folder.0).unwrap();
+        let (_, found) = SegmentLog::open(&folder.0).unwrap();
         assert_eq!(found.len(), length / frame + 1, "{length} bytes");
         assert_eq!(found.last().unwrap().contents, b"z");
         for file in folder.files() {
@@ -162,12 +162,12 @@
 #[test]
 fn segments_are_sealed_when_they_are_large() {
     let folder = Folder::new("sealed");
-    let (mut files, _) = SegmentFiles::open(&folder.0).unwrap();
+    let (mut files, _) = SegmentLog::open(&folder.0).unwrap();
     let contents = vec![7; 100 << 10];
     let segments: Vec<_> = (0..25).map(|_| files.append(&contents).unwrap()).collect();
     assert!(segments.is_sorted());
     assert_eq!(folder.files().len(), 3);
-    assert_eq!(SegmentFiles::open(&folder.0).unwrap().1.len(), 25);
+    assert_eq!(SegmentLog::open(&folder.0).unwrap().1.len(), 25);
 }
 
 fn contents(batches: &[Batch]) -> Vec<&[u8]> {
@@ -195,20 +195,20 @@
     layout::check(&folder.0, "state", 1).unwrap();
     layout::check(&folder.0, "state", 1).unwrap();
     let other = layout::check(&folder.0, "state", 2);
-    assert!(matches!(other, Err(StorageError::OtherLayout { .. })), "{other:?}");
+    assert!(matches!(other, Err(StorageError::UnsupportedLayout { .. })), "{other:?}");
     // Another role's files in the same folder have a layout of their own.
     layout::check(&folder.0, "other", 1).unwrap();
     let unsaid = Folder::new("layout-unsaid");
-    assert!(matches!(layout::check(&unsaid.0, "state", 2), Err(StorageError::OtherLayout { .. })));
+    assert!(matches!(layout::check(&unsaid.0, "state", 2), Err(StorageError::UnsupportedLayout { .. })));
 }
 
 #[test]
 fn an_identity_of_another_release_is_refused_and_kept() {
     let folder = Folder::new("identity-release");
-    let (mut files, _) = VersionFiles::open(&folder.0, "identity").unwrap();
+    let (mut files, _) = SnapshotFiles::open(&folder.0, "identity").unwrap();
     files.write(b"a longer identity").unwrap();
     let before = folder.files();
     let opened = identity::open(&folder.0, 7);
-    assert!(matches!(opened, Err(StorageError::OtherLayout { .. })), "{opened:?}");
+    assert!(matches!(opened, Err(StorageError::UnsupportedLayout { .. })), "{opened:?}");
     assert_eq!(folder.files(), before);
 }
--- a/src/rules/book.rs
+++ b/src/rules/book.rs
@@ -17,7 +17,7 @@
             Note::News(News::Held(entries)) if pushed => self.early = Some(entries),
             Note::News(News::Broken) if !self.pausing => {
                 // Guards against a list overrun: ask again, never in step; ever later, unless it is pushed.
-                let first = ask_every.times(FIRST_ASK).clamp(LEAST_LEFT, PAUSE.times(BACK_OFF));
+                let first = ask_every.mul_f64(FIRST_ASK).clamp(LEAST_LEFT, PAUSE.mul_f64(BACK_OFF));
                 let at = mail.now + pause(first, self.failures, Span::ZERO, mail);
                 mail.alarm(Part::Book, at);
                 (self.pausing, self.failures) = (true, self.failures + i32::from(!pushed));
--- a/src/rules/choice.rs
+++ b/src/rules/choice.rs
@@ -10,23 +10,23 @@
 impl Destination {
     /// The gap between calls after an outage, at one of so many parts, by what was handed in.
     pub(super) fn gap(&self, parts: usize, now: Time) -> Span {
-        let pace = self.handed.len() as f64 / (self.known(now).secs() * parts as f64);
+        let pace = self.handed.len() as f64 / (self.known(now).as_secs_f64() * parts as f64);
         let f = &self.terms.figures;
-        let least = LEAST / (f.tip_after.secs() * self.terms.fleet.relays.max(1) as f64);
-        Span::from_secs(1.0 / (f.fall_multiple * pace).max(least / f.cold_from))
+        let least = LEAST / (f.tip_after.as_secs_f64() * self.terms.fleet.relays.max(1) as f64);
+        Span::from_secs_f64(1.0 / (f.fall_multiple * pace).max(least / f.cold_from))
     }
 
     /// For how long it is known what was handed in: less than it counts in a relay that has just started.
     pub(super) fn known(&self, now: Time) -> Span {
         let age = now.since(self.born.unwrap_or(now)) + self.terms.figures.tip_after;
-        age.min(self.terms.figures.cold.times(MEMORY))
+        age.min(self.terms.figures.cold.mul_f64(MEMORY))
     }
 
     /// Calls are worth filling: one counts once for the limit and takes one slot. Until when it may wait.
     pub(super) fn filled(&self, held: &Held) -> Time {
         let left = held.ntf.valid_until.since(held.taken);
-        let calls = self.latencies.usual().unwrap_or_default().times(USUAL_CALLS);
-        held.taken + (held.ntf.topic.objective.min(left) - calls).times(FILL)
+        let calls = self.latencies.usual().unwrap_or_default().mul_f64(USUAL_CALLS);
+        held.taken + (held.ntf.topic.objective.min(left) - calls).mul_f64(FILL)
     }
 
     /// What goes to an endpoint next: first what can still meet its objective. Rule: a call ends with the
@@ -42,7 +42,7 @@
         ready.sort_by_key(|h| {
             !h.past.taken_up && now.since(h.taken) + self.latencies.median() > h.ntf.topic.objective
         });
-        let enough = self.latencies.usual().unwrap_or(self.terms.figures.tip_after.times(OVERDUE_FLOOR));
+        let enough = self.latencies.usual().unwrap_or(self.terms.figures.tip_after.mul_f64(OVERDUE_FLOOR));
         let (mut call, mut ends, mut wanted) = (Vec::new(), Time::NEVER, Span::ZERO);
         let mut ready = ready.into_iter();
         while let Some(held) = ready.next().filter(|_| call.len() < self.per_call) {
@@ -62,7 +62,7 @@
         let same = |h: &&Held| h.last.as_ref() == Some(to) && h.ntf.topic.name == held.ntf.topic.name;
         let overdue = |h: &Held| h.out.as_ref().is_some_and(|out| now.since(out.0) > self.overdue_after());
         let lost = self.failing.get(&(to.clone(), held.ntf.topic.name.clone()));
-        lost.is_some_and(|(times, at)| now.since(*at) < LEFT_OUT.times(f64::from(*times)))
+        lost.is_some_and(|(times, at)| now.since(*at) < LEFT_OUT.mul_f64(f64::from(*times)))
             || self.held.iter().filter(same).any(overdue)
     }
 
@@ -71,8 +71,8 @@
         let vain = self.latencies.censored_in_a_row();
         let usual = self.latencies.usual();
         let floor = if usual.is_none() { OVERDUE_UNKNOWN } else { OVERDUE_FLOOR };
-        let least = self.terms.figures.tip_after.times(floor);
-        usual.unwrap_or_default().times(OVERDUE).max(least).times(2f64.powi(vain.min(8) as i32 / 2))
+        let least = self.terms.figures.tip_after.mul_f64(floor);
+        usual.unwrap_or_default().mul_f64(OVERDUE).max(least).mul_f64(2f64.powi(vain.min(8) as i32 / 2))
     }
 
     pub(super) fn time_out(&self, now: Time, held: &Held) -> Span {
--- a/src/rules/destination.rs
+++ b/src/rules/destination.rs
@@ -16,7 +16,7 @@
                 let (turn, taken) = (key.is_none(), mail.now);
                 key.into_iter().for_each(|key| mail.put(Part::Turns, Note::Join(key, ntf.id, self.id)));
                 self.hold(ntf, taken, turn);
-                self.handed.retain(|at| taken.since(*at) < self.terms.figures.cold.times(MEMORY));
+                self.handed.retain(|at| taken.since(*at) < self.terms.figures.cold.mul_f64(MEMORY));
             }
             Note::Turn(id) => self.change(id, |held| held.turn = true),
             Note::Withdrawn(id) => self.change(id, |held| held.over = true),
--- a/src/rules/endpoint.rs
+++ b/src/rules/endpoint.rs
@@ -57,15 +57,15 @@
         } else if let Some(next) = self.aside {
             // A call still out there tells of the return by itself, and costs no further slot.
             let patience = if self.outs.is_empty() { 0.0 } else { PATIENCE };
-            next + self.terms.figures.tip_after.times(patience)
+            next + self.terms.figures.tip_after.mul_f64(patience)
         } else {
             now
         }
     }
 
     fn next_trial(&self, mail: &mut Mail) -> Time {
-        let gap = self.gap.times(1.0 / self.terms.figures.cold_from).max(self.terms.figures.tip_after);
-        mail.now + gap.times(0.75 + mail.chance() / 2.0)
+        let gap = self.gap.mul_f64(1.0 / self.terms.figures.cold_from).max(self.terms.figures.tip_after);
+        mail.now + gap.mul_f64(0.75 + mail.chance() / 2.0)
     }
 
     fn outcome(&mut self, outcome: Outcome, mail: &mut Mail) {
@@ -98,20 +98,20 @@
         let sign = match status {
             Status::Delivered => {
                 // Too short for an outage, as far as this relay saw: no reason to hold back.
-                let brief = self.delivered.is_some_and(|t| now.since(t) < span.times(BRIEF));
+                let brief = self.delivered.is_some_and(|t| now.since(t) < span.mul_f64(BRIEF));
                 let was_aside = self.aside.take().is_some();
                 // One connection refused some time ago will do: of many relays most see no more of it.
                 let refused = self.refused.take();
-                let down = refused.is_some_and(|at| now.since(at) >= span.times(BRIEF));
+                let down = refused.is_some_and(|at| now.since(at) >= span.mul_f64(BRIEF));
                 if (was_aside || down) && !brief {
                     mail.commands.push(Command::Log(format!("{} is back", self.entry.endpoint.0)));
                     mail.put(Part::Lane(self.entry.destination), Note::Back(now, was_aside));
                 }
                 // Guards against connections that die unseen while idle: then all endpoints get fresh ones.
-                let idle = span.times(OVERDUE_FLOOR);
+                let idle = span.mul_f64(OVERDUE_FLOOR);
                 let mut lost = self.outs.iter().filter(|o| o.lost(now) && o.at < at && o.idle >= idle);
-                if let Some(out) = lost.next_back().filter(|o| now.since(o.at) < span.times(PATIENCE)) {
-                    mail.put(Part::Book, Note::Stale(out.idle.times(0.9), None));
+                if let Some(out) = lost.next_back().filter(|o| now.since(o.at) < span.mul_f64(PATIENCE)) {
+                    mail.put(Part::Book, Note::Stale(out.idle.mul_f64(0.9), None));
                 }
                 // Refused before it answers, one that is up is short of connections.
                 if refused.is_some() && !down && !was_aside {
--- a/src/rules/lane.rs
+++ b/src/rules/lane.rs
@@ -10,8 +10,8 @@
 
 /// A pause that grows eightfold with each in a row; chance keeps many from coming back in step.
 pub(super) fn pause(first: Span, times: i32, longest: Span, mail: &mut Mail) -> Span {
-    let longest = longest.max(first.times(GROWTH));
-    first.times(8f64.powi(times.min(8))).min(longest).times(0.5 + mail.chance())
+    let longest = longest.max(first.mul_f64(GROWTH));
+    first.mul_f64(8f64.powi(times.min(8))).min(longest).mul_f64(0.5 + mail.chance())
 }
 
 impl LimitReport {
@@ -24,12 +24,12 @@
 impl Lane {
     /// The gap between this relay's calls right after an outage.
     pub(super) fn part(&self) -> Span {
-        self.gap.times(1.0 / self.terms.figures.cold_from)
+        self.gap.mul_f64(1.0 / self.terms.figures.cold_from)
     }
 
     /// How long the told limit takes for so many calls; where none is told, no time.
     pub(super) fn calls(&self, count: f64) -> Span {
-        if self.rate > 0.0 { Span::from_secs(count / self.rate) } else { Span::ZERO }
+        if self.rate > 0.0 { Span::from_secs_f64(count / self.rate) } else { Span::ZERO }
     }
 
     pub(crate) fn new(terms: Arc<Terms>) -> Self {
@@ -61,14 +61,14 @@
             Note::Ended(_) => self.out = self.out.saturating_sub(1),
             Note::Back(at, apart) => {
                 let most = if apart { self.part().min(self.terms.figures.cold) } else { Span::ZERO };
-                self.back = Some((at, at + most.times(mail.chance()), 0));
+                self.back = Some((at, at + most.mul_f64(mail.chance()), 0));
             }
             Note::Outcome(outcome, first) => {
                 if let Some(wait) = outcome.wait {
                     self.wait_until = self.wait_until.max(mail.now + wait);
                     // Guards against all who were told when it opens: they would come back at the same time.
                     let limited = outcome.limit.map_or(self.rate, |limit| limit.rate) > 0.0;
-                    if first && !(limited && wait < self.terms.figures.tip_after.times(BRIEF)) {
+                    if first && !(limited && wait < self.terms.figures.tip_after.mul_f64(BRIEF)) {
                         self.take(Note::Back(self.wait_until, true), mail);
                     }
                 }
@@ -90,10 +90,10 @@
         let next = next.max(self.wait_until).max(self.pause_until);
         let back = self.back.filter(|back| now.since(back.0) < f.cold);
         let Some((since, from, wins)) = back else { return next };
-        let level = f.cold_from + (1.0 - f.cold_from) * now.since(since).secs() / f.cold.secs();
-        let gap = self.gap.times(1.0 / level).max(f.tip_after.times(0.5f64.powi(wins)));
+        let level = f.cold_from + (1.0 - f.cold_from) * now.since(since).as_secs_f64() / f.cold.as_secs_f64();
+        let gap = self.gap.mul_f64(1.0 / level).max(f.tip_after.mul_f64(0.5f64.powi(wins)));
         let weight = 1.0 + FURTHER * pushes.saturating_sub(1) as f64;
-        next.max(from).max(self.last_sent + gap.times(weight))
+        next.max(from).max(self.last_sent + gap.mul_f64(weight))
     }
 
     fn learn(&mut self, outcome: &Outcome, mail: &mut Mail) {
@@ -106,11 +106,11 @@
                 let equal = self.calls(self.terms.fleet.relays as f64);
                 // A told wait says by how much: all who were told come back at its end, and use it up again.
                 let (own, grows) = match limit {
-                    Some(_) => ((self.handed.1 + equal).times(1.0 / self.handed.0).min(equal), BACK_OFF),
-                    None => (self.calls(REFUSED).max(wait.times(BACK_OFF)), TOLD_BACK_OFF),
+                    Some(_) => ((self.handed.1 + equal).mul_f64(1.0 / self.handed.0).min(equal), BACK_OFF),
+                    None => (self.calls(REFUSED).max(wait.mul_f64(BACK_OFF)), TOLD_BACK_OFF),
                 };
-                self.pace = self.pace.times(grows).max(own).min(equal.times(MOST).max(own));
-                self.pause_until = mail.now + self.pace.times(0.5 + mail.chance());
+                self.pace = self.pace.mul_f64(grows).max(own).min(equal.mul_f64(MOST).max(own));
+                self.pause_until = mail.now + self.pace.mul_f64(0.5 + mail.chance());
                 if limit.is_none() {
                     self.pause(status, 2, mail);
                 }
@@ -118,14 +118,14 @@
             Status::Delivered => {
                 if self.rate > 0.0 {
                     let left = limit.map_or(LEFT_UNTOLD, |limit| limit.left);
-                    self.pace = self.pace.times(2f64.powf(HALF_LEFT - left));
+                    self.pace = self.pace.mul_f64(2f64.powf(HALF_LEFT - left));
                 }
                 (self.refused, self.window) = (0, self.window + 1.0 / self.window);
                 self.back = self.back.map(|(since, from, wins)| (since, from, wins + 1));
             }
             Status::Busy | Status::NoConnection | Status::Crowded if mail.now >= self.pause_until => {
                 // A full table of connections refuses at once, one that cannot be reached does not.
-                let at_once = outcome.spent < self.terms.figures.tip_after.times(OVERDUE_FLOOR);
+                let at_once = outcome.spent < self.terms.figures.tip_after.mul_f64(OVERDUE_FLOOR);
                 let mild = if status == Status::Busy { limit.is_some_and(|l| l.rate > 0.0) } else { at_once };
                 self.pause(status, if mild { 1 } else { 2 }, mail);
                 self.window = (self.window * 0.6).max(1.0);
--- a/tests/rules/helper.rs
+++ b/tests/rules/helper.rs
@@ -121,8 +121,12 @@
             }
             let line = match command {
                 Command::Push { ntf, endpoint, time_out, .. } => {
-                    let line =
-                        format!("push {} to {} for {} ms", ntf.0, endpoint.0, time_out.nanos() / 1_000_000);
+                    let line = format!(
+                        "push {} to {} for {} ms",
+                        ntf.0,
+                        endpoint.0,
+                        time_out.as_nanos() / 1_000_000
+                    );
                     self.out.push((ntf, endpoint, ms));
                     line
                 }
@@ -227,7 +231,7 @@
     pub fn pass_woken(&mut self, ms: u64) -> usize {
         let (until, mut wakes) = (self.ms + ms, 0);
         while self.wake <= Time::from_nanos(until * 1_000_000) {
-            self.ms = self.wake.since(Time::default()).nanos().div_ceil(1_000_000).max(self.ms);
+            self.ms = self.wake.since(Time::default()).as_nanos().div_ceil(1_000_000).max(self.ms);
             self.wake = Time::NEVER;
             self.give(Event::Woken);
             wakes += 1;
--- a/tests/rules/time.rs
+++ b/tests/rules/time.rs
@@ -16,7 +16,7 @@
     let mut trace = String::new();
     for pushes in [1, 2, 3, 4, 5, 8] {
         let time_out = fit.time_out(Span::from_millis(700), pushes);
-        writeln!(trace, "{pushes} pushes: {} ms", time_out.nanos() / 1_000_000).expect("a string");
+        writeln!(trace, "{pushes} pushes: {} ms", time_out.as_nanos() / 1_000_000).expect("a string");
     }
     expect![[r#"
         1 pushes: 700 ms
@@ -33,10 +33,10 @@
 #[test]
 fn algorithm_2_where_success_is_all_but_sure() {
     let time_out = Fit { mu: -2.3, sigma: 0.6 }.time_out(Span::from_millis(16_000), 8);
-    expect!["2000 ms"].assert_eq(&format!("{} ms", time_out.nanos() / 1_000_000));
+    expect!["2000 ms"].assert_eq(&format!("{} ms", time_out.as_nanos() / 1_000_000));
     // A tenth of a millisecond, as on one machine: the chance of a miss is 0 in floating point.
     let time_out = Fit { mu: -9.2, sigma: 0.25 }.time_out(Span::from_millis(4_000), 8);
-    expect!["500 ms"].assert_eq(&format!("{} ms", time_out.nanos() / 1_000_000));
+    expect!["500 ms"].assert_eq(&format!("{} ms", time_out.as_nanos() / 1_000_000));
 }
 
 #[test]
