--- a/crates/emulator/src/aim.rs
+++ b/crates/emulator/src/aim.rs
@@ -4,11 +4,11 @@
 //! time rarely hits it. Since a day runs the same until its first trouble, it is played once without any, and the first
 //! trouble is moved to a moment shortly before or at an acknowledgement.
 
-use crate::chance::Chance;
 use crate::day::{Day, Trouble};
 use crate::history::Seen;
 use crate::stability::millis;
 use crate::world::play;
+use juniperwing_random::Rng;
 
 /// One seed in so many is aimed.
 const AIMED: u64 = 3;
@@ -23,7 +23,7 @@
 
 /// Moves all troubles by as much as brings the first to an acknowledgement.
 fn aim(day: &Day) -> Day {
-    let mut chance = Chance::new(day.seed, 3_002);
+    let mut rng = Rng::for_purpose(day.seed, 3_002);
     let Some(first) = day.troubles.first() else { return day.clone() };
     let calm = Day { troubles: Vec::new(), ..day.clone() };
     let acknowledged: Vec<u64> = play(&calm, false)
@@ -34,8 +34,8 @@
         .collect();
     // The next few; a later one would make the day longer than it is.
     let near = &acknowledged[..acknowledged.len().min(8)];
-    let Some(aimed_at) = chance.choose(near) else { return day.clone() };
-    let later_ms = aimed_at - chance.below(BEFORE_MS) - first.at_ms;
+    let Some(aimed_at) = rng.choose(near) else { return day.clone() };
+    let later_ms = aimed_at - rng.below(BEFORE_MS) - first.at_ms;
     let moved = |trouble: &Trouble| Trouble { at_ms: trouble.at_ms + later_ms, ..*trouble };
     let troubles = day.troubles.iter().map(moved).collect();
     // The calm at the end stays as long; operators read only later, so nothing before the trouble changes.
--- a/crates/emulator/src/day.rs
+++ b/crates/emulator/src/day.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use crate::chance::Chance;
+use juniperwing_random::Rng;
 
 /// How long a machine that has lost its disk has for catching up before the next loss, in milliseconds.
 pub const CATCH_UP_MS: u64 = 4_100;
@@ -110,20 +110,20 @@
 impl Day {
     /// The day of a seed.
     pub fn draw(seed: u64) -> Day {
-        let mut chance = Chance::new(seed, 3_000);
-        let keepers = if chance.one_in(6) { 5 } else { 3 };
-        let count = 1 + chance.below(MOST_TROUBLES);
+        let mut rng = Rng::for_purpose(seed, 3_000);
+        let keepers = if rng.one_in(6) { 5 } else { 3 };
+        let count = 1 + rng.below(MOST_TROUBLES);
         let mut troubles: Vec<Trouble> = Vec::new();
         let mut clear_from = FIRST_TROUBLE_MS;
         let mut all_over = FIRST_TROUBLE_MS;
         let mut machines = keepers;
         for _ in 0..count {
-            let kind = draw_kind(&mut chance);
-            let begin = if kind.loses_disk() || chance.one_in(2) { all_over } else { clear_from };
-            let at_ms = begin + chance.below(1_500);
-            let lasts_ms = draw_length(kind, &mut chance);
+            let kind = draw_kind(&mut rng);
+            let begin = if kind.loses_disk() || rng.one_in(2) { all_over } else { clear_from };
+            let at_ms = begin + rng.below(1_500);
+            let lasts_ms = draw_length(kind, &mut rng);
             let number = if kind == Kind::RestartRelay { 2 } else { machines as u64 };
-            let machine = 1 + chance.below(number) as usize;
+            let machine = 1 + rng.below(number) as usize;
             if kind == Kind::Replace {
                 machines += 1;
             }
@@ -150,24 +150,24 @@
 
 /// Relays that start while a keeper is cut off, in every second long cut.
 fn restarts_in_cuts(seed: u64, troubles: &[Trouble]) -> Vec<Trouble> {
-    let mut chance = Chance::new(seed, 3_001);
+    let mut rng = Rng::for_purpose(seed, 3_001);
     let is_long = |trouble: &&Trouble| matches!(trouble.kind, Kind::Cut(..)) && trouble.lasts_ms == LONG_MS;
     let mut restarts = Vec::new();
     for cut in troubles.iter().filter(is_long) {
-        let (at_ms, lasts_ms) = (cut.at_ms + chance.below(LONG_MS), chance.between(100, 1_000));
-        let machine = 1 + chance.below(2) as usize;
-        if chance.one_in(2) {
+        let (at_ms, lasts_ms) = (cut.at_ms + rng.below(LONG_MS), rng.between(100, 1_000));
+        let machine = 1 + rng.below(2) as usize;
+        if rng.one_in(2) {
             restarts.push(Trouble { at_ms, lasts_ms, machine, kind: Kind::RestartRelay });
         }
     }
     restarts
 }
 
-fn draw_kind(chance: &mut Chance) -> Kind {
+fn draw_kind(rng: &mut Rng) -> Kind {
     let direction =
-        *chance.choose(&[Direction::In, Direction::Out, Direction::Both]).unwrap_or(&Direction::Both);
-    let scope = if chance.one_in(3) { Scope::All } else { Scope::Core };
-    match chance.below(16) {
+        *rng.choose(&[Direction::In, Direction::Out, Direction::Both]).unwrap_or(&Direction::Both);
+    let scope = if rng.one_in(3) { Scope::All } else { Scope::Core };
+    match rng.below(16) {
         0..=4 => Kind::Cut(scope, direction),
         5 => Kind::Freeze,
         6 => Kind::Kill,
@@ -182,13 +182,13 @@
     }
 }
 
-fn draw_length(kind: Kind, chance: &mut Chance) -> u64 {
+fn draw_length(kind: Kind, rng: &mut Rng) -> u64 {
     match kind {
-        Kind::Cut(..) if chance.one_in(2) => LONG_MS,
-        Kind::Cut(..) | Kind::Freeze | Kind::SlowDisk => chance.between(300, 8_000),
+        Kind::Cut(..) if rng.one_in(2) => LONG_MS,
+        Kind::Cut(..) | Kind::Freeze | Kind::SlowDisk => rng.between(300, 8_000),
         Kind::Replace => 500,
-        Kind::RestartRelay => chance.between(100, 1_000),
-        _ => chance.between(300, 2_500),
+        Kind::RestartRelay => rng.between(100, 1_000),
+        _ => rng.between(300, 2_500),
     }
 }
 
--- a/crates/emulator/src/disk.rs
+++ b/crates/emulator/src/disk.rs
@@ -16,8 +16,8 @@
 use juniperwing_node::sync::lock;
 use juniperwing_storage::file_system::FileSystem;
 
-use crate::chance::Chance;
 use crate::clock::MachineClock;
+use juniperwing_random::Rng;
 
 /// How long a call takes that does not wait for the disk.
 const CALL: Span = Span::from_nanos(50_000);
@@ -64,7 +64,7 @@
     slowness: u32,
     /// How far the calls made since the last question have come.
     spent: Span,
-    chance: Chance,
+    rng: Rng,
 }
 
 /// The disk of a simulated machine.
@@ -75,8 +75,8 @@
 }
 
 impl SimulatedDisk {
-    /// An empty disk. `chance` decides what a loss of power leaves.
-    pub fn new(clock: Arc<MachineClock>, chance: Chance) -> SimulatedDisk {
+    /// An empty disk. `rng` decides what a loss of power leaves.
+    pub fn new(clock: Arc<MachineClock>, rng: Rng) -> SimulatedDisk {
         let state = State {
             seen: Contents::default(),
             lasting: Contents::default(),
@@ -84,7 +84,7 @@
             next_file: 1,
             slowness: 1,
             spent: Span::ZERO,
-            chance,
+            rng,
         };
         SimulatedDisk { clock, state: Mutex::new(state) }
     }
@@ -115,13 +115,13 @@
         let mut state = self.lock();
         state.forget_unbegun(now);
         let journal = std::mem::take(&mut state.journal);
-        let all_gone = state.chance.one_in(4);
+        let all_gone = state.rng.one_in(4);
         let mut left = std::mem::take(&mut state.lasting);
         for (index, entry) in journal.iter().enumerate() {
             if lasts(&journal[index..], now) {
                 left.apply(&entry.operation);
             } else if !all_gone {
-                apply_in_part(&mut left, &entry.operation, &mut state.chance);
+                apply_in_part(&mut left, &entry.operation, &mut state.rng);
             }
         }
         state.lasting = left.clone();
@@ -208,11 +208,11 @@
 }
 
 /// Leaves of an operation that does not last for certain all, a part or nothing.
-fn apply_in_part(contents: &mut Contents, operation: &Operation, chance: &mut Chance) {
-    match (chance.below(3), operation) {
+fn apply_in_part(contents: &mut Contents, operation: &Operation, rng: &mut Rng) {
+    match (rng.below(3), operation) {
         (0, _) => contents.apply(operation),
         (1, Operation::Append { file, offset, bytes }) => {
-            let torn = bytes[..chance.below(bytes.len() as u64) as usize].to_vec();
+            let torn = bytes[..rng.below(bytes.len() as u64) as usize].to_vec();
             contents.apply(&Operation::Append { file: *file, offset: *offset, bytes: torn });
         }
         _ => {}
--- a/crates/emulator/src/endpoints.rs
+++ b/crates/emulator/src/endpoints.rs
@@ -10,10 +10,10 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-use crate::chance::Chance;
 use crate::history::{History, Seen};
 use crate::http::Call;
 use crate::operators::number_of;
+use juniperwing_random::Rng;
 
 /// From one heartbeat to the next.
 pub const HEARTBEAT: Duration = Duration::from_millis(1_200);
@@ -32,17 +32,17 @@
     turn: usize,
     keepers: watch::Receiver<Vec<SocketAddr>>,
     history: History,
-    chance: Chance,
+    rng: Rng,
 }
 
 /// Runs `count` endpoints.
 pub async fn run(keepers: watch::Receiver<Vec<SocketAddr>>, history: History, seed: u64, count: u64) {
     let mut endpoints = JoinSet::new();
     for number in 0..count {
-        let mut chance = Chance::new(seed, 2_000 + number);
-        let turn = chance.below(16) as usize;
+        let mut rng = Rng::for_purpose(seed, 2_000 + number);
+        let turn = rng.below(16) as usize;
         let (keepers, history) = (keepers.clone(), history.clone());
-        let endpoint = Endpoint { number, life: 0, sequence: 0, turn, keepers, history, chance };
+        let endpoint = Endpoint { number, life: 0, sequence: 0, turn, keepers, history, rng };
         endpoints.spawn(endpoint.live());
     }
     while endpoints.join_next().await.is_some() {}
@@ -50,15 +50,15 @@
 
 impl Endpoint {
     async fn live(mut self) {
-        sleep(Duration::from_millis(self.chance.below(1_500))).await;
+        sleep(Duration::from_millis(self.rng.below(1_500))).await;
         loop {
-            let lives_for = Span::from_millis(self.chance.between(4_000, 25_000));
+            let lives_for = Span::from_millis(self.rng.between(4_000, 25_000));
             let until = clock::now() + lives_for;
             while clock::now() < until {
                 self.say(InstanceState::Ready).await;
                 sleep(HEARTBEAT).await;
             }
-            match self.chance.below(4) {
+            match self.rng.below(4) {
                 0 => {}
                 1 => self.insist(InstanceState::Terminated).await,
                 _ => {
@@ -69,7 +69,7 @@
             }
             self.history.add(clock::now(), Seen::EndpointSilent { id: self.id() });
             self.life += 1;
-            sleep(Duration::from_millis(self.chance.between(500, 3_000))).await;
+            sleep(Duration::from_millis(self.rng.between(500, 3_000))).await;
         }
     }
 
--- a/crates/emulator/src/host.rs
+++ b/crates/emulator/src/host.rs
@@ -10,11 +10,11 @@
 use juniperwing_node::sync::lock;
 use juniperwing_storage::file_system::FileSystem;
 
-use crate::chance::Chance;
 use crate::clock::{MachineClock, WorldTime};
 use crate::disk::SimulatedDisk;
 use crate::network::{Network, Opened};
 use crate::stream::{Datagrams, Listener, Ports, sleep_until, stream};
+use juniperwing_random::Rng;
 
 /// When the opening packet of a connection is sent again.
 const OPEN_AGAIN: Duration = Duration::from_secs(1);
@@ -31,7 +31,7 @@
     /// Its disk.
     pub disk: Arc<SimulatedDisk>,
     ports: Ports,
-    chance: Mutex<Chance>,
+    rng: Mutex<Rng>,
 }
 
 impl SimulatedHost {
@@ -40,10 +40,11 @@
         address: IpAddr, network: Arc<Network>, world: WorldTime, seed: u64, purpose: u64,
     ) -> Arc<SimulatedHost> {
         let clock = Arc::new(MachineClock::new(world));
-        let disk = SimulatedDisk::new(Arc::clone(&clock), Chance::new(seed, purpose.wrapping_add(1 << 32)));
+        let disk =
+            SimulatedDisk::new(Arc::clone(&clock), Rng::for_purpose(seed, purpose.wrapping_add(1 << 32)));
         let ports = Ports { network, clock: Arc::clone(&clock) };
-        let chance = Mutex::new(Chance::new(seed, purpose));
-        Arc::new(SimulatedHost { address, clock, disk: Arc::new(disk), ports, chance })
+        let rng = Mutex::new(Rng::for_purpose(seed, purpose));
+        Arc::new(SimulatedHost { address, clock, disk: Arc::new(disk), ports, rng })
     }
 }
 
@@ -57,7 +58,7 @@
     }
 
     fn random(&self) -> u64 {
-        lock(&self.chance).bits()
+        lock(&self.rng).next_u64()
     }
 
     fn listen(&self, address: SocketAddr) -> io::Result<Arc<dyn SimulatedListener>> {
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -6,7 +6,6 @@
 //! [`oracle`] judges this record alone. [`shrink`] removes what a finding doesn't need.
 
 pub mod aim;
-pub mod chance;
 pub mod clock;
 pub mod day;
 pub mod disk;
--- a/crates/emulator/src/network.rs
+++ b/crates/emulator/src/network.rs
@@ -15,7 +15,7 @@
 use juniperwing_node::sync::lock;
 use tokio::sync::Notify;
 
-use crate::chance::Chance;
+use juniperwing_random::Rng;
 
 /// The shortest time that a message takes; also the step of the simulation.
 pub const LEAST_DELAY: Span = Span::from_millis(2);
@@ -129,7 +129,7 @@
 
 #[derive(Debug)]
 struct State {
-    chance: Chance,
+    rng: Rng,
     machines: BTreeMap<IpAddr, MachineState>,
     /// Directions that are cut, each as often as cuts overlap.
     cuts: BTreeMap<(IpAddr, IpAddr), u32>,
@@ -148,9 +148,9 @@
 
 impl Network {
     /// A network without machines.
-    pub fn new(chance: Chance) -> Network {
+    pub fn new(rng: Rng) -> Network {
         let state = State {
-            chance,
+            rng,
             machines: BTreeMap::new(),
             cuts: BTreeMap::new(),
             pipes: BTreeMap::new(),
@@ -328,7 +328,7 @@
     pub fn send_datagram(&self, now: Time, from: SocketAddr, to: SocketAddr, bytes: &[u8]) {
         let mailbox = {
             let mut state = self.lock();
-            let lost = state.chance.one_in(DATAGRAM_LOSS);
+            let lost = state.rng.one_in(DATAGRAM_LOSS);
             let at = now + state.delay();
             let reachable = !lost && !state.is_cut(from.ip(), to.ip()) && state.has_power(to.ip());
             let mailbox = state.mailboxes.get(&to).filter(|_| reachable).cloned();
@@ -359,7 +359,7 @@
     }
 
     fn delay(&mut self) -> Span {
-        LEAST_DELAY + Span::from_nanos(self.chance.below(MORE_DELAY_NANOS))
+        LEAST_DELAY + Span::from_nanos(self.rng.below(MORE_DELAY_NANOS))
     }
 
     fn join(&mut self, now: Time, from: IpAddr, to: IpAddr) {
@@ -377,7 +377,7 @@
             .map(|(id, _)| *id)
             .collect();
         for id in pipes {
-            let again = now + Span::from_nanos(self.chance.below(MORE_RESEND_NANOS));
+            let again = now + Span::from_nanos(self.rng.below(MORE_RESEND_NANOS));
             let Some(pipe) = self.pipes.get_mut(&id) else { continue };
             if both_open {
                 pipe.unacknowledged_since = None;
--- a/crates/emulator/src/operators.rs
+++ b/crates/emulator/src/operators.rs
@@ -12,9 +12,9 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-use crate::chance::Chance;
 use crate::history::{History, OrderId, Seen};
 use crate::http::{Answer, Call};
+use juniperwing_random::Rng;
 
 /// A caller moves on after this much silence.
 const SILENCE: Duration = Duration::from_secs(1);
@@ -53,7 +53,7 @@
 /// One operator.
 struct Operator {
     office: Arc<Office>,
-    chance: Chance,
+    rng: Rng,
     /// The newest version that it knows of.
     known: u64,
 }
@@ -88,8 +88,8 @@
     });
     let mut operators = JoinSet::new();
     for number in 0..count {
-        let chance = Chance::new(seed, 1_000 + number);
-        operators.spawn(Operator { office: Arc::clone(&office), chance, known: 0 }.work());
+        let rng = Rng::for_purpose(seed, 1_000 + number);
+        operators.spawn(Operator { office: Arc::clone(&office), rng, known: 0 }.work());
     }
     while operators.join_next().await.is_some() {}
 }
@@ -99,12 +99,12 @@
         loop {
             self.pause(200, 1_500).await;
             let quiet = clock::now() >= self.office.quiet_from;
-            match self.chance.below(10) {
+            match self.rng.below(10) {
                 _ if quiet => self.read().await,
                 0 => self.send_again().await,
                 1 | 2 => self.read().await,
                 3 => {
-                    let count = 2 + self.chance.below(MOST_AT_ONCE - 1);
+                    let count = 2 + self.rng.below(MOST_AT_ONCE - 1);
                     self.send_many(count).await;
                 }
                 _ => self.send_many(1).await,
@@ -113,7 +113,7 @@
     }
 
     async fn pause(&mut self, least_ms: u64, limit_ms: u64) {
-        sleep(Duration::from_millis(self.chance.between(least_ms, limit_ms))).await;
+        sleep(Duration::from_millis(self.rng.between(least_ms, limit_ms))).await;
     }
 
     /// Sends different orders on one base at once, some of them under the same number.
@@ -121,12 +121,12 @@
         let mut calls = JoinSet::new();
         for _ in 0..count {
             let id = self.office.next_order.fetch_add(1, Ordering::Relaxed);
-            let generation = self.known + 1 + self.chance.below(3);
+            let generation = self.known + 1 + self.rng.below(3);
             let order = Order { id, base: self.known, generation };
             let made = Seen::OrderMade { order: id, base: order.base, generation };
             self.office.history.add(clock::now(), made);
-            let chance = Chance::new(self.chance.bits(), 1);
-            calls.spawn(Arc::clone(&self.office).send_until_clear(order, chance));
+            let rng = Rng::for_purpose(self.rng.next_u64(), 1);
+            calls.spawn(Arc::clone(&self.office).send_until_clear(order, rng));
         }
         let mut refused = false;
         while let Some(sent) = calls.join_next().await {
@@ -144,16 +144,16 @@
     async fn send_again(&mut self) {
         let order = {
             let acknowledged = lock(&self.office.acknowledged);
-            self.chance.choose(&acknowledged).cloned()
+            self.rng.choose(&acknowledged).cloned()
         };
         if let Some(order) = order {
-            let chance = Chance::new(self.chance.bits(), 2);
-            Arc::clone(&self.office).send_until_clear(order, chance).await;
+            let rng = Rng::for_purpose(self.rng.next_u64(), 2);
+            Arc::clone(&self.office).send_until_clear(order, rng).await;
         }
     }
 
     async fn read(&mut self) {
-        let turn = self.office.first_turn(&mut self.chance);
+        let turn = self.office.first_turn(&mut self.rng);
         let Some(address) = self.office.keeper(turn) else { return };
         let asked = clock::now();
         let get = Call { line: "GET /config".to_owned(), body: Vec::new(), base: None };
@@ -167,8 +167,8 @@
 
 impl Office {
     /// Where to begin in the list of keepers.
-    fn first_turn(&self, chance: &mut Chance) -> usize {
-        chance.below(self.keepers.borrow().len() as u64) as usize
+    fn first_turn(&self, rng: &mut Rng) -> usize {
+        rng.below(self.keepers.borrow().len() as u64) as usize
     }
 
     /// The keeper whose turn it is.
@@ -178,13 +178,13 @@
     }
 
     /// Sends an order to one keeper after the other; gives back the clear answer's status.
-    async fn send_until_clear(self: Arc<Self>, order: Order, mut chance: Chance) -> Option<(u16, Order)> {
+    async fn send_until_clear(self: Arc<Self>, order: Order, mut rng: Rng) -> Option<(u16, Order)> {
         let give_up = clock::now() + GIVE_UP_AFTER;
         let put = Call { line: "PUT /config".to_owned(), body: body(&order), base: Some(order.base) };
         let mut pause = FIRST_PAUSE_MS;
-        let mut turn = self.first_turn(&mut chance);
+        let mut turn = self.first_turn(&mut rng);
         while clock::now() < give_up {
-            let status = self.send_once(&order, &put, turn, &mut chance).await;
+            let status = self.send_once(&order, &put, turn, &mut rng).await;
             if let Some(status) = status.filter(|status| is_clear(*status)) {
                 return Some((status, order));
             }
@@ -196,12 +196,12 @@
         None
     }
 
-    async fn send_once(&self, order: &Order, put: &Call, turn: usize, chance: &mut Chance) -> Option<u16> {
+    async fn send_once(&self, order: &Order, put: &Call, turn: usize, rng: &mut Rng) -> Option<u16> {
         let address = self.keeper(turn)?;
         let asked = clock::now();
         // The answer may be lost: the operator then learns nothing.
-        let is_lost = chance.one_in(LOST_ANSWERS);
-        let within = if is_lost { Duration::from_millis(chance.below(LOST_WITHIN_MS)) } else { SILENCE };
+        let is_lost = rng.one_in(LOST_ANSWERS);
+        let within = if is_lost { Duration::from_millis(rng.below(LOST_WITHIN_MS)) } else { SILENCE };
         let Answer { status, .. } = put.make(address, within).await?;
         let keeper = number_of(&address);
         self.history.add(clock::now(), Seen::OrderAnswered { order: order.id, status, asked, keeper });
--- a/crates/emulator/src/relay.rs
+++ b/crates/emulator/src/relay.rs
@@ -94,7 +94,11 @@
 
     fn applied(&self) -> AppliedVersions {
         let held = lock(&self.held);
-        AppliedVersions { configuration: held.configuration, stores: held.stores, ..AppliedVersions::default() }
+        AppliedVersions {
+            configuration: held.configuration,
+            stores: held.stores,
+            ..AppliedVersions::default()
+        }
     }
 
     fn configuration(&self) -> Version {
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -11,7 +11,6 @@
 use tokio::sync::watch;
 
 use self::roles::Keeper;
-use crate::chance::Chance;
 use crate::clock::WorldTime;
 use crate::day::{Day, QUIET_MS};
 use crate::history::{History, Seen};
@@ -20,6 +19,7 @@
 use crate::network::{LEAST_DELAY, Network};
 use crate::stability::millis;
 use crate::{endpoints, operators};
+use juniperwing_random::Rng;
 
 /// Relays of a day.
 pub const RELAYS: usize = 2;
@@ -68,7 +68,7 @@
     agenda: BTreeMap<(u64, u64), Action>,
     agenda_count: u64,
     cuts: BTreeMap<usize, Vec<(IpAddr, IpAddr)>>,
-    chance: Chance,
+    rng: Rng,
 }
 
 /// Plays a day; gives back what was seen. `with_logs` adds the logs of the keepers.
@@ -96,7 +96,7 @@
     fn new(day: Day, with_logs: bool) -> World {
         let world_time = WorldTime::default();
         world_time.set(time(1));
-        let network = Arc::new(Network::new(Chance::new(day.seed, 1)));
+        let network = Arc::new(Network::new(Rng::for_purpose(day.seed, 1)));
         let host = |group: u8, number: usize| {
             let purpose = u64::from(group) * 1_000 + number as u64 + 10_000;
             let (network, world_time) = (Arc::clone(&network), world_time.clone());
@@ -118,7 +118,7 @@
             agenda: BTreeMap::new(),
             agenda_count: 0,
             cuts: BTreeMap::new(),
-            chance: Chance::new(day.seed, 2),
+            rng: Rng::for_purpose(day.seed, 2),
             world_time,
             network,
             day,
@@ -132,7 +132,7 @@
 
     fn start(&mut self) {
         for number in self.members.clone() {
-            let at = 1 + self.chance.below(300);
+            let at = 1 + self.rng.below(300);
             self.at(at, Action::StartKeeper(number));
         }
         for relay in 1..=RELAYS {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,7 +1,7 @@
 //! SWIM membership: which processes of the serving tier are alive, and where they listen.
 //!
 //! [`Membership`] is a pure state machine. It is handed the time, datagrams and ticks, and returns datagrams to
-//! send, changes to report and the time of its next wake-up. It opens no socket, reads no clock and draws chance
+//! send, changes to report and the time of its next wake-up. It opens no socket, reads no clock and draws rng
 //! only from the seed it was given.
 //!
 //! - **Failure detection.** Once a probe interval one member is pinged, in a shuffled round. Without an answer a
@@ -23,9 +23,9 @@
 //! updates, up to `gossip_fanout` more datagrams per probe interval are sent, of at most
 //! [`MAX_DATAGRAM_BYTES`] each.
 
-mod chance;
 mod digest;
 mod dissemination;
+mod jitter;
 mod member;
 mod membership;
 mod probe;
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -4,7 +4,6 @@
 
 use juniperwing_clock::Time;
 
-use crate::chance::Chance;
 use crate::dissemination::{self, Dissemination};
 use crate::member::{Incarnation, Life, Member, MemberId, Record, Status};
 use crate::probe::Prober;
@@ -12,6 +11,7 @@
 use crate::settings::{Settings, SettingsError, Timings};
 use crate::table::Table;
 use crate::wire::{Datagram, DecodeError, MAX_INCARNATION, Message, Outgoing};
+use juniperwing_random::Rng;
 
 /// How often another life under the own name is contradicted before its process counts as running still.
 const MAX_CONTRADICTIONS: u32 = 3;
@@ -93,7 +93,7 @@
     pub(crate) timings: Timings,
     pub(crate) table: Table,
     pub(crate) news: Dissemination,
-    pub(crate) chance: Chance,
+    pub(crate) rng: Rng,
     pub(crate) prober: Prober,
     pub(crate) reconciler: Reconciler,
     commands: Vec<Command>,
@@ -113,10 +113,10 @@
     pub fn new(now: Time, settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let Settings { me, seeds, timings } = settings;
-        let mut chance = Chance::new(seed);
+        let mut rng = Rng::new(seed);
         let mut table = Table::default();
-        let prober = Prober::new(now, &timings, &mut chance);
-        let reconciler = Reconciler::new(now, seeds, me.gossip, &timings, &mut chance);
+        let prober = Prober::new(now, &timings, &mut rng);
+        let reconciler = Reconciler::new(now, seeds, me.gossip, &timings, &mut rng);
         let id = me.id.clone();
         let own = Record { member: me, incarnation: Incarnation(0), status: Status::Alive };
         table.put(own.clone(), None);
@@ -126,7 +126,7 @@
             timings,
             table,
             news: Dissemination::default(),
-            chance,
+            rng,
             prober,
             reconciler,
             commands: Vec::new(),
@@ -325,7 +325,7 @@
     /// A member that is there, and was not known or not there before.
     fn enlist(&mut self, now: Time, record: &Record, ground: Ground) {
         let id = &record.member.id;
-        self.prober.enlist(id, &mut self.chance);
+        self.prober.enlist(id, &mut self.rng);
         match ground {
             Ground::Itself => self.reconciler.met(id),
             Ground::Comparison => self.reconciler.learned_of_member(now, &self.timings),
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -5,12 +5,13 @@
 
 use juniperwing_clock::{Span, Time};
 
-use crate::chance::Chance;
+use crate::jitter::jitter;
 use crate::member::{MemberId, Record, Status};
 use crate::membership::Membership;
 use crate::settings::Timings;
 use crate::table::MAX_MEMBERS;
 use crate::wire::{Message, Sequence};
+use juniperwing_random::Rng;
 
 /// How far the interval between probes varies, so that members do not probe in step.
 const PROBE_JITTER: f64 = 0.1;
@@ -60,11 +61,11 @@
 
 impl Prober {
     /// Nothing is under way; the first probe comes within an interval.
-    pub fn new(now: Time, timings: &Timings, chance: &mut Chance) -> Self {
+    pub fn new(now: Time, timings: &Timings, rng: &mut Rng) -> Self {
         let half = timings.probe_interval.mul_f64(0.5);
         Prober {
             probe_interval: timings.probe_interval,
-            next_probe: now + chance.jitter(half, 1.0),
+            next_probe: now + jitter(rng, half, 1.0),
             probe: None,
             round: Vec::new(),
             position: 0,
@@ -75,12 +76,12 @@
     }
 
     /// Puts a member at a random place in the rest of the round.
-    pub fn enlist(&mut self, id: &MemberId, chance: &mut Chance) {
+    pub fn enlist(&mut self, id: &MemberId, rng: &mut Rng) {
         if self.round.len() >= 2 * MAX_MEMBERS {
             return;
         }
         let rest = self.round.len() - self.position;
-        let place = self.position + chance.below(rest + 1);
+        let place = self.position + rng.index(rest + 1);
         self.round.insert(place, id.clone());
     }
 
@@ -140,7 +141,7 @@
 
     /// Pings the next member of the round, and some of those that are suspected.
     pub(crate) fn begin_probe(&mut self, now: Time) {
-        let interval = self.chance.jitter(self.timings.probe_interval, PROBE_JITTER);
+        let interval = jitter(&mut self.rng, self.timings.probe_interval, PROBE_JITTER);
         self.prober.next_probe = now + interval;
         self.repeat_pings();
         let Some(target) = self.next_in_round() else { return };
@@ -188,7 +189,7 @@
         let live = self.table.records().filter(|record| record.status.is_live());
         let others = live.map(|record| &record.member.id).filter(|id| **id != self.me);
         let mut round: Vec<MemberId> = others.cloned().collect();
-        self.chance.shuffle(&mut round);
+        self.rng.shuffle(&mut round);
         self.prober.round = round;
         self.prober.position = 0;
     }
@@ -200,7 +201,7 @@
             if picked.len() == count {
                 break;
             }
-            let index = self.chance.below(self.prober.round.len());
+            let index = self.rng.index(self.prober.round.len());
             let Some(id) = self.prober.round.get(index) else { break };
             let taken = picked.iter().any(|record| record.member.id == *id);
             if taken || except == Some(id) {
--- a/crates/membership/src/reconcile.rs
+++ b/crates/membership/src/reconcile.rs
@@ -4,12 +4,13 @@
 
 use juniperwing_clock::{Span, Time};
 
-use crate::chance::Chance;
 use crate::digest::{Buckets, HashRange};
+use crate::jitter::jitter;
 use crate::member::{MemberId, Record, Status};
 use crate::membership::Membership;
 use crate::settings::{MAX_SEEDS, Timings};
 use crate::wire::{MAX_DATAGRAM_BYTES, Message, Outgoing};
+use juniperwing_random::Rng;
 
 /// The most pages that answer one digest.
 const MAX_PAGES_PER_DIGEST: usize = 16;
@@ -41,12 +42,12 @@
 impl Reconciler {
     /// Seeds are asked at the first tick. `own` is left out of them.
     pub fn new(
-        now: Time, mut seeds: Vec<SocketAddr>, own: SocketAddr, timings: &Timings, chance: &mut Chance,
+        now: Time, mut seeds: Vec<SocketAddr>, own: SocketAddr, timings: &Timings, rng: &mut Rng,
     ) -> Self {
         seeds.retain(|seed| *seed != own);
         Reconciler {
             seeds,
-            next_sync: now + chance.jitter(timings.probe_interval, SYNC_JITTER),
+            next_sync: now + jitter(rng, timings.probe_interval, SYNC_JITTER),
             sync_wait: timings.probe_interval,
             partner: None,
             next_reach: now,
@@ -100,7 +101,7 @@
             return;
         }
         let wait = self.reconciler.sync_wait;
-        self.reconciler.next_sync = now + self.chance.jitter(wait, SYNC_JITTER);
+        self.reconciler.next_sync = now + jitter(&mut self.rng, wait, SYNC_JITTER);
         self.reconciler.sync_wait = (wait + wait).min(self.timings.sync_interval);
         let partner = self.reconciler.partner.take();
         if partner.is_none() && wait >= self.timings.sync_interval {
@@ -119,7 +120,7 @@
         if now < self.reconciler.next_reach {
             return;
         }
-        let wait = self.chance.jitter(self.reconciler.reach_wait, REACH_JITTER);
+        let wait = jitter(&mut self.rng, self.reconciler.reach_wait, REACH_JITTER);
         self.reconciler.next_reach = now + wait;
         let doubled = self.reconciler.reach_wait + self.reconciler.reach_wait;
         self.reconciler.reach_wait = doubled.min(self.timings.reconnect_interval);
@@ -144,7 +145,7 @@
     fn pick_dead(&mut self) -> Option<Record> {
         let dead = |record: &&Record| record.status == Status::Dead;
         let count = self.table.records().filter(dead).count();
-        let index = self.chance.below(count);
+        let index = self.rng.index(count);
         self.table.records().filter(dead).nth(index).cloned()
     }
 
@@ -166,7 +167,7 @@
             self.reconciler.catching_up = false;
             return;
         }
-        let start = self.chance.below(ranges.len());
+        let start = self.rng.index(ranges.len());
         ranges.rotate_left(start);
         let allowed = self.allowed_pages();
         let pages = ranges.into_iter().flat_map(|range| self.pages_of(range));
--- a/crates/random/src/lib.rs
+++ b/crates/random/src/lib.rs
@@ -1,21 +1,93 @@
-//! A small deterministic generator, seeded by the caller, for packages that draw no chance of their own.
+//! A deterministic pseudo-random number generator, seeded by the caller.
+//!
+//! The packages that decide or simulate draw from it, so that the same seed gives the same run. It is good enough to keep
+//! processes apart and to draw test cases, and is of no use for secrets.
 
-/// SplitMix64: good enough to keep processes apart, not for secrets.
+use rand_xoshiro::SplitMix64;
+use rand_xoshiro::rand_core::{RngCore, SeedableRng};
+
+/// Odd, and without a pattern in its bits: the increment of SplitMix64, which spreads small numbers over all 64 bits.
+const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
+
+/// A stream of pseudo-random numbers (SplitMix64).
 #[derive(Clone, Debug)]
-pub struct SplitMix64(u64);
+pub struct Rng(SplitMix64);
 
-impl SplitMix64 {
+impl Rng {
     /// The stream that belongs to `seed`.
-    pub const fn new(seed: u64) -> Self {
-        SplitMix64(seed)
+    pub fn new(seed: u64) -> Self {
+        Rng(SplitMix64::from_seed(seed.to_le_bytes()))
+    }
+
+    /// The stream that belongs to a seed and a numbered purpose; streams of other purposes are independent of it.
+    pub fn for_purpose(seed: u64, purpose: u64) -> Self {
+        let mut mixer = Rng::new(seed ^ purpose.wrapping_mul(GOLDEN_RATIO));
+        Rng::new(mixer.next_u64())
+    }
+
+    /// The stream that belongs to a seed and a named purpose; streams of other purposes are independent of it.
+    pub fn for_named_purpose(seed: u64, purpose: &str) -> Self {
+        let mixed = purpose.bytes().fold(seed, |mixed, byte| {
+            Rng::new(mixed ^ u64::from(byte).wrapping_mul(GOLDEN_RATIO)).next_u64()
+        });
+        Rng::new(mixed)
     }
 
     /// The next 64 bits.
-    pub fn bits(&mut self) -> u64 {
-        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut mixed = self.0;
-        mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        mixed ^ (mixed >> 31)
+    pub fn next_u64(&mut self) -> u64 {
+        self.0.next_u64()
+    }
+
+    /// A number from 0 up to and without 1, in steps of 2^-53.
+    pub fn unit(&mut self) -> f64 {
+        (self.next_u64() >> 11) as f64 / (1u64 << 53) as f64
+    }
+
+    /// A number below `limit`; 0 if `limit` is 0.
+    pub fn below(&mut self, limit: u64) -> u64 {
+        self.next_u64() % limit.max(1)
+    }
+
+    /// A number from `least` up to and without `limit`; `least` if there is none.
+    pub fn between(&mut self, least: u64, limit: u64) -> u64 {
+        least + self.below(limit.saturating_sub(least))
+    }
+
+    /// Whether one of `count` equally probable cases has come.
+    pub fn one_in(&mut self, count: u64) -> bool {
+        self.below(count) == 0
+    }
+
+    /// True so many times in a hundred.
+    pub fn percent(&mut self, percent: u64) -> bool {
+        self.below(100) < percent
+    }
+
+    /// An index below `length`, each as probable as the others; 0 if `length` is 0. Takes the high bits of a draw, where
+    /// [`Rng::below`] takes the remainder.
+    pub fn index(&mut self, length: usize) -> usize {
+        let wide = u128::from(self.next_u64()) * length as u128;
+        (wide >> 64) as usize
+    }
+
+    /// Puts `items` in a random order.
+    pub fn shuffle<T>(&mut self, items: &mut [T]) {
+        for end in (1..items.len()).rev() {
+            items.swap(end, self.index(end + 1));
+        }
+    }
+
+    /// One of the items.
+    ///
+    /// # Panics
+    ///
+    /// If there is none.
+    pub fn pick<T: Copy>(&mut self, items: &[T]) -> T {
+        *self.choose(items).expect("something to pick from")
+    }
+
+    /// One of the items; `None` if there is none.
+    pub fn choose<'items, T>(&mut self, items: &'items [T]) -> Option<&'items T> {
+        items.get(self.below(items.len() as u64) as usize)
     }
 }
--- a/crates/replication/src/candidacy.rs
+++ b/crates/replication/src/candidacy.rs
@@ -331,7 +331,7 @@
     pub(crate) fn back_off(&mut self, now: Time) {
         self.attempts = self.attempts.saturating_add(1);
         let most = self.settings.timings.election.mul_f64(f64::from(self.attempts.min(MAX_BACK_OFF)));
-        self.election_at = now + self.settings.timings.heartbeat + self.jitter.up_to(most);
+        self.election_at = now + self.settings.timings.heartbeat + self.jitter.below(most);
         self.stage = Stage::Following;
     }
 
--- a/crates/replication/src/jitter.rs
+++ b/crates/replication/src/jitter.rs
@@ -1,20 +1,20 @@
-//! Random spans from a seed.
+//! Random spans that keep candidates from acting at the same time.
 
 use juniperwing_clock::Span;
-use juniperwing_random::SplitMix64;
+use juniperwing_random::Rng;
 
-/// A small generator; its quality is enough to keep candidates apart.
+/// A source of random spans.
 #[derive(Clone, Debug)]
-pub(crate) struct Jitter(SplitMix64);
+pub(crate) struct Jitter(Rng);
 
 impl Jitter {
     /// Starts from `seed`.
     pub(crate) fn new(seed: u64) -> Self {
-        Jitter(SplitMix64::new(seed))
+        Jitter(Rng::new(seed))
     }
 
-    /// A span from nothing up to `most`.
-    pub(crate) fn up_to(&mut self, most: Span) -> Span {
-        Span::from_nanos(self.0.bits() % (most.as_nanos().max(1)))
+    /// A span from zero up to and without `limit`.
+    pub(crate) fn below(&mut self, limit: Span) -> Span {
+        Span::from_nanos(self.0.below(limit.as_nanos()))
     }
 }
--- a/crates/replication/src/primary.rs
+++ b/crates/replication/src/primary.rs
@@ -337,7 +337,8 @@
     /// A voter promised a number above this epoch's. If nobody takes office under it, this primary seeks an
     /// epoch above it, so that the voter can follow again.
     pub(crate) fn outbid(&mut self, now: Time) {
-        let patience = self.settings.timings.election.mul_f64(0.5) + self.jitter.up_to(Span::from_millis(100));
+        let patience =
+            self.settings.timings.election.mul_f64(0.5) + self.jitter.below(Span::from_millis(100));
         let Some(office) = &mut self.office else { return };
         office.outbid_at.get_or_insert(now + patience);
     }
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -88,7 +88,7 @@
         let mut jitter = Jitter::new(seed);
         let was_primary = ballot.accepted.primary == settings.me.disk;
         let patience = if was_primary { RETURN } else { settings.timings.election };
-        let election_at = now + patience + jitter.up_to(patience.mul_f64(0.5));
+        let election_at = now + patience + jitter.below(patience.mul_f64(0.5));
         Ok(Replica {
             settings,
             jitter,
@@ -221,7 +221,7 @@
         let Timings { election, stagger, .. } = self.settings.timings;
         let place = self.known.in_sync.iter().position(|disk| *disk == self.settings.me.disk);
         let rank = place.unwrap_or_default().saturating_sub(1);
-        election + stagger.mul_f64(rank as f64) + self.jitter.up_to(stagger.mul_f64(0.5))
+        election + stagger.mul_f64(rank as f64) + self.jitter.below(stagger.mul_f64(0.5))
     }
 
     pub(crate) fn command(&mut self, command: Command) {
--- a/crates/soak/src/fault/host.rs
+++ b/crates/soak/src/fault/host.rs
@@ -27,15 +27,15 @@
     disk: Arc<FaultyDisk>,
     began: Instant,
     draws: AtomicU64,
-    chance: RandomState,
+    rng: RandomState,
 }
 
 impl FaultyHost {
     /// The machine at an address.
     pub fn new(address: IpAddr, rules: LiveRules) -> FaultyHost {
         let disk = Arc::new(FaultyDisk::new(rules.clone()));
-        let (draws, chance) = (AtomicU64::new(0), RandomState::new());
-        FaultyHost { address, rules, disk, began: Instant::now(), draws, chance }
+        let (draws, rng) = (AtomicU64::new(0), RandomState::new());
+        FaultyHost { address, rules, disk, began: Instant::now(), draws, rng }
     }
 }
 
@@ -51,7 +51,7 @@
     }
 
     fn random(&self) -> u64 {
-        self.chance.hash_one(self.draws.fetch_add(1, Ordering::Relaxed))
+        self.rng.hash_one(self.draws.fetch_add(1, Ordering::Relaxed))
     }
 
     fn listen(&self, address: SocketAddr) -> io::Result<Arc<dyn SimulatedListener>> {
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -6,7 +6,6 @@
 //! programs, plain clients and operators work ([`load`]). What they saw goes into a [`history`], which an [`oracle`]
 //! judges. `docs/soak.md` tells what is judged and how to use it.
 
-pub mod chance;
 pub mod command;
 pub mod coverage;
 pub mod fault;
--- a/crates/soak/src/load.rs
+++ b/crates/soak/src/load.rs
@@ -15,12 +15,12 @@
 use juniperwing_node::sync::lock;
 use tokio::task::JoinSet;
 
-use crate::chance::Chance;
 use crate::history::History;
 use crate::network::{CONTROL_PORT, Network};
 use crate::schedule::KEEPERS;
 use crate::tier::Tier;
 use crate::troubles::Misbehaviour;
+use juniperwing_random::Rng;
 
 pub use self::endpoint::Endpoints;
 pub use self::operator::{HOST, Operators, generation_of, read as read_configuration, retired};
@@ -120,8 +120,8 @@
     }
 
     /// A sequence of draws of its own.
-    fn chance(&self, purpose: &str) -> Chance {
-        Chance::new(self.seed, purpose)
+    fn rng(&self, purpose: &str) -> Rng {
+        Rng::for_named_purpose(self.seed, purpose)
     }
 
     /// A keeper's control listener.
--- a/crates/soak/src/load/endpoint.rs
+++ b/crates/soak/src/load/endpoint.rs
@@ -13,11 +13,11 @@
 
 use super::Shared;
 use super::program::STRIDE;
-use crate::chance::Chance;
 use crate::history::Millis;
 use crate::http::{Connection, Head, ask, request};
 use crate::schedule::KEEPERS;
 use crate::troubles::Misbehaviour;
+use juniperwing_random::Rng;
 
 /// The service of turns.
 pub const ENGINE: &str = "engine";
@@ -177,8 +177,8 @@
 }
 
 async fn beat(shared: &Arc<Shared>, life: &Life) {
-    let mut chance = shared.chance(&life.instance);
-    let mut keeper = chance.below(KEEPERS as u64) as usize;
+    let mut rng = shared.rng(&life.instance);
+    let mut keeper = rng.below(KEEPERS as u64) as usize;
     loop {
         if !life.draining.load(Ordering::Relaxed) && !tell(shared, life, keeper, "ready").await {
             keeper += 1;
@@ -221,10 +221,10 @@
 }
 
 async fn serve(shared: Arc<Shared>, life: Arc<Life>, mut connection: Connection) {
-    let mut chance = shared.chance(&shared.name(&life.instance));
+    let mut rng = shared.rng(&shared.name(&life.instance));
     while let Ok(Some(head)) = connection.request_head().await {
         let Ok(body) = connection.whole_body(&head).await else { return };
-        if !answer(&shared, &life, &mut connection, &head, &body, &mut chance).await {
+        if !answer(&shared, &life, &mut connection, &head, &body, &mut rng).await {
             return;
         }
     }
@@ -232,21 +232,20 @@
 
 /// Answers one request. Tells whether the connection goes on.
 async fn answer(
-    shared: &Arc<Shared>, life: &Life, connection: &mut Connection, head: &Head, body: &[u8],
-    chance: &mut Chance,
+    shared: &Arc<Shared>, life: &Life, connection: &mut Connection, head: &Head, body: &[u8], rng: &mut Rng,
 ) -> bool {
     let id = head.header("x-request-id").to_owned();
     if head.header("x-expect-instance") != life.instance {
         return connection.write(&refusal(421, &id)).await.is_ok();
     }
-    let misbehaviour = shared.misbehaviour().filter(|_| chance.percent(MISBEHAVES));
+    let misbehaviour = shared.misbehaviour().filter(|_| rng.percent(MISBEHAVES));
     let is_full = life.running.load(Ordering::Relaxed) >= CAPACITY;
     if is_full || misbehaviour == Some(Misbehaviour::Decline) {
         return connection.write(&refusal(503, &id)).await.is_ok();
     }
     note_run(shared, life, &id, body);
     life.running.fetch_add(1, Ordering::Relaxed);
-    let going_on = run_request(shared, life, connection, head, misbehaviour, chance).await;
+    let going_on = run_request(shared, life, connection, head, misbehaviour, rng).await;
     life.running.fetch_sub(1, Ordering::Relaxed);
     going_on
 }
@@ -266,16 +265,16 @@
 
 async fn run_request(
     shared: &Arc<Shared>, life: &Life, connection: &mut Connection, head: &Head,
-    misbehaviour: Option<Misbehaviour>, chance: &mut Chance,
+    misbehaviour: Option<Misbehaviour>, rng: &mut Rng,
 ) -> bool {
     let id = head.header("x-request-id").to_owned();
     let answer = if life.service == ENGINE {
-        stream(&id, head, chance)
+        stream(&id, head, rng)
     } else {
-        vec![format!("{id} ran at {} as {:08x}\n", life.instance, chance.below(1 << 32)).into_bytes()]
+        vec![format!("{id} ran at {} as {:08x}\n", life.instance, rng.below(1 << 32)).into_bytes()]
     };
     shared.history.answered(&id, &answer.concat());
-    sleep(Duration::from_millis(3 + chance.below(30))).await;
+    sleep(Duration::from_millis(3 + rng.below(30))).await;
     match misbehaviour {
         Some(Misbehaviour::Hang) => {
             shared.history.spoiled(&id);
@@ -291,11 +290,11 @@
         _ => {}
     }
     let told = if misbehaviour == Some(Misbehaviour::OtherId) { "another" } else { id.as_str() };
-    let closes = life.draining.load(Ordering::Relaxed) || chance.percent(3);
+    let closes = life.draining.load(Ordering::Relaxed) || rng.percent(3);
     let breaks_after = match misbehaviour {
         Some(Misbehaviour::BreakOff) => {
             shared.history.spoiled(&id);
-            chance.below(answer.len() as u64) as usize
+            rng.below(answer.len() as u64) as usize
         }
         _ => usize::MAX,
     };
@@ -354,10 +353,10 @@
 }
 
 /// The events of a turn: no more than it may generate.
-fn stream(id: &str, head: &Head, chance: &mut Chance) -> Vec<Vec<u8>> {
+fn stream(id: &str, head: &Head, rng: &mut Rng) -> Vec<Vec<u8>> {
     let most: u64 =
         head.header("x-token-count").split(',').nth(1).and_then(|most| most.parse().ok()).unwrap_or(3);
-    let events = 1 + chance.below((most / STRIDE).max(1));
+    let events = 1 + rng.below((most / STRIDE).max(1));
     let event = |number| format!("id: {number}\ndata: {id}.{number}.{:x}\n\n", most * number).into_bytes();
     (1..=events).map(event).collect()
 }
--- a/crates/soak/src/load/operator.rs
+++ b/crates/soak/src/load/operator.rs
@@ -7,11 +7,11 @@
 
 use super::Shared;
 use super::endpoint::{ENGINE, TOOL};
-use crate::chance::Chance;
 use crate::history::{ConfigurationRead, Order, OrderAnswer};
 use crate::http::{Connection, ask, request};
 use crate::schedule::KEEPERS;
 use crate::troubles::Machine;
+use juniperwing_random::Rng;
 
 /// The host of all routes.
 pub const HOST: &str = "soak.example";
@@ -31,12 +31,12 @@
 impl Operators {
     /// Sends the first configuration until it is taken. `false` if that takes too long.
     pub async fn found(shared: &Arc<Shared>, within: Duration) -> bool {
-        let mut chance = shared.chance("first configuration");
+        let mut rng = shared.rng("first configuration");
         let body = configuration(1, &[1]);
         let order = note_order(shared, 0, 1, &body);
         let until = Instant::now() + within;
         while Instant::now() < until {
-            let keeper = chance.below(KEEPERS as u64) as usize;
+            let keeper = rng.below(KEEPERS as u64) as usize;
             if put(shared, order, keeper, 0, &body, false).await == Some(200) {
                 return true;
             }
@@ -56,36 +56,36 @@
 
     /// One operator, until the load ends.
     pub async fn run(shared: Arc<Shared>, number: u64) {
-        let mut chance = shared.chance(&format!("operator {number}"));
+        let mut rng = shared.rng(&format!("operator {number}"));
         let mut routes = vec![1];
         while shared.is_running() {
-            sleep(Duration::from_millis(150 + chance.below(700))).await;
-            if let Some(known) = read(&shared, chance.below(KEEPERS as u64) as usize).await {
+            sleep(Duration::from_millis(150 + rng.below(700))).await;
+            if let Some(known) = read(&shared, rng.below(KEEPERS as u64) as usize).await {
                 routes = known;
             }
-            if chance.percent(70) {
-                change(&shared, &mut routes, &mut chance).await;
+            if rng.percent(70) {
+                change(&shared, &mut routes, &mut rng).await;
             }
         }
     }
 }
 
 /// Sends one change until it has a clear answer, for a limited time.
-async fn change(shared: &Arc<Shared>, routes: &mut Vec<u64>, chance: &mut Chance) {
+async fn change(shared: &Arc<Shared>, routes: &mut Vec<u64>, rng: &mut Rng) {
     let base = routes.last().copied().unwrap_or_default();
-    let generation = base + 1 + chance.below(3);
+    let generation = base + 1 + rng.below(3);
     let mut next = routes.clone();
     next.push(generation);
     let surplus = next.len().saturating_sub(KEPT_ROUTES);
     next.drain(..surplus);
     let mut body = configuration(generation, &next);
     // Two operators may choose the same number: a blank tells their changes apart.
-    body.extend(std::iter::repeat_n(b' ', 1 + chance.below(50) as usize));
+    body.extend(std::iter::repeat_n(b' ', 1 + rng.below(50) as usize));
     let order = note_order(shared, base, generation, &body);
     let until = Instant::now() + PERSISTS;
-    let mut keeper = chance.below(KEEPERS as u64) as usize;
+    let mut keeper = rng.below(KEEPERS as u64) as usize;
     while Instant::now() < until {
-        let loses_answer = chance.percent(10);
+        let loses_answer = rng.percent(10);
         match put(shared, order, keeper, base, &body, loses_answer).await {
             Some(200) => {
                 *routes = next;
@@ -95,12 +95,12 @@
             _ => {}
         }
         keeper += 1;
-        sleep(Duration::from_millis(60 + chance.below(200))).await;
+        sleep(Duration::from_millis(60 + rng.below(200))).await;
         if !shared.is_running() {
             return;
         }
     }
-    if chance.percent(15) {
+    if rng.percent(15) {
         // The same order, long after its acknowledgement.
         let (shared, body) = (Arc::clone(shared), body);
         tokio::spawn(async move {
--- a/crates/soak/src/load/platform.rs
+++ b/crates/soak/src/load/platform.rs
@@ -7,10 +7,10 @@
 use juniperwing_node::command::Role;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::chance::Chance;
 use crate::http::{ask, request};
 use crate::network::{FRONTEND_PORT, Network, READINESS_PORT};
 use crate::schedule::RELAYS;
+use juniperwing_random::Rng;
 
 /// Between two questions to a relay.
 const ASK_EVERY: Duration = Duration::from_secs(1);
@@ -67,9 +67,9 @@
     }
 
     /// A relay for a new connection; any of them if none is known to be ready.
-    pub fn choose(&self, chance: &mut Chance) -> usize {
+    pub fn choose(&self, rng: &mut Rng) -> usize {
         let ready: Vec<usize> = (0..RELAYS).filter(|relay| self.takes(*relay)).collect();
-        if ready.is_empty() { chance.below(RELAYS as u64) as usize } else { chance.choose(&ready) }
+        if ready.is_empty() { rng.below(RELAYS as u64) as usize } else { rng.pick(&ready) }
     }
 
     /// Where a relay takes clients.
--- a/crates/soak/src/load/program.rs
+++ b/crates/soak/src/load/program.rs
@@ -8,9 +8,9 @@
 
 use super::Shared;
 use super::operator::HOST;
-use crate::chance::Chance;
 use crate::history::{Budget, Ended, Millis, RequestKind, Try};
 use crate::http::{Connection, Head, request};
+use juniperwing_random::Rng;
 
 /// The time that a turn is given, in milliseconds.
 const DEADLINE_MS: Millis = 4_000;
@@ -48,16 +48,16 @@
 
 /// One line of programs, one program after the other, until the load ends.
 pub async fn run(shared: Arc<Shared>, line: u64) {
-    let mut chance = shared.chance(&format!("program {line}"));
+    let mut rng = shared.rng(&format!("program {line}"));
     while shared.is_running() {
-        run_program(&shared, &mut chance).await;
+        run_program(&shared, &mut rng).await;
     }
 }
 
-async fn run_program(shared: &Arc<Shared>, chance: &mut Chance) {
+async fn run_program(shared: &Arc<Shared>, rng: &mut Rng) {
     let program = shared.name("p");
-    let turns = 2 + chance.below(5);
-    let is_tight = chance.percent(25);
+    let turns = 2 + rng.below(5);
+    let is_tight = rng.percent(25);
     let tokens = if is_tight { MOST_TOKENS * 2 } else { MOST_TOKENS * (turns + 12) };
     let budget = Budget { tokens, most: MOST_TOKENS };
     shared.history.record().budgets.insert(program.clone(), budget);
@@ -66,33 +66,33 @@
         if !shared.is_running() {
             return;
         }
-        let next = match turn(shared, &program, budget, last.as_ref(), chance).await {
+        let next = match turn(shared, &program, budget, last.as_ref(), rng).await {
             TurnEnd::Whole(kept) => kept,
             _ => return,
         };
-        if chance.percent(15) {
+        if rng.percent(15) {
             // Two lines go on from the same turn, side by side.
-            let mut other = chance.clone();
+            let mut other = rng.clone();
             other.below(2);
             let side = turn(shared, &program, budget, Some(&next), &mut other);
-            let main = turn(shared, &program, budget, Some(&next), chance);
+            let main = turn(shared, &program, budget, Some(&next), rng);
             tokio::join!(side, main);
         }
         last = Some(next);
-        sleep(Duration::from_millis(chance.below(120))).await;
+        sleep(Duration::from_millis(rng.below(120))).await;
     }
 }
 
 /// One turn, tried a few times.
 async fn turn(
-    shared: &Arc<Shared>, program: &str, budget: Budget, previous: Option<&KeptTurn>, chance: &mut Chance,
+    shared: &Arc<Shared>, program: &str, budget: Budget, previous: Option<&KeptTurn>, rng: &mut Rng,
 ) -> TurnEnd {
     let mut end = TurnEnd::Promised;
     for _ in 0..TRIES {
-        end = try_turn(shared, program, budget, previous, chance).await;
+        end = try_turn(shared, program, budget, previous, rng).await;
         match end {
             TurnEnd::Promised | TurnEnd::Unclear => {
-                sleep(Duration::from_millis(100 + chance.below(300))).await;
+                sleep(Duration::from_millis(100 + rng.below(300))).await;
             }
             TurnEnd::Whole(_) | TurnEnd::BudgetSpent | TurnEnd::Unknown => return end,
         }
@@ -102,12 +102,12 @@
 
 /// Goes on from a turn that was answered whole some time ago, trying again and again. Tells whether that was done.
 pub async fn continue_turn(shared: &Arc<Shared>, kept: &KeptTurn, tries: usize) -> bool {
-    let mut chance = shared.chance(&kept.id);
+    let mut rng = shared.rng(&kept.id);
     let program = shared.name("c");
     let budget = Budget { tokens: MOST_TOKENS * 40, most: MOST_TOKENS };
     shared.history.record().budgets.insert(program.clone(), budget);
     for _ in 0..tries {
-        if let TurnEnd::Whole(_) = turn(shared, &program, budget, Some(kept), &mut chance).await {
+        if let TurnEnd::Whole(_) = turn(shared, &program, budget, Some(kept), &mut rng).await {
             return true;
         }
     }
@@ -115,14 +115,14 @@
 }
 
 async fn try_turn(
-    shared: &Arc<Shared>, program: &str, budget: Budget, previous: Option<&KeptTurn>, chance: &mut Chance,
+    shared: &Arc<Shared>, program: &str, budget: Budget, previous: Option<&KeptTurn>, rng: &mut Rng,
 ) -> TurnEnd {
-    let relay = shared.platform.choose(chance);
+    let relay = shared.platform.choose(rng);
     let Ok(mut connection) = Connection::open(shared.platform.frontend(relay)).await else {
         return TurnEnd::Promised;
     };
     let id = shared.name("t");
-    let input = format!("[{id}:{}]", "x".repeat(chance.below(400) as usize)).into_bytes();
+    let input = format!("[{id}:{}]", "x".repeat(rng.below(400) as usize)).into_bytes();
     let expected = [previous.map_or(&[][..], |kept| &kept.history), &input].concat();
     let bytes = turn_request(&id, program, budget, previous, &input);
     let sent_at = shared.history.now();
@@ -133,7 +133,7 @@
         shared.history.ended(&id, Ended::NotSent, 0);
         return TurnEnd::Unclear;
     }
-    let leaves_after = if shared.is_leaving() && chance.percent(30) { chance.below(6) } else { u64::MAX };
+    let leaves_after = if shared.is_leaving() && rng.percent(30) { rng.below(6) } else { u64::MAX };
     let mut events = Events::default();
     let (ended, end) = read_stream(&mut connection, &mut events, leaves_after).await;
     let tokens = events.whole.len() as u64 * STRIDE;
--- a/crates/soak/src/load/requests.rs
+++ b/crates/soak/src/load/requests.rs
@@ -7,9 +7,9 @@
 
 use super::Shared;
 use super::operator::HOST;
-use crate::chance::Chance;
 use crate::history::{Ended, Millis, RequestKind, Try};
 use crate::http::{Connection, request};
+use juniperwing_random::Rng;
 
 /// The time that a request is given, in milliseconds.
 const DEADLINE_MS: Millis = 2_500;
@@ -26,46 +26,46 @@
 
 /// One client, until the load ends or its time is over.
 pub async fn run(shared: Arc<Shared>, client: u64, until: Millis) {
-    let mut chance = shared.chance(&format!("client {client}"));
+    let mut rng = shared.rng(&format!("client {client}"));
     let mut kept: Option<Kept> = None;
     while shared.is_running() && shared.history.now() < until {
-        sleep(Duration::from_millis(20 + chance.below(160))).await;
-        if chance.percent(20) {
+        sleep(Duration::from_millis(20 + rng.below(160))).await;
+        if rng.percent(20) {
             kept = None;
         }
         let held = match kept.take() {
             Some(held) => held,
             None => {
-                let relay = shared.platform.choose(&mut chance);
+                let relay = shared.platform.choose(&mut rng);
                 match Connection::open(shared.platform.frontend(relay)).await {
                     Ok(connection) => Kept { relay, connection },
                     Err(_) => continue,
                 }
             }
         };
-        kept = one(&shared, held, &mut chance).await;
+        kept = one(&shared, held, &mut rng).await;
     }
 }
 
 /// One request. Gives the connection back if it may be used again.
-async fn one(shared: &Arc<Shared>, mut held: Kept, chance: &mut Chance) -> Option<Kept> {
+async fn one(shared: &Arc<Shared>, mut held: Kept, rng: &mut Rng) -> Option<Kept> {
     let id = shared.name("q");
-    let kind = if chance.percent(50) { RequestKind::Repeatable } else { RequestKind::Once };
+    let kind = if rng.percent(50) { RequestKind::Repeatable } else { RequestKind::Once };
     let (method, path) = match kind {
         RequestKind::Repeatable => ("GET", format!("/i/{id}")),
         RequestKind::Once | RequestKind::Turn => ("POST", format!("/n/{id}")),
     };
-    let length = if chance.percent(3) { LARGE_BYTES } else { chance.below(300) };
+    let length = if rng.percent(3) { LARGE_BYTES } else { rng.below(300) };
     let body: Vec<u8> = (0..length).map(|place| (place % 251) as u8).collect();
     let deadline = DEADLINE_MS.to_string();
     let headers = [("Host", HOST), ("X-Request-Id", id.as_str()), ("X-Deadline-Ms", deadline.as_str())];
     let bytes = request(method, &path, &headers, &body);
     let tried = Try::begin(kind, held.relay, shared.history.now(), DEADLINE_MS, body);
     shared.history.record().tries.insert(id.clone(), tried);
-    if chance.percent(1) {
+    if rng.percent(1) {
         // Half a request, and then nothing.
         let _ = held.connection.write(&bytes[..bytes.len() / 2]).await;
-        sleep(Duration::from_millis(chance.below(500))).await;
+        sleep(Duration::from_millis(rng.below(500))).await;
         shared.history.ended(&id, Ended::Left, 0);
         return None;
     }
@@ -76,8 +76,8 @@
     if let Some(tried) = shared.history.record().tries.get_mut(&id) {
         tried.sent_at = shared.history.now();
     }
-    if chance.percent(if shared.is_leaving() { 30 } else { 2 }) {
-        sleep(Duration::from_millis(chance.below(60))).await;
+    if rng.percent(if shared.is_leaving() { 30 } else { 2 }) {
+        sleep(Duration::from_millis(rng.below(60))).await;
         shared.history.ended(&id, Ended::Left, 0);
         return None;
     }
--- a/crates/soak/src/play.rs
+++ b/crates/soak/src/play.rs
@@ -10,7 +10,6 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-use crate::chance::Chance;
 use crate::history::{Ended, Finding, History, Millis};
 use crate::http::{ask, request};
 use crate::load::{
@@ -22,6 +21,7 @@
 use crate::strike::Player;
 use crate::tier::Tier;
 use crate::troubles::{Machine, TroubleKind};
+use juniperwing_random::Rng;
 
 /// How long the tier may take until it serves for the first time.
 const FOUNDED_WITHIN: Duration = Duration::from_secs(20);
@@ -202,7 +202,7 @@
                 shared: Arc::clone(&self.shared),
                 endpoints: Arc::clone(&self.endpoints),
                 within_tolerance: schedule.is_within_tolerance(),
-                chance: Chance::new(schedule.seed, &format!("trouble {number}")),
+                rng: Rng::for_named_purpose(schedule.seed, &format!("trouble {number}")),
             };
             playing.spawn(player.play(*trouble));
         }
--- a/crates/soak/src/strike.rs
+++ b/crates/soak/src/strike.rs
@@ -6,13 +6,13 @@
 use rustix::process::Signal;
 use tokio::time::sleep;
 
-use crate::chance::Chance;
 use crate::fault::DiskFault;
 use crate::history::{Millis, Suffered};
 use crate::load::{Endpoints, Shared, retired};
 use crate::schedule::Trouble;
 use crate::tier::{EXCUSED_FOR, Tier};
 use crate::troubles::{Direction, Machine, TroubleKind};
+use juniperwing_random::Rng;
 
 /// Before an empty machine comes in the place of one that was taken away.
 const NEW_MACHINE_AFTER: Duration = Duration::from_millis(700);
@@ -23,7 +23,7 @@
     pub(crate) shared: Arc<Shared>,
     pub(crate) endpoints: Arc<Endpoints>,
     pub(crate) within_tolerance: bool,
-    pub(crate) chance: Chance,
+    pub(crate) rng: Rng,
 }
 
 impl Player {
@@ -50,24 +50,24 @@
             TroubleKind::Wipe(machine) => tier.kill(machine, time, true).await,
             TroubleKind::KillInStart(machine) => {
                 let pauses: Vec<Duration> =
-                    (0..3).map(|_| Duration::from_millis(5 + self.chance.below(250))).collect();
+                    (0..3).map(|_| Duration::from_millis(5 + self.rng.below(250))).collect();
                 tier.kill_in_start(machine, &pauses).await;
             }
             TroubleKind::Retire(machine) => self.retire(machine, time).await,
             TroubleKind::Freeze(machine) => tier.freeze(machine, time).await,
             TroubleKind::Stop(machine) => tier.stop(machine, &[]).await,
             TroubleKind::StopAgain(machine) => {
-                let mut at = || Duration::from_millis(self.chance.below(900));
+                let mut at = || Duration::from_millis(self.rng.below(900));
                 let (mut first, mut second) = (at(), at());
                 if second < first {
                     std::mem::swap(&mut first, &mut second);
                 }
                 let signals = [Signal::HUP, Signal::TERM, Signal::INT];
-                let further = [(first, self.chance.choose(&signals)), (second, self.chance.choose(&signals))];
+                let further = [(first, self.rng.pick(&signals)), (second, self.rng.pick(&signals))];
                 tier.stop(machine, &further).await;
             }
             TroubleKind::StopInStart(machine) => {
-                tier.stop_in_start(machine, Duration::from_millis(self.chance.below(120))).await;
+                tier.stop_in_start(machine, Duration::from_millis(self.rng.below(120))).await;
             }
             TroubleKind::Reload(machine, file) => {
                 if let Err(error) = tier.reload(machine, file, time).await {
@@ -77,7 +77,7 @@
             TroubleKind::Cut(machine, direction) => self.cut(machine, direction, time).await,
             TroubleKind::Reset(machine) => tier.change_rules(machine, |rules| rules.resets += 1),
             TroubleKind::SlowLinks(machine) => {
-                let delay = self.chance.choose(&[20, 60, 150]);
+                let delay = self.rng.pick(&[20, 60, 150]);
                 tier.change_rules(machine, |rules| rules.link_delay_ms = delay);
                 sleep(time).await;
                 tier.change_rules(machine, |rules| rules.link_delay_ms = 0);
@@ -85,12 +85,12 @@
             TroubleKind::DiskStall(machine) => self.disk(machine, DiskFault::Stalls, time).await,
             TroubleKind::DiskFull(machine) => self.disk(machine, DiskFault::Refuses, time).await,
             TroubleKind::DiskSlow(machine) => {
-                let ms = self.chance.choose(&[40, 150]);
+                let ms = self.rng.pick(&[40, 150]);
                 self.disk(machine, DiskFault::Slow { ms }, time).await;
             }
             TroubleKind::DiskPanic(machine) => self.disk(machine, DiskFault::Panics, time).await,
             TroubleKind::ClockStep(machine) => {
-                let offset = self.chance.choose(&[-2_000, 2_000]);
+                let offset = self.rng.pick(&[-2_000, 2_000]);
                 tier.change_rules(machine, |rules| rules.clock_offset_ms = offset);
                 sleep(time).await;
                 tier.change_rules(machine, |rules| rules.clock_offset_ms = 0);
@@ -103,8 +103,8 @@
                 sleep(time).await;
                 self.shared.set_misbehaviour(None);
             }
-            TroubleKind::ReplaceEndpoint => self.endpoints.replace(self.chance.below(6)).await,
-            TroubleKind::EndpointGone => self.endpoints.vanish(self.chance.below(6)).await,
+            TroubleKind::ReplaceEndpoint => self.endpoints.replace(self.rng.below(6)).await,
+            TroubleKind::EndpointGone => self.endpoints.vanish(self.rng.below(6)).await,
             TroubleKind::Burst => sleep(time).await,
             TroubleKind::ClientsLeave => {
                 self.shared.set_leaving(true);
@@ -126,7 +126,7 @@
     /// Cuts a machine off from those that count; half of the time from relays as well.
     async fn cut(&mut self, machine: Machine, direction: Direction, time: Duration) {
         let all = self.tier.machines();
-        let from_relays = self.chance.percent(50);
+        let from_relays = self.rng.percent(50);
         let others: Vec<Machine> =
             all.into_iter().filter(|other| other.counts() || (from_relays && machine.counts())).collect();
         let cut = self.tier.cut(machine, &others, direction);
