--- /dev/null
+++ b/crates/node/tests/store_files.rs
@@ -0,0 +1,75 @@
+//! A store keeps its files under the names, and its map version in the bytes, that earlier releases gave them.
+
+#[allow(dead_code)]
+mod stores;
+
+use std::collections::BTreeSet;
+use std::fs;
+use std::path::Path;
+
+use juniperwing_protocol::session::BeginTurn;
+use juniperwing_protocol::{ProgramId, RequestId};
+use juniperwing_storage::{VersionFiles, layout};
+use stores::{COUNT, Stores, WITHIN};
+
+#[tokio::test]
+async fn a_store_keeps_its_files_under_their_names() {
+    let stores = Stores::start("files").await;
+    let turn = BeginTurn {
+        program: ProgramId::from("program"),
+        request: RequestId::from("request"),
+        previous: None,
+        budget: Some(1_000),
+        most_tokens: 40,
+        imported: Vec::new(),
+    };
+    stores.client.begin(turn, WITHIN).await.unwrap();
+    for number in 0..COUNT {
+        let folder = stores.data(number);
+        assert_eq!(names(&folder), set(["identity-", "layout-sessions-", "sessions"]));
+        assert_eq!(names(&folder.join("sessions")), set(["segment-"]));
+        layout::check(&folder, "sessions", 1).expect("the first layout");
+    }
+}
+
+/// The map version is written before a store reports that a joining one has caught up.
+#[tokio::test]
+async fn a_store_keeps_the_version_of_its_map_in_eight_bytes() {
+    let stores = Stores::start("map-version").await;
+    let disks = stores.keeper.subscribed(COUNT).await;
+    let epoch = stores.assign(&disks[..1], &disks[1..2]);
+    stores.keeper.caught_up(disks[1], epoch, &[0, 1]).await;
+    let written = (0..COUNT).filter_map(|number| newest_map_version(&stores.data(number)));
+    assert_eq!(written.collect::<Vec<_>>(), [epoch.0.to_le_bytes()]);
+}
+
+/// Read from a copy, since opening a folder removes what is still aside.
+fn newest_map_version(folder: &Path) -> Option<Vec<u8>> {
+    let copy = folder.with_extension("copy");
+    let _ = fs::remove_dir_all(&copy);
+    fs::create_dir_all(&copy).unwrap();
+    for entry in fs::read_dir(folder).unwrap() {
+        let path = entry.unwrap().path();
+        let name = path.file_name().unwrap().to_str().unwrap();
+        if name.starts_with("map-version-") {
+            // An old version may be removed meanwhile.
+            let _ = fs::copy(&path, copy.join(name));
+        }
+    }
+    VersionFiles::open(&copy, "map-version").unwrap().1
+}
+
+/// The names in a folder without their numbers.
+fn names(folder: &Path) -> BTreeSet<String> {
+    let entries = fs::read_dir(folder).unwrap();
+    let names = entries.map(|entry| entry.unwrap().file_name().into_string().unwrap());
+    names
+        .map(|name| {
+            name.trim_end_matches(|digit: char| digit.is_ascii_hexdigit() && name.contains('-')).to_owned()
+        })
+        .collect()
+}
+
+fn set<const N: usize>(names: [&str; N]) -> BTreeSet<String> {
+    names.map(str::to_owned).into()
+}
