--- /dev/null
+++ b/crates/node/tests/golden_state.rs
@@ -0,0 +1,221 @@
+//! Data folders as a release has left them, committed under `tests/golden`, and read by the present code.
+//!
+//! They must be readable whatever becomes of names in the source: a rolling upgrade starts the new binary on the
+//! folder of the old one. Only a deliberate change of a layout may renew them. To have them written by the present
+//! code, run
+//!
+//! ```text
+//! UPDATE_GOLDEN=1 cargo test -p juniperwing-node --test golden_state
+//! ```
+//!
+//! and commit what is under `crates/node/tests/golden`. Identities are drawn, so the bytes differ at every renewal.
+
+mod keepers;
+// This file uses a part of it.
+#[allow(dead_code)]
+mod stores;
+
+use std::fs;
+use std::path::{Path, PathBuf};
+use std::sync::Arc;
+
+use juniperwing_node::sessions_client::{Begun, SessionError};
+use juniperwing_protocol::session::{BeginTurn, FinishTurn, Turn};
+use juniperwing_protocol::subscription::Subscriber;
+use juniperwing_protocol::{DiskId, ProgramId, RequestId};
+use juniperwing_sessions::{decode_batch, encode_batch};
+use juniperwing_storage::{SegmentFiles, VersionFiles, identity};
+use keepers::{Keepers, Observer, configuration};
+use stores::{COUNT, Stores, WITHIN};
+
+/// When the committed records of a store expire: in the year 2100, in milliseconds since 1970.
+const EXPIRES_AT_MS: u64 = 4_102_444_800_000;
+/// The version of the store map that the committed store has written down.
+const MAP_VERSION: u64 = 2;
+/// A store that the committed keeper has emptied.
+const RETIRED: &str = "store-1";
+
+fn golden(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
+}
+
+fn is_update() -> bool {
+    std::env::var_os("UPDATE_GOLDEN").is_some()
+}
+
+/// Makes `to` a copy of the folder `from`.
+fn copy(from: &Path, to: &Path) {
+    // It may not be there yet.
+    let _ = fs::remove_dir_all(to);
+    fs::create_dir_all(to).unwrap();
+    for entry in fs::read_dir(from).unwrap().map(Result::unwrap) {
+        let target = to.join(entry.file_name());
+        match entry.file_type().unwrap().is_dir() {
+            true => copy(&entry.path(), &target),
+            false => drop(fs::copy(entry.path(), target).unwrap()),
+        }
+    }
+}
+
+/// Writes the state of a keeper: configurations taken and one refused, a store map, and a store emptied.
+async fn write_keeper_state(folder: &Path) {
+    let mut keepers = Keepers::start(1).await;
+    assert_eq!(keepers.put(0, 0, &configuration(3)).await.status, 200);
+    assert_eq!(keepers.put(0, 9, &configuration(10)).await.status, 412);
+    assert_eq!(keepers.put(0, 3, &configuration(7)).await.status, 200);
+    let address = keepers.internal(0);
+    let mut first = Observer::subscribe(address, Subscriber::Store { disk: DiskId(1) });
+    first.until_stores(|map| !map.partitions.is_empty()).await;
+    let _second = Observer::subscribe(address, Subscriber::Store { disk: DiskId(2) });
+    let joining =
+        first.until_stores(|map| map.partitions.iter().all(|held| held.joining == [DiskId(2)])).await;
+    assert_eq!(keepers.retire(0, RETIRED).await.status, 200);
+    first.report_caught_up(&joining, DiskId(2));
+    keepers.until_retired(0, RETIRED).await;
+    keepers.stop(0).await;
+    copy(keepers.settings(0).data_directory.as_ref().unwrap(), folder);
+}
+
+#[tokio::test]
+async fn a_keeper_goes_on_from_the_committed_state() {
+    let folder = golden("keeper-state");
+    if is_update() {
+        write_keeper_state(&folder).await;
+    }
+    let mut keepers = Keepers::prepare(1);
+    copy(&folder, keepers.settings(0).data_directory.as_ref().unwrap());
+    keepers.restart(0).await;
+    let read = keepers.get(0).await;
+    assert_eq!((read.status, read.body), (200, configuration(7)), "the configuration in force");
+    assert_eq!(keepers.put(0, 0, &configuration(3)).await.status, 200, "an order taken before");
+    assert_eq!(keepers.put(0, 9, &configuration(10)).await.status, 412, "an order refused before");
+    assert_eq!(keepers.put(0, 3, &configuration(8)).await.status, 412, "an order on a base of before");
+    let mut relay = Observer::subscribe(keepers.internal(0), Subscriber::Relay);
+    relay.until_configuration(&configuration(7)).await;
+    let map = relay.until_stores(|map| !map.partitions.is_empty()).await;
+    assert!(map.partitions.iter().all(|held| held.primary == DiskId(2)), "the store map: {map:?}");
+    let retired = keepers.retire_state(0, RETIRED).await;
+    assert!(retired.body.contains("completed"), "the emptied store: {}", retired.body);
+    assert_eq!(keepers.put(0, 7, &configuration(8)).await.status, 200, "a further order");
+}
+
+fn begin(request: &str, previous: Option<&str>, budget: Option<u64>) -> BeginTurn {
+    BeginTurn {
+        program: ProgramId::from("program"),
+        request: RequestId::from(request),
+        previous: previous.map(RequestId::from),
+        budget,
+        most_tokens: 40,
+        imported: Vec::new(),
+    }
+}
+
+fn turn(request: &str, previous: Option<&str>) -> Turn {
+    Turn {
+        request: RequestId::from(request),
+        previous: previous.map(RequestId::from),
+        input: Arc::from(format!("in {request}").into_bytes()),
+        output: Arc::from(format!("out {request}\n").into_bytes()),
+        retention_ms: 60_000,
+        endpoint: Some("i-1".into()),
+    }
+}
+
+/// The identity of a store's data folder.
+fn identity_of(folder: &Path) -> DiskId {
+    let (known, is_new) = identity::open(folder, 0).unwrap();
+    assert!(!is_new);
+    DiskId(known)
+}
+
+fn all_partitions() -> Vec<u16> {
+    (0..8).collect()
+}
+
+/// Turns that a store has kept, in their order.
+fn kept() -> Vec<Turn> {
+    vec![turn("t1", None), turn("t2", Some("t1"))]
+}
+
+/// Writes the state of a store: two turns kept (10 tokens each), one settled and not kept (20), one begun (40), and the
+/// version of the map.
+async fn write_store_state(folder: &Path) {
+    let mut stores = Stores::start("golden-written").await;
+    let client = stores.client.clone();
+    let finish = |request: &str, tokens, kept| {
+        let (program, request) = (ProgramId::from("program"), RequestId::from(request));
+        client.finish(FinishTurn { program, request, tokens, kept }, WITHIN)
+    };
+    for kept in kept() {
+        let request = kept.request.0.to_string();
+        let previous = kept.previous.as_ref().map(|previous| previous.0.to_string());
+        client.begin(begin(&request, previous.as_deref(), Some(1_000)), WITHIN).await.unwrap();
+        finish(&request, 10, Some(kept)).await.unwrap();
+    }
+    client.begin(begin("settled", None, Some(1_000)), WITHIN).await.unwrap();
+    finish("settled", 20, None).await.unwrap();
+    client.begin(begin("open", None, Some(1_000)), WITHIN).await.unwrap();
+    // Before it reports that others have caught up, a store writes the version of the map down.
+    let mut others = stores.keeper.subscribed(COUNT).await;
+    let disk = identity_of(&stores.data(0));
+    others.retain(|other| *other != disk);
+    let epoch = stores.assign(&[disk], &others);
+    assert_eq!(epoch.0, MAP_VERSION);
+    for other in others {
+        stores.keeper.caught_up(other, epoch, &all_partitions()).await;
+    }
+    for running in &mut stores.running {
+        running.take().unwrap().kill();
+    }
+    copy(&stores.data(0), folder);
+    // A store keeps nothing for longer than a day; these records are to be read for decades.
+    let segments = folder.join("sessions");
+    let (_, batches) = SegmentFiles::open(&segments).unwrap();
+    fs::remove_dir_all(&segments).unwrap();
+    let (mut files, _) = SegmentFiles::open(&segments).unwrap();
+    for batch in batches {
+        let mut records = decode_batch(&batch.contents).unwrap();
+        records.iter_mut().for_each(|stored| stored.record.expires_at_ms = EXPIRES_AT_MS);
+        files.append(&encode_batch(&records).unwrap()).unwrap();
+    }
+}
+
+#[tokio::test]
+async fn a_store_goes_on_from_the_committed_state() {
+    let folder = golden("store-state");
+    if is_update() {
+        write_store_state(&folder).await;
+    }
+    let mut stores = Stores::start("golden").await;
+    for number in 0..COUNT {
+        stores.running[number].take().unwrap().kill();
+        fs::remove_dir_all(stores.data(number)).unwrap();
+    }
+    copy(&folder, &stores.data(0));
+    let (_, version) = VersionFiles::open(stores.data(0), "map-version").unwrap();
+    assert_eq!(version, Some(MAP_VERSION.to_le_bytes().to_vec()), "the version of the map");
+    stores.keeper.subscribed(0).await;
+    let disk = identity_of(&stores.data(0));
+    stores.restart(0);
+    let found = stores.keeper.subscribed(1).await[0];
+    assert_eq!(found, disk, "the identity");
+    (1..COUNT).for_each(|number| stores.restart(number));
+    let all = stores.keeper.subscribed(COUNT).await;
+    let empty: Vec<DiskId> = all.into_iter().filter(|disk| *disk != found).collect();
+    let epoch = stores.assign(&[found], &empty);
+    assert!(epoch.0 >= MAP_VERSION, "older maps count for nothing");
+    for disk in &empty {
+        stores.keeper.caught_up(*disk, epoch, &all_partitions()).await;
+    }
+    stores.assign(&[found, empty[0], empty[1]], &[]);
+
+    let next = stores.client.begin(begin("t3", Some("t2"), Some(1_000)), WITHIN).await;
+    assert_eq!(next, Ok(Begun { chain: kept() }), "the turns");
+    let unknown = stores.client.begin(begin("t4", Some("settled"), Some(1_000)), WITHIN).await;
+    assert_eq!(unknown, Err(SessionError::UnknownTurn), "a turn settled and not kept");
+    // Spent or set aside: 10 + 10 + 20 + 40 as committed, and 40 for the turn begun above.
+    let spent = stores.client.begin(begin("t5", None, Some(159)), WITHIN).await;
+    assert_eq!(spent, Err(SessionError::BudgetSpent), "the budget");
+    let left = stores.client.begin(begin("t5", None, Some(160)), WITHIN).await;
+    assert_eq!(left, Ok(Begun::default()), "the budget");
+}
