--- /dev/null
+++ b/crates/relay/tests/serve/golden_state.rs
@@ -0,0 +1,63 @@
+//! A relay started on a committed state folder, which holds a notification in each state that one may be in.
+//!
+//! `tests/journal.rs` writes the folder and says how it is renewed.
+
+use std::collections::BTreeMap;
+use std::fs;
+use std::path::Path;
+
+use serde_json::{Value, json};
+
+use crate::stand_in::Rig;
+
+/// Starts a relay on a committed folder, and checks what it pushes and of which ends it tells.
+fn check(name: &str) {
+    let mut rig = Rig::start();
+    rig.kill();
+    let committed = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name).join("log");
+    fs::copy(committed, rig.state().join("log")).expect("the committed journal");
+    rig.restart();
+
+    let mut pushes: Vec<(String, Option<String>, String)> = Vec::new();
+    for _ in 0..5 {
+        let mut push = rig.endpoint.next();
+        let body = String::from_utf8(push.body.clone()).expect("text");
+        pushes.push((push.id().to_owned(), push.header("Idempotency-Key").map(str::to_owned), body));
+        push.answer("200 OK", "", "");
+    }
+    pushes.sort();
+    let push =
+        |id: &str, key: Option<&str>| (id.to_owned(), key.map(str::to_owned), format!("body of {id}\n"));
+    let expected = [
+        push("never-ran", None),
+        push("out", Some("i-out")),
+        push("out-in-zone", Some("i-out-in-zone")),
+        push("returned", None),
+        push("waiting", None),
+    ];
+    assert_eq!(pushes, expected);
+
+    let mut ends: BTreeMap<String, Value> = BTreeMap::new();
+    while ends.len() < 3 {
+        let (mut message, notices) = rig.notices();
+        let id = |notice: &Value| notice["message"].as_str().expect("an id").to_owned();
+        ends.extend(notices.into_iter().map(|notice| (id(&notice), notice)));
+        message.answer("204 No Content", "", "");
+    }
+    let expected = [
+        json!({"message": "given-up", "outcome": "given_up"}),
+        json!({"message": "handed-back", "outcome": "handed_back", "retry_in_ms": 1_500}),
+        json!({"message": "out-once", "outcome": "given_up"}),
+    ];
+    assert_eq!(ends.into_values().collect::<Vec<_>>(), expected);
+}
+
+#[test]
+fn a_relay_goes_on_from_the_committed_state() {
+    check("state");
+}
+
+#[test]
+fn a_relay_goes_on_from_the_committed_state_after_compaction() {
+    check("compacted");
+}
--- a/crates/relay/tests/serve/main.rs
+++ b/crates/relay/tests/serve/main.rs
@@ -2,6 +2,7 @@
 
 mod connections;
 mod crossings;
+mod golden_state;
 mod hand_over;
 mod requests;
 mod restarts;
