--- /dev/null
+++ b/crates/relay/tests/names/main.rs
@@ -0,0 +1,12 @@
+//! What is seen from outside by name: the command line, keys of settings and configurations, metrics. Golden files hold
+//! it (see `golden`); the tests speak to the program alone, so that names within the code are free.
+
+mod command_line;
+mod configuration_keys;
+#[path = "../golden/mod.rs"]
+mod golden;
+#[path = "../tier/http.rs"]
+mod http;
+mod metrics;
+mod program;
+mod settings_keys;
--- /dev/null
+++ b/crates/relay/tests/names/metrics.rs
@@ -0,0 +1,67 @@
+//! Names, labels and types of the metrics that each role tells, read from a tier of one machine.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::process::{Child, Stdio};
+
+use crate::golden::assert_golden;
+use crate::http::{call, call_until};
+use crate::program::Folder;
+
+const ROLES: [(&str, u16); 3] = [("relay", 9_461), ("keeper", 9_462), ("store", 9_463)];
+
+/// A role that runs until the test ends.
+struct Running(Child);
+
+impl Drop for Running {
+    fn drop(&mut self) {
+        // It holds nothing that is of use after the test.
+        let _ = self.0.kill();
+        let _ = self.0.wait();
+    }
+}
+
+/// Starts a role by the settings for trying the tier out, at a loopback address of this process.
+fn start(folder: &Folder, role: &str, address: &str, port: u16) -> Running {
+    let file = format!("{}/../../deploy/local/one/{role}-1.toml", env!("CARGO_MANIFEST_DIR"));
+    let text = std::fs::read_to_string(file).expect("the settings of the role");
+    let data = folder.path().display().to_string();
+    folder.write(&format!("{role}.toml"), &text.replace("127.0.0.1", address).replace("target/local", &data));
+    let (settings, metrics) = (format!("{role}.toml"), format!("{port}/metrics"));
+    let mut command = folder.program(&[role, "--settings", &settings, "--metrics", &metrics]);
+    Running(command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().expect("the program starts"))
+}
+
+/// A line for each series, `name{label="value"} type`, by name; values of the series are left out.
+fn series(page: &str) -> String {
+    let mut types = BTreeMap::new();
+    let mut lines = Vec::new();
+    for line in page.lines() {
+        if let Some(told) = line.strip_prefix("# TYPE ") {
+            let (name, kind) = told.split_once(' ').expect("a name and a type");
+            types.insert(name.to_owned(), kind);
+        } else if !line.starts_with('#') {
+            let (series, _) = line.rsplit_once(' ').expect("a series and its value");
+            let name = series.split('{').next().expect("a name");
+            let kind = types.get(name.strip_suffix("_total").unwrap_or(name)).expect("a type");
+            lines.push(format!("{series} {kind}\n"));
+        }
+    }
+    assert!(page.ends_with("# EOF\n"), "{page}");
+    lines.sort_unstable();
+    lines.concat()
+}
+
+#[test]
+fn metrics_of_each_role() {
+    let folder = Folder::new();
+    // No other test has this network: those of README's way count from 101.
+    let address = format!("127.{}.100.1", std::process::id() % 200 + 20);
+    let running = ROLES.map(|(role, port)| start(&folder, role, &address, port));
+    for (role, port) in ROLES {
+        let place: SocketAddr = format!("{address}:{port}").parse().expect("an address");
+        let page = call_until(200, |_| call(place, "GET /metrics", "Host: metrics\r\n", ""));
+        assert_golden(&format!("metrics-{role}.txt"), &series(&page));
+    }
+    drop(running);
+}
--- /dev/null
+++ b/crates/relay/tests/names/settings_keys.rs
@@ -0,0 +1,116 @@
+//! Keys of the serving tier's settings: a role is started with `--check` on a full file, and on the same file with a
+//! value of a wrong type for one key after the other. A key that no longer is one is skipped, which shows.
+
+use crate::golden::assert_golden;
+use crate::program::Folder;
+
+/// Every key that `docs/settings-system.md` lists, with values that are no defaults.
+const FULL: &str = include_str!("full-settings.toml");
+
+/// The keys of a settings file in its order, each with the number of its line.
+fn keys(text: &str) -> Vec<(usize, String)> {
+    let (mut table, mut keys) = (String::new(), Vec::new());
+    for (number, line) in text.lines().enumerate() {
+        if let Some(name) = line.strip_prefix('[') {
+            table = format!("{}.", name.trim_end_matches(']'));
+        } else if let Some((key, _)) = line.split_once(" = ") {
+            keys.push((number, format!("{table}{key}")));
+        }
+    }
+    keys
+}
+
+/// The full file with another line at this place.
+fn with_line(number: usize, line: &str) -> String {
+    let mut lines: Vec<&str> = FULL.lines().collect();
+    lines[number] = line;
+    lines.join("\n")
+}
+
+fn check(folder: &Folder, role: &str, text: &str) -> String {
+    folder.write("settings.toml", text);
+    folder.transcript(&[role, "--check", "--settings", "settings.toml"])
+}
+
+#[test]
+fn check_of_a_full_file_for_each_role() {
+    let folder = Folder::new();
+    let text: String = ["relay", "keeper", "store"].iter().map(|role| check(&folder, role, FULL)).collect();
+    assert_golden("settings-check.txt", &text);
+}
+
+#[test]
+fn every_key_of_the_documentation_is_in_the_full_file() {
+    let documentation = include_str!("../../../../docs/settings-system.md");
+    let documented = documentation.lines().filter_map(|line| line.strip_prefix("| `")?.split_once('`'));
+    let mut documented: Vec<&str> = documented.map(|(key, _)| key).collect();
+    let mut keys: Vec<String> = keys(FULL).into_iter().map(|(_, key)| key).collect();
+    // Tables with names of the operator's own.
+    keys.iter_mut().filter(|key| key.starts_with("zones.")).for_each(|key| key.truncate("zones".len()));
+    // It says which role `juniperwing local` starts, and no role reads it.
+    keys.retain(|key| key != "role");
+    documented.sort_unstable();
+    keys.sort_unstable();
+    assert_eq!(keys, documented);
+}
+
+#[test]
+fn a_wrong_type_is_refused_at_every_key() {
+    let folder = Folder::new();
+    let mut text = String::new();
+    for (number, key) in keys(FULL) {
+        let line = FULL.lines().nth(number).expect("a line");
+        let (name, value) = line.split_once(" = ").expect("a key and a value");
+        let wrong = if value == "true" { "0.5" } else { "false" };
+        let told = check(&folder, "keeper", &with_line(number, &format!("{name} = {wrong}")));
+        let why = told.lines().rev().nth(2).expect("lines");
+        let told = if told.contains("exit code 0") { "read by no role" } else { why };
+        text.push_str(&format!("{key} = {wrong}: {told}\n"));
+    }
+    assert_golden("settings-keys.txt", &text);
+}
+
+#[test]
+fn missing_and_unknown_keys() {
+    let folder = Folder::new();
+    let mut text = String::new();
+    for (number, key) in keys(FULL).into_iter().filter(|(_, key)| !key.starts_with("zones.")) {
+        for role in ["relay", "keeper", "store"] {
+            let told = check(&folder, role, &with_line(number, "unknownKey = 1"));
+            if !told.contains("exit code 0") {
+                text.push_str(&format!("without {key}\n{told}"));
+            }
+        }
+    }
+    assert_golden("settings-missing.txt", &text);
+}
+
+#[test]
+fn local_names_the_role_that_does_not_exist() {
+    let folder = Folder::new();
+    folder.write("one.toml", "role = \"unknown\"\n");
+    let told = folder.transcript(&["local", "."]);
+    let expected = "$ juniperwing local .\n\
+        juniperwing local: ./one.toml: role: \"unknown\" is not one of relay, keeper, store\n\
+        Try 'juniperwing local --help'.\nexit code 2\n\n";
+    assert_eq!(told, expected);
+}
+
+#[test]
+fn values_that_do_not_fit() {
+    let folder = Folder::new();
+    let mut text = String::new();
+    for line in [
+        "nodeName = \"\"",
+        "ephemeralPorts = [7380, 7381]",
+        "heartbeatMs = 0",
+        "graceS = -1",
+        "ipAddress = \"nowhere\"",
+        "seedNodes = [\"127.0.0.1\"]",
+    ] {
+        let name = line.split_once(" = ").expect("a key and a value").0;
+        let place = FULL.lines().position(|full| full.starts_with(name)).expect("a key of the full file");
+        text.push_str(&check(&folder, "keeper", &with_line(place, line)));
+    }
+    assert_golden("settings-invalid.txt", &text);
+}
