--- /dev/null
+++ b/crates/node/tests/deploy_files.rs
@@ -0,0 +1,53 @@
+//! Keys of the files that say how the programs are built and run: whoever deploys them reads them by these names.
+
+use toml::Table;
+use toml::Value;
+
+/// Adds the paths of all keys of a table, those of tables within it included.
+fn add_keys(table: &Table, prefix: &str, keys: &mut Vec<String>) {
+    for (key, value) in table {
+        let path = format!("{prefix}{key}");
+        match value {
+            Value::Table(table) => add_keys(table, &format!("{path}."), keys),
+            _ => keys.push(path),
+        }
+    }
+}
+
+/// The paths of all keys of a file, sorted.
+fn keys(text: &str) -> Vec<String> {
+    let mut keys = Vec::new();
+    add_keys(&toml::from_str(text).expect("TOML"), "", &mut keys);
+    keys.sort_unstable();
+    keys
+}
+
+#[test]
+fn keys_of_the_tier_s_deploy_file() {
+    let expected = [
+        "build",
+        "packages",
+        "roles.keeper.metrics",
+        "roles.keeper.on",
+        "roles.keeper.run",
+        "roles.keeper.serves",
+        "roles.keeper.share",
+        "roles.relay.metrics",
+        "roles.relay.on",
+        "roles.relay.run",
+        "roles.relay.serves",
+        "roles.relay.share",
+        "roles.store.metrics",
+        "roles.store.on",
+        "roles.store.run",
+        "roles.store.serves",
+        "roles.store.share",
+    ];
+    assert_eq!(keys(include_str!("../../../deploy/system.toml")), expected);
+}
+
+#[test]
+fn keys_of_the_relay_s_deploy_file() {
+    let expected = ["build", "node", "packages", "policy", "run", "sim"];
+    assert_eq!(keys(include_str!("../../../deploy/balancer.toml")), expected);
+}
