--- a/crates/node/tests/golden_state.rs
+++ b/crates/node/tests/golden_state.rs
@@ -21,10 +21,10 @@
 
 use juniperwing_node::sessions_client::{Begun, SessionError};
 use juniperwing_protocol::session::{BeginTurn, FinishTurn, Turn};
-use juniperwing_protocol::subscription::Subscriber;
+use juniperwing_protocol::subscription::SubscriberKind;
 use juniperwing_protocol::{DiskId, ProgramId, RequestId};
 use juniperwing_sessions::{decode_batch, encode_batch};
-use juniperwing_storage::{SegmentFiles, VersionFiles, identity};
+use juniperwing_storage::{SegmentLog, SnapshotFiles, identity};
 use keepers::{Keepers, Observer, configuration};
 use stores::{COUNT, Stores, WITHIN};
 
@@ -64,9 +64,9 @@
     assert_eq!(keepers.put(0, 9, &configuration(10)).await.status, 412);
     assert_eq!(keepers.put(0, 3, &configuration(7)).await.status, 200);
     let address = keepers.internal(0);
-    let mut first = Observer::subscribe(address, Subscriber::Store { disk: DiskId(1) });
+    let mut first = Observer::subscribe(address, SubscriberKind::Store { disk: DiskId(1) });
     first.until_stores(|map| !map.partitions.is_empty()).await;
-    let _second = Observer::subscribe(address, Subscriber::Store { disk: DiskId(2) });
+    let _second = Observer::subscribe(address, SubscriberKind::Store { disk: DiskId(2) });
     let joining =
         first.until_stores(|map| map.partitions.iter().all(|held| held.joining == [DiskId(2)])).await;
     assert_eq!(keepers.retire(0, RETIRED).await.status, 200);
@@ -90,7 +90,7 @@
     assert_eq!(keepers.put(0, 0, &configuration(3)).await.status, 200, "an order taken before");
     assert_eq!(keepers.put(0, 9, &configuration(10)).await.status, 412, "an order refused before");
     assert_eq!(keepers.put(0, 3, &configuration(8)).await.status, 412, "an order on a base of before");
-    let mut relay = Observer::subscribe(keepers.internal(0), Subscriber::Relay);
+    let mut relay = Observer::subscribe(keepers.internal(0), SubscriberKind::Relay);
     relay.until_configuration(&configuration(7)).await;
     let map = relay.until_stores(|map| !map.partitions.is_empty()).await;
     assert!(map.partitions.iter().all(|held| held.primary == DiskId(2)), "the store map: {map:?}");
@@ -105,7 +105,7 @@
         request: RequestId::from(request),
         previous: previous.map(RequestId::from),
         budget,
-        most_tokens: 40,
+        max_tokens: 40,
         imported: Vec::new(),
     }
 }
@@ -144,7 +144,7 @@
     let client = stores.client.clone();
     let finish = |request: &str, tokens, kept| {
         let (program, request) = (ProgramId::from("program"), RequestId::from(request));
-        client.finish(FinishTurn { program, request, tokens, kept }, WITHIN)
+        client.finish(FinishTurn { program, request, tokens, stored_turn: kept }, WITHIN)
     };
     for kept in kept() {
         let request = kept.request.0.to_string();
@@ -170,9 +170,9 @@
     copy(&stores.data(0), folder);
     // A store keeps nothing for longer than a day; these records are to be read for decades.
     let segments = folder.join("sessions");
-    let (_, batches) = SegmentFiles::open(&segments).unwrap();
+    let (_, batches) = SegmentLog::open(&segments).unwrap();
     fs::remove_dir_all(&segments).unwrap();
-    let (mut files, _) = SegmentFiles::open(&segments).unwrap();
+    let (mut files, _) = SegmentLog::open(&segments).unwrap();
     for batch in batches {
         let mut records = decode_batch(&batch.contents).unwrap();
         records.iter_mut().for_each(|stored| stored.record.expires_at_ms = EXPIRES_AT_MS);
@@ -192,7 +192,7 @@
         fs::remove_dir_all(stores.data(number)).unwrap();
     }
     copy(&folder, &stores.data(0));
-    let (_, version) = VersionFiles::open(stores.data(0), "map-version").unwrap();
+    let (_, version) = SnapshotFiles::open(stores.data(0), "map-version").unwrap();
     assert_eq!(version, Some(MAP_VERSION.to_le_bytes().to_vec()), "the version of the map");
     stores.keeper.subscribed(0).await;
     let disk = identity_of(&stores.data(0));
--- a/crates/node/tests/store_files.rs
+++ b/crates/node/tests/store_files.rs
@@ -9,7 +9,7 @@
 
 use juniperwing_protocol::session::BeginTurn;
 use juniperwing_protocol::{ProgramId, RequestId};
-use juniperwing_storage::{VersionFiles, layout};
+use juniperwing_storage::{SnapshotFiles, layout};
 use stores::{COUNT, Stores, WITHIN};
 
 #[tokio::test]
@@ -20,7 +20,7 @@
         request: RequestId::from("request"),
         previous: None,
         budget: Some(1_000),
-        most_tokens: 40,
+        max_tokens: 40,
         imported: Vec::new(),
     };
     stores.client.begin(turn, WITHIN).await.unwrap();
@@ -56,7 +56,7 @@
             let _ = fs::copy(&path, copy.join(name));
         }
     }
-    VersionFiles::open(&copy, "map-version").unwrap().1
+    SnapshotFiles::open(&copy, "map-version").unwrap().1
 }
 
 /// The names in a folder without their numbers.
