--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -11,8 +11,8 @@
 
 use juniperwing::Relay;
 use juniperwing::interface::{
-    Command, DestinationId, EndpointId, Entry, Event, News, Notification, NtfId, Outcome, Past, Readiness,
-    Status,
+    CallStatus, Command, DestinationId, EndpointEntry, EndpointId, EndpointListUpdate, Event, Notification,
+    NotificationHistory, NotificationId, PushOutcome, Readiness,
 };
 use juniperwing::time::{Span, Time};
 use juniperwing_settings::Settings;
@@ -27,7 +27,7 @@
 }
 
 /// The entries of a bank with the names of their kinds. What the names mean each relay was told for itself.
-type Bank = Vec<(String, Entry)>;
+type Bank = Vec<(String, EndpointEntry)>;
 
 #[derive(Default)]
 struct Host {
@@ -129,54 +129,57 @@
                     Ok::<_, &str>(
                         bank?
                             .iter()
-                            .map(|(kind, entry)| Entry { kind: self.settings.kind(kind), ..entry.clone() })
+                            .map(|(kind, entry)| EndpointEntry {
+                                kind: self.settings.kind(kind),
+                                ..entry.clone()
+                            })
                             .collect(),
                     )
                 };
-                Event::List(match news.kind.as_str() {
-                    "broken" => News::Broken,
-                    "patch" => News::Changes(entries()?),
-                    "whole" | "stale_copy" => News::Whole(entries()?),
+                Event::EndpointListUpdated(match news.kind.as_str() {
+                    "broken" => EndpointListUpdate::Failed,
+                    "patch" => EndpointListUpdate::Changes(entries()?),
+                    "whole" | "stale_copy" => EndpointListUpdate::Snapshot(entries()?),
                     _ => return Ok(None),
                 })
             }
             "Accept" => {
                 let ntf: wire::Accept = read(m, raw)?;
-                let topic = self.settings.topic(&ntf.cls);
+                let topic = self.settings.topic_type(&ntf.cls);
                 Event::Accepted(Notification {
-                    id: NtfId(ntf.ticket),
+                    id: NotificationId(ntf.ticket),
                     destination: DestinationId(ntf.bound_for),
                     topic: topic.ok_or_else(|| format!("Accept names no known class: {:?}", ntf.cls))?,
                     account: ntf.org.as_str().and_then(|name| self.settings.account(name)),
                     key: ntf.object,
                     valid_until: Time::from_nanos(ntf.valid_until),
-                    past: Past::default(),
+                    history: NotificationHistory::default(),
                 })
             }
             "Answer" => {
                 let answer: wire::Answer = read(m, raw)?;
-                Event::Ended(Outcome {
-                    ntf: NtfId(answer.ticket),
-                    push: answer.go,
+                Event::PushEnded(PushOutcome {
+                    notification: NotificationId(answer.ticket),
+                    push_index: answer.go,
                     endpoint: endpoint(&answer.endpoint),
                     status: status(&answer.status),
-                    wait: Some(Span::from_millis(answer.detail))
+                    retry_after: Some(Span::from_millis(answer.detail))
                         .filter(|wait| answer.status == "busy" && *wait > Span::ZERO),
-                    spent: Span::from_nanos(answer.spent),
-                    settled: answer.settled,
-                    limit: self.settings.limit(&answer.server_stats),
+                    elapsed: Span::from_nanos(answer.spent),
+                    has_final_answer: answer.settled,
+                    rate_limit: self.settings.rate_limit(&answer.server_stats),
                 })
             }
             "HealthResult" => {
                 let probed: wire::HealthResult = read(m, raw)?;
-                Event::Probed {
+                Event::ProbeEnded {
                     endpoint: endpoint(&probed.endpoint),
                     status: status(&probed.status),
-                    limit: self.settings.limit(&probed.server_stats),
+                    rate_limit: self.settings.rate_limit(&probed.server_stats),
                 }
             }
-            "Withdrawn" => Event::Withdrawn(NtfId(read::<wire::Withdrawn>(m, raw)?.ticket)),
-            "Ring" => Event::Woken,
+            "Withdrawn" => Event::Withdrawn(NotificationId(read::<wire::Withdrawn>(m, raw)?.ticket)),
+            "Ring" => Event::WakeUp,
             // Streams, peers and whatever a later wire adds concern no relay here.
             _ => return Ok(None),
         }))
@@ -186,14 +189,16 @@
 /// What follows from a command that ends a notification.
 fn end(command: &Command) -> Option<Event> {
     match command {
-        Command::Throttle { ntf, .. } | Command::Expire(ntf) => Some(Event::Heard(*ntf)),
+        Command::Throttle { notification, .. } | Command::Expire(notification) => {
+            Some(Event::FinalAnswerAcknowledged(*notification))
+        }
         _ => None,
     }
 }
 
 /// What the list says of an endpoint, its kind left open.
-fn entry(record: wire::Record) -> (String, Entry) {
-    let entry = Entry {
+fn entry(record: wire::Record) -> (String, EndpointEntry) {
+    let entry = EndpointEntry {
         endpoint: endpoint(&record.endpoint),
         destination: DestinationId(record.cell),
         zone: Arc::from(record.region_part),
@@ -202,8 +207,8 @@
             "DELETED" => Readiness::Deleted,
             _ => Readiness::Serving,
         },
-        rate: record.nominal,
-        ..Entry::default()
+        rate_per_second: record.nominal,
+        ..EndpointEntry::default()
     };
     (record.model, entry)
 }
@@ -214,7 +219,7 @@
 
 fn start(now: Time, spawn: &wire::Spawn) -> Hosted {
     let settings = Settings::from(&spawn.boot_info);
-    let relay = Relay::new(now, seed(&spawn.prng), settings.terms.clone());
+    let relay = Relay::new(now, seed(&spawn.prng), settings.relay_config.clone());
     Hosted { relay, events: Vec::new(), settings }
 }
 
@@ -227,40 +232,42 @@
     EndpointId(Arc::from(name))
 }
 
-fn status(word: &str) -> Status {
+fn status(word: &str) -> CallStatus {
     match word {
-        "done" => Status::Delivered,
-        "busy" => Status::Busy,
-        "etimedout" => Status::TimedOut,
-        "econnrefused" => Status::NoConnection,
-        "econnreset" => Status::Reset,
-        "ecanceled" => Status::Cancelled,
-        "skipped" => Status::Skipped,
+        "done" => CallStatus::Delivered,
+        "busy" => CallStatus::Busy,
+        "etimedout" => CallStatus::TimedOut,
+        "econnrefused" => CallStatus::NoConnection,
+        "econnreset" => CallStatus::Reset,
+        "ecanceled" => CallStatus::Cancelled,
+        "skipped" => CallStatus::Skipped,
         // "err", and any word not known here: it may have run.
-        _ => Status::Error,
+        _ => CallStatus::Error,
     }
 }
 
 /// A command as the wire has it, if it has it.
 fn carried<'a>(relay: &'a str, command: &'a Command) -> Option<wire::Cmd<'a>> {
     Some(match command {
-        Command::Push { ntf, endpoint, time_out, .. } => wire::Cmd::Transmit {
+        Command::Push { notification, endpoint, timeout, .. } => wire::Cmd::Transmit {
             relay,
-            ticket: ntf.0,
+            ticket: notification.0,
             endpoint: &endpoint.0,
-            give_up_after: time_out.as_nanos(),
+            give_up_after: timeout.as_nanos(),
         },
-        Command::Cancel { ntf, push } => wire::Cmd::AbortAttempt { relay, ticket: ntf.0, go: *push },
-        Command::Throttle { ntf, retry_in } => {
-            wire::Cmd::Bounce { relay, ticket: ntf.0, retry_in: retry_in.as_nanos() }
+        Command::Cancel { notification, push_index } => {
+            wire::Cmd::AbortAttempt { relay, ticket: notification.0, go: *push_index }
+        }
+        Command::Throttle { notification, retry_after } => {
+            wire::Cmd::Bounce { relay, ticket: notification.0, retry_in: retry_after.as_nanos() }
         }
         Command::Expire(ntf) => wire::Cmd::Fail { relay, ticket: ntf.0 },
-        Command::Wake(after) => wire::Cmd::NotifyMe { relay, wait: after.as_nanos(), label: "wake" },
-        Command::Subscribe => wire::Cmd::Listen { relay, active: true },
-        Command::CloseIdle(endpoint) => wire::Cmd::DropConns { relay, endpoint: &endpoint.0 },
+        Command::WakeAfter(after) => wire::Cmd::NotifyMe { relay, wait: after.as_nanos(), label: "wake" },
+        Command::SubscribeToEndpointList => wire::Cmd::Listen { relay, active: true },
+        Command::CloseIdleConnections(endpoint) => wire::Cmd::DropConns { relay, endpoint: &endpoint.0 },
         Command::Log(line) => wire::Cmd::SayLog { relay, line },
         Command::Probe(endpoint) => wire::Cmd::SoundOut { relay, endpoint: &endpoint.0 },
         // On the wire a push is out at once.
-        Command::Recall(_) => return None,
+        Command::CancelUnsent(_) => return None,
     })
 }
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -2,7 +2,7 @@
 
 use std::borrow::Cow;
 
-use juniperwing_settings::Written;
+use juniperwing_settings::RawSettings;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, value::RawValue};
 
@@ -28,7 +28,7 @@
     #[serde(default)]
     pub prng: Value,
     #[serde(default)]
-    pub boot_info: Written,
+    pub boot_info: RawSettings,
 }
 
 #[derive(Deserialize)]
--- a/crates/balancing/src/latency.rs
+++ b/crates/balancing/src/latency.rs
@@ -28,12 +28,12 @@
     /// How long the next try may last, with `left` until the deadline and `tries_left` endpoints that may still
     /// be sent to, this one included.
     pub fn time_out(&self, destination: &Destination, left: Span, tries_left: u32) -> Span {
-        self.models.get(destination).map_or(left, |model| model.time_out(left, tries_left))
+        self.models.get(destination).map_or(left, |model| model.timeout(left, tries_left))
     }
 
     /// The cutoff: whether the time left is no shorter than the fitted median.
     pub fn worth_trying(&self, destination: &Destination, left: Span) -> bool {
-        left > Span::ZERO && self.models.get(destination).is_none_or(|model| model.worth_trying(left))
+        left > Span::ZERO && self.models.get(destination).is_none_or(|model| model.is_worth_trying(left))
     }
 
     /// The fitted median; zero until enough calls are seen.
--- a/crates/balancing/src/queue.rs
+++ b/crates/balancing/src/queue.rs
@@ -51,7 +51,8 @@
         let mut heads = Vec::new();
         for rank in self.waiting.values() {
             let mut destinations: Vec<_> = rank.iter().collect();
-            destinations.sort_by_key(|(key, _)| (self.slot_times.spent(now, key, STUCK_AFTER), *key));
+            destinations
+                .sort_by_key(|(key, _)| (self.slot_times.recent_slot_time(now, key, STUCK_AFTER), *key));
             let first = destinations.into_iter().filter_map(|(_, line)| line.front());
             heads.extend(first.map(|(ticket, ask)| (*ticket, ask)));
         }
@@ -65,10 +66,10 @@
     }
 
     pub(crate) fn begin(&mut self, now: Time, destination: &Destination, usual: Span) {
-        self.slot_times.begin(now, destination.clone(), usual);
+        self.slot_times.begin_call(now, destination.clone(), usual);
     }
 
     pub(crate) fn end(&mut self, now: Time, destination: &Destination) {
-        self.slot_times.end(now, destination);
+        self.slot_times.end_call(now, destination);
     }
 }
--- a/crates/lab/src/adapter.rs
+++ b/crates/lab/src/adapter.rs
@@ -8,7 +8,8 @@
 use std::sync::Arc;
 
 use juniperwing::interface::{
-    Command, Effect, EndpointId, Event, Group, News, NtfId, Outcome, Readiness, Status, Terms,
+    CallStatus, Command, DeduplicationScope, EndpointId, EndpointListUpdate, Event, NotificationId,
+    PushOutcome, Readiness, RelayConfig, Semantics,
 };
 use juniperwing::time::{Span, Time};
 use juniperwing_model::fleet::Fleet;
@@ -138,19 +139,22 @@
         let command = |cmd| {
             Some(match cmd {
                 Cmd::Transmit { ticket, endpoint: to, give_up_after } => Command::Push {
-                    ntf: NtfId(ticket),
+                    notification: NotificationId(ticket),
                     endpoint: endpoint(to),
-                    time_out: Span::from_nanos(give_up_after),
+                    timeout: Span::from_nanos(give_up_after),
                     send_within: Span::from_nanos(give_up_after),
                 },
-                Cmd::AbortAttempt { ticket, go } => Command::Cancel { ntf: NtfId(ticket), push: go },
-                Cmd::Bounce { ticket, retry_in } => {
-                    Command::Throttle { ntf: NtfId(ticket), retry_in: Span::from_nanos(retry_in) }
+                Cmd::AbortAttempt { ticket, go } => {
+                    Command::Cancel { notification: NotificationId(ticket), push_index: go }
                 }
-                Cmd::Fail { ticket } => Command::Expire(NtfId(ticket)),
-                Cmd::NotifyMe { wait } => Command::Wake(Span::from_nanos(wait)),
-                Cmd::Listen {} => Command::Subscribe,
-                Cmd::DropConns { endpoint: to } => Command::CloseIdle(endpoint(to)),
+                Cmd::Bounce { ticket, retry_in } => Command::Throttle {
+                    notification: NotificationId(ticket),
+                    retry_after: Span::from_nanos(retry_in),
+                },
+                Cmd::Fail { ticket } => Command::Expire(NotificationId(ticket)),
+                Cmd::NotifyMe { wait } => Command::WakeAfter(Span::from_nanos(wait)),
+                Cmd::Listen {} => Command::SubscribeToEndpointList,
+                Cmd::DropConns { endpoint: to } => Command::CloseIdleConnections(endpoint(to)),
                 Cmd::Else => return None,
             })
         };
@@ -178,21 +182,21 @@
 /// An event as the wire has it. The end of a notification is heard at once there, so `Heard` is not on it.
 fn told(relay: &str, event: Event, happened: &mut Vec<Value>) {
     match event {
-        Event::List(news) => {
+        Event::EndpointListUpdated(news) => {
             let (kind, entries) = match news {
-                News::Broken => ("broken", Vec::new()),
-                News::Changes(entries) => ("patch", entries),
-                News::Whole(entries) => ("whole", entries),
-                News::Held(entries) => ("stale_copy", entries),
+                EndpointListUpdate::Failed => ("broken", Vec::new()),
+                EndpointListUpdate::Changes(entries) => ("patch", entries),
+                EndpointListUpdate::Snapshot(entries) => ("whole", entries),
+                EndpointListUpdate::CachedSnapshot(entries) => ("stale_copy", entries),
             };
-            let record = |entry: juniperwing::interface::Entry| {
+            let record = |entry: juniperwing::interface::EndpointEntry| {
                 let readiness = match entry.readiness {
                     Readiness::Serving => "READY",
                     Readiness::Draining => "DRAINING",
                     Readiness::Deleted => "DELETED",
                 };
                 json!({"endpoint": &*entry.endpoint.0, "region-part": &*entry.zone, "model": entry.kind.name,
-                    "cell": entry.destination.0, "readiness": readiness, "nominal": entry.rate})
+                    "cell": entry.destination.0, "readiness": readiness, "nominal": entry.rate_per_second})
             };
             let records: Vec<Value> = entries.into_iter().map(record).collect();
             happened.push(json!({"m": "Inventory", "bank": 1, "records": records}));
@@ -201,66 +205,69 @@
         Event::Accepted(ntf) => happened.push(json!({"m": "Accept", "relay": relay, "ticket": ntf.id.0,
             "bound-for": ntf.destination.0, "org": ntf.account.map(|account| account.name.clone()),
             "object": ntf.key, "valid-until": ntf.valid_until.since(Time::default()).as_nanos(), "cls": ntf.topic.name})),
-        Event::Ended(outcome) => happened.push(answer(relay, &outcome)),
+        Event::PushEnded(outcome) => happened.push(answer(relay, &outcome)),
         Event::Withdrawn(ntf) => happened.push(json!({"m": "Withdrawn", "relay": relay, "ticket": ntf.0})),
-        Event::Woken => happened.push(json!({"m": "Ring", "relay": relay, "label": "wake"})),
-        Event::Heard(_)
-        | Event::Terms(_)
-        | Event::Slots(_)
-        | Event::Probed { .. }
-        | Event::Told { .. } => {}
+        Event::WakeUp => happened.push(json!({"m": "Ring", "relay": relay, "label": "wake"})),
+        Event::FinalAnswerAcknowledged(_)
+        | Event::ConfigChanged(_)
+        | Event::SlotLimitChanged(_)
+        | Event::ProbeEnded { .. }
+        | Event::RetryAfterReported { .. } => {}
     }
 }
 
-fn answer(relay: &str, outcome: &Outcome) -> Value {
+fn answer(relay: &str, outcome: &PushOutcome) -> Value {
     let status = match outcome.status {
-        Status::Delivered => "done",
-        Status::Error => "err",
-        Status::Busy => "busy",
-        Status::TimedOut => "etimedout",
-        Status::NoConnection | Status::Crowded => "econnrefused",
-        Status::Reset => "econnreset",
-        Status::Cancelled => "ecanceled",
-        Status::Skipped => "skipped",
+        CallStatus::Delivered => "done",
+        CallStatus::Error => "err",
+        CallStatus::Busy => "busy",
+        CallStatus::TimedOut => "etimedout",
+        CallStatus::NoConnection | CallStatus::ConnectionLimitReached => "econnrefused",
+        CallStatus::Reset => "econnreset",
+        CallStatus::Cancelled => "ecanceled",
+        CallStatus::Skipped => "skipped",
     };
-    let stats = outcome.limit.map(|limit| vec![limit.left, limit.rate]).unwrap_or_default();
-    let wait = outcome.wait.unwrap_or_default().as_nanos().div_ceil(1_000_000);
-    json!({"m": "Answer", "relay": relay, "ticket": outcome.ntf.0, "go": outcome.push,
-        "endpoint": &*outcome.endpoint.0, "status": status, "spent": outcome.spent.as_nanos(),
-        "settled": outcome.settled, "detail": wait, "server-stats": stats})
+    let stats = outcome
+        .rate_limit
+        .map(|limit| vec![limit.remaining_fraction, limit.rate_per_second])
+        .unwrap_or_default();
+    let wait = outcome.retry_after.unwrap_or_default().as_nanos().div_ceil(1_000_000);
+    json!({"m": "Answer", "relay": relay, "ticket": outcome.notification.0, "go": outcome.push_index,
+        "endpoint": &*outcome.endpoint.0, "status": status, "spent": outcome.elapsed.as_nanos(),
+        "settled": outcome.has_final_answer, "detail": wait, "server-stats": stats})
 }
 
 /// What a relay is started with, as the wire has it.
 fn settings(fleet: &Fleet, relay: usize) -> Value {
-    let Terms { fleet: facts, allowance: allowed, figures } = fleet.terms(relay);
+    let RelayConfig { fleet: facts, limits: allowed, rules } = fleet.terms(relay);
     let class = |plan: &juniperwing_model::fleet::TopicPlan| {
         let topic = &plan.topic;
-        let (semantics, scope) = match topic.effect {
-            Effect::Repeatable => ("pure", "all"),
-            Effect::Collapsible { group: Group::All, .. } => ("token", "all"),
-            Effect::Collapsible { group: Group::Zone, .. } => ("token", "zone"),
-            Effect::OnceOnly => ("side_effect", "all"),
+        let (semantics, scope) = match topic.semantics {
+            Semantics::Idempotent => ("pure", "all"),
+            Semantics::Deduplicated { scope: DeduplicationScope::All, .. } => ("token", "all"),
+            Semantics::Deduplicated { scope: DeduplicationScope::Zone, .. } => ("token", "zone"),
+            Semantics::NonIdempotent => ("side_effect", "all"),
         };
-        json!({"name": topic.name, "semantics": semantics, "dedup-scope": scope, "fifo-by-key": topic.ordered,
-            "aim": topic.objective.as_nanos(), "hard-limit": topic.ttl.as_nanos(), "worth": topic.benefit,
-            "late-value": topic.late_share, "repeat-window": topic.effect.window().unwrap_or_default().as_nanos()})
+        json!({"name": topic.name, "semantics": semantics, "dedup-scope": scope, "fifo-by-key": topic.is_ordered,
+            "aim": topic.latency_target.as_nanos(), "hard-limit": topic.ttl.as_nanos(), "worth": topic.benefit,
+            "late-value": topic.late_benefit_fraction, "repeat-window": topic.semantics.deduplication_window().unwrap_or_default().as_nanos()})
     };
-    let account = |account: &Arc<juniperwing::interface::Account>| json!({"name": account.name, "quota-per-s": account.quota});
+    let account = |account: &Arc<juniperwing::interface::Account>| json!({"name": account.name, "quota-per-s": account.quota_per_second});
     json!({
-        "balancers": facts.relays, "discovery": "subscribe", "tick": facts.tick.as_nanos(),
-        "weight-source": if facts.rates_listed { "rough" } else { "none" },
+        "balancers": facts.relay_count, "discovery": "subscribe", "tick": facts.tick.as_nanos(),
+        "weight-source": if facts.has_listed_rates { "rough" } else { "none" },
         "classes": fleet.topics.iter().map(class).collect::<Vec<_>>(),
         "accounts": fleet.accounts.iter().map(account).collect::<Vec<_>>(),
         "kinds": fleet.kinds.iter().map(|kind| kind.name.clone()).collect::<Vec<_>>(),
         "family-info": {"slots": allowed.slots,
-            "per-call": fleet.kinds.iter().map(|kind| kind.per_call).collect::<Vec<_>>(),
-            "separate-routes": fleet.kinds.iter().map(|kind| kind.separate_routes).collect::<Vec<_>>()},
+            "per-call": fleet.kinds.iter().map(|kind| kind.max_notifications_per_call).collect::<Vec<_>>(),
+            "separate-routes": fleet.kinds.iter().map(|kind| kind.has_separate_routes).collect::<Vec<_>>()},
         "load-report": {"how": "answers", "fields": ["x0", "x1"]},
-        "ceilings": {"max-attempts": allowed.pushes, "max-retry-after": allowed.longest_retry.as_nanos(),
-            "retry-after": allowed.longest_retry > Span::ZERO, "cancel": allowed.cancel, "probes": allowed.probes,
-            "second-copies": true, "most-held": allowed.held},
-        "rules": {"ask-every": figures.ask_every.as_nanos(), "cold": figures.cold.as_nanos(),
-            "cold-from": figures.cold_from, "fall-multiple": figures.fall_multiple,
-            "tip-after": figures.tip_after.as_nanos(), "settle-after-doubt": figures.settle.as_nanos()}
+        "ceilings": {"max-attempts": allowed.max_pushes, "max-retry-after": allowed.max_retry_after.as_nanos(),
+            "retry-after": allowed.max_retry_after > Span::ZERO, "cancel": allowed.can_cancel, "probes": allowed.can_probe,
+            "second-copies": true, "most-held": allowed.max_pending},
+        "rules": {"ask-every": rules.list_refresh_interval.as_nanos(), "cold": rules.warm_up_duration.as_nanos(),
+            "cold-from": rules.warm_up_initial_fraction, "fall-multiple": rules.overload_factor,
+            "tip-after": rules.overload_duration.as_nanos(), "settle-after-doubt": rules.key_cooldown.as_nanos()}
     })
 }
--- a/crates/lab/src/baselines.rs
+++ b/crates/lab/src/baselines.rs
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 
 use juniperwing::interface::{
-    Allowance, Command, DestinationId, Effect, EndpointId, Entry, Event, Group, News, Notification, NtfId,
-    Outcome, Readiness, RuleFigures, Status,
+    CallStatus, Command, DeduplicationScope, DestinationId, EndpointEntry, EndpointId, EndpointListUpdate,
+    Event, Notification, NotificationId, PushOutcome, Readiness, RelayLimits, RuleParameters, Semantics,
 };
 use juniperwing::time::{Span, Time};
 use juniperwing_model::fleet::Fleet;
@@ -105,11 +105,11 @@
 
 struct Plain {
     style: Style,
-    allowed: Allowance,
-    figures: RuleFigures,
+    allowed: RelayLimits,
+    figures: RuleParameters,
     chance: ChaCha8Rng,
     subscribed: bool,
-    list: BTreeMap<EndpointId, Entry>,
+    list: BTreeMap<EndpointId, EndpointEntry>,
     ends: BTreeMap<DestinationId, Vec<EndpointId>>,
     next: BTreeMap<DestinationId, usize>,
     waits: BTreeMap<(DestinationId, Option<EndpointId>), Time>,
@@ -123,7 +123,7 @@
 }
 
 impl Plain {
-    fn new(style: Style, seed: u64, allowed: Allowance, figures: RuleFigures) -> Plain {
+    fn new(style: Style, seed: u64, allowed: RelayLimits, figures: RuleParameters) -> Plain {
         Plain {
             style,
             allowed,
@@ -143,11 +143,11 @@
         }
     }
 
-    fn learn(&mut self, news: News, commands: &mut Vec<Command>) {
+    fn learn(&mut self, news: EndpointListUpdate, commands: &mut Vec<Command>) {
         let entries = match news {
-            News::Broken => return commands.push(Command::Subscribe),
-            News::Changes(entries) => entries,
-            News::Whole(entries) | News::Held(entries) => {
+            EndpointListUpdate::Failed => return commands.push(Command::SubscribeToEndpointList),
+            EndpointListUpdate::Changes(entries) => entries,
+            EndpointListUpdate::Snapshot(entries) | EndpointListUpdate::CachedSnapshot(entries) => {
                 self.list.clear();
                 entries
             }
@@ -167,13 +167,15 @@
 
     fn accept(&mut self, now: Time, ntf: Notification) {
         let id = ntf.id.0;
-        if let Some(key) = ntf.key.clone().filter(|_| ntf.topic.ordered) {
+        if let Some(key) = ntf.key.clone().filter(|_| ntf.topic.is_ordered) {
             let line = self.lines.entry(key).or_default();
             line.waiting.push_back(id);
-            line.rests =
-                line.rests.max(ntf.past.doubt.map_or(Time::default(), |at| at + self.figures.settle));
+            line.rests = line.rests.max(
+                ntf.history.last_doubtful_end.map_or(Time::default(), |at| at + self.figures.key_cooldown),
+            );
         }
-        let (ran, over, pushes) = (ntf.past.ran.clone(), ntf.past.ended, ntf.past.pushes);
+        let (ran, over, pushes) =
+            (ntf.history.first_possible_run.clone(), ntf.history.has_final_answer, ntf.history.push_count);
         self.held.insert(
             id,
             Held {
@@ -191,18 +193,18 @@
         self.saved = (self.saved + BUDGET).min(SAVED);
     }
 
-    fn outcome(&mut self, now: Time, outcome: &Outcome) {
-        let Outcome { ntf, endpoint, status, wait, settled, .. } = outcome;
+    fn outcome(&mut self, now: Time, outcome: &PushOutcome) {
+        let PushOutcome { notification, endpoint, status, retry_after, has_final_answer, .. } = outcome;
         let zone = self.list.get(endpoint).map(|entry| entry.zone.clone()).unwrap_or_default();
         if let Some(entry) = self.list.get(endpoint)
-            && let Some(wait) = wait
+            && let Some(wait) = retry_after
         {
-            let apart = entry.kind.separate_routes.then(|| endpoint.clone());
+            let apart = entry.kind.has_separate_routes.then(|| endpoint.clone());
             let until = self.waits.entry((entry.destination, apart)).or_default();
             *until = (*until).max(now + *wait);
         }
         let breaker = self.breakers.entry(endpoint.clone()).or_default();
-        if *status == Status::Delivered {
+        if *status == CallStatus::Delivered {
             breaker.failures = 0;
         } else {
             breaker.failures += 1;
@@ -210,7 +212,7 @@
                 (breaker.failures, breaker.open_until) = (BREAKS - 1, now + OPEN);
             }
         }
-        let Some(held) = self.held.get_mut(&ntf.0) else { return };
+        let Some(held) = self.held.get_mut(&notification.0) else { return };
         if let Some(call) = held.out.take()
             && let Some(left) = self.calls.get_mut(&call)
         {
@@ -225,10 +227,10 @@
         if status.may_be_running()
             && let Some(line) = held.ntf.key.as_ref().and_then(|key| self.lines.get_mut(key))
         {
-            line.rests = line.rests.max(now + self.figures.settle);
+            line.rests = line.rests.max(now + self.figures.key_cooldown);
         }
-        if *settled && !held.over {
-            return self.forget(ntf.0);
+        if *has_final_answer && !held.over {
+            return self.forget(notification.0);
         }
         let growth = 2f64.powi(held.pushes.min(16) as i32 - 1);
         let most = BACKOFF.mul_f64(growth).min(LONGEST_BACKOFF);
@@ -253,14 +255,14 @@
     /// Whether another push may go at all, and to which zone only.
     fn may_go(&self, now: Time, held: &Held) -> Option<Option<Arc<str>>> {
         let retries = self.style != Style::OneTry || held.ran.is_none() && held.pushes == 0;
-        if held.pushes >= self.allowed.pushes || !retries {
+        if held.pushes >= self.allowed.max_pushes || !retries {
             return None;
         }
-        match (&held.ran, held.ntf.topic.effect) {
-            (None, _) | (Some(_), Effect::Repeatable) => Some(None),
-            (Some(_), Effect::OnceOnly) => None,
-            (Some((at, zone)), Effect::Collapsible { group, window }) => {
-                (now < *at + window).then(|| (group == Group::Zone).then(|| zone.clone()))
+        match (&held.ran, held.ntf.topic.semantics) {
+            (None, _) | (Some(_), Semantics::Idempotent) => Some(None),
+            (Some(_), Semantics::NonIdempotent) => None,
+            (Some((at, zone)), Semantics::Deduplicated { scope, window }) => {
+                (now < *at + window).then(|| (scope == DeduplicationScope::Zone).then(|| zone.clone()))
             }
         }
     }
@@ -275,7 +277,7 @@
         for n in 0..ends.len() {
             let end = &ends[(start + n) % ends.len()];
             let entry = &self.list[end];
-            let apart = entry.kind.separate_routes.then(|| end.clone());
+            let apart = entry.kind.has_separate_routes.then(|| end.clone());
             let waits = self.waits.get(&(destination, apart)).is_some_and(|until| now < *until);
             let open =
                 self.style == Style::Breaker && self.breakers.get(end).is_some_and(|b| now < b.open_until);
@@ -295,11 +297,11 @@
 
     fn end(&mut self, id: u64, commands: &mut Vec<Command>) {
         let Some(held) = self.held.get_mut(&id) else { return };
-        let ntf = NtfId(id);
-        let throttled = Command::Throttle { ntf, retry_in: Span::ZERO };
+        let ntf = NotificationId(id);
+        let throttled = Command::Throttle { notification: ntf, retry_after: Span::ZERO };
         commands.push(if held.ran.is_none() { throttled } else { Command::Expire(ntf) });
         held.over = true;
-        if !held.ntf.topic.ordered || held.ntf.key.is_none() {
+        if !held.ntf.topic.is_ordered || held.ntf.key.is_none() {
             self.held.remove(&id);
         }
     }
@@ -309,7 +311,7 @@
         // An oracle sends first what can still meet its objective; the others go by arrival.
         let late = |held: &Held| {
             let born = held.ntf.valid_until - held.ntf.topic.ttl;
-            self.style == Style::Oracle && now.since(born) > held.ntf.topic.objective
+            self.style == Style::Oracle && now.since(born) > held.ntf.topic.latency_target
         };
         let waiting = self.held.iter().filter(|(_, h)| h.out.is_none() && !h.over);
         let mut order: Vec<(bool, Time, u64)> = waiting.map(|(id, h)| (late(h), h.ready, *id)).collect();
@@ -335,7 +337,8 @@
             };
             // Whatever else is ready for that destination and may go there travels in the same call.
             let entry = &self.list[&endpoint];
-            let (most, to, at) = (entry.kind.per_call.max(1), entry.destination, entry.zone.clone());
+            let (most, to, at) =
+                (entry.kind.max_notifications_per_call.max(1), entry.destination, entry.zone.clone());
             let joins = |other: &u64| {
                 let held = &self.held[other];
                 let zone = self.may_go(now, held);
@@ -360,10 +363,12 @@
     fn call_off(&mut self, now: Time, truth: &dyn Truth, commands: &mut Vec<Command>) -> Time {
         let mut look = Time::NEVER;
         for (id, held) in self.held.iter_mut().filter(|(_, held)| held.out.is_some() && !held.off) {
-            let again = held.ntf.topic.effect != Effect::OnceOnly && held.pushes < self.allowed.pushes;
+            let again =
+                held.ntf.topic.semantics != Semantics::NonIdempotent && held.pushes < self.allowed.max_pushes;
             if again && truth.endpoint(&held.to).is_some_and(|state| !state.answers) {
                 held.off = true;
-                commands.push(Command::Cancel { ntf: NtfId(*id), push: held.pushes - 1 });
+                commands
+                    .push(Command::Cancel { notification: NotificationId(*id), push_index: held.pushes - 1 });
             } else if again {
                 look = now + LOOK_OUT;
             }
@@ -380,8 +385,8 @@
             let time_out = match self.style {
                 Style::OneTry | Style::Oracle => left,
                 // A once-only one has no second try: it is waited for.
-                _ if held.ntf.topic.effect == Effect::OnceOnly => left,
-                _ => held.ntf.topic.objective.mul_f64(TIME_OUT).min(left),
+                _ if held.ntf.topic.semantics == Semantics::NonIdempotent => left,
+                _ => held.ntf.topic.latency_target.mul_f64(TIME_OUT).min(left),
             };
             if held.pushes > 0 {
                 self.saved -= 1.0;
@@ -389,16 +394,16 @@
             (held.out, held.pushes, held.sent) = (Some(self.next_call), held.pushes + 1, now);
             (held.to, held.off) = (endpoint.clone(), false);
             commands.push(Command::Push {
-                ntf: NtfId(*id),
+                notification: NotificationId(*id),
                 endpoint: endpoint.clone(),
-                time_out,
+                timeout: time_out,
                 send_within: time_out,
             });
         }
     }
 
     fn line(&self, held: &Held) -> Option<&Line> {
-        held.ntf.key.as_ref().filter(|_| held.ntf.topic.ordered).and_then(|key| self.lines.get(key))
+        held.ntf.key.as_ref().filter(|_| held.ntf.topic.is_ordered).and_then(|key| self.lines.get(key))
     }
 
     /// Until when its key rests.
@@ -416,16 +421,19 @@
     fn handle(&mut self, now: Time, events: Vec<Event>, truth: &dyn Truth) -> Vec<Command> {
         let mut commands = Vec::new();
         if !std::mem::replace(&mut self.subscribed, true) {
-            commands.push(Command::Subscribe);
+            commands.push(Command::SubscribeToEndpointList);
         }
         for event in events {
             match event {
-                Event::List(news) => self.learn(news, &mut commands),
+                Event::EndpointListUpdated(news) => self.learn(news, &mut commands),
                 Event::Accepted(ntf) => self.accept(now, ntf),
-                Event::Ended(outcome) => self.outcome(now, &outcome),
-                Event::Withdrawn(ntf) | Event::Heard(ntf) => self.forget(ntf.0),
-                Event::Slots(slots) => self.allowed.slots = slots,
-                Event::Woken | Event::Terms(_) | Event::Probed { .. } | Event::Told { .. } => {}
+                Event::PushEnded(outcome) => self.outcome(now, &outcome),
+                Event::Withdrawn(ntf) | Event::FinalAnswerAcknowledged(ntf) => self.forget(ntf.0),
+                Event::SlotLimitChanged(slots) => self.allowed.slots = slots,
+                Event::WakeUp
+                | Event::ConfigChanged(_)
+                | Event::ProbeEnded { .. }
+                | Event::RetryAfterReported { .. } => {}
             }
         }
         let mut look = self.send(now, truth, &mut commands);
@@ -433,7 +441,7 @@
             look = look.min(self.call_off(now, truth, &mut commands));
         }
         if look < Time::NEVER {
-            commands.push(Command::Wake(look.since(now)));
+            commands.push(Command::WakeAfter(look.since(now)));
         }
         commands
     }
--- a/crates/model/src/clients.rs
+++ b/crates/model/src/clients.rs
@@ -232,7 +232,7 @@
         let (hurried, impatient): (f64, f64) = (chance.random(), chance.random());
         let late = self.patience.draw(chance);
         let mut key = None;
-        if fleet.topics[topic].topic.ordered {
+        if fleet.topics[topic].topic.is_ordered {
             let keys = &mut self.keys[destination];
             let (name, at_relay) = keys.key(at, slot % keys.slots, destination, &self.parts);
             (key, relay) = (Some(name), at_relay);
--- a/crates/model/src/endpoint.rs
+++ b/crates/model/src/endpoint.rs
@@ -4,7 +4,7 @@
 
 use std::collections::VecDeque;
 
-use juniperwing::interface::LimitReport;
+use juniperwing::interface::RateLimitReport;
 use juniperwing::time::{Span, Time};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -31,7 +31,7 @@
     pub(crate) gone: bool,
     service: ChaCha8Rng,
     noise: ChaCha8Rng,
-    reports: VecDeque<(Time, LimitReport)>,
+    reports: VecDeque<(Time, RateLimitReport)>,
 }
 
 /// What becomes of a call that has room in the limit.
@@ -97,7 +97,8 @@
         let Some(rate) = limit.told(factor).filter(|_| due) else { return };
         let left = limit.left(now, factor);
         let mut blur = |value: f64| value * (1.0 + noise * (2.0 * self.noise.random::<f64>() - 1.0));
-        let report = LimitReport { left: blur(left).clamp(0.0, 1.0), rate: blur(rate) };
+        let report =
+            RateLimitReport { remaining_fraction: blur(left).clamp(0.0, 1.0), rate_per_second: blur(rate) };
         self.reports.push_back((now, report));
         if self.reports.len() > REPORTS {
             self.reports.pop_front();
@@ -105,7 +106,7 @@
     }
 
     /// The newest report that is old enough to be told.
-    pub(crate) fn report(&self, now: Time) -> Option<LimitReport> {
+    pub(crate) fn report(&self, now: Time) -> Option<RateLimitReport> {
         let told = self.reports.iter().rev().find(|(at, _)| now.since(*at) >= self.plan.report.1);
         told.map(|(_, report)| *report)
     }
--- a/crates/model/src/figures.rs
+++ b/crates/model/src/figures.rs
@@ -3,7 +3,7 @@
 //! influence what happens.
 
 use hdrhistogram::Histogram;
-use juniperwing::interface::Status;
+use juniperwing::interface::CallStatus;
 use juniperwing::time::{Span, Time};
 use serde::Serialize;
 
@@ -243,20 +243,20 @@
         });
     }
 
-    pub(crate) fn ended(&mut self, at: Time, status: Status) {
+    pub(crate) fn ended(&mut self, at: Time, status: CallStatus) {
         let pushes = &mut self.figures.pushes;
         let count = match status {
-            Status::Delivered => &mut pushes.delivered,
-            Status::Error => &mut pushes.error,
-            Status::Busy => &mut pushes.busy,
-            Status::TimedOut => &mut pushes.timed_out,
-            Status::NoConnection | Status::Crowded => &mut pushes.no_connection,
-            Status::Reset => &mut pushes.reset,
-            Status::Cancelled => &mut pushes.cancelled,
-            Status::Skipped => &mut pushes.skipped,
+            CallStatus::Delivered => &mut pushes.delivered,
+            CallStatus::Error => &mut pushes.error,
+            CallStatus::Busy => &mut pushes.busy,
+            CallStatus::TimedOut => &mut pushes.timed_out,
+            CallStatus::NoConnection | CallStatus::ConnectionLimitReached => &mut pushes.no_connection,
+            CallStatus::Reset => &mut pushes.reset,
+            CallStatus::Cancelled => &mut pushes.cancelled,
+            CallStatus::Skipped => &mut pushes.skipped,
         };
         *count += 1;
-        if status == Status::Busy {
+        if status == CallStatus::Busy {
             self.second(at).refused += 1;
         }
     }
--- a/crates/model/src/fleet.rs
+++ b/crates/model/src/fleet.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use juniperwing::interface::{
-    self, Allowance, DestinationId, EndpointId, Group, RuleFigures, Terms, TopicType,
+    self, DeduplicationScope, DestinationId, EndpointId, RelayConfig, RelayLimits, RuleParameters, TopicType,
 };
 use juniperwing::time::Span;
 use rand::Rng;
@@ -102,7 +102,7 @@
     /// Its zone, by place.
     pub zone: usize,
     /// What it may use.
-    pub allowance: Allowance,
+    pub allowance: RelayLimits,
     /// Where it lies between the nearest and the farthest, from 0 to 1.
     pub distance: f64,
     /// The seed that it is started with.
@@ -115,7 +115,7 @@
     /// Topic types.
     pub topics: Vec<TopicPlan>,
     /// Kinds, as the core has them.
-    pub kinds: Vec<Arc<interface::Kind>>,
+    pub kinds: Vec<Arc<interface::DestinationKind>>,
     /// Zones by name.
     pub zones: Vec<Arc<str>>,
     /// Accounts, as the core has them.
@@ -129,7 +129,7 @@
     /// Relays.
     pub relays: Vec<RelayPlan>,
     /// The figures of the rules, as relays are told them.
-    pub figures: RuleFigures,
+    pub figures: RuleParameters,
     /// The shortest gap between two rounds of a relay.
     pub tick: Span,
     /// Whether list entries carry a rate.
@@ -174,16 +174,16 @@
     }
 
     /// What a relay, by place, is told of where it serves. Crossing zones has no price here.
-    pub fn terms(&self, relay: usize) -> Terms {
+    pub fn terms(&self, relay: usize) -> RelayConfig {
         let fleet = interface::Fleet {
-            relays: self.relays.len(),
-            rates_listed: self.rates_listed,
-            list_on_request: true,
-            list_pushed: false,
+            relay_count: self.relays.len(),
+            has_listed_rates: self.rates_listed,
+            is_list_on_request: true,
+            is_list_pushed: false,
             tick: self.tick,
-            home: None,
+            home_zone: None,
         };
-        Terms { fleet, allowance: self.relays[relay].allowance, figures: self.figures }
+        RelayConfig { fleet, limits: self.relays[relay].allowance, rules: self.figures }
     }
 
     fn draw_destinations(&mut self, scenario: &Scenario, chance: &Chance) {
@@ -282,14 +282,14 @@
             let part = weight / total;
             let slots = (plan.slots_room.draw(&mut draws) * busy * part).max(plan.least_slots).round();
             let held = (plan.hold_s.draw(&mut draws) * rate * part).max(plan.least_held).round();
-            let allowance = Allowance {
+            let allowance = RelayLimits {
                 slots: slots as usize,
-                pushes: plan.pushes,
-                held: held as usize,
-                longest_retry: span_ms(scenario.clients.longest_retry_ms),
-                probes: false,
-                cancel: true,
-                idle: Span::from_secs_f64(scenario.network.idle_s),
+                max_pushes: plan.pushes,
+                max_pending: held as usize,
+                max_retry_after: span_ms(scenario.clients.longest_retry_ms),
+                can_probe: false,
+                can_cancel: true,
+                idle_timeout: Span::from_secs_f64(scenario.network.idle_s),
             };
             let seed = chance.stream(Concern::Policies, place).random();
             let (zone, distance) = (place % self.zones.len(), draws.random());
@@ -338,19 +338,23 @@
     let topic = |plan: &crate::scenario::Topic| {
         let window = span_ms(plan.window_ms);
         let effect = match plan.effect {
-            Effect::Repeatable => interface::Effect::Repeatable,
-            Effect::Collapsible => interface::Effect::Collapsible { group: Group::All, window },
-            Effect::CollapsibleInZone => interface::Effect::Collapsible { group: Group::Zone, window },
-            Effect::OnceOnly => interface::Effect::OnceOnly,
+            Effect::Repeatable => interface::Semantics::Idempotent,
+            Effect::Collapsible => {
+                interface::Semantics::Deduplicated { scope: DeduplicationScope::All, window }
+            }
+            Effect::CollapsibleInZone => {
+                interface::Semantics::Deduplicated { scope: DeduplicationScope::Zone, window }
+            }
+            Effect::OnceOnly => interface::Semantics::NonIdempotent,
         };
         let topic = TopicType {
             name: plan.name.clone(),
-            effect,
-            objective: span_ms(plan.objective_ms),
+            semantics: effect,
+            latency_target: span_ms(plan.objective_ms),
             ttl: span_ms(plan.ttl_ms),
             benefit: plan.benefit,
-            late_share: plan.late_share,
-            ordered: plan.ordered,
+            late_benefit_fraction: plan.late_share,
+            is_ordered: plan.ordered,
         };
         let (work, cv, law, try_cv) =
             (plan.work_ms.least / 1_000.0, plan.work_cv.least, plan.work_law, plan.try_cv);
@@ -359,10 +363,14 @@
     scenario.topic.iter().map(topic).collect()
 }
 
-fn kinds(scenario: &Scenario) -> Vec<Arc<interface::Kind>> {
+fn kinds(scenario: &Scenario) -> Vec<Arc<interface::DestinationKind>> {
     let kind = |plan: &crate::scenario::Kind| {
         let (name, per_call) = (plan.name.clone(), plan.per_call);
-        Arc::new(interface::Kind { name, separate_routes: plan.apart, per_call })
+        Arc::new(interface::DestinationKind {
+            name,
+            has_separate_routes: plan.apart,
+            max_notifications_per_call: per_call,
+        })
     };
     scenario.kind.iter().map(kind).collect()
 }
@@ -371,20 +379,20 @@
     let total: f64 = scenario.account.iter().map(|account| account.share).sum();
     let account = |plan: &crate::scenario::Account| {
         let quota = scenario.traffic.rate.least * plan.share / total * plan.quota;
-        Arc::new(interface::Account { name: plan.name.clone(), quota })
+        Arc::new(interface::Account { name: plan.name.clone(), quota_per_second: quota })
     };
     scenario.account.iter().map(account).collect()
 }
 
-fn figures(scenario: &Scenario) -> RuleFigures {
+fn figures(scenario: &Scenario) -> RuleParameters {
     let rules = &scenario.rules;
-    RuleFigures {
-        ask_every: Span::from_secs_f64(rules.ask_every_s),
-        cold_from: rules.cold_from.least,
-        cold: Span::from_secs_f64(rules.cold_s.most),
-        fall_multiple: rules.fall_multiple,
-        tip_after: span_ms(rules.tip_after_ms),
-        settle: span_ms(rules.settle_ms),
+    RuleParameters {
+        list_refresh_interval: Span::from_secs_f64(rules.ask_every_s),
+        warm_up_initial_fraction: rules.cold_from.least,
+        warm_up_duration: Span::from_secs_f64(rules.cold_s.most),
+        overload_factor: rules.fall_multiple,
+        overload_duration: span_ms(rules.tip_after_ms),
+        key_cooldown: span_ms(rules.settle_ms),
     }
 }
 
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -14,7 +14,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-use juniperwing::interface::{Readiness, Status};
+use juniperwing::interface::{CallStatus, Readiness};
 use juniperwing::time::{Span, Time};
 use rand_chacha::ChaCha8Rng;
 
@@ -165,7 +165,7 @@
             Happens::Due { call, ntf } => self.due(call, ntf),
             Happens::ConnectDue(call) => {
                 if self.calls.get(&call).is_some_and(|c| c.open && !c.up) {
-                    self.broke(call, Status::NoConnection);
+                    self.broke(call, CallStatus::NoConnection);
                 }
             }
             Happens::Retire { relay, endpoint } => self.retire(relay, endpoint),
--- a/crates/model/src/world/build.rs
+++ b/crates/model/src/world/build.rs
@@ -92,8 +92,8 @@
         ledger.figures.seed = seed;
         ledger.figures.size = (fleet.relays.len(), fleet.destinations.len(), fleet.endpoints.len());
         let shares = fleet.accounts.iter().zip(&scenario.account).map(|(account, plan)| Share {
-            quota: account.quota,
-            left: account.quota,
+            quota: account.quota_per_second,
+            left: account.quota_per_second,
             at: Time::default(),
             over: plan.over_share,
         });
--- a/crates/model/src/world/calls.rs
+++ b/crates/model/src/world/calls.rs
@@ -1,6 +1,6 @@
 //! Calls on the way: from the push to the endpoint that serves it, and its answer.
 
-use juniperwing::interface::{EndpointId, Status};
+use juniperwing::interface::{CallStatus, EndpointId};
 use juniperwing::time::Span;
 use rand::Rng;
 
@@ -65,7 +65,8 @@
             // More calls than slots: not sent at all.
             node.calls.insert(id);
             self.calls.insert(id, Call { place: Where::Done, ..call });
-            self.queue.put(now, Happens::Back { call: id, status: Status::Skipped, wait: None, limit: None });
+            self.queue
+                .put(now, Happens::Back { call: id, status: CallStatus::Skipped, wait: None, limit: None });
             return;
         }
         node.calls.insert(id);
@@ -109,7 +110,7 @@
         let struck = &endpoint.struck;
         let refuses = endpoint.gone || struck.any(&self.spells, Woe::Down, now);
         if refuses || endpoint.connections >= endpoint.plan.connections {
-            let status = if refuses { Status::NoConnection } else { Status::Crowded };
+            let status = if refuses { CallStatus::NoConnection } else { CallStatus::ConnectionLimitReached };
             self.queue.put(now + call.one_way, Happens::Back { call: id, status, wait: None, limit: None });
             return self.at(id, Where::Done);
         }
@@ -139,7 +140,7 @@
         self.watch(destination, |w| &mut w.reached, count as f64);
         let endpoint = &mut self.endpoints[place];
         if endpoint.gone || endpoint.struck.any(&self.spells, Woe::Down, now) {
-            return self.answer(id, Status::Reset, None);
+            return self.answer(id, CallStatus::Reset, None);
         }
         if !self.lanes[lane].is_out() {
             self.judge.reached(now, relay, lane, weight);
@@ -153,17 +154,17 @@
             return self.at(id, Where::Done);
         }
         if struck.any(&self.spells, Woe::Errors, now) || failing {
-            return self.answer(id, Status::Error, None);
+            return self.answer(id, CallStatus::Error, None);
         }
         if struck.any(&self.spells, Woe::Refuses, now) {
-            return self.answer(id, Status::Busy, None);
+            return self.answer(id, CallStatus::Busy, None);
         }
         let spared = struck.spared(&self.spells, Woe::Resets, now);
         if spared < 1.0 {
             let broken = 1.0 - spared;
             let drawn = endpoint.draw();
             if drawn < broken / 2.0 {
-                return self.answer(id, Status::Reset, None);
+                return self.answer(id, CallStatus::Reset, None);
             }
             if let Some(call) = self.calls.get_mut(&id) {
                 call.breaks = drawn < broken;
@@ -175,12 +176,12 @@
         endpoint.make_report(now, noise, limit, factor);
         if !within {
             let wait = (endpoint.draw() < tells_wait).then(|| limit.opens(now, factor));
-            return self.answer(id, Status::Busy, wait.filter(|wait| *wait > Span::ZERO));
+            return self.answer(id, CallStatus::Busy, wait.filter(|wait| *wait > Span::ZERO));
         }
         match endpoint.admit(id) {
             Place::Served => self.serve(id),
             Place::Waits => self.at(id, Where::Waiting),
-            Place::Full => self.answer(id, Status::Busy, None),
+            Place::Full => self.answer(id, CallStatus::Busy, None),
         }
     }
 
@@ -221,11 +222,11 @@
         if silent {
             return self.at(id, Where::Done);
         }
-        let status = if error { Status::Error } else { Status::Delivered };
+        let status = if error { CallStatus::Error } else { CallStatus::Delivered };
         if !error {
             self.ran(id);
         }
-        self.answer(id, if breaks { Status::Reset } else { status }, None);
+        self.answer(id, if breaks { CallStatus::Reset } else { status }, None);
     }
 
     /// What a call carried has run.
@@ -256,13 +257,13 @@
     }
 
     /// The endpoint answers a call, or its connection breaks.
-    fn answer(&mut self, id: CallId, status: Status, wait: Option<Span>) {
+    fn answer(&mut self, id: CallId, status: CallStatus, wait: Option<Span>) {
         let now = self.now;
         let Some(call) = self.calls.get(&id) else { return };
         let endpoint = &self.endpoints[call.endpoint];
         let cut = endpoint.struck.any(&self.spells, Woe::CutBack, now);
         let kind = &self.scenario.kind[self.fleet.destinations[endpoint.plan.destination].kind];
-        let limit = if kind.reports && status != Status::Reset { endpoint.report(now) } else { None };
+        let limit = if kind.reports && status != CallStatus::Reset { endpoint.report(now) } else { None };
         if !cut && call.open {
             self.queue.put(now + call.one_way, Happens::Back { call: id, status, wait, limit });
         }
--- a/crates/model/src/world/ends.rs
+++ b/crates/model/src/world/ends.rs
@@ -1,6 +1,6 @@
 //! Ends of calls and pushes as the relay sees them, and its connections.
 
-use juniperwing::interface::{LimitReport, NtfId, Outcome, Status};
+use juniperwing::interface::{CallStatus, NotificationId, PushOutcome, RateLimitReport};
 use juniperwing::time::Span;
 
 use super::state::{Happens, Member, Told, Where};
@@ -10,18 +10,25 @@
 impl World<'_> {
     /// An answer reaches the relay.
     pub(super) fn back(
-        &mut self, id: CallId, status: Status, wait: Option<Span>, limit: Option<LimitReport>,
+        &mut self, id: CallId, status: CallStatus, wait: Option<Span>, limit: Option<RateLimitReport>,
     ) {
         if self.calls.get(&id).is_some_and(|call| call.open) {
             self.ended_all(id, status, wait, limit);
-            let keep =
-                !matches!(status, Status::NoConnection | Status::Crowded | Status::Reset | Status::Skipped);
+            let keep = !matches!(
+                status,
+                CallStatus::NoConnection
+                    | CallStatus::ConnectionLimitReached
+                    | CallStatus::Reset
+                    | CallStatus::Skipped
+            );
             self.close(id, keep);
         }
     }
 
     /// All pushes of a call that are still out have their outcome.
-    fn ended_all(&mut self, id: CallId, status: Status, wait: Option<Span>, limit: Option<LimitReport>) {
+    fn ended_all(
+        &mut self, id: CallId, status: CallStatus, wait: Option<Span>, limit: Option<RateLimitReport>,
+    ) {
         let Some(call) = self.calls.get(&id) else { return };
         let out: Vec<usize> = (0..call.members.len()).filter(|n| call.members[*n].out).collect();
         out.into_iter().for_each(|member| self.ended(id, member, status, wait, limit));
@@ -29,21 +36,22 @@
 
     /// One push of a call has its outcome.
     pub(super) fn ended(
-        &mut self, id: CallId, member: usize, status: Status, wait: Option<Span>, limit: Option<LimitReport>,
+        &mut self, id: CallId, member: usize, status: CallStatus, wait: Option<Span>,
+        limit: Option<RateLimitReport>,
     ) {
         let now = self.now;
         let Some(call) = self.calls.get_mut(&id) else { return };
         let of = &mut call.members[member];
         of.out = false;
-        let outcome = Outcome {
-            ntf: NtfId(of.ntf),
-            push: of.push,
+        let outcome = PushOutcome {
+            notification: NotificationId(of.ntf),
+            push_index: of.push,
             endpoint: self.endpoints[call.endpoint].plan.id.clone(),
             status,
-            spent: now.since(call.sent),
-            settled: false,
-            wait,
-            limit,
+            elapsed: now.since(call.sent),
+            has_final_answer: false,
+            retry_after: wait,
+            rate_limit: limit,
         };
         let (relay, lane) = (call.relay, call.lane);
         self.tell(relay, Told::Ended { outcome: Box::new(outcome), lane });
@@ -53,7 +61,7 @@
     pub(super) fn due(&mut self, id: CallId, ntf: u64) {
         let Some(call) = self.calls.get(&id).filter(|call| call.open) else { return };
         let Some(member) = call.members.iter().position(|m| m.ntf == ntf && m.out) else { return };
-        let status = if call.up { Status::TimedOut } else { Status::NoConnection };
+        let status = if call.up { CallStatus::TimedOut } else { CallStatus::NoConnection };
         self.end_member(id, member, status);
     }
 
@@ -61,22 +69,22 @@
         for id in &self.nodes[relay].calls {
             let of = |m: &Member| m.ntf == ntf && m.push == push && m.out;
             if let Some(member) = self.calls.get(id).and_then(|call| call.members.iter().position(of)) {
-                return self.end_member(*id, member, Status::Cancelled);
+                return self.end_member(*id, member, CallStatus::Cancelled);
             }
         }
     }
 
     /// A push ends before its call does. With the last the call is closed, and so it is with an ordered one.
-    fn end_member(&mut self, id: CallId, member: usize, status: Status) {
+    fn end_member(&mut self, id: CallId, member: usize, status: CallStatus) {
         self.ended(id, member, status, None, None);
         let Some(call) = self.calls.get(&id) else { return };
         if call.members[member].ordered || !call.members.iter().any(|m| m.out) {
-            self.broke(id, Status::Cancelled);
+            self.broke(id, CallStatus::Cancelled);
         }
     }
 
     /// A call is over without an answer.
-    pub(super) fn broke(&mut self, id: CallId, status: Status) {
+    pub(super) fn broke(&mut self, id: CallId, status: CallStatus) {
         self.ended_all(id, status, None, None);
         self.close(id, false);
     }
--- a/crates/model/src/world/hand_in.rs
+++ b/crates/model/src/world/hand_in.rs
@@ -67,7 +67,7 @@
         if !self.nodes[relay].up {
             return self.elsewhere(message);
         }
-        if self.nodes[relay].held.len() >= self.nodes[relay].plan.allowance.held {
+        if self.nodes[relay].held.len() >= self.nodes[relay].plan.allowance.max_pending {
             self.ledger.figures.hold_full += 1;
             return self.again(message, relay, None);
         }
--- a/crates/model/src/world/relays.rs
+++ b/crates/model/src/world/relays.rs
@@ -1,7 +1,8 @@
 //! Relays: their starts and ends, their turns, and what they order.
 
 use juniperwing::interface::{
-    Command, EndpointId, Entry, Event, News, Notification, NtfId, Past, Readiness, Status,
+    CallStatus, Command, EndpointEntry, EndpointId, EndpointListUpdate, Event, Notification,
+    NotificationHistory, NotificationId, Readiness,
 };
 use juniperwing::time::{Span, Time};
 
@@ -105,7 +106,7 @@
         let node = &mut self.nodes[relay];
         if node.wake <= now {
             node.wake = Time::NEVER;
-            events.push(Event::Woken);
+            events.push(Event::WakeUp);
         }
         if events.is_empty() {
             return;
@@ -153,17 +154,20 @@
                 Event::Accepted(self.notification(ntf, &self.nodes[relay].held[&ntf]))
             }
             Told::Ended { mut outcome, lane } => {
-                let (ntf, status) = (outcome.ntf.0, outcome.status);
+                let (ntf, status) = (outcome.notification.0, outcome.status);
                 let ran = match status {
-                    Status::Busy | Status::NoConnection | Status::Crowded | Status::Skipped => Ran::Never,
-                    Status::TimedOut | Status::Reset | Status::Cancelled => Ran::Unsure,
-                    Status::Delivered | Status::Error => Ran::Maybe,
+                    CallStatus::Busy
+                    | CallStatus::NoConnection
+                    | CallStatus::ConnectionLimitReached
+                    | CallStatus::Skipped => Ran::Never,
+                    CallStatus::TimedOut | CallStatus::Reset | CallStatus::Cancelled => Ran::Unsure,
+                    CallStatus::Delivered | CallStatus::Error => Ran::Maybe,
                 };
-                self.judge.outcome(now, relay, ntf, outcome.push, ran);
-                if !matches!(status, Status::Delivered | Status::Cancelled | Status::Skipped) {
+                self.judge.outcome(now, relay, ntf, outcome.push_index, ran);
+                if !matches!(status, CallStatus::Delivered | CallStatus::Cancelled | CallStatus::Skipped) {
                     self.judge.saw_failure(relay, lane);
                 }
-                if let Some(wait) = outcome.wait {
+                if let Some(wait) = outcome.retry_after {
                     waits.push((lane, now + wait));
                 }
                 self.ledger.ended(now, status);
@@ -176,15 +180,15 @@
                     if ran == Ran::Unsure {
                         held.doubt = Some(now);
                     }
-                    if status == Status::Delivered {
+                    if status == CallStatus::Delivered {
                         message = Some((held.message, held.ended));
                     }
-                    outcome.settled = held.ended;
+                    outcome.has_final_answer = held.ended;
                 } else {
-                    outcome.settled = true;
+                    outcome.has_final_answer = true;
                 }
                 if let Some((message, ended)) = message {
-                    outcome.settled = true;
+                    outcome.has_final_answer = true;
                     self.nodes[relay].held.remove(&ntf);
                     self.messages[message].held = None;
                     if !ended {
@@ -192,7 +196,7 @@
                     }
                     self.give_up(message, Undelivered::Gone);
                 }
-                Event::Ended(*outcome)
+                Event::PushEnded(*outcome)
             }
             Told::List(changes) => {
                 for (endpoint, readiness) in &changes {
@@ -200,7 +204,7 @@
                 }
                 let entries =
                     changes.into_iter().map(|(endpoint, readiness)| self.entry(endpoint, readiness));
-                Event::List(News::Changes(entries.collect()))
+                Event::EndpointListUpdated(EndpointListUpdate::Changes(entries.collect()))
             }
             Told::Whole => {
                 let live = (0..self.endpoints.len()).filter(|e| self.readiness[*e] != Readiness::Deleted);
@@ -209,13 +213,13 @@
                     self.judge.told_of(now, relay, *endpoint, *readiness == Readiness::Serving);
                 }
                 let entries = live.into_iter().map(|(endpoint, readiness)| self.entry(endpoint, readiness));
-                Event::List(News::Whole(entries.collect()))
+                Event::EndpointListUpdated(EndpointListUpdate::Snapshot(entries.collect()))
             }
-            Told::Broken => Event::List(News::Broken),
-            Told::Withdrawn(ntf) => Event::Withdrawn(NtfId(ntf)),
+            Told::Broken => Event::EndpointListUpdated(EndpointListUpdate::Failed),
+            Told::Withdrawn(ntf) => Event::Withdrawn(NotificationId(ntf)),
             Told::Heard(ntf) => {
                 self.nodes[relay].held.remove(&ntf);
-                Event::Heard(NtfId(ntf))
+                Event::FinalAnswerAcknowledged(NotificationId(ntf))
             }
         })
     }
@@ -237,31 +241,31 @@
         let message = &self.messages[held.message];
         let zone = |zone: usize| self.fleet.zones[zone].clone();
         Notification {
-            id: NtfId(ntf),
+            id: NotificationId(ntf),
             destination: destination_id(message.destination),
             topic: self.fleet.topics[message.topic].topic.clone(),
             account: message.account.map(|account| self.fleet.accounts[account].clone()),
             key: message.key.clone(),
             valid_until: message.valid_until,
-            past: Past {
-                taken_up: true,
-                pushes: held.pushes,
-                ran: held.ran.map(|(at, of)| (at, zone(of))),
-                doubt: held.doubt,
-                ended: held.ended,
+            history: NotificationHistory {
+                is_recovered: true,
+                push_count: held.pushes,
+                first_possible_run: held.ran.map(|(at, of)| (at, zone(of))),
+                last_doubtful_end: held.doubt,
+                has_final_answer: held.ended,
             },
         }
     }
 
-    pub(super) fn entry(&self, endpoint: usize, readiness: Readiness) -> Entry {
+    pub(super) fn entry(&self, endpoint: usize, readiness: Readiness) -> EndpointEntry {
         let plan = &self.endpoints[endpoint].plan;
-        Entry {
+        EndpointEntry {
             endpoint: plan.id.clone(),
             destination: destination_id(plan.destination),
             kind: self.fleet.kinds[self.fleet.destinations[plan.destination].kind].clone(),
             zone: self.fleet.zones[plan.zone].clone(),
             readiness,
-            rate: self.lanes[plan.lane].plan.listed,
+            rate_per_second: self.lanes[plan.lane].plan.listed,
         }
     }
 
@@ -271,23 +275,27 @@
         while let Some((command, later)) = rest.split_first() {
             rest = later;
             match command {
-                Command::Push { ntf, endpoint, time_out, .. } => {
-                    let mut pushes = vec![(ntf.0, *time_out)];
+                Command::Push { notification, endpoint, timeout, .. } => {
+                    let mut pushes = vec![(notification.0, *timeout)];
                     let most = self.per_call(endpoint);
-                    while let Some((Command::Push { ntf, endpoint: same, time_out, .. }, later)) =
+                    while let Some((Command::Push { notification, endpoint: same, timeout, .. }, later)) =
                         rest.split_first()
                         && same == endpoint
                         && pushes.len() < most
                     {
-                        pushes.push((ntf.0, *time_out));
+                        pushes.push((notification.0, *timeout));
                         rest = later;
                     }
                     self.push(relay, endpoint, &pushes);
                 }
-                Command::Cancel { ntf, push } => self.cancel(relay, ntf.0, *push),
-                Command::Throttle { ntf, retry_in } => self.end(relay, ntf.0, Some(*retry_in)),
+                Command::Cancel { notification, push_index } => {
+                    self.cancel(relay, notification.0, *push_index)
+                }
+                Command::Throttle { notification, retry_after } => {
+                    self.end(relay, notification.0, Some(*retry_after))
+                }
                 Command::Expire(ntf) => self.end(relay, ntf.0, None),
-                Command::Wake(after) => {
+                Command::WakeAfter(after) => {
                     let at = self.now + *after;
                     let node = &mut self.nodes[relay];
                     if at < node.wake {
@@ -296,16 +304,16 @@
                         self.queue.put(at, Happens::Wake { relay, life });
                     }
                 }
-                Command::Subscribe => self.subscribe(relay),
+                Command::SubscribeToEndpointList => self.subscribe(relay),
                 Command::Probe(_) => self.ledger.figures.probes += 1,
-                Command::CloseIdle(endpoint) => {
+                Command::CloseIdleConnections(endpoint) => {
                     if let Some(endpoint) = self.ids.get(&endpoint.0).copied() {
                         let idle = self.nodes[relay].idle.remove(&endpoint).unwrap_or_default();
                         self.endpoints[endpoint].connections -= idle.len();
                     }
                 }
                 // Here a call is out at once.
-                Command::Log(_) | Command::Recall(_) => {}
+                Command::Log(_) | Command::CancelUnsent(_) => {}
             }
         }
     }
@@ -313,7 +321,7 @@
     fn per_call(&self, endpoint: &EndpointId) -> usize {
         let Some(endpoint) = self.ids.get(&endpoint.0) else { return 1 };
         let destination = self.endpoints[*endpoint].plan.destination;
-        self.fleet.kinds[self.fleet.destinations[destination].kind].per_call.max(1)
+        self.fleet.kinds[self.fleet.destinations[destination].kind].max_notifications_per_call.max(1)
     }
 
     /// A final answer that is no delivery.
--- a/crates/model/src/world/state.rs
+++ b/crates/model/src/world/state.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use juniperwing::interface::{LimitReport, Outcome, Readiness, Status};
+use juniperwing::interface::{CallStatus, PushOutcome, RateLimitReport, Readiness};
 use juniperwing::time::{Span, Time};
 use rand_chacha::ChaCha8Rng;
 
@@ -40,9 +40,9 @@
     Served(CallId),
     Back {
         call: CallId,
-        status: Status,
+        status: CallStatus,
         wait: Option<Span>,
-        limit: Option<LimitReport>,
+        limit: Option<RateLimitReport>,
     },
     Due {
         call: CallId,
@@ -68,7 +68,7 @@
 /// What a relay is told with its next turn.
 pub(super) enum Told {
     Accepted(u64),
-    Ended { outcome: Box<Outcome>, lane: usize },
+    Ended { outcome: Box<PushOutcome>, lane: usize },
     List(Vec<(usize, Readiness)>),
     Whole,
     Broken,
--- a/crates/model/tests/common/mod.rs
+++ b/crates/model/tests/common/mod.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use juniperwing::interface::{Command, DestinationId, EndpointId, Event, News, Readiness};
+use juniperwing::interface::{Command, DestinationId, EndpointId, EndpointListUpdate, Event, Readiness};
 use juniperwing::time::Time;
 use juniperwing_model::fleet::Fleet;
 use juniperwing_model::policy::{Policies, Policy, Truth};
@@ -118,7 +118,7 @@
         let mut commands = Vec::new();
         for event in events {
             match event {
-                Event::List(News::Whole(entries)) => {
+                Event::EndpointListUpdated(EndpointListUpdate::Snapshot(entries)) => {
                     for entry in entries.into_iter().filter(|entry| entry.readiness == Readiness::Serving) {
                         self.ends.entry(entry.destination).or_default().push(entry.endpoint);
                     }
@@ -128,7 +128,12 @@
                     self.next += 1;
                     let endpoint = ends[self.next % ends.len()].clone();
                     let time_out = ntf.valid_until.since(now);
-                    commands.push(Command::Push { ntf: ntf.id, endpoint, time_out, send_within: time_out });
+                    commands.push(Command::Push {
+                        notification: ntf.id,
+                        endpoint,
+                        timeout: time_out,
+                        send_within: time_out,
+                    });
                 }
                 _ => {}
             }
--- a/crates/model/tests/judge.rs
+++ b/crates/model/tests/judge.rs
@@ -6,7 +6,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use juniperwing::Relay;
-use juniperwing::interface::{Command, EndpointId, Event, News, NtfId, Readiness, Status};
+use juniperwing::interface::{
+    CallStatus, Command, EndpointId, EndpointListUpdate, Event, NotificationId, Readiness,
+};
 use juniperwing::time::{Span, Time};
 use juniperwing_model::fleet::Fleet;
 use juniperwing_model::policy::{Policies, Policy, Truth};
@@ -42,8 +44,8 @@
 struct Relayed {
     bend: Bend,
     core: Relay,
-    last: BTreeMap<NtfId, EndpointId>,
-    ended: BTreeSet<NtfId>,
+    last: BTreeMap<NotificationId, EndpointId>,
+    ended: BTreeSet<NotificationId>,
     drained: BTreeMap<EndpointId, EndpointId>,
     late: Vec<(Time, Command)>,
 }
@@ -65,14 +67,14 @@
         match (&mut event, self.bend) {
             (Event::Accepted(ntf), Bend::Unordered) => ntf.key = None,
             // A refusal as if the call had never left: no pause, no wait.
-            (Event::Ended(outcome), Bend::Impatient) if outcome.status == Status::Busy => {
-                (outcome.wait, outcome.status) = (None, Status::Skipped);
+            (Event::PushEnded(outcome), Bend::Impatient) if outcome.status == CallStatus::Busy => {
+                (outcome.retry_after, outcome.status) = (None, CallStatus::Skipped);
             }
             // No failure is one: it goes on as if all were well.
-            (Event::Ended(outcome), Bend::Floods) if outcome.status != Status::Delivered => {
-                outcome.status = Status::Skipped;
+            (Event::PushEnded(outcome), Bend::Floods) if outcome.status != CallStatus::Delivered => {
+                outcome.status = CallStatus::Skipped;
             }
-            (Event::List(News::Changes(entries)), Bend::Drained) => {
+            (Event::EndpointListUpdated(EndpointListUpdate::Changes(entries)), Bend::Drained) => {
                 let new =
                     entries.iter().find(|e| e.readiness == Readiness::Serving).map(|e| e.endpoint.clone());
                 for entry in entries.iter().filter(|entry| entry.readiness == Readiness::Draining) {
@@ -87,24 +89,24 @@
     }
 
     fn says(&mut self, now: Time, mut command: Command) -> Vec<Command> {
-        if let Command::Push { time_out, .. } = &mut command
+        if let Command::Push { timeout, .. } = &mut command
             && self.bend == Bend::Floods
         {
-            *time_out = (*time_out).min(Span::from_millis(500));
+            *timeout = (*timeout).min(Span::from_millis(500));
         }
-        if let Command::Push { ntf, endpoint, .. } = &command {
-            self.last.insert(*ntf, endpoint.clone());
+        if let Command::Push { notification, endpoint, .. } = &command {
+            self.last.insert(*notification, endpoint.clone());
         }
         let ends = match command {
-            Command::Throttle { ntf, .. } | Command::Expire(ntf) => Some(ntf),
+            Command::Throttle { notification, .. } | Command::Expire(notification) => Some(notification),
             _ => None,
         };
         let Some(ntf) = ends else { return vec![command] };
         let first = self.ended.insert(ntf);
         let again = self.last.get(&ntf).cloned().map(|endpoint| Command::Push {
-            ntf,
+            notification: ntf,
             endpoint,
-            time_out: Span::from_millis(2_000),
+            timeout: Span::from_millis(2_000),
             send_within: Span::from_millis(2_000),
         });
         match self.bend {
@@ -112,11 +114,11 @@
             Bend::Twice => vec![command.clone(), command],
             Bend::Late => {
                 self.late.push((now + Span::from_millis(20_000), command));
-                vec![Command::Wake(Span::from_millis(20_000))]
+                vec![Command::WakeAfter(Span::from_millis(20_000))]
             }
             Bend::Haunts => std::iter::once(command).chain(again).collect(),
             Bend::Again if first && matches!(command, Command::Expire(_)) => again.into_iter().collect(),
-            Bend::Harmless => vec![Command::Throttle { ntf, retry_in: Span::ZERO }],
+            Bend::Harmless => vec![Command::Throttle { notification: ntf, retry_after: Span::ZERO }],
             _ => vec![command],
         }
     }
--- a/crates/model/tests/model.rs
+++ b/crates/model/tests/model.rs
@@ -209,7 +209,7 @@
 
 impl Policy for Restless {
     fn handle(&mut self, _: Time, _: Vec<Event>, _: &dyn Truth) -> Vec<Command> {
-        vec![Command::Wake(Span::ZERO)]
+        vec![Command::WakeAfter(Span::ZERO)]
     }
 }
 
--- a/crates/relay/src/admit.rs
+++ b/crates/relay/src/admit.rs
@@ -38,12 +38,12 @@
         if let Some(answer) = self.answers.get(&self.digest.hash_one(&words.id)) {
             return Err(*answer);
         }
-        let topic = settings.topic(&words.topic).ok_or(Answer::Malformed)?;
+        let topic = settings.topic_type(&words.topic).ok_or(Answer::Malformed)?;
         // Guards against notifications that could never be delivered, and would fill the hold.
         if !discovery.knows(DestinationId(words.destination)) {
             return Err(if discovery.is_current() { Answer::Unknown } else { Answer::Unavailable });
         }
-        let most = settings.terms.allowance.held;
+        let most = settings.relay_config.limits.max_pending;
         // Guards against a folder that fills up, and a hold larger than the settings allow.
         if !store.takes(handed_in.body.len()) || most > 0 && store.len() >= most {
             return Err(Answer::Unavailable);
--- a/crates/relay/src/config.rs
+++ b/crates/relay/src/config.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use juniperwing_settings::{Settings, Written};
+use juniperwing_settings::{RawSettings, Settings};
 use serde::Deserialize;
 use serde_json::Value;
 
@@ -31,7 +31,7 @@
     limits: Limits,
     #[serde(default)]
     known: List,
-    settings: Written,
+    settings: RawSettings,
 }
 
 /// What the machine gives.
@@ -143,7 +143,7 @@
         file.settings.check().or_else(invalid)?;
         let mut settings = Settings::from(&file.settings);
         // On sockets news comes by a watch alone, and somebody has to open it, pushed or not.
-        settings.terms.fleet.list_on_request = true;
+        settings.relay_config.fleet.is_list_on_request = true;
         Ok(Config {
             path,
             fixed: Fixed {
--- a/crates/relay/src/discovery.rs
+++ b/crates/relay/src/discovery.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use juniperwing::interface::{DestinationId, EndpointId, Entry, News, Readiness};
+use juniperwing::interface::{DestinationId, EndpointEntry, EndpointId, EndpointListUpdate, Readiness};
 use juniperwing::time::{Span, Time};
 use juniperwing_settings::Settings;
 use serde::Deserialize;
@@ -48,7 +48,7 @@
 pub struct Place {
     pub dial: SocketAddr,
     /// As the core was told of it.
-    entry: Entry,
+    entry: EndpointEntry,
 }
 
 impl Place {
@@ -58,13 +58,13 @@
 
     /// Most notifications in one call.
     pub fn per_call(&self) -> usize {
-        self.entry.kind.per_call.max(1)
+        self.entry.kind.max_notifications_per_call.max(1)
     }
 }
 
 /// What came of a list.
 pub struct Learnt {
-    pub news: News,
+    pub news: EndpointListUpdate,
     /// Their idle connections are of no use any more.
     pub left: Vec<EndpointId>,
     /// Their addresses cannot be read.
@@ -128,7 +128,7 @@
         let (mut entries, mut nowhere) = (Vec::with_capacity(hosts.len()), Vec::new());
         for host in hosts {
             let dial = host.dial.parse().ok();
-            let entry = Entry {
+            let entry = EndpointEntry {
                 endpoint: EndpointId(Arc::from(host.host)),
                 destination: DestinationId(host.block),
                 kind: settings.kind(&host.class),
@@ -140,7 +140,7 @@
                     _ if dial.is_none() => Readiness::Deleted,
                     _ => Readiness::Serving,
                 },
-                rate: host.share,
+                rate_per_second: host.share,
             };
             self.places.remove(&entry.endpoint);
             if dial.is_none() && host.health != "gone" {
@@ -158,11 +158,15 @@
             })
         };
         let left = before.iter().filter(|(id, old)| has_left(id, old)).map(|(id, _)| id.clone()).collect();
-        let forget = now + settings.longest_ttl();
+        let forget = now + settings.max_ttl();
         self.destinations.extend(before.values().map(|place| (place.entry.destination, forget)));
         self.destinations.extend(self.places.values().map(|place| (place.entry.destination, Time::NEVER)));
         self.destinations.retain(|_, until| *until > now);
-        let news = if list.whole { News::Whole(entries) } else { News::Changes(entries) };
+        let news = if list.whole {
+            EndpointListUpdate::Snapshot(entries)
+        } else {
+            EndpointListUpdate::Changes(entries)
+        };
         Learnt { news, left, nowhere }
     }
 
@@ -172,12 +176,16 @@
     }
 
     /// Reads the kinds on the list anew, by other settings. Gives the news of it for the core.
-    pub fn reread(&mut self, settings: &Settings) -> News {
+    pub fn reread(&mut self, settings: &Settings) -> EndpointListUpdate {
         for place in self.places.values_mut() {
             place.entry.kind = settings.kind(&place.entry.kind.name);
         }
         let entries = self.places.values().map(|place| place.entry.clone()).collect();
-        if self.spoken { News::Changes(entries) } else { News::Held(entries) }
+        if self.spoken {
+            EndpointListUpdate::Changes(entries)
+        } else {
+            EndpointListUpdate::CachedSnapshot(entries)
+        }
     }
 
     /// Opens a watch, in place of one that is open. Says whether that could be begun.
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -1,7 +1,7 @@
 //! The fifth stage: reads what an endpoint answered as the outcome of each push in the call. It owns nothing,
 //! and must never judge an endpoint or look at a body that means nothing.
 
-use juniperwing::interface::{LimitReport, Status};
+use juniperwing::interface::{CallStatus, RateLimitReport};
 use juniperwing::time::Span;
 use juniperwing_settings::Settings;
 use serde::Deserialize;
@@ -11,13 +11,13 @@
 /// How a push ended, and whether nothing more is owed for its notification.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fate {
-    pub status: Status,
+    pub status: CallStatus,
     pub over: bool,
 }
 
 impl Fate {
-    pub const fn of(status: Status) -> Fate {
-        Fate { status, over: matches!(status, Status::Delivered) }
+    pub const fn of(status: CallStatus) -> Fate {
+        Fate { status, over: matches!(status, CallStatus::Delivered) }
     }
 }
 
@@ -31,16 +31,16 @@
 pub fn fates(response: &Response, ids: &[&str], many: bool) -> Vec<Fate> {
     let all = match response.status {
         200 if many => return each(response, ids),
-        200 => Fate::of(Status::Delivered),
-        429 | 503 if response.header("Slots-Taken") == Some("1") => Fate::of(Status::Skipped),
+        200 => Fate::of(CallStatus::Delivered),
+        429 | 503 if response.header("Slots-Taken") == Some("1") => Fate::of(CallStatus::Skipped),
         // Not even its connection is kept: there are too many.
-        503 if !response.keep => Fate::of(Status::Crowded),
-        429 | 503 => Fate::of(Status::Busy),
+        503 if !response.keep => Fate::of(CallStatus::ConnectionLimitReached),
+        429 | 503 => Fate::of(CallStatus::Busy),
         // All pushes are used up: not sent, its end is still owed.
-        504 => Fate::of(Status::Skipped),
-        410 => Fate { status: Status::Skipped, over: true },
-        _ if unreadable(response) => Fate::of(Status::Skipped),
-        _ => Fate::of(Status::Error),
+        504 => Fate::of(CallStatus::Skipped),
+        410 => Fate { status: CallStatus::Skipped, over: true },
+        _ if unreadable(response) => Fate::of(CallStatus::Skipped),
+        _ => Fate::of(CallStatus::Error),
     };
     vec![all; ids.len()]
 }
@@ -55,12 +55,12 @@
     let fate = |id: &&str| {
         let state = lines.iter().find(|line| line.id == *id).map(|line| line.state.as_str());
         match state {
-            Some("delivered") => Fate::of(Status::Delivered),
-            Some("refused") => Fate::of(Status::Busy),
-            Some("over") => Fate { status: Status::Skipped, over: true },
-            Some("spent") => Fate::of(Status::Skipped),
+            Some("delivered") => Fate::of(CallStatus::Delivered),
+            Some("refused") => Fate::of(CallStatus::Busy),
+            Some("over") => Fate { status: CallStatus::Skipped, over: true },
+            Some("spent") => Fate::of(CallStatus::Skipped),
             // Failed, or not accounted for: it may have run.
-            _ => Fate::of(Status::Error),
+            _ => Fate::of(CallStatus::Error),
         }
     };
     ids.iter().map(fate).collect()
@@ -73,15 +73,15 @@
 }
 
 /// What the endpoint told of its limit.
-pub fn limit(response: &Response, settings: &Settings) -> Option<LimitReport> {
+pub fn limit(response: &Response, settings: &Settings) -> Option<RateLimitReport> {
     let fields = response.header("Server-Load")?.strip_prefix("TEXT")?;
     let value = |name: &str| {
         let mut pairs = fields.split(',').filter_map(|pair| pair.trim().split_once('='));
         pairs.find(|(known, _)| known.trim() == name)?.1.trim().parse().ok()
     };
-    settings
-        .named_limit(value)
-        .filter(|limit| (0.0..=1.0).contains(&limit.left) && (0.0..1e9).contains(&limit.rate))
+    settings.rate_limit_by_name(value).filter(|limit| {
+        (0.0..=1.0).contains(&limit.remaining_fraction) && (0.0..1e9).contains(&limit.rate_per_second)
+    })
 }
 
 #[cfg(test)]
@@ -125,7 +125,7 @@
             false Busy over false wait Some(750)
             false Busy over false wait None
             false Busy over false wait None
-            false Crowded over false wait None
+            false ConnectionLimitReached over false wait None
             false Skipped over false wait None
             false Skipped over false wait None
             false Skipped over true wait None
--- a/crates/relay/src/route.rs
+++ b/crates/relay/src/route.rs
@@ -14,7 +14,7 @@
 
 impl Route {
     pub fn new(now: Time, seed: u64, settings: &Settings) -> Route {
-        let core = Relay::new(now, seed, settings.terms.clone());
+        let core = Relay::new(now, seed, settings.relay_config.clone());
         Route { core, events: Vec::new(), wake: now }
     }
 
@@ -32,14 +32,14 @@
     pub fn decide(&mut self, now: Time) -> Vec<Command> {
         if self.wake <= now {
             self.wake = Time::NEVER;
-            self.events.push(Event::Woken);
+            self.events.push(Event::WakeUp);
         }
         if self.events.is_empty() {
             return Vec::new();
         }
         let commands = self.core.handle(now, std::mem::take(&mut self.events));
         for command in &commands {
-            if let Command::Wake(after) = command {
+            if let Command::WakeAfter(after) = command {
                 self.wake = self.wake.min(now + *after);
             }
         }
--- a/crates/relay/src/send.rs
+++ b/crates/relay/src/send.rs
@@ -6,7 +6,7 @@
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
-use juniperwing::interface::{EndpointId, LimitReport, NtfId, Status};
+use juniperwing::interface::{CallStatus, EndpointId, NotificationId, RateLimitReport};
 use juniperwing::time::{Span, Time};
 use juniperwing_settings::{Connections, Settings};
 use serde::Serialize;
@@ -28,7 +28,7 @@
 
 /// A notification to be pushed.
 pub struct Push<'a> {
-    pub ntf: NtfId,
+    pub ntf: NotificationId,
     pub id: &'a str,
     pub idempotency_key: Option<&'a str>,
     pub body: &'a [u8],
@@ -42,7 +42,7 @@
 }
 
 struct Member {
-    ntf: NtfId,
+    ntf: NotificationId,
     id: String,
     push: u32,
     ordered: bool,
@@ -82,13 +82,13 @@
 /// How a push ended; without a notification, how a probe did.
 #[derive(Debug)]
 pub struct Ended {
-    pub ntf: Option<NtfId>,
+    pub ntf: Option<NotificationId>,
     pub push: u32,
     pub endpoint: EndpointId,
     pub fate: Fate,
     pub spent: Span,
     pub wait: Option<Span>,
-    pub limit: Option<LimitReport>,
+    pub limit: Option<RateLimitReport>,
 }
 
 #[derive(Serialize)]
@@ -116,7 +116,7 @@
     /// Connections of calls that are over, on which an answer may still come.
     leaving: BTreeMap<Token, EndpointId>,
     /// Were in a call of several that its endpoint could not read; each goes in a call of its own.
-    apart: BTreeSet<NtfId>,
+    apart: BTreeSet<NotificationId>,
     ended: Vec<Ended>,
     told: Vec<(EndpointId, Span)>,
 }
@@ -134,7 +134,7 @@
     /// that would be too long.
     pub fn adopt(&mut self, net: &mut Net, connections: Connections) {
         let told = |span: Span| if span > Span::ZERO { span.as_nanos() } else { u64::MAX };
-        if told(connections.idle) < told(self.connections.idle) {
+        if told(connections.idle_timeout) < told(self.connections.idle_timeout) {
             self.idle.clear();
             std::mem::take(&mut self.resting).into_keys().for_each(|token| net.close(token));
         }
@@ -166,7 +166,7 @@
         &mut self, net: &mut Net, endpoint: &EndpointId, place: Option<&Place>, pushes: &[Push<'_>],
         now: Time,
     ) {
-        if !self.connections.second_copies {
+        if !self.connections.is_hedging_allowed {
             pushes.iter().for_each(|push| self.abandon(net, push.ntf, now));
         }
         let (mut rest, per_call) = (pushes, place.map_or(1, |place| place.per_call()));
@@ -218,12 +218,12 @@
     /// Writes the calls whose connections are up: what is not wanted any more, or would come too late, is left
     /// out. Every call passes here, after all that a turn brings is known and decided. Gives what is in them, and
     /// the zone it goes to: no byte of it may go out before that is on record.
-    pub fn write(&mut self, net: &mut Net, now: Time) -> Vec<(NtfId, Arc<str>)> {
+    pub fn write(&mut self, net: &mut Net, now: Time) -> Vec<(NotificationId, Arc<str>)> {
         let mut gone = Vec::new();
         for token in std::mem::take(&mut self.ready) {
             let late = |member: &Member| member.out && member.send_by <= now;
             if self.calls.get(&token).is_some_and(|call| call.members.iter().any(late)) {
-                self.end_members(net, token, Status::NoConnection, now, late);
+                self.end_members(net, token, CallStatus::NoConnection, now, late);
             }
             let Some(call) = self.calls.get_mut(&token) else { continue };
             let unwritten = call.unwritten.take();
@@ -264,7 +264,7 @@
         &mut self, net: &mut Net, endpoint: &EndpointId, place: Option<&Place>, members: Vec<Member>,
         unwritten: impl FnOnce(&str) -> Unwritten, now: Time,
     ) {
-        let connect = Some(self.connections.connect).filter(|span| *span > Span::ZERO);
+        let connect = Some(self.connections.connect_timeout).filter(|span| *span > Span::ZERO);
         let connect_by = connect.map_or(Time::NEVER, |span| now + span);
         let whole_by = Time::NEVER;
         let unwritten = place.map(|place| unwritten(&place.dial.to_string()));
@@ -282,7 +282,7 @@
             members,
         };
         let token = place.and_then(|place| self.connection(net, endpoint, place));
-        let Some(token) = token else { return self.fail(call, Status::NoConnection, now) };
+        let Some(token) = token else { return self.fail(call, CallStatus::NoConnection, now) };
         if net.connected(token) {
             self.ready.push(token);
         }
@@ -343,45 +343,46 @@
         let tokens: Vec<Token> = there.map(|(token, _)| *token).collect();
         for token in tokens {
             if self.is_unsent(net, token) {
-                self.broke(net, token, Status::Skipped, now);
+                self.broke(net, token, CallStatus::Skipped, now);
             }
         }
     }
 
     /// Nothing more is sent for a notification.
-    pub fn forget(&mut self, ntf: NtfId) {
+    pub fn forget(&mut self, ntf: NotificationId) {
         self.apart.remove(&ntf);
     }
 
     /// Calls a push off.
-    pub fn cancel(&mut self, net: &mut Net, ntf: NtfId, push: u32, now: Time) {
+    pub fn cancel(&mut self, net: &mut Net, ntf: NotificationId, push: u32, now: Time) {
         let is = |m: &Member| m.out && m.ntf == ntf && m.push == push;
         let found = self.calls.iter().find(|(_, call)| call.members.iter().any(is)).map(|(token, _)| *token);
         if let Some(token) = found {
-            self.end_members(net, token, Status::Cancelled, now, is);
+            self.end_members(net, token, CallStatus::Cancelled, now, is);
         }
     }
 
     /// Closes the connection of any call that a notification was in, though it has its outcome, for a copy is
     /// about to go out and there may not be two. Whatever else was in that call is called off with it.
-    fn abandon(&mut self, net: &mut Net, ntf: NtfId, now: Time) {
+    fn abandon(&mut self, net: &mut Net, ntf: NotificationId, now: Time) {
         let holds = |call: &Call| call.members.iter().any(|member| member.ntf == ntf);
         while let Some(token) = self.calls.iter().find(|(_, call)| holds(call)).map(|(token, _)| *token) {
-            self.end_members(net, token, Status::Cancelled, now, |member| member.out);
+            self.end_members(net, token, CallStatus::Cancelled, now, |member| member.out);
         }
     }
 
     /// Ends some of a call's pushes. With the last, its connection is closed. So it is with one that others of its
     /// key wait for: as long as the call is out it may still run, and they would overtake it.
     fn end_members(
-        &mut self, net: &mut Net, token: Token, status: Status, now: Time, which: impl Fn(&Member) -> bool,
+        &mut self, net: &mut Net, token: Token, status: CallStatus, now: Time,
+        which: impl Fn(&Member) -> bool,
     ) {
         let Some(call) = self.calls.get_mut(&token) else { return };
         // What has not been written never ran, and is left out when the rest is. What waits half sent may still go.
         let unwritten = call.unwritten.is_some();
         let status = match status {
-            _ if unwritten => Status::NoConnection,
-            _ if call.delivered => Status::Delivered,
+            _ if unwritten => CallStatus::NoConnection,
+            _ if call.delivered => CallStatus::Delivered,
             status => status,
         };
         let mut closes = false;
@@ -392,7 +393,7 @@
         if !closes && call.members.iter().any(|member| member.out) {
             net.due(token, call.due());
         } else {
-            self.broke(net, token, Status::Cancelled, now);
+            self.broke(net, token, CallStatus::Cancelled, now);
         }
     }
 
@@ -446,7 +447,7 @@
                     }
                     // Nothing is to be written behind what speaks of something else.
                     Ok(None) if !ended && call.unwritten.is_some() => {
-                        self.broke(net, token, Status::NoConnection, now);
+                        self.broke(net, token, CallStatus::NoConnection, now);
                     }
                     Ok(None) if !ended => {
                         if http::has_begun(input) {
@@ -459,10 +460,10 @@
                         // A single push is delivered with the first line of its answer.
                         let delivered = !call.many && http::first_line(input) == Some(200);
                         let status = match broken {
-                            _ if never => Status::NoConnection,
-                            _ if delivered => Status::Delivered,
-                            Err(_) => Status::Error,
-                            _ => Status::Reset,
+                            _ if never => CallStatus::NoConnection,
+                            _ if delivered => CallStatus::Delivered,
+                            Err(_) => CallStatus::Error,
+                            _ => CallStatus::Reset,
                         };
                         self.broke(net, token, status, now);
                     }
@@ -470,13 +471,13 @@
             }
             Happening::Due => {
                 if never && call.connect_by <= now {
-                    return self.broke(net, token, Status::NoConnection, now);
+                    return self.broke(net, token, CallStatus::NoConnection, now);
                 }
                 let status = match (call.delivered, never) {
-                    (_, true) => Status::NoConnection,
-                    (true, _) => Status::Delivered,
-                    _ if call.whole_by <= now => Status::Error,
-                    _ => Status::TimedOut,
+                    (_, true) => CallStatus::NoConnection,
+                    (true, _) => CallStatus::Delivered,
+                    _ if call.whole_by <= now => CallStatus::Error,
+                    _ => CallStatus::TimedOut,
                 };
                 if call.members.is_empty() || call.whole_by <= now {
                     return self.broke(net, token, status, now);
@@ -506,8 +507,9 @@
         // Guards against an answer that comes before its call has gone out: but for one that turns the connection
         // away it speaks of something else, and none of the call ran.
         if never {
-            let of = |fate: &Fate| matches!(fate.status, Status::Busy | Status::Crowded);
-            let none = Fate::of(Status::NoConnection);
+            let of =
+                |fate: &Fate| matches!(fate.status, CallStatus::Busy | CallStatus::ConnectionLimitReached);
+            let none = Fate::of(CallStatus::NoConnection);
             fates.iter_mut().filter(|fate| !of(fate)).for_each(|fate| *fate = none);
         }
         // Guards against one that spoils the call for all that go with it, again and again.
@@ -519,7 +521,7 @@
             self.ended.push(Ended { ntf, push: member.push, endpoint, fate, spent, wait, limit });
         }
         if clean && !never {
-            let idle = Some(self.connections.idle).filter(|span| *span > Span::ZERO);
+            let idle = Some(self.connections.idle_timeout).filter(|span| *span > Span::ZERO);
             net.due(token, idle.map_or(Time::NEVER, |span| now + span.mul_f64(RETIRED_AT)));
             self.idle.entry(call.endpoint.clone()).or_default().push(token);
             self.resting.insert(token, call.endpoint);
@@ -535,8 +537,8 @@
     }
 
     /// The call is over without an answer: whatever of it is still out ends so, and its connection is closed.
-    fn broke(&mut self, net: &mut Net, token: Token, status: Status, now: Time) {
-        let waited_for = matches!(status, Status::TimedOut | Status::Cancelled);
+    fn broke(&mut self, net: &mut Net, token: Token, status: CallStatus, now: Time) {
+        let waited_for = matches!(status, CallStatus::TimedOut | CallStatus::Cancelled);
         let heard = waited_for && !self.is_unsent(net, token) && !net.ended(token);
         if let Some(call) = self.calls.get(&token).filter(|_| heard) {
             net.stop_sending(token);
@@ -550,7 +552,7 @@
         }
     }
 
-    fn fail(&mut self, call: Call, status: Status, now: Time) {
+    fn fail(&mut self, call: Call, status: CallStatus, now: Time) {
         let ended = |member| call_ended(&call.endpoint, member, status, now.since(call.sent));
         if call.members.is_empty() {
             self.ended.push(ended(None));
@@ -578,7 +580,7 @@
 }
 
 /// A push, or without one a probe, that ended with no answer.
-fn call_ended(endpoint: &EndpointId, member: Option<&Member>, status: Status, spent: Span) -> Ended {
+fn call_ended(endpoint: &EndpointId, member: Option<&Member>, status: CallStatus, spent: Span) -> Ended {
     let (ntf, push) = (member.map(|member| member.ntf), member.map_or(0, |member| member.push));
     let (endpoint, fate) = (endpoint.clone(), Fate::of(status));
     Ended { ntf, push, endpoint, fate, spent, wait: None, limit: None }
--- a/crates/relay/src/serve.rs
+++ b/crates/relay/src/serve.rs
@@ -8,7 +8,8 @@
 use std::sync::Arc;
 
 use juniperwing::interface::{
-    Command, DestinationId, EndpointId, Event, News, Notification, NtfId, Outcome, Past, TopicType,
+    Command, DestinationId, EndpointId, EndpointListUpdate, Event, Notification, NotificationHistory,
+    NotificationId, PushOutcome, TopicType,
 };
 use juniperwing::time::{Span, Time};
 use slog::{Logger, debug, info, o, warn};
@@ -62,7 +63,7 @@
     book: Book,
     store: Store,
     /// Handed in in this turn and not answered yet: by whom. One that comes twice has one answer.
-    fresh: BTreeMap<NtfId, Vec<Token>>,
+    fresh: BTreeMap<NotificationId, Vec<Token>>,
     taken_up: TakenUp,
     log: Logger,
 }
@@ -70,7 +71,7 @@
 /// What an earlier process took on and never pushed, and what has become of it.
 #[derive(Default)]
 struct TakenUp {
-    untried: BTreeSet<NtfId>,
+    untried: BTreeSet<NotificationId>,
     tried: usize,
     /// Ended with no push, out of time or not.
     late: usize,
@@ -153,7 +154,7 @@
                 Stop::Calling if due => {
                     *stage = Stop::Taking;
                     info!(self.log, "no further calls"; "calls" => self.send.out());
-                    self.route.tell(Event::Slots(0));
+                    self.route.tell(Event::SlotLimitChanged(0));
                 }
                 Stop::Taking if due => {
                     *stage = Stop::Closing;
@@ -190,8 +191,8 @@
             "settings" => config.settings.to_string());
         self.settings = config.settings;
         self.send.adopt(&mut self.net, self.settings.connections);
-        self.route.tell(Event::Terms(self.settings.terms.clone()));
-        self.route.tell(Event::List(self.discovery.reread(&self.settings)));
+        self.route.tell(Event::ConfigChanged(self.settings.relay_config.clone()));
+        self.route.tell(Event::EndpointListUpdated(self.discovery.reread(&self.settings)));
         if config.discovery == self.discovery.address {
             return;
         }
@@ -211,19 +212,23 @@
             }
             // A push that was out when the process ended may have run, and may do so still.
             let ran = history.ran.as_ref().or(history.out.as_ref());
-            let past = Past {
-                pushes: history.pushes,
-                ran: ran.map(|(at, zone)| (Time::from_nanos(*at), Arc::from(zone.as_str()))),
-                doubt: if history.out.is_some() { Some(now) } else { history.doubt.map(Time::from_nanos) },
-                ended: history.end.is_some(),
-                taken_up: true,
+            let past = NotificationHistory {
+                push_count: history.pushes,
+                first_possible_run: ran.map(|(at, zone)| (Time::from_nanos(*at), Arc::from(zone.as_str()))),
+                last_doubtful_end: if history.out.is_some() {
+                    Some(now)
+                } else {
+                    history.doubt.map(Time::from_nanos)
+                },
+                has_final_answer: history.end.is_some(),
+                is_recovered: true,
             };
             if history.pushes == 0 && history.end.is_none() {
-                self.taken_up.untried.insert(NtfId(n));
+                self.taken_up.untried.insert(NotificationId(n));
             }
             // Guards against a topic type that the settings lack since: what was promised holds, and it is tried.
             let lacking = || Arc::new(TopicType { name: taken.words.topic.clone(), ..TopicType::default() });
-            let topic = self.settings.topic(&taken.words.topic);
+            let topic = self.settings.topic_type(&taken.words.topic);
             let topic = match taken.kept {
                 Some(kept) => Some(Arc::new(kept.keep(&topic.unwrap_or_else(lacking)))),
                 None => topic,
@@ -238,13 +243,13 @@
             match notification {
                 Some(notification) => self.route.tell(Event::Accepted(notification)),
                 // In a log that is older than promises: nobody here knows how to treat it any more.
-                None => self.end(NtfId(n), End::GivenUp, now),
+                None => self.end(NotificationId(n), End::GivenUp, now),
             }
         }
     }
 
     /// Counts what became of a notification that an earlier process left untried, once it has gone out or ended.
-    fn taken_up(&mut self, ntf: NtfId, now: Time) {
+    fn taken_up(&mut self, ntf: NotificationId, now: Time) {
         let up = &mut self.taken_up;
         if !up.untried.remove(&ntf) {
             return;
@@ -260,15 +265,17 @@
         }
     }
 
-    fn notification(&self, n: u64, taken: &Taken, topic: Arc<TopicType>, past: Past) -> Notification {
+    fn notification(
+        &self, n: u64, taken: &Taken, topic: Arc<TopicType>, past: NotificationHistory,
+    ) -> Notification {
         Notification {
-            id: NtfId(n),
+            id: NotificationId(n),
             destination: DestinationId(taken.words.destination),
             topic,
             account: taken.words.account.as_ref().and_then(|name| self.settings.account(name)),
             key: taken.words.key.clone(),
             valid_until: Time::from_nanos(taken.valid_until),
-            past,
+            history: past,
         }
     }
 
@@ -284,7 +291,7 @@
                 let brought = self.discovery.happened(&mut self.net, token, what, now);
                 // Word that nothing has changed is news too: the watch is well.
                 if brought.heard && brought.lists.is_empty() {
-                    self.route.tell(Event::List(News::Changes(Vec::new())));
+                    self.route.tell(Event::EndpointListUpdated(EndpointListUpdate::Changes(Vec::new())));
                 }
                 brought.lists.into_iter().for_each(|list| self.learn(list, now));
                 brought.broken.into_iter().for_each(|why| self.lost_watch(why));
@@ -295,7 +302,7 @@
                     let id = self.store.get(n).map(|kept| kept.taken.words.id.clone());
                     warn!(self.log, "a notice was refused as unreadable"; "id" => id);
                 }
-                heard.heard.into_iter().chain(heard.unreadable).for_each(|n| self.heard(NtfId(n)));
+                heard.heard.into_iter().chain(heard.unreadable).for_each(|n| self.heard(NotificationId(n)));
             }
         }
     }
@@ -304,8 +311,8 @@
     fn recollect(&mut self, list: List, now: Time) {
         let learnt = self.discovery.learn(list, &self.settings, now);
         self.say_nowhere(&learnt.nowhere);
-        if let News::Whole(entries) | News::Changes(entries) = learnt.news {
-            self.route.tell(Event::List(News::Held(entries)));
+        if let EndpointListUpdate::Snapshot(entries) | EndpointListUpdate::Changes(entries) = learnt.news {
+            self.route.tell(Event::EndpointListUpdated(EndpointListUpdate::CachedSnapshot(entries)));
         }
     }
 
@@ -318,23 +325,23 @@
     fn learn(&mut self, list: List, now: Time) {
         let Learnt { news, left, nowhere } = self.discovery.learn(list, &self.settings, now);
         self.say_nowhere(&nowhere);
-        if let News::Changes(entries) | News::Whole(entries) = &news {
+        if let EndpointListUpdate::Changes(entries) | EndpointListUpdate::Snapshot(entries) = &news {
             debug!(self.log, "the list has news"; "entries" => entries.len(), "left" => left.len());
         }
         left.iter().for_each(|endpoint| self.send.left(&mut self.net, endpoint, now));
-        self.route.tell(Event::List(news));
+        self.route.tell(Event::EndpointListUpdated(news));
     }
 
     fn lost_watch(&mut self, why: &str) {
         info!(self.log, "the watch on the list broke"; "why" => why);
-        self.route.tell(Event::List(News::Broken));
+        self.route.tell(Event::EndpointListUpdated(EndpointListUpdate::Failed));
     }
 
     fn hand_in(&mut self, token: Token, handed_in: HandedIn, now: Time) {
         // Guards against an id that comes twice in a turn: it is on record, and may be refused all the same.
         if self.store.holds(&handed_in.words.id) {
-            let held = |ntf: &NtfId| self.store.get(ntf.0).map(|kept| &kept.taken.words.id);
-            let same = |ntf: &NtfId| held(ntf) == Some(&handed_in.words.id);
+            let held = |ntf: &NotificationId| self.store.get(ntf.0).map(|kept| &kept.taken.words.id);
+            let same = |ntf: &NotificationId| held(ntf) == Some(&handed_in.words.id);
             if let Some((_, tokens)) = self.fresh.iter_mut().find(|(ntf, _)| same(ntf)) {
                 return tokens.push(token);
             }
@@ -356,8 +363,8 @@
         let Some(kept) = self.store.get(n) else { return };
         debug!(self.log, "taken on"; "id" => &kept.taken.words.id, "n" => n,
             "dest" => kept.taken.words.destination, "topic" => &kept.taken.words.topic);
-        let notification = self.notification(n, &kept.taken, topic, Past::default());
-        self.fresh.insert(NtfId(n), vec![token]);
+        let notification = self.notification(n, &kept.taken, topic, NotificationHistory::default());
+        self.fresh.insert(NotificationId(n), vec![token]);
         self.route.tell(Event::Accepted(notification));
     }
 
@@ -365,25 +372,34 @@
     fn outcomes(&mut self, now: Time) {
         for (endpoint, wait) in self.send.take_told() {
             debug!(self.log, "a wait was told"; "endpoint" => &*endpoint.0, "ms" => wait.as_nanos() / 1_000_000);
-            self.route.tell(Event::Told { endpoint, wait });
+            self.route.tell(Event::RetryAfterReported { endpoint, retry_after: wait });
         }
         for ended in self.send.take_ended() {
             let Ended { ntf, push, endpoint, fate, spent, wait, limit } = ended;
             let status = fate.status;
             let Some(ntf) = ntf else {
-                self.route.tell(Event::Probed { endpoint, status, limit });
+                self.route.tell(Event::ProbeEnded { endpoint, status, rate_limit: limit });
                 continue;
             };
             debug!(self.log, "push ended"; "n" => ntf.0, "push" => push, "endpoint" => &*endpoint.0,
                 "status" => format!("{status:?}"), "ms" => spent.as_nanos() / 1_000_000,
-                "left" => limit.map(|limit| limit.left), "rate" => limit.map(|limit| limit.rate));
+                "left" => limit.map(|limit| limit.remaining_fraction), "rate" => limit.map(|limit| limit.rate_per_second));
             self.store.returned(ntf.0, status.may_have_run(), status.may_be_running().then_some(now));
             if fate.over {
                 self.forget(ntf);
             }
             let settled = self.store.get(ntf.0).is_none_or(|kept| kept.taken.history.end.is_some());
-            let outcome = Outcome { ntf, push, endpoint, status, spent, settled, wait, limit };
-            self.route.tell(Event::Ended(outcome));
+            let outcome = PushOutcome {
+                notification: ntf,
+                push_index: push,
+                endpoint,
+                status,
+                elapsed: spent,
+                has_final_answer: settled,
+                retry_after: wait,
+                rate_limit: limit,
+            };
+            self.route.tell(Event::PushEnded(outcome));
         }
     }
 
@@ -397,18 +413,20 @@
                 Command::Push { endpoint, .. } => {
                     let same = |c: &&Command| matches!(c, Command::Push { endpoint: e, .. } if e == endpoint);
                     let more = later.iter().take_while(same).count();
-                    let pushes: Vec<(NtfId, Span, Span)> =
+                    let pushes: Vec<(NotificationId, Span, Span)> =
                         std::iter::once(command).chain(&later[..more]).filter_map(push).collect();
                     rest = &later[more..];
                     self.push(endpoint, &pushes, now);
                 }
-                Command::Cancel { ntf, push } => self.send.cancel(&mut self.net, *ntf, *push, now),
-                Command::Throttle { ntf, retry_in } => {
-                    if let Some(tokens) = self.fresh.remove(ntf) {
-                        self.answer(tokens, *ntf, Answer::Throttled(*retry_in));
-                        self.heard(*ntf);
+                Command::Cancel { notification, push_index } => {
+                    self.send.cancel(&mut self.net, *notification, *push_index, now)
+                }
+                Command::Throttle { notification, retry_after } => {
+                    if let Some(tokens) = self.fresh.remove(notification) {
+                        self.answer(tokens, *notification, Answer::Throttled(*retry_after));
+                        self.heard(*notification);
                     } else {
-                        self.end(*ntf, End::HandedBack(retry_in.as_nanos() / 1_000_000), now);
+                        self.end(*notification, End::HandedBack(retry_after.as_nanos() / 1_000_000), now);
                     }
                 }
                 Command::Expire(ntf) => {
@@ -419,8 +437,8 @@
                         self.end(*ntf, End::GivenUp, now);
                     }
                 }
-                Command::Wake(_) => {}
-                Command::Subscribe => {
+                Command::WakeAfter(_) => {}
+                Command::SubscribeToEndpointList => {
                     if !self.discovery.subscribe(&mut self.net, now) {
                         self.lost_watch("cannot be opened");
                     }
@@ -428,8 +446,8 @@
                 Command::Probe(endpoint) => {
                     self.send.probe(&mut self.net, endpoint, self.discovery.place(endpoint), now);
                 }
-                Command::CloseIdle(endpoint) => self.send.close_idle(&mut self.net, endpoint),
-                Command::Recall(endpoint) => self.send.recall(&mut self.net, endpoint, now),
+                Command::CloseIdleConnections(endpoint) => self.send.close_idle(&mut self.net, endpoint),
+                Command::CancelUnsent(endpoint) => self.send.recall(&mut self.net, endpoint, now),
                 Command::Log(line) => info!(self.log, "{}", line),
             }
         }
@@ -439,14 +457,14 @@
         self.book.write(&mut self.net, &self.store, now);
     }
 
-    fn answer(&mut self, tokens: Vec<Token>, ntf: NtfId, answer: Answer) {
+    fn answer(&mut self, tokens: Vec<Token>, ntf: NotificationId, answer: Answer) {
         if let Some(kept) = self.store.get(ntf.0) {
             self.admit.answered(&kept.taken.words.id, answer);
         }
         tokens.into_iter().for_each(|token| self.take_in.answer(&mut self.net, token, answer));
     }
 
-    fn push(&mut self, endpoint: &EndpointId, pushes: &[(NtfId, Span, Span)], now: Time) {
+    fn push(&mut self, endpoint: &EndpointId, pushes: &[(NotificationId, Span, Span)], now: Time) {
         let place = self.discovery.place(endpoint);
         let numbers: Vec<_> = pushes.iter().map(|(ntf, ..)| self.store.chosen(ntf.0)).collect();
         let outgoing = pushes.iter().zip(numbers).filter_map(|((ntf, time_out, send_within), number)| {
@@ -460,7 +478,11 @@
                 push: number?,
                 ordered: kept.taken.words.key.is_some()
                     && kept.taken.kept.map_or_else(
-                        || self.settings.topic(&kept.taken.words.topic).is_some_and(|topic| topic.ordered),
+                        || {
+                            self.settings
+                                .topic_type(&kept.taken.words.topic)
+                                .is_some_and(|topic| topic.is_ordered)
+                        },
                         |kept| kept.ordered,
                     ),
                 time_out: (*time_out).min(left),
@@ -474,7 +496,7 @@
     }
 
     /// Not delivered: its client is told by a notice.
-    fn end(&mut self, ntf: NtfId, end: End, now: Time) {
+    fn end(&mut self, ntf: NotificationId, end: End, now: Time) {
         self.store.ended(ntf.0, end);
         self.taken_up(ntf, now);
         if let Some(kept) = self.store.get(ntf.0) {
@@ -484,13 +506,13 @@
     }
 
     /// The client has heard of the end: nothing more is owed.
-    fn heard(&mut self, ntf: NtfId) {
+    fn heard(&mut self, ntf: NotificationId) {
         debug!(self.log, "end heard"; "n" => ntf.0);
         self.forget(ntf);
-        self.route.tell(Event::Heard(ntf));
+        self.route.tell(Event::FinalAnswerAcknowledged(ntf));
     }
 
-    fn forget(&mut self, ntf: NtfId) {
+    fn forget(&mut self, ntf: NotificationId) {
         self.send.forget(ntf);
         if self.store.get(ntf.0).is_some() {
             self.store.over(ntf.0);
@@ -498,9 +520,11 @@
     }
 }
 
-fn push(command: &Command) -> Option<(NtfId, Span, Span)> {
+fn push(command: &Command) -> Option<(NotificationId, Span, Span)> {
     match command {
-        Command::Push { ntf, time_out, send_within, .. } => Some((*ntf, *time_out, *send_within)),
+        Command::Push { notification, timeout, send_within, .. } => {
+            Some((*notification, *timeout, *send_within))
+        }
         _ => None,
     }
 }
--- a/crates/relay/src/store.rs
+++ b/crates/relay/src/store.rs
@@ -11,7 +11,7 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-use juniperwing::interface::{Effect, Group, TopicType};
+use juniperwing::interface::{DeduplicationScope, Semantics, TopicType};
 use juniperwing::time::{Span, Time};
 use serde::{Deserialize, Serialize};
 
@@ -95,14 +95,14 @@
 
 impl From<&TopicType> for Promise {
     fn from(topic: &TopicType) -> Promise {
-        let effect = match topic.effect {
-            Effect::Repeatable => Repeat::Runs,
-            Effect::Collapsible { group, window } => {
-                Repeat::Dropped { all: group == Group::All, window: window.as_nanos() }
+        let effect = match topic.semantics {
+            Semantics::Idempotent => Repeat::Runs,
+            Semantics::Deduplicated { scope, window } => {
+                Repeat::Dropped { all: scope == DeduplicationScope::All, window: window.as_nanos() }
             }
-            Effect::OnceOnly => Repeat::Never,
+            Semantics::NonIdempotent => Repeat::Never,
         };
-        Promise { effect, ordered: topic.ordered }
+        Promise { effect, ordered: topic.is_ordered }
     }
 }
 
@@ -110,14 +110,14 @@
     /// A topic type as it is now, but for what was promised.
     pub fn keep(self, topic: &TopicType) -> TopicType {
         let effect = match self.effect {
-            Repeat::Runs => Effect::Repeatable,
+            Repeat::Runs => Semantics::Idempotent,
             Repeat::Dropped { all, window } => {
-                let group = if all { Group::All } else { Group::Zone };
-                Effect::Collapsible { group, window: Span::from_nanos(window) }
+                let group = if all { DeduplicationScope::All } else { DeduplicationScope::Zone };
+                Semantics::Deduplicated { scope: group, window: Span::from_nanos(window) }
             }
-            Repeat::Never => Effect::OnceOnly,
+            Repeat::Never => Semantics::NonIdempotent,
         };
-        TopicType { effect, ordered: self.ordered, ..topic.clone() }
+        TopicType { semantics: effect, is_ordered: self.ordered, ..topic.clone() }
     }
 }
 
--- a/crates/relay/tests/serve/crossings/discovery.rs
+++ b/crates/relay/tests/serve/crossings/discovery.rs
@@ -26,7 +26,7 @@
         ("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", "NoConnection"),
         ("HTTP/1.1 200 OK\r\nX: never ends", "NoConnection"),
         ("noise\r\n\r\n", "NoConnection"),
-        ("HTTP/1.1 503 Full\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", "Crowded"),
+        ("HTTP/1.1 503 Full\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", "ConnectionLimitReached"),
     ] {
         let (full, dial, _first) = full();
         let rig = Rig::with(|config| {
--- a/crates/restart/src/fit.rs
+++ b/crates/restart/src/fit.rs
@@ -70,7 +70,7 @@
 
     /// Algorithm 2 of the paper: raises the number of tries until the first drop of the chance to make it in
     /// the time left, or to the tries that may still be made. The interval is no longer than the time left.
-    pub fn time_out(&self, left: Span, tries_left: u32) -> Span {
+    pub fn timeout(&self, left: Span, tries_left: u32) -> Span {
         let mut n = 1;
         while n < tries_left.min(MOST_TRIES) && self.ln_miss(left, n + 1) <= self.ln_miss(left, n) {
             n += 1;
--- a/crates/restart/src/lib.rs
+++ b/crates/restart/src/lib.rs
@@ -16,7 +16,7 @@
 /// Latencies kept of each destination.
 const SAMPLES: usize = 32;
 /// Latencies seen before the fit is trusted.
-pub const WARM_UP: usize = 5;
+pub const MIN_FIT_SAMPLES: usize = 5;
 /// A shorter latency counts as this, in seconds.
 const SHORTEST_SECS: f64 = 1e-4;
 
@@ -35,7 +35,7 @@
         if self.samples.len() > SAMPLES {
             self.samples.pop_front();
         }
-        self.fit = if self.samples.len() < WARM_UP { None } else { Fit::of(&self.samples) };
+        self.fit = if self.samples.len() < MIN_FIT_SAMPLES { None } else { Fit::of(&self.samples) };
     }
 
     /// The fit, once warm.
@@ -52,25 +52,25 @@
 
     /// How long the next try may last: until warm, all the time left. One that may not be run a second time
     /// has one try left.
-    pub fn time_out(&self, left: Span, tries_left: u32) -> Span {
-        self.fit.map_or(left, |fit| fit.time_out(left, tries_left))
+    pub fn timeout(&self, left: Span, tries_left: u32) -> Span {
+        self.fit.map_or(left, |fit| fit.timeout(left, tries_left))
     }
 
     /// The cutoff: whether the time left is no shorter than the median.
-    pub fn worth_trying(&self, left: Span) -> bool {
+    pub fn is_worth_trying(&self, left: Span) -> bool {
         left > Span::ZERO && left >= self.median()
     }
 
     /// What nine in ten tries completed of late stay under, where enough are known.
-    pub fn usual(&self) -> Option<Span> {
+    pub fn ninetieth_percentile(&self) -> Option<Span> {
         let mut done: Vec<f64> = self.completed().collect();
         done.sort_by(f64::total_cmp);
-        let known = done.get(done.len() * 9 / 10).filter(|_| done.len() >= WARM_UP);
+        let known = done.get(done.len() * 9 / 10).filter(|_| done.len() >= MIN_FIT_SAMPLES);
         known.map(|ln_secs| Span::from_secs_f64(ln_secs.exp()))
     }
 
     /// How many tries in a row, up to the latest, were censored.
-    pub fn censored_in_a_row(&self) -> usize {
+    pub fn consecutive_censored(&self) -> usize {
         self.samples.iter().rev().take_while(|s| s.censored).count()
     }
 
--- a/crates/restart/tests/restart.rs
+++ b/crates/restart/tests/restart.rs
@@ -1,7 +1,7 @@
 //! The restart timer, its fit and the cutoff.
 
 use juniperwing_clock::{Span, Time};
-use juniperwing_restart::{Fit, LatencyModel, WARM_UP};
+use juniperwing_restart::{Fit, LatencyModel, MIN_FIT_SAMPLES};
 use proptest::prelude::*;
 
 const TRIES: u32 = 8;
@@ -36,7 +36,7 @@
 #[test]
 fn the_papers_example_has_three_restarts() {
     let fit = Fit { mu: -2.3, sigma: 0.97 };
-    assert_eq!(fit.time_out(millis(700), 20), millis(175));
+    assert_eq!(fit.timeout(millis(700), 20), millis(175));
     assert_eq!(best_tries(fit, millis(700), 20), 4);
 }
 
@@ -46,33 +46,33 @@
     let left = millis(2_000);
     let tries = best_tries(model.fit().expect("warm"), left, TRIES);
     assert!(tries > 1, "restarts pay for latencies that vary so much");
-    assert_eq!(model.time_out(left, TRIES), left.mul_f64(1.0 / f64::from(tries)));
+    assert_eq!(model.timeout(left, TRIES), left.mul_f64(1.0 / f64::from(tries)));
 }
 
 #[test]
 fn without_a_second_run_all_the_time_left_is_the_time_out() {
     let model = seen(&[60, 80, 100, 120, 160, 400]);
-    assert_eq!(model.time_out(millis(600), 1), millis(600));
-    assert_eq!(model.time_out(millis(600), 0), millis(600));
+    assert_eq!(model.timeout(millis(600), 1), millis(600));
+    assert_eq!(model.timeout(millis(600), 0), millis(600));
 }
 
 #[test]
 fn the_tries_left_bound_the_search() {
     let model = seen(&[10, 10, 10, 10, 10, 10]);
-    assert_eq!(model.time_out(millis(4_000), 2), millis(2_000));
-    assert_eq!(model.time_out(millis(4_000), 8), millis(500));
+    assert_eq!(model.timeout(millis(4_000), 2), millis(2_000));
+    assert_eq!(model.timeout(millis(4_000), 8), millis(500));
 }
 
 #[test]
 fn until_warm_all_the_time_left_is_the_time_out_and_nothing_is_cut_off() {
-    let mut model = seen(&[100; WARM_UP - 1]);
+    let mut model = seen(&[100; MIN_FIT_SAMPLES - 1]);
     assert_eq!(model.fit(), None);
-    assert_eq!(model.time_out(millis(5_000), TRIES), millis(5_000));
-    assert!(model.worth_trying(Span::from_nanos(1)));
+    assert_eq!(model.timeout(millis(5_000), TRIES), millis(5_000));
+    assert!(model.is_worth_trying(Span::from_nanos(1)));
     model.record(Time::default() + millis(60_000), millis(100), false);
     assert!(model.fit().is_some());
-    assert!(model.time_out(millis(5_000), TRIES) < millis(5_000));
-    assert!(!model.worth_trying(Span::from_nanos(1)));
+    assert!(model.timeout(millis(5_000), TRIES) < millis(5_000));
+    assert!(!model.is_worth_trying(Span::from_nanos(1)));
 }
 
 #[test]
@@ -80,9 +80,9 @@
     let model = seen(&[200; 10]);
     let median = model.median();
     assert!(median.as_nanos().abs_diff(millis(200).as_nanos()) < 1_000, "{median:?}");
-    assert!(model.worth_trying(median));
-    assert!(!model.worth_trying(median - Span::from_nanos(1)));
-    assert!(!LatencyModel::default().worth_trying(Span::ZERO));
+    assert!(model.is_worth_trying(median));
+    assert!(!model.is_worth_trying(median - Span::from_nanos(1)));
+    assert!(!LatencyModel::default().is_worth_trying(Span::ZERO));
 }
 
 #[test]
@@ -96,7 +96,7 @@
     let (completed, abandoned) = (all_completed.fit().expect("warm"), some_abandoned.fit().expect("warm"));
     assert!(abandoned.mu > completed.mu, "{abandoned:?} and {completed:?}");
     assert!(abandoned.sigma >= completed.sigma);
-    assert_eq!(some_abandoned.censored_in_a_row(), 1);
+    assert_eq!(some_abandoned.consecutive_censored(), 1);
 }
 
 #[test]
@@ -119,8 +119,9 @@
 
 #[test]
 fn the_usual_latency_is_what_nine_in_ten_stay_under() {
-    assert_eq!(seen(&[100; WARM_UP - 1]).usual(), None);
-    let usual = seen(&[10, 20, 30, 40, 50, 60, 70, 80, 90, 100]).usual().expect("enough are known");
+    assert_eq!(seen(&[100; MIN_FIT_SAMPLES - 1]).ninetieth_percentile(), None);
+    let usual =
+        seen(&[10, 20, 30, 40, 50, 60, 70, 80, 90, 100]).ninetieth_percentile().expect("enough are known");
     assert!(usual.as_nanos().abs_diff(millis(100).as_nanos()) < 1_000, "{usual:?}");
 }
 
@@ -137,8 +138,8 @@
         let fit = model.fit().expect("warm");
         assert!(fit.mu.is_finite() && fit.sigma.is_finite(), "{strange:?}: {fit:?}");
         let endless = Span::from_nanos(u64::MAX);
-        assert!(model.time_out(endless, u32::MAX) > Span::ZERO);
-        assert_eq!(model.time_out(Span::ZERO, u32::MAX), Span::ZERO);
+        assert!(model.timeout(endless, u32::MAX) > Span::ZERO);
+        assert_eq!(model.timeout(Span::ZERO, u32::MAX), Span::ZERO);
     }
 }
 
@@ -146,7 +147,7 @@
 fn a_fit_that_is_no_number_does_no_harm() {
     let numbers = [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, 0.0];
     for (mu, sigma) in numbers.into_iter().flat_map(|mu| numbers.map(|sigma| (mu, sigma))) {
-        let time_out = Fit { mu, sigma }.time_out(millis(1_000), u32::MAX);
+        let time_out = Fit { mu, sigma }.timeout(millis(1_000), u32::MAX);
         assert!(time_out > Span::ZERO && time_out <= millis(1_000), "{mu}, {sigma}: {time_out:?}");
     }
 }
@@ -162,7 +163,7 @@
         let near = |tries| (chance(fit, left, tries) - chance(fit, left, tries + 1)).abs() < 1e-12;
         prop_assume!(!(1..=tries_left).any(|tries| sure(tries) || near(tries)));
         let best = best_tries(fit, left, tries_left);
-        prop_assert_eq!(fit.time_out(left, tries_left), left.mul_f64(1.0 / f64::from(best)));
+        prop_assert_eq!(fit.timeout(left, tries_left), left.mul_f64(1.0 / f64::from(best)));
     }
 
     #[test]
@@ -176,7 +177,7 @@
             model.record(Time::from_nanos(at), Span::from_nanos(lasted), censored);
         }
         let left = Span::from_nanos(left);
-        let time_out = model.time_out(left, tries_left);
+        let time_out = model.timeout(left, tries_left);
         prop_assert!(time_out > Span::ZERO && time_out <= left);
         prop_assert!(model.fit().is_none_or(|fit| fit.mu.is_finite() && fit.sigma.is_finite()));
     }
--- a/crates/restart/tests/slot_times.rs
+++ b/crates/restart/tests/slot_times.rs
@@ -14,86 +14,90 @@
 /// Two destinations that both wait.
 fn both_wait() -> SlotTimes<&'static str> {
     let mut slots = SlotTimes::default();
-    slots.wait("models", at(0));
-    slots.wait("tools", at(0));
+    slots.set_waiting("models", at(0));
+    slots.set_waiting("tools", at(0));
     slots
 }
 
 #[test]
 fn a_freed_slot_goes_to_whom_had_the_least() {
     let mut slots = both_wait();
-    slots.begin(at(0), "models", USUAL);
-    slots.end(at(300), &"models");
-    slots.begin(at(300), "tools", USUAL);
-    slots.end(at(400), &"tools");
-    slots.wait("models", at(400));
-    assert_eq!(slots.next(at(400), STUCK_AFTER), Some(&"models"), "tools do not wait");
-    slots.wait("tools", at(400));
-    assert_eq!(slots.next(at(400), STUCK_AFTER), Some(&"tools"));
-    assert_eq!(slots.spent(at(400), &"models", STUCK_AFTER), Span::from_millis(300));
+    slots.begin_call(at(0), "models", USUAL);
+    slots.end_call(at(300), &"models");
+    slots.begin_call(at(300), "tools", USUAL);
+    slots.end_call(at(400), &"tools");
+    slots.set_waiting("models", at(400));
+    assert_eq!(slots.next_destination(at(400), STUCK_AFTER), Some(&"models"), "tools do not wait");
+    slots.set_waiting("tools", at(400));
+    assert_eq!(slots.next_destination(at(400), STUCK_AFTER), Some(&"tools"));
+    assert_eq!(slots.recent_slot_time(at(400), &"models", STUCK_AFTER), Span::from_millis(300));
 }
 
 #[test]
 fn calls_still_out_count_with_what_they_are_likely_to_take() {
     let mut slots = both_wait();
-    slots.begin(at(0), "models", Span::from_millis(500));
-    slots.wait("models", at(0));
-    slots.begin(at(0), "tools", Span::from_millis(100));
-    slots.wait("tools", at(0));
-    assert_eq!(slots.next(at(0), STUCK_AFTER), Some(&"tools"), "before either has spent any");
-    slots.end(at(10), &"models");
-    assert_eq!(slots.next(at(10), STUCK_AFTER), Some(&"models"), "an ended call counts as long as it was");
+    slots.begin_call(at(0), "models", Span::from_millis(500));
+    slots.set_waiting("models", at(0));
+    slots.begin_call(at(0), "tools", Span::from_millis(100));
+    slots.set_waiting("tools", at(0));
+    assert_eq!(slots.next_destination(at(0), STUCK_AFTER), Some(&"tools"), "before either has spent any");
+    slots.end_call(at(10), &"models");
+    assert_eq!(
+        slots.next_destination(at(10), STUCK_AFTER),
+        Some(&"models"),
+        "an ended call counts as long as it was"
+    );
 }
 
 #[test]
 fn a_stuck_call_counts_for_no_longer_than_a_bound() {
     let mut slots = both_wait();
-    slots.begin(at(0), "models", USUAL);
-    assert_eq!(slots.spent(at(9_000), &"models", STUCK_AFTER), STUCK_AFTER);
-    assert_eq!(slots.spent(at(9_000), &"models", Span::ZERO), USUAL);
+    slots.begin_call(at(0), "models", USUAL);
+    assert_eq!(slots.recent_slot_time(at(9_000), &"models", STUCK_AFTER), STUCK_AFTER);
+    assert_eq!(slots.recent_slot_time(at(9_000), &"models", Span::ZERO), USUAL);
 }
 
 #[test]
 fn slot_time_is_forgotten() {
     let mut slots = both_wait();
-    slots.begin(at(0), "models", USUAL);
-    slots.end(at(4_000), &"models");
-    assert_eq!(slots.spent(at(11_000), &"models", STUCK_AFTER), Span::ZERO);
-    assert_eq!(slots.spent(at(10_500), &"models", STUCK_AFTER), Span::from_millis(500));
+    slots.begin_call(at(0), "models", USUAL);
+    slots.end_call(at(4_000), &"models");
+    assert_eq!(slots.recent_slot_time(at(11_000), &"models", STUCK_AFTER), Span::ZERO);
+    assert_eq!(slots.recent_slot_time(at(10_500), &"models", STUCK_AFTER), Span::from_millis(500));
 }
 
 #[test]
 fn nobody_is_offered_a_slot_before_its_time() {
     let mut slots = SlotTimes::default();
-    assert_eq!(slots.next(at(0), STUCK_AFTER), None);
-    slots.wait("models", at(100));
-    assert_eq!(slots.next(at(99), STUCK_AFTER), None);
-    assert_eq!(slots.next(at(100), STUCK_AFTER), Some(&"models"));
+    assert_eq!(slots.next_destination(at(0), STUCK_AFTER), None);
+    slots.set_waiting("models", at(100));
+    assert_eq!(slots.next_destination(at(99), STUCK_AFTER), None);
+    assert_eq!(slots.next_destination(at(100), STUCK_AFTER), Some(&"models"));
 }
 
 #[test]
 fn what_ends_without_having_begun_changes_nothing() {
     let mut slots = both_wait();
-    slots.end(at(0), &"models");
-    slots.begin(at(0), "models", USUAL);
-    slots.end(at(1), &"models");
-    slots.end(at(2), &"models");
-    assert_eq!(slots.open(), 0);
-    assert_eq!(slots.out().count(), 0);
+    slots.end_call(at(0), &"models");
+    slots.begin_call(at(0), "models", USUAL);
+    slots.end_call(at(1), &"models");
+    slots.end_call(at(2), &"models");
+    assert_eq!(slots.slots_in_use(), 0);
+    assert_eq!(slots.calls_in_flight().count(), 0);
 }
 
 #[test]
 fn what_is_kept_of_a_destination_is_bounded() {
     let mut slots = both_wait();
-    slots.begin(at(0), "models", USUAL);
-    slots.begin(at(0), "tools", USUAL);
+    slots.begin_call(at(0), "models", USUAL);
+    slots.begin_call(at(0), "tools", USUAL);
     for _ in 0..17_000 {
-        slots.begin(at(0), "tools", USUAL);
-        slots.end(at(10), &"tools");
+        slots.begin_call(at(0), "tools", USUAL);
+        slots.end_call(at(10), &"tools");
     }
-    assert_eq!(slots.open(), 2);
-    assert!(slots.spent(at(10), &"tools", STUCK_AFTER) < Span::from_millis(10 * 17_000));
-    assert_eq!(slots.out().filter(|(key, _)| **key == "tools").count(), 1, "calls out are kept");
+    assert_eq!(slots.slots_in_use(), 2);
+    assert!(slots.recent_slot_time(at(10), &"tools", STUCK_AFTER) < Span::from_millis(10 * 17_000));
+    assert_eq!(slots.calls_in_flight().filter(|(key, _)| **key == "tools").count(), 1, "calls out are kept");
 }
 
 proptest! {
@@ -107,14 +111,14 @@
         for (event, key, millis) in events {
             now = now + Span::from_millis(millis);
             match event {
-                0 => slots.wait(key, now),
-                1 => slots.begin(now, key, USUAL),
-                _ => slots.end(now, &key),
+                0 => slots.set_waiting(key, now),
+                1 => slots.begin_call(now, key, USUAL),
+                _ => slots.end_call(now, &key),
             }
-            prop_assert_eq!(slots.open(), slots.out().count());
-            let least = slots.waiting(now).map(|key| slots.spent(now, key, STUCK_AFTER)).min();
-            let next = slots.next(now, STUCK_AFTER);
-            prop_assert_eq!(next.map(|key| slots.spent(now, key, STUCK_AFTER)), least);
+            prop_assert_eq!(slots.slots_in_use(), slots.calls_in_flight().count());
+            let least = slots.waiting_destinations(now).map(|key| slots.recent_slot_time(now, key, STUCK_AFTER)).min();
+            let next = slots.next_destination(now, STUCK_AFTER);
+            prop_assert_eq!(next.map(|key| slots.recent_slot_time(now, key, STUCK_AFTER)), least);
         }
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -6,7 +6,8 @@
 use std::sync::Arc;
 
 use juniperwing::interface::{
-    Account, Allowance, Effect, Fleet, Group, Kind, LimitReport, RuleFigures, Terms, TopicType,
+    Account, DeduplicationScope, DestinationKind, Fleet, RateLimitReport, RelayConfig, RelayLimits,
+    RuleParameters, Semantics, TopicType,
 };
 use juniperwing::time::Span;
 use serde::Deserialize;
@@ -14,8 +15,8 @@
 /// Settings as they are written. Unknown keys are passed over; absent ones are zero, empty or false.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
-pub struct Written {
-    accounts: Vec<WrittenAccount>,
+pub struct RawSettings {
+    accounts: Vec<RawAccount>,
     balancers: usize,
     ceilings: Ceilings,
     classes: Vec<Class>,
@@ -38,7 +39,7 @@
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
-struct WrittenAccount {
+struct RawAccount {
     name: String,
     quota_per_s: f64,
 }
@@ -96,7 +97,7 @@
     fields: Vec<String>,
 }
 
-impl Written {
+impl RawSettings {
     /// Whether a relay can go by these settings; if not, the key at fault and what is wrong with it.
     pub fn check(&self) -> Result<(), String> {
         let (rules, share) = (&self.rules, 0.0..=1.0);
@@ -145,22 +146,22 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Connections {
     /// An idle one is closed by its endpoint after this long; zero if it is not told.
-    pub idle: Span,
+    pub idle_timeout: Span,
     /// One that is not up by then never comes up; zero if it is not told.
-    pub connect: Span,
+    pub connect_timeout: Span,
     /// Whether two pushes of one notification may be out together.
-    pub second_copies: bool,
+    pub is_hedging_allowed: bool,
 }
 
 /// Settings in the core's types.
 #[derive(Debug, Default)]
 pub struct Settings {
     /// What the core goes by.
-    pub terms: Terms,
+    pub relay_config: RelayConfig,
     /// Connections to endpoints.
     pub connections: Connections,
     topics: Vec<Arc<TopicType>>,
-    kinds: Vec<Arc<Kind>>,
+    kinds: Vec<Arc<DestinationKind>>,
     accounts: Vec<Arc<Account>>,
     report_fields: Vec<String>,
     /// Where a load report has the share of the limit left, and the limit.
@@ -169,12 +170,12 @@
 
 impl Settings {
     /// The topic type of that name.
-    pub fn topic(&self, name: &str) -> Option<Arc<TopicType>> {
+    pub fn topic_type(&self, name: &str) -> Option<Arc<TopicType>> {
         self.topics.iter().find(|topic| topic.name == name).cloned()
     }
 
     /// The longest time to live of all topic types.
-    pub fn longest_ttl(&self) -> Span {
+    pub fn max_ttl(&self) -> Span {
         self.topics.iter().map(|topic| topic.ttl).max().unwrap_or_default()
     }
 
@@ -189,7 +190,9 @@
         &self, other: &Settings, mut topics: impl Iterator<Item = &'a str>,
         mut kinds: impl Iterator<Item = &'a str>,
     ) -> Option<String> {
-        if let Some(name) = topics.find(|name| self.topic(name).is_some() && other.topic(name).is_none()) {
+        if let Some(name) =
+            topics.find(|name| self.topic_type(name).is_some() && other.topic_type(name).is_none())
+        {
             return Some(format!("settings.classes lacks {name:?}, of which notifications are held"));
         }
         let knows = |settings: &Settings, name: &str| settings.kinds.iter().any(|kind| kind.name == name);
@@ -198,94 +201,108 @@
     }
 
     /// The kind of that name, or one of which nothing more is told.
-    pub fn kind(&self, name: &str) -> Arc<Kind> {
+    pub fn kind(&self, name: &str) -> Arc<DestinationKind> {
         let known = self.kinds.iter().find(|known| known.name == name).cloned();
         known.unwrap_or_else(|| Arc::new(plain(name)))
     }
 
     /// What a destination tells of its limit, from a load report in the order of the settings.
-    pub fn limit(&self, stats: &[f64]) -> Option<LimitReport> {
+    pub fn rate_limit(&self, stats: &[f64]) -> Option<RateLimitReport> {
         let [left, rate] = self.report;
-        Some(LimitReport { left: *stats.get(left?)?, rate: *stats.get(rate?)? })
+        Some(RateLimitReport { remaining_fraction: *stats.get(left?)?, rate_per_second: *stats.get(rate?)? })
     }
 
     /// The same, from a load report whose values come with their names.
-    pub fn named_limit(&self, value: impl Fn(&str) -> Option<f64>) -> Option<LimitReport> {
+    pub fn rate_limit_by_name(&self, value: impl Fn(&str) -> Option<f64>) -> Option<RateLimitReport> {
         let [left, rate] = self.report;
         let named = |place: Option<usize>| value(self.report_fields.get(place?)?);
-        Some(LimitReport { left: named(left)?, rate: named(rate)? })
+        Some(RateLimitReport { remaining_fraction: named(left)?, rate_per_second: named(rate)? })
     }
 }
 
 /// What was read, for whoever wrote it.
 impl fmt::Display for Settings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Terms { fleet, allowance, figures } = &self.terms;
+        let RelayConfig { fleet, limits, rules } = &self.relay_config;
         let names = |names: Vec<&str>| names.join(", ");
-        write!(f, "{} relays, the list ", fleet.relays)?;
-        f.write_str(if fleet.list_pushed { "pushed" } else { "asked for" })?;
-        f.write_str(if fleet.rates_listed { ", with rates" } else { ", with no rates to go by" })?;
-        if let Some(home) = &fleet.home {
+        write!(f, "{} relays, the list ", fleet.relay_count)?;
+        f.write_str(if fleet.is_list_pushed { "pushed" } else { "asked for" })?;
+        f.write_str(if fleet.has_listed_rates { ", with rates" } else { ", with no rates to go by" })?;
+        if let Some(home) = &fleet.home_zone {
             write!(f, "; zone {home} first")?;
         }
-        write!(f, "; {} slots, {} pushes, {} held", allowance.slots, allowance.pushes, allowance.held)?;
-        write!(f, ", {} s to come back at the most", allowance.longest_retry.as_secs_f64())?;
-        write!(f, ", connections idle for {} s", allowance.idle.as_secs_f64())?;
-        write!(f, "; cold from {} for {} s", figures.cold_from, figures.cold.as_secs_f64())?;
-        write!(f, ", falls above {} times for {} s", figures.fall_multiple, figures.tip_after.as_secs_f64())?;
+        write!(f, "; {} slots, {} pushes, {} held", limits.slots, limits.max_pushes, limits.max_pending)?;
+        write!(f, ", {} s to come back at the most", limits.max_retry_after.as_secs_f64())?;
+        write!(f, ", connections idle for {} s", limits.idle_timeout.as_secs_f64())?;
+        write!(
+            f,
+            "; cold from {} for {} s",
+            rules.warm_up_initial_fraction,
+            rules.warm_up_duration.as_secs_f64()
+        )?;
+        write!(
+            f,
+            ", falls above {} times for {} s",
+            rules.overload_factor,
+            rules.overload_duration.as_secs_f64()
+        )?;
         write!(f, "; topic types {}", names(self.topics.iter().map(|topic| topic.name.as_str()).collect()))?;
         write!(f, "; kinds {}", names(self.kinds.iter().map(|kind| kind.name.as_str()).collect()))
     }
 }
 
-impl From<&Written> for Settings {
-    fn from(written: &Written) -> Settings {
+impl From<&RawSettings> for Settings {
+    fn from(written: &RawSettings) -> Settings {
         let (family, ceilings, rules) = (&written.family_info, &written.ceilings, &written.rules);
-        let kinds = written.kinds.iter().enumerate().map(|(i, name)| Kind {
-            separate_routes: family.separate_routes.get(i).copied().unwrap_or(false),
-            per_call: family.per_call.get(i).copied().unwrap_or(1),
+        let kinds = written.kinds.iter().enumerate().map(|(i, name)| DestinationKind {
+            has_separate_routes: family.separate_routes.get(i).copied().unwrap_or(false),
+            max_notifications_per_call: family.per_call.get(i).copied().unwrap_or(1),
             ..plain(name)
         });
-        let account = |a: &WrittenAccount| Account { name: a.name.clone(), quota: a.quota_per_s };
+        let account = |a: &RawAccount| Account { name: a.name.clone(), quota_per_second: a.quota_per_s };
         let fields = &written.load_report.fields;
         let crossing = written.costs.cross_zone > 0.0 && !written.zone.is_empty();
-        let terms = Terms {
+        let terms = RelayConfig {
             fleet: Fleet {
-                relays: written.balancers,
-                rates_listed: written.weight_source == "nominal",
-                list_on_request: written.discovery == "subscribe",
-                list_pushed: written.discovery != "subscribe",
+                relay_count: written.balancers,
+                has_listed_rates: written.weight_source == "nominal",
+                is_list_on_request: written.discovery == "subscribe",
+                is_list_pushed: written.discovery != "subscribe",
                 tick: Span::from_nanos(written.tick),
-                home: crossing.then(|| Arc::from(written.zone.as_str())),
+                home_zone: crossing.then(|| Arc::from(written.zone.as_str())),
             },
-            allowance: Allowance {
+            limits: RelayLimits {
                 slots: family.slots,
-                pushes: ceilings.max_attempts,
-                held: ceilings.most_held,
-                longest_retry: Span::from_nanos(if ceilings.retry_after {
+                max_pushes: ceilings.max_attempts,
+                max_pending: ceilings.most_held,
+                max_retry_after: Span::from_nanos(if ceilings.retry_after {
                     ceilings.max_retry_after
                 } else {
                     0
                 }),
-                probes: ceilings.probes,
-                cancel: ceilings.cancel,
-                idle: Span::from_nanos(if ceilings.conn_idle > 0 { ceilings.conn_idle } else { u64::MAX }),
+                can_probe: ceilings.probes,
+                can_cancel: ceilings.cancel,
+                idle_timeout: Span::from_nanos(if ceilings.conn_idle > 0 {
+                    ceilings.conn_idle
+                } else {
+                    u64::MAX
+                }),
             },
-            figures: RuleFigures {
-                ask_every: Span::from_nanos(rules.ask_every),
-                cold_from: rules.cold_from.unwrap_or_default(),
-                cold: Span::from_nanos(rules.cold),
-                fall_multiple: rules.fall_multiple.unwrap_or_default(),
-                tip_after: Span::from_nanos(rules.tip_after),
-                settle: Span::from_nanos(rules.settle_after_doubt),
+            rules: RuleParameters {
+                list_refresh_interval: Span::from_nanos(rules.ask_every),
+                warm_up_initial_fraction: rules.cold_from.unwrap_or_default(),
+                warm_up_duration: Span::from_nanos(rules.cold),
+                overload_factor: rules.fall_multiple.unwrap_or_default(),
+                overload_duration: Span::from_nanos(rules.tip_after),
+                key_cooldown: Span::from_nanos(rules.settle_after_doubt),
             },
         };
         Settings {
-            terms,
+            relay_config: terms,
             connections: Connections {
-                idle: Span::from_nanos(ceilings.conn_idle),
-                connect: Span::from_nanos(ceilings.connect_timeout),
-                second_copies: ceilings.second_copies,
+                idle_timeout: Span::from_nanos(ceilings.conn_idle),
+                connect_timeout: Span::from_nanos(ceilings.connect_timeout),
+                is_hedging_allowed: ceilings.second_copies,
             },
             topics: written.classes.iter().map(|class| Arc::new(topic(class))).collect(),
             kinds: kinds.map(Arc::new).collect(),
@@ -299,23 +316,27 @@
 fn topic(class: &Class) -> TopicType {
     TopicType {
         name: class.name.clone(),
-        effect: match class.semantics.as_str() {
-            "pure" => Effect::Repeatable,
-            "token" => Effect::Collapsible {
-                group: if class.dedup_scope == "zone" { Group::Zone } else { Group::All },
+        semantics: match class.semantics.as_str() {
+            "pure" => Semantics::Idempotent,
+            "token" => Semantics::Deduplicated {
+                scope: if class.dedup_scope == "zone" {
+                    DeduplicationScope::Zone
+                } else {
+                    DeduplicationScope::All
+                },
                 window: Span::from_nanos(class.repeat_window),
             },
-            _ => Effect::OnceOnly,
+            _ => Semantics::NonIdempotent,
         },
-        objective: Span::from_nanos(class.aim),
+        latency_target: Span::from_nanos(class.aim),
         ttl: Span::from_nanos(class.hard_limit),
         benefit: class.worth,
-        late_share: class.late_value,
-        ordered: class.fifo_by_key,
+        late_benefit_fraction: class.late_value,
+        is_ordered: class.fifo_by_key,
     }
 }
 
 /// A kind of which nothing more is told.
-fn plain(name: &str) -> Kind {
-    Kind { name: name.to_owned(), separate_routes: false, per_call: 1 }
+fn plain(name: &str) -> DestinationKind {
+    DestinationKind { name: name.to_owned(), has_separate_routes: false, max_notifications_per_call: 1 }
 }
--- a/src/mail.rs
+++ b/src/mail.rs
@@ -5,7 +5,10 @@
 
 use std::sync::Arc;
 
-use crate::interface::{Command, DestinationId, EndpointId, Entry, Kind, News, Notification, NtfId, Outcome};
+use crate::interface::{
+    Command, DestinationId, DestinationKind, EndpointEntry, EndpointId, EndpointListUpdate, Notification,
+    NotificationId, PushOutcome,
+};
 use crate::time::{Span, Time};
 
 /// The parts, in the order in which their inboxes are emptied.
@@ -23,15 +26,15 @@
 pub(crate) enum Note {
     /// An alarm of the part's own has come: see to whatever time alone brings.
     Due,
-    News(News),
-    Listed(Entry),
+    News(EndpointListUpdate),
+    Listed(EndpointEntry),
     Accepted(Notification),
-    Withdrawn(NtfId),
-    Heard(NtfId),
+    Withdrawn(NotificationId),
+    Heard(NotificationId),
     /// A key's notification queues for its turn, has it, or leaves (with the time of a push in doubt).
-    Join(String, NtfId, DestinationId),
-    Turn(NtfId),
-    Leave(String, NtfId, Option<Time>),
+    Join(String, NotificationId, DestinationId),
+    Turn(NotificationId),
+    Leave(String, NotificationId, Option<Time>),
     /// A destination has something to send.
     Ask(DestinationId),
     /// A slot is free: does the destination take it? It passes (until then), or a call goes from part to part
@@ -42,7 +45,7 @@
     Declined(Time),
     Sent(Call),
     /// A push ended; the flag says that its call had shown no outcome before, for a call has one fate.
-    Outcome(Outcome, bool),
+    Outcome(PushOutcome, bool),
     /// A wait that was told by no outcome.
     Told(Span),
     /// What is not out to the destination's endpoints is not to go.
@@ -55,7 +58,7 @@
     /// It is, or will be, back from an outage at that time; the flag says that others may see it just then.
     Back(Time, bool),
     /// Connections must not be idle for so long, at endpoints of one kind or all.
-    Stale(Span, Option<Arc<Kind>>),
+    Stale(Span, Option<Arc<DestinationKind>>),
 }
 
 /// Notifications on their way to an endpoint as one call.
@@ -64,7 +67,7 @@
     pub(crate) destination: DestinationId,
     pub(crate) endpoint: EndpointId,
     /// Each with its time-out, and how soon it must have gone out.
-    pub(crate) pushes: Vec<(NtfId, Span, Span)>,
+    pub(crate) pushes: Vec<(NotificationId, Span, Span)>,
     pub(crate) overdue: Span,
     /// The gaps between this relay's calls to the endpoint, and to the lane, after an outage.
     pub(crate) gaps: (Span, Span),
--- a/src/rules/destination.rs
+++ b/src/rules/destination.rs
@@ -1,7 +1,7 @@
 //! Destinations: what they hold, whom they offer it to, and when it is given up.
 
 use super::{ARRIVAL, LEAST_LEFT, MEMORY};
-use crate::interface::{Command, Outcome, Status};
+use crate::interface::{CallStatus, Command, PushOutcome};
 use crate::mail::{Call, Mail, Note, Part};
 use crate::state::{Destination, Held};
 use crate::time::{Span, Time};
@@ -12,17 +12,19 @@
         match note {
             Note::Listed(entry) => self.list(entry),
             Note::Accepted(ntf) => {
-                let key = ntf.key.clone().filter(|_| ntf.topic.ordered);
+                let key = ntf.key.clone().filter(|_| ntf.topic.is_ordered);
                 let (turn, taken) = (key.is_none(), mail.now);
                 key.into_iter().for_each(|key| mail.put(Part::Turns, Note::Join(key, ntf.id, self.id)));
                 self.hold(ntf, taken, turn);
-                self.handed.retain(|at| taken.since(*at) < self.terms.figures.cold.mul_f64(MEMORY));
+                self.handed.retain(|at| taken.since(*at) < self.terms.rules.warm_up_duration.mul_f64(MEMORY));
             }
             Note::Turn(id) => self.change(id, |held| held.turn = true),
             Note::Withdrawn(id) => self.change(id, |held| held.over = true),
-            Note::Heard(id) => self.change(id, |held| held.past.ended = false),
+            Note::Heard(id) => self.change(id, |held| held.past.has_final_answer = false),
             Note::Outcome(outcome, first) => self.outcome(&outcome, first, mail.now),
-            Note::Recall => self.ends.iter().for_each(|e| mail.commands.push(Command::Recall(e.0.clone()))),
+            Note::Recall => {
+                self.ends.iter().for_each(|e| mail.commands.push(Command::CancelUnsent(e.0.clone())))
+            }
             Note::Sent(call) => {
                 let Some(()) = self.sent(&call, mail.now) else { return };
             }
@@ -53,19 +55,22 @@
 
     /// Calls off what is overdue, or sets an alarm: where slots are `full`, and where more of its key wait.
     fn shed(&mut self, full: bool, dire: bool, mail: &mut Mail) {
-        let (now, usual, cancel) = (mail.now, self.overdue_after(), self.terms.allowance.cancel);
+        let (now, usual, cancel) = (mail.now, self.overdue_after(), self.terms.limits.can_cancel);
         for place in 0..self.held.len() {
             let held = &self.held[place];
             let Some(at) = held.out.as_ref().filter(|_| cancel).map(|o| o.0) else { continue };
             let waits = |h: &&Held| !h.turn && h.ntf.key == held.ntf.key;
-            let behind = held.ntf.topic.ordered && self.held.iter().filter(waits).count() > 1;
-            let after = if held.again() { usual } else { usual.max(self.terms.figures.tip_after) };
+            let behind = held.ntf.topic.is_ordered && self.held.iter().filter(waits).count() > 1;
+            let after = if held.again() { usual } else { usual.max(self.terms.rules.overload_duration) };
             let due = if full || behind { at + after } else { Time::NEVER };
             if now < due {
                 mail.alarm(if behind { Part::Destination(self.id) } else { Part::Slots }, due);
-            } else if held.past.doubt.is_none_or(|d| d < at) && (behind || held.again() || dire) {
-                mail.commands.push(Command::Cancel { ntf: held.ntf.id, push: held.past.pushes - 1 });
-                self.held[place].past.doubt = Some(now);
+            } else if held.past.last_doubtful_end.is_none_or(|d| d < at) && (behind || held.again() || dire) {
+                mail.commands.push(Command::Cancel {
+                    notification: held.ntf.id,
+                    push_index: held.past.push_count - 1,
+                });
+                self.held[place].past.last_doubtful_end = Some(now);
             }
         }
     }
@@ -74,7 +79,7 @@
     fn offer(&mut self, asked: usize, again: Time, mail: &mut Mail) {
         (self.asked, self.again) = (asked, again);
         let mut order: Vec<usize> = (0..self.ends.len()).map(|i| (self.next + i) % self.ends.len()).collect();
-        let home = self.terms.fleet.home.as_ref();
+        let home = self.terms.fleet.home_zone.as_ref();
         order.sort_by_key(|end| home.is_some_and(|home| *home != self.ends[*end].1));
         while self.asked < 2 * self.ends.len() && !self.held.is_empty() {
             let (endpoint, zone) = self.ends[order[self.asked % order.len()]].clone();
@@ -93,20 +98,21 @@
         mail.put(Part::Slots, Note::Pass(self.id, self.again));
     }
 
-    fn outcome(&mut self, o: &Outcome, first: bool, now: Time) {
+    fn outcome(&mut self, o: &PushOutcome, first: bool, now: Time) {
         // Throttled pushes and refused connections tell nothing of latency.
-        if first && matches!(o.status, Status::Delivered | Status::TimedOut | Status::Cancelled) {
-            self.latencies.record(now, o.spent, o.status != Status::Delivered);
+        if first && matches!(o.status, CallStatus::Delivered | CallStatus::TimedOut | CallStatus::Cancelled) {
+            self.latencies.record(now, o.elapsed, o.status != CallStatus::Delivered);
         }
-        let Some(held) = self.held.iter_mut().find(|h| h.ntf.id == o.ntf) else { return };
+        let Some(held) = self.held.iter_mut().find(|h| h.ntf.id == o.notification) else { return };
         let sent = held.out.take();
-        held.over |= o.settled;
+        held.over |= o.has_final_answer;
         if o.status.may_have_run() {
             let failing = self.failing.entry((o.endpoint.clone(), held.ntf.topic.name.clone())).or_default();
-            *failing = (if o.status == Status::Delivered { 0 } else { failing.0 + 1 }, now);
-            held.past.ran = held.past.ran.take().or(sent);
+            *failing = (if o.status == CallStatus::Delivered { 0 } else { failing.0 + 1 }, now);
+            held.past.first_possible_run = held.past.first_possible_run.take().or(sent);
         }
-        held.past.doubt = Some(now).filter(|_| o.status.may_be_running()).or(held.past.doubt);
+        held.past.last_doubtful_end =
+            Some(now).filter(|_| o.status.may_be_running()).or(held.past.last_doubtful_end);
     }
 
     /// The design's cutoff, and rule: one final answer, at once if an endpoint takes it too late.
@@ -114,20 +120,24 @@
         let (usual, held) = (self.latencies.median().max(LEAST_LEFT), &mut self.held[place]);
         let from = if self.again < Time::NEVER { self.again.max(mail.now) } else { mail.now };
         let left = held.ntf.valid_until.since(from);
-        let in_time = left >= LEAST_LEFT && self.latencies.worth_trying(left);
-        let lives = in_time && held.may_run(mail.now, None, self.terms.allowance.pushes);
-        if held.out.is_some() || held.past.ended || lives {
+        let in_time = left >= LEAST_LEFT && self.latencies.is_worth_trying(left);
+        let lives = in_time && held.may_run(mail.now, None, self.terms.limits.max_pushes);
+        if held.out.is_some() || held.past.has_final_answer || lives {
             return;
         }
-        let (ntf, key) = (held.ntf.id, held.ntf.key.clone().filter(|_| held.ntf.topic.ordered));
+        let (ntf, key) = (held.ntf.id, held.ntf.key.clone().filter(|_| held.ntf.topic.is_ordered));
         if !held.over {
-            let retry_in = self.terms.allowance.longest_retry.min(usual.max(from.since(mail.now)));
-            let throttled = Command::Throttle { ntf, retry_in };
-            mail.commands.push(if held.past.ran.is_some() { Command::Expire(ntf) } else { throttled });
-            (held.over, held.past.ended) = (true, key.is_some());
+            let retry_in = self.terms.limits.max_retry_after.min(usual.max(from.since(mail.now)));
+            let throttled = Command::Throttle { notification: ntf, retry_after: retry_in };
+            mail.commands.push(if held.past.first_possible_run.is_some() {
+                Command::Expire(ntf)
+            } else {
+                throttled
+            });
+            (held.over, held.past.has_final_answer) = (true, key.is_some());
         }
-        if !held.past.ended {
-            let doubt = self.held.remove(place).past.doubt;
+        if !held.past.has_final_answer {
+            let doubt = self.held.remove(place).past.last_doubtful_end;
             key.into_iter().for_each(|key| mail.put(Part::Turns, Note::Leave(key, ntf, doubt)));
         }
     }
--- a/src/rules/endpoint.rs
+++ b/src/rules/endpoint.rs
@@ -1,7 +1,7 @@
 //! Endpoints: drains, connections, and health.
 
 use super::{BRIEF, OVERDUE_FLOOR, PATIENCE, STALE_MEMORY, SUSPECT};
-use crate::interface::{Command, LimitReport, Outcome, Readiness, Status};
+use crate::interface::{CallStatus, Command, PushOutcome, RateLimitReport, Readiness};
 use crate::mail::{Mail, Note, Part};
 use crate::state::Endpoint;
 use crate::time::{Span, Time};
@@ -9,7 +9,7 @@
 impl Endpoint {
     /// The rate to go by that the list gives, in calls a second over all relays; zero if there is none.
     pub(super) fn rate(&self) -> f64 {
-        if self.terms.fleet.rates_listed { self.entry.rate } else { 0.0 }
+        if self.terms.fleet.has_listed_rates { self.entry.rate_per_second } else { 0.0 }
     }
 
     pub(crate) fn take(&mut self, note: Note, mail: &mut Mail) {
@@ -27,7 +27,7 @@
             }
             Note::Stale(span, _) => {
                 self.stale = Some((self.stale(mail.now).map_or(span, |known| known.min(span)), mail.now));
-                mail.commands.push(Command::CloseIdle(self.entry.endpoint.clone()));
+                mail.commands.push(Command::CloseIdleConnections(self.entry.endpoint.clone()));
             }
             Note::Sent(call) => {
                 self.aside = self.aside.map(|_| self.next_trial(mail));
@@ -51,28 +51,37 @@
     fn takes_from(&self, now: Time) -> Time {
         if self.entry.readiness != Readiness::Serving {
             Time::NEVER
-        } else if self.outs.last().is_some_and(|o| o.at == now && o.ntfs.len() < self.entry.kind.per_call) {
+        } else if self
+            .outs
+            .last()
+            .is_some_and(|o| o.at == now && o.ntfs.len() < self.entry.kind.max_notifications_per_call)
+        {
             // A second call in the same round would be joined to the first.
             now + Span::from_nanos(1)
         } else if let Some(next) = self.aside {
             // A call still out there tells of the return by itself, and costs no further slot.
             let patience = if self.outs.is_empty() { 0.0 } else { PATIENCE };
-            next + self.terms.figures.tip_after.mul_f64(patience)
+            next + self.terms.rules.overload_duration.mul_f64(patience)
         } else {
             now
         }
     }
 
     fn next_trial(&self, mail: &mut Mail) -> Time {
-        let gap = self.gap.mul_f64(1.0 / self.terms.figures.cold_from).max(self.terms.figures.tip_after);
+        let gap = self
+            .gap
+            .mul_f64(1.0 / self.terms.rules.warm_up_initial_fraction)
+            .max(self.terms.rules.overload_duration);
         mail.now + gap.mul_f64(0.75 + mail.chance() / 2.0)
     }
 
-    fn outcome(&mut self, outcome: Outcome, mail: &mut Mail) {
-        let Some(place) = self.outs.iter().position(|out| out.ntfs.contains(&outcome.ntf)) else { return };
+    fn outcome(&mut self, outcome: PushOutcome, mail: &mut Mail) {
+        let Some(place) = self.outs.iter().position(|out| out.ntfs.contains(&outcome.notification)) else {
+            return;
+        };
         let out = &mut self.outs[place];
-        out.ntfs.retain(|ntf| *ntf != outcome.ntf);
-        let (to, at, seldom) = (out.to, out.at, out.idle > self.terms.allowance.idle);
+        out.ntfs.retain(|ntf| *ntf != outcome.notification);
+        let (to, at, seldom) = (out.to, out.at, out.idle > self.terms.limits.idle_timeout);
         let first = !std::mem::replace(&mut out.answered, true);
         if out.ntfs.is_empty() {
             self.outs.remove(place);
@@ -80,23 +89,23 @@
             mail.put(Part::Slots, Note::Ended(to));
             // Guards against few connections, full of idle ones: where short, or this relay comes too seldom.
             if seldom || self.stale(mail.now) == Some(Span::ZERO) {
-                mail.commands.push(Command::CloseIdle(self.entry.endpoint.clone()));
+                mail.commands.push(Command::CloseIdleConnections(self.entry.endpoint.clone()));
             }
         }
         if first {
             // Guards against calls whose connections are not up yet: they would go in the wait that was told.
-            outcome.wait.iter().for_each(|_| mail.put(Part::Destination(to), Note::Recall));
-            self.judge(at, outcome.status, outcome.limit, mail);
+            outcome.retry_after.iter().for_each(|_| mail.put(Part::Destination(to), Note::Recall));
+            self.judge(at, outcome.status, outcome.rate_limit, mail);
         }
         mail.put(Part::Lane(to), Note::Outcome(outcome.clone(), first));
         mail.put(Part::Destination(to), Note::Outcome(outcome, first));
     }
 
     /// What an outcome, of a call sent at `at`, says of the endpoint's health.
-    fn judge(&mut self, at: Time, status: Status, limit: Option<LimitReport>, mail: &mut Mail) {
-        let (now, span) = (mail.now, self.terms.figures.tip_after);
+    fn judge(&mut self, at: Time, status: CallStatus, limit: Option<RateLimitReport>, mail: &mut Mail) {
+        let (now, span) = (mail.now, self.terms.rules.overload_duration);
         let sign = match status {
-            Status::Delivered => {
+            CallStatus::Delivered => {
                 // Too short for an outage, as far as this relay saw: no reason to hold back.
                 let brief = self.delivered.is_some_and(|t| now.since(t) < span.mul_f64(BRIEF));
                 let was_aside = self.aside.take().is_some();
@@ -122,15 +131,15 @@
                 false
             }
             // Above a limit, or up, as a call shows that is out and not lost: no sign of an outage.
-            Status::Busy if limit.map_or(self.rate() > 0.0, LimitReport::is_used_up) => false,
-            Status::NoConnection => self.outs.iter().all(|o| o.lost(now)),
-            Status::Crowded => {
+            CallStatus::Busy if limit.map_or(self.rate() > 0.0, RateLimitReport::is_used_up) => false,
+            CallStatus::NoConnection => self.outs.iter().all(|o| o.lost(now)),
+            CallStatus::ConnectionLimitReached => {
                 self.short_of_connections(mail);
                 false
             }
-            _ => status != Status::Skipped,
+            _ => status != CallStatus::Skipped,
         };
-        self.refused = self.refused.or((status == Status::NoConnection).then_some(now));
+        self.refused = self.refused.or((status == CallStatus::NoConnection).then_some(now));
         self.streak += usize::from(sign);
         self.suspect(mail);
     }
@@ -144,7 +153,7 @@
 
     /// Guards against silence as well as failures: a call long overdue is evidence before its time-out.
     fn suspect(&mut self, mail: &mut Mail) {
-        let (now, span) = (mail.now, self.terms.figures.tip_after);
+        let (now, span) = (mail.now, self.terms.rules.overload_duration);
         let mut lost = self.outs.iter().filter(|o| o.lost(now)).count();
         if let Some(good) = self.delivered.filter(|t| lost > 0 && now.since(*t) < span) {
             mail.alarm(Part::Endpoint(self.entry.endpoint.clone()), good + span);
--- a/src/rules/slots.rs
+++ b/src/rules/slots.rs
@@ -11,34 +11,34 @@
     pub(crate) fn take(&mut self, note: Note, total: usize, tip_after: Span, mail: &mut Mail) {
         let now = mail.now;
         match note {
-            Note::Ask(destination) => self.times.wait(destination, now),
+            Note::Ask(destination) => self.times.set_waiting(destination, now),
             Note::Pass(destination, until) => {
                 self.offered = false;
-                self.times.wait(destination, until);
+                self.times.set_waiting(destination, until);
                 mail.alarm(Part::Slots, until);
             }
             Note::Sent(call) => {
                 self.offered = false;
-                self.times.begin(now, call.destination, call.usual);
+                self.times.begin_call(now, call.destination, call.usual);
             }
-            Note::Ended(destination) => self.times.end(now, &destination),
+            Note::Ended(destination) => self.times.end_call(now, &destination),
             _ => {}
         }
-        if self.times.open() < total && !self.offered {
+        if self.times.slots_in_use() < total && !self.offered {
             // The design's choice: least slot time, calls out included at what they are likely to take.
-            if let Some(&next) = self.times.next(now, tip_after) {
+            if let Some(&next) = self.times.next_destination(now, tip_after) {
                 self.offered = true;
                 mail.put(Part::Destination(next), Note::Slot);
             }
         } else if total == 0 {
             // Guards against what only the next process could push, if that is too late for it.
-            let waiting = self.times.waiting(now);
+            let waiting = self.times.waiting_destinations(now);
             waiting.for_each(|id| mail.put(Part::Destination(*id), Note::Pass(*id, now + NEXT_LIFE)));
-        } else if self.times.open() >= total && self.times.waiting(now).count() > 0 {
+        } else if self.times.slots_in_use() >= total && self.times.waiting_destinations(now).count() > 0 {
             // Guards against silent destinations that take every slot; once-only ones go if most are stuck.
-            let stuck = self.times.out().filter(|(_, began)| now.since(*began) >= tip_after);
+            let stuck = self.times.calls_in_flight().filter(|(_, began)| now.since(*began) >= tip_after);
             let dire = stuck.count() * 2 > total;
-            let out: BTreeSet<_> = self.times.out().map(|(id, _)| *id).collect();
+            let out: BTreeSet<_> = self.times.calls_in_flight().map(|(id, _)| *id).collect();
             out.into_iter().for_each(|id| mail.put(Part::Destination(id), Note::Shed(dire)));
         }
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -6,14 +6,17 @@
 
 use juniperwing_restart::{LatencyModel, SlotTimes};
 
-use crate::interface::{DestinationId, EndpointId, Entry, Notification, NtfId, Past, Readiness, Terms};
+use crate::interface::{
+    DestinationId, EndpointEntry, EndpointId, Notification, NotificationHistory, NotificationId, Readiness,
+    RelayConfig,
+};
 use crate::mail::Call;
 use crate::time::{Span, Time};
 
 /// The notifications of one key, and whether the first has its turn.
 #[derive(Default)]
 pub(crate) struct Line {
-    pub(crate) waiting: VecDeque<(NtfId, DestinationId)>,
+    pub(crate) waiting: VecDeque<(NotificationId, DestinationId)>,
     pub(crate) granted: bool,
     pub(crate) rest_until: Time,
 }
@@ -31,7 +34,7 @@
     /// For how long nothing had been sent there.
     pub(crate) idle: Span,
     pub(crate) overdue_at: Time,
-    pub(crate) ntfs: Vec<NtfId>,
+    pub(crate) ntfs: Vec<NotificationId>,
     pub(crate) answered: bool,
 }
 
@@ -45,8 +48,8 @@
 /// The health of an endpoint and the calls out to it.
 #[derive(Default)]
 pub(crate) struct Endpoint {
-    pub(crate) terms: Arc<Terms>,
-    pub(crate) entry: Entry,
+    pub(crate) terms: Arc<RelayConfig>,
+    pub(crate) entry: EndpointEntry,
     pub(crate) outs: Vec<Out>,
     pub(crate) used: Time,
     pub(crate) delivered: Option<Time>,
@@ -62,7 +65,7 @@
 }
 
 impl Endpoint {
-    pub(crate) fn new(terms: Arc<Terms>) -> Self {
+    pub(crate) fn new(terms: Arc<RelayConfig>) -> Self {
         Endpoint { terms, ..Endpoint::default() }
     }
 
@@ -83,7 +86,7 @@
 /// The waits and limits of a destination.
 #[derive(Default)]
 pub(crate) struct Lane {
-    pub(crate) terms: Arc<Terms>,
+    pub(crate) terms: Arc<RelayConfig>,
     pub(crate) wait_until: Time,
     pub(crate) pause_until: Time,
     /// Calls out, and how many may be, by what the lane has shown lately.
@@ -107,7 +110,7 @@
 pub(crate) struct Held {
     pub(crate) ntf: Notification,
     /// What was done with it, before a restart too. Once ended, the next of its key waits till it was heard.
-    pub(crate) past: Past,
+    pub(crate) past: NotificationHistory,
     pub(crate) taken: Time,
     pub(crate) turn: bool,
     /// When and to which zone the push now out was sent; the endpoint of the latest.
@@ -119,14 +122,14 @@
 impl Held {
     /// Whether its effect allows a second run at all.
     pub(crate) fn again(&self) -> bool {
-        self.ntf.topic.effect.may_repeat()
+        self.ntf.topic.semantics.is_retryable()
     }
 }
 
 /// What a destination was handed, its endpoints and its latencies.
 #[derive(Default)]
 pub(crate) struct Destination {
-    pub(crate) terms: Arc<Terms>,
+    pub(crate) terms: Arc<RelayConfig>,
     pub(crate) id: DestinationId,
     pub(crate) per_call: usize,
     /// Its endpoints, by id, with their zones, and where the rotation stands.
@@ -145,13 +148,13 @@
 }
 
 impl Destination {
-    pub(crate) fn new(id: DestinationId, terms: Arc<Terms>) -> Self {
+    pub(crate) fn new(id: DestinationId, terms: Arc<RelayConfig>) -> Self {
         Destination { id, terms, ..Destination::default() }
     }
 
     /// Takes in what the list says of one of its endpoints.
-    pub(crate) fn list(&mut self, entry: Entry) {
-        self.per_call = entry.kind.per_call.max(1);
+    pub(crate) fn list(&mut self, entry: EndpointEntry) {
+        self.per_call = entry.kind.max_notifications_per_call.max(1);
         self.ends.retain(|end| end.0 != entry.endpoint);
         if entry.readiness == Readiness::Serving {
             self.ends.push((entry.endpoint, entry.zone));
@@ -162,7 +165,7 @@
 
     /// Holds one more notification, handed in now.
     pub(crate) fn hold(&mut self, ntf: Notification, now: Time, turn: bool) {
-        let (past, over) = (ntf.past.clone(), ntf.past.ended);
+        let (past, over) = (ntf.history.clone(), ntf.history.has_final_answer);
         self.held.push(Held { ntf, past, taken: now, turn, over, ..Held::default() });
         self.handed.push_back(now);
     }
@@ -172,18 +175,18 @@
         let place = self.ends.iter().position(|end| end.0 == call.endpoint)?;
         self.next = place + 1;
         for held in self.held.iter_mut().filter(|h| call.pushes.iter().any(|p| p.0 == h.ntf.id)) {
-            held.past.pushes += 1;
+            held.past.push_count += 1;
             held.out = Some((now, self.ends[place].1.clone()));
             held.last = Some(call.endpoint.clone());
         }
         Some(())
     }
 
-    pub(crate) fn holds(&self, ntf: NtfId) -> bool {
+    pub(crate) fn holds(&self, ntf: NotificationId) -> bool {
         self.held.iter().any(|held| held.ntf.id == ntf)
     }
 
-    pub(crate) fn change(&mut self, id: NtfId, change: impl FnMut(&mut Held)) {
+    pub(crate) fn change(&mut self, id: NotificationId, change: impl FnMut(&mut Held)) {
         self.held.iter_mut().filter(|held| held.ntf.id == id).for_each(change);
     }
 }
@@ -199,9 +202,9 @@
 /// The list of endpoints.
 #[derive(Default)]
 pub(crate) struct Book {
-    pub(crate) entries: BTreeMap<EndpointId, Entry>,
+    pub(crate) entries: BTreeMap<EndpointId, EndpointEntry>,
     /// What an earlier process held, until discovery has spoken or is known not to.
-    pub(crate) early: Option<Vec<Entry>>,
+    pub(crate) early: Option<Vec<EndpointEntry>>,
     /// Requests failed in a row, and whether it will ask again.
     pub(crate) failures: i32,
     pub(crate) pausing: bool,
@@ -209,9 +212,9 @@
 
 impl Book {
     /// The entries that a whole list leaves out, as deleted.
-    pub(crate) fn missing_from(&self, whole: &[Entry]) -> Vec<Entry> {
+    pub(crate) fn missing_from(&self, whole: &[EndpointEntry]) -> Vec<EndpointEntry> {
         let named: BTreeSet<&EndpointId> = whole.iter().map(|entry| &entry.endpoint).collect();
         let gone = self.entries.values().filter(|old| !named.contains(&old.endpoint));
-        gone.map(|old| Entry { readiness: Readiness::Deleted, ..old.clone() }).collect()
+        gone.map(|old| EndpointEntry { readiness: Readiness::Deleted, ..old.clone() }).collect()
     }
 }
--- a/tests/rules/calls.rs
+++ b/tests/rules/calls.rs
@@ -1,7 +1,7 @@
 //! Slots, and calls that carry several.
 
 use expect_test::expect;
-use juniperwing::interface::Status;
+use juniperwing::interface::CallStatus;
 
 use crate::helper::Rig;
 
@@ -104,7 +104,7 @@
         rig.accept(id, "safe", None, 16_000);
         rig.pass_until_out(id);
         rig.pass(400);
-        rig.end(id, Status::Delivered);
+        rig.end(id, CallStatus::Delivered);
     }
     expect![[r#"
         0      subscribe
--- a/tests/rules/connections.rs
+++ b/tests/rules/connections.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 
 use expect_test::expect;
-use juniperwing::interface::Status;
+use juniperwing::interface::CallStatus;
 use juniperwing::time::Span;
 
 use crate::helper::{Rig, terms};
@@ -18,7 +18,7 @@
     rig.pass(800);
     rig.accept(11, "safe", None, 16_000);
     rig.pass(100);
-    rig.end(11, Status::Delivered);
+    rig.end(11, CallStatus::Delivered);
     rig.pass(2_500);
     rig.accept(12, "safe", None, 16_000);
     expect![[r#"
@@ -37,7 +37,7 @@
     let mut rig = Rig::new(4, 1, &[("a", "z")]);
     rig.warm(1, 6, 100);
     rig.accept(10, "safe", None, 16_000);
-    for status in [Status::NoConnection, Status::Delivered] {
+    for status in [CallStatus::NoConnection, CallStatus::Delivered] {
         rig.end(10, status);
         rig.pass(1_000);
     }
@@ -57,12 +57,18 @@
 fn an_endpoint_short_of_connections_is_no_endpoint_in_trouble() {
     let mut rig = Rig::new(4, 1, &[("a", "z")]);
     rig.accept(1, "safe", None, 16_000);
-    for status in [Status::Crowded, Status::Crowded, Status::Crowded, Status::Crowded, Status::Delivered] {
+    for status in [
+        CallStatus::ConnectionLimitReached,
+        CallStatus::ConnectionLimitReached,
+        CallStatus::ConnectionLimitReached,
+        CallStatus::ConnectionLimitReached,
+        CallStatus::Delivered,
+    ] {
         rig.end(1, status);
         rig.pass(2_400);
     }
     rig.accept(2, "safe", None, 16_000);
-    rig.end(2, Status::Delivered);
+    rig.end(2, CallStatus::Delivered);
     expect![[r#"
         0      subscribe
         0      push 1 to a for 16000 ms
@@ -91,12 +97,12 @@
 #[test]
 fn a_connection_used_seldom_is_not_left_idle() {
     let mut terms = terms(50, 8);
-    terms.allowance.idle = Span::from_millis(5_000);
+    terms.limits.idle_timeout = Span::from_millis(5_000);
     let mut rig = Rig::with(terms, 1, &[("a", "z")]);
     for (id, ms) in [(1, 100), (2, 1_000), (3, 6_000), (4, 1_000)] {
         rig.pass(ms);
         rig.accept(id, "safe", None, 16_000);
-        rig.end(id, Status::Delivered);
+        rig.end(id, CallStatus::Delivered);
     }
     expect![[r#"
         0      subscribe
@@ -121,7 +127,7 @@
         for _ in 0..2 {
             rig.pass_until_out(1);
             rig.pass(ms);
-            rig.end(1, Status::NoConnection);
+            rig.end(1, CallStatus::NoConnection);
         }
         rig.pass_until_out(1);
         writeln!(trace, "{}", rig.trace).expect("a string");
--- a/tests/rules/effects.rs
+++ b/tests/rules/effects.rs
@@ -1,7 +1,7 @@
 //! What an effect, an order or a withdrawal allows.
 
 use expect_test::expect;
-use juniperwing::interface::{Event, NtfId, Status};
+use juniperwing::interface::{CallStatus, Event, NotificationId};
 
 use crate::helper::Rig;
 
@@ -9,9 +9,9 @@
 fn once_only_has_one_push_that_may_have_run() {
     let mut rig = Rig::new(4, 1, &[("a", "z"), ("b", "z")]);
     rig.accept(1, "once", None, 16_000);
-    rig.end(1, Status::NoConnection);
+    rig.end(1, CallStatus::NoConnection);
     rig.pass(300);
-    rig.end(1, Status::Error);
+    rig.end(1, CallStatus::Error);
     expect![[r#"
         0      subscribe
         0      push 1 to a for 16000 ms
@@ -25,11 +25,11 @@
 fn collapsible_restarts_only_in_its_group_and_window() {
     let mut rig = Rig::new(4, 1, &[("a", "z"), ("b", "y"), ("c", "z")]);
     rig.accept(1, "mark", None, 16_000);
-    rig.end(1, Status::Reset);
+    rig.end(1, CallStatus::Reset);
     rig.pass(3_700);
-    rig.end(1, Status::Error);
+    rig.end(1, CallStatus::Error);
     rig.pass(200);
-    rig.end(1, Status::Error);
+    rig.end(1, CallStatus::Error);
     expect![[r#"
         0      subscribe
         0      push 1 to a for 16000 ms
@@ -47,9 +47,9 @@
         rig.accept(id, "once", Some("k"), 16_000);
     }
     rig.pass(100);
-    rig.end(1, Status::Reset);
+    rig.end(1, CallStatus::Reset);
     rig.pass(400);
-    rig.end(2, Status::Delivered);
+    rig.end(2, CallStatus::Delivered);
     rig.pass(10);
     expect![[r#"
         0      subscribe
@@ -65,9 +65,9 @@
 fn what_is_withdrawn_or_settled_is_passed_over() {
     let mut rig = Rig::new(4, 1, &[("a", "z")]);
     rig.accept(1, "safe", None, 16_000);
-    rig.give(Event::Withdrawn(NtfId(1)));
-    rig.end(1, Status::TimedOut);
-    rig.give(Event::Withdrawn(NtfId(1)));
+    rig.give(Event::Withdrawn(NotificationId(1)));
+    rig.end(1, CallStatus::TimedOut);
+    rig.give(Event::Withdrawn(NotificationId(1)));
     rig.pass(1_000);
     expect![[r#"
         0      subscribe
@@ -83,9 +83,9 @@
     rig.hears = false;
     rig.accept(1, "once", Some("k"), 16_000);
     rig.accept(2, "once", Some("k"), 16_000);
-    rig.end(1, Status::Error);
+    rig.end(1, CallStatus::Error);
     rig.pass(500);
-    rig.give(Event::Heard(NtfId(1)));
+    rig.give(Event::FinalAnswerAcknowledged(NotificationId(1)));
     expect![[r#"
         0      subscribe
         0      push 1 to a for 16000 ms
@@ -103,9 +103,9 @@
     rig.accept(10, "mark", None, 16_000);
     rig.accept(11, "mark", None, 16_000);
     rig.pass(3_500);
-    rig.end(10, Status::Error);
+    rig.end(10, CallStatus::Error);
     rig.pass(350);
-    rig.end(11, Status::Error);
+    rig.end(11, CallStatus::Error);
     expect![[r#"
         2400   push 10 to a for 2666 ms
         2400   push 11 to a for 2666 ms
--- a/tests/rules/helper.rs
+++ b/tests/rules/helper.rs
@@ -11,16 +11,16 @@
     relay: Relay,
     ms: u64,
     pub trace: String,
-    out: Vec<(NtfId, EndpointId, u64)>,
+    out: Vec<(NotificationId, EndpointId, u64)>,
     /// Pushes called off; each ends with the next round.
     cancelled: Vec<u64>,
-    kind: Arc<Kind>,
+    kind: Arc<DestinationKind>,
     /// When the relay last asked to be woken.
     wake: Time,
     /// Whether clients hear at once how a notification ended.
     pub hears: bool,
     /// What destinations tell of their limit.
-    pub limit: Option<LimitReport>,
+    pub limit: Option<RateLimitReport>,
     /// The rate that the list gives for destinations.
     pub rate: f64,
 }
@@ -30,37 +30,45 @@
     let topic = |name: &str, effect, ordered| {
         let (objective, ttl) = (Span::from_millis(2_000), Span::from_millis(16_000));
         let name = name.to_owned();
-        Arc::new(TopicType { name, effect, objective, ttl, benefit: 1.0, late_share: 0.5, ordered })
+        Arc::new(TopicType {
+            name,
+            semantics: effect,
+            latency_target: objective,
+            ttl,
+            benefit: 1.0,
+            late_benefit_fraction: 0.5,
+            is_ordered: ordered,
+        })
     };
-    let mark = Effect::Collapsible { group: Group::Zone, window: Span::from_millis(4_000) };
+    let mark = Semantics::Deduplicated { scope: DeduplicationScope::Zone, window: Span::from_millis(4_000) };
     vec![
-        topic("safe", Effect::Repeatable, false),
+        topic("safe", Semantics::Idempotent, false),
         topic("mark", mark, false),
-        topic("once", Effect::OnceOnly, true),
+        topic("once", Semantics::NonIdempotent, true),
     ]
 }
 
 /// One of so many relays, with so many slots.
-pub fn terms(relays: usize, slots: usize) -> Terms {
+pub fn terms(relays: usize, slots: usize) -> RelayConfig {
     let ms = Span::from_millis;
-    Terms {
-        fleet: Fleet { relays, list_on_request: true, tick: ms(5), ..Fleet::default() },
-        allowance: Allowance {
+    RelayConfig {
+        fleet: Fleet { relay_count: relays, is_list_on_request: true, tick: ms(5), ..Fleet::default() },
+        limits: RelayLimits {
             slots,
-            pushes: 8,
-            held: 100,
-            longest_retry: ms(3_000),
-            cancel: true,
-            idle: ms(u64::MAX),
-            ..Allowance::default()
+            max_pushes: 8,
+            max_pending: 100,
+            max_retry_after: ms(3_000),
+            can_cancel: true,
+            idle_timeout: ms(u64::MAX),
+            ..RelayLimits::default()
         },
-        figures: RuleFigures {
-            ask_every: ms(10_000),
-            cold_from: 0.2,
-            cold: ms(10_000),
-            fall_multiple: 2.0,
-            tip_after: ms(1_500),
-            settle: ms(300),
+        rules: RuleParameters {
+            list_refresh_interval: ms(10_000),
+            warm_up_initial_fraction: 0.2,
+            warm_up_duration: ms(10_000),
+            overload_factor: 2.0,
+            overload_duration: ms(1_500),
+            key_cooldown: ms(300),
         },
     }
 }
@@ -78,9 +86,13 @@
     }
 
     /// The same, told these terms.
-    pub fn with(terms: Terms, per_call: usize, endpoints: &[(&str, &str)]) -> Rig {
+    pub fn with(terms: RelayConfig, per_call: usize, endpoints: &[(&str, &str)]) -> Rig {
         let relay = Relay::new(Time::from_nanos(0), 7, terms);
-        let kind = Arc::new(Kind { name: "plain".to_owned(), separate_routes: false, per_call });
+        let kind = Arc::new(DestinationKind {
+            name: "plain".to_owned(),
+            has_separate_routes: false,
+            max_notifications_per_call: per_call,
+        });
         let mut rig = Rig {
             relay,
             ms: 0,
@@ -95,18 +107,18 @@
         };
         let entries =
             endpoints.iter().map(|(name, zone)| rig.entry(name, zone, Readiness::Serving)).collect();
-        rig.give(Event::List(News::Whole(entries)));
+        rig.give(Event::EndpointListUpdated(EndpointListUpdate::Snapshot(entries)));
         rig
     }
 
     /// One of so many relays, with eight slots, whose list gives this rate for each endpoint of zone `z`.
     pub fn listed(relays: usize, rate: f64, endpoints: &[&str]) -> Rig {
         let mut terms = terms(relays, 8);
-        terms.fleet.rates_listed = true;
+        terms.fleet.has_listed_rates = true;
         let mut rig = Rig::with(terms, 1, &endpoints.iter().map(|name| (*name, "z")).collect::<Vec<_>>());
         rig.rate = rate;
         let entries = endpoints.iter().map(|name| rig.entry(name, "z", Readiness::Serving)).collect();
-        rig.give(Event::List(News::Changes(entries)));
+        rig.give(Event::EndpointListUpdated(EndpointListUpdate::Changes(entries)));
         rig
     }
 
@@ -116,32 +128,34 @@
         let mut heard = Vec::new();
         for command in commands {
             let ms = self.ms;
-            if let Command::Throttle { ntf, .. } | Command::Expire(ntf) = command {
-                heard.push(ntf);
+            if let Command::Throttle { notification, .. } | Command::Expire(notification) = command {
+                heard.push(notification);
             }
             let line = match command {
-                Command::Push { ntf, endpoint, time_out, .. } => {
+                Command::Push { notification, endpoint, timeout, .. } => {
                     let line = format!(
                         "push {} to {} for {} ms",
-                        ntf.0,
+                        notification.0,
                         endpoint.0,
-                        time_out.as_nanos() / 1_000_000
+                        timeout.as_nanos() / 1_000_000
                     );
-                    self.out.push((ntf, endpoint, ms));
+                    self.out.push((notification, endpoint, ms));
                     line
                 }
-                Command::Throttle { ntf, .. } => format!("throttle {}", ntf.0),
+                Command::Throttle { notification, .. } => format!("throttle {}", notification.0),
                 Command::Expire(ntf) => format!("expire {}", ntf.0),
-                Command::Subscribe => "subscribe".to_owned(),
-                Command::Cancel { ntf, push } => {
-                    self.cancelled.push(ntf.0);
-                    format!("cancel push {push} of {}", ntf.0)
+                Command::SubscribeToEndpointList => "subscribe".to_owned(),
+                Command::Cancel { notification, push_index } => {
+                    self.cancelled.push(notification.0);
+                    format!("cancel push {push_index} of {}", notification.0)
                 }
                 Command::Probe(endpoint) => format!("probe {}", endpoint.0),
-                Command::CloseIdle(endpoint) => format!("close idle connections to {}", endpoint.0),
-                Command::Recall(endpoint) => format!("recall what is not out to {}", endpoint.0),
+                Command::CloseIdleConnections(endpoint) => {
+                    format!("close idle connections to {}", endpoint.0)
+                }
+                Command::CancelUnsent(endpoint) => format!("recall what is not out to {}", endpoint.0),
                 Command::Log(line) => line,
-                Command::Wake(after) => {
+                Command::WakeAfter(after) => {
                     self.wake = Time::from_nanos(self.ms * 1_000_000) + after;
                     continue;
                 }
@@ -149,16 +163,16 @@
             writeln!(self.trace, "{ms:<6} {line}").expect("a string takes any text");
         }
         if self.hears {
-            heard.into_iter().for_each(|ntf| self.give(Event::Heard(ntf)));
+            heard.into_iter().for_each(|ntf| self.give(Event::FinalAnswerAcknowledged(ntf)));
         }
     }
 
     pub fn accept(&mut self, id: u64, topic: &str, key: Option<&str>, ttl_ms: u64) {
-        self.hand_in(id, topic, key, ttl_ms, Past::default());
+        self.hand_in(id, topic, key, ttl_ms, NotificationHistory::default());
     }
 
     /// Hands in what an earlier life took on.
-    pub fn resume(&mut self, id: u64, topic: &str, key: Option<&str>, past: Past) {
+    pub fn resume(&mut self, id: u64, topic: &str, key: Option<&str>, past: NotificationHistory) {
         self.hand_in(id, topic, key, 16_000, past);
     }
 
@@ -167,34 +181,43 @@
         (Time::from_nanos((self.ms - ms) * 1_000_000), Arc::from("z"))
     }
 
-    fn hand_in(&mut self, id: u64, topic: &str, key: Option<&str>, ttl_ms: u64, past: Past) {
+    fn hand_in(&mut self, id: u64, topic: &str, key: Option<&str>, ttl_ms: u64, past: NotificationHistory) {
         self.give(Event::Accepted(Notification {
-            id: NtfId(id),
+            id: NotificationId(id),
             destination: DestinationId(1),
             topic: topics().into_iter().find(|t| t.name == topic).expect("a known topic type"),
             account: None,
             key: key.map(str::to_owned),
             valid_until: Time::from_nanos((self.ms + ttl_ms) * 1_000_000),
-            past,
+            history: past,
         }));
     }
 
     /// The push of `id` that is out ends.
-    pub fn end(&mut self, id: u64, status: Status) {
+    pub fn end(&mut self, id: u64, status: CallStatus) {
         self.ends(id, status, None);
     }
 
     /// The push of `id` that is out is turned away, with a time to wait.
     pub fn refuse(&mut self, id: u64, wait: Span) {
-        self.ends(id, Status::Busy, Some(wait));
+        self.ends(id, CallStatus::Busy, Some(wait));
     }
 
-    pub fn ends(&mut self, id: u64, status: Status, wait: Option<Span>) {
-        let place = self.out.iter().position(|o| o.0 == NtfId(id)).expect("a push of it is out");
+    pub fn ends(&mut self, id: u64, status: CallStatus, wait: Option<Span>) {
+        let place = self.out.iter().position(|o| o.0 == NotificationId(id)).expect("a push of it is out");
         let (ntf, endpoint, sent) = self.out.remove(place);
-        let (spent, settled) = (Span::from_millis(self.ms - sent), status == Status::Delivered);
+        let (spent, settled) = (Span::from_millis(self.ms - sent), status == CallStatus::Delivered);
         let limit = self.limit;
-        self.give(Event::Ended(Outcome { ntf, push: 0, endpoint, status, spent, settled, wait, limit }));
+        self.give(Event::PushEnded(PushOutcome {
+            notification: ntf,
+            push_index: 0,
+            endpoint,
+            status,
+            elapsed: spent,
+            has_final_answer: settled,
+            retry_after: wait,
+            rate_limit: limit,
+        }));
     }
 
     /// The notification whose push has been out longest.
@@ -208,9 +231,9 @@
         while self.ms < until {
             self.ms = (self.ms + 10).min(until);
             for id in std::mem::take(&mut self.cancelled) {
-                self.end(id, Status::Cancelled);
+                self.end(id, CallStatus::Cancelled);
             }
-            self.give(Event::Woken);
+            self.give(Event::WakeUp);
         }
     }
 
@@ -222,7 +245,7 @@
     /// Lets time pass until a push of a notification is out, a minute at the most.
     pub fn pass_until_out(&mut self, id: u64) {
         let until = self.ms + 60_000;
-        while self.ms < until && !self.out.iter().any(|o| o.0 == NtfId(id)) {
+        while self.ms < until && !self.out.iter().any(|o| o.0 == NotificationId(id)) {
             self.pass(10);
         }
     }
@@ -233,7 +256,7 @@
         while self.wake <= Time::from_nanos(until * 1_000_000) {
             self.ms = self.wake.since(Time::default()).as_nanos().div_ceil(1_000_000).max(self.ms);
             self.wake = Time::NEVER;
-            self.give(Event::Woken);
+            self.give(Event::WakeUp);
             wakes += 1;
         }
         self.ms = until;
@@ -244,21 +267,21 @@
     pub fn warm(&mut self, first: u64, count: u64, ms: u64) {
         for id in first..first + count {
             self.accept(id, "safe", None, 16_000);
-            self.pass(if self.kind.per_call > 1 { 1_000 } else { 0 });
+            self.pass(if self.kind.max_notifications_per_call > 1 { 1_000 } else { 0 });
             self.pass(ms);
-            self.end(id, Status::Delivered);
+            self.end(id, CallStatus::Delivered);
         }
         self.trace.clear();
     }
 
-    pub fn entry(&self, name: &str, zone: &str, readiness: Readiness) -> Entry {
-        Entry {
+    pub fn entry(&self, name: &str, zone: &str, readiness: Readiness) -> EndpointEntry {
+        EndpointEntry {
             endpoint: EndpointId(Arc::from(name)),
             destination: DestinationId(1),
             kind: self.kind.clone(),
             zone: Arc::from(zone),
             readiness,
-            rate: self.rate,
+            rate_per_second: self.rate,
         }
     }
 }
--- a/tests/rules/limits.rs
+++ b/tests/rules/limits.rs
@@ -1,7 +1,7 @@
 //! Waits, refusals and limits, told or listed.
 
 use expect_test::expect;
-use juniperwing::interface::{LimitReport, Status};
+use juniperwing::interface::{CallStatus, RateLimitReport};
 use juniperwing::time::Span;
 
 use crate::helper::Rig;
@@ -34,7 +34,7 @@
     let mut rig = Rig::new(4, 2, &[("a", "z")]);
     rig.accept(1, "safe", None, 16_000);
     rig.accept(2, "safe", None, 16_000);
-    rig.end(1, Status::Busy);
+    rig.end(1, CallStatus::Busy);
     rig.refuse(2, Span::from_millis(700));
     rig.pass(9_000);
     expect![[r#"
@@ -53,7 +53,7 @@
     let mut rig = Rig::new(4, 1, &[("a", "z")]);
     rig.accept(1, "safe", None, 30_000);
     for _ in 0..3 {
-        rig.end(1, Status::Busy);
+        rig.end(1, CallStatus::Busy);
         rig.pass(9_000);
     }
     expect![[r#"
@@ -71,10 +71,10 @@
 #[test]
 fn refusals_above_a_told_limit_space_calls_in_equal_parts_of_it() {
     let mut rig = Rig::new(4, 1, &[("a", "z")]);
-    rig.limit = Some(LimitReport { left: 0.1, rate: 10.0 });
+    rig.limit = Some(RateLimitReport { remaining_fraction: 0.1, rate_per_second: 10.0 });
     rig.accept(1, "safe", None, 30_000);
     for _ in 0..3 {
-        rig.end(1, Status::Busy);
+        rig.end(1, CallStatus::Busy);
         rig.pass(4_000);
     }
     expect![[r#"
@@ -92,15 +92,15 @@
 #[test]
 fn a_pace_kept_after_a_refusal_shrinks_as_answers_tell_of_room() {
     let mut rig = Rig::new(1, 1, &[("a", "z")]);
-    rig.limit = Some(LimitReport { left: 0.0, rate: 2.0 });
+    rig.limit = Some(RateLimitReport { remaining_fraction: 0.0, rate_per_second: 2.0 });
     for id in 1..=6 {
         rig.accept(id, "safe", None, 30_000);
     }
-    rig.end(1, Status::Busy);
+    rig.end(1, CallStatus::Busy);
     for (id, left) in [(2, 0.3), (3, 0.7), (4, 1.0), (5, 1.0), (6, 1.0)] {
         rig.pass_until_out(id);
-        rig.limit = Some(LimitReport { left, rate: 2.0 });
-        rig.end(id, Status::Delivered);
+        rig.limit = Some(RateLimitReport { remaining_fraction: left, rate_per_second: 2.0 });
+        rig.end(id, CallStatus::Delivered);
     }
     expect![[r#"
         0      subscribe
@@ -126,7 +126,7 @@
             next += 1;
             for _ in 0..50 {
                 rig.pass(20);
-                let status = if second < before { Status::Delivered } else { Status::Busy };
+                let status = if second < before { CallStatus::Delivered } else { CallStatus::Busy };
                 refused += if second < before { 0 } else { rig.out_now().len() };
                 rig.out_now().into_iter().for_each(|id| rig.end(id, status));
             }
@@ -140,7 +140,7 @@
 fn a_wait_binds_whatever_became_of_the_push() {
     let mut rig = Rig::new(4, 1, &[("a", "z")]);
     rig.accept(1, "safe", None, 16_000);
-    rig.ends(1, Status::Delivered, Some(Span::from_millis(700)));
+    rig.ends(1, CallStatus::Delivered, Some(Span::from_millis(700)));
     rig.accept(2, "safe", None, 16_000);
     rig.pass(3_000);
     expect![[r#"
@@ -160,12 +160,12 @@
     rig.accept(1, "safe", None, 90_000);
     for wait in [0, 300, 300] {
         rig.pass_until_out(1);
-        rig.ends(1, Status::Busy, Some(Span::from_millis(wait)).filter(|wait| *wait > Span::ZERO));
+        rig.ends(1, CallStatus::Busy, Some(Span::from_millis(wait)).filter(|wait| *wait > Span::ZERO));
     }
     for id in 1..=3 {
         rig.accept(id + 1, "safe", None, 90_000);
         rig.pass_until_out(id);
-        rig.end(id, Status::Delivered);
+        rig.end(id, CallStatus::Delivered);
     }
     expect![[r#"
         0      subscribe
@@ -189,7 +189,7 @@
     rig.accept(1, "safe", None, 60_000);
     for wait in [200, 0, 0] {
         rig.pass_until_out(1);
-        rig.ends(1, Status::Busy, Some(Span::from_millis(wait)).filter(|wait| *wait > Span::ZERO));
+        rig.ends(1, CallStatus::Busy, Some(Span::from_millis(wait)).filter(|wait| *wait > Span::ZERO));
     }
     rig.pass_until_out(1);
     expect![[r#"
