--- a/tests/rules/list.rs
+++ b/tests/rules/list.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 
 use expect_test::expect;
-use juniperwing::interface::{Event, News, Readiness, Status};
+use juniperwing::interface::{CallStatus, EndpointListUpdate, Event, Readiness};
 use juniperwing::time::Span;
 
 use crate::helper::{Rig, terms};
@@ -12,14 +12,14 @@
 fn drains_are_kept_and_a_broken_list_is_asked_for_again() {
     let mut rig = Rig::new(4, 1, &[("a", "z"), ("b", "z")]);
     let entries = vec![rig.entry("a", "z", Readiness::Draining)];
-    rig.give(Event::List(News::Changes(entries)));
+    rig.give(Event::EndpointListUpdated(EndpointListUpdate::Changes(entries)));
     for id in 1..=3 {
         rig.accept(id, "safe", None, 16_000);
     }
     let entries = vec![rig.entry("c", "z", Readiness::Serving)];
-    rig.give(Event::List(News::Whole(entries)));
+    rig.give(Event::EndpointListUpdated(EndpointListUpdate::Snapshot(entries)));
     rig.accept(4, "safe", None, 16_000);
-    rig.give(Event::List(News::Broken));
+    rig.give(Event::EndpointListUpdated(EndpointListUpdate::Failed));
     rig.pass(1_000);
     expect![[r#"
         0      subscribe
@@ -37,15 +37,16 @@
     let mut trace = String::new();
     for (pushed, ask_every) in [(true, 10_000), (false, 10_000), (false, 60_000), (false, 0)] {
         let mut terms = terms(2, 4);
-        (terms.fleet.list_pushed, terms.figures.ask_every) = (pushed, Span::from_millis(ask_every));
+        (terms.fleet.is_list_pushed, terms.rules.list_refresh_interval) =
+            (pushed, Span::from_millis(ask_every));
         let mut rig = Rig::with(terms, 1, &[("a", "z")]);
         let mut pauses = Vec::new();
         for broken in 0..6 {
             if broken == 4 {
-                rig.give(Event::List(News::Changes(Vec::new())));
+                rig.give(Event::EndpointListUpdated(EndpointListUpdate::Changes(Vec::new())));
             }
             rig.trace.clear();
-            rig.give(Event::List(News::Broken));
+            rig.give(Event::EndpointListUpdated(EndpointListUpdate::Failed));
             let mut ms = 0;
             while rig.trace.is_empty() && ms < 20_000 {
                 rig.pass(10);
@@ -69,13 +70,13 @@
 #[test]
 fn endpoints_of_the_own_zone_are_asked_first() {
     let mut terms = terms(2, 8);
-    terms.fleet.home = Some("z".into());
+    terms.fleet.home_zone = Some("z".into());
     let mut rig = Rig::with(terms, 1, &[("a", "y"), ("b", "z"), ("c", "z")]);
     for id in 1..=3 {
         rig.accept(id, "safe", None, 16_000);
     }
-    rig.end(1, Status::Error);
-    rig.give(Event::List(News::Changes(vec![
+    rig.end(1, CallStatus::Error);
+    rig.give(Event::EndpointListUpdated(EndpointListUpdate::Changes(vec![
         rig.entry("b", "z", Readiness::Draining),
         rig.entry("c", "z", Readiness::Deleted),
     ])));
--- a/tests/rules/outages.rs
+++ b/tests/rules/outages.rs
@@ -1,7 +1,7 @@
 //! Endpoints that fall silent, fail or come back.
 
 use expect_test::expect;
-use juniperwing::interface::Status;
+use juniperwing::interface::CallStatus;
 
 use crate::helper::Rig;
 
@@ -18,7 +18,7 @@
         rig.accept(id, "safe", None, 30_000);
     }
     rig.pass(2_900);
-    rig.end(rig.oldest(), Status::Delivered);
+    rig.end(rig.oldest(), CallStatus::Delivered);
     rig.pass(2_000);
     expect![[r#"
         2000   push 100 to a for 3750 ms
@@ -57,7 +57,7 @@
         rig.accept(id, "safe", None, 30_000);
     }
     rig.pass(5_000);
-    rig.end(100, Status::Delivered);
+    rig.end(100, CallStatus::Delivered);
     rig.pass(2_000);
     expect![[r#"
         8400   push 100 to a for 3750 ms
@@ -82,9 +82,10 @@
 #[test]
 fn failures_with_a_delivery_between_set_an_endpoint_aside() {
     let mut rig = Rig::new(8, 1, &[("a", "z")]);
-    for (id, status) in [Status::Error, Status::Error, Status::Delivered, Status::Error, Status::Error]
-        .into_iter()
-        .enumerate()
+    for (id, status) in
+        [CallStatus::Error, CallStatus::Error, CallStatus::Delivered, CallStatus::Error, CallStatus::Error]
+            .into_iter()
+            .enumerate()
     {
         rig.accept(id as u64, "once", None, 16_000);
         rig.pass(50);
@@ -115,10 +116,10 @@
         rig.accept(id, "safe", None, 16_000);
         rig.pass(400);
         if rig.trace.contains(&format!("push {id} to a")) {
-            rig.end(id, Status::NoConnection);
+            rig.end(id, CallStatus::NoConnection);
             rig.pass(200);
         }
-        rig.end(id, Status::Delivered);
+        rig.end(id, CallStatus::Delivered);
     }
     expect![[r#"
         600    push 10 to a for 2000 ms
@@ -146,10 +147,10 @@
     for id in 1..=8 {
         rig.accept(id, "safe", None, 16_000);
     }
-    rig.out_now().into_iter().for_each(|id| rig.end(id, Status::NoConnection));
+    rig.out_now().into_iter().for_each(|id| rig.end(id, CallStatus::NoConnection));
     rig.pass(6_000);
     for _ in 0..40 {
-        rig.out_now().into_iter().for_each(|id| rig.end(id, Status::Delivered));
+        rig.out_now().into_iter().for_each(|id| rig.end(id, CallStatus::Delivered));
         rig.pass(50);
     }
     expect![[r#"
@@ -178,14 +179,14 @@
     rig.accept(10, "safe", None, 16_000);
     rig.accept(11, "mark", None, 16_000);
     rig.pass(100);
-    rig.end(11, Status::Delivered);
+    rig.end(11, CallStatus::Delivered);
     rig.pass_until_out(10);
-    rig.end(10, Status::TimedOut);
+    rig.end(10, CallStatus::TimedOut);
     for (id, topic) in [(20, "safe"), (21, "mark"), (22, "safe"), (23, "mark"), (24, "safe")] {
         rig.pass(100);
         rig.accept(id, topic, None, 16_000);
         rig.pass(50);
-        rig.end(id, Status::Delivered);
+        rig.end(id, CallStatus::Delivered);
     }
     expect![[r#"
         600    push 10 to a for 2000 ms
@@ -210,7 +211,7 @@
     for _ in 0..3 {
         rig.pass_until_out(1);
         rig.pass(1_000);
-        rig.end(1, Status::NoConnection);
+        rig.end(1, CallStatus::NoConnection);
     }
     rig.pass_until_out(1);
     expect![[r#"
--- a/tests/rules/restarts.rs
+++ b/tests/rules/restarts.rs
@@ -1,7 +1,7 @@
 //! Starts, stops and other terms while a relay runs.
 
 use expect_test::expect;
-use juniperwing::interface::{Event, NtfId, Past, Status};
+use juniperwing::interface::{CallStatus, Event, NotificationHistory, NotificationId};
 use juniperwing::time::Span;
 
 use crate::helper::{Rig, terms};
@@ -17,11 +17,11 @@
     rig.accept(4, "once", Some("k"), 16_000);
     rig.accept(5, "once", Some("k"), 1_500);
     rig.pass(100);
-    rig.give(Event::Slots(0));
+    rig.give(Event::SlotLimitChanged(0));
     rig.accept(6, "safe", None, 2_200);
     rig.accept(7, "safe", None, 2_400);
     rig.pass(50);
-    rig.end(1, Status::Delivered);
+    rig.end(1, CallStatus::Delivered);
     rig.accept(8, "mark", None, 900);
     expect![[r#"
         0      subscribe
@@ -39,13 +39,18 @@
 fn what_a_restart_finds_untried_goes_before_what_has_come_since() {
     let mut rig = Rig::new(1, 1, &[("a", "z")]);
     for id in [1, 2] {
-        rig.resume(id, "safe", None, Past { taken_up: true, ..Past::default() });
+        rig.resume(
+            id,
+            "safe",
+            None,
+            NotificationHistory { is_recovered: true, ..NotificationHistory::default() },
+        );
     }
     rig.accept(3, "safe", None, 16_000);
     rig.pass(2_100);
     rig.accept(4, "safe", None, 16_000);
     for id in [1, 2, 4] {
-        rig.end(id, Status::Delivered);
+        rig.end(id, CallStatus::Delivered);
     }
     expect![[r#"
         0      subscribe
@@ -62,28 +67,28 @@
 fn after_a_restart_what_may_have_run_goes_again_only_where_that_is_safe() {
     let mut rig = Rig::new(4, 1, &[("a", "z"), ("b", "y")]);
     rig.pass(5_000);
-    let out = |rig: &Rig, ms| Past {
-        pushes: 1,
-        ran: Some(rig.ago(ms)),
-        doubt: Some(rig.ago(0).0),
-        ended: false,
-        taken_up: true,
+    let out = |rig: &Rig, ms| NotificationHistory {
+        push_count: 1,
+        first_possible_run: Some(rig.ago(ms)),
+        last_doubtful_end: Some(rig.ago(0).0),
+        has_final_answer: false,
+        is_recovered: true,
     };
     for (id, topic, past) in [
         (1, "once", out(&rig, 1_000)),
-        (2, "once", Past::default()),
+        (2, "once", NotificationHistory::default()),
         (3, "mark", out(&rig, 1_000)),
         (4, "mark", out(&rig, 4_500)),
-        (5, "safe", Past { pushes: 8, ..out(&rig, 1_000) }),
-        (6, "once", Past { ended: true, ..out(&rig, 1_000) }),
-        (7, "once", Past::default()),
+        (5, "safe", NotificationHistory { push_count: 8, ..out(&rig, 1_000) }),
+        (6, "once", NotificationHistory { has_final_answer: true, ..out(&rig, 1_000) }),
+        (7, "once", NotificationHistory::default()),
     ] {
         rig.resume(id, topic, Some("k").filter(|_| topic == "once"), past);
     }
     rig.pass(400);
-    rig.end(2, Status::Delivered);
+    rig.end(2, CallStatus::Delivered);
     rig.pass(400);
-    rig.give(Event::Heard(NtfId(6)));
+    rig.give(Event::FinalAnswerAcknowledged(NotificationId(6)));
     rig.pass(400);
     expect![[r#"
         0      subscribe
@@ -101,9 +106,9 @@
 fn a_relay_that_stops_makes_no_further_calls() {
     let mut rig = Rig::new(4, 1, &[("a", "z")]);
     rig.accept(1, "safe", None, 16_000);
-    rig.give(Event::Slots(0));
+    rig.give(Event::SlotLimitChanged(0));
     rig.accept(2, "safe", None, 16_000);
-    rig.end(1, Status::Busy);
+    rig.end(1, CallStatus::Busy);
     rig.pass(1_000);
     expect![[r#"
         0      subscribe
@@ -118,20 +123,20 @@
 fn other_terms_take_effect_in_a_running_relay_both_ways() {
     let mut rig = Rig::new(3, 1, &[("a", "z"), ("b", "y")]);
     let mut fewer = terms(2, 1);
-    fewer.fleet.home = Some("y".into());
+    fewer.fleet.home_zone = Some("y".into());
     for id in 1..=3 {
         rig.accept(id, "once", None, 16_000);
     }
-    rig.give(Event::Terms(fewer));
+    rig.give(Event::ConfigChanged(fewer));
     rig.accept(4, "safe", None, 16_000);
     rig.pass(10);
-    rig.end(1, Status::Delivered);
-    rig.end(2, Status::Delivered);
+    rig.end(1, CallStatus::Delivered);
+    rig.end(2, CallStatus::Delivered);
     rig.pass(10);
-    rig.end(3, Status::TimedOut);
+    rig.end(3, CallStatus::TimedOut);
     rig.pass(10);
     rig.refuse(4, Span::from_millis(300));
-    rig.give(Event::Terms(terms(2, 3)));
+    rig.give(Event::ConfigChanged(terms(2, 3)));
     rig.accept(5, "safe", None, 16_000);
     rig.accept(6, "safe", None, 16_000);
     rig.pass(20_000);
@@ -158,14 +163,14 @@
     let mut rig = Rig::new(8, 1, &[("a", "z")]);
     for listed in [false, true, false] {
         let mut other = terms(2, 8);
-        other.fleet.rates_listed = listed;
-        rig.give(Event::Terms(other));
+        other.fleet.has_listed_rates = listed;
+        rig.give(Event::ConfigChanged(other));
         for id in 1..=2 {
             rig.accept(id, "safe", None, 16_000);
         }
         rig.pass(1_500);
         for id in rig.out_now() {
-            rig.end(id, Status::Delivered);
+            rig.end(id, CallStatus::Delivered);
         }
     }
     expect![[r#"
--- a/tests/rules/time.rs
+++ b/tests/rules/time.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 
 use expect_test::expect;
-use juniperwing::interface::Status;
+use juniperwing::interface::CallStatus;
 use juniperwing::rules::Fit;
 use juniperwing::time::Span;
 
@@ -15,7 +15,7 @@
     let fit = Fit { mu: -2.3, sigma: 0.97 };
     let mut trace = String::new();
     for pushes in [1, 2, 3, 4, 5, 8] {
-        let time_out = fit.time_out(Span::from_millis(700), pushes);
+        let time_out = fit.timeout(Span::from_millis(700), pushes);
         writeln!(trace, "{pushes} pushes: {} ms", time_out.as_nanos() / 1_000_000).expect("a string");
     }
     expect![[r#"
@@ -32,10 +32,10 @@
 /// With a TTL of many medians the chance of success is 1 in floating point; the search must not stop there.
 #[test]
 fn algorithm_2_where_success_is_all_but_sure() {
-    let time_out = Fit { mu: -2.3, sigma: 0.6 }.time_out(Span::from_millis(16_000), 8);
+    let time_out = Fit { mu: -2.3, sigma: 0.6 }.timeout(Span::from_millis(16_000), 8);
     expect!["2000 ms"].assert_eq(&format!("{} ms", time_out.as_nanos() / 1_000_000));
     // A tenth of a millisecond, as on one machine: the chance of a miss is 0 in floating point.
-    let time_out = Fit { mu: -9.2, sigma: 0.25 }.time_out(Span::from_millis(4_000), 8);
+    let time_out = Fit { mu: -9.2, sigma: 0.25 }.timeout(Span::from_millis(4_000), 8);
     expect!["500 ms"].assert_eq(&format!("{} ms", time_out.as_nanos() / 1_000_000));
 }
 
@@ -63,7 +63,7 @@
     }
     for latency in 1..=20 {
         rig.pass_woken(10 * latency);
-        rig.end(rig.oldest(), Status::Delivered);
+        rig.end(rig.oldest(), CallStatus::Delivered);
     }
     let wakes = rig.pass_woken(16_000);
     assert!(wakes < 100, "{wakes} wake-ups for 20 notifications");
@@ -82,7 +82,7 @@
     }
     rig.pass(15_990);
     for id in rig.out_now() {
-        rig.end(id, Status::TimedOut);
+        rig.end(id, CallStatus::TimedOut);
     }
     rig.pass(20_000);
     rig.trace.clear();
@@ -101,7 +101,7 @@
     let mut rig = Rig::new(4, 1, &[("a", "z")]);
     rig.accept(1, "safe", None, 16_000);
     rig.accept(2, "safe", None, 9_000);
-    rig.end(2, Status::NoConnection);
+    rig.end(2, CallStatus::NoConnection);
     rig.refuse(1, Span::from_millis(12_000));
     rig.pass(100);
     rig.accept(3, "safe", None, 8_000);
