--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,45 +1,48 @@
-//! Points in time and spans, two types that cannot be mixed up.
+//! Points in time and durations as distinct types, in nanoseconds.
+//!
+//! Code that decides never reads a clock: it is handed the [`Time`] with each event, which may come from a real or a
+//! simulated clock.
 
 use std::ops::{Add, Sub};
 
-/// A point on the clock that the relay is handed, in nanoseconds from an arbitrary start.
+/// A point on a monotonic clock, in nanoseconds from an arbitrary origin.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Time(u64);
 
-/// A length of time in nanoseconds, never negative.
+/// A duration in nanoseconds, never negative. Arithmetic saturates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(u64);
 
 impl Time {
-    /// A point that never comes.
+    /// The latest point, which is never reached.
     pub const NEVER: Time = Time(u64::MAX);
 
-    /// The point that lies `nanos` after the clock's own zero.
+    /// The point that lies `nanos` nanoseconds after the origin.
     pub const fn from_nanos(nanos: u64) -> Self {
         Time(nanos)
     }
 
-    /// The span from `earlier` to this point, or zero if `earlier` is later.
+    /// The span from `earlier` to this point; zero if `earlier` is the later one.
     pub const fn since(self, earlier: Time) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
 }
 
 impl Span {
-    /// No time at all.
+    /// A span of zero.
     pub const ZERO: Span = Span(0);
 
-    /// A span of so many nanoseconds.
+    /// A span of `nanos` nanoseconds.
     pub const fn from_nanos(nanos: u64) -> Self {
         Span(nanos)
     }
 
-    /// A span of so many milliseconds.
+    /// A span of `millis` milliseconds.
     pub const fn from_millis(millis: u64) -> Self {
         Span(millis.saturating_mul(1_000_000))
     }
 
-    /// A span of so many seconds; anything that is not a positive number gives zero.
+    /// A span of `secs` seconds; zero if `secs` is not a positive number.
     pub fn from_secs_f64(secs: f64) -> Self {
         Span((secs * 1e9) as u64)
     }
@@ -54,7 +57,7 @@
         self.0 as f64 / 1e9
     }
 
-    /// The span taken `factor` times; a factor that is not a positive number gives zero.
+    /// The span multiplied by `factor`; zero if `factor` is not a positive number.
     pub fn mul_f64(self, factor: f64) -> Self {
         Span((self.0 as f64 * factor) as u64)
     }
@@ -76,7 +79,7 @@
     }
 }
 
-/// A point in time less a span, or the clock's zero if the span reaches further back.
+/// The point that lies a span earlier; the origin if the span reaches further back.
 impl Sub<Span> for Time {
     type Output = Time;
 
@@ -85,7 +88,7 @@
     }
 }
 
-/// A span less another, or no time if the other is longer.
+/// The difference of two spans; zero if the subtracted one is longer.
 impl Sub for Span {
     type Output = Span;
 
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -1,10 +1,9 @@
-//! Conditions that must always hold, checked in the running code.
+//! Conditions that must always hold, checked at run time.
 //!
-//! A check is made at the place where the condition could break ([`check`]). A violation is counted by its
-//! invariant and handed to the reporter of the process, which logs it; the process goes on. In builds with debug
-//! assertions, and so in tests, a violation panics instead.
+//! [`check`] is called where a condition could break. A violation is counted by its invariant and passed to the reporter of
+//! the process, which logs it; the process continues. In builds with debug assertions, and so in tests, a violation panics.
 //!
-//! `docs/promises.md` says which promise each invariant stands for.
+//! `docs/promises.md` maps the invariants to the guarantees that rest on them.
 
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,44 +13,44 @@
 pub enum Invariant {
     /// A keeper accepts no epoch below one that it has accepted or promised.
     EpochNeverDecreases,
-    /// An epoch number stands for one primary, one in-sync set and one set of voters.
+    /// Two epochs with the same number have the same primary, in-sync replicas and voters.
     EpochNumberIsUnique,
-    /// The committed version of a keeper never falls within a life.
+    /// The committed version of a keeper never decreases while its process runs.
     CommittedVersionNeverDecreases,
-    /// What a primary commits is on its own disk and in sync on as many disks as are required.
+    /// A version that a primary commits is on its own disk and on as many in-sync disks as are required.
     CommittedVersionIsDurable,
-    /// An order that is answered 200 is part of the committed state.
+    /// An order that is answered with 200 is part of the committed state.
     AcknowledgedOrderIsCommitted,
-    /// The configuration in force at a relay never falls within a life.
+    /// The configuration version in force at a relay never decreases while its process runs.
     ConfigurationVersionNeverDecreases,
-    /// The store map of a store never falls below one that it has acted on.
+    /// The version of a store's map never decreases below one that the store has acted on.
     StoreMapVersionNeverDecreases,
-    /// What is reserved and spent by a program never exceeds its budget when a turn is admitted.
+    /// When a turn is admitted, the program's reservations and committed tokens together do not exceed its budget.
     ReservationsWithinBudget,
-    /// A turn is settled at no more tokens than were reserved for it.
+    /// A turn commits no more tokens than were reserved for it.
     CommitWithinReservation,
-    /// A turn is kept with one content.
+    /// A stored turn never changes its contents.
     StoredTurnIsImmutable,
-    /// A write is acknowledged only when every replica that counts has it, and there are enough of them.
+    /// A write is acknowledged only when every in-sync replica has it, and there are as many of them as required.
     AcknowledgedOnAllReplicas,
-    /// Event ids rise within an answer.
+    /// Event ids increase within a response.
     EventIdsIncrease,
-    /// An answer that is passed on bears the id of the request.
+    /// A response that is passed on carries the id of its request.
     ResponseMatchesRequest,
-    /// A request that may run once is not sent again once it may have run.
+    /// A request that is not idempotent is not sent again once it may have run.
     SentOnceUnlessIdempotent,
-    /// Statuses that promise that a request has not run are given only where that is known.
+    /// Statuses that guarantee that a request has not run are given only where that is known.
     NotExecutedOnlyIfKnown,
-    /// A relay without requests holds no bytes of bodies.
+    /// A relay without requests buffers no bytes of bodies.
     NoBufferedBytesWhenIdle,
-    /// A relay without requests holds no slots at endpoints.
+    /// A relay without requests occupies no slots at endpoints.
     NoOccupiedSlotsWhenIdle,
-    /// A task that a process cannot do without runs as long as the process.
+    /// An essential task runs as long as its process.
     EssentialTaskRuns,
 }
 
 impl Invariant {
-    /// All of them.
+    /// All invariants, in the order of their declaration.
     pub const ALL: [Invariant; 18] = [
         Invariant::EpochNeverDecreases,
         Invariant::EpochNumberIsUnique,
@@ -73,7 +72,7 @@
         Invariant::EssentialTaskRuns,
     ];
 
-    /// Its name in logs and metrics.
+    /// The name in logs and metrics. These names are stable: alerts are written against them.
     pub fn name(self) -> &'static str {
         match self {
             Invariant::EpochNeverDecreases => "epoch_never_falls",
@@ -97,8 +96,8 @@
         }
     }
 
-    /// Its place in [`Invariant::ALL`].
-    fn position(self) -> usize {
+    /// The index in [`Invariant::ALL`].
+    fn index(self) -> usize {
         self as usize
     }
 }
@@ -108,22 +107,22 @@
 pub struct Violation {
     /// The invariant.
     pub invariant: Invariant,
-    /// What identifies the request, turn or epoch.
+    /// Identifies the request, turn or epoch.
     pub details: String,
 }
 
-/// Is told of violations.
+/// Receives the violations of a process.
 pub type Reporter = Box<dyn Fn(&Violation) + Send + Sync>;
 
 static VIOLATIONS: [AtomicU64; Invariant::ALL.len()] = [const { AtomicU64::new(0) }; Invariant::ALL.len()];
 static REPORTER: OnceLock<Reporter> = OnceLock::new();
 
-/// Names who is told of the violations of this process. Only the first call counts; `false` for later ones.
+/// Sets the reporter of this process. Only the first call takes effect; later ones return `false`.
 pub fn report_to(reporter: Reporter) -> bool {
     REPORTER.set(reporter).is_ok()
 }
 
-/// Checks a condition. `details` says what identifies the case, and is computed for violations only.
+/// Checks a condition. `details` identifies the case; it is evaluated for violations only.
 ///
 /// # Panics
 ///
@@ -134,14 +133,14 @@
     }
 }
 
-/// How often a condition has not held in this process.
+/// The number of violations of an invariant in this process.
 pub fn violations(invariant: Invariant) -> u64 {
-    VIOLATIONS[invariant.position()].load(Ordering::Relaxed)
+    VIOLATIONS[invariant.index()].load(Ordering::Relaxed)
 }
 
 #[cold]
 fn violated(invariant: Invariant, details: String) {
-    VIOLATIONS[invariant.position()].fetch_add(1, Ordering::Relaxed);
+    VIOLATIONS[invariant.index()].fetch_add(1, Ordering::Relaxed);
     let violation = Violation { invariant, details };
     if let Some(reporter) = REPORTER.get() {
         reporter(&violation);
--- a/crates/node/src/keeper/record_file.rs
+++ b/crates/node/src/keeper/record_file.rs
@@ -6,7 +6,7 @@
 //! Both carry the identity of their folder. A folder whose newest record is torn, is an older one under the
 //! newest name, or is that of another folder, counts as lost: the keeper comes back with a new identity and
 //! nothing else, as after the loss of the disk, since it may have promised or confirmed more than it finds. No
-//! loss of power leads there, see `juniperwing_storage::VersionFiles`.
+//! loss of power leads there, see `juniperwing_storage::SnapshotFiles`.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -141,9 +141,9 @@
         let later = newest_ballot.map(|bytes| decode_ballot(&bytes, disk)).transpose()?;
         if let Some((number, ballot)) = later {
             match &mut record {
-                Some(record) if number == files.newest() => record.ballot = ballot,
+                Some(record) if number == files.newest_number() => record.ballot = ballot,
                 // The record that came after it holds a later one.
-                Some(_) if number < files.newest() => {}
+                Some(_) if number < files.newest_number() => {}
                 _ => return MissingSnafu.fail(),
             }
         }
@@ -180,7 +180,7 @@
     fn write_ballot(&mut self, ballot: &Ballot) -> Result<(), DiskError> {
         let stored = StoredBallot {
             disk: self.disk,
-            record: self.files.newest(),
+            record: self.files.newest_number(),
             promised: ballot.promised,
             accepted: ballot.accepted.clone(),
         };
--- a/crates/protocol/src/envelope.rs
+++ b/crates/protocol/src/envelope.rs
@@ -1,4 +1,4 @@
-//! The envelope of every message, and its encoding.
+//! The frame in which every message travels, and its encoding.
 
 use serde::{Deserialize, Serialize};
 use snafu::{ResultExt, Snafu, ensure};
@@ -12,71 +12,73 @@
 /// The largest encoded envelope, in bytes.
 pub const MAX_ENVELOPE_BYTES: usize = 32 << 20;
 
-/// Pairs an answer with its call on one connection; 0 where no answer is wanted.
+/// Pairs a reply with its call on one connection; 0 for a message that expects no reply.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CallId(pub u64);
 
 /// A message with what the connection needs to deliver it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// The call that this is, or answers.
+    /// The call that this message makes or replies to.
     pub call: CallId,
-    /// Whether this answers a call.
+    /// Whether this message is the reply to a call.
     pub is_reply: bool,
-    /// What is said.
+    /// The message itself.
     pub message: Message,
 }
 
-/// Everything that processes of the tier say to each other.
+/// Every message that processes of the serving tier exchange.
+///
+/// The encoding is positional: the order of variants, and of fields within them, is part of the protocol.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks the other end of a connection to show that it is there.
+    /// Keep-alive probe of an idle connection.
     Ping,
-    /// Answers [`Message::Ping`].
+    /// Reply to [`Message::Ping`].
     Pong,
-    /// Between keepers: epochs and replicated writes.
+    /// Between keepers: agreement on epochs, and replication of the control state.
     Replication(ReplicationMessage),
-    /// Between keepers: endpoints, orders passed on to the primary.
+    /// Between keepers: the endpoint registry, and orders forwarded to the primary.
     Registry(RegistryMessage),
-    /// A relay or store asks a keeper for updates.
+    /// From a relay or store to a keeper: starts a subscription.
     Subscribe(Subscribe),
-    /// A keeper tells a subscriber what is in force.
+    /// From a keeper to a subscriber: committed state.
     Update(Update),
-    /// A subscriber confirms what it has applied.
+    /// From a subscriber to a keeper: acknowledges what it has applied.
     Applied(AppliedVersions),
-    /// A relay asks a store.
+    /// From a relay to a store.
     SessionRequest(SessionRequest),
-    /// A store answers a relay.
+    /// From a store to a relay.
     SessionReply(SessionReply),
-    /// A store asks another store.
+    /// From a store to another store.
     TransferRequest(TransferRequest),
-    /// A store answers another store.
+    /// Reply of a store to another store.
     TransferReply(TransferReply),
 }
 
-/// Why bytes are not an envelope.
+/// Why an envelope could not be encoded or decoded.
 #[derive(Debug, Snafu)]
 pub enum DecodeError {
-    /// More bytes than an envelope may have.
+    /// The envelope exceeds [`MAX_ENVELOPE_BYTES`].
     #[snafu(display("an envelope of {bytes} bytes; {MAX_ENVELOPE_BYTES} at most"))]
     TooLarge {
-        /// How many there are.
+        /// The length of the envelope.
         bytes: usize,
     },
-    /// The bytes do not follow the encoding.
+    /// The bytes do not decode to an envelope.
     #[snafu(display("not an envelope: {source}"))]
     Malformed {
-        /// What the decoder says.
+        /// The decoder's error.
         source: postcard::Error,
     },
 }
 
 impl Envelope {
-    /// The envelope's bytes behind their length (four bytes, little-endian).
+    /// Encodes the envelope, prefixed by its length (four bytes, little-endian).
     ///
     /// # Errors
     ///
-    /// [`DecodeError::TooLarge`] if the other end would refuse it.
+    /// [`DecodeError::TooLarge`] if the receiver would reject it for its length.
     pub fn encode(&self) -> Result<Vec<u8>, DecodeError> {
         let frame = postcard::to_extend(self, vec![0; 4]).context(MalformedSnafu)?;
         let bytes = frame.len() - 4;
@@ -86,12 +88,12 @@
         Ok(frame)
     }
 
-    /// Takes the first whole envelope from the front of `buffer`; `None` while it is not whole. The number of
-    /// bytes taken comes with it.
+    /// Decodes the first envelope in `buffer` and returns it with the number of bytes that it occupies; `None` while
+    /// more bytes are needed.
     ///
     /// # Errors
     ///
-    /// If the bytes are not an envelope; the connection is of no use then.
+    /// If the bytes are not an envelope. The stream cannot be resynchronized, so the connection has to be closed.
     pub fn decode(buffer: &[u8]) -> Result<Option<(Envelope, usize)>, DecodeError> {
         let Some(length) = buffer.first_chunk::<4>() else { return Ok(None) };
         let bytes = u32::from_le_bytes(*length) as usize;
--- a/crates/protocol/src/identity.rs
+++ b/crates/protocol/src/identity.rs
@@ -1,4 +1,4 @@
-//! Identifiers, each of a type of its own so that none can stand where another is meant.
+//! Identifiers, each as a distinct type so that they cannot be confused.
 
 use std::fmt;
 use std::sync::Arc;
@@ -46,11 +46,11 @@
     NodeName
 );
 text_identifier!(
-    /// One life of an endpoint.
+    /// One incarnation of an endpoint: the same process after a restart has another id.
     InstanceId
 );
 text_identifier!(
-    /// One try of a client's request (`X-Request-Id`); also the name of the turn that it ran.
+    /// One request of a client (`X-Request-Id`); also the id of the turn that it ran.
     RequestId
 );
 text_identifier!(
@@ -62,13 +62,13 @@
     ServiceName
 );
 number_identifier!(
-    /// The identity of a data directory, drawn at random when it is first used. A machine whose disk was
-    /// replaced has another one, so what the lost disk promised cannot be mistaken for its own.
+    /// The identity of a data directory, drawn at random when it is first used. A machine whose disk was replaced
+    /// has another one, so that promises recorded on the lost disk are not attributed to the new one.
     DiskId,
     u64
 );
 number_identifier!(
-    /// The number of an epoch; higher ones supersede lower ones. Serves as fencing token.
+    /// The number of an epoch; a higher one supersedes a lower one. Serves as fencing token.
     EpochNumber,
     u64
 );
--- a/crates/protocol/src/registry.rs
+++ b/crates/protocol/src/registry.rs
@@ -1,4 +1,4 @@
-//! Endpoint instances, and what keepers tell each other of them and of operators' orders.
+//! Endpoint instances, and the messages by which keepers share them and forward operators' orders.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,40 +9,40 @@
 use crate::replication::Version;
 use crate::subscription::{CaughtUp, StoreNode};
 
-/// Whether an endpoint takes requests.
+/// Whether an endpoint accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum InstanceState {
-    /// It takes requests.
+    /// Accepts requests.
     Ready,
-    /// It has announced its end; nothing new may go to it. It is never ready again in this life.
+    /// Shuts down gracefully: no new requests. The instance never becomes ready again.
     Draining,
-    /// It was not heard of for too long; a later heartbeat brings it back.
+    /// Its heartbeats have stopped; a later heartbeat makes it ready again.
     Expired,
-    /// It has said that it ends. Final.
+    /// Has announced that it has ended. Final.
     Terminated,
 }
 
-/// What is known of an endpoint.
+/// An endpoint as its newest heartbeat describes it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instance {
-    /// Its life.
+    /// Its incarnation.
     pub id: InstanceId,
-    /// The service that it belongs to.
+    /// The service that it serves.
     pub service: ServiceName,
-    /// Where it listens.
+    /// Where it listens for requests.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: Arc<str>,
-    /// Requests that it works on at a time.
+    /// The number of requests that it runs concurrently.
     pub capacity: u32,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub state: InstanceState,
-    /// The number of the heartbeat that this is from; a lower one is older.
+    /// The sequence number of the heartbeat that this is from.
     pub sequence: u64,
 }
 
 impl Instance {
-    /// Whether this supersedes `known`: the final states win, then the later heartbeat.
+    /// Whether this supersedes `known`: the more final state wins, then the later heartbeat.
     pub fn supersedes(&self, known: &Instance) -> bool {
         let rank = |instance: &Instance| match instance.state {
             InstanceState::Ready | InstanceState::Expired => 0,
@@ -53,71 +53,71 @@
     }
 }
 
-/// An instance that was heard of again and has not changed.
+/// An unchanged instance that has sent another heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refresh {
-    /// Which.
+    /// The instance.
     pub id: InstanceId,
-    /// The number of its newest heartbeat.
+    /// The sequence number of its newest heartbeat.
     pub sequence: u64,
 }
 
-/// What keepers tell each other beside replication.
+/// Messages between keepers beside replication.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum RegistryMessage {
-    /// Instances that are new or have changed, and those heard of again (id and sequence only).
+    /// Shares instances that are new or have changed, and those whose heartbeats continue.
     Instances {
-        /// Who tells.
+        /// The sender.
         from: DiskId,
         /// New or changed.
         changed: Vec<Instance>,
-        /// Heard of, not changed.
+        /// Unchanged.
         refreshed: Vec<Refresh>,
-        /// Whether the answer has to wait until the subscribed relays have applied everything told so far.
+        /// Whether the reply has to wait until the subscribed relays have applied every update sent so far.
         confirm: bool,
     },
-    /// Answers [`RegistryMessage::Instances`].
+    /// Reply to [`RegistryMessage::Instances`].
     InstancesMerged {
-        /// The highest epoch that the answering keeper knows.
+        /// The highest epoch known to the replying keeper.
         epoch: EpochNumber,
-        /// Whether every relay subscribed to the answering keeper has applied all instances told so far, this
-        /// message's included; `false` if one has not within the time for it.
+        /// Whether every relay subscribed to the replying keeper has applied all instances sent so far, this
+        /// message's included; `false` if one has not done so in time.
         applied: bool,
     },
-    /// The primary asks: bring your subscribers to this configuration and answer when they have it, or after
-    /// the time given.
+    /// From the primary: bring your subscribers to this configuration, and reply when they have applied it or when
+    /// the time is over.
     DistributeConfiguration {
         /// The configuration's version, as in [`crate::subscription::Update::Configuration`].
         version: Version,
-        /// Milliseconds to wait for subscribers at the most.
+        /// The longest wait for subscribers, in milliseconds.
         wait_ms: u32,
     },
-    /// Answers [`RegistryMessage::Distribute`].
+    /// Reply to [`RegistryMessage::DistributeConfiguration`].
     ConfigurationDistributed,
-    /// An operator's order that another keeper took, passed on to the primary.
+    /// An operator's order, forwarded to the primary by the keeper that received it.
     Order(Order),
-    /// Its answer.
+    /// Reply to [`RegistryMessage::Order`].
     OrderReply(OrderReply),
-    /// Asks the primary for the newest committed version, confirmed by a majority after this was received.
+    /// Asks the primary for the newest committed version, confirmed by a majority after this message was received.
     ReadCommittedVersion,
-    /// Answers [`RegistryMessage::ReadCommitted`].
+    /// Reply to [`RegistryMessage::ReadCommittedVersion`].
     CommittedVersion {
-        /// The version; `None` if it could not be confirmed here.
+        /// The version; `None` if the receiver could not confirm it.
         version: Option<Version>,
     },
-    /// Stores whose links to the telling keeper are alive.
+    /// Reports the stores whose links to the sender are alive.
     ReachableStores {
-        /// Who tells.
+        /// The sender.
         from: DiskId,
         /// The stores.
         stores: Vec<StoreNode>,
     },
-    /// Answers [`RegistryMessage::StoresSeen`]: shows the asker that it reaches this keeper.
+    /// Reply to [`RegistryMessage::ReachableStores`]; proves to the sender that it reaches this keeper.
     ReachableStoresReply {
-        /// The highest epoch that the answering keeper knows.
+        /// The highest epoch known to the replying keeper.
         epoch: EpochNumber,
     },
-    /// Reports of partitions' primaries, passed on to the primary keeper.
+    /// Reports of partitions' primaries, forwarded to the primary keeper.
     CaughtUp(Vec<CaughtUp>),
 }
 
@@ -126,9 +126,9 @@
 pub enum Order {
     /// `PUT /config`.
     PutConfiguration {
-        /// The version that it builds on.
+        /// The generation that it is based on (`If-Match`).
         base: u64,
-        /// The configuration as sent.
+        /// The configuration as received (JSON).
         body: Vec<u8>,
     },
     /// `GET /config`.
@@ -137,7 +137,7 @@
     Retire {
         /// The store machine.
         node: NodeName,
-        /// Seconds that it may take.
+        /// The time allowed for moving its replicas away, in seconds.
         duration_s: f64,
     },
     /// `GET /retire/NODE`.
@@ -147,7 +147,7 @@
     },
 }
 
-/// How an order ended: an HTTP status and a JSON body.
+/// The outcome of an order: an HTTP status and a JSON body.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OrderReply {
     /// The HTTP status.
--- a/crates/protocol/src/replication.rs
+++ b/crates/protocol/src/replication.rs
@@ -1,4 +1,4 @@
-//! Epochs and replicated writes: what keepers tell each other to agree on who is primary and to copy state.
+//! Agreement on epochs, and primary-backup replication of the control state: the messages between keepers.
 
 use std::net::SocketAddr;
 
@@ -6,19 +6,19 @@
 
 use crate::identity::{DiskId, EpochNumber, NodeName};
 
-/// A version of the replicated state: the epoch it was written in, then its place there.
+/// A version of the replicated state, ordered by epoch and then by sequence number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
     /// The epoch in which it was written.
     pub epoch: EpochNumber,
-    /// Counts all writes ever, from 1.
+    /// The number of the write, counted from 1 over all epochs.
     pub sequence: u64,
 }
 
-/// A keeper that takes part in the choice of epochs.
+/// A keeper with a vote on epochs.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Voter {
-    /// The identity of its disk, and so its own.
+    /// The identity of its disk, by which the keeper is known.
     pub disk: DiskId,
     /// Its machine.
     pub node: NodeName,
@@ -26,53 +26,53 @@
     pub address: SocketAddr,
 }
 
-/// Who is primary, who holds all that was acknowledged, and who decides on the next epoch.
+/// A configuration of the replica set: the primary, the in-sync replicas, and the voters on the next epoch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Epoch {
     /// Its number.
     pub number: EpochNumber,
-    /// The keeper that alone takes writes.
+    /// The only keeper that accepts writes.
     pub primary: DiskId,
-    /// The keepers whose confirmation every write needs, the primary included.
+    /// The keepers that must acknowledge every write, the primary included. Each holds every acknowledged write.
     pub in_sync: Vec<DiskId>,
-    /// The keepers of which more than half decide on the next epoch.
+    /// The keepers of which a majority decides on the next epoch.
     pub voters: Vec<Voter>,
-    /// The voters of the epoch before, of whom more than half must have accepted this one; empty as soon as
-    /// that is known.
+    /// The voters of the previous epoch, a majority of whom must accept this one too (joint consensus); empty once this
+    /// epoch is known to be chosen.
     pub previous_voters: Vec<Voter>,
 }
 
-/// Whether more than half of `voters` are present.
+/// Whether a majority of `voters` is present.
 pub fn is_majority(voters: &[Voter], is_present: impl Fn(DiskId) -> bool) -> bool {
     let present = voters.iter().filter(|voter| is_present(voter.disk)).count();
     2 * present > voters.len()
 }
 
 impl Epoch {
-    /// Whether those who are present may decide on what follows this epoch: a majority of its voters and, where it is
-    /// not known to be chosen, of the voters before.
+    /// Whether the present keepers are a quorum for the next epoch: a majority of this epoch's voters and, while this
+    /// epoch is not known to be chosen, of the previous voters.
     pub fn is_quorum(&self, is_present: impl Fn(DiskId) -> bool) -> bool {
-        let is_settled = self.previous_voters.is_empty();
+        let is_chosen = self.previous_voters.is_empty();
         is_majority(&self.voters, &is_present)
-            && (is_settled || is_majority(&self.previous_voters, &is_present))
+            && (is_chosen || is_majority(&self.previous_voters, &is_present))
     }
 }
 
-/// Between keepers. Every message names the disk that sends it.
+/// A message between keepers with its sender.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReplicationMessage {
-    /// Who sends it.
+    /// The sender's disk.
     pub from: DiskId,
-    /// Where the sender listens, for the answer.
+    /// The address for replies.
     pub address: SocketAddr,
-    /// What is said.
+    /// The message itself.
     pub body: ReplicationBody,
 }
 
-/// A change with the version that it makes.
+/// A change with the version that results from it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NumberedChange {
-    /// The version that it makes.
+    /// The version after the change.
     pub version: Version,
     /// The change, encoded.
     pub change: Vec<u8>,
@@ -81,118 +81,119 @@
 /// The messages of the epoch protocol and of primary-backup replication.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ReplicationBody {
-    /// Asks, before anything is promised, whether a candidate would be let through.
+    /// Pre-vote: asks whether an election could succeed, before anything is promised, so that a keeper that was cut off
+    /// does not depose a healthy primary.
     PreVote {
-        /// The number that the candidate would propose; pairs the answer with it.
+        /// The epoch number that the candidate would propose; identifies the reply.
         number: EpochNumber,
     },
-    /// Answers [`ReplicationBody::Canvass`]; binds to nothing.
+    /// Reply to [`ReplicationBody::PreVote`]; not binding.
     PreVoteReply {
-        /// The number asked about.
+        /// The number of the request.
         number: EpochNumber,
-        /// Whether no live primary was heard of late.
+        /// Whether the sender has had no recent heartbeat of a primary.
         granted: bool,
-        /// The highest epoch known.
+        /// The highest epoch known to the sender.
         epoch: Epoch,
     },
-    /// The primary steps down and asks a backup to become a candidate at once.
+    /// The primary steps down and asks a backup to start an election at once.
     TransferLeadership {
         /// The primary's epoch.
         epoch: EpochNumber,
     },
-    /// A candidate asks for a promise to accept nothing below `number`.
+    /// Phase 1 of an election: asks for a promise to accept nothing below `number`.
     Prepare {
-        /// The epoch that it wants to propose.
+        /// The number of the epoch that the candidate wants to propose.
         number: EpochNumber,
     },
-    /// Promised, with the highest epoch accepted so far.
+    /// Reply to [`ReplicationBody::Prepare`], with the highest epoch accepted so far. The promise is on disk.
     Promise {
-        /// The number promised.
+        /// The promised number.
         number: EpochNumber,
-        /// The highest epoch accepted.
+        /// The highest accepted epoch.
         accepted: Epoch,
-        /// The version of the state held.
+        /// The version of the sender's state.
         version: Version,
     },
-    /// A candidate asks that its epoch be accepted.
+    /// Phase 2 of an election: proposes an epoch.
     Accept {
         /// The epoch.
         epoch: Epoch,
     },
-    /// Accepted and on disk.
+    /// Reply to [`ReplicationBody::Accept`]. The accepted epoch is on disk.
     Accepted {
         /// The epoch's number.
         number: EpochNumber,
     },
-    /// A higher number was promised.
+    /// Negative reply to `Prepare` or `Accept`: a higher number was promised.
     Rejected {
-        /// That number.
+        /// The promised number.
         promised: EpochNumber,
     },
-    /// The primary writes a change.
+    /// The primary replicates a change.
     Write {
-        /// Its epoch.
+        /// The primary's epoch.
         epoch: EpochNumber,
-        /// The version that the change builds on.
+        /// The version that the change is based on.
         base: Version,
-        /// The version that it makes.
+        /// The version after the change.
         version: Version,
         /// The change, encoded.
         change: Vec<u8>,
     },
-    /// The primary sends the whole state.
+    /// The primary sends the complete state to a replica that lags.
     Snapshot {
-        /// Its epoch.
+        /// The primary's epoch.
         epoch: EpochNumber,
         /// The version of the state.
         version: Version,
         /// The state, encoded.
         state: Vec<u8>,
     },
-    /// A replica has this version on disk.
+    /// Acknowledges a write: the replica has this version on disk.
     WriteAck {
-        /// The epoch that it goes by.
+        /// The replica's epoch.
         epoch: EpochNumber,
         /// The version.
         version: Version,
     },
-    /// The primary is there, and this is committed.
+    /// The primary is alive: receivers postpone their elections and learn the committed version.
     Heartbeat {
-        /// Its epoch, whole, for those that lack it. It is chosen, so it has no `previous_voters`.
+        /// The complete epoch, for replicas that lack it. It is chosen, so it has no `previous_voters`.
         epoch: Epoch,
         /// The newest committed version.
         committed: Version,
-        /// Pairs the answer with a read that waits for it.
+        /// The heartbeat's round, which identifies its replies; reads wait for a round that began after them.
         round: u64,
     },
-    /// Answers a heartbeat: no higher epoch was promised.
+    /// Reply to [`ReplicationBody::Heartbeat`]: the sender has promised no higher epoch.
     HeartbeatReply {
         /// The heartbeat's epoch.
         epoch: EpochNumber,
         /// The heartbeat's round.
         round: u64,
-        /// The version held on disk; `None` while something newer is on its way there.
+        /// The version on the sender's disk; `None` while a newer one is being written.
         version: Option<Version>,
     },
-    /// A keeper that is no voter asks to be let in.
+    /// A keeper without a vote asks to join the replica set.
     Join {
-        /// It, as a voter.
+        /// The sender, as a voter.
         voter: Voter,
     },
-    /// At the very first start: a seed tells its disk to the founder.
+    /// At the very first start: a seed reports its disk to the bootstrap coordinator.
     Bootstrap {
-        /// It, as a voter.
+        /// The sender, as a voter.
         voter: Voter,
     },
-    /// The primary sends a replica that lags the changes it lacks, in a row.
+    /// The primary sends a replica that lags the consecutive changes that it lacks.
     Changes {
-        /// Its epoch.
+        /// The primary's epoch.
         epoch: EpochNumber,
-        /// The version that the first change builds on; each of the others builds on the one before.
+        /// The version that the first change is based on; each later one is based on its predecessor.
         base: Version,
         /// The changes, oldest first.
         changes: Vec<NumberedChange>,
     },
-    /// A backup is about to end: the primary shall do without its copy and its vote.
+    /// A backup is about to shut down and asks to be removed from the in-sync replicas and the voters.
     Leave,
 }
--- a/crates/protocol/src/shared_bytes.rs
+++ b/crates/protocol/src/shared_bytes.rs
@@ -1,5 +1,6 @@
-//! Shared bytes, encoded as one run instead of byte after byte. The encoding is the same; it is faster. For
-//! `#[serde(with = "...")]`.
+//! Serialization of `Arc<[u8]>` as one run of bytes, for `#[serde(with = "...")]`.
+//!
+//! The encoding equals that of a sequence of bytes; reading and writing it is faster.
 
 use std::fmt;
 use std::sync::Arc;
@@ -7,7 +8,7 @@
 use serde::de::{Error, Visitor};
 use serde::{Deserializer, Serializer};
 
-/// Writes the bytes.
+/// Serializes the bytes.
 ///
 /// # Errors
 ///
@@ -16,7 +17,7 @@
     serializer.serialize_bytes(bytes)
 }
 
-/// Reads bytes.
+/// Deserializes bytes.
 ///
 /// # Errors
 ///
--- a/crates/protocol/src/subscription.rs
+++ b/crates/protocol/src/subscription.rs
@@ -1,4 +1,4 @@
-//! What keepers tell relays and stores, and how these confirm it.
+//! Subscriptions: how keepers distribute committed state to relays and stores, and how these acknowledge it.
 
 use std::hash::Hasher;
 use std::net::SocketAddr;
@@ -11,65 +11,65 @@
 use crate::registry::Instance;
 use crate::replication::Version;
 
-/// What a subscriber is.
+/// The role of a subscriber.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SubscriberKind {
-    /// A relay: wants configuration, endpoints and the store map.
+    /// A relay: receives configuration, endpoints and the store map.
     Relay,
-    /// A store: wants the store map, and is placed by it.
+    /// A store: receives the store map, which assigns partitions to it.
     Store {
         /// The identity of its disk.
         disk: DiskId,
     },
 }
 
-/// The first message on a subscription. The keeper answers with whole updates and then with changes.
+/// The first message of a subscription. The keeper sends complete snapshots first, then changes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Subscribe {
     /// The subscriber's machine.
     pub node: NodeName,
     /// Its zone.
     pub zone: Arc<str>,
-    /// Where it listens for the tier's own messages.
+    /// Where it listens for messages between processes of the tier.
     pub address: SocketAddr,
-    /// What it is.
+    /// Its role.
     pub subscriber: SubscriberKind,
-    /// The configuration that it holds already; it is not sent again.
+    /// The version of the configuration that it has; that version is not sent again.
     pub configuration: Version,
 }
 
-/// What a keeper tells a subscriber. Only committed state is ever told.
+/// An update from a keeper to a subscriber. Only committed state is sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Update {
-    /// The keepers there are; for finding others when this one is lost.
+    /// The addresses of all keepers, for finding another when this one is lost.
     Keepers(Vec<SocketAddr>),
     /// The configuration in force.
     Configuration {
-        /// The version; a subscriber never goes back to a lower one.
+        /// The version; a subscriber ignores a lower one than it has applied.
         version: Version,
-        /// The configuration as the operator sent it (JSON).
+        /// The configuration as the operator submitted it (JSON).
         body: Arc<[u8]>,
     },
-    /// Endpoints.
+    /// Endpoint instances.
     Instances(InstancesUpdate),
-    /// Where sessions are stored.
+    /// The assignment of partitions to stores.
     Stores(Arc<StoreMap>),
 }
 
-/// Endpoints that are new or have changed, or all of them.
+/// Endpoint instances that are new or have changed, or all of them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct InstancesUpdate {
-    /// Counts the keeper's updates to this subscriber; confirmed by [`Applied`].
+    /// Numbers the keeper's updates to this subscriber; acknowledged by [`AppliedVersions`].
     pub revision: u64,
-    /// Whether all instances that the keeper knows are in it.
+    /// Whether the update has all instances known to the keeper, so that the subscriber may forget any other.
     pub is_snapshot: bool,
-    /// Whether the keeper has run for long enough to have heard of every live endpoint.
+    /// Whether the keeper has run long enough to have received a heartbeat of every live endpoint.
     pub is_registry_complete: bool,
     /// The instances.
     pub instances: Vec<Instance>,
 }
 
-/// What a subscriber has applied.
+/// What a subscriber has applied so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppliedVersions {
     /// The configuration in force at the subscriber.
@@ -78,11 +78,11 @@
     pub instances: u64,
     /// The store map's version.
     pub stores: u64,
-    /// Stores only: partitions whose joining replica now holds everything.
+    /// Stores only: joining replicas that have caught up.
     pub caught_up: Vec<CaughtUp>,
 }
 
-/// A partition's primary reports that a joining replica holds all that it holds.
+/// A partition's primary reports that a joining replica has all of its records.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CaughtUp {
     /// The partition.
@@ -93,14 +93,14 @@
     pub replica: DiskId,
 }
 
-/// Which store machine holds which partition.
+/// The assignment of partitions to stores.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreMap {
-    /// Rises with every change.
+    /// Increases with every change.
     pub version: u64,
-    /// The stores that the map speaks of.
+    /// The stores that the map refers to.
     pub stores: Vec<StoreNode>,
-    /// Indexed by [`PartitionId`]; empty until there are enough stores.
+    /// The assignments, indexed by [`PartitionId`]; empty until there are enough stores.
     pub partitions: Vec<Assignment>,
 }
 
@@ -113,28 +113,28 @@
     pub node: NodeName,
     /// Its zone.
     pub zone: Arc<str>,
-    /// Where it listens for the tier's own messages.
+    /// Where it listens for messages between processes of the tier.
     pub address: SocketAddr,
 }
 
-/// Who holds a partition.
+/// The replicas of a partition.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Assignment {
-    /// Rises whenever anything of the assignment changes. The fencing token of all writes.
+    /// Increases whenever the assignment changes. The fencing token of all writes.
     pub epoch: EpochNumber,
-    /// The store that alone decides.
+    /// The only store that accepts calls for the partition.
     pub primary: DiskId,
-    /// The stores whose confirmation every write needs, the primary included.
+    /// The stores that must acknowledge every write, the primary included.
     pub in_sync: Vec<DiskId>,
-    /// Stores that are being filled and are sent every write, but whose confirmation is not waited for.
+    /// Stores that are catching up: they receive every write, but their acknowledgement is not awaited.
     pub joining: Vec<DiskId>,
-    /// How many of the required copies may be missing while the machines that should hold them are lost. It is 0
-    /// as soon as any other store can hold one.
+    /// How many of the required replicas may be missing while the machines that should have them are lost; 0 as soon as
+    /// another store can take one.
     pub lost_replicas: u16,
 }
 
 impl StoreMap {
-    /// The partition that a key (a program) belongs to; `None` until the map is made.
+    /// The partition of a key (a program); `None` while the map is empty.
     pub fn partition_of(&self, key: &str) -> Option<PartitionId> {
         let count = self.partitions.len() as u64;
         // FNV-1a: the same on every machine and in every version.
--- a/crates/protocol/src/transfer.rs
+++ b/crates/protocol/src/transfer.rs
@@ -1,41 +1,43 @@
-//! What stores tell each other: records as they are written, and digests for repair.
+//! Replication between stores: records as they are written, and digests for anti-entropy repair.
 
 use serde::{Deserialize, Serialize};
 
 use crate::identity::{EpochNumber, PartitionId, ProgramId, RequestId};
 use crate::session::{PartitionEpoch, Turn};
 
-/// A record of the session store. Records merge: a settled one supersedes a reserved one, a kept turn stays.
-/// All records of a program are forgotten together, when the last of them expires.
+/// A record of the session store.
+///
+/// Records merge in any order: a committed one supersedes a reservation, a stored turn stays. All records of a program
+/// are removed together, when the last of them expires.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// The program.
     pub program: ProgramId,
-    /// The try.
+    /// The request.
     pub request: RequestId,
     /// Tokens that count against the budget.
     pub tokens: u64,
-    /// Whether `tokens` is what was handed out, not the most that may be.
+    /// Whether `tokens` is the number of tokens used; otherwise it is the number reserved.
     pub is_committed: bool,
-    /// The turn, if it is kept.
+    /// The turn, if it is stored.
     pub turn: Option<Turn>,
-    /// When it may be forgotten, in milliseconds of the time of day.
+    /// When it may be removed, in milliseconds since the Unix epoch.
     pub expires_at_ms: u64,
 }
 
-/// Names a record within its partition.
+/// The key of a record within its partition.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RecordKey {
     /// The program.
     pub program: ProgramId,
-    /// The try.
+    /// The request.
     pub request: RequestId,
 }
 
-/// A store asks another store.
+/// Calls from a store to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum TransferRequest {
-    /// The primary writes records; the answer comes when they are on disk.
+    /// The primary replicates records; the reply is sent once they are on disk.
     Write {
         /// The partition.
         partition: PartitionId,
@@ -44,58 +46,58 @@
         /// The records.
         records: Vec<Record>,
     },
-    /// The primary asks whether its epochs still hold: answered [`TransferReply::Written`] if all of them do.
+    /// The primary asks whether its epochs are still the newest; the reply is [`TransferReply::Written`] if all are.
     Confirm {
-        /// The partitions, in the primary's epochs.
+        /// The partitions with the primary's epochs.
         partitions: Vec<PartitionEpoch>,
     },
-    /// The digests of `ranges` equal ranges of the hashes of keys.
+    /// Asks for digests of the records, one for each of `ranges` equal ranges of the keys' hashes.
     Digests {
         /// The partition.
         partition: PartitionId,
         /// The primary's epoch.
         epoch: EpochNumber,
-        /// How many ranges.
+        /// The number of ranges.
         ranges: u16,
-        /// Programs that may be forgotten by this time of day, in milliseconds, are passed over.
+        /// Programs that expire before this time, in milliseconds since the Unix epoch, are left out.
         live_after_ms: u64,
     },
-    /// The records of some of these ranges, page by page.
+    /// Asks for one page of the records of some of these ranges.
     Records {
         /// The partition.
         partition: PartitionId,
         /// The primary's epoch.
         epoch: EpochNumber,
-        /// How many ranges there are.
+        /// The number of ranges.
         ranges: u16,
-        /// Those wanted.
+        /// The requested ranges.
         requested: Vec<u16>,
-        /// Programs that may be forgotten by this time of day, in milliseconds, are passed over.
+        /// Programs that expire before this time, in milliseconds since the Unix epoch, are left out.
         live_after_ms: u64,
-        /// The last record of the page before.
+        /// The last record of the previous page.
         after: Option<RecordKey>,
     },
 }
 
-/// A store answers another store.
+/// Replies of a store to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum TransferReply {
-    /// On disk.
+    /// Done: the records are on disk, or the epochs are confirmed.
     Written,
-    /// The digests asked for.
+    /// The requested digests.
     Digests(Vec<u64>),
-    /// The records asked for, as many as a page takes.
+    /// A page of the requested records.
     Records {
-        /// The records, in the order of their keys.
+        /// The records, ordered by key.
         records: Vec<Record>,
-        /// The last of them, if there may be more behind it.
+        /// The last of them, if more may follow.
         next: Option<RecordKey>,
     },
-    /// The epoch named is not the one that this store goes by.
+    /// The request's epoch is not the receiver's: the sender was superseded, or is ahead.
     Fenced {
-        /// The epoch that it goes by.
+        /// The receiver's epoch.
         epoch: EpochNumber,
     },
-    /// It could not be done, for instance because the disk is full.
+    /// The receiver failed to do it, for instance because its disk is full.
     Failed,
 }
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -1,34 +1,34 @@
-//! What can go wrong with a folder.
+//! The errors of stored state.
 
 use std::io;
 use std::path::PathBuf;
 
 use snafu::Snafu;
 
-/// Why a folder cannot be used.
+/// Why stored state cannot be read or written.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StorageError {
-    /// A failed access to the disk.
+    /// An operation of the file system failed.
     #[snafu(display("{action} {}: {source}", path.display()))]
     Io {
-        /// What was tried.
+        /// The operation.
         action: &'static str,
-        /// On what.
+        /// The file or directory.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A file does not hold what was written to it. No loss of power brings this about, so what was confirmed
-    /// may be missing: the folder counts as lost.
+    /// A file's contents are not what was written. A loss of power cannot cause this, so acknowledged state may be
+    /// missing: the directory counts as lost.
     #[snafu(display("{} holds {found}", path.display()))]
     Corrupt {
         /// The file.
         path: PathBuf,
-        /// What is found in it.
+        /// What was found instead.
         found: &'static str,
     },
-    /// A file is whole, or a folder is, but of another release's layout.
+    /// A file or directory is intact, but has the layout of another release.
     #[snafu(display("{} has the layout of another release", path.display()))]
     UnsupportedLayout {
         /// The file.
@@ -37,7 +37,7 @@
 }
 
 impl StorageError {
-    /// Whether what the folder held has to be given up.
+    /// Whether the state has to be considered lost.
     pub fn is_corruption(&self) -> bool {
         matches!(self, StorageError::Corrupt { .. })
     }
--- a/crates/storage/src/file_system.rs
+++ b/crates/storage/src/file_system.rs
@@ -1,7 +1,7 @@
-//! The file system that state is kept on.
+//! The file system that state is stored on: the real one, or a simulated one in tests.
 //!
-//! The functions here are those of [`std::fs`] that this package needs. On a thread that has entered a simulated
-//! [`Disk`] they go to that instead, so that tests can lose power at any moment.
+//! The functions here are those of [`std::fs`] that this package needs. On a thread that has called [`simulate`] they are
+//! directed to a simulated [`FileSystem`] instead, so that tests can lose power at any moment.
 
 use std::cell::RefCell;
 use std::ffi::OsString;
@@ -12,60 +12,60 @@
 
 /// A simulated file system.
 pub trait FileSystem: Debug + Send + Sync {
-    /// Makes a folder and those above it.
+    /// Creates a directory and its missing parents.
     ///
     /// # Errors
     ///
-    /// As the call of [`std::fs`] that this one stands for; so do those of the other functions.
-    fn create_dir_all(&self, folder: &Path) -> io::Result<()>;
+    /// Those of the function of [`std::fs`] that this method stands for; so do those of the other methods.
+    fn create_dir_all(&self, directory: &Path) -> io::Result<()>;
 
-    /// The contents of a file.
+    /// Reads the contents of a file.
     ///
     /// # Errors
     ///
-    /// See [`Disk::make_folder`].
+    /// See [`FileSystem::create_dir_all`].
     fn read(&self, path: &Path) -> io::Result<Vec<u8>>;
 
-    /// The names in a folder.
+    /// Lists the names in a directory.
     ///
     /// # Errors
     ///
-    /// See [`Disk::make_folder`].
-    fn read_dir(&self, folder: &Path) -> io::Result<Vec<OsString>>;
+    /// See [`FileSystem::create_dir_all`].
+    fn read_dir(&self, directory: &Path) -> io::Result<Vec<OsString>>;
 
-    /// Makes an empty file in place of any that has this name.
+    /// Creates an empty file, replacing any file of this name.
     ///
     /// # Errors
     ///
-    /// See [`Disk::make_folder`].
+    /// See [`FileSystem::create_dir_all`].
     fn create(&self, path: &Path) -> io::Result<()>;
 
     /// Appends to a file.
     ///
     /// # Errors
     ///
-    /// See [`Disk::make_folder`].
+    /// See [`FileSystem::create_dir_all`].
     fn append(&self, path: &Path, bytes: &[u8]) -> io::Result<()>;
 
-    /// Makes the contents of a file, or the names in a folder, outlast a loss of power.
+    /// Makes the contents of a file, or the names in a directory, durable.
     ///
     /// # Errors
     ///
-    /// See [`Disk::make_folder`].
+    /// See [`FileSystem::create_dir_all`].
     fn sync(&self, path: &Path) -> io::Result<()>;
 
-    /// Gives a file another name in the same folder.
+    /// Renames a file within its directory.
     ///
     /// # Errors
     ///
-    /// See [`Disk::make_folder`].
+    /// See [`FileSystem::create_dir_all`].
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
 
     /// Removes a file.
     ///
     /// # Errors
     ///
-    /// See [`Disk::make_folder`].
+    /// See [`FileSystem::create_dir_all`].
     fn remove(&self, path: &Path) -> io::Result<()>;
 }
 
@@ -73,21 +73,21 @@
     static SIMULATED: RefCell<Option<Arc<dyn FileSystem>>> = const { RefCell::new(None) };
 }
 
-/// As long as it lives, this thread uses a simulated disk; it is used by simulations only.
+/// While this guard lives, the current thread uses a simulated file system.
 #[derive(Debug)]
 pub struct SimulationGuard {
-    before: Option<Arc<dyn FileSystem>>,
+    previous: Option<Arc<dyn FileSystem>>,
 }
 
-/// Makes this thread use a simulated disk until the guard is dropped.
+/// Makes the current thread use a simulated file system until the guard is dropped.
 #[must_use]
-pub fn simulate(disk: Arc<dyn FileSystem>) -> SimulationGuard {
-    SimulationGuard { before: SIMULATED.replace(Some(disk)) }
+pub fn simulate(file_system: Arc<dyn FileSystem>) -> SimulationGuard {
+    SimulationGuard { previous: SIMULATED.replace(Some(file_system)) }
 }
 
 impl Drop for SimulationGuard {
     fn drop(&mut self) {
-        SIMULATED.set(self.before.take());
+        SIMULATED.set(self.previous.take());
     }
 }
 
@@ -96,10 +96,10 @@
 }
 
 /// See [`std::fs::create_dir_all`].
-pub(crate) fn create_dir_all(folder: impl AsRef<Path>) -> io::Result<()> {
+pub(crate) fn create_dir_all(directory: impl AsRef<Path>) -> io::Result<()> {
     match simulated() {
-        None => std::fs::create_dir_all(folder),
-        Some(disk) => disk.create_dir_all(folder.as_ref()),
+        None => std::fs::create_dir_all(directory),
+        Some(file_system) => file_system.create_dir_all(directory.as_ref()),
     }
 }
 
@@ -107,15 +107,15 @@
 pub(crate) fn read(path: impl AsRef<Path>) -> io::Result<Vec<u8>> {
     match simulated() {
         None => std::fs::read(path),
-        Some(disk) => disk.read(path.as_ref()),
+        Some(file_system) => file_system.read(path.as_ref()),
     }
 }
 
-/// The names in a folder.
-pub(crate) fn list(folder: &Path) -> io::Result<Vec<OsString>> {
+/// Lists the names in a directory. See [`std::fs::read_dir`].
+pub(crate) fn read_dir(directory: &Path) -> io::Result<Vec<OsString>> {
     match simulated() {
-        None => std::fs::read_dir(folder)?.map(|entry| Ok(entry?.file_name())).collect(),
-        Some(disk) => disk.read_dir(folder),
+        None => std::fs::read_dir(directory)?.map(|entry| Ok(entry?.file_name())).collect(),
+        Some(file_system) => file_system.read_dir(directory),
     }
 }
 
@@ -123,7 +123,7 @@
 pub(crate) fn rename(from: impl AsRef<Path>, to: impl AsRef<Path>) -> io::Result<()> {
     match simulated() {
         None => std::fs::rename(from, to),
-        Some(disk) => disk.rename(from.as_ref(), to.as_ref()),
+        Some(file_system) => file_system.rename(from.as_ref(), to.as_ref()),
     }
 }
 
@@ -131,30 +131,30 @@
 pub(crate) fn remove_file(path: impl AsRef<Path>) -> io::Result<()> {
     match simulated() {
         None => std::fs::remove_file(path),
-        Some(disk) => disk.remove(path.as_ref()),
+        Some(file_system) => file_system.remove(path.as_ref()),
     }
 }
 
-/// A file that is written from its start, or a folder to be synced.
+/// A file opened for writing from its start, or a directory opened to be synced.
 #[derive(Debug)]
 pub(crate) enum File {
     Real(std::fs::File),
-    Simulated { disk: Arc<dyn FileSystem>, path: Box<Path> },
+    Simulated { file_system: Arc<dyn FileSystem>, path: Box<Path> },
 }
 
 impl File {
     /// See [`std::fs::File::create`].
     pub(crate) fn create(path: &Path) -> io::Result<File> {
-        let Some(disk) = simulated() else { return std::fs::File::create(path).map(File::Real) };
-        disk.create(path)?;
-        Ok(File::Simulated { disk, path: path.into() })
+        let Some(file_system) = simulated() else { return std::fs::File::create(path).map(File::Real) };
+        file_system.create(path)?;
+        Ok(File::Simulated { file_system, path: path.into() })
     }
 
     /// See [`std::fs::File::open`].
     pub(crate) fn open(path: &Path) -> io::Result<File> {
         match simulated() {
             None => std::fs::File::open(path).map(File::Real),
-            Some(disk) => Ok(File::Simulated { disk, path: path.into() }),
+            Some(file_system) => Ok(File::Simulated { file_system, path: path.into() }),
         }
     }
 
@@ -162,7 +162,7 @@
     pub(crate) fn sync_all(&self) -> io::Result<()> {
         match self {
             File::Real(file) => file.sync_all(),
-            File::Simulated { disk, path } => disk.sync(path),
+            File::Simulated { file_system, path } => file_system.sync(path),
         }
     }
 
@@ -170,7 +170,7 @@
     pub(crate) fn sync_data(&self) -> io::Result<()> {
         match self {
             File::Real(file) => file.sync_data(),
-            File::Simulated { disk, path } => disk.sync(path),
+            File::Simulated { file_system, path } => file_system.sync(path),
         }
     }
 }
@@ -179,7 +179,7 @@
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         match self {
             File::Real(file) => file.write(bytes),
-            File::Simulated { disk, path } => disk.append(path, bytes).map(|()| bytes.len()),
+            File::Simulated { file_system, path } => file_system.append(path, bytes).map(|()| bytes.len()),
         }
     }
 
--- a/crates/storage/src/frame.rs
+++ b/crates/storage/src/frame.rs
@@ -1,5 +1,6 @@
-//! The layout of files: frames, each a magic number, the length of the contents, their checksum, the contents.
-//! A file of one version is one frame, whose contents begin with the number of the version.
+//! The format of files: frames of a magic number, the length of the contents, their checksum, and the contents.
+//!
+//! A segment is a sequence of frames. A snapshot file is one frame, whose contents begin with the version's number.
 
 use std::io::Write;
 use std::path::Path;
@@ -9,18 +10,18 @@
 use crate::error::{CorruptSnafu, IoSnafu, StorageError, UnsupportedLayoutSnafu};
 use crate::file_system::{self, File};
 
-/// Begins a frame.
+/// The first bytes of a frame, which tell its kind.
 type Magic = [u8; 8];
 
-/// Begins a batch of a segment; versions without their numbers began with it, too.
-const BATCH: Magic = *b"JNPRWNG1";
-/// Begins a version.
-const VERSION: Magic = *b"JNPRWNG2";
+/// A batch of a segment. Snapshots of an earlier layout, without a version number, had it too.
+const BATCH_MAGIC: Magic = *b"JNPRWNG1";
+/// A snapshot.
+const SNAPSHOT_MAGIC: Magic = *b"JNPRWNG2";
 const HEADER_BYTES: usize = size_of::<Magic>() + 8 + 4;
 
-/// A batch behind its header.
+/// Encodes a batch as a frame.
 pub(crate) fn batch_frame(contents: &[u8]) -> Vec<u8> {
-    frame(BATCH, contents)
+    frame(BATCH_MAGIC, contents)
 }
 
 fn frame(magic: Magic, contents: &[u8]) -> Vec<u8> {
@@ -32,9 +33,9 @@
     bytes
 }
 
-/// The contents of the first batch and the bytes behind it; `None` if it is torn or none.
+/// The contents of the first batch and the bytes after it; `None` if the batch is torn or there is none.
 pub(crate) fn first_batch(bytes: &[u8]) -> Option<(&[u8], &[u8])> {
-    first_frame(BATCH, bytes)
+    first_frame(BATCH_MAGIC, bytes)
 }
 
 fn first_frame(magic: Magic, bytes: &[u8]) -> Option<(&[u8], &[u8])> {
@@ -42,54 +43,53 @@
     let (length, rest) = rest.split_first_chunk::<8>()?;
     let (checksum, rest) = rest.split_first_chunk::<4>()?;
     let length = usize::try_from(u64::from_le_bytes(*length)).ok()?;
-    let (contents, behind) = rest.split_at_checked(length)?;
+    let (contents, remainder) = rest.split_at_checked(length)?;
     let intact = u32::from_le_bytes(*checksum) == crc32fast::hash(contents);
-    intact.then_some((contents, behind))
+    intact.then_some((contents, remainder))
 }
 
 fn only_frame(magic: Magic, bytes: &[u8]) -> Option<&[u8]> {
-    first_frame(magic, bytes).filter(|(_, behind)| behind.is_empty()).map(|(contents, _)| contents)
+    first_frame(magic, bytes).filter(|(_, remainder)| remainder.is_empty()).map(|(contents, _)| contents)
 }
 
-/// Writes a new file of one version and syncs it.
-pub(crate) fn write_version(path: &Path, number: u64, contents: &[u8]) -> Result<(), StorageError> {
+/// Writes a snapshot to a new file and syncs it.
+pub(crate) fn write_snapshot(path: &Path, number: u64, contents: &[u8]) -> Result<(), StorageError> {
     let numbered = [&number.to_le_bytes(), contents].concat();
     let mut file = File::create(path).context(IoSnafu { action: "creating", path })?;
-    file.write_all(&frame(VERSION, &numbered)).context(IoSnafu { action: "writing", path })?;
+    file.write_all(&frame(SNAPSHOT_MAGIC, &numbered)).context(IoSnafu { action: "writing", path })?;
     file.sync_all().context(IoSnafu { action: "syncing", path })
 }
 
-/// The contents of the version that has this number.
-pub(crate) fn read_version(path: &Path, number: u64) -> Result<Vec<u8>, StorageError> {
+/// Reads the snapshot of this version number.
+pub(crate) fn read_snapshot(path: &Path, number: u64) -> Result<Vec<u8>, StorageError> {
     let bytes = file_system::read(path).context(IoSnafu { action: "reading", path })?;
-    if only_frame(BATCH, &bytes).is_some() {
+    if only_frame(BATCH_MAGIC, &bytes).is_some() {
         return UnsupportedLayoutSnafu { path }.fail();
     }
-    let numbered = only_frame(VERSION, &bytes).and_then(<[u8]>::split_first_chunk::<8>);
-    let Some((held, contents)) = numbered else {
+    let numbered = only_frame(SNAPSHOT_MAGIC, &bytes).and_then(<[u8]>::split_first_chunk::<8>);
+    let Some((stored_number, contents)) = numbered else {
         return CorruptSnafu { path, found: "a torn version" }.fail();
     };
-    if u64::from_le_bytes(*held) != number {
+    if u64::from_le_bytes(*stored_number) != number {
         return CorruptSnafu { path, found: "another version" }.fail();
     }
     Ok(contents.to_vec())
 }
 
-/// Makes what a file holds last, also what a process that was killed wrote to it.
+/// Makes the contents of a file durable, including what a process that was killed has written to it.
 pub(crate) fn sync_file(path: &Path) -> Result<(), StorageError> {
     let opened = File::open(path).context(IoSnafu { action: "opening", path })?;
     opened.sync_all().context(IoSnafu { action: "syncing", path })
 }
 
-/// Makes the names in a folder last as they are.
-pub(crate) fn sync_folder(folder: &Path) -> Result<(), StorageError> {
-    sync_file(folder)
+/// Makes the names in a directory durable.
+pub(crate) fn sync_directory(directory: &Path) -> Result<(), StorageError> {
+    sync_file(directory)
 }
 
-/// The files of a folder whose names are `prefix`, a number in hexadecimal, and nothing else; in the order of
-/// the numbers.
-pub(crate) fn numbered(folder: &Path, prefix: &str) -> Result<Vec<u64>, StorageError> {
-    let names = file_system::list(folder).context(IoSnafu { action: "listing", path: folder })?;
+/// The numbers of the files whose names consist of `prefix` and a hexadecimal number, in ascending order.
+pub(crate) fn list_numbers(directory: &Path, prefix: &str) -> Result<Vec<u64>, StorageError> {
+    let names = file_system::read_dir(directory).context(IoSnafu { action: "listing", path: directory })?;
     let mut numbers = Vec::new();
     for name in names {
         let digits = name.to_str().and_then(|name| name.strip_prefix(prefix));
@@ -100,6 +100,6 @@
 }
 
 /// The name of the file with this number.
-pub(crate) fn name(prefix: &str, number: u64) -> String {
+pub(crate) fn file_name(prefix: &str, number: u64) -> String {
     format!("{prefix}{number:016x}")
 }
--- a/crates/storage/src/identity.rs
+++ b/crates/storage/src/identity.rs
@@ -1,40 +1,40 @@
-//! The identity of a data folder: a number drawn once, so that a folder that was lost and made anew is told
-//! from the one before.
+//! The identity of a data directory: a number drawn once, which tells a directory that was lost and created anew from
+//! its predecessor.
 
 use std::path::Path;
 
 use crate::error::{StorageError, UnsupportedLayoutSnafu};
 use crate::snapshot_files::SnapshotFiles;
 
-const NAME: &str = "identity";
+const FILE_PREFIX: &str = "identity";
 
-/// The identity that the folder has, or else `drawn`, which it has from now on. The second value tells
-/// whether the folder is new, or its identity was not to be read and is another one now.
+/// Reads the identity of the directory; a directory without a readable one is given `drawn`. The second value tells whether
+/// it was given a new identity.
 ///
 /// # Errors
 ///
-/// If the folder cannot be read or written, or holds what another release wrote.
-pub fn open(folder: &Path, drawn: u64) -> Result<(u64, bool), StorageError> {
-    let (mut files, newest) = match SnapshotFiles::open(folder, NAME) {
-        Err(error) if error.is_corruption() => (SnapshotFiles::clear(folder, NAME)?, None),
+/// If the directory cannot be read or written, or has files of another release.
+pub fn open(directory: &Path, drawn: u64) -> Result<(u64, bool), StorageError> {
+    let (mut files, newest) = match SnapshotFiles::open(directory, FILE_PREFIX) {
+        Err(error) if error.is_corruption() => (SnapshotFiles::clear(directory, FILE_PREFIX)?, None),
         opened => opened?,
     };
     let Some(bytes) = newest else {
         files.write(&drawn.to_le_bytes())?;
         return Ok((drawn, true));
     };
-    // Whole, and not a number: another release wrote it. A new one in its place would give up what the folder holds.
+    // Intact, but not a number: another release wrote it. A new identity would give up the state in the directory.
     match bytes.try_into() {
-        Ok(known) => Ok((u64::from_le_bytes(known), false)),
-        Err(_) => UnsupportedLayoutSnafu { path: folder }.fail(),
+        Ok(stored) => Ok((u64::from_le_bytes(stored), false)),
+        Err(_) => UnsupportedLayoutSnafu { path: directory }.fail(),
     }
 }
 
-/// Gives the folder the identity `drawn`, whatever it was before: what it held is lost.
+/// Replaces the identity of the directory by `drawn`: its former state counts as lost.
 ///
 /// # Errors
 ///
-/// If the folder cannot be written.
-pub fn renew(folder: &Path, drawn: u64) -> Result<(), StorageError> {
-    SnapshotFiles::clear(folder, NAME)?.write(&drawn.to_le_bytes())
+/// If the directory cannot be written.
+pub fn renew(directory: &Path, drawn: u64) -> Result<(), StorageError> {
+    SnapshotFiles::clear(directory, FILE_PREFIX)?.write(&drawn.to_le_bytes())
 }
--- a/crates/storage/src/layout.rs
+++ b/crates/storage/src/layout.rs
@@ -1,29 +1,29 @@
-//! The layout of what a role keeps in a folder: a number that says how the rest is to be read.
+//! The number of a directory's file formats.
 //!
-//! It is read before anything else, so that a release that lays out its files in another way refuses them, in both
-//! directions, in place of taking what it cannot read for nothing. A folder without the number is of the first layout.
+//! It is read before anything else, so that a release with other formats refuses the directory, in both directions, instead
+//! of treating files that it cannot read as absent. A directory without the number has the first layout.
 
 use std::path::Path;
 
 use crate::error::{StorageError, UnsupportedLayoutSnafu};
 use crate::snapshot_files::SnapshotFiles;
 
-/// The layout of folders that do not say theirs.
-const FIRST: u32 = 1;
+/// The layout of directories without a number.
+const FIRST_LAYOUT: u32 = 1;
 
-/// Makes sure that the files of `name` in a folder have this layout; a folder that does not say so yet is given it.
+/// Checks that the files of `name` in a directory have this layout, and records it if there is no number yet.
 ///
 /// # Errors
 ///
-/// [`StorageError::OtherLayout`] if they have another one, or if the folder cannot be read or written.
-pub fn check(folder: &Path, name: &str, layout: u32) -> Result<(), StorageError> {
-    let (mut files, newest) = SnapshotFiles::open(folder, &format!("layout-{name}"))?;
+/// [`StorageError::UnsupportedLayout`] if they have another one, or if the directory cannot be read or written.
+pub fn check(directory: &Path, name: &str, layout: u32) -> Result<(), StorageError> {
+    let (mut files, newest) = SnapshotFiles::open(directory, &format!("layout-{name}"))?;
     let found = match newest {
         Some(bytes) => bytes.try_into().ok().map(u32::from_le_bytes),
-        None => Some(FIRST),
+        None => Some(FIRST_LAYOUT),
     };
     if found != Some(layout) {
-        return UnsupportedLayoutSnafu { path: folder }.fail();
+        return UnsupportedLayoutSnafu { path: directory }.fail();
     }
-    if files.newest() == 0 { files.write(&layout.to_le_bytes()) } else { Ok(()) }
+    if files.newest_number() == 0 { files.write(&layout.to_le_bytes()) } else { Ok(()) }
 }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,11 +1,12 @@
-//! State on disk.
+//! Durable state on disk.
 //!
-//! [`VersionFiles`] keeps the newest version of a small state: each version is written aside, synced, renamed,
-//! and the folder synced, before it counts. [`SegmentFiles`] keeps a sequence of batches, appended to segments: a
-//! batch counts when its segment is synced, which saves the second sync that a rename needs. [`identity`] keeps
-//! the identity of the folder. Everything carries a checksum; what is torn is not read.
+//! [`SnapshotFiles`] keeps the newest version of a small state: each version is written to a temporary file, synced,
+//! renamed, and the directory synced, before it counts as written. [`SegmentLog`] is an append-only log of batches: a batch
+//! counts as written when its segment is synced, which saves the second sync that a rename needs. [`identity`] keeps the
+//! identity of a data directory, [`layout`] the number of its file formats. Everything carries a checksum; torn writes are
+//! detected and not read.
 //!
-//! All calls block on the disk; call them from a thread that may wait.
+//! All calls block on the disk: call them from a thread that may block.
 
 mod error;
 pub mod file_system;
--- a/crates/storage/src/segment_log.rs
+++ b/crates/storage/src/segment_log.rs
@@ -1,8 +1,8 @@
-//! A sequence of batches, appended to segment files.
+//! An append-only log of batches in segment files.
 //!
-//! A batch counts when the segment is synced behind it: one sync, and none of the folder but for the first batch
-//! of a segment. A segment is sealed when it is large enough, when a write to it fails, and at every
-//! start, so nothing is ever appended behind what may be torn.
+//! A batch is durable when its segment is synced: one sync for each batch, and one of the directory for each segment. A
+//! segment is sealed when it is large enough, when a write to it fails, and at every start, so nothing is ever appended after
+//! a write that may be torn.
 
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -13,27 +13,27 @@
 use crate::file_system::{self, File};
 use crate::frame;
 
-const PREFIX: &str = "segment-";
-/// The size at which a segment is sealed, in bytes.
-const SEALED_BYTES: u64 = 1 << 20;
+const FILE_PREFIX: &str = "segment-";
+/// The size at which a segment is sealed.
+const SEAL_THRESHOLD_BYTES: u64 = 1 << 20;
 
-/// The place of a segment in the sequence.
+/// The number of a segment; later segments have higher ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SegmentNumber(pub u64);
 
-/// A batch as it was written.
+/// A batch read from the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Batch {
-    /// The segment that holds it.
+    /// The segment that contains it.
     pub segment: SegmentNumber,
     /// Its contents.
     pub contents: Vec<u8>,
 }
 
-/// Keeps batches in segments until these are removed.
+/// The log of one directory.
 #[derive(Debug)]
 pub struct SegmentLog {
-    folder: PathBuf,
+    directory: PathBuf,
     next: u64,
     open: Option<OpenSegment>,
 }
@@ -46,7 +46,7 @@
 }
 
 impl OpenSegment {
-    /// Writes a batch and makes it last.
+    /// Appends a frame and syncs it.
     fn write(&mut self, frame: &[u8], path: &Path) -> Result<(), StorageError> {
         self.file.write_all(frame).context(IoSnafu { action: "writing", path })?;
         self.file.sync_data().context(IoSnafu { action: "syncing", path })
@@ -54,55 +54,55 @@
 }
 
 impl SegmentLog {
-    /// Opens the folder (made if missing) and reads all whole batches in order. What is torn never counted; it
-    /// is passed over.
+    /// Opens the directory (created if missing) and reads all intact batches in order. A torn batch was never
+    /// acknowledged and is skipped.
     ///
     /// # Errors
     ///
-    /// If the folder cannot be made, listed or read.
-    pub fn open(folder: impl Into<PathBuf>) -> Result<(Self, Vec<Batch>), StorageError> {
+    /// If the directory cannot be created, listed or read.
+    pub fn open(directory: impl Into<PathBuf>) -> Result<(Self, Vec<Batch>), StorageError> {
         let mut batches = Vec::new();
-        let files = SegmentLog::replay(folder, |batch| batches.push(batch))?;
+        let files = SegmentLog::replay(directory, |batch| batches.push(batch))?;
         Ok((files, batches))
     }
 
-    /// As [`SegmentFiles::open`], but hands on one batch after the other, so that only one segment is in memory.
-    /// Segments without a whole batch are removed.
+    /// As [`SegmentLog::open`], but passes each batch to `visit`, so that only one segment is in memory at a time.
+    /// Segments without an intact batch are removed.
     ///
     /// # Errors
     ///
-    /// If the folder cannot be made, listed or read.
-    pub fn replay(folder: impl Into<PathBuf>, mut take: impl FnMut(Batch)) -> Result<Self, StorageError> {
-        let folder = folder.into();
-        file_system::create_dir_all(&folder).context(IoSnafu { action: "making", path: &folder })?;
-        let numbers = frame::numbered(&folder, PREFIX)?;
+    /// If the directory cannot be created, listed or read.
+    pub fn replay(directory: impl Into<PathBuf>, mut visit: impl FnMut(Batch)) -> Result<Self, StorageError> {
+        let directory = directory.into();
+        file_system::create_dir_all(&directory).context(IoSnafu { action: "making", path: &directory })?;
+        let numbers = frame::list_numbers(&directory, FILE_PREFIX)?;
         if let Some(newest) = numbers.last() {
-            // A process that was killed may have left a batch that a loss of power would still undo.
-            frame::sync_file(&folder.join(frame::name(PREFIX, *newest)))?;
+            // A process that was killed may have left a batch unsynced, which a loss of power would still undo.
+            frame::sync_file(&directory.join(frame::file_name(FILE_PREFIX, *newest)))?;
         }
         for number in &numbers {
-            let path = folder.join(frame::name(PREFIX, *number));
+            let path = directory.join(frame::file_name(FILE_PREFIX, *number));
             let bytes = file_system::read(&path).context(IoSnafu { action: "reading", path: &path })?;
             let segment = SegmentNumber(*number);
             let mut rest = bytes.as_slice();
-            while let Some((contents, behind)) = frame::first_batch(rest) {
-                take(Batch { segment, contents: contents.to_vec() });
-                rest = behind;
+            while let Some((contents, remainder)) = frame::first_batch(rest) {
+                visit(Batch { segment, contents: contents.to_vec() });
+                rest = remainder;
             }
             if rest.len() == bytes.len() {
-                // What cannot be removed now is looked at again after the next start.
+                // If it cannot be removed now, it is removed after a later start.
                 let _ = file_system::remove_file(&path);
             }
         }
         let next = numbers.last().map_or(1, |last| last + 1);
-        Ok(SegmentLog { folder, next, open: None })
+        Ok(SegmentLog { directory, next, open: None })
     }
 
-    /// Appends a batch and tells its segment. When this returns, the batch outlasts a loss of power.
+    /// Appends a batch and returns its segment. When this returns, the batch is durable.
     ///
     /// # Errors
     ///
-    /// If the disk refuses; earlier batches are untouched then. The batch may come back after a start.
+    /// If the write fails; earlier batches are unaffected. The batch may reappear after a restart.
     pub fn append(&mut self, contents: &[u8]) -> Result<SegmentNumber, StorageError> {
         let mut segment = match self.open.take() {
             Some(segment) => segment,
@@ -111,8 +111,8 @@
         let path = self.path(segment.number);
         let frame = frame::batch_frame(contents);
         if let Err(error) = segment.write(&frame, &path) {
-            // Sealed by being dropped. One without a whole batch would only take room; if it cannot be removed now, it
-            // goes after the next start.
+            // Dropping the segment seals it. One without an intact batch is of no use; if it cannot be removed now, it is
+            // removed after a later start.
             if segment.bytes == 0 {
                 let _ = file_system::remove_file(&path);
             }
@@ -120,15 +120,15 @@
         }
         let number = segment.number;
         segment.bytes += frame.len() as u64;
-        self.open = Some(segment).filter(|segment| segment.bytes < SEALED_BYTES);
+        self.open = Some(segment).filter(|segment| segment.bytes < SEAL_THRESHOLD_BYTES);
         Ok(number)
     }
 
-    /// Removes a segment that nothing needs any more. It may come back after a loss of power.
+    /// Removes a segment that is no longer needed. It may reappear after a loss of power.
     ///
     /// # Errors
     ///
-    /// If the disk refuses.
+    /// If the file cannot be removed.
     pub fn remove(&mut self, number: SegmentNumber) -> Result<(), StorageError> {
         self.open.take_if(|open| open.number == number);
         let path = self.path(number);
@@ -140,7 +140,7 @@
         self.next += 1;
         let path = self.path(number);
         let file = File::create(&path).context(IoSnafu { action: "creating", path: &path })?;
-        if let Err(error) = frame::sync_folder(&self.folder) {
+        if let Err(error) = frame::sync_directory(&self.directory) {
             let _ = file_system::remove_file(&path);
             return Err(error);
         }
@@ -148,6 +148,6 @@
     }
 
     fn path(&self, number: SegmentNumber) -> PathBuf {
-        Path::join(&self.folder, frame::name(PREFIX, number.0))
+        Path::join(&self.directory, frame::file_name(FILE_PREFIX, number.0))
     }
 }
--- a/crates/storage/src/snapshot_files.rs
+++ b/crates/storage/src/snapshot_files.rs
@@ -1,4 +1,4 @@
-//! The newest version of a state, one file for each version.
+//! Snapshots of a small state, one file for each version.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -9,100 +9,104 @@
 use crate::file_system;
 use crate::frame;
 
-/// Versions kept beside the newest.
-const KEPT: usize = 1;
-const ASIDE: &str = "aside-";
+/// Versions retained beside the newest.
+const RETAINED_OLD_VERSIONS: usize = 1;
+/// The prefix of temporary files.
+const TEMPORARY_PREFIX: &str = "aside-";
 
-/// Keeps the newest version of one state in a folder.
+/// The snapshots of one state in a directory.
 ///
-/// A version gets its name only when its contents are synced, so whatever power losses leave, a name stands for
-/// a whole version, and it counts only when the folder is synced behind it.
+/// A version gets its name only after its contents are synced, so that after a loss of power every name stands for a
+/// complete version; the version is durable once the directory is synced as well.
 #[derive(Debug)]
 pub struct SnapshotFiles {
-    folder: PathBuf,
+    directory: PathBuf,
     prefix: String,
-    kept: Vec<u64>,
+    /// The numbers of the versions on disk, ascending.
+    numbers: Vec<u64>,
 }
 
 impl SnapshotFiles {
-    /// Opens the state named `name` in `folder` (made if missing) and reads its newest version, which outlasts a
-    /// loss of power from then on.
+    /// Opens the state named `name` in `directory` (created if missing) and reads its newest version, which is durable from
+    /// then on.
     ///
     /// # Errors
     ///
-    /// If the folder cannot be made, listed, synced or read, or the newest version is not what was written: an
-    /// older one is not read in its place, since the newest may have been confirmed.
-    pub fn open(folder: impl Into<PathBuf>, name: &str) -> Result<(Self, Option<Vec<u8>>), StorageError> {
-        let folder = folder.into();
-        file_system::create_dir_all(&folder).context(IoSnafu { action: "making", path: &folder })?;
+    /// If the directory cannot be created, listed, synced or read, or the newest version is corrupt: an older one is not
+    /// read in its place, since the newest may have been acknowledged.
+    pub fn open(directory: impl Into<PathBuf>, name: &str) -> Result<(Self, Option<Vec<u8>>), StorageError> {
+        let directory = directory.into();
+        file_system::create_dir_all(&directory).context(IoSnafu { action: "making", path: &directory })?;
         let prefix = format!("{name}-");
-        remove_all(&folder, &format!("{ASIDE}{prefix}"))?;
-        let kept = frame::numbered(&folder, &prefix)?;
-        // A process that was killed may have left a name that a loss of power would still undo.
-        frame::sync_folder(&folder)?;
-        let newest = match kept.last() {
-            Some(number) => Some(frame::read_version(&folder.join(frame::name(&prefix, *number)), *number)?),
+        remove_all(&directory, &format!("{TEMPORARY_PREFIX}{prefix}"))?;
+        let numbers = frame::list_numbers(&directory, &prefix)?;
+        // A process that was killed may have left a rename unsynced, which a loss of power would still undo.
+        frame::sync_directory(&directory)?;
+        let newest = match numbers.last() {
+            Some(number) => {
+                Some(frame::read_snapshot(&directory.join(frame::file_name(&prefix, *number)), *number)?)
+            }
             None => None,
         };
-        Ok((SnapshotFiles { folder, prefix, kept }, newest))
+        Ok((SnapshotFiles { directory, prefix, numbers }, newest))
     }
 
-    /// Removes all versions of a state, for good, and opens it empty.
+    /// Removes all versions of a state durably, and opens it empty.
     ///
     /// # Errors
     ///
-    /// If the disk refuses.
-    pub fn clear(folder: impl Into<PathBuf>, name: &str) -> Result<Self, StorageError> {
-        let folder = folder.into();
-        remove_all(&folder, &format!("{name}-"))?;
-        frame::sync_folder(&folder)?;
-        SnapshotFiles::open(folder, name).map(|(files, _)| files)
+    /// If a file cannot be removed or the directory cannot be read or synced.
+    pub fn clear(directory: impl Into<PathBuf>, name: &str) -> Result<Self, StorageError> {
+        let directory = directory.into();
+        remove_all(&directory, &format!("{name}-"))?;
+        frame::sync_directory(&directory)?;
+        SnapshotFiles::open(directory, name).map(|(files, _)| files)
     }
 
-    /// The number of the newest version; 0 if there is none. A version that could not be written may have had the
-    /// number before.
-    pub fn newest(&self) -> u64 {
-        self.kept.last().copied().unwrap_or_default()
+    /// The number of the newest version; 0 if there is none. A version whose write failed may have had the same
+    /// number.
+    pub fn newest_number(&self) -> u64 {
+        self.numbers.last().copied().unwrap_or_default()
     }
 
-    /// Writes the next version. When this returns, the version outlasts a loss of power.
+    /// Writes the next version. When this returns, the version is durable.
     ///
     /// # Errors
     ///
-    /// If the disk refuses; the version before is untouched then. The new one may come back after a start.
+    /// If the write fails; the version before is unaffected. The new one may reappear after a restart.
     pub fn write(&mut self, contents: &[u8]) -> Result<(), StorageError> {
-        let number = self.kept.last().map_or(1, |newest| newest + 1);
-        let name = frame::name(&self.prefix, number);
-        let path = self.folder.join(&name);
-        let aside = self.folder.join(format!("{ASIDE}{name}"));
-        frame::write_version(&aside, number, contents)?;
-        file_system::rename(&aside, &path).context(IoSnafu { action: "renaming", path: &aside })?;
-        // From here on the name may be seen, so it is not given to anything else.
-        self.kept.push(number);
-        frame::sync_folder(&self.folder)?;
+        let number = self.numbers.last().map_or(1, |newest| newest + 1);
+        let name = frame::file_name(&self.prefix, number);
+        let path = self.directory.join(&name);
+        let temporary = self.directory.join(format!("{TEMPORARY_PREFIX}{name}"));
+        frame::write_snapshot(&temporary, number, contents)?;
+        file_system::rename(&temporary, &path).context(IoSnafu { action: "renaming", path: &temporary })?;
+        // The name may exist from here on, so its number is not used again.
+        self.numbers.push(number);
+        frame::sync_directory(&self.directory)?;
         self.remove_old();
         Ok(())
     }
 
-    /// An old version that stays by a failure does no harm; it is tried again with the next.
+    /// Removes old versions. One that cannot be removed is harmless, and is tried again with the next write.
     fn remove_old(&mut self) {
-        while self.kept.len() > 1 + KEPT {
-            if remove(&self.folder.join(frame::name(&self.prefix, self.kept[0]))).is_err() {
+        while self.numbers.len() > 1 + RETAINED_OLD_VERSIONS {
+            if remove(&self.directory.join(frame::file_name(&self.prefix, self.numbers[0]))).is_err() {
                 return;
             }
-            self.kept.remove(0);
+            self.numbers.remove(0);
         }
     }
 }
 
-fn remove_all(folder: &Path, prefix: &str) -> Result<(), StorageError> {
-    for number in frame::numbered(folder, prefix)? {
-        remove(&folder.join(frame::name(prefix, number)))?;
+fn remove_all(directory: &Path, prefix: &str) -> Result<(), StorageError> {
+    for number in frame::list_numbers(directory, prefix)? {
+        remove(&directory.join(frame::file_name(prefix, number)))?;
     }
     Ok(())
 }
 
-/// Removes a file, or finds it gone.
+/// Removes a file if it exists.
 fn remove(path: &Path) -> Result<(), StorageError> {
     match file_system::remove_file(path) {
         Err(error) if error.kind() != io::ErrorKind::NotFound => {
