--- a/crates/node/src/keeper.rs
+++ b/crates/node/src/keeper.rs
@@ -260,7 +260,10 @@
         let now = clock::now();
         let heartbeat = Span::from_millis(settings.heartbeat_ms);
         let times = settings.control_times();
-        let registry = Registry::new(now, RegistrySettings { heartbeat, max_instances: MAX_INSTANCES });
+        let registry = Registry::new(
+            now,
+            RegistrySettings { heartbeat_interval: heartbeat, max_instances: MAX_INSTANCES },
+        );
         let state = State {
             consensus,
             contact: Contact::new(times.contact_window),
@@ -324,7 +327,7 @@
         let state = self.lock();
         let now = clock::now();
         let voters = state.consensus.replica.voters().iter();
-        let heard = voters.filter(|voter| state.contact.is_heard(now, voter.disk));
+        let heard = voters.filter(|voter| state.contact.has_recent_message(now, voter.disk));
         heard.filter(|voter| voter.disk != self.me.disk).map(|voter| voter.address).collect()
     }
 
@@ -426,7 +429,7 @@
     fn set_exchange_keepers(&self, state: &mut State) {
         let voters = state.consensus.replica.voters().iter();
         let others: Vec<Voter> = voters.filter(|voter| voter.disk != self.me.disk).cloned().collect();
-        state.exchange.set_keepers(&others);
+        state.exchange.set_peers(&others);
     }
 
     fn log_committed(&self) {
--- a/crates/node/src/keeper/consensus.rs
+++ b/crates/node/src/keeper/consensus.rs
@@ -79,7 +79,7 @@
         if replica.is_primary() {
             return PrimaryPlace::Here;
         }
-        let heard = state.contact.is_heard(clock::now(), replica.epoch().primary);
+        let heard = state.contact.has_recent_message(clock::now(), replica.epoch().primary);
         match replica.primary_address().filter(|address| heard && *address != self.me.address) {
             Some(address) => PrimaryPlace::At(address),
             None => PrimaryPlace::Unknown,
--- a/crates/node/src/keeper/control_listener.rs
+++ b/crates/node/src/keeper/control_listener.rs
@@ -207,15 +207,15 @@
 }
 
 fn too_large(limit: usize) -> OrderReply {
-    let finding = juniperwing_registry::Finding {
-        place: "body".to_owned(),
+    let finding = juniperwing_registry::FieldError {
+        field: "body".to_owned(),
         problem: format!("longer than {limit} bytes"),
     };
     json(413, &Findings { findings: [finding] })
 }
 
 fn bad_call(place: &str, problem: &str) -> OrderReply {
-    let finding = juniperwing_registry::Finding { place: place.to_owned(), problem: problem.to_owned() };
+    let finding = juniperwing_registry::FieldError { field: place.to_owned(), problem: problem.to_owned() };
     json(400, &Findings { findings: [finding] })
 }
 
--- a/crates/node/src/keeper/discovery.rs
+++ b/crates/node/src/keeper/discovery.rs
@@ -41,10 +41,10 @@
             if !self.is_in_contact(state) {
                 return HeartbeatAnswer::Unavailable;
             }
-            match state.registry.heartbeat(now, instance) {
+            match state.registry.handle_heartbeat(now, instance) {
                 HeartbeatOutcome::Full => return HeartbeatAnswer::Unavailable,
-                HeartbeatOutcome::Late => {}
-                HeartbeatOutcome::Refreshed(refresh) => state.exchange.note_refreshed(&refresh),
+                HeartbeatOutcome::Stale => {}
+                HeartbeatOutcome::Refreshed(refresh) => state.exchange.record_refresh(&refresh),
                 HeartbeatOutcome::Changed(changed) => self.publish(state, &changed),
             }
             if !leaves {
@@ -63,7 +63,7 @@
             if !self.is_in_contact(state) {
                 return HeartbeatAnswer::Unavailable;
             }
-            let gone = state.registry.remove(clock::now(), &id);
+            let gone = state.registry.deregister(clock::now(), &id);
             self.publish(state, gone.as_slice());
             self.spread(state, &id)
         };
@@ -104,9 +104,9 @@
     pub(super) fn expire_instances(&self, state: &mut State) {
         let now = clock::now();
         let epoch = state.consensus.replica.epoch();
-        let confirmed_at = state.contact.confirmed_at(now, self.me.disk, epoch);
+        let confirmed_at = state.contact.confirmed_until(now, self.me.disk, epoch);
         let Some(confirmed_at) = confirmed_at.filter(|_| !state.was_paused) else {
-            return state.registry.restart_silence(now);
+            return state.registry.restart_timeouts(now);
         };
         let expired = state.registry.expire(now, confirmed_at);
         for instance in &expired {
@@ -120,7 +120,7 @@
         let batches = {
             let state = &mut *self.lock();
             let registry = &state.registry;
-            state.exchange.batches(regular, || registry.instances().collect())
+            state.exchange.next_batches(regular, || registry.instances().collect())
         };
         for batch in batches {
             tokio::spawn(Arc::clone(self).send_batch(batch));
@@ -128,25 +128,30 @@
     }
 
     async fn send_batch(self: Arc<Self>, batch: Batch) {
-        let Batch { to, number, changed, refreshed, confirm } = batch;
+        let Batch { to, number, changed, refreshed, needs_confirmation } = batch;
         let from = self.me.disk;
-        let message = Message::Registry(RegistryMessage::Instances { from, changed, refreshed, confirm });
+        let message = Message::Registry(RegistryMessage::Instances {
+            from,
+            changed,
+            refreshed,
+            confirm: needs_confirmation,
+        });
         let asked_at = clock::now();
         let answer = self.call_peer(to.address, message).await;
         {
             let state = &mut *self.lock();
             match answer {
                 Some((link, RegistryMessage::InstancesMerged { epoch, applied })) => {
-                    state.contact.answered(clock::now(), to.disk, asked_at, epoch);
-                    if applied || !confirm {
-                        state.exchange.answered(to.disk, number, link);
+                    state.contact.record_reply(clock::now(), to.disk, asked_at, epoch);
+                    if applied || !needs_confirmation {
+                        state.exchange.handle_reply(to.disk, number, link);
                     } else {
-                        state.exchange.not_applied(to.disk, number, link);
+                        state.exchange.handle_not_applied(to.disk, number, link);
                     }
                 }
                 _ => {
                     debug!(self.log, "a keeper does not answer"; "keeper" => %to.node.0);
-                    state.exchange.failed(to.disk, number);
+                    state.exchange.handle_failure(to.disk, number);
                 }
             }
         }
@@ -170,7 +175,7 @@
         state.subscribers.note(changed);
         // A voter of this moment must not be missed by what is acknowledged in it.
         self.set_exchange_keepers(state);
-        state.exchange.note_changed(changed);
+        state.exchange.record_changes(changed);
         self.wake_push.notify_one();
     }
 
@@ -179,10 +184,10 @@
     fn spread(&self, state: &mut State, id: &InstanceId) -> Spread {
         self.set_exchange_keepers(state);
         if let Some(instance) = state.registry.get(id).cloned() {
-            state.exchange.note_changed(&[instance]);
+            state.exchange.record_changes(&[instance]);
             self.wake_push.notify_one();
         }
-        Spread { revision: state.subscribers.pending_revision(), change: state.exchange.newest() }
+        Spread { revision: state.subscribers.pending_revision(), change: state.exchange.newest_change() }
     }
 
     /// Waits until every keeper in reach has confirmed, for a limited time. Enough have to have confirmed in any
@@ -202,7 +207,7 @@
     /// Whether the relays subscribed here have confirmed, and enough keepers for every relay to hear of it.
     fn is_known_to_enough(&self, state: &State, spread: &Spread) -> bool {
         let epoch = state.consensus.replica.epoch();
-        let confirmed: Vec<DiskId> = state.exchange.confirmed_by(spread.change).collect();
+        let confirmed: Vec<DiskId> = state.exchange.confirmed_peers(spread.change).collect();
         let has = |voter: &&Voter| voter.disk == self.me.disk || confirmed.contains(&voter.disk);
         let needed = needed_confirmations(epoch.voters.len(), self.required_copies - 1);
         let is_enough = epoch.voters.iter().filter(has).count() >= needed;
@@ -214,6 +219,7 @@
     /// Whether every keeper that answers, or was heard of a short while ago, has confirmed.
     fn is_known_in_reach(&self, spread: &Spread) -> bool {
         let now = clock::now();
-        self.exchange.have_confirmed(spread.change, |disk| self.contact.is_heard(now, disk))
+        self.exchange
+            .is_confirmed_by_reachable_peers(spread.change, |disk| self.contact.has_recent_message(now, disk))
     }
 }
--- a/crates/node/src/keeper/inbox.rs
+++ b/crates/node/src/keeper/inbox.rs
@@ -52,14 +52,14 @@
 
 impl Keeper {
     fn replication_message(self: &Arc<Self>, message: ReplicationMessage) {
-        self.lock().contact.heard(clock::now(), message.from);
+        self.lock().contact.record_message(clock::now(), message.from);
         self.replica_event(Event::Message(message));
     }
 
     fn registry_message(self: &Arc<Self>, message: RegistryMessage, reply: Reply) {
         match message {
             RegistryMessage::Instances { from, changed, refreshed, confirm } => {
-                self.lock().contact.heard(clock::now(), from);
+                self.lock().contact.record_message(clock::now(), from);
                 self.merge_instances(changed, &refreshed, confirm, reply);
             }
             RegistryMessage::DistributeConfiguration { version, wait_ms } => {
--- a/crates/node/src/keeper/stores.rs
+++ b/crates/node/src/keeper/stores.rs
@@ -23,7 +23,7 @@
     pub(super) fn stores_seen(&self, keeper: DiskId, stores: Vec<StoreNode>) -> EpochNumber {
         let mut state = self.lock();
         let now = clock::now();
-        state.contact.heard(now, keeper);
+        state.contact.record_message(now, keeper);
         state.tracker.report(now, keeper, stores);
         let epoch = state.consensus.replica.epoch().number;
         drop(state);
@@ -53,7 +53,7 @@
         let within = self.times.peer_answers_within;
         let answer = self.peers.call(voter.address, Message::Registry(report), within).await;
         if let Ok(Message::Registry(RegistryMessage::ReachableStoresReply { epoch })) = answer {
-            self.lock().contact.answered(clock::now(), voter.disk, asked_at, epoch);
+            self.lock().contact.record_reply(clock::now(), voter.disk, asked_at, epoch);
         }
     }
 
--- a/crates/registry/src/contact.rs
+++ b/crates/registry/src/contact.rs
@@ -24,7 +24,7 @@
 /// An answered question.
 #[derive(Clone, Copy, Debug)]
 struct RoundTrip {
-    asked_at: Time,
+    request_sent_at: Time,
     /// The highest epoch that the other keeper knew when it answered.
     epoch: EpochNumber,
 }
@@ -33,61 +33,61 @@
 #[derive(Clone, Debug)]
 pub struct Contact {
     window: Span,
-    heard: HashMap<DiskId, Time>,
+    last_message_at: HashMap<DiskId, Time>,
     round_trips: HashMap<DiskId, RoundTrip>,
 }
 
 impl Contact {
     /// No contact yet. Evidence older than `window` does not count.
     pub fn new(window: Span) -> Self {
-        Contact { window, heard: HashMap::new(), round_trips: HashMap::new() }
+        Contact { window, last_message_at: HashMap::new(), round_trips: HashMap::new() }
     }
 
     /// A message came from a keeper.
-    pub fn heard(&mut self, now: Time, keeper: DiskId) {
-        self.forget_old(now);
-        self.heard.insert(keeper, now);
+    pub fn record_message(&mut self, now: Time, keeper: DiskId) {
+        self.remove_stale(now);
+        self.last_message_at.insert(keeper, now);
     }
 
     /// A keeper that knows `epoch` has answered a question that was sent at `asked_at`.
-    pub fn answered(&mut self, now: Time, keeper: DiskId, asked_at: Time, epoch: EpochNumber) {
-        self.heard(now, keeper);
-        let newest = self.round_trips.entry(keeper).or_insert(RoundTrip { asked_at, epoch });
-        if asked_at >= newest.asked_at {
-            *newest = RoundTrip { asked_at, epoch };
+    pub fn record_reply(&mut self, now: Time, keeper: DiskId, asked_at: Time, epoch: EpochNumber) {
+        self.record_message(now, keeper);
+        let newest = self.round_trips.entry(keeper).or_insert(RoundTrip { request_sent_at: asked_at, epoch });
+        if asked_at >= newest.request_sent_at {
+            *newest = RoundTrip { request_sent_at: asked_at, epoch };
         }
     }
 
     /// Whether a keeper was heard within the window. Says nothing about whether it hears this one.
-    pub fn is_heard(&self, now: Time, keeper: DiskId) -> bool {
-        self.heard.get(&keeper).is_some_and(|at| now.since(*at) <= self.window)
+    pub fn has_recent_message(&self, now: Time, keeper: DiskId) -> bool {
+        self.last_message_at.get(&keeper).is_some_and(|at| now.since(*at) <= self.window)
     }
 
     /// Whether a majority of the voters of `epoch`, `me` included where it votes, has answered a question that
     /// was sent within the window. Where the epoch still depends on the voters before it, a majority of those
     /// counts as well.
     pub fn has_majority(&self, now: Time, me: DiskId, epoch: &Epoch) -> bool {
-        epoch.is_quorum(|disk| disk == me || self.is_reached(now, disk, epoch.number))
+        epoch.is_quorum(|disk| disk == me || self.has_recent_round_trip(now, disk, epoch.number))
     }
 
     /// The newest moment up to which contact is proved: a majority of the voters of `epoch` has answered a question
     /// that was sent then or later. `None` without contact. What the others told before that moment has been heard.
-    pub fn confirmed_at(&self, now: Time, me: DiskId, epoch: &Epoch) -> Option<Time> {
+    pub fn confirmed_until(&self, now: Time, me: DiskId, epoch: &Epoch) -> Option<Time> {
         if !self.has_majority(now, me, epoch) {
             return None;
         }
-        let present = self.majority_asked_at(now, me, epoch.number, &epoch.voters);
+        let present = self.majority_round_trip_at(now, me, epoch.number, &epoch.voters);
         if epoch.previous_voters.is_empty() {
             return Some(present);
         }
-        Some(present.min(self.majority_asked_at(now, me, epoch.number, &epoch.previous_voters)))
+        Some(present.min(self.majority_round_trip_at(now, me, epoch.number, &epoch.previous_voters)))
     }
 
     /// The latest moment at which, or after which, a majority of `voters` was sent a question that it answered.
-    fn majority_asked_at(&self, now: Time, me: DiskId, epoch: EpochNumber, voters: &[Voter]) -> Time {
+    fn majority_round_trip_at(&self, now: Time, me: DiskId, epoch: EpochNumber, voters: &[Voter]) -> Time {
         let asked_at = |voter: &Voter| match self.round_trips.get(&voter.disk) {
             _ if voter.disk == me => now,
-            Some(known) if known.epoch <= epoch => known.asked_at,
+            Some(known) if known.epoch <= epoch => known.request_sent_at,
             _ => Time::default(),
         };
         let mut times: Vec<Time> = voters.iter().map(asked_at).collect();
@@ -98,14 +98,15 @@
     }
 
     /// One that knows a higher epoch than this keeper may belong to another set of voters.
-    fn is_reached(&self, now: Time, keeper: DiskId, epoch: EpochNumber) -> bool {
+    fn has_recent_round_trip(&self, now: Time, keeper: DiskId, epoch: EpochNumber) -> bool {
         let round_trip = self.round_trips.get(&keeper);
-        round_trip.is_some_and(|known| now.since(known.asked_at) <= self.window && known.epoch <= epoch)
+        round_trip
+            .is_some_and(|known| now.since(known.request_sent_at) <= self.window && known.epoch <= epoch)
     }
 
     /// How many keepers are remembered.
     pub fn len(&self) -> usize {
-        self.heard.len().max(self.round_trips.len())
+        self.last_message_at.len().max(self.round_trips.len())
     }
 
     /// Whether no keeper is remembered.
@@ -113,12 +114,12 @@
         self.len() == 0
     }
 
-    fn forget_old(&mut self, now: Time) {
+    fn remove_stale(&mut self, now: Time) {
         if self.len() < MAX_KEEPERS {
             return;
         }
         let window = self.window;
-        self.heard.retain(|_, at| now.since(*at) <= window);
-        self.round_trips.retain(|_, known| now.since(known.asked_at) <= window);
+        self.last_message_at.retain(|_, at| now.since(*at) <= window);
+        self.round_trips.retain(|_, known| now.since(known.request_sent_at) <= window);
     }
 }
--- a/crates/registry/src/exchange.rs
+++ b/crates/registry/src/exchange.rs
@@ -29,20 +29,20 @@
     /// Instances heard of again.
     pub refreshed: Vec<Refresh>,
     /// Whether the answer has to say that the relays there have applied all that was told.
-    pub confirm: bool,
+    pub needs_confirmation: bool,
 }
 
 #[derive(Clone, Debug)]
-struct Counterpart<Connection> {
+struct PeerProgress<Connection> {
     voter: Voter,
     changed: BTreeMap<InstanceId, Instance>,
     refreshed: BTreeMap<InstanceId, u64>,
     /// The first change that it has not confirmed and that no batch on its way to it asks about.
-    pending: Option<ChangeNumber>,
+    first_unconfirmed: Option<ChangeNumber>,
     /// Batches without an answer yet, each with the first change in it, if there is one.
     in_flight: BTreeMap<BatchNumber, Option<ChangeNumber>>,
     /// Whether it must be told all instances.
-    needs_whole: bool,
+    needs_snapshot: bool,
     /// Whether it answered the last batch; assumed until one fails.
     is_reachable: bool,
     connection: Option<Connection>,
@@ -51,84 +51,84 @@
 /// What all other keepers have to be told. `Connection` tells apart the connections over which they answer.
 #[derive(Clone, Debug)]
 pub struct Exchange<Connection> {
-    newest: ChangeNumber,
+    newest_change: ChangeNumber,
     newest_batch: BatchNumber,
-    counterparts: BTreeMap<DiskId, Counterpart<Connection>>,
+    peers: BTreeMap<DiskId, PeerProgress<Connection>>,
 }
 
 impl<Connection> Default for Exchange<Connection> {
     fn default() -> Self {
         Exchange {
-            newest: ChangeNumber::default(),
+            newest_change: ChangeNumber::default(),
             newest_batch: BatchNumber::default(),
-            counterparts: BTreeMap::new(),
+            peers: BTreeMap::new(),
         }
     }
 }
 
 impl<Connection: Copy + PartialEq> Exchange<Connection> {
     /// Goes by these keepers from now on; a new one is told everything.
-    pub fn set_keepers(&mut self, others: &[Voter]) {
-        self.counterparts.retain(|_, counterpart| others.contains(&counterpart.voter));
+    pub fn set_peers(&mut self, others: &[Voter]) {
+        self.peers.retain(|_, counterpart| others.contains(&counterpart.voter));
         for voter in others {
-            let known = self.counterparts.entry(voter.disk);
-            known.or_insert_with(|| Counterpart::new(voter.clone()));
+            let known = self.peers.entry(voter.disk);
+            known.or_insert_with(|| PeerProgress::new(voter.clone()));
         }
     }
 
     /// The number of the newest change.
-    pub fn newest(&self) -> ChangeNumber {
-        self.newest
+    pub fn newest_change(&self) -> ChangeNumber {
+        self.newest_change
     }
 
     /// Changes that all others have to be told.
-    pub fn note_changed(&mut self, instances: &[Instance]) -> ChangeNumber {
+    pub fn record_changes(&mut self, instances: &[Instance]) -> ChangeNumber {
         if instances.is_empty() {
-            return self.newest;
+            return self.newest_change;
         }
-        self.newest.0 += 1;
-        for counterpart in self.counterparts.values_mut() {
-            counterpart.pending.get_or_insert(self.newest);
+        self.newest_change.0 += 1;
+        for counterpart in self.peers.values_mut() {
+            counterpart.first_unconfirmed.get_or_insert(self.newest_change);
             for instance in instances {
                 counterpart.refreshed.remove(&instance.id);
                 counterpart.changed.insert(instance.id.clone(), instance.clone());
             }
         }
-        self.newest
+        self.newest_change
     }
 
     /// An instance was heard of again.
-    pub fn note_refreshed(&mut self, refresh: &Refresh) {
-        for counterpart in self.counterparts.values_mut() {
+    pub fn record_refresh(&mut self, refresh: &Refresh) {
+        for counterpart in self.peers.values_mut() {
             counterpart.refreshed.insert(refresh.id.clone(), refresh.sequence);
         }
     }
 
     /// Batches to be sent now: changes at once, all else only where `regular`.
-    pub fn batches<'registry>(
+    pub fn next_batches<'registry>(
         &mut self, regular: bool, instances: impl Fn() -> Vec<&'registry Instance>,
     ) -> Vec<Batch> {
         let mut batches = Vec::new();
-        for counterpart in self.counterparts.values_mut() {
+        for counterpart in self.peers.values_mut() {
             if !counterpart.is_due(regular) {
                 continue;
             }
-            if std::mem::take(&mut counterpart.needs_whole) {
+            if std::mem::take(&mut counterpart.needs_snapshot) {
                 counterpart.refreshed.clear();
                 let whole = instances().into_iter();
                 counterpart.changed.extend(whole.map(|instance| (instance.id.clone(), instance.clone())));
             }
             self.newest_batch.0 += 1;
             let number = self.newest_batch;
-            let confirm = counterpart.pending.is_some();
-            counterpart.in_flight.insert(number, counterpart.pending.take());
+            let confirm = counterpart.first_unconfirmed.is_some();
+            counterpart.in_flight.insert(number, counterpart.first_unconfirmed.take());
             let refreshed = std::mem::take(&mut counterpart.refreshed).into_iter();
             batches.push(Batch {
                 to: counterpart.voter.clone(),
                 number,
                 changed: std::mem::take(&mut counterpart.changed).into_values().collect(),
                 refreshed: refreshed.map(|(id, sequence)| Refresh { id, sequence }).collect(),
-                confirm,
+                needs_confirmation: confirm,
             });
         }
         batches
@@ -136,75 +136,79 @@
 
     /// A batch was answered over this connection, and the relays there have applied what was told. A connection
     /// not seen before may lead to a keeper that has started again and knows nothing: what it confirmed is void.
-    pub fn answered(&mut self, disk: DiskId, number: BatchNumber, connection: Connection) {
-        let Some(counterpart) = self.counterparts.get_mut(&disk) else { return };
+    pub fn handle_reply(&mut self, disk: DiskId, number: BatchNumber, connection: Connection) {
+        let Some(counterpart) = self.peers.get_mut(&disk) else { return };
         counterpart.in_flight.remove(&number);
         counterpart.is_reachable = true;
         if counterpart.connection.replace(connection).is_some_and(|before| before != connection) {
-            counterpart.needs_whole = true;
-            counterpart.pending = Some(ChangeNumber::default());
+            counterpart.needs_snapshot = true;
+            counterpart.first_unconfirmed = Some(ChangeNumber::default());
         }
     }
 
     /// A batch was answered over this connection, but some relay there has not applied what was told. It need
     /// not be told again; whether it is applied is asked again with the next regular batch.
-    pub fn not_applied(&mut self, disk: DiskId, number: BatchNumber, connection: Connection) {
-        let Some(counterpart) = self.counterparts.get_mut(&disk) else { return };
+    pub fn handle_not_applied(&mut self, disk: DiskId, number: BatchNumber, connection: Connection) {
+        let Some(counterpart) = self.peers.get_mut(&disk) else { return };
         let unconfirmed = counterpart.in_flight.get(&number).copied().flatten();
-        self.answered(disk, number, connection);
-        let Some(counterpart) = self.counterparts.get_mut(&disk) else { return };
-        counterpart.pending = [counterpart.pending, unconfirmed].into_iter().flatten().min();
+        self.handle_reply(disk, number, connection);
+        let Some(counterpart) = self.peers.get_mut(&disk) else { return };
+        counterpart.first_unconfirmed =
+            [counterpart.first_unconfirmed, unconfirmed].into_iter().flatten().min();
     }
 
     /// A batch was not answered: all it said has to be said again.
-    pub fn failed(&mut self, disk: DiskId, number: BatchNumber) {
-        let Some(counterpart) = self.counterparts.get_mut(&disk) else { return };
+    pub fn handle_failure(&mut self, disk: DiskId, number: BatchNumber) {
+        let Some(counterpart) = self.peers.get_mut(&disk) else { return };
         let unconfirmed = counterpart.in_flight.remove(&number).flatten();
-        counterpart.pending = [counterpart.pending, unconfirmed].into_iter().flatten().min();
+        counterpart.first_unconfirmed =
+            [counterpart.first_unconfirmed, unconfirmed].into_iter().flatten().min();
         counterpart.is_reachable = false;
-        counterpart.needs_whole = true;
+        counterpart.needs_snapshot = true;
     }
 
     /// Whether every keeper that can be reached has confirmed all changes up to `number`. Besides those that
     /// answer, those count that were heard of a short while ago.
-    pub fn have_confirmed(&self, number: ChangeNumber, is_heard: impl Fn(DiskId) -> bool) -> bool {
-        self.counterparts
+    pub fn is_confirmed_by_reachable_peers(
+        &self, number: ChangeNumber, is_heard: impl Fn(DiskId) -> bool,
+    ) -> bool {
+        self.peers
             .values()
             .filter(|counterpart| counterpart.is_reachable || is_heard(counterpart.voter.disk))
             .all(|counterpart| counterpart.has_confirmed(number))
     }
 
     /// The keepers that have confirmed all changes up to `number`.
-    pub fn confirmed_by(&self, number: ChangeNumber) -> impl Iterator<Item = DiskId> {
-        let confirmed = self.counterparts.values().filter(move |known| known.has_confirmed(number));
+    pub fn confirmed_peers(&self, number: ChangeNumber) -> impl Iterator<Item = DiskId> {
+        let confirmed = self.peers.values().filter(move |known| known.has_confirmed(number));
         confirmed.map(|counterpart| counterpart.voter.disk)
     }
 }
 
-impl<Connection> Counterpart<Connection> {
+impl<Connection> PeerProgress<Connection> {
     fn new(voter: Voter) -> Self {
-        Counterpart {
+        PeerProgress {
             voter,
             changed: BTreeMap::new(),
             refreshed: BTreeMap::new(),
             // It has confirmed nothing, not even what was noted before it came.
-            pending: Some(ChangeNumber::default()),
+            first_unconfirmed: Some(ChangeNumber::default()),
             in_flight: BTreeMap::new(),
-            needs_whole: true,
+            needs_snapshot: true,
             is_reachable: true,
             connection: None,
         }
     }
 
     fn has_confirmed(&self, number: ChangeNumber) -> bool {
-        let waits = self.pending.is_some_and(|pending| pending <= number);
+        let waits = self.first_unconfirmed.is_some_and(|pending| pending <= number);
         let unanswered = self.in_flight.values().flatten().any(|first| *first <= number);
         !waits && !unanswered
     }
 
     fn is_due(&self, regular: bool) -> bool {
-        let has_news = self.needs_whole || !self.changed.is_empty() || !self.refreshed.is_empty();
-        let waits = has_news || self.pending.is_some();
+        let has_news = self.needs_snapshot || !self.changed.is_empty() || !self.refreshed.is_empty();
+        let waits = has_news || self.first_unconfirmed.is_some();
         if !self.is_reachable {
             return regular && waits && self.in_flight.is_empty();
         }
--- a/crates/registry/src/heartbeat.rs
+++ b/crates/registry/src/heartbeat.rs
@@ -11,9 +11,10 @@
 
 /// What is wrong with a body, and where.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Finding {
+pub struct FieldError {
     /// The field; empty for the whole body.
-    pub place: String,
+    #[serde(rename = "place")]
+    pub field: String,
     /// What is wrong with it.
     pub problem: String,
 }
@@ -38,10 +39,10 @@
 /// # Errors
 ///
 /// All that is wrong, each with its field.
-pub fn parse_heartbeat(id: &str, body: &[u8]) -> Result<Instance, Vec<Finding>> {
+pub fn parse_heartbeat(id: &str, body: &[u8]) -> Result<Instance, Vec<FieldError>> {
     let message: HeartbeatBody = match serde_json::from_slice(body) {
         Ok(message) => message,
-        Err(error) => return Err(vec![finding("", error)]),
+        Err(error) => return Err(vec![field_error("", error)]),
     };
     let mut findings = Vec::new();
     check_text("id", id, &mut findings);
@@ -49,18 +50,18 @@
     check_text("zone", &message.zone, &mut findings);
     let address = message.address.parse::<SocketAddr>();
     if let Err(error) = &address {
-        findings.push(finding("address", error));
+        findings.push(field_error("address", error));
     }
-    let state = state_of(&message.state);
+    let state = parse_state(&message.state);
     if state.is_none() {
-        findings.push(finding("state", "neither ready nor draining"));
+        findings.push(field_error("state", "neither ready nor draining"));
     }
     if message.sequence.is_none() {
-        findings.push(finding("sequence", "missing"));
+        findings.push(field_error("sequence", "missing"));
     }
     let capacity = message.capacity.unwrap_or(1.0);
     if !(0.0..=f64::from(u32::MAX)).contains(&capacity) {
-        findings.push(finding("capacity", "not a number of requests"));
+        findings.push(field_error("capacity", "not a number of requests"));
     }
     match (address, state, message.sequence) {
         (Ok(address), Some(state), Some(sequence)) if findings.is_empty() => Ok(Instance {
@@ -76,7 +77,7 @@
     }
 }
 
-fn state_of(text: &str) -> Option<InstanceState> {
+fn parse_state(text: &str) -> Option<InstanceState> {
     match text {
         "ready" => Some(InstanceState::Ready),
         "draining" => Some(InstanceState::Draining),
@@ -84,14 +85,14 @@
     }
 }
 
-fn check_text(field: &str, text: &str, findings: &mut Vec<Finding>) {
+fn check_text(field: &str, text: &str, findings: &mut Vec<FieldError>) {
     if text.is_empty() {
-        findings.push(finding(field, "missing or empty"));
+        findings.push(field_error(field, "missing or empty"));
     } else if text.len() > MAX_TEXT_BYTES {
-        findings.push(finding(field, format_args!("longer than {MAX_TEXT_BYTES} bytes")));
+        findings.push(field_error(field, format_args!("longer than {MAX_TEXT_BYTES} bytes")));
     }
 }
 
-fn finding(place: &str, problem: impl ToString) -> Finding {
-    Finding { place: place.to_owned(), problem: problem.to_string() }
+fn field_error(place: &str, problem: impl ToString) -> FieldError {
+    FieldError { field: place.to_owned(), problem: problem.to_string() }
 }
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -11,7 +11,8 @@
 
 pub use contact::{Contact, needed_confirmations};
 pub use exchange::{Batch, BatchNumber, ChangeNumber, Exchange};
-pub use heartbeat::{Finding, parse_heartbeat};
+pub use heartbeat::{FieldError, parse_heartbeat};
 pub use registry::{
-    EXPIRY_HEARTBEATS, HeartbeatOutcome, MAX_INSTANCES, Registry, RegistrySettings, TOMBSTONE_LIFE,
+    EXPIRY_TIMEOUT_HEARTBEATS, HeartbeatOutcome, MAX_INSTANCES, Registry, RegistrySettings,
+    TOMBSTONE_RETENTION,
 };
--- a/crates/registry/tests/contact.rs
+++ b/crates/registry/tests/contact.rs
@@ -36,11 +36,11 @@
     let mut contact = contact();
     let epoch = epoch(5, &[1, 2, 3]);
     for ms in (0..20_000).step_by(150) {
-        contact.heard(at(ms), DiskId(2));
-        contact.heard(at(ms), DiskId(3));
+        contact.record_message(at(ms), DiskId(2));
+        contact.record_message(at(ms), DiskId(3));
         assert!(!contact.has_majority(at(ms), ME, &epoch));
     }
-    assert!(contact.is_heard(at(20_000), DiskId(2)));
+    assert!(contact.has_recent_message(at(20_000), DiskId(2)));
 }
 
 /// Guard: the primary alone does not stand for the majority, not even right after the start.
@@ -48,9 +48,9 @@
 fn a_young_keeper_needs_a_majority_like_any_other() {
     let mut contact = contact();
     let epoch = Epoch { primary: DiskId(2), ..epoch(5, &[1, 2, 3, 4, 5]) };
-    contact.answered(at(10), DiskId(2), at(0), EpochNumber(5));
+    contact.record_reply(at(10), DiskId(2), at(0), EpochNumber(5));
     assert!(!contact.has_majority(at(10), ME, &epoch));
-    contact.answered(at(20), DiskId(3), at(0), EpochNumber(5));
+    contact.record_reply(at(20), DiskId(3), at(0), EpochNumber(5));
     assert!(contact.has_majority(at(20), ME, &epoch));
 }
 
@@ -59,7 +59,7 @@
     let mut contact = contact();
     let epoch = epoch(5, &[1, 2, 3]);
     assert!(!contact.has_majority(at(0), ME, &epoch));
-    contact.answered(at(5), DiskId(3), at(0), EpochNumber(5));
+    contact.record_reply(at(5), DiskId(3), at(0), EpochNumber(5));
     assert!(contact.has_majority(at(5), ME, &epoch));
 }
 
@@ -67,7 +67,7 @@
 fn contact_ends_when_the_window_is_over() {
     let mut contact = contact();
     let epoch = epoch(5, &[1, 2, 3]);
-    contact.answered(at(105), DiskId(2), at(100), EpochNumber(5));
+    contact.record_reply(at(105), DiskId(2), at(100), EpochNumber(5));
     assert!(contact.has_majority(at(100 + WINDOW_MS), ME, &epoch));
     assert!(!contact.has_majority(at(101 + WINDOW_MS), ME, &epoch));
 }
@@ -77,7 +77,7 @@
 fn an_answer_that_comes_late_proves_nothing_about_the_present() {
     let mut contact = contact();
     let epoch = epoch(5, &[1, 2, 3]);
-    contact.answered(at(20_000), DiskId(2), at(100), EpochNumber(5));
+    contact.record_reply(at(20_000), DiskId(2), at(100), EpochNumber(5));
     assert!(!contact.has_majority(at(20_000), ME, &epoch));
 }
 
@@ -85,8 +85,8 @@
 fn an_older_answer_does_not_replace_a_newer_one() {
     let mut contact = contact();
     let epoch = epoch(5, &[1, 2, 3]);
-    contact.answered(at(1_010), DiskId(2), at(1_000), EpochNumber(5));
-    contact.answered(at(1_020), DiskId(2), at(100), EpochNumber(5));
+    contact.record_reply(at(1_010), DiskId(2), at(1_000), EpochNumber(5));
+    contact.record_reply(at(1_020), DiskId(2), at(100), EpochNumber(5));
     assert!(contact.has_majority(at(2_000), ME, &epoch));
 }
 
@@ -94,7 +94,7 @@
 #[test]
 fn a_keeper_that_is_behind_the_others_has_no_contact_until_it_knows_their_epoch() {
     let mut contact = contact();
-    contact.answered(at(10), DiskId(2), at(0), EpochNumber(6));
+    contact.record_reply(at(10), DiskId(2), at(0), EpochNumber(6));
     assert!(!contact.has_majority(at(10), ME, &epoch(5, &[1, 2, 3])));
     assert!(contact.has_majority(at(20), ME, &epoch(6, &[1, 2, 4])));
     assert!(!contact.has_majority(at(20), ME, &epoch(6, &[1, 3, 4])));
@@ -105,9 +105,9 @@
 fn a_change_of_voters_that_is_not_settled_needs_both_majorities() {
     let mut contact = contact();
     let unsettled = Epoch { previous_voters: voters(&[1, 4, 5]), ..epoch(5, &[1, 2, 3]) };
-    contact.answered(at(10), DiskId(2), at(0), EpochNumber(5));
+    contact.record_reply(at(10), DiskId(2), at(0), EpochNumber(5));
     assert!(!contact.has_majority(at(10), ME, &unsettled));
-    contact.answered(at(10), DiskId(4), at(0), EpochNumber(5));
+    contact.record_reply(at(10), DiskId(4), at(0), EpochNumber(5));
     assert!(contact.has_majority(at(10), ME, &unsettled));
 }
 
@@ -115,9 +115,9 @@
 fn a_keeper_that_does_not_vote_counts_only_the_others() {
     let mut contact = contact();
     let epoch = epoch(5, &[2, 3, 4]);
-    contact.answered(at(10), DiskId(2), at(0), EpochNumber(5));
+    contact.record_reply(at(10), DiskId(2), at(0), EpochNumber(5));
     assert!(!contact.has_majority(at(10), ME, &epoch));
-    contact.answered(at(10), DiskId(3), at(0), EpochNumber(5));
+    contact.record_reply(at(10), DiskId(3), at(0), EpochNumber(5));
     assert!(contact.has_majority(at(10), ME, &epoch));
 }
 
@@ -131,7 +131,7 @@
 fn what_is_remembered_is_bounded() {
     let mut contact = contact();
     for disk in 0..10_000 {
-        contact.answered(at(disk * 10), DiskId(disk), at(disk * 10), EpochNumber(5));
+        contact.record_reply(at(disk * 10), DiskId(disk), at(disk * 10), EpochNumber(5));
     }
     assert!(contact.len() <= 257);
 }
@@ -161,12 +161,12 @@
     let mut contact = contact();
     let epoch = epoch(5, &[1, 2, 3, 4, 5]);
     for (disk, asked_ms) in [(2, 100), (3, 300), (4, 900)] {
-        contact.answered(at(1_000), DiskId(disk), at(asked_ms), EpochNumber(5));
+        contact.record_reply(at(1_000), DiskId(disk), at(asked_ms), EpochNumber(5));
     }
-    assert_eq!(contact.confirmed_at(at(1_000), ME, &epoch), Some(at(300)));
-    assert_eq!(contact.confirmed_at(at(1_600), ME, &epoch), None);
+    assert_eq!(contact.confirmed_until(at(1_000), ME, &epoch), Some(at(300)));
+    assert_eq!(contact.confirmed_until(at(1_600), ME, &epoch), None);
     let alone = Epoch { voters: voters(&[1]), ..epoch.clone() };
-    assert_eq!(contact.confirmed_at(at(1_600), ME, &alone), Some(at(1_600)));
+    assert_eq!(contact.confirmed_until(at(1_600), ME, &alone), Some(at(1_600)));
 }
 
 /// Guard: while an epoch is not settled, the voters before it count too.
@@ -174,8 +174,8 @@
 fn contact_with_both_sets_of_voters_is_proved_up_to_the_older_question() {
     let mut contact = contact();
     let epoch = Epoch { previous_voters: voters(&[1, 4, 5]), ..epoch(5, &[1, 2, 3]) };
-    contact.answered(at(1_000), DiskId(2), at(900), EpochNumber(5));
-    assert_eq!(contact.confirmed_at(at(1_000), ME, &epoch), None);
-    contact.answered(at(1_000), DiskId(4), at(400), EpochNumber(5));
-    assert_eq!(contact.confirmed_at(at(1_000), ME, &epoch), Some(at(400)));
+    contact.record_reply(at(1_000), DiskId(2), at(900), EpochNumber(5));
+    assert_eq!(contact.confirmed_until(at(1_000), ME, &epoch), None);
+    contact.record_reply(at(1_000), DiskId(4), at(400), EpochNumber(5));
+    assert_eq!(contact.confirmed_until(at(1_000), ME, &epoch), Some(at(400)));
 }
--- a/crates/registry/tests/exchange.rs
+++ b/crates/registry/tests/exchange.rs
@@ -37,7 +37,7 @@
 impl Trace {
     fn new() -> Self {
         let mut exchange = Exchange::default();
-        exchange.set_keepers(&[voter(2)]);
+        exchange.set_peers(&[voter(2)]);
         Trace { exchange, known: Vec::new() }
     }
 
@@ -45,18 +45,18 @@
     fn in_contact() -> Self {
         let mut trace = Trace::new();
         let first = trace.batch(true).unwrap();
-        trace.exchange.answered(DiskId(2), first.number, FIRST_CONNECTION);
+        trace.exchange.handle_reply(DiskId(2), first.number, FIRST_CONNECTION);
         trace
     }
 
     fn change(&mut self, id: &str) -> ChangeNumber {
         self.known.push(instance(id));
-        self.exchange.note_changed(&[instance(id)])
+        self.exchange.record_changes(&[instance(id)])
     }
 
     fn batch(&mut self, regular: bool) -> Option<Batch> {
         let known = &self.known;
-        let batches = self.exchange.batches(regular, || known.iter().collect());
+        let batches = self.exchange.next_batches(regular, || known.iter().collect());
         assert!(batches.len() <= 1);
         batches.into_iter().next()
     }
@@ -70,17 +70,17 @@
 fn a_keeper_of_which_nothing_is_known_yet_has_not_confirmed() {
     let mut trace = Trace::new();
     let change = trace.change("a");
-    assert!(!trace.exchange.have_confirmed(change, NOBODY_HEARD));
+    assert!(!trace.exchange.is_confirmed_by_reachable_peers(change, NOBODY_HEARD));
     let batch = trace.batch(false).expect("changes go at once");
-    assert!(!trace.exchange.have_confirmed(change, NOBODY_HEARD));
-    trace.exchange.answered(DiskId(2), batch.number, FIRST_CONNECTION);
-    assert!(trace.exchange.have_confirmed(change, NOBODY_HEARD));
+    assert!(!trace.exchange.is_confirmed_by_reachable_peers(change, NOBODY_HEARD));
+    trace.exchange.handle_reply(DiskId(2), batch.number, FIRST_CONNECTION);
+    assert!(trace.exchange.is_confirmed_by_reachable_peers(change, NOBODY_HEARD));
 }
 
 #[test]
 fn changes_go_at_once_and_the_rest_regularly() {
     let mut trace = Trace::in_contact();
-    trace.exchange.note_refreshed(&Refresh { id: "a".into(), sequence: 2 });
+    trace.exchange.record_refresh(&Refresh { id: "a".into(), sequence: 2 });
     assert_eq!(trace.batch(false), None);
     assert_eq!(trace.batch(true).unwrap().refreshed, [Refresh { id: "a".into(), sequence: 2 }]);
     trace.change("b");
@@ -95,22 +95,22 @@
     let first = trace.batch(false).unwrap();
     let two = trace.change("b");
     let second = trace.batch(false).unwrap();
-    trace.exchange.answered(DiskId(2), second.number, FIRST_CONNECTION);
-    assert!(!trace.exchange.have_confirmed(two, NOBODY_HEARD));
-    trace.exchange.answered(DiskId(2), first.number, FIRST_CONNECTION);
-    assert!(trace.exchange.have_confirmed(one, NOBODY_HEARD));
-    assert!(trace.exchange.have_confirmed(two, NOBODY_HEARD));
+    trace.exchange.handle_reply(DiskId(2), second.number, FIRST_CONNECTION);
+    assert!(!trace.exchange.is_confirmed_by_reachable_peers(two, NOBODY_HEARD));
+    trace.exchange.handle_reply(DiskId(2), first.number, FIRST_CONNECTION);
+    assert!(trace.exchange.is_confirmed_by_reachable_peers(one, NOBODY_HEARD));
+    assert!(trace.exchange.is_confirmed_by_reachable_peers(two, NOBODY_HEARD));
 }
 
 #[test]
 fn the_answer_to_a_regular_batch_does_not_confirm_a_later_change() {
     let mut trace = Trace::in_contact();
-    trace.exchange.note_refreshed(&Refresh { id: "a".into(), sequence: 2 });
+    trace.exchange.record_refresh(&Refresh { id: "a".into(), sequence: 2 });
     let regular = trace.batch(true).unwrap();
     let change = trace.change("b");
     trace.batch(false).unwrap();
-    trace.exchange.answered(DiskId(2), regular.number, FIRST_CONNECTION);
-    assert!(!trace.exchange.have_confirmed(change, NOBODY_HEARD));
+    trace.exchange.handle_reply(DiskId(2), regular.number, FIRST_CONNECTION);
+    assert!(!trace.exchange.is_confirmed_by_reachable_peers(change, NOBODY_HEARD));
 }
 
 #[test]
@@ -118,14 +118,17 @@
     let mut trace = Trace::in_contact();
     let change = trace.change("a");
     let lost = trace.batch(false).unwrap();
-    trace.exchange.failed(DiskId(2), lost.number);
+    trace.exchange.handle_failure(DiskId(2), lost.number);
     assert_eq!(trace.batch(false), None, "one that does not answer is tried with the regular ones only");
-    assert!(trace.exchange.have_confirmed(change, NOBODY_HEARD), "nobody waits for one out of reach");
-    assert!(!trace.exchange.have_confirmed(change, |_| true), "but for one that is heard");
+    assert!(
+        trace.exchange.is_confirmed_by_reachable_peers(change, NOBODY_HEARD),
+        "nobody waits for one out of reach"
+    );
+    assert!(!trace.exchange.is_confirmed_by_reachable_peers(change, |_| true), "but for one that is heard");
     let again = trace.batch(true).unwrap();
     assert_eq!(ids(&again), ["a"]);
-    trace.exchange.answered(DiskId(2), again.number, FIRST_CONNECTION);
-    assert!(trace.exchange.have_confirmed(change, |_| true));
+    trace.exchange.handle_reply(DiskId(2), again.number, FIRST_CONNECTION);
+    assert!(trace.exchange.is_confirmed_by_reachable_peers(change, |_| true));
 }
 
 #[test]
@@ -133,10 +136,10 @@
     let mut trace = Trace::in_contact();
     trace.change("a");
     let batch = trace.batch(false).unwrap();
-    trace.exchange.answered(DiskId(2), batch.number, FIRST_CONNECTION);
+    trace.exchange.handle_reply(DiskId(2), batch.number, FIRST_CONNECTION);
     trace.change("b");
     let batch = trace.batch(false).unwrap();
-    trace.exchange.answered(DiskId(2), batch.number, FIRST_CONNECTION + 1);
+    trace.exchange.handle_reply(DiskId(2), batch.number, FIRST_CONNECTION + 1);
     assert_eq!(ids(&trace.batch(true).unwrap()), ["a", "b"]);
 }
 
@@ -144,15 +147,15 @@
 fn a_keeper_that_is_no_voter_any_more_is_not_waited_for() {
     let mut trace = Trace::in_contact();
     let change = trace.change("a");
-    trace.exchange.set_keepers(&[voter(3)]);
+    trace.exchange.set_peers(&[voter(3)]);
     let batch = trace.batch(true).unwrap();
     assert_eq!((batch.to.disk, ids(&batch)), (DiskId(3), vec!["a"]));
-    trace.exchange.answered(DiskId(3), batch.number, FIRST_CONNECTION);
-    assert!(trace.exchange.have_confirmed(change, NOBODY_HEARD));
+    trace.exchange.handle_reply(DiskId(3), batch.number, FIRST_CONNECTION);
+    assert!(trace.exchange.is_confirmed_by_reachable_peers(change, NOBODY_HEARD));
 }
 
 fn confirmed_by(exchange: &Exchange<u32>, change: ChangeNumber) -> Vec<DiskId> {
-    exchange.confirmed_by(change).collect()
+    exchange.confirmed_peers(change).collect()
 }
 
 /// Guard: a counterpart starts with everything unconfirmed.
@@ -160,11 +163,11 @@
 fn a_keeper_that_came_after_a_change_has_not_confirmed_it() {
     let mut trace = Trace::in_contact();
     let change = trace.change("a");
-    trace.exchange.set_keepers(&[voter(3)]);
+    trace.exchange.set_peers(&[voter(3)]);
     assert_eq!(confirmed_by(&trace.exchange, change), []);
     let batch = trace.batch(true).unwrap();
-    assert!(batch.confirm);
-    trace.exchange.answered(DiskId(3), batch.number, FIRST_CONNECTION);
+    assert!(batch.needs_confirmation);
+    trace.exchange.handle_reply(DiskId(3), batch.number, FIRST_CONNECTION);
     assert_eq!(confirmed_by(&trace.exchange, change), [DiskId(3)]);
 }
 
@@ -173,8 +176,8 @@
     let mut trace = Trace::in_contact();
     let change = trace.change("a");
     let lost = trace.batch(false).unwrap();
-    trace.exchange.failed(DiskId(2), lost.number);
-    assert!(trace.exchange.have_confirmed(change, NOBODY_HEARD));
+    trace.exchange.handle_failure(DiskId(2), lost.number);
+    assert!(trace.exchange.is_confirmed_by_reachable_peers(change, NOBODY_HEARD));
     assert_eq!(confirmed_by(&trace.exchange, change), []);
 }
 
@@ -185,14 +188,14 @@
     let mut trace = Trace::in_contact();
     let change = trace.change("a");
     let batch = trace.batch(false).unwrap();
-    assert!(batch.confirm);
-    trace.exchange.not_applied(DiskId(2), batch.number, FIRST_CONNECTION);
+    assert!(batch.needs_confirmation);
+    trace.exchange.handle_not_applied(DiskId(2), batch.number, FIRST_CONNECTION);
     assert_eq!(confirmed_by(&trace.exchange, change), []);
-    assert!(!trace.exchange.have_confirmed(change, NOBODY_HEARD));
+    assert!(!trace.exchange.is_confirmed_by_reachable_peers(change, NOBODY_HEARD));
     assert_eq!(trace.batch(false), None);
     let again = trace.batch(true).expect("asked about again");
-    assert_eq!((ids(&again), again.confirm), (vec![], true));
-    trace.exchange.answered(DiskId(2), again.number, FIRST_CONNECTION);
+    assert_eq!((ids(&again), again.needs_confirmation), (vec![], true));
+    trace.exchange.handle_reply(DiskId(2), again.number, FIRST_CONNECTION);
     assert_eq!(confirmed_by(&trace.exchange, change), [DiskId(2)]);
 }
 
@@ -202,11 +205,11 @@
     let mut trace = Trace::in_contact();
     let change = trace.change("a");
     let batch = trace.batch(false).unwrap();
-    trace.exchange.answered(DiskId(2), batch.number, FIRST_CONNECTION);
+    trace.exchange.handle_reply(DiskId(2), batch.number, FIRST_CONNECTION);
     assert_eq!(confirmed_by(&trace.exchange, change), [DiskId(2)]);
-    trace.exchange.note_refreshed(&Refresh { id: "a".into(), sequence: 2 });
+    trace.exchange.record_refresh(&Refresh { id: "a".into(), sequence: 2 });
     let regular = trace.batch(true).unwrap();
-    assert!(!regular.confirm, "refreshes alone need no confirmation");
-    trace.exchange.answered(DiskId(2), regular.number, FIRST_CONNECTION + 1);
+    assert!(!regular.needs_confirmation, "refreshes alone need no confirmation");
+    trace.exchange.handle_reply(DiskId(2), regular.number, FIRST_CONNECTION + 1);
     assert_eq!(confirmed_by(&trace.exchange, change), []);
 }
--- a/crates/registry/tests/registry.rs
+++ b/crates/registry/tests/registry.rs
@@ -3,7 +3,9 @@
 use juniperwing_clock::{Span, Time};
 use juniperwing_protocol::InstanceId;
 use juniperwing_protocol::registry::{Instance, InstanceState, Refresh};
-use juniperwing_registry::{HeartbeatOutcome, Registry, RegistrySettings, TOMBSTONE_LIFE, parse_heartbeat};
+use juniperwing_registry::{
+    HeartbeatOutcome, Registry, RegistrySettings, TOMBSTONE_RETENTION, parse_heartbeat,
+};
 use proptest::prelude::*;
 
 const HEARTBEAT_MS: u64 = 1_000;
@@ -13,7 +15,8 @@
 }
 
 fn registry() -> Registry {
-    let settings = RegistrySettings { heartbeat: Span::from_millis(HEARTBEAT_MS), max_instances: 10 };
+    let settings =
+        RegistrySettings { heartbeat_interval: Span::from_millis(HEARTBEAT_MS), max_instances: 10 };
     Registry::new(at(0), settings)
 }
 
@@ -48,24 +51,27 @@
 #[test]
 fn the_first_heartbeat_is_news_and_the_next_is_not() {
     let mut registry = registry();
-    assert_eq!(registry.heartbeat(at(0), ready("a", 1)), HeartbeatOutcome::Changed(vec![ready("a", 1)]));
-    assert_eq!(registry.heartbeat(at(1), ready("a", 2)), HeartbeatOutcome::Refreshed(refresh("a", 2)));
+    assert_eq!(
+        registry.handle_heartbeat(at(0), ready("a", 1)),
+        HeartbeatOutcome::Changed(vec![ready("a", 1)])
+    );
+    assert_eq!(registry.handle_heartbeat(at(1), ready("a", 2)), HeartbeatOutcome::Refreshed(refresh("a", 2)));
 }
 
 #[test]
 fn a_late_heartbeat_changes_nothing() {
     let mut registry = registry();
-    registry.heartbeat(at(0), ready("a", 5));
-    assert_eq!(registry.heartbeat(at(1), ready("a", 4)), HeartbeatOutcome::Late);
+    registry.handle_heartbeat(at(0), ready("a", 5));
+    assert_eq!(registry.handle_heartbeat(at(1), ready("a", 4)), HeartbeatOutcome::Stale);
     assert_eq!(registry.get(&"a".into()).unwrap().sequence, 5);
 }
 
 #[test]
 fn a_drain_is_final_within_a_life() {
     let mut registry = registry();
-    registry.heartbeat(at(0), ready("a", 1));
-    assert!(matches!(registry.heartbeat(at(1), draining("a", 2)), HeartbeatOutcome::Changed(_)));
-    assert_eq!(registry.heartbeat(at(2), ready("a", 9)), HeartbeatOutcome::Late);
+    registry.handle_heartbeat(at(0), ready("a", 1));
+    assert!(matches!(registry.handle_heartbeat(at(1), draining("a", 2)), HeartbeatOutcome::Changed(_)));
+    assert_eq!(registry.handle_heartbeat(at(2), ready("a", 9)), HeartbeatOutcome::Stale);
     assert_eq!(state_of(&registry, "a"), Some(InstanceState::Draining));
     assert!(registry.merge(at(3), vec![ready("a", 10)], &[refresh("a", 11)]).is_empty());
     assert_eq!(state_of(&registry, "a"), Some(InstanceState::Draining));
@@ -74,39 +80,42 @@
 #[test]
 fn an_end_leaves_a_tombstone_for_longer_than_a_late_call_takes() {
     let mut registry = registry();
-    registry.heartbeat(at(0), ready("a", 1));
-    assert_eq!(registry.remove(at(1), &"a".into()).map(|gone| gone.state), Some(InstanceState::Terminated));
-    assert_eq!(registry.remove(at(2), &"a".into()), None);
-    assert_eq!(registry.heartbeat(at(3), ready("a", 2)), HeartbeatOutcome::Late);
+    registry.handle_heartbeat(at(0), ready("a", 1));
+    assert_eq!(
+        registry.deregister(at(1), &"a".into()).map(|gone| gone.state),
+        Some(InstanceState::Terminated)
+    );
+    assert_eq!(registry.deregister(at(2), &"a".into()), None);
+    assert_eq!(registry.handle_heartbeat(at(3), ready("a", 2)), HeartbeatOutcome::Stale);
     registry.expire(at(59_000), at(59_000));
     assert_eq!(state_of(&registry, "a"), Some(InstanceState::Terminated));
-    registry.expire(at(1) + TOMBSTONE_LIFE, at(1) + TOMBSTONE_LIFE);
+    registry.expire(at(1) + TOMBSTONE_RETENTION, at(1) + TOMBSTONE_RETENTION);
     assert!(registry.is_empty());
 }
 
 #[test]
 fn an_end_before_any_heartbeat_is_remembered_too() {
     let mut registry = registry();
-    assert!(registry.remove(at(0), &"a".into()).is_some());
-    assert_eq!(registry.heartbeat(at(1), ready("a", 1)), HeartbeatOutcome::Late);
+    assert!(registry.deregister(at(0), &"a".into()).is_some());
+    assert_eq!(registry.handle_heartbeat(at(1), ready("a", 1)), HeartbeatOutcome::Stale);
 }
 
 #[test]
 fn silence_expires_and_a_later_heartbeat_brings_back() {
     let mut registry = registry();
-    registry.heartbeat(at(0), ready("a", 1));
+    registry.handle_heartbeat(at(0), ready("a", 1));
     assert!(registry.expire(at(2_999), at(2_999)).is_empty());
     assert_eq!(registry.expire(at(3_000), at(3_000))[0].state, InstanceState::Expired);
     assert!(registry.expire(at(3_100), at(3_100)).is_empty());
-    assert_eq!(registry.heartbeat(at(3_200), ready("a", 1)), HeartbeatOutcome::Late);
-    assert!(matches!(registry.heartbeat(at(3_300), ready("a", 2)), HeartbeatOutcome::Changed(_)));
+    assert_eq!(registry.handle_heartbeat(at(3_200), ready("a", 1)), HeartbeatOutcome::Stale);
+    assert!(matches!(registry.handle_heartbeat(at(3_300), ready("a", 2)), HeartbeatOutcome::Changed(_)));
     assert_eq!(state_of(&registry, "a"), Some(InstanceState::Ready));
 }
 
 #[test]
 fn what_another_keeper_hears_keeps_an_instance() {
     let mut registry = registry();
-    registry.heartbeat(at(0), ready("a", 1));
+    registry.handle_heartbeat(at(0), ready("a", 1));
     assert!(registry.merge(at(2_000), Vec::new(), &[refresh("a", 3)]).is_empty());
     assert!(registry.expire(at(4_000), at(4_000)).is_empty());
     assert_eq!(registry.expire(at(5_000), at(5_000)).len(), 1);
@@ -117,8 +126,8 @@
 #[test]
 fn silence_does_not_count_while_cut_off() {
     let mut registry = registry();
-    registry.heartbeat(at(0), ready("a", 1));
-    registry.restart_silence(at(10_000));
+    registry.handle_heartbeat(at(0), ready("a", 1));
+    registry.restart_timeouts(at(10_000));
     assert!(registry.expire(at(12_900), at(12_900)).is_empty());
     assert_eq!(registry.expire(at(13_000), at(13_000)).len(), 1);
 }
@@ -127,7 +136,7 @@
 #[test]
 fn silence_counts_only_while_contact_is_proved() {
     let mut registry = registry();
-    registry.heartbeat(at(0), ready("a", 1));
+    registry.handle_heartbeat(at(0), ready("a", 1));
     assert!(registry.expire(at(3_900), at(2_900)).is_empty());
     assert_eq!(registry.expire(at(3_900), at(3_000)).len(), 1);
 }
@@ -137,8 +146,8 @@
 #[test]
 fn an_expiry_told_by_a_keeper_that_missed_heartbeats_is_contradicted() {
     let mut registry = registry();
-    registry.heartbeat(at(0), ready("a", 1));
-    registry.heartbeat(at(1_000), ready("a", 2));
+    registry.handle_heartbeat(at(0), ready("a", 1));
+    registry.handle_heartbeat(at(1_000), ready("a", 2));
     let expired = instance("a", 1, InstanceState::Expired, 1);
     let news = registry.merge(at(1_100), vec![expired.clone()], &[]);
     assert_eq!(news.len(), 1);
@@ -151,8 +160,8 @@
 #[test]
 fn an_address_taken_by_a_newer_instance_ends_the_older_one() {
     let mut registry = registry();
-    registry.heartbeat(at(0), ready("a", 1));
-    registry.heartbeat(at(2_500), ready("b", 1));
+    registry.handle_heartbeat(at(0), ready("a", 1));
+    registry.handle_heartbeat(at(2_500), ready("b", 1));
     assert_eq!(state_of(&registry, "a"), Some(InstanceState::Terminated));
     assert_eq!(state_of(&registry, "b"), Some(InstanceState::Ready));
 }
@@ -160,9 +169,9 @@
 #[test]
 fn a_late_call_of_the_older_one_does_not_end_the_newer_one() {
     let mut registry = registry();
-    registry.heartbeat(at(0), ready("a", 1));
-    registry.heartbeat(at(2_500), ready("b", 1));
-    assert_eq!(registry.heartbeat(at(2_600), ready("a", 2)), HeartbeatOutcome::Late);
+    registry.handle_heartbeat(at(0), ready("a", 1));
+    registry.handle_heartbeat(at(2_500), ready("b", 1));
+    assert_eq!(registry.handle_heartbeat(at(2_600), ready("a", 2)), HeartbeatOutcome::Stale);
     assert_eq!(state_of(&registry, "b"), Some(InstanceState::Ready));
 }
 
@@ -171,9 +180,9 @@
     let mut registry = registry();
     for port in 0..10 {
         let id = format!("i-{port}");
-        registry.heartbeat(at(0), instance(&id, port, InstanceState::Ready, 1));
+        registry.handle_heartbeat(at(0), instance(&id, port, InstanceState::Ready, 1));
     }
-    assert_eq!(registry.heartbeat(at(1), ready("more", 1)), HeartbeatOutcome::Full);
+    assert_eq!(registry.handle_heartbeat(at(1), ready("more", 1)), HeartbeatOutcome::Full);
     assert!(registry.merge(at(1), vec![ready("more", 1)], &[]).is_empty());
     assert_eq!(registry.len(), 10);
 }
@@ -189,7 +198,7 @@
 #[test]
 fn it_is_not_complete_until_two_heartbeats_after_it_was_cut_off() {
     let mut registry = registry();
-    registry.restart_silence(at(20_000));
+    registry.restart_timeouts(at(20_000));
     assert!(!registry.is_complete(at(21_999)));
     assert!(registry.is_complete(at(22_000)));
 }
@@ -200,7 +209,7 @@
         "state":"ready","warmupRemainingMs":0,"stage":"both","models":[{"name":"m"}],"sequence":7}"#;
     assert_eq!(parse_heartbeat("a", body), Ok(ready("a", 7)));
     let findings = parse_heartbeat("a", br#"{"address":"here","state":"asleep","capacity":-1}"#).unwrap_err();
-    let places: Vec<&str> = findings.iter().map(|finding| finding.place.as_str()).collect();
+    let places: Vec<&str> = findings.iter().map(|finding| finding.field.as_str()).collect();
     assert_eq!(places, ["backend", "zone", "address", "state", "sequence", "capacity"]);
     assert!(parse_heartbeat("a", b"[").is_err());
     assert!(parse_heartbeat("a", br#"{"sequence":-1}"#).is_err());
@@ -223,10 +232,10 @@
         let (mut one, mut other) = (registry(), registry());
         for (call, first) in calls {
             let keeper = if first { &mut one } else { &mut other };
-            keeper.heartbeat(at(1), call);
+            keeper.handle_heartbeat(at(1), call);
         }
         if ends {
-            one.remove(at(1), &"a".into());
+            one.deregister(at(1), &"a".into());
         }
         let told: Vec<Instance> = one.instances().cloned().collect();
         other.merge(at(2), told, &[]);
