--- a/crates/balancing/benches/choice.rs
+++ b/crates/balancing/benches/choice.rs
@@ -4,7 +4,8 @@
 
 use criterion::{BenchmarkId, Criterion};
 use juniperwing_balancing::{
-    Admission, Ask, Balancer, Bounds, Destination, Ending, EndpointInfo, PromptPart,
+    Admission, Balancer, BalancerLimits, CallOutcome, Destination, EndpointInfo, PlacementRequest,
+    PromptSection,
 };
 use juniperwing_clock::{Span, Time};
 use juniperwing_protocol::identity::{InstanceId, ProgramId, ServiceName};
@@ -14,7 +15,7 @@
 const NOW: Time = Time::from_nanos(100_000_000_000);
 
 fn balancer(endpoints: usize) -> Balancer {
-    let mut balancer = Balancer::new("a".into(), 7, Bounds::default());
+    let mut balancer = Balancer::new("a".into(), 7, BalancerLimits::default());
     for number in 0..endpoints {
         balancer.insert(&EndpointInfo {
             id: InstanceId::from(format!("i-{number}").as_str()),
@@ -26,13 +27,13 @@
     balancer
 }
 
-fn turn() -> Ask {
-    Ask {
+fn turn() -> PlacementRequest {
+    PlacementRequest {
         destination: Destination { service: ServiceName::from("s"), host: "h".into(), prefix: "/".into() },
         priority: 0,
         excluded: Vec::new(),
-        prompt: (1..=3).map(|id| PromptPart { id, tokens: 1_000 }).collect(),
-        new_share: 0.2,
+        prompt: (1..=3).map(|id| PromptSection { id, tokens: 1_000 }).collect(),
+        new_prompt_fraction: 0.2,
         hint: None,
         program: Some(ProgramId::from("p")),
         time_out: Span::from_millis(5_000),
@@ -47,8 +48,8 @@
             bencher.iter(|| {
                 let ask = turn();
                 let destination = ask.destination.clone();
-                if let Admission::Go(id) = balancer.admit(NOW, black_box(ask), Span::ZERO) {
-                    balancer.end(NOW, &destination, &id, Ending::Answered);
+                if let Admission::Granted(id) = balancer.admit(NOW, black_box(ask), Span::ZERO) {
+                    balancer.end(NOW, &destination, &id, CallOutcome::Succeeded);
                 }
             });
         });
--- a/crates/balancing/src/balancer.rs
+++ b/crates/balancing/src/balancer.rs
@@ -7,8 +7,10 @@
 use juniperwing_clock::{Span, Time};
 use juniperwing_protocol::identity::{InstanceId, ProgramId, ServiceName};
 
-use crate::ask::{Admission, Ask, Destination, EndpointInfo, Grant, Refusal, Ticket};
-use crate::endpoint::{Ending, Endpoint, ServerLoad};
+use crate::endpoint::{CallOutcome, Endpoint, ServerLoad};
+use crate::placement_request::{
+    Admission, Destination, EndpointInfo, Grant, PlacementRequest, RejectionReason, Ticket,
+};
 use crate::prompt::{LikelyPart, SharedParts};
 use crate::queue::Queue;
 use crate::service_time::{AgedMean, ServiceTime};
@@ -18,14 +20,14 @@
 
 /// How much a balancer holds.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct BalancerLimits {
     /// Requests that may wait for the endpoints of one service.
-    pub waiting: usize,
+    pub max_queued_per_service: usize,
 }
 
-impl Default for Bounds {
+impl Default for BalancerLimits {
     fn default() -> Self {
-        Bounds { waiting: 256 }
+        BalancerLimits { max_queued_per_service: 256 }
     }
 }
 
@@ -47,7 +49,7 @@
 pub struct Balancer {
     zone: Arc<str>,
     seed: u64,
-    bounds: Bounds,
+    limits: BalancerLimits,
     services: HashMap<ServiceName, Service>,
     /// The service of each endpoint.
     owners: HashMap<InstanceId, ServiceName>,
@@ -57,11 +59,11 @@
 
 impl Balancer {
     /// A balancer without endpoints. `zone` is the relay's own; `seed` breaks ties differently at each relay.
-    pub fn new(zone: Arc<str>, seed: u64, bounds: Bounds) -> Self {
+    pub fn new(zone: Arc<str>, seed: u64, limits: BalancerLimits) -> Self {
         Balancer {
             zone,
             seed,
-            bounds,
+            limits,
             services: HashMap::new(),
             owners: HashMap::new(),
             programs: HashMap::new(),
@@ -100,33 +102,33 @@
     }
 
     /// Chooses an endpoint for a request and takes a slot there, or has it wait.
-    pub fn admit(&mut self, now: Time, ask: Ask, usual: Span) -> Admission {
+    pub fn admit(&mut self, now: Time, ask: PlacementRequest, usual: Span) -> Admission {
         let Some(service) = self.services.get(&ask.destination.service) else {
-            return Admission::Refuse(Refusal::NoEndpoint);
+            return Admission::Rejected(RejectionReason::NoEndpoint);
         };
         if !service.has_endpoint_for(&ask) {
-            return Admission::Refuse(Refusal::NoEndpoint);
+            return Admission::Rejected(RejectionReason::NoEndpoint);
         }
         let nobody_before = !service.queue.all().any(|(_, other)| other.priority <= ask.priority);
         if nobody_before && let Some(id) = self.choose(now, &ask) {
             self.take(now, &ask, &id, usual);
-            return Admission::Go(id);
+            return Admission::Granted(id);
         }
         self.wait(ask)
     }
 
-    fn wait(&mut self, ask: Ask) -> Admission {
+    fn wait(&mut self, ask: PlacementRequest) -> Admission {
         let ticket = Ticket(self.next_ticket);
-        let most = self.bounds.waiting;
+        let most = self.limits.max_queued_per_service;
         let Some(service) = self.services.get_mut(&ask.destination.service) else {
-            return Admission::Refuse(Refusal::NoEndpoint);
+            return Admission::Rejected(RejectionReason::NoEndpoint);
         };
         if service.queue.len() >= most {
-            return Admission::Refuse(Refusal::QueueFull);
+            return Admission::Rejected(RejectionReason::QueueFull);
         }
         self.next_ticket += 1;
         service.queue.push(ticket, ask);
-        Admission::Wait(ticket)
+        Admission::Queued(ticket)
     }
 
     /// A waiting request does not wait any more.
@@ -137,7 +139,7 @@
     }
 
     /// A call has ended. Slots may be free now: see [`Balancer::release`].
-    pub fn end(&mut self, now: Time, destination: &Destination, id: &InstanceId, ending: Ending) {
+    pub fn end(&mut self, now: Time, destination: &Destination, id: &InstanceId, ending: CallOutcome) {
         let Some(service) = self.services.get_mut(&destination.service) else { return };
         service.queue.end(now, destination);
         service.in_flight = service.in_flight.saturating_sub(1);
@@ -158,7 +160,7 @@
     }
 
     /// An endpoint began to answer a call, so long after it was sent: it has read the prompt.
-    pub fn answered(&mut self, ask: &Ask, id: &InstanceId, lasted: Span) {
+    pub fn answered(&mut self, ask: &PlacementRequest, id: &InstanceId, lasted: Span) {
         if ask.prompt.is_empty() {
             return;
         }
@@ -212,7 +214,7 @@
         Some(Grant { ticket, destination: ask.destination, endpoint: Some(id) })
     }
 
-    fn take(&mut self, now: Time, ask: &Ask, id: &InstanceId, usual: Span) {
+    fn take(&mut self, now: Time, ask: &PlacementRequest, id: &InstanceId, usual: Span) {
         let Some(service) = self.services.get_mut(&ask.destination.service) else { return };
         service.queue.begin(now, &ask.destination, usual);
         service.in_flight += 1;
@@ -222,7 +224,7 @@
     }
 
     /// The endpoint with room at which the call adds the least time ([`Rank`]).
-    fn choose(&self, now: Time, ask: &Ask) -> Option<InstanceId> {
+    fn choose(&self, now: Time, ask: &PlacementRequest) -> Option<InstanceId> {
         let service = self.services.get(&ask.destination.service)?;
         let last = last_endpoint(&self.programs, ask);
         let likely = service.likely_parts(ask);
@@ -267,24 +269,30 @@
 
 /// The endpoint that ran the program's turn before: the stores know it better than this relay, through which not all
 /// turns of a program come.
-fn last_endpoint<'a>(programs: &'a HashMap<ProgramId, InstanceId>, ask: &'a Ask) -> Option<&'a InstanceId> {
+fn last_endpoint<'a>(
+    programs: &'a HashMap<ProgramId, InstanceId>, ask: &'a PlacementRequest,
+) -> Option<&'a InstanceId> {
     let known = ask.program.as_ref().and_then(|program| programs.get(program));
     ask.hint.as_ref().or(known)
 }
 
 /// Tokens of a prompt that an endpoint has yet to read. One that ran the turn before has read all but what is new.
-fn unread_tokens(endpoint: &Endpoint, ask: &Ask, prompt: &[LikelyPart], ran_before: bool) -> f64 {
+fn unread_tokens(
+    endpoint: &Endpoint, ask: &PlacementRequest, prompt: &[LikelyPart], ran_before: bool,
+) -> f64 {
     let total: f64 = ask.prompt.iter().map(|part| f64::from(part.tokens)).sum();
     let unread = total - endpoint.parts.kept_tokens(prompt);
-    if ran_before { unread.min(total * ask.new_share) } else { unread }
+    if ran_before { unread.min(total * ask.new_prompt_fraction) } else { unread }
 }
 
 impl Service {
-    fn open_to<'a>(&'a self, ask: &'a Ask) -> impl Iterator<Item = (&'a InstanceId, &'a Endpoint)> {
+    fn open_to<'a>(
+        &'a self, ask: &'a PlacementRequest,
+    ) -> impl Iterator<Item = (&'a InstanceId, &'a Endpoint)> {
         self.endpoints.iter().filter(|(id, _)| !ask.excluded.contains(id))
     }
 
-    fn has_endpoint_for(&self, ask: &Ask) -> bool {
+    fn has_endpoint_for(&self, ask: &PlacementRequest) -> bool {
         self.open_to(ask).next().is_some()
     }
 
@@ -293,7 +301,7 @@
         slots / self.endpoints.len().max(1) as f64
     }
 
-    fn likely_parts(&self, ask: &Ask) -> Vec<LikelyPart> {
+    fn likely_parts(&self, ask: &PlacementRequest) -> Vec<LikelyPart> {
         let own = self.own.get();
         let others_per_own_call = if own > 0.0 { self.others.get() / own } else { 0.0 };
         self.shared_parts.likely(&ask.prompt, others_per_own_call)
--- a/crates/balancing/src/endpoint.rs
+++ b/crates/balancing/src/endpoint.rs
@@ -45,19 +45,19 @@
 
 /// How a call to an endpoint ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum CallOutcome {
     /// With an answer.
-    Answered,
+    Succeeded,
     /// With an answer that says that the endpoint failed.
-    Erred,
+    ServerError,
     /// Nothing came within the time-out.
-    Silent,
+    TimedOut,
     /// It was told to be full.
-    Full,
+    Overloaded,
     /// It broke, or never came up.
     Failed,
     /// The caller gave it up; that says little of the endpoint.
-    Abandoned,
+    Cancelled,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -126,24 +126,24 @@
 
     /// A call has ended; gives back for how long it held its slot, where it was answered. The oldest one out counts as
     /// the one that ended, which leaves the mean as it is.
-    pub(crate) fn end(&mut self, now: Time, ending: Ending) -> Option<Span> {
+    pub(crate) fn end(&mut self, now: Time, ending: CallOutcome) -> Option<Span> {
         let began = self.out.pop_front();
-        if ending != Ending::Abandoned {
-            self.note_trouble(now, ending != Ending::Answered);
+        if ending != CallOutcome::Cancelled {
+            self.note_trouble(now, ending != CallOutcome::Succeeded);
         }
         match ending {
-            Ending::Answered => (self.failures, self.full) = (0, 0),
-            Ending::Full => {
+            CallOutcome::Succeeded => (self.failures, self.full) = (0, 0),
+            CallOutcome::Overloaded => {
                 self.full_until = now + pause(FULL_PAUSE, self.full);
                 self.full = self.full.saturating_add(1);
             }
-            Ending::Failed => {
+            CallOutcome::Failed => {
                 self.failed_until = now + pause(FAILURE_PAUSE, self.failures);
                 self.failures = self.failures.saturating_add(1);
             }
-            Ending::Erred | Ending::Silent | Ending::Abandoned => {}
+            CallOutcome::ServerError | CallOutcome::TimedOut | CallOutcome::Cancelled => {}
         }
-        began.filter(|_| ending == Ending::Answered).map(|began| now.since(began))
+        began.filter(|_| ending == CallOutcome::Succeeded).map(|began| now.since(began))
     }
 
     fn note_trouble(&mut self, now: Time, went_badly: bool) {
--- a/crates/balancing/src/latency.rs
+++ b/crates/balancing/src/latency.rs
@@ -5,15 +5,15 @@
 use juniperwing_clock::{Span, Time};
 use juniperwing_restart::LatencyModel;
 
-use crate::ask::Destination;
+use crate::placement_request::Destination;
 
 /// The latencies of all destinations.
 #[derive(Debug, Default)]
-pub struct Latencies {
+pub struct LatencyModels {
     models: HashMap<Destination, LatencyModel>,
 }
 
-impl Latencies {
+impl LatencyModels {
     /// Takes in how long a try lasted; censored if it was abandoned before its end.
     pub fn record(&mut self, now: Time, destination: &Destination, lasted: Span, censored: bool) {
         match self.models.get_mut(destination) {
@@ -32,7 +32,7 @@
     }
 
     /// The cutoff: whether the time left is no shorter than the fitted median.
-    pub fn worth_trying(&self, destination: &Destination, left: Span) -> bool {
+    pub fn has_time_for_attempt(&self, destination: &Destination, left: Span) -> bool {
         left > Span::ZERO && self.models.get(destination).is_none_or(|model| model.worth_trying(left))
     }
 
--- a/crates/balancing/src/lib.rs
+++ b/crates/balancing/src/lib.rs
@@ -4,16 +4,18 @@
 //! of all services. Requests ask for an endpoint ([`Balancer::admit`]); where all are full they wait in a bounded
 //! queue, and a freed slot goes to the most urgent waiting destination with the least recent slot time.
 
-mod ask;
 mod balancer;
 mod endpoint;
 mod latency;
+mod placement_request;
 mod prompt;
 mod queue;
 mod service_time;
 
-pub use ask::{Admission, Ask, Destination, EndpointInfo, Grant, Refusal, Ticket};
-pub use balancer::{Balancer, Bounds};
-pub use endpoint::{Ending, ServerLoad};
-pub use latency::Latencies;
-pub use prompt::PromptPart;
+pub use balancer::{Balancer, BalancerLimits};
+pub use endpoint::{CallOutcome, ServerLoad};
+pub use latency::LatencyModels;
+pub use placement_request::{
+    Admission, Destination, EndpointInfo, Grant, PlacementRequest, RejectionReason, Ticket,
+};
+pub use prompt::PromptSection;
--- a/crates/balancing/src/ask.rs
+++ b/crates/balancing/src/placement_request.rs
@@ -5,9 +5,9 @@
 use juniperwing_clock::Span;
 use juniperwing_protocol::identity::{InstanceId, ProgramId, ServiceName};
 
-use crate::prompt::PromptPart;
+use crate::prompt::PromptSection;
 
-/// Requests that are alike: those of one route that go to one service. Latencies and slot time are kept of each.
+/// Requests that are alike: those of one route that go to one service. LatencyModels and slot time are kept of each.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Destination {
     /// The service.
@@ -26,7 +26,7 @@
 
 /// A request that wants an endpoint.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct PlacementRequest {
     /// Where it belongs.
     pub destination: Destination,
     /// The rank of its route, 0 first.
@@ -34,9 +34,9 @@
     /// Endpoints that have had it already.
     pub excluded: Vec<InstanceId>,
     /// The parts of its prompt in order; empty for plain requests.
-    pub prompt: Vec<PromptPart>,
+    pub prompt: Vec<PromptSection>,
     /// The share of the prompt that no turn before held, as far as it is known; 1 for a first turn.
-    pub new_share: f64,
+    pub new_prompt_fraction: f64,
     /// The endpoint that ran the turn before.
     pub hint: Option<InstanceId>,
     /// The program that it belongs to.
@@ -49,20 +49,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// The answer to an [`Ask`].
+/// The answer to an [`PlacementRequest`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// It may be sent to this endpoint now; a slot is taken.
-    Go(InstanceId),
+    Granted(InstanceId),
     /// All endpoints are full: it waits for a [`Grant`].
-    Wait(Ticket),
+    Queued(Ticket),
     /// It does not go.
-    Refuse(Refusal),
+    Rejected(RejectionReason),
 }
 
 /// Why a request does not go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum RejectionReason {
     /// No endpoint is ready that has not had the request already.
     NoEndpoint,
     /// Too many wait already.
--- a/crates/balancing/src/prompt.rs
+++ b/crates/balancing/src/prompt.rs
@@ -13,23 +13,23 @@
 
 /// A part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PromptPart {
+pub struct PromptSection {
     /// Its identity, which other requests may share.
     pub id: u64,
     /// Its length in tokens.
     pub tokens: u32,
 }
 
-impl PromptPart {
+impl PromptSection {
     /// Reads `ID:TOKENS` with commas between, the identities in hex. What cannot be read ends the list: parts
     /// behind it could not be kept without it.
-    pub fn list(text: &str) -> Vec<PromptPart> {
+    pub fn list(text: &str) -> Vec<PromptSection> {
         text.split(',').map_while(Self::read).take(PARTS_PER_PROMPT).collect()
     }
 
-    fn read(text: &str) -> Option<PromptPart> {
+    fn read(text: &str) -> Option<PromptSection> {
         let (id, tokens) = text.trim().split_once(':')?;
-        Some(PromptPart { id: u64::from_str_radix(id, 16).ok()?, tokens: tokens.parse().ok()? })
+        Some(PromptSection { id: u64::from_str_radix(id, 16).ok()?, tokens: tokens.parse().ok()? })
     }
 }
 
@@ -51,7 +51,7 @@
 
 impl PartMemory {
     /// Takes in a prompt that the endpoint reads.
-    pub(crate) fn read(&mut self, prompt: &[PromptPart]) {
+    pub(crate) fn read(&mut self, prompt: &[PromptSection]) {
         for part in prompt {
             let read = self.known.entry(part.id).or_default();
             read.prompts += 1;
@@ -91,7 +91,7 @@
 /// A part of a prompt with the chance that any one endpoint has read it for other relays.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LikelyPart {
-    pub(crate) part: PromptPart,
+    pub(crate) part: PromptSection,
     pub(crate) read_for_others: f64,
 }
 
@@ -111,7 +111,7 @@
 
 impl SharedParts {
     /// A program sends a prompt.
-    pub(crate) fn sent(&mut self, program: &ProgramId, prompt: &[PromptPart]) {
+    pub(crate) fn sent(&mut self, program: &ProgramId, prompt: &[PromptSection]) {
         for part in prompt {
             match self.senders.get_mut(&part.id) {
                 Some(senders) if senders.last == *program => {}
@@ -135,8 +135,8 @@
     /// The parts of a prompt. Other relays send a shared part as often as this one does, as far as they send calls:
     /// `others_per_own_call` is how many calls of theirs one endpoint gets for each call of this relay's, whichever
     /// endpoint that goes to. A part that only one program has sent belongs to it alone.
-    pub(crate) fn likely(&self, prompt: &[PromptPart], others_per_own_call: f64) -> Vec<LikelyPart> {
-        let likely = |part: &PromptPart| {
+    pub(crate) fn likely(&self, prompt: &[PromptSection], others_per_own_call: f64) -> Vec<LikelyPart> {
+        let likely = |part: &PromptSection| {
             let shared = self.senders.get(&part.id).map_or(0, |senders| senders.changes);
             let read_for_others = 1.0 - (-f64::from(shared) * others_per_own_call).exp();
             LikelyPart { part: *part, read_for_others }
--- a/crates/balancing/src/queue.rs
+++ b/crates/balancing/src/queue.rs
@@ -5,7 +5,7 @@
 use juniperwing_clock::{Span, Time};
 use juniperwing_restart::SlotTimes;
 
-use crate::ask::{Ask, Destination, Ticket};
+use crate::placement_request::{Destination, PlacementRequest, Ticket};
 
 /// A call that lasts longer than this and its usual time counts as stuck: no more slot time adds up.
 const STUCK_AFTER: Span = Span::from_millis(1_000);
@@ -14,7 +14,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
     slot_times: SlotTimes<Destination>,
-    waiting: BTreeMap<u32, BTreeMap<Destination, VecDeque<(Ticket, Ask)>>>,
+    waiting: BTreeMap<u32, BTreeMap<Destination, VecDeque<(Ticket, PlacementRequest)>>>,
     length: usize,
 }
 
@@ -23,14 +23,14 @@
         self.length
     }
 
-    pub(crate) fn push(&mut self, ticket: Ticket, ask: Ask) {
+    pub(crate) fn push(&mut self, ticket: Ticket, ask: PlacementRequest) {
         let rank = self.waiting.entry(ask.priority).or_default();
         rank.entry(ask.destination.clone()).or_default().push_back((ticket, ask));
         self.length += 1;
     }
 
     /// Takes a request out; `None` if it does not wait.
-    pub(crate) fn remove(&mut self, ticket: Ticket) -> Option<Ask> {
+    pub(crate) fn remove(&mut self, ticket: Ticket) -> Option<PlacementRequest> {
         let mut found = None;
         for rank in self.waiting.values_mut() {
             for line in rank.values_mut() {
@@ -47,7 +47,7 @@
 
     /// Requests in the order in which a freed slot goes to them: the most urgent rank first, within it the
     /// destination with the least recent slot time, within it the first that came. One of each destination.
-    pub(crate) fn order(&self, now: Time) -> Vec<(Ticket, &Ask)> {
+    pub(crate) fn order(&self, now: Time) -> Vec<(Ticket, &PlacementRequest)> {
         let mut heads = Vec::new();
         for rank in self.waiting.values() {
             let mut destinations: Vec<_> = rank.iter().collect();
@@ -59,7 +59,7 @@
     }
 
     /// All that wait.
-    pub(crate) fn all(&self) -> impl Iterator<Item = (Ticket, &Ask)> {
+    pub(crate) fn all(&self) -> impl Iterator<Item = (Ticket, &PlacementRequest)> {
         let lines = self.waiting.values().flat_map(BTreeMap::values);
         lines.flatten().map(|(ticket, ask)| (*ticket, ask))
     }
--- a/crates/balancing/tests/balancing.rs
+++ b/crates/balancing/tests/balancing.rs
@@ -2,7 +2,10 @@
 
 mod common;
 
-use juniperwing_balancing::{Admission, Ask, Balancer, Ending, Latencies, PromptPart, Refusal, ServerLoad};
+use juniperwing_balancing::{
+    Admission, Balancer, CallOutcome, LatencyModels, PlacementRequest, PromptSection, RejectionReason,
+    ServerLoad,
+};
 use juniperwing_clock::Span;
 use juniperwing_protocol::identity::{InstanceId, ProgramId};
 use proptest::prelude::*;
@@ -18,12 +21,12 @@
     let mut taken = Vec::new();
     loop {
         match balancer.admit(at(0), ask(prefix, 1), USUAL) {
-            Admission::Go(id) => taken.push(id),
-            Admission::Wait(ticket) => {
+            Admission::Granted(id) => taken.push(id),
+            Admission::Queued(ticket) => {
                 balancer.cancel(&"s".into(), ticket);
                 return taken;
             }
-            Admission::Refuse(why) => panic!("{why:?}"),
+            Admission::Rejected(why) => panic!("{why:?}"),
         }
     }
 }
@@ -41,7 +44,7 @@
     let mut balancer = balancer(&[("far", "b", 4), ("near", "a", 4)]);
     balancer.tell(at(0), &"near".into(), ServerLoad { running: 4, waiting: 1, slots: 4 });
     assert_eq!(goes_to(&mut balancer, at(1), ask("/", 0)), "far".into());
-    balancer.end(at(2), &destination("/"), &"far".into(), Ending::Answered);
+    balancer.end(at(2), &destination("/"), &"far".into(), CallOutcome::Succeeded);
     assert_eq!(goes_to(&mut balancer, at(5_000), ask("/", 0)), "near".into());
 }
 
@@ -49,7 +52,7 @@
 fn an_endpoint_that_failed_is_set_aside_and_used_where_there_is_no_other() {
     let mut balancer = balancer(&[("far", "b", 4), ("near", "a", 4)]);
     let near = goes_to(&mut balancer, at(0), ask("/", 0));
-    balancer.end(at(1), &destination("/"), &near, Ending::Failed);
+    balancer.end(at(1), &destination("/"), &near, CallOutcome::Failed);
     assert_eq!(goes_to(&mut balancer, at(2), ask("/", 0)), "far".into());
     balancer.remove(&"far".into());
     assert_eq!(goes_to(&mut balancer, at(3), ask("/", 0)), near);
@@ -58,10 +61,10 @@
 #[test]
 fn removed_and_excluded_endpoints_are_not_chosen() {
     let mut balancer = balancer(&[("one", "a", 4), ("two", "a", 4)]);
-    let asked = Ask { excluded: vec!["one".into()], ..ask("/", 0) };
+    let asked = PlacementRequest { excluded: vec!["one".into()], ..ask("/", 0) };
     assert_eq!(goes_to(&mut balancer, at(0), asked.clone()), "two".into());
     balancer.remove(&"two".into());
-    assert_eq!(balancer.admit(at(0), asked, USUAL), Admission::Refuse(Refusal::NoEndpoint));
+    assert_eq!(balancer.admit(at(0), asked, USUAL), Admission::Rejected(RejectionReason::NoEndpoint));
     assert!(!balancer.is_ready(&"two".into()));
 }
 
@@ -69,13 +72,13 @@
 fn a_freed_slot_goes_to_the_most_urgent_and_then_to_the_least_served() {
     let mut balancer = balancer(&[("one", "a", 2)]);
     let taken = fill(&mut balancer, "/busy/");
-    let Admission::Wait(busy) = balancer.admit(at(1), ask("/busy/", 1), USUAL) else { panic!() };
-    let Admission::Wait(idle) = balancer.admit(at(2), ask("/idle/", 1), USUAL) else { panic!() };
-    let Admission::Wait(urgent) = balancer.admit(at(3), ask("/urgent/", 0), USUAL) else { panic!() };
+    let Admission::Queued(busy) = balancer.admit(at(1), ask("/busy/", 1), USUAL) else { panic!() };
+    let Admission::Queued(idle) = balancer.admit(at(2), ask("/idle/", 1), USUAL) else { panic!() };
+    let Admission::Queued(urgent) = balancer.admit(at(3), ask("/urgent/", 0), USUAL) else { panic!() };
     assert!(balancer.release(at(4), &"s".into()).is_empty());
     let mut order = Vec::new();
     for step in 0..3 {
-        balancer.end(at(10 + step), &destination("/busy/"), &taken[0], Ending::Answered);
+        balancer.end(at(10 + step), &destination("/busy/"), &taken[0], CallOutcome::Succeeded);
         order.extend(balancer.release(at(10 + step), &"s".into()).into_iter().map(|grant| grant.ticket));
     }
     assert_eq!(order, [urgent, idle, busy]);
@@ -86,17 +89,17 @@
     let mut balancer = balancer(&[("one", "a", 1)]);
     fill(&mut balancer, "/");
     let waiting: Vec<_> = (0..4).map(|_| balancer.admit(at(0), ask("/", 0), USUAL)).collect();
-    let Admission::Wait(last) = waiting[3] else { panic!("{waiting:?}") };
-    assert_eq!(balancer.admit(at(0), ask("/", 0), USUAL), Admission::Refuse(Refusal::QueueFull));
+    let Admission::Queued(last) = waiting[3] else { panic!("{waiting:?}") };
+    assert_eq!(balancer.admit(at(0), ask("/", 0), USUAL), Admission::Rejected(RejectionReason::QueueFull));
     balancer.cancel(&"s".into(), last);
-    assert!(matches!(balancer.admit(at(0), ask("/", 0), USUAL), Admission::Wait(_)));
+    assert!(matches!(balancer.admit(at(0), ask("/", 0), USUAL), Admission::Queued(_)));
 }
 
 #[test]
 fn who_waits_for_endpoints_that_all_leave_is_told() {
     let mut balancer = balancer(&[("one", "a", 1)]);
     fill(&mut balancer, "/");
-    assert!(matches!(balancer.admit(at(0), ask("/", 0), USUAL), Admission::Wait(_)));
+    assert!(matches!(balancer.admit(at(0), ask("/", 0), USUAL), Admission::Queued(_)));
     balancer.remove(&"one".into());
     let grants = balancer.release(at(1), &"s".into());
     assert_eq!((grants.len(), grants[0].endpoint.clone()), (1, None));
@@ -107,16 +110,16 @@
     let ids: Vec<String> = (0..6).map(|number| format!("i-{number}")).collect();
     let endpoints: Vec<_> = ids.iter().map(|id| (id.as_str(), "a", 10)).collect();
     let mut balancer = balancer(&endpoints);
-    let turn = |program: &str, prompt: &str| Ask {
+    let turn = |program: &str, prompt: &str| PlacementRequest {
         program: Some(ProgramId::from(program)),
-        prompt: PromptPart::list(prompt),
+        prompt: PromptSection::list(prompt),
         ..ask("/", 0)
     };
     // Reading is measured to be quick: a prompt of this length costs less than a line.
     balancer.answered(&turn("z", "ee:100000"), &"i-0".into(), USUAL);
     let first = goes_to(&mut balancer, at(0), turn("p", "aa:100,bb:50"));
     balancer.answered(&turn("p", "aa:100,bb:50"), &first, USUAL);
-    balancer.end(at(1), &destination("/"), &first, Ending::Answered);
+    balancer.end(at(1), &destination("/"), &first, CallOutcome::Succeeded);
     assert_eq!(goes_to(&mut balancer, at(1), turn("p", "aa:100,bb:50,cc:20")), first);
     let loaded = ServerLoad { running: 10, waiting: 0, slots: 10 };
     balancer.tell(at(2), &first, loaded);
@@ -126,38 +129,38 @@
 #[test]
 fn a_turn_follows_the_hint_of_the_stores_also_to_an_endpoint_that_has_a_call() {
     let mut balancer = balancer(&[("one", "a", 10), ("two", "a", 10), ("three", "a", 10)]);
-    let turn = |prompt: &str| Ask {
+    let turn = |prompt: &str| PlacementRequest {
         program: Some(ProgramId::from("p")),
-        prompt: PromptPart::list(prompt),
+        prompt: PromptSection::list(prompt),
         ..ask("/", 0)
     };
     balancer.answered(&turn("ee:1000"), &"two".into(), USUAL);
     let hint = goes_to(&mut balancer, at(0), ask("/", 0));
-    let hinted = Ask { hint: Some(hint.clone()), new_share: 0.1, ..turn("dd:5000") };
+    let hinted = PlacementRequest { hint: Some(hint.clone()), new_prompt_fraction: 0.1, ..turn("dd:5000") };
     assert_eq!(goes_to(&mut balancer, at(4), hinted), hint);
 }
 
 #[test]
 fn the_restart_timer_warms_up_restarts_and_cuts_off() {
-    let mut latencies = Latencies::default();
+    let mut latencies = LatencyModels::default();
     let left = Span::from_millis(1_000);
     assert_eq!(latencies.time_out(&destination("/"), left, 3), left);
-    assert!(latencies.worth_trying(&destination("/"), Span::from_millis(1)));
+    assert!(latencies.has_time_for_attempt(&destination("/"), Span::from_millis(1)));
     for step in 0..10 {
         latencies.record(at(step), &destination("/"), Span::from_millis(50), false);
     }
     assert!(latencies.time_out(&destination("/"), left, 3) < left);
     assert_eq!(latencies.time_out(&destination("/"), left, 1), left);
-    assert!(!latencies.worth_trying(&destination("/"), Span::from_millis(20)));
-    assert!(latencies.worth_trying(&destination("/"), Span::from_millis(200)));
+    assert!(!latencies.has_time_for_attempt(&destination("/"), Span::from_millis(20)));
+    assert!(latencies.has_time_for_attempt(&destination("/"), Span::from_millis(200)));
     latencies.retain(|_| false);
     assert_eq!(latencies.median(&destination("/")), Span::ZERO);
 }
 
 #[test]
 fn parts_and_loads_are_read_or_passed_over() {
-    assert_eq!(PromptPart::list("5c1e07a2:800,91:41").len(), 2);
-    assert_eq!(PromptPart::list("5c:8,rubbish,7:7").len(), 1);
+    assert_eq!(PromptSection::list("5c1e07a2:800,91:41").len(), 2);
+    assert_eq!(PromptSection::list("5c:8,rubbish,7:7").len(), 1);
     assert_eq!(ServerLoad::read("3,0,8"), Some(ServerLoad { running: 3, waiting: 0, slots: 8 }));
     assert_eq!(ServerLoad::read("3,0"), None);
 }
@@ -173,12 +176,12 @@
             let now = at(time as u64);
             if action < 2 {
                 match balancer.admit(now, ask("/", priority), USUAL) {
-                    Admission::Go(id) => open.push(id),
-                    Admission::Wait(_) => waiting += 1,
-                    Admission::Refuse(_) => {}
+                    Admission::Granted(id) => open.push(id),
+                    Admission::Queued(_) => waiting += 1,
+                    Admission::Rejected(_) => {}
                 }
             } else if let Some(id) = open.pop() {
-                balancer.end(now, &destination("/"), &id, Ending::Answered);
+                balancer.end(now, &destination("/"), &id, CallOutcome::Succeeded);
             }
             for grant in balancer.release(now, &"s".into()) {
                 waiting -= 1;
@@ -194,7 +197,7 @@
 
 #[test]
 fn an_endpoint_that_fails_part_of_its_calls_is_avoided_though_it_answers_others() {
-    for bad in [Ending::Full, Ending::Erred, Ending::Silent] {
+    for bad in [CallOutcome::Overloaded, CallOutcome::ServerError, CallOutcome::TimedOut] {
         let mut balancer = balancer(&[("grey", "a", 4), ("sound", "b", 4)]);
         let mut to_grey = 0;
         for step in 0..40 {
@@ -203,7 +206,7 @@
             let grey = id == InstanceId::from("grey");
             to_grey += u32::from(grey);
             let fails = grey && to_grey % 2 == 1;
-            balancer.end(now, &destination("/"), &id, if fails { bad } else { Ending::Answered });
+            balancer.end(now, &destination("/"), &id, if fails { bad } else { CallOutcome::Succeeded });
         }
         assert!(to_grey < 10, "{bad:?}: {to_grey} of 40 calls");
     }
@@ -213,8 +216,8 @@
 fn an_endpoint_that_failed_is_tried_again_after_a_while() {
     let mut balancer = balancer(&[("near", "a", 4), ("far", "b", 4)]);
     let first = goes_to(&mut balancer, at(0), ask("/", 0));
-    balancer.end(at(0), &destination("/"), &first, Ending::Erred);
+    balancer.end(at(0), &destination("/"), &first, CallOutcome::ServerError);
     assert_eq!(goes_to(&mut balancer, at(100), ask("/", 0)), "far".into());
-    balancer.end(at(100), &destination("/"), &"far".into(), Ending::Answered);
+    balancer.end(at(100), &destination("/"), &"far".into(), CallOutcome::Succeeded);
     assert_eq!(goes_to(&mut balancer, at(10_000), ask("/", 0)), first);
 }
--- a/crates/balancing/tests/common/mod.rs
+++ b/crates/balancing/tests/common/mod.rs
@@ -1,6 +1,8 @@
 //! What the tests of the balancer share.
 
-use juniperwing_balancing::{Admission, Ask, Balancer, Bounds, Destination, EndpointInfo};
+use juniperwing_balancing::{
+    Admission, Balancer, BalancerLimits, Destination, EndpointInfo, PlacementRequest,
+};
 use juniperwing_clock::{Span, Time};
 use juniperwing_protocol::identity::{InstanceId, ServiceName};
 
@@ -14,7 +16,7 @@
 
 /// A balancer in zone `a` over endpoints of one service, each with its zone and its slots.
 pub fn balancer_of(seed: u64, endpoints: &[(&str, &str, u32)]) -> Balancer {
-    let mut balancer = Balancer::new("a".into(), seed, Bounds { waiting: 4 });
+    let mut balancer = Balancer::new("a".into(), seed, BalancerLimits { max_queued_per_service: 4 });
     for (id, zone, capacity) in endpoints {
         balancer.insert(&EndpointInfo {
             id: InstanceId::from(*id),
@@ -32,13 +34,13 @@
 }
 
 /// A request without a prompt.
-pub fn ask(prefix: &str, priority: u32) -> Ask {
-    Ask {
+pub fn ask(prefix: &str, priority: u32) -> PlacementRequest {
+    PlacementRequest {
         destination: destination(prefix),
         priority,
         excluded: Vec::new(),
         prompt: Vec::new(),
-        new_share: 1.0,
+        new_prompt_fraction: 1.0,
         hint: None,
         program: None,
         time_out: Span::from_millis(1_000),
@@ -46,9 +48,9 @@
 }
 
 /// The endpoint that a request goes to at once.
-pub fn goes_to(balancer: &mut Balancer, now: Time, ask: Ask) -> InstanceId {
+pub fn goes_to(balancer: &mut Balancer, now: Time, ask: PlacementRequest) -> InstanceId {
     match balancer.admit(now, ask, USUAL) {
-        Admission::Go(id) => id,
+        Admission::Granted(id) => id,
         other => panic!("{other:?}"),
     }
 }
--- a/crates/balancing/tests/placement.rs
+++ b/crates/balancing/tests/placement.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use juniperwing_balancing::{Admission, Ask, Balancer, Ending, PromptPart, ServerLoad};
+use juniperwing_balancing::{Admission, Balancer, CallOutcome, PlacementRequest, PromptSection, ServerLoad};
 use juniperwing_clock::Span;
 use juniperwing_protocol::identity::{InstanceId, ProgramId};
 use proptest::prelude::*;
@@ -23,9 +23,9 @@
     balancer_of(seed, &endpoints)
 }
 
-fn turn(program: &str, prompt: &[(u64, u32)]) -> Ask {
-    let parts = prompt.iter().map(|(id, tokens)| PromptPart { id: *id, tokens: *tokens });
-    Ask { prompt: parts.collect(), program: Some(ProgramId::from(program)), ..ask("/", 0) }
+fn turn(program: &str, prompt: &[(u64, u32)]) -> PlacementRequest {
+    let parts = prompt.iter().map(|(id, tokens)| PromptSection { id: *id, tokens: *tokens });
+    PlacementRequest { prompt: parts.collect(), program: Some(ProgramId::from(program)), ..ask("/", 0) }
 }
 
 /// Has the balancer see that reading takes `micros_per_token`, and that a call holds its slot for 300 ms.
@@ -35,7 +35,7 @@
         let endpoint = goes_to(balancer, at(0), ask.clone());
         let lasted = Span::from_nanos(u64::from(tokens) * micros_per_token * 1_000);
         balancer.answered(&ask, &endpoint, lasted);
-        balancer.end(at(300), &destination("/"), &endpoint, Ending::Answered);
+        balancer.end(at(300), &destination("/"), &endpoint, CallOutcome::Succeeded);
     }
 }
 
@@ -46,7 +46,7 @@
     let first = turn("p", &[(1, 100), (2, history)]);
     let endpoint = goes_to(&mut balancer, at(400), first.clone());
     balancer.answered(&first, &endpoint, Span::from_millis(u64::from(history) * 26 / 1_000));
-    balancer.end(at(700), &destination("/"), &endpoint, Ending::Answered);
+    balancer.end(at(700), &destination("/"), &endpoint, CallOutcome::Succeeded);
     balancer.tell(at(800), &endpoint, ServerLoad { running: load, waiting: 0, slots: SLOTS });
     goes_to(&mut balancer, at(801), turn("p", &[(1, 100), (2, history + 50)])) == endpoint
 }
@@ -66,8 +66,8 @@
         removed.iter().for_each(|number| balancer.remove(&id(*number)));
         let excluded: Vec<_> = excluded.into_iter().map(id).collect();
         for ask in [turn("p", &[(1, tokens), (2, 10)]), ask("/", 0)] {
-            let ask = Ask { excluded: excluded.clone(), hint: Some(id(0)), ..ask };
-            if let Admission::Go(endpoint) = balancer.admit(at(100), ask, USUAL) {
+            let ask = PlacementRequest { excluded: excluded.clone(), hint: Some(id(0)), ..ask };
+            if let Admission::Granted(endpoint) = balancer.admit(at(100), ask, USUAL) {
                 prop_assert!(balancer.is_ready(&endpoint));
                 prop_assert!(!excluded.contains(&endpoint));
             }
@@ -86,7 +86,7 @@
         for number in 0..endpoints * rounds {
             let now = at(10_000 + 50 * number as u64);
             let endpoint = goes_to(&mut balancer, now, turn(&format!("p-{number}"), &[(1, 500)]));
-            balancer.end(now + Span::from_millis(40), &destination("/"), &endpoint, Ending::Answered);
+            balancer.end(now + Span::from_millis(40), &destination("/"), &endpoint, CallOutcome::Succeeded);
             *counts.entry(endpoint).or_insert(0) += 1;
         }
         prop_assert!(counts.len() == endpoints && counts.values().all(|count| *count == rounds), "{counts:?}");
@@ -94,11 +94,11 @@
 
     /// What an endpoint is told to have may be anything: the choice neither panics nor refuses while there is room elsewhere.
     #[test]
-    fn loads_that_lie_leave_a_choice(running in any::<u32>(), waiting in any::<u32>(), slots in any::<u32>(), new_share in any::<f64>()) {
+    fn loads_that_lie_leave_a_choice(running in any::<u32>(), waiting in any::<u32>(), slots in any::<u32>(), new_prompt_fraction in any::<f64>()) {
         let mut balancer = balancer(3, 1);
         balancer.tell(at(0), &id(0), ServerLoad { running, waiting, slots });
-        let ask = Ask { new_share, hint: Some(id(0)), ..turn("p", &[(1, u32::MAX), (2, u32::MAX)]) };
-        prop_assert!(matches!(balancer.admit(at(1), ask, USUAL), Admission::Go(_)));
+        let ask = PlacementRequest { new_prompt_fraction, hint: Some(id(0)), ..turn("p", &[(1, u32::MAX), (2, u32::MAX)]) };
+        prop_assert!(matches!(balancer.admit(at(1), ask, USUAL), Admission::Granted(_)));
     }
 
     /// A program stays with its prompt up to some load; the longer its history, the more load it bears.
@@ -130,7 +130,7 @@
         let endpoint = goes_to(&mut balancer, now, ask.clone());
         balancer.tell(now, &endpoint, ServerLoad { running: 4, waiting: 0, slots: SLOTS });
         balancer.answered(&ask, &endpoint, Span::from_millis(74));
-        balancer.end(now + Span::from_millis(150), &destination("/"), &endpoint, Ending::Answered);
+        balancer.end(now + Span::from_millis(150), &destination("/"), &endpoint, CallOutcome::Succeeded);
         *endpoints.entry(endpoint).or_insert(0) += 1;
     }
     assert!(endpoints.len() >= 15, "{endpoints:?}");
--- a/crates/configuration/src/check.rs
+++ b/crates/configuration/src/check.rs
@@ -8,7 +8,7 @@
 use juniperwing_clock::Span;
 use juniperwing_protocol::identity::ServiceName;
 
-use crate::findings::{Findings, Place, Problem, excerpt};
+use crate::findings::{Findings, Location, Problem, excerpt};
 use crate::message::{
     BackendMessage, ConfigurationMessage, EngineMessage, LimitsMessage, RouteMessage, WeightedBackendMessage,
 };
@@ -16,7 +16,7 @@
     Configuration, DEFAULT_LIMITS, DEFAULT_RETENTION, Engine, Limits, ModelName, Route, RouteName, RouteType,
     Service, WeightedService, WeightedServices,
 };
-use crate::table::normal_host;
+use crate::table::normalize_host;
 
 /// The longest span that makes sense, in milliseconds: a year of 366 days.
 const MAX_SPAN_MS: f64 = 366.0 * 86_400_000.0;
@@ -27,7 +27,7 @@
 
 /// The part of a configuration that a field is in.
 #[derive(Clone, Copy)]
-enum Part {
+enum Section {
     Route(usize),
     Weight(usize, usize),
     Backend(usize),
@@ -35,21 +35,21 @@
     Limits,
 }
 
-impl Part {
+impl Section {
     /// The place of one of its fields.
-    fn field(self, name: &str) -> Place {
-        Place::field(format!("{self}.{name}"))
+    fn field(self, name: &str) -> Location {
+        Location::field(format!("{self}.{name}"))
     }
 }
 
-impl fmt::Display for Part {
+impl fmt::Display for Section {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Part::Route(route) => write!(f, "routes[{route}]"),
-            Part::Weight(route, weight) => write!(f, "routes[{route}].weightedBackends[{weight}]"),
-            Part::Backend(backend) => write!(f, "backends[{backend}]"),
-            Part::Engine(backend) => write!(f, "backends[{backend}].engine"),
-            Part::Limits => f.write_str("limits"),
+            Section::Route(route) => write!(f, "routes[{route}]"),
+            Section::Weight(route, weight) => write!(f, "routes[{route}].weightedBackends[{weight}]"),
+            Section::Backend(backend) => write!(f, "backends[{backend}]"),
+            Section::Engine(backend) => write!(f, "backends[{backend}].engine"),
+            Section::Limits => f.write_str("limits"),
         }
     }
 }
@@ -87,13 +87,13 @@
 impl Checker {
     fn generation(&mut self, generation: Option<u64>) -> u64 {
         if generation.is_none() {
-            self.findings.add(Place::field("generation"), Problem::Missing);
+            self.findings.add(Location::field("generation"), Problem::Missing);
         }
         generation.unwrap_or_default()
     }
 
     fn limits(&mut self, message: LimitsMessage) -> Limits {
-        let part = Part::Limits;
+        let part = Section::Limits;
         let header_bytes = self.amount(part, "maxHeaderBytes", message.max_header_bytes);
         let body_bytes = self.amount(part, "maxBodyBytes", message.max_body_bytes);
         let header_timeout = self.span_ms(part, "headerTimeoutMs", message.header_timeout_ms);
@@ -115,7 +115,7 @@
     }
 
     fn service(&mut self, index: usize, message: BackendMessage) -> Service {
-        let part = Part::Backend(index);
+        let part = Section::Backend(index);
         let name = ServiceName(self.text(part, "name", message.name));
         self.note_service(index, &name);
         Service {
@@ -138,21 +138,21 @@
                 entry.insert(index);
             }
             Entry::Occupied(entry) => {
-                let problem = Problem::SameService { first: *entry.get() };
-                self.findings.add(Part::Backend(index).field("name"), problem);
+                let problem = Problem::DuplicateService { first: *entry.get() };
+                self.findings.add(Section::Backend(index).field("name"), problem);
             }
         }
     }
 
     fn engine(&mut self, backend: usize, message: EngineMessage) -> Engine {
-        let part = Part::Engine(backend);
+        let part = Section::Engine(backend);
         let models = message.models.into_iter().filter_map(|model| model.name);
         Engine {
             capacity: self.count(part, "capacity", message.capacity),
             kv_tokens: self.amount(part, "kvTokens", message.kv_tokens),
             kv_bytes: self.amount(part, "kvBytes", message.kv_bytes),
             link_mbps: self.number(part, "linkMbps", message.link_mbps, MAX_AMOUNT),
-            stride: self.count(part, "stride", message.stride).unwrap_or(1),
+            tokens_per_event: self.count(part, "stride", message.stride).unwrap_or(1),
             models: models.map(|name| ModelName(name.into())).collect(),
         }
     }
@@ -167,7 +167,7 @@
 
     /// A route; `None` only if something was found.
     fn route(&mut self, index: usize, message: RouteMessage) -> Option<Route> {
-        let part = Part::Route(index);
+        let part = Section::Route(index);
         let hostname = self.hostname(part, message.hostname);
         let path_prefix = self.path_prefix(part, message.path_prefix);
         self.note_route(index, &hostname, &path_prefix);
@@ -179,7 +179,7 @@
         let services = self.targets(index, message.backend, message.weighted_backends);
         let max_retries = self.count(part, "maxRetries", message.max_retries).unwrap_or(1);
         let retention = self.retention(part, message.retention_s);
-        let gap_aim = self.span_ms(part, "gap_aim_ms", message.gap_aim_ms);
+        let target_event_gap = self.span_ms(part, "gap_aim_ms", message.gap_aim_ms);
         Some(Route {
             name: RouteName(message.name.unwrap_or_default().into()),
             hostname,
@@ -190,20 +190,20 @@
             priority,
             services: services?,
             max_retries,
-            kept: message.kept.unwrap_or(false),
+            stores_turns: message.kept.unwrap_or(false),
             retention,
             session_affinity: message.session_affinity.unwrap_or(false),
-            gap_aim,
+            target_event_gap,
         })
     }
 
     /// A host in lower case and without its port.
-    fn hostname(&mut self, part: Part, hostname: Option<String>) -> Arc<str> {
-        let hostname = hostname.map(|hostname| normal_host(&hostname).into_owned());
+    fn hostname(&mut self, part: Section, hostname: Option<String>) -> Arc<str> {
+        let hostname = hostname.map(|hostname| normalize_host(&hostname).into_owned());
         self.text(part, "hostname", hostname)
     }
 
-    fn path_prefix(&mut self, part: Part, prefix: Option<String>) -> Arc<str> {
+    fn path_prefix(&mut self, part: Section, prefix: Option<String>) -> Arc<str> {
         let prefix = self.text(part, "pathPrefix", prefix);
         let well_formed = prefix.starts_with('/') && prefix.ends_with('/');
         if !prefix.is_empty() && !well_formed {
@@ -224,14 +224,14 @@
                 entry.insert(index);
             }
             Entry::Occupied(entry) => {
-                let problem = Problem::SameRoute { first: *entry.get() };
-                self.findings.add(Part::Route(index).field("pathPrefix"), problem);
+                let problem = Problem::DuplicateRoute { first: *entry.get() };
+                self.findings.add(Section::Route(index).field("pathPrefix"), problem);
             }
         }
     }
 
     /// The type of a route; the one that allows least if none is given.
-    fn route_type(&mut self, part: Part, value: Option<String>, resumable: bool) -> RouteType {
+    fn route_type(&mut self, part: Section, value: Option<String>, resumable: bool) -> RouteType {
         match value.as_deref() {
             Some("streaming") => RouteType::Streaming { resumable },
             Some("idempotent") => RouteType::Idempotent,
@@ -244,7 +244,7 @@
         }
     }
 
-    fn timeout(&mut self, part: Part, timeout_ms: Option<f64>) -> Span {
+    fn timeout(&mut self, part: Section, timeout_ms: Option<f64>) -> Span {
         match timeout_ms {
             None => self.findings.add(part.field("timeoutMs"), Problem::Missing),
             Some(0.0) => self.findings.add(part.field("timeoutMs"), Problem::Zero),
@@ -253,7 +253,7 @@
         self.span_ms(part, "timeoutMs", timeout_ms).unwrap_or(Span::ZERO)
     }
 
-    fn retention(&mut self, part: Part, retention_s: Option<f64>) -> Span {
+    fn retention(&mut self, part: Section, retention_s: Option<f64>) -> Span {
         let Some(retention_s) = retention_s else { return DEFAULT_RETENTION };
         let retention = self.number(part, "retentionS", Some(retention_s), MAX_SPAN_MS / 1e3);
         Span::from_secs_f64(retention.unwrap_or(0.0))
@@ -267,7 +267,7 @@
             return self.only_target(route, backend);
         }
         if !weights.iter().any(|target| target.weight.is_some_and(|weight| weight > 0.0)) {
-            self.findings.add(Part::Route(route).field("weightedBackends"), Problem::NoWeight);
+            self.findings.add(Section::Route(route).field("weightedBackends"), Problem::NoWeight);
         }
         let targets = weights.into_iter().enumerate();
         let targets = targets.filter_map(|(index, weight)| self.target(route, index, weight)).collect();
@@ -275,7 +275,7 @@
     }
 
     fn only_target(&mut self, route: usize, backend: Option<String>) -> Option<WeightedServices> {
-        let part = Part::Route(route);
+        let part = Section::Route(route);
         let Some(name) = backend.filter(|name| !name.is_empty()) else {
             self.findings.add(part.field("backend"), Problem::NoService);
             return None;
@@ -288,7 +288,7 @@
     fn target(
         &mut self, route: usize, index: usize, message: WeightedBackendMessage,
     ) -> Option<WeightedService> {
-        let part = Part::Weight(route, index);
+        let part = Section::Weight(route, index);
         let weight = self.number(part, "weight", message.weight, MAX_COUNT);
         let name = self.text(part, "backend", message.backend);
         if name.is_empty() {
@@ -299,7 +299,7 @@
     }
 
     /// The service of this name, sharing the name's memory.
-    fn known_service(&mut self, part: Part, name: &str) -> Option<ServiceName> {
+    fn known_service(&mut self, part: Section, name: &str) -> Option<ServiceName> {
         let known = self.services.get_key_value(&ServiceName::from(name));
         if known.is_none() {
             let problem = Problem::UnknownService { name: excerpt(name) };
@@ -309,7 +309,7 @@
     }
 
     /// A text that has to be there and to say something; empty if it does not.
-    fn text(&mut self, part: Part, field: &str, value: Option<String>) -> Arc<str> {
+    fn text(&mut self, part: Section, field: &str, value: Option<String>) -> Arc<str> {
         match value.as_deref() {
             None => self.findings.add(part.field(field), Problem::Missing),
             Some("") => self.findings.add(part.field(field), Problem::Empty),
@@ -319,7 +319,7 @@
     }
 
     /// A span in milliseconds; `None` if it is missing or 0.
-    fn span_ms(&mut self, part: Part, field: &str, value: Option<f64>) -> Option<Span> {
+    fn span_ms(&mut self, part: Section, field: &str, value: Option<f64>) -> Option<Span> {
         let millis = self.number(part, field, value, MAX_SPAN_MS)?;
         let span = Span::from_secs_f64(millis / 1e3);
         // A tiny span stays one: only 0 itself means "not given".
@@ -327,34 +327,34 @@
     }
 
     /// A whole number for counting; `None` if it is missing or 0.
-    fn count(&mut self, part: Part, field: &str, value: Option<f64>) -> Option<u32> {
+    fn count(&mut self, part: Section, field: &str, value: Option<f64>) -> Option<u32> {
         self.whole(part, field, value, MAX_COUNT).map(|count| count as u32)
     }
 
     /// A whole number of bytes or tokens; `None` if it is missing or 0.
-    fn amount(&mut self, part: Part, field: &str, value: Option<f64>) -> Option<u64> {
+    fn amount(&mut self, part: Section, field: &str, value: Option<f64>) -> Option<u64> {
         self.whole(part, field, value, MAX_AMOUNT)
     }
 
     /// A whole number; `None` if it is missing or 0.
-    fn whole(&mut self, part: Part, field: &str, value: Option<f64>, most: f64) -> Option<u64> {
+    fn whole(&mut self, part: Section, field: &str, value: Option<f64>, most: f64) -> Option<u64> {
         let value = self.number(part, field, value, most)?;
         if value.fract() != 0.0 {
-            self.findings.add(part.field(field), Problem::NotWhole { value });
+            self.findings.add(part.field(field), Problem::NotInteger { value });
             return None;
         }
         Some(value as u64)
     }
 
     /// A number from 0 to `most`; `None` if it is missing or 0, or was found to be outside.
-    fn number(&mut self, part: Part, field: &str, value: Option<f64>, most: f64) -> Option<f64> {
+    fn number(&mut self, part: Section, field: &str, value: Option<f64>, most: f64) -> Option<f64> {
         let value = value?;
         if value < 0.0 {
             self.findings.add(part.field(field), Problem::Negative { value });
             return None;
         }
         if value > most {
-            self.findings.add(part.field(field), Problem::TooGreat { value, most });
+            self.findings.add(part.field(field), Problem::NumberTooLarge { value, most });
             return None;
         }
         Some(value).filter(|value| *value > 0.0)
--- a/crates/configuration/src/findings.rs
+++ b/crates/configuration/src/findings.rs
@@ -23,7 +23,7 @@
 
 /// Where something is wrong.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Place {
+pub struct Location {
     /// The JSON path, as in `routes[3].timeoutMs`; empty for the whole text.
     pub path: String,
     /// Where in the text, if the text itself cannot be read.
@@ -31,19 +31,19 @@
     pub position: Option<Position>,
 }
 
-impl Place {
+impl Location {
     /// The field at a path.
     pub(crate) fn field(path: impl Into<String>) -> Self {
-        Place { path: path.into(), position: None }
+        Location { path: path.into(), position: None }
     }
 
     /// The whole text.
     pub(crate) fn text() -> Self {
-        Place::field("")
+        Location::field("")
     }
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Location {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match (self.path.as_str(), self.position) {
             ("", None) => f.write_str("the configuration"),
@@ -68,13 +68,13 @@
     },
     /// The text is not UTF-8.
     #[snafu(display("not UTF-8 from byte {valid_up_to} on"))]
-    NotText {
+    NotUtf8 {
         /// Bytes before the first that is wrong.
         valid_up_to: usize,
     },
     /// The text is not JSON, or not whole, or something stands behind it.
     #[snafu(display("cannot be read: {reason}"))]
-    Unreadable {
+    InvalidJson {
         /// What the reader says.
         reason: String,
     },
@@ -101,13 +101,13 @@
     },
     /// A number has a fraction where whole ones count.
     #[snafu(display("{value} is not a whole number"))]
-    NotWhole {
+    NotInteger {
         /// The number.
         value: f64,
     },
     /// A number is beyond all sense.
     #[snafu(display("{value} is too great; {most} at most"))]
-    TooGreat {
+    NumberTooLarge {
         /// The number.
         value: f64,
         /// The greatest allowed.
@@ -115,7 +115,7 @@
     },
     /// The generation does not follow the one in force.
     #[snafu(display("{generation} is not above {current}, which is in force"))]
-    NotAbove {
+    GenerationNotIncreased {
         /// The generation sent.
         generation: u64,
         /// The generation in force.
@@ -147,13 +147,13 @@
     NoWeight,
     /// Two services have one name.
     #[snafu(display("backends[{first}] has the same name"))]
-    SameService {
+    DuplicateService {
         /// The place of the first of them in the list.
         first: usize,
     },
     /// Two routes have one host and prefix.
     #[snafu(display("routes[{first}] has the same host and prefix"))]
-    SameRoute {
+    DuplicateRoute {
         /// The place of the first of them in the list.
         first: usize,
     },
@@ -163,21 +163,21 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finding {
     /// Where.
-    pub place: Place,
+    pub location: Location,
     /// What.
     pub problem: Problem,
 }
 
 impl fmt::Display for Finding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.place, self.problem)
+        write!(f, "{}: {}", self.location, self.problem)
     }
 }
 
 impl Serialize for Finding {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         let mut finding = serializer.serialize_struct("Finding", 2)?;
-        finding.serialize_field("place", &self.place)?;
+        finding.serialize_field("place", &self.location)?;
         finding.serialize_field("problem", &self.problem.to_string())?;
         finding.end()
     }
@@ -209,14 +209,14 @@
     }
 
     /// A single finding.
-    pub(crate) fn one(place: Place, problem: Problem) -> Self {
-        Findings { findings: vec![Finding { place, problem }], omitted: 0 }
+    pub(crate) fn one(location: Location, problem: Problem) -> Self {
+        Findings { findings: vec![Finding { location, problem }], omitted: 0 }
     }
 
     /// Adds a finding, or counts it if there are many already.
-    pub(crate) fn add(&mut self, place: Place, problem: Problem) {
+    pub(crate) fn add(&mut self, location: Location, problem: Problem) {
         if self.findings.len() < MAX_FINDINGS {
-            self.findings.push(Finding { place, problem });
+            self.findings.push(Finding { location, problem });
         } else {
             self.omitted += 1;
         }
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! [`Configuration::read`] either gives a configuration in which every reference holds and every number is in
 //! its range, or [`Findings`]: all that is wrong with it, each with its place. Reading is pure; whether a
-//! configuration may follow the one in force is a check of its own, [`Configuration::check_succeeds`].
+//! configuration may follow the one in force is a check of its own, [`Configuration::check_generation_follows`].
 
 mod check;
 mod digest;
@@ -14,7 +14,7 @@
 mod table;
 
 pub use digest::{DIGEST_BYTES, OrderDigest, digest};
-pub use findings::{Finding, Findings, MAX_FINDINGS, Place, Position, Problem};
+pub use findings::{Finding, Findings, Location, MAX_FINDINGS, Position, Problem};
 pub use model::{
     Configuration, DEFAULT_LIMITS, DEFAULT_RETENTION, Engine, Limits, ModelName, Route, RouteName, RouteType,
     Service, WeightedService, WeightedServices,
--- a/crates/configuration/src/model.rs
+++ b/crates/configuration/src/model.rs
@@ -6,7 +6,7 @@
 use juniperwing_clock::Span;
 use juniperwing_protocol::identity::ServiceName;
 
-use crate::findings::{Findings, Place, Problem};
+use crate::findings::{Findings, Location, Problem};
 
 /// For how long turns are kept where the operator does not say.
 pub const DEFAULT_RETENTION: Span = Span::from_millis(60_000);
@@ -39,12 +39,15 @@
     /// # Errors
     ///
     /// One finding, if its own generation is not above.
-    pub fn check_succeeds(&self, current: u64) -> Result<(), Findings> {
+    pub fn check_generation_follows(&self, current: u64) -> Result<(), Findings> {
         let generation = self.generation;
         if generation > current {
             return Ok(());
         }
-        Err(Findings::one(Place::field("generation"), Problem::NotAbove { generation, current }))
+        Err(Findings::one(
+            Location::field("generation"),
+            Problem::GenerationNotIncreased { generation, current },
+        ))
     }
 }
 
@@ -78,7 +81,7 @@
 
 impl RouteType {
     /// Whether a request may run more than once.
-    pub fn may_repeat(self) -> bool {
+    pub fn is_retryable(self) -> bool {
         match self {
             RouteType::Streaming { resumable } => resumable,
             RouteType::Idempotent => true,
@@ -114,19 +117,19 @@
     /// The greatest number of endpoints to which one try may be sent; at least 1.
     pub max_retries: u32,
     /// Whether turns are kept.
-    pub kept: bool,
+    pub stores_turns: bool,
     /// How long they are kept from the end of the answer on.
     pub retention: Span,
     /// Whether requests share parts of their prompts.
     pub session_affinity: bool,
     /// The longest pause between events of an answer in time.
-    pub gap_aim: Option<Span>,
+    pub target_event_gap: Option<Span>,
 }
 
 impl Route {
     /// Whether a request may run more than once.
-    pub fn may_repeat(&self) -> bool {
-        self.route_type.may_repeat()
+    pub fn is_retryable(&self) -> bool {
+        self.route_type.is_retryable()
     }
 
     /// The service for a request, given an evenly distributed random number; never one with weight 0.
@@ -212,7 +215,7 @@
     /// The speed of an endpoint's link, in Mbit/s.
     pub link_mbps: Option<f64>,
     /// Tokens in an event of a stream; at least 1.
-    pub stride: u32,
+    pub tokens_per_event: u32,
     /// The models served.
     pub models: Vec<ModelName>,
 }
--- a/crates/configuration/src/read.rs
+++ b/crates/configuration/src/read.rs
@@ -6,7 +6,7 @@
 use serde_json::value::RawValue;
 
 use crate::check::check;
-use crate::findings::{Findings, Place, Position, Problem, excerpt};
+use crate::findings::{Findings, Location, Position, Problem, excerpt};
 use crate::message::{BackendMessage, ConfigurationMessage, LimitsMessage, Object, RouteMessage};
 use crate::model::Configuration;
 
@@ -34,10 +34,11 @@
 fn text_of(bytes: &[u8]) -> Result<&str, Findings> {
     let most = MAX_CONFIGURATION_BYTES;
     if bytes.len() > most {
-        return Err(Findings::one(Place::text(), Problem::TooLarge { bytes: bytes.len(), most }));
+        return Err(Findings::one(Location::text(), Problem::TooLarge { bytes: bytes.len(), most }));
     }
-    std::str::from_utf8(bytes)
-        .map_err(|error| Findings::one(Place::text(), Problem::NotText { valid_up_to: error.valid_up_to() }))
+    std::str::from_utf8(bytes).map_err(|error| {
+        Findings::one(Location::text(), Problem::NotUtf8 { valid_up_to: error.valid_up_to() })
+    })
 }
 
 /// The text as messages; nothing but white space may follow.
@@ -116,7 +117,7 @@
         path if path.is_empty() => parent.to_owned(),
         path => format!("{parent}.{path}"),
     };
-    findings.add(Place::field(path), wrong_type(error.inner()));
+    findings.add(Location::field(path), wrong_type(error.inner()));
 }
 
 /// The path of an error, as far as it is known; empty for the whole text.
@@ -130,13 +131,13 @@
 }
 
 /// A path together with the error's line and column.
-fn place_in_text(path: String, error: &serde_json::Error) -> Place {
+fn place_in_text(path: String, error: &serde_json::Error) -> Location {
     let position = Position { line: error.line(), column: error.column() };
-    Place { path, position: Some(position) }
+    Location { path, position: Some(position) }
 }
 
 fn unreadable(error: &serde_json::Error) -> Problem {
-    Problem::Unreadable { reason: reason_of(error) }
+    Problem::InvalidJson { reason: reason_of(error) }
 }
 
 fn wrong_type(error: &serde_json::Error) -> Problem {
--- a/crates/configuration/src/table.rs
+++ b/crates/configuration/src/table.rs
@@ -60,7 +60,7 @@
     /// The route with the longest prefix that begins the path, of those of the host. `host` is a `Host`
     /// header, with or without a port, in any case; `path` is a request's target, with or without a query.
     pub fn lookup(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
-        let host = self.hosts.get(normal_host(host).as_ref())?;
+        let host = self.hosts.get(normalize_host(host).as_ref())?;
         host.lookup(path_only(path))
     }
 }
@@ -92,7 +92,7 @@
 }
 
 /// A host in lower case, without white space around it and without its port.
-pub(crate) fn normal_host(host: &str) -> Cow<'_, str> {
+pub(crate) fn normalize_host(host: &str) -> Cow<'_, str> {
     let host = without_port(host.trim());
     match host.bytes().any(|byte| byte.is_ascii_uppercase()) {
         true => Cow::Owned(host.to_ascii_lowercase()),
--- a/crates/configuration/tests/invalid.rs
+++ b/crates/configuration/tests/invalid.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{read, refused, remove, valid};
-use juniperwing_configuration::{Configuration, MAX_CONFIGURATION_BYTES, MAX_FINDINGS, Place, Position};
+use juniperwing_configuration::{Configuration, Location, MAX_CONFIGURATION_BYTES, MAX_FINDINGS, Position};
 use serde_json::{Value, json};
 
 /// Asserts that one change brings exactly one finding.
@@ -228,7 +228,7 @@
     let text = "{\"generation\":7,\n \"routes\":[{\"name\":}]}";
     let findings = Configuration::read(text.as_bytes()).expect_err("not JSON");
     let position = Some(Position { line: 2, column: 20 });
-    assert_eq!(findings.listed()[0].place, Place { path: "routes[0].name".into(), position });
+    assert_eq!(findings.listed()[0].location, Location { path: "routes[0].name".into(), position });
     assert_eq!(findings.to_string(), "routes[0].name (line 2, column 20): cannot be read: expected value");
 }
 
--- a/crates/configuration/tests/valid.rs
+++ b/crates/configuration/tests/valid.rs
@@ -24,10 +24,10 @@
     assert_eq!(route.target_latency, Some(Span::from_millis(250)));
     assert_eq!(route.priority, 0);
     assert_eq!(route.max_retries, 2);
-    assert!(route.kept);
+    assert!(route.stores_turns);
     assert_eq!(route.retention, Span::from_millis(60_000));
     assert!(route.session_affinity);
-    assert_eq!(route.gap_aim, Some(Span::from_millis(400)));
+    assert_eq!(route.target_event_gap, Some(Span::from_millis(400)));
     let service = &configuration.services[0];
     assert_eq!(service.name, ServiceName::from("models"));
     assert_eq!(service.health_check.as_deref(), Some("/healthz"));
@@ -39,17 +39,17 @@
     assert_eq!(engine.kv_tokens, Some(200_000));
     assert_eq!(engine.kv_bytes, Some(100_000));
     assert_eq!(engine.link_mbps, Some(10_000.0));
-    assert_eq!(engine.stride, 2);
+    assert_eq!(engine.tokens_per_event, 2);
     assert_eq!(&*engine.models[0].0, "m");
     assert!(configuration.services[1].engine.is_none());
 }
 
 #[test]
 fn what_may_repeat() {
-    assert!(RouteType::Idempotent.may_repeat());
-    assert!(RouteType::Streaming { resumable: true }.may_repeat());
-    assert!(!RouteType::Streaming { resumable: false }.may_repeat());
-    assert!(!RouteType::NonIdempotent.may_repeat());
+    assert!(RouteType::Idempotent.is_retryable());
+    assert!(RouteType::Streaming { resumable: true }.is_retryable());
+    assert!(!RouteType::Streaming { resumable: false }.is_retryable());
+    assert!(!RouteType::NonIdempotent.is_retryable());
 }
 
 #[test]
@@ -57,7 +57,7 @@
     let configuration = accepted(|value| {
         value["routes"][1]["routeType"] = json!("non_idempotent");
     });
-    assert!(!configuration.routes[1].may_repeat());
+    assert!(!configuration.routes[1].is_retryable());
 }
 
 #[test]
@@ -94,8 +94,8 @@
     assert_eq!(route.target_latency, None);
     assert_eq!(route.max_retries, 1);
     assert_eq!(route.retention, DEFAULT_RETENTION);
-    assert_eq!(route.gap_aim, None);
-    assert!(!route.kept && !route.session_affinity);
+    assert_eq!(route.target_event_gap, None);
+    assert!(!route.stores_turns && !route.session_affinity);
 }
 
 #[test]
@@ -144,10 +144,10 @@
 #[test]
 fn only_a_higher_generation_succeeds() {
     let configuration = accepted(|_| {});
-    assert!(configuration.check_succeeds(0).is_ok());
-    assert!(configuration.check_succeeds(6).is_ok());
+    assert!(configuration.check_generation_follows(0).is_ok());
+    assert!(configuration.check_generation_follows(6).is_ok());
     for current in [7, 8, u64::MAX] {
-        let findings = configuration.check_succeeds(current).expect_err("too low");
+        let findings = configuration.check_generation_follows(current).expect_err("too low");
         assert_eq!(findings.to_string(), format!("generation: 7 is not above {current}, which is in force"));
     }
 }
@@ -156,7 +156,7 @@
 fn great_generations_are_exact() {
     let configuration = accepted(|value| value["generation"] = json!(u64::MAX));
     assert_eq!(configuration.generation, u64::MAX);
-    assert!(configuration.check_succeeds(u64::MAX - 1).is_ok());
+    assert!(configuration.check_generation_follows(u64::MAX - 1).is_ok());
 }
 
 #[test]
--- a/crates/control/src/order.rs
+++ b/crates/control/src/order.rs
@@ -44,7 +44,7 @@
         return PutDecision::Stale { current };
     }
     let checked = Configuration::read(body).and_then(|configuration| {
-        configuration.check_succeeds(base)?;
+        configuration.check_generation_follows(base)?;
         Ok(configuration.generation)
     });
     match checked {
--- a/crates/node/src/check_configuration.rs
+++ b/crates/node/src/check_configuration.rs
@@ -62,7 +62,7 @@
         RouteType::Idempotent => "idempotent",
         RouteType::NonIdempotent => "non_idempotent",
     };
-    let kept = if route.kept { ", kept" } else { "" };
+    let kept = if route.stores_turns { ", kept" } else { "" };
     let (host, prefix, most) = (&route.hostname, &route.path_prefix, route.max_retries);
     let seconds = route.timeout.as_secs_f64();
     format!("{host}{prefix}: {kind}{kept}, up to {seconds} s, up to {most} endpoints")
@@ -72,7 +72,7 @@
     let mut text = String::new();
     for finding in findings.listed() {
         // Writing to a string cannot fail.
-        let _ = writeln!(text, "{file}: {}: {}", finding.place, finding.problem);
+        let _ = writeln!(text, "{file}: {}: {}", finding.location, finding.problem);
     }
     if findings.omitted() > 0 {
         let _ = writeln!(text, "{file}: and {} more", findings.omitted());
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -6,23 +6,23 @@
 //! `juniperwing-balancing` behind the [`dispatcher`].
 
 pub mod attempt;
+pub mod attempt_outcome;
 pub mod body;
 pub mod connections;
 pub mod dispatcher;
 pub mod events;
 pub mod exchange;
-pub mod fate;
-mod figures;
 pub mod forward;
 pub mod frontend;
+mod gauges;
 pub mod memory;
 pub mod metrics;
 pub mod readiness;
+mod retries;
 pub mod sessions;
 pub mod snapshot;
 pub mod stream;
 pub mod trace;
-mod tries;
 pub mod turn;
 pub mod upstream;
 
@@ -33,7 +33,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use juniperwing_balancing::{Balancer, Bounds};
+use juniperwing_balancing::{Balancer, BalancerLimits};
 use juniperwing_clock::Span;
 use juniperwing_invariants::{Invariant, check};
 use juniperwing_membership::Role;
@@ -58,45 +58,45 @@
 use crate::subscriber::{Sink, Subscriber};
 use connections::Connections;
 use dispatcher::Dispatcher;
-use memory::Memory;
-use metrics::{LOG_EVERY, Metrics};
+use memory::MemoryBudget;
+use metrics::{LOG_INTERVAL, Metrics};
 use sessions::Sessions;
-use snapshot::World;
+use snapshot::ClusterView;
 use trace::RequestLog;
-use upstream::Pool;
+use upstream::ConnectionPool;
 
 /// How often connections whose time may be over are looked through.
-const SWEEP_EVERY: Duration = Duration::from_millis(250);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 /// For how long connections are still accepted after the platform wants an end: it sends new ones until two of its
 /// checks, which come every second, have gone unanswered.
-const ACCEPT_ON: Duration = Duration::from_millis(2_300);
+const MAX_ACCEPT_PERIOD: Duration = Duration::from_millis(2_300);
 /// The share of the time for an end that this may take.
-const ACCEPT_SHARE: f64 = 0.34;
+const ACCEPT_FRACTION_OF_GRACE: f64 = 0.34;
 /// What is kept of the time that the platform leaves for an end.
-const BEFORE_GRACE_ENDS: Duration = Duration::from_millis(500);
+const GRACE_MARGIN: Duration = Duration::from_millis(500);
 /// For how long turns may still be settled after the time for connections is over.
-const SETTLE_ON: Duration = Duration::from_millis(400);
+const COMMIT_TIMEOUT: Duration = Duration::from_millis(400);
 /// For how long the answers that are given at the very end may go out.
-const LAST_ANSWERS: Duration = Duration::from_millis(200);
+const FINAL_RESPONSES_TIMEOUT: Duration = Duration::from_millis(200);
 /// Descriptors that are for neither clients nor endpoints.
-const OTHER_DESCRIPTORS: usize = 264;
+const RESERVED_DESCRIPTORS: usize = 264;
 /// The share of descriptors for clients; the rest is for endpoints.
-const CLIENT_SHARE: f64 = 0.5;
+const CLIENT_DESCRIPTOR_FRACTION: f64 = 0.5;
 /// What the process takes before it serves, in bytes.
-const OWN_BYTES: usize = 24 << 20;
+const BASE_MEMORY_BYTES: usize = 24 << 20;
 /// What a client's connection takes, in bytes.
 const CONNECTION_BYTES: usize = 32 << 10;
 /// The share of the memory for bodies; the rest is for connections.
-const BODY_SHARE: f64 = 0.5;
+const BODY_MEMORY_FRACTION: f64 = 0.5;
 
 /// What all parts of a relay share.
-pub struct Core {
+pub struct RelayState {
     /// What is known.
-    pub world: Arc<World>,
+    pub world: Arc<ClusterView>,
     /// Slots at endpoints.
     pub dispatcher: Arc<Dispatcher>,
     /// Connections to endpoints.
-    pub pool: Pool,
+    pub pool: ConnectionPool,
     /// Connections of clients.
     pub connections: Arc<Connections>,
     /// The stores.
@@ -106,16 +106,16 @@
     /// Lines for requests that failed or were slow.
     pub request_log: Arc<RequestLog>,
     /// Room for bodies.
-    pub memory: Arc<Memory>,
+    pub memory: Arc<MemoryBudget>,
     /// Connections of clients at the most.
-    pub most_connections: usize,
+    pub max_client_connections: usize,
     /// An end is near.
     pub stopping: AtomicBool,
     /// The process ends at once: `true` from then on.
     ends: watch::Sender<bool>,
 }
 
-impl Core {
+impl RelayState {
     /// Without requests nothing is held for any.
     fn check_idle(&self) {
         if self.connections.busy() > 0 {
@@ -135,7 +135,7 @@
 
 /// A relay with its listeners open.
 pub struct Relay {
-    core: Arc<Core>,
+    core: Arc<RelayState>,
     frontend: TcpListener,
     readiness: TcpListener,
     settings: Settings,
@@ -178,25 +178,25 @@
     ///
     /// If the settings name no listener, or one cannot be opened.
     pub async fn open(
-        settings: Settings, log: Logger, sessions: impl FnOnce(&World) -> Arc<dyn Sessions>,
+        settings: Settings, log: Logger, sessions: impl FnOnce(&ClusterView) -> Arc<dyn Sessions>,
     ) -> io::Result<Relay> {
         let frontend = listen(settings.listeners_map.frontend, "listenersMap.frontend").await?;
         let readiness = listen(settings.listeners_map.readiness, "listenersMap.readiness").await?;
         let zone = Arc::from(settings.zone.as_str());
-        let dispatcher = Dispatcher::new(Balancer::new(zone, random(), Bounds::default()));
+        let dispatcher = Dispatcher::new(Balancer::new(zone, random(), BalancerLimits::default()));
         let heartbeat = Span::from_millis(settings.heartbeat_ms);
-        let world = World::new(Arc::clone(&dispatcher), heartbeat, log.clone());
-        let bounds = RelayBounds::of(&settings);
-        let core = Arc::new(Core {
+        let world = ClusterView::new(Arc::clone(&dispatcher), heartbeat, log.clone());
+        let bounds = RelayCapacity::of(&settings);
+        let core = Arc::new(RelayState {
             sessions: sessions(&world),
             world,
             dispatcher,
-            pool: Pool::new(bounds.upstream_connections),
+            pool: ConnectionPool::new(bounds.upstream_connections),
             connections: Arc::default(),
             metrics: Metrics::default(),
             request_log: Arc::new(RequestLog::new(log.clone())),
-            memory: Memory::new(bounds.body_bytes),
-            most_connections: bounds.client_connections,
+            memory: MemoryBudget::new(bounds.body_bytes),
+            max_client_connections: bounds.client_connections,
             stopping: AtomicBool::new(false),
             ends: watch::Sender::new(false),
         });
@@ -219,12 +219,12 @@
     }
 
     /// What is known; updates may be applied to it.
-    pub fn world(&self) -> Arc<World> {
+    pub fn world(&self) -> Arc<ClusterView> {
         Arc::clone(&self.core.world)
     }
 
     /// What all parts share.
-    pub fn core(&self) -> Arc<Core> {
+    pub fn core(&self) -> Arc<RelayState> {
         Arc::clone(&self.core)
     }
 
@@ -261,19 +261,19 @@
         stop.await;
         info!(log, "stopping");
         let grace = Duration::try_from_secs_f64(settings.bounds.grace_s).unwrap_or_default();
-        let end = Instant::now() + grace.saturating_sub(BEFORE_GRACE_ENDS);
+        let end = Instant::now() + grace.saturating_sub(GRACE_MARGIN);
         core.stopping.store(true, Ordering::Relaxed);
         // Connections that rest are closed with the next answer, or when no more are accepted: a request that is on
         // its way meanwhile finds them open.
-        sleep(ACCEPT_ON.min(grace.mul_f64(ACCEPT_SHARE))).await;
+        sleep(MAX_ACCEPT_PERIOD.min(grace.mul_f64(ACCEPT_FRACTION_OF_GRACE))).await;
         accepting.abort();
         core.connections.finish_all();
         let finished = timeout_at(end, core.connections.ended()).await.is_ok();
         // What is not done by now is answered all the same, not cut.
         core.ends.send_replace(true);
-        let _ = timeout(LAST_ANSWERS, core.connections.ended()).await;
+        let _ = timeout(FINAL_RESPONSES_TIMEOUT, core.connections.ended()).await;
         // What nobody settles counts at its most until it lapses.
-        let settled = timeout_at(end + SETTLE_ON, core.sessions.settled()).await.is_ok();
+        let settled = timeout_at(end + COMMIT_TIMEOUT, core.sessions.settled()).await.is_ok();
         upkeep.abort();
         readiness.abort();
         core.metrics.log(&log);
@@ -289,8 +289,8 @@
 }
 
 /// Closes connections whose time is over, and logs counters.
-async fn upkeep(core: Arc<Core>, log: Logger) {
-    let mut ticks = interval(SWEEP_EVERY);
+async fn upkeep(core: Arc<RelayState>, log: Logger) {
+    let mut ticks = interval(SWEEP_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let (mut logged_at, mut logged) = (Instant::now(), 0);
     loop {
@@ -299,7 +299,7 @@
         core.pool.sweep(|endpoint| core.dispatcher.is_ready(endpoint));
         core.check_idle();
         let requests = core.metrics.requests.get();
-        if requests != logged && logged_at.elapsed() >= LOG_EVERY {
+        if requests != logged && logged_at.elapsed() >= LOG_INTERVAL {
             (logged_at, logged) = (Instant::now(), requests);
             core.metrics.log(&log);
         }
@@ -307,33 +307,33 @@
 }
 
 /// How much a relay holds, from its limits.
-struct RelayBounds {
+struct RelayCapacity {
     client_connections: usize,
     upstream_connections: usize,
     body_bytes: usize,
 }
 
-impl RelayBounds {
-    fn of(settings: &Settings) -> RelayBounds {
-        let descriptors = (settings.limits.max_fds as usize).saturating_sub(OTHER_DESCRIPTORS).max(16);
-        let memory = ((settings.limits.memory_mb as usize) << 20).saturating_sub(OWN_BYTES);
-        let body_bytes = (memory as f64 * BODY_SHARE) as usize;
+impl RelayCapacity {
+    fn of(settings: &Settings) -> RelayCapacity {
+        let descriptors = (settings.limits.max_fds as usize).saturating_sub(RESERVED_DESCRIPTORS).max(16);
+        let memory = ((settings.limits.memory_mb as usize) << 20).saturating_sub(BASE_MEMORY_BYTES);
+        let body_bytes = (memory as f64 * BODY_MEMORY_FRACTION) as usize;
         let by_memory = (memory - body_bytes) / CONNECTION_BYTES / 2;
-        let by_descriptors = (descriptors as f64 * CLIENT_SHARE) as usize;
+        let by_descriptors = (descriptors as f64 * CLIENT_DESCRIPTOR_FRACTION) as usize;
         let client_connections = by_descriptors.min(by_memory).max(8);
         let upstream_connections = (descriptors - by_descriptors).min(by_memory).max(8);
-        RelayBounds { client_connections, upstream_connections, body_bytes }
+        RelayCapacity { client_connections, upstream_connections, body_bytes }
     }
 }
 
 /// Stores only answer a relay: what they send unasked is passed over.
-struct Unasked;
+struct IgnoreUnsolicited;
 
-impl Service for Unasked {
+impl Service for IgnoreUnsolicited {
     fn message(&self, _: &Link, _: Message, _: Reply) {}
 }
 
-fn stores(world: &World) -> Arc<dyn Sessions> {
-    let pool = Arc::new(LinkPool::new(Arc::new(Unasked)));
+fn stores(world: &ClusterView) -> Arc<dyn Sessions> {
+    let pool = Arc::new(LinkPool::new(Arc::new(IgnoreUnsolicited)));
     Arc::new(SessionsClient::new(pool, world.stores()))
 }
--- a/crates/node/src/relay/attempt.rs
+++ b/crates/node/src/relay/attempt.rs
@@ -10,16 +10,16 @@
 use juniperwing_balancing::ServerLoad;
 use juniperwing_protocol::headers;
 
-use super::Core;
+use super::RelayState;
+use super::attempt_outcome::{AttemptFailure, FailureCause};
 use super::dispatcher::Slot;
 use super::exchange::{Exchange, has_other_transfer_coding, header_text};
-use super::fate::{Cause, Failure};
-use super::memory::Held;
+use super::memory::MemoryReservation;
 use super::upstream::Connection;
 use crate::clock::duration;
 
 /// The largest answer that is read whole before it is passed on.
-pub const MAX_WHOLE_BYTES: usize = 16 << 20;
+pub const MAX_BUFFERED_RESPONSE_BYTES: usize = 16 << 20;
 
 /// An endpoint's answer whose head is sound, with its body still to come.
 pub struct Answer {
@@ -38,19 +38,21 @@
 /// # Errors
 ///
 /// If none comes up in time; nothing was sent.
-pub async fn connect(core: &Core, exchange: &Exchange, slot: &Slot) -> Result<Connection, Failure> {
+pub async fn connect(
+    core: &RelayState, exchange: &Exchange, slot: &Slot,
+) -> Result<Connection, AttemptFailure> {
     let kept = core.pool.take(slot.endpoint());
     if let Some(connection) = kept {
         return Ok(connection);
     }
     let address = core.world.snapshot().address(slot.endpoint());
-    let address = address.ok_or(Failure::not_sent(Cause::EndpointLeft))?;
+    let address = address.ok_or(AttemptFailure::not_sent(FailureCause::EndpointLeft))?;
     core.metrics.connections.add();
     let connection = core.pool.connect(address, duration(exchange.left())).await;
     connection.ok_or_else(|| {
         core.metrics.connections_failed.add();
         core.pool.forget(slot.endpoint());
-        Failure::not_sent(Cause::NoConnection)
+        AttemptFailure::not_sent(FailureCause::NoConnection)
     })
 }
 
@@ -60,14 +62,14 @@
 ///
 /// What is known of the try if there is no sound answer.
 pub async fn send(
-    core: &Core, exchange: &Exchange, slot: &Slot, mut connection: Connection,
-) -> Result<Answer, Failure> {
+    core: &RelayState, exchange: &Exchange, slot: &Slot, mut connection: Connection,
+) -> Result<Answer, AttemptFailure> {
     loop {
         // Endpoints may have left while the connection came up.
         if !core.dispatcher.is_ready(slot.endpoint()) {
-            return Err(Failure::not_sent(Cause::EndpointLeft));
+            return Err(AttemptFailure::not_sent(FailureCause::EndpointLeft));
         }
-        exchange.trace.sending(exchange.may_repeat());
+        exchange.trace.sending(exchange.is_retryable());
         match connection.sender.try_send_request(request(exchange, slot)).await {
             Ok(answer) => {
                 let (parts, body) = answer.into_parts();
@@ -76,10 +78,10 @@
             }
             Err(mut error) => {
                 if error.take_message().is_none() {
-                    return Err(Failure::may_have_run(Cause::Broken));
+                    return Err(AttemptFailure::may_have_run(FailureCause::Broken));
                 }
                 if !connection.used {
-                    return Err(Failure::not_sent(Cause::NoConnection));
+                    return Err(AttemptFailure::not_sent(FailureCause::NoConnection));
                 }
                 // The endpoint closed the connection before a byte was written: another one will do.
                 connection = connect(core, exchange, slot).await?;
@@ -110,8 +112,8 @@
 
 /// Whether the head is one that may be passed on.
 fn check_head(
-    core: &Core, exchange: &Exchange, slot: &Slot, parts: &response::Parts, connection: &Connection,
-) -> Result<(), Failure> {
+    core: &RelayState, exchange: &Exchange, slot: &Slot, parts: &response::Parts, connection: &Connection,
+) -> Result<(), AttemptFailure> {
     let declined = parts.headers.contains_key(headers::NOT_EXECUTED);
     let misdirected = parts.status == StatusCode::MISDIRECTED_REQUEST;
     let mut ids = parts.headers.get_all(headers::REQUEST_ID).iter().peekable();
@@ -121,7 +123,7 @@
         None => !connection.used && (declined || misdirected),
     };
     if !own {
-        return Err(Failure::may_have_run(Cause::WrongRequest));
+        return Err(AttemptFailure::may_have_run(FailureCause::WrongRequest));
     }
     if let Some(load) = ServerLoad::read(header_text(&parts.headers, headers::SERVER_LOAD)) {
         core.dispatcher.tell(slot.endpoint(), load);
@@ -130,13 +132,13 @@
         if expects_other(parts, slot) {
             core.world.misdirected(slot.endpoint());
         }
-        return Err(Failure::declined(Cause::Misdirected));
+        return Err(AttemptFailure::declined(FailureCause::Misdirected));
     }
     if declined {
-        return Err(Failure::declined(Cause::Declined));
+        return Err(AttemptFailure::declined(FailureCause::Declined));
     }
-    if !is_sound(parts) {
-        return Err(Failure::may_have_run(Cause::Unsound));
+    if !is_valid_response(parts) {
+        return Err(AttemptFailure::may_have_run(FailureCause::InvalidResponse));
     }
     Ok(())
 }
@@ -147,7 +149,7 @@
 }
 
 /// Whether an answer may be passed on. A success counts only with the endpoint's stamp and as plain bytes.
-fn is_sound(parts: &response::Parts) -> bool {
+fn is_valid_response(parts: &response::Parts) -> bool {
     // No upgrade is ever asked for: 101 is no answer.
     if parts.status.is_informational() || has_other_transfer_coding(&parts.headers) {
         return false;
@@ -170,17 +172,19 @@
 /// # Errors
 ///
 /// If it ends early, or is too large to be held, alone or with all others.
-pub async fn read_whole(body: &mut Incoming, held: &mut Held) -> Result<VecDeque<Bytes>, Failure> {
+pub async fn read_complete_body(
+    body: &mut Incoming, held: &mut MemoryReservation,
+) -> Result<VecDeque<Bytes>, AttemptFailure> {
     let (mut pieces, mut length) = (VecDeque::new(), 0);
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|_| Failure::may_have_run(Cause::Unsound))?;
+        let frame = frame.map_err(|_| AttemptFailure::may_have_run(FailureCause::InvalidResponse))?;
         let Ok(data) = frame.into_data() else { continue };
         length += data.len();
-        if length > MAX_WHOLE_BYTES {
-            return Err(Failure::may_have_run(Cause::Unsound));
+        if length > MAX_BUFFERED_RESPONSE_BYTES {
+            return Err(AttemptFailure::may_have_run(FailureCause::InvalidResponse));
         }
         if !held.grow(data.len()) {
-            return Err(Failure::may_have_run(Cause::NoRoom));
+            return Err(AttemptFailure::may_have_run(FailureCause::NoCapacity));
         }
         pieces.push_back(data);
     }
--- a/crates/node/src/relay/fate.rs
+++ b/crates/node/src/relay/attempt_outcome.rs
@@ -1,14 +1,14 @@
 //! What is known of tries, and which answers may follow from it.
 
 use http::{HeaderName, HeaderValue, Response, StatusCode, header};
-use juniperwing_balancing::Ending;
+use juniperwing_balancing::CallOutcome;
 use juniperwing_clock::Span;
 
 use super::body::RelayBody;
 
 /// What is known of one try. Ordered: of several tries the highest counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Fate {
+pub enum ExecutionStatus {
     /// No byte of it was written.
     NotSent,
     /// The endpoint has declared that it did not run it.
@@ -19,7 +19,7 @@
 
 /// Why a try is no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
+pub enum FailureCause {
     /// No connection came up in time.
     NoConnection,
     /// The endpoint has left meanwhile.
@@ -33,80 +33,82 @@
     /// The answer belongs to another request.
     WrongRequest,
     /// The answer is not the endpoint's whole, plain, stamped one.
-    Unsound,
+    InvalidResponse,
     /// The endpoint answered that it failed.
     EndpointError,
     /// No answer within the time-out.
-    Silent,
+    TimedOut,
     /// The relay has no room for the answer.
-    NoRoom,
+    NoCapacity,
 }
 
-impl Cause {
+impl FailureCause {
     /// Its name in logs.
     pub fn name(self) -> &'static str {
         match self {
-            Cause::NoConnection => "no connection",
-            Cause::EndpointLeft => "endpoint left",
-            Cause::Declined => "declined",
-            Cause::Misdirected => "misdirected",
-            Cause::Broken => "broken",
-            Cause::WrongRequest => "answer of another request",
-            Cause::Unsound => "unsound answer",
-            Cause::EndpointError => "endpoint error",
-            Cause::Silent => "silent",
-            Cause::NoRoom => "no room for the answer",
+            FailureCause::NoConnection => "no connection",
+            FailureCause::EndpointLeft => "endpoint left",
+            FailureCause::Declined => "declined",
+            FailureCause::Misdirected => "misdirected",
+            FailureCause::Broken => "broken",
+            FailureCause::WrongRequest => "answer of another request",
+            FailureCause::InvalidResponse => "unsound answer",
+            FailureCause::EndpointError => "endpoint error",
+            FailureCause::TimedOut => "silent",
+            FailureCause::NoCapacity => "no room for the answer",
         }
     }
 
     /// What it says of the endpoint.
-    pub fn ending(self) -> Ending {
+    pub fn ending(self) -> CallOutcome {
         match self {
-            Cause::Declined => Ending::Full,
-            Cause::Silent => Ending::Silent,
-            Cause::EndpointLeft | Cause::Misdirected | Cause::NoRoom => Ending::Abandoned,
-            Cause::NoConnection
-            | Cause::Broken
-            | Cause::WrongRequest
-            | Cause::Unsound
-            | Cause::EndpointError => Ending::Failed,
+            FailureCause::Declined => CallOutcome::Overloaded,
+            FailureCause::TimedOut => CallOutcome::TimedOut,
+            FailureCause::EndpointLeft | FailureCause::Misdirected | FailureCause::NoCapacity => {
+                CallOutcome::Cancelled
+            }
+            FailureCause::NoConnection
+            | FailureCause::Broken
+            | FailureCause::WrongRequest
+            | FailureCause::InvalidResponse
+            | FailureCause::EndpointError => CallOutcome::Failed,
         }
     }
 }
 
 /// A try that gave no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Failure {
+pub struct AttemptFailure {
     /// What is known of it.
-    pub fate: Fate,
+    pub fate: ExecutionStatus,
     /// Why.
-    pub cause: Cause,
+    pub cause: FailureCause,
 }
 
-impl Failure {
+impl AttemptFailure {
     /// A try of which no byte was written.
-    pub fn not_sent(cause: Cause) -> Failure {
-        Failure { fate: Fate::NotSent, cause }
+    pub fn not_sent(cause: FailureCause) -> AttemptFailure {
+        AttemptFailure { fate: ExecutionStatus::NotSent, cause }
     }
 
     /// A try that the endpoint declined.
-    pub fn declined(cause: Cause) -> Failure {
-        Failure { fate: Fate::DeclaredNotExecuted, cause }
+    pub fn declined(cause: FailureCause) -> AttemptFailure {
+        AttemptFailure { fate: ExecutionStatus::DeclaredNotExecuted, cause }
     }
 
     /// A try that may have run.
-    pub fn may_have_run(cause: Cause) -> Failure {
-        Failure { fate: Fate::MayHaveRun, cause }
+    pub fn may_have_run(cause: FailureCause) -> AttemptFailure {
+        AttemptFailure { fate: ExecutionStatus::MayHaveRun, cause }
     }
 }
 
 /// Why the relay gives a request up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum GivenUp {
+pub enum Rejection {
     /// Too little time is left.
-    TooLate,
+    DeadlineTooClose,
     /// It has been sent to as many endpoints as it may.
-    NoTriesLeft,
+    RetriesExhausted,
     /// No endpoint is ready.
     NoEndpoint,
     /// Endpoints and queue are full.
@@ -114,52 +116,55 @@
     /// The connection to the only endpoint that may run it broke.
     Broken,
     /// Turns and budgets cannot be reached.
-    NoSessions,
+    StoresUnreachable,
     /// The relay has no configuration yet.
     NotConfigured,
     /// No route is known, and all keepers are lost: a newer configuration may have one.
-    OutOfTouch,
+    KeepersUnreachable,
     /// The relay has no room.
-    NoRoom,
+    NoCapacity,
     /// The process ends.
-    Ending,
+    ShuttingDown,
 }
 
-impl GivenUp {
+impl Rejection {
     /// Its name in logs.
     pub fn name(self) -> &'static str {
         match self {
-            GivenUp::TooLate => "too late",
-            GivenUp::NoTriesLeft => "no tries left",
-            GivenUp::NoEndpoint => "no endpoint",
-            GivenUp::Full => "full",
-            GivenUp::Broken => "broken",
-            GivenUp::NoSessions => "no sessions",
-            GivenUp::NotConfigured => "not configured",
-            GivenUp::OutOfTouch => "out of touch",
-            GivenUp::NoRoom => "no room",
-            GivenUp::Ending => "the relay ends",
+            Rejection::DeadlineTooClose => "too late",
+            Rejection::RetriesExhausted => "no tries left",
+            Rejection::NoEndpoint => "no endpoint",
+            Rejection::Full => "full",
+            Rejection::Broken => "broken",
+            Rejection::StoresUnreachable => "no sessions",
+            Rejection::NotConfigured => "not configured",
+            Rejection::KeepersUnreachable => "out of touch",
+            Rejection::NoCapacity => "no room",
+            Rejection::ShuttingDown => "the relay ends",
         }
     }
 
     /// When the client should come back if the request has not run.
     fn retry_after(self) -> Span {
         let millis = match self {
-            GivenUp::TooLate | GivenUp::Broken | GivenUp::NoTriesLeft | GivenUp::Ending => 50,
-            GivenUp::Full => 150,
-            GivenUp::NoSessions => 200,
-            GivenUp::NoEndpoint | GivenUp::NoRoom => 300,
-            GivenUp::NotConfigured | GivenUp::OutOfTouch => 500,
+            Rejection::DeadlineTooClose
+            | Rejection::Broken
+            | Rejection::RetriesExhausted
+            | Rejection::ShuttingDown => 50,
+            Rejection::Full => 150,
+            Rejection::StoresUnreachable => 200,
+            Rejection::NoEndpoint | Rejection::NoCapacity => 300,
+            Rejection::NotConfigured | Rejection::KeepersUnreachable => 500,
         };
         Span::from_millis(millis)
     }
 
     /// The final answer: a promise that nothing has run only where that is known.
-    pub fn answer(self, fate: Fate) -> Response<RelayBody> {
+    pub fn answer(self, fate: ExecutionStatus) -> Response<RelayBody> {
         match (fate, self) {
-            (Fate::MayHaveRun, GivenUp::TooLate) => plain(StatusCode::GATEWAY_TIMEOUT),
-            (Fate::MayHaveRun, _) => plain(StatusCode::BAD_GATEWAY),
-            (Fate::NotSent | Fate::DeclaredNotExecuted, _) => self.refusal(),
+            (ExecutionStatus::MayHaveRun, Rejection::DeadlineTooClose) => plain(StatusCode::GATEWAY_TIMEOUT),
+            (ExecutionStatus::MayHaveRun, _) => plain(StatusCode::BAD_GATEWAY),
+            (ExecutionStatus::NotSent | ExecutionStatus::DeclaredNotExecuted, _) => self.refusal(),
         }
     }
 
--- a/crates/node/src/relay/body.rs
+++ b/crates/node/src/relay/body.rs
@@ -10,12 +10,12 @@
 use snafu::Snafu;
 
 use super::connections::RequestGuard;
-use super::memory::Held;
+use super::memory::MemoryReservation;
 use super::trace::Traced;
 
 /// Why an answer breaks off. The client sees a connection that ends before the answer does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-pub enum BrokenOff {
+pub enum StreamError {
     /// The endpoint broke off, and nobody may go on.
     #[snafu(display("the endpoint broke off"))]
     Endpoint,
@@ -24,30 +24,30 @@
     Deadline,
     /// The turn could not be kept.
     #[snafu(display("the turn could not be kept"))]
-    NotKept,
+    TurnNotStored,
     /// The endpoint sent what is no answer.
     #[snafu(display("the endpoint sent no proper answer"))]
-    Unsound,
+    InvalidResponse,
     /// There is no room for what has to be kept of it.
     #[snafu(display("no room for the answer"))]
-    NoRoom,
+    NoCapacity,
 }
 
-impl BrokenOff {
+impl StreamError {
     /// Its name in logs.
     pub fn name(self) -> &'static str {
         match self {
-            BrokenOff::Endpoint => "endpoint broke off",
-            BrokenOff::Deadline => "deadline",
-            BrokenOff::NotKept => "turn not kept",
-            BrokenOff::Unsound => "unsound answer",
-            BrokenOff::NoRoom => "no room for the answer",
+            StreamError::Endpoint => "endpoint broke off",
+            StreamError::Deadline => "deadline",
+            StreamError::TurnNotStored => "turn not kept",
+            StreamError::InvalidResponse => "unsound answer",
+            StreamError::NoCapacity => "no room for the answer",
         }
     }
 }
 
 /// Pieces of an answer as they come.
-pub type Pieces = Pin<Box<dyn Stream<Item = Result<Bytes, BrokenOff>> + Send>>;
+pub type Pieces = Pin<Box<dyn Stream<Item = Result<Bytes, StreamError>> + Send>>;
 
 enum Content {
     Whole(VecDeque<Bytes>),
@@ -58,7 +58,7 @@
 pub struct RelayBody {
     content: Content,
     /// The room that it takes.
-    _held: Option<Held>,
+    _held: Option<MemoryReservation>,
     /// Tells what became of the request when its answer has ended.
     traced: Option<Traced>,
     /// The request counts as open for as long as its answer lives.
@@ -72,7 +72,7 @@
     }
 
     /// The same, with the room that it takes until it has gone out.
-    pub fn whole_held(pieces: VecDeque<Bytes>, held: Held) -> Self {
+    pub fn whole_held(pieces: VecDeque<Bytes>, held: MemoryReservation) -> Self {
         RelayBody { _held: Some(held), ..Self::whole(pieces) }
     }
 
@@ -95,11 +95,11 @@
 
 impl Body for RelayBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = StreamError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>, context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, StreamError>>> {
         let piece = match &mut self.content {
             Content::Whole(pieces) => pieces.pop_front().map(Ok),
             Content::Pieces(pieces) => ready!(pieces.as_mut().poll_next(context)),
--- a/crates/node/src/relay/connections.rs
+++ b/crates/node/src/relay/connections.rs
@@ -17,7 +17,7 @@
 use crate::sync::lock;
 
 /// How long after a request's deadline its connection is cut if the client has not taken in the answer.
-const PAST_DEADLINE: Span = Span::from_millis(150);
+const DEADLINE_GRACE: Span = Span::from_millis(150);
 
 /// One connection of a client.
 #[derive(Debug)]
@@ -31,7 +31,7 @@
     /// When the answer under way must have ended; `u64::MAX` while that is not known.
     answer_by: AtomicU64,
     /// The largest head that this connection can read, in bytes.
-    most_head_bytes: u64,
+    max_head_bytes: u64,
     /// It should end as soon as it rests.
     pub finish: Notify,
     /// It should end at once.
@@ -39,13 +39,13 @@
 }
 
 impl ClientConnection {
-    fn new(most_head_bytes: u64) -> Self {
+    fn new(max_head_bytes: u64) -> Self {
         ClientConnection {
             busy: AtomicBool::new(false),
             rests_since: AtomicU64::new(nanos()),
             head_since: AtomicU64::new(0),
             answer_by: AtomicU64::new(u64::MAX),
-            most_head_bytes,
+            max_head_bytes,
             finish: Notify::new(),
             cut: Notify::new(),
         }
@@ -61,7 +61,7 @@
 
     /// The answer that now goes out ends by `deadline`, however slowly the client reads it.
     pub fn set_deadline(&self, deadline: Time) {
-        let latest = (deadline + PAST_DEADLINE).since(Time::default());
+        let latest = (deadline + DEADLINE_GRACE).since(Time::default());
         self.answer_by.store(latest.as_nanos(), Ordering::Relaxed);
     }
 
@@ -74,7 +74,7 @@
     /// Ends it if it has rested, or its head or its answer has taken, for too long, or if larger heads are allowed
     /// now than it can read.
     fn check(&self, now: Time, limits: &Limits) {
-        if limits.max_header_bytes > self.most_head_bytes {
+        if limits.max_header_bytes > self.max_head_bytes {
             self.finish.notify_one();
         }
         if self.busy.load(Ordering::Relaxed) {
@@ -115,14 +115,14 @@
 
 /// A connection is listed for as long as this lives.
 #[derive(Debug)]
-pub struct Listed {
+pub struct RegisteredConnection {
     connections: Arc<Connections>,
     number: u64,
     /// The connection.
     pub connection: Arc<ClientConnection>,
 }
 
-impl Drop for Listed {
+impl Drop for RegisteredConnection {
     fn drop(&mut self) {
         self.connections.lock().remove(&self.number);
         self.connections.changed.notify_waiters();
@@ -130,12 +130,12 @@
 }
 
 impl Connections {
-    /// Lists a new connection, which reads heads of up to `most_head_bytes`.
-    pub fn add(self: &Arc<Self>, most_head_bytes: u64) -> Listed {
+    /// Lists a new connection, which reads heads of up to `max_head_bytes`.
+    pub fn add(self: &Arc<Self>, max_head_bytes: u64) -> RegisteredConnection {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
-        let connection = Arc::new(ClientConnection::new(most_head_bytes));
+        let connection = Arc::new(ClientConnection::new(max_head_bytes));
         self.lock().insert(number, Arc::clone(&connection));
-        Listed { connections: Arc::clone(self), number, connection }
+        RegisteredConnection { connections: Arc::clone(self), number, connection }
     }
 
     /// How many there are.
@@ -179,14 +179,14 @@
 }
 
 /// A client's socket that notes when bytes of a head come.
-pub struct Watched {
+pub struct WatchedStream {
     /// The socket.
     pub stream: TcpStream,
     /// Where it is noted.
     pub connection: Arc<ClientConnection>,
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for WatchedStream {
     fn poll_read(
         mut self: Pin<&mut Self>, context: &mut Context<'_>, buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
@@ -199,7 +199,7 @@
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for WatchedStream {
     fn poll_write(
         mut self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
--- a/crates/node/src/relay/dispatcher.rs
+++ b/crates/node/src/relay/dispatcher.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use juniperwing_balancing::{
-    Admission, Ask, Balancer, Destination, Ending, EndpointInfo, Grant, Latencies, Refusal, ServerLoad,
-    Ticket,
+    Admission, Balancer, CallOutcome, Destination, EndpointInfo, Grant, LatencyModels, PlacementRequest,
+    RejectionReason, ServerLoad, Ticket,
 };
 use juniperwing_clock::{Span, Time};
 use juniperwing_protocol::identity::{InstanceId, ServiceName};
@@ -19,11 +19,11 @@
 use crate::sync::lock;
 
 /// What endpoints tell ages without an event: those that wait look again this often.
-const LOOK_AGAIN: Span = Span::from_millis(50);
+const RELEASE_POLL_INTERVAL: Span = Span::from_millis(50);
 
 /// Why there is no slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoSlot {
+pub enum SlotError {
     /// No endpoint is ready that has not had the request already.
     NoEndpoint,
     /// All are full, and it has waited long enough, or too many wait.
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 struct State {
     balancer: Balancer,
-    latencies: Latencies,
+    latencies: LatencyModels,
     waiting: HashMap<Ticket, oneshot::Sender<Option<Slot>>>,
 }
 
@@ -61,11 +61,11 @@
     }
 
     /// Gives the slot back.
-    pub fn end(mut self, ending: Ending) {
+    pub fn end(mut self, ending: CallOutcome) {
         self.give_back(ending);
     }
 
-    fn give_back(&mut self, ending: Ending) {
+    fn give_back(&mut self, ending: CallOutcome) {
         if !std::mem::replace(&mut self.ended, true) {
             self.dispatcher.taken.fetch_sub(1, Ordering::Relaxed);
             self.dispatcher.end(&self.destination, &self.endpoint, ending);
@@ -75,14 +75,14 @@
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        self.give_back(Ending::Abandoned);
+        self.give_back(CallOutcome::Cancelled);
     }
 }
 
 impl Dispatcher {
     /// A dispatcher over a balancer.
     pub fn new(balancer: Balancer) -> Arc<Self> {
-        let state = State { balancer, latencies: Latencies::default(), waiting: HashMap::new() };
+        let state = State { balancer, latencies: LatencyModels::default(), waiting: HashMap::new() };
         Arc::new(Dispatcher { state: Mutex::new(state), taken: AtomicUsize::new(0) })
     }
 
@@ -91,7 +91,7 @@
     /// # Errors
     ///
     /// If there is none in that time, or none will be.
-    pub async fn slot(self: &Arc<Self>, ask: Ask, patience: Span) -> Result<Slot, NoSlot> {
+    pub async fn slot(self: &Arc<Self>, ask: PlacementRequest, patience: Span) -> Result<Slot, SlotError> {
         let destination = ask.destination.clone();
         let (ticket, mut receiver) = match self.admit(ask)? {
             Admitted::Slot(slot) => return Ok(slot),
@@ -102,31 +102,31 @@
         loop {
             match timeout(self.next_look(&destination.service, until), &mut receiver).await {
                 Ok(Ok(Some(slot))) => return Ok(slot),
-                Ok(Ok(None) | Err(_)) => return Err(NoSlot::NoEndpoint),
-                Err(_) if now() >= until => return Err(NoSlot::Full),
+                Ok(Ok(None) | Err(_)) => return Err(SlotError::NoEndpoint),
+                Err(_) if now() >= until => return Err(SlotError::Full),
                 Err(_) => self.release(&destination.service),
             }
         }
     }
 
-    fn admit(self: &Arc<Self>, ask: Ask) -> Result<Admitted, NoSlot> {
+    fn admit(self: &Arc<Self>, ask: PlacementRequest) -> Result<Admitted, SlotError> {
         let destination = ask.destination.clone();
         let mut state = self.lock();
         let usual = state.latencies.median(&destination);
         match critical(|| state.balancer.admit(now(), ask, usual)) {
-            Admission::Go(endpoint) => {
+            Admission::Granted(endpoint) => {
                 drop(state);
                 Ok(Admitted::Slot(self.slot_at(destination, endpoint)))
             }
-            Admission::Wait(ticket) => {
+            Admission::Queued(ticket) => {
                 let (sender, receiver) = oneshot::channel();
                 state.waiting.insert(ticket, sender);
                 drop(state);
                 self.release(&destination.service);
                 Ok(Admitted::Waiting(ticket, receiver))
             }
-            Admission::Refuse(Refusal::NoEndpoint) => Err(NoSlot::NoEndpoint),
-            Admission::Refuse(Refusal::QueueFull) => Err(NoSlot::Full),
+            Admission::Rejected(RejectionReason::NoEndpoint) => Err(SlotError::NoEndpoint),
+            Admission::Rejected(RejectionReason::QueueFull) => Err(SlotError::Full),
         }
     }
 
@@ -144,7 +144,7 @@
         let now = now();
         let state = self.lock();
         let look = state.balancer.next_release(now, service).unwrap_or(Time::NEVER);
-        duration(look.min(now + LOOK_AGAIN).min(until).since(now))
+        duration(look.min(now + RELEASE_POLL_INTERVAL).min(until).since(now))
     }
 
     /// Hands free slots of a service to those that wait.
@@ -161,7 +161,7 @@
         }
     }
 
-    fn end(self: &Arc<Self>, destination: &Destination, endpoint: &InstanceId, ending: Ending) {
+    fn end(self: &Arc<Self>, destination: &Destination, endpoint: &InstanceId, ending: CallOutcome) {
         critical(|| self.lock().balancer.end(now(), destination, endpoint, ending));
         self.release(&destination.service);
     }
@@ -189,7 +189,7 @@
     }
 
     /// An endpoint began to answer a call, so long after it was sent.
-    pub fn answered(&self, ask: &Ask, endpoint: &InstanceId, lasted: Span) {
+    pub fn answered(&self, ask: &PlacementRequest, endpoint: &InstanceId, lasted: Span) {
         critical(|| self.lock().balancer.answered(ask, endpoint, lasted));
     }
 
@@ -204,8 +204,8 @@
     }
 
     /// Whether a try is worth making with so much time left.
-    pub fn worth_trying(&self, destination: &Destination, left: Span) -> bool {
-        self.lock().latencies.worth_trying(destination, left)
+    pub fn has_time_for_attempt(&self, destination: &Destination, left: Span) -> bool {
+        self.lock().latencies.has_time_for_attempt(destination, left)
     }
 
     /// Forgets latencies of destinations that are no more.
--- a/crates/node/src/relay/exchange.rs
+++ b/crates/node/src/relay/exchange.rs
@@ -5,26 +5,26 @@
 use bytes::Bytes;
 use http::header::{self, HeaderMap, HeaderName, HeaderValue};
 use http::{Method, Uri};
-use juniperwing_balancing::{Ask, Destination, PromptPart};
+use juniperwing_balancing::{Destination, PlacementRequest, PromptSection};
 use juniperwing_clock::{Span, Time};
 use juniperwing_configuration::Route;
 use juniperwing_protocol::headers;
 use juniperwing_protocol::identity::{InstanceId, ProgramId, RequestId};
 
-use super::fate::header_name;
-use super::memory::Held;
-use super::sessions::SessionFault;
+use super::attempt_outcome::header_name;
+use super::memory::MemoryReservation;
+use super::sessions::TurnError;
 use super::trace::RequestTrace;
 use crate::clock::now;
 
 /// Kept back from the time left for the way back to the client.
-const WAY_BACK: Span = Span::from_millis(15);
+const RESPONSE_ALLOWANCE: Span = Span::from_millis(15);
 /// The least urgent `Priority`.
-const LAST_PRIORITY: u32 = 9;
+const LOWEST_PRIORITY: u32 = 9;
 /// For how long a request waits for a slot, as a share of its objective.
-const PATIENCE: f64 = 0.25;
+const QUEUE_WAIT_FRACTION_OF_TARGET: f64 = 0.25;
 /// The same for requests of programs, whose objective is the program's: a share of the time left.
-const PATIENCE_OF_PROGRAMS: f64 = 0.25;
+const QUEUE_WAIT_FRACTION_OF_REMAINING: f64 = 0.25;
 
 /// A client's request.
 pub struct Exchange {
@@ -43,9 +43,9 @@
     /// The try.
     pub request: HeaderValue,
     /// The parts of its prompt.
-    pub prompt: Vec<PromptPart>,
+    pub prompt: Vec<PromptSection>,
     /// The share of its prompt that no turn before held.
-    pub new_share: f64,
+    pub new_prompt_fraction: f64,
     /// The program.
     pub program: Option<ProgramId>,
     /// The endpoint that ran the turn before.
@@ -55,23 +55,23 @@
     /// What becomes of it.
     pub trace: Arc<RequestTrace>,
     /// The room that its body takes, and what is kept of its answer.
-    pub held: Held,
+    pub held: MemoryReservation,
 }
 
 impl Exchange {
     /// The time left for tries.
     pub fn left(&self) -> Span {
-        self.deadline.since(now()) - WAY_BACK
+        self.deadline.since(now()) - RESPONSE_ALLOWANCE
     }
 
     /// Whether it may run more than once.
-    pub fn may_repeat(&self) -> bool {
-        self.route.may_repeat()
+    pub fn is_retryable(&self) -> bool {
+        self.route.is_retryable()
     }
 
     /// The stores could not, or would not, do what it needs.
-    pub fn note_stores(&self, fault: SessionFault) {
-        if let SessionFault::Unavailable { trouble } = fault {
+    pub fn note_stores(&self, fault: TurnError) {
+        if let TurnError::Unavailable { trouble } = fault {
             self.trace.stores_failed(trouble);
         }
     }
@@ -83,18 +83,18 @@
 
     /// The event behind which the client wants its stream to go on, where it may be taken up so.
     pub fn last_event_id(&self) -> Option<Bytes> {
-        let id = self.headers.get(headers::LAST_EVENT_ID).filter(|_| self.may_repeat());
+        let id = self.headers.get(headers::LAST_EVENT_ID).filter(|_| self.is_retryable());
         id.map(|id| Bytes::copy_from_slice(id.as_bytes()))
     }
 
     /// What the balancer is asked for a try of it that may last for `time_out`.
-    pub fn ask(&self, excluded: Vec<InstanceId>, time_out: Span) -> Ask {
-        Ask {
+    pub fn ask(&self, excluded: Vec<InstanceId>, time_out: Span) -> PlacementRequest {
+        PlacementRequest {
             destination: self.destination.clone(),
             priority: self.route.priority,
             excluded,
             prompt: self.prompt.clone(),
-            new_share: self.new_share,
+            new_prompt_fraction: self.new_prompt_fraction,
             hint: self.hint.clone(),
             program: self.program.clone(),
             time_out,
@@ -105,8 +105,8 @@
     pub fn patience(&self) -> Span {
         let left = self.left();
         match (&self.program, self.route.target_latency) {
-            (None, Some(objective)) => objective.mul_f64(PATIENCE).min(left),
-            _ => left.mul_f64(PATIENCE_OF_PROGRAMS),
+            (None, Some(objective)) => objective.mul_f64(QUEUE_WAIT_FRACTION_OF_TARGET).min(left),
+            _ => left.mul_f64(QUEUE_WAIT_FRACTION_OF_REMAINING),
         }
     }
 
@@ -115,7 +115,7 @@
         let mut headers = self.headers.clone();
         let left = self.deadline.since(now()).as_nanos() / 1_000_000;
         headers.insert(header_name(headers::DEADLINE_MS), HeaderValue::from(left));
-        let priority = self.route.priority.min(LAST_PRIORITY);
+        let priority = self.route.priority.min(LOWEST_PRIORITY);
         headers.insert(header_name(headers::PRIORITY), HeaderValue::from(priority));
         if let Ok(id) = HeaderValue::from_str(&endpoint.0) {
             headers.insert(header_name(headers::EXPECT_INSTANCE), id);
--- a/crates/node/src/relay/forward.rs
+++ b/crates/node/src/relay/forward.rs
@@ -3,29 +3,31 @@
 use std::sync::Arc;
 
 use http::Response;
-use juniperwing_balancing::Ending;
+use juniperwing_balancing::CallOutcome;
 use juniperwing_clock::{Span, Time};
 use juniperwing_protocol::identity::InstanceId;
 use tokio::time::timeout;
 
-use super::Core;
+use super::RelayState;
 use super::attempt::{self, Answer, keep_alive};
+use super::attempt_outcome::{AttemptFailure, ExecutionStatus, FailureCause, Rejection};
 use super::body::RelayBody;
-use super::dispatcher::{NoSlot, Slot};
+use super::dispatcher::{Slot, SlotError};
 use super::exchange::{Exchange, remove_hop_by_hop};
-use super::fate::{Cause, Failure, Fate, GivenUp};
-use super::frontend::given_up;
+use super::frontend::reject;
+use super::retries::RetryState;
 use super::stream::{self, LiveStream};
 use super::trace::{AttemptEnd, Outcome};
-use super::tries::Tries;
 use super::turn::OpenTurn;
 use crate::clock::{duration, now};
 
 /// Passes a request on and gives back the final answer.
-pub async fn forward(core: &Arc<Core>, exchange: Exchange, turn: Option<OpenTurn>) -> Response<RelayBody> {
-    let mut tries = Tries::new(Arc::clone(&exchange.trace));
+pub async fn forward(
+    core: &Arc<RelayState>, exchange: Exchange, turn: Option<OpenTurn>,
+) -> Response<RelayBody> {
+    let mut tries = RetryState::new(Arc::clone(&exchange.trace));
     loop {
-        match one_try(core, &exchange, &mut tries).await {
+        match run_attempt(core, &exchange, &mut tries).await {
             Ok(Reply::Whole(answer)) => {
                 core.metrics.answered.add();
                 exchange.trace.ended(Outcome::Answered(answer.status()));
@@ -36,7 +38,7 @@
                 return stream::pass_on(core, exchange, turn, *live, tries);
             }
             Err(Ended::Again) => core.metrics.resends.add(),
-            Err(Ended::GivenUp(why)) => return final_answer(core, tries, why),
+            Err(Ended::Rejection(why)) => return final_answer(core, tries, why),
         }
     }
 }
@@ -54,20 +56,22 @@
     /// There may be another.
     Again,
     /// There is none.
-    GivenUp(GivenUp),
+    Rejection(Rejection),
 }
 
-fn final_answer(core: &Core, tries: Tries, why: GivenUp) -> Response<RelayBody> {
+fn final_answer(core: &RelayState, tries: RetryState, why: Rejection) -> Response<RelayBody> {
     let fate = tries.fate();
     if let Some(failed) = tries.failed {
         core.metrics.answered.add();
         tries.trace.ended(Outcome::Answered(failed.status()));
         return failed;
     }
-    given_up(core, &tries.trace, why, fate)
+    reject(core, &tries.trace, why, fate)
 }
 
-async fn one_try(core: &Arc<Core>, exchange: &Exchange, tries: &mut Tries) -> Result<Reply, Ended> {
+async fn run_attempt(
+    core: &Arc<RelayState>, exchange: &Exchange, tries: &mut RetryState,
+) -> Result<Reply, Ended> {
     let slot = take_slot(core, exchange, tries).await?;
     let endpoint = slot.endpoint().clone();
     exchange.trace.attempt_began(&endpoint);
@@ -93,79 +97,91 @@
         Ok(Err(failure)) => Err(after_failure(core, exchange, tries, slot, failure)),
         Err(_) => {
             core.dispatcher.record(&exchange.destination, now().since(begun), true);
-            Err(after_failure(core, exchange, tries, slot, Failure::may_have_run(Cause::Silent)))
+            Err(after_failure(
+                core,
+                exchange,
+                tries,
+                slot,
+                AttemptFailure::may_have_run(FailureCause::TimedOut),
+            ))
         }
     }
 }
 
 /// Passes an answer on, or keeps it back while another endpoint may do better.
 fn after_answer(
-    core: &Core, exchange: &Exchange, tries: &mut Tries, slot: Slot, begun: Time, answer: Response<RelayBody>,
+    core: &RelayState, exchange: &Exchange, tries: &mut RetryState, slot: Slot, begun: Time,
+    answer: Response<RelayBody>,
 ) -> Result<Reply, Ended> {
     if !answer.status().is_server_error() {
         core.dispatcher.record(&exchange.destination, now().since(begun), false);
-        slot.end(Ending::Answered);
+        slot.end(CallOutcome::Succeeded);
         exchange.trace.attempt_ended(AttemptEnd::Answered);
         return Ok(Reply::Whole(answer));
     }
-    if exchange.may_repeat() && tries.left(exchange) > 1 {
+    if exchange.is_retryable() && tries.left(exchange) > 1 {
         tries.failed = Some(answer);
-        let failure = Failure::may_have_run(Cause::EndpointError);
+        let failure = AttemptFailure::may_have_run(FailureCause::EndpointError);
         return Err(after_failure(core, exchange, tries, slot, failure));
     }
     // Errors come fast: an endpoint that gives them must not look free and sound.
-    slot.end(Ending::Erred);
-    exchange.trace.attempt_ended(AttemptEnd::Failed(Cause::EndpointError));
+    slot.end(CallOutcome::ServerError);
+    exchange.trace.attempt_ended(AttemptEnd::Failed(FailureCause::EndpointError));
     Ok(Reply::Whole(answer))
 }
 
 /// A slot for the next try, if one is worth making.
-async fn take_slot(core: &Arc<Core>, exchange: &Exchange, tries: &mut Tries) -> Result<Slot, Ended> {
+async fn take_slot(
+    core: &Arc<RelayState>, exchange: &Exchange, tries: &mut RetryState,
+) -> Result<Slot, Ended> {
     if tries.left(exchange) == 0 {
-        return Err(Ended::GivenUp(GivenUp::NoTriesLeft));
+        return Err(Ended::Rejection(Rejection::RetriesExhausted));
     }
-    let worth_trying = || core.dispatcher.worth_trying(&exchange.destination, exchange.left());
-    if !worth_trying() {
-        return Err(Ended::GivenUp(GivenUp::TooLate));
+    let has_time_for_attempt =
+        || core.dispatcher.has_time_for_attempt(&exchange.destination, exchange.left());
+    if !has_time_for_attempt() {
+        return Err(Ended::Rejection(Rejection::DeadlineTooClose));
     }
     let ask = exchange.ask(tries.excluded.clone(), time_out(core, exchange, tries));
     let slot = core.dispatcher.slot(ask, exchange.patience()).await;
     let slot = slot.map_err(|why| match why {
-        NoSlot::NoEndpoint => Ended::GivenUp(GivenUp::NoEndpoint),
-        NoSlot::Full => Ended::GivenUp(GivenUp::Full),
+        SlotError::NoEndpoint => Ended::Rejection(Rejection::NoEndpoint),
+        SlotError::Full => Ended::Rejection(Rejection::Full),
     })?;
     // The wait for the slot has taken its time.
-    if worth_trying() { Ok(slot) } else { Err(Ended::GivenUp(GivenUp::TooLate)) }
+    if has_time_for_attempt() { Ok(slot) } else { Err(Ended::Rejection(Rejection::DeadlineTooClose)) }
 }
 
 /// How long a try may last: the restart timer's interval, or all the time left where there is no second try.
-fn time_out(core: &Core, exchange: &Exchange, tries: &Tries) -> Span {
+fn time_out(core: &RelayState, exchange: &Exchange, tries: &RetryState) -> Span {
     let left = exchange.left();
-    let tries_left = if exchange.may_repeat() { tries.left(exchange) } else { 1 };
+    let tries_left = if exchange.is_retryable() { tries.left(exchange) } else { 1 };
     core.dispatcher.time_out(&exchange.destination, left, tries_left)
 }
 
-fn after_failure(core: &Core, exchange: &Exchange, tries: &mut Tries, slot: Slot, failure: Failure) -> Ended {
+fn after_failure(
+    core: &RelayState, exchange: &Exchange, tries: &mut RetryState, slot: Slot, failure: AttemptFailure,
+) -> Ended {
     tries.note(core, slot.endpoint().clone(), failure);
     slot.end(failure.cause.ending());
-    if failure.fate == Fate::MayHaveRun && !exchange.may_repeat() {
-        let silent = failure.cause == Cause::Silent;
-        return Ended::GivenUp(if silent { GivenUp::TooLate } else { GivenUp::Broken });
+    if failure.fate == ExecutionStatus::MayHaveRun && !exchange.is_retryable() {
+        let silent = failure.cause == FailureCause::TimedOut;
+        return Ended::Rejection(if silent { Rejection::DeadlineTooClose } else { Rejection::Broken });
     }
     Ended::Again
 }
 
 /// Reads an answer to its end, or, where it is a stream, to its first event.
 async fn read_reply(
-    core: &Core, exchange: &Exchange, endpoint: &InstanceId, answer: Answer,
-) -> Result<Reply, Failure> {
+    core: &RelayState, exchange: &Exchange, endpoint: &InstanceId, answer: Answer,
+) -> Result<Reply, AttemptFailure> {
     if exchange.route.route_type.is_streaming() && answer.parts.status.is_success() {
         return stream::first_event(answer).await.map(|live| Reply::Live(Box::new(live)));
     }
     let Answer { mut parts, mut body, connection, .. } = answer;
     let kept_for = keep_alive(&parts.headers);
-    let mut held = core.memory.take(0).ok_or(Failure::may_have_run(Cause::NoRoom))?;
-    let pieces = attempt::read_whole(&mut body, &mut held).await?;
+    let mut held = core.memory.take(0).ok_or(AttemptFailure::may_have_run(FailureCause::NoCapacity))?;
+    let pieces = attempt::read_complete_body(&mut body, &mut held).await?;
     core.pool.give_back(endpoint, connection, kept_for);
     remove_hop_by_hop(&mut parts.headers);
     Ok(Reply::Whole(Response::from_parts(parts, RelayBody::whole_held(pieces, held))))
--- a/crates/node/src/relay/frontend.rs
+++ b/crates/node/src/relay/frontend.rs
@@ -13,7 +13,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
-use juniperwing_balancing::{Destination, PromptPart};
+use juniperwing_balancing::{Destination, PromptSection};
 use juniperwing_clock::{Span, Time};
 use juniperwing_configuration::{Limits, Route};
 use juniperwing_protocol::headers;
@@ -21,54 +21,54 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-use super::Core;
+use super::RelayState;
+use super::attempt_outcome::{ExecutionStatus, Rejection, plain};
 use super::body::RelayBody;
-use super::connections::{ClientConnection, Listed, Watched};
+use super::connections::{ClientConnection, RegisteredConnection, WatchedStream};
 use super::exchange::{Exchange, has_other_transfer_coding, header_number, header_text, remove_hop_by_hop};
-use super::fate::{Fate, GivenUp, plain};
 use super::forward::forward;
-use super::memory::Held;
-use super::snapshot::InForce;
+use super::memory::MemoryReservation;
+use super::snapshot::ActiveConfiguration;
 use super::trace::{Outcome, RequestTrace, Traced};
-use super::turn::{Denied, OpenTurn};
+use super::turn::{OpenTurn, TurnRejection};
 use crate::clock::{duration, now, random};
 use crate::panics::isolated;
 
 /// The pause after a connection could not be accepted.
-const PAUSE_AFTER_FAILURE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// Room for the first line of a request beside its headers, in bytes. The HTTP library's least buffer is as large.
 const REQUEST_LINE_BYTES: usize = 8 << 10;
 /// Connections beyond the bound that are still told to come back later; more are closed at once.
-const REFUSED_POLITELY: usize = 64;
+const MAX_REJECTED_CONNECTIONS: usize = 64;
 /// Header lines of a request at the most; the bytes that they may take together are the operator's to bound.
-const MOST_HEADERS: usize = 512;
+const MAX_HEADER_LINES: usize = 512;
 /// Bytes that a header takes beside its name and value.
 const HEADER_OVERHEAD: usize = 4;
 
 /// Accepts connections until it is dropped.
-pub async fn accept(core: Arc<Core>, listener: TcpListener) {
+pub async fn accept(core: Arc<RelayState>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => take(&core, stream),
-            Err(_) => sleep(PAUSE_AFTER_FAILURE).await,
+            Err(_) => sleep(ACCEPT_RETRY_INTERVAL).await,
         }
     }
 }
 
-fn take(core: &Arc<Core>, stream: TcpStream) {
+fn take(core: &Arc<RelayState>, stream: TcpStream) {
     let count = core.connections.count();
-    if count >= core.most_connections + REFUSED_POLITELY {
+    if count >= core.max_client_connections + MAX_REJECTED_CONNECTIONS {
         return;
     }
-    let has_room = count < core.most_connections;
+    let has_room = count < core.max_client_connections;
     let limits = core.world.snapshot().limits();
-    // Listed at once: a relay that stops ends all that it has accepted.
+    // RegisteredConnection at once: a relay that stops ends all that it has accepted.
     let listed = core.connections.add(limits.max_header_bytes);
     tokio::spawn(isolated(serve_connection(Arc::clone(core), stream, listed, limits, has_room)));
 }
 
 async fn serve_connection(
-    core: Arc<Core>, stream: TcpStream, listed: Listed, limits: Limits, has_room: bool,
+    core: Arc<RelayState>, stream: TcpStream, listed: RegisteredConnection, limits: Limits, has_room: bool,
 ) {
     // Without it answers only come later.
     let _ = stream.set_nodelay(true);
@@ -82,9 +82,9 @@
     let mut builder = http1::Builder::new();
     builder.header_read_timeout(None);
     builder.auto_date_header(false);
-    builder.max_headers(MOST_HEADERS);
+    builder.max_headers(MAX_HEADER_LINES);
     builder.max_buf_size((limits.max_header_bytes as usize).saturating_add(REQUEST_LINE_BYTES));
-    let watched = Watched { stream, connection: Arc::clone(&connection) };
+    let watched = WatchedStream { stream, connection: Arc::clone(&connection) };
     let served = builder.serve_connection(TokioIo::new(watched), service);
     tokio::pin!(served);
     loop {
@@ -98,7 +98,7 @@
 }
 
 async fn serve_request(
-    core: Arc<Core>, connection: Arc<ClientConnection>, request: Request<Incoming>, has_room: bool,
+    core: Arc<RelayState>, connection: Arc<ClientConnection>, request: Request<Incoming>, has_room: bool,
 ) -> Result<Response<RelayBody>, Infallible> {
     let open = connection.open_request();
     core.metrics.requests.add();
@@ -108,7 +108,7 @@
     let mut answer = if has_room {
         respond_before_end(&core, &connection, request, &trace).await
     } else {
-        Refused::GivenUp(GivenUp::NoRoom).answer(&core, &trace)
+        Refused::Rejection(Rejection::NoCapacity).answer(&core, &trace)
     };
     trace.answering(&answer);
     answer.body_mut().hold(open, traced);
@@ -120,95 +120,101 @@
 
 /// Answers a request; without a promise if the process ends before it is done.
 async fn respond_before_end(
-    core: &Arc<Core>, connection: &ClientConnection, request: Request<Incoming>, trace: &Arc<RequestTrace>,
+    core: &Arc<RelayState>, connection: &ClientConnection, request: Request<Incoming>,
+    trace: &Arc<RequestTrace>,
 ) -> Response<RelayBody> {
     tokio::select! {
         biased;
         answer = respond(core, connection, request, trace) => {
             answer.unwrap_or_else(|refused| refused.answer(core, trace))
         }
-        () = core.ending() => given_up(core, trace, GivenUp::Ending, Fate::MayHaveRun),
+        () = core.ending() => reject(core, trace, Rejection::ShuttingDown, ExecutionStatus::MayHaveRun),
     }
 }
 
 /// Why a request is not passed on.
 enum Refused {
-    Finally(StatusCode),
-    GivenUp(GivenUp),
+    Final(StatusCode),
+    Rejection(Rejection),
 }
 
 impl Refused {
-    fn answer(self, core: &Core, trace: &RequestTrace) -> Response<RelayBody> {
+    fn answer(self, core: &RelayState, trace: &RequestTrace) -> Response<RelayBody> {
         match self {
-            Refused::Finally(status) => {
+            Refused::Final(status) => {
                 trace.ended(Outcome::Refused(status));
                 plain(status)
             }
-            Refused::GivenUp(why) => given_up(core, trace, why, Fate::NotSent),
+            Refused::Rejection(why) => reject(core, trace, why, ExecutionStatus::NotSent),
         }
     }
 }
 
 /// Counts a request that is given up, and answers it.
-pub(super) fn given_up(core: &Core, trace: &RequestTrace, why: GivenUp, fate: Fate) -> Response<RelayBody> {
-    core.metrics.given_up(why);
+pub(super) fn reject(
+    core: &RelayState, trace: &RequestTrace, why: Rejection, fate: ExecutionStatus,
+) -> Response<RelayBody> {
+    core.metrics.reject(why);
     let answer = why.answer(fate);
-    trace.ended(Outcome::GivenUp(why, answer.status()));
+    trace.ended(Outcome::Rejection(why, answer.status()));
     answer
 }
 
-impl From<Denied> for Refused {
-    fn from(denied: Denied) -> Self {
+impl From<TurnRejection> for Refused {
+    fn from(denied: TurnRejection) -> Self {
         match denied {
-            Denied::Finally(status) => Refused::Finally(status),
-            Denied::GivenUp(why) => Refused::GivenUp(why),
+            TurnRejection::Final(status) => Refused::Final(status),
+            TurnRejection::Rejection(why) => Refused::Rejection(why),
         }
     }
 }
 
 async fn respond(
-    core: &Arc<Core>, connection: &ClientConnection, request: Request<Incoming>, trace: &Arc<RequestTrace>,
+    core: &Arc<RelayState>, connection: &ClientConnection, request: Request<Incoming>,
+    trace: &Arc<RequestTrace>,
 ) -> Result<Response<RelayBody>, Refused> {
     let begun = now();
     let snapshot = core.world.snapshot();
-    let in_force = snapshot.configuration.as_ref().ok_or(Refused::GivenUp(GivenUp::NotConfigured))?;
-    let route = find_route(core, in_force, &request)?;
-    trace.routed(&route, in_force.generation);
-    let limits = in_force.table.limits();
+    let active = snapshot.configuration.as_ref().ok_or(Refused::Rejection(Rejection::NotConfigured))?;
+    let route = find_route(core, active, &request)?;
+    trace.routed(&route, active.generation);
+    let limits = active.table.limits();
     check_head(&request, limits)?;
     // An HTTP/1.0 client could not tell a stream's end from a break.
     if request.version() < Version::HTTP_11 && route.route_type.is_streaming() {
-        return Err(Refused::Finally(StatusCode::HTTP_VERSION_NOT_SUPPORTED));
+        return Err(Refused::Final(StatusCode::HTTP_VERSION_NOT_SUPPORTED));
     }
     let (parts, body) = request.into_parts();
     let deadline = begun + time_allowed(&route, &parts.headers);
     let (body, held) = read_body(core, body, limits, deadline).await?;
     let mut exchange = exchange(route, parts, body, deadline, trace, held)?;
-    let turn = OpenTurn::begin(core, &mut exchange, &in_force.table).await;
+    let turn = OpenTurn::begin(core, &mut exchange, &active.table).await;
     let turn = turn.inspect_err(|denied| {
-        if matches!(denied, Denied::Finally(_)) {
+        if matches!(denied, TurnRejection::Final(_)) {
             core.metrics.turns_denied.add();
         }
     })?;
     let with_history = exchange.body.len();
     if !exchange.held.grow(with_history) {
-        return Err(Refused::GivenUp(GivenUp::NoRoom));
+        return Err(Refused::Rejection(Rejection::NoCapacity));
     }
     let answer = forward(core, exchange, turn).await;
     connection.set_deadline(deadline);
     Ok(answer)
 }
 
-fn find_route(core: &Core, in_force: &InForce, request: &Request<Incoming>) -> Result<Arc<Route>, Refused> {
+fn find_route(
+    core: &RelayState, active: &ActiveConfiguration, request: &Request<Incoming>,
+) -> Result<Arc<Route>, Refused> {
     let authority = request.uri().authority().map_or("", |authority| authority.as_str());
     let host = if authority.is_empty() { header_text(request.headers(), HOST.as_str()) } else { authority };
-    let route = in_force.table.lookup(host, request.uri().path());
+    let route = active.table.lookup(host, request.uri().path());
     route.cloned().ok_or_else(|| {
         if core.world.is_out_of_touch() {
-            return Refused::GivenUp(GivenUp::OutOfTouch);
+            return Refused::Rejection(Rejection::KeepersUnreachable);
         }
         core.metrics.no_route.add();
-        Refused::Finally(StatusCode::NOT_FOUND)
+        Refused::Final(StatusCode::NOT_FOUND)
     })
 }
 
@@ -216,10 +222,10 @@
     let lines = request.headers().iter();
     let bytes: usize = lines.map(|(name, value)| name.as_str().len() + value.len() + HEADER_OVERHEAD).sum();
     if bytes as u64 > limits.max_header_bytes {
-        return Err(Refused::Finally(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE));
+        return Err(Refused::Final(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE));
     }
     if header_number(request.headers(), CONTENT_LENGTH.as_str()) > Some(limits.max_body_bytes) {
-        return Err(Refused::Finally(StatusCode::PAYLOAD_TOO_LARGE));
+        return Err(Refused::Final(StatusCode::PAYLOAD_TOO_LARGE));
     }
     check_unambiguous(request.headers())
 }
@@ -228,7 +234,7 @@
 fn check_unambiguous(lines: &HeaderMap) -> Result<(), Refused> {
     let count = |name: &str| lines.get_all(name).iter().count();
     if count(headers::REQUEST_ID) != 1 || count(HOST.as_str()) > 1 || has_other_transfer_coding(lines) {
-        return Err(Refused::Finally(StatusCode::BAD_REQUEST));
+        return Err(Refused::Final(StatusCode::BAD_REQUEST));
     }
     Ok(())
 }
@@ -241,28 +247,28 @@
 
 /// Reads the body whole, within its bounds.
 async fn read_body(
-    core: &Core, mut body: Incoming, limits: &Limits, deadline: Time,
-) -> Result<(Bytes, Held), Refused> {
-    let mut held = core.memory.take(0).ok_or(Refused::GivenUp(GivenUp::NoRoom))?;
+    core: &RelayState, mut body: Incoming, limits: &Limits, deadline: Time,
+) -> Result<(Bytes, MemoryReservation), Refused> {
+    let mut held = core.memory.take(0).ok_or(Refused::Rejection(Rejection::NoCapacity))?;
     let mut pieces: Vec<Bytes> = Vec::new();
     let mut length = 0;
     let read = async {
         while let Some(frame) = body.frame().await {
-            let frame = frame.map_err(|_| Refused::Finally(StatusCode::BAD_REQUEST))?;
+            let frame = frame.map_err(|_| Refused::Final(StatusCode::BAD_REQUEST))?;
             let Ok(piece) = frame.into_data() else { continue };
             length += piece.len();
             if length as u64 > limits.max_body_bytes {
-                return Err(Refused::Finally(StatusCode::PAYLOAD_TOO_LARGE));
+                return Err(Refused::Final(StatusCode::PAYLOAD_TOO_LARGE));
             }
             if !held.grow(piece.len()) {
-                return Err(Refused::GivenUp(GivenUp::NoRoom));
+                return Err(Refused::Rejection(Rejection::NoCapacity));
             }
             pieces.push(piece);
         }
         Ok(())
     };
     let in_time = timeout(duration(deadline.since(now())), read).await;
-    in_time.map_err(|_| Refused::Finally(StatusCode::REQUEST_TIMEOUT))??;
+    in_time.map_err(|_| Refused::Final(StatusCode::REQUEST_TIMEOUT))??;
     let body = match pieces.len() {
         0 => Bytes::new(),
         1 => pieces.swap_remove(0),
@@ -273,9 +279,9 @@
 
 fn exchange(
     route: Arc<Route>, parts: http::request::Parts, body: Bytes, deadline: Time, trace: &Arc<RequestTrace>,
-    held: Held,
+    held: MemoryReservation,
 ) -> Result<Exchange, Refused> {
-    let bad_request = || Refused::Finally(StatusCode::BAD_REQUEST);
+    let bad_request = || Refused::Final(StatusCode::BAD_REQUEST);
     let mut headers = parts.headers;
     let request = headers.get(headers::REQUEST_ID).cloned().ok_or_else(bad_request)?;
     remove_hop_by_hop(&mut headers);
@@ -293,10 +299,10 @@
         method: parts.method,
         uri: target(&parts.uri).ok_or_else(bad_request)?,
         request,
-        prompt: PromptPart::list(header_text(&headers, headers::PROMPT_PREFIX)),
+        prompt: PromptSection::list(header_text(&headers, headers::PROMPT_PREFIX)),
         program: program.map(ProgramId::from),
         hint: None,
-        new_share: 1.0,
+        new_prompt_fraction: 1.0,
         headers,
         body,
         deadline,
--- a/crates/node/src/relay/figures.rs
+++ b/crates/node/src/relay/gauges.rs
@@ -2,13 +2,13 @@
 
 use std::sync::atomic::Ordering;
 
-use super::Core;
+use super::RelayState;
 use crate::metrics::{Figure, FigureSource};
 
-impl FigureSource for Core {
+impl FigureSource for RelayState {
     fn figures(&self) -> Vec<Figure> {
         let snapshot = self.world.snapshot();
-        let in_force = snapshot.configuration.as_ref();
+        let active = snapshot.configuration.as_ref();
         let flag = u64::from;
         let mut figures = vec![
             Figure::gauge("is_ready", "Whether connections of clients are wanted", flag(self.is_ready())),
@@ -25,7 +25,7 @@
             Figure::gauge(
                 "configuration_generation",
                 "The operator's number of the configuration in force",
-                in_force.map_or(0, |in_force| in_force.generation),
+                active.map_or(0, |active| active.generation),
             ),
             Figure::gauge("store_map_version", "The version of the store map held", snapshot.stores.version),
             Figure::gauge("client_connections", "Connections of clients", self.connections.count() as u64),
--- a/crates/node/src/relay/memory.rs
+++ b/crates/node/src/relay/memory.rs
@@ -5,22 +5,22 @@
 
 /// A bound on bytes held at the same time.
 #[derive(Debug)]
-pub struct Memory {
+pub struct MemoryBudget {
     held: AtomicUsize,
     most: usize,
 }
 
 /// Bytes that are held until this is dropped.
 #[derive(Debug)]
-pub struct Held {
-    memory: Arc<Memory>,
+pub struct MemoryReservation {
+    memory: Arc<MemoryBudget>,
     bytes: usize,
 }
 
-impl Memory {
+impl MemoryBudget {
     /// Room for so many bytes.
     pub fn new(most: usize) -> Arc<Self> {
-        Arc::new(Memory { held: AtomicUsize::new(0), most })
+        Arc::new(MemoryBudget { held: AtomicUsize::new(0), most })
     }
 
     /// Bytes held now.
@@ -29,13 +29,13 @@
     }
 
     /// Takes room; `None` if there is too little.
-    pub fn take(self: &Arc<Self>, bytes: usize) -> Option<Held> {
-        let mut held = Held { memory: Arc::clone(self), bytes: 0 };
+    pub fn take(self: &Arc<Self>, bytes: usize) -> Option<MemoryReservation> {
+        let mut held = MemoryReservation { memory: Arc::clone(self), bytes: 0 };
         held.grow(bytes).then_some(held)
     }
 }
 
-impl Held {
+impl MemoryReservation {
     /// Takes more room; `false` if there is too little.
     pub fn grow(&mut self, bytes: usize) -> bool {
         let before = self.memory.held.fetch_add(bytes, Ordering::Relaxed);
@@ -44,7 +44,7 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for MemoryReservation {
     fn drop(&mut self) {
         self.memory.held.fetch_sub(self.bytes, Ordering::Relaxed);
     }
--- a/crates/node/src/relay/metrics.rs
+++ b/crates/node/src/relay/metrics.rs
@@ -4,11 +4,11 @@
 
 use slog::{KV, Logger, Record, Serializer, info};
 
-use super::fate::GivenUp;
+use super::attempt_outcome::Rejection;
 use crate::metrics::Figure;
 
 /// How often counters are logged.
-pub const LOG_EVERY: std::time::Duration = std::time::Duration::from_secs(10);
+pub const LOG_INTERVAL: std::time::Duration = std::time::Duration::from_secs(10);
 
 /// A number that only rises.
 #[derive(Debug, Default)]
@@ -73,15 +73,15 @@
 
 impl Metrics {
     /// Counts a request that is given up.
-    pub fn given_up(&self, why: GivenUp) {
+    pub fn reject(&self, why: Rejection) {
         match why {
-            GivenUp::TooLate => self.too_late.add(),
-            GivenUp::NoEndpoint => self.no_endpoint.add(),
-            GivenUp::Full => self.full.add(),
-            GivenUp::NoSessions => self.no_sessions.add(),
-            GivenUp::NoRoom => self.no_room.add(),
-            GivenUp::NotConfigured | GivenUp::OutOfTouch => self.out_of_touch.add(),
-            GivenUp::NoTriesLeft | GivenUp::Broken | GivenUp::Ending => self.other.add(),
+            Rejection::DeadlineTooClose => self.too_late.add(),
+            Rejection::NoEndpoint => self.no_endpoint.add(),
+            Rejection::Full => self.full.add(),
+            Rejection::StoresUnreachable => self.no_sessions.add(),
+            Rejection::NoCapacity => self.no_room.add(),
+            Rejection::NotConfigured | Rejection::KeepersUnreachable => self.out_of_touch.add(),
+            Rejection::RetriesExhausted | Rejection::Broken | Rejection::ShuttingDown => self.other.add(),
         }
     }
 
--- a/crates/node/src/relay/sessions.rs
+++ b/crates/node/src/relay/sessions.rs
@@ -11,10 +11,10 @@
 
 /// Why a turn cannot be begun or finished.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-pub enum SessionFault {
+pub enum TurnError {
     /// The budget is spent: the turn must not run.
     #[snafu(display("the budget is spent"))]
-    BudgetSpent,
+    BudgetExhausted,
     /// The turn that it continues from is certainly not kept.
     #[snafu(display("the turn before is not known"))]
     UnknownTurn,
@@ -27,7 +27,7 @@
 }
 
 /// A call to the stores.
-pub type SessionCall<T> = Pin<Box<dyn Future<Output = Result<T, SessionFault>> + Send>>;
+pub type SessionCall<T> = Pin<Box<dyn Future<Output = Result<T, TurnError>> + Send>>;
 
 /// The stores, as a relay uses them.
 pub trait Sessions: Send + Sync + 'static {
@@ -62,9 +62,9 @@
         let client = self.clone();
         Box::pin(async move {
             let begun = client.begin(turn, within).await.map_err(|error| match error {
-                SessionError::BudgetSpent => SessionFault::BudgetSpent,
-                SessionError::UnknownTurn => SessionFault::UnknownTurn,
-                SessionError::Unavailable { trouble } => SessionFault::Unavailable { trouble },
+                SessionError::BudgetSpent => TurnError::BudgetExhausted,
+                SessionError::UnknownTurn => TurnError::UnknownTurn,
+                SessionError::Unavailable { trouble } => TurnError::Unavailable { trouble },
             })?;
             Ok(begun.chain)
         })
@@ -74,7 +74,7 @@
         let client = self.clone();
         Box::pin(async move {
             let finished = client.finish(turn, within).await;
-            finished.map_err(|NotSettled { trouble }| SessionFault::Unavailable { trouble })
+            finished.map_err(|NotSettled { trouble }| TurnError::Unavailable { trouble })
         })
     }
 
--- a/crates/node/src/relay/snapshot.rs
+++ b/crates/node/src/relay/snapshot.rs
@@ -25,13 +25,13 @@
 /// Endpoints that a whole update does not name are dropped if nothing was told of them for so many heartbeats.
 const HEARTBEATS_UNTIL_DROPPED: f64 = 4.0;
 /// Endpoints known only to one young keeper count as all there are after so many heartbeats.
-const HEARTBEATS_UNTIL_KNOWN: f64 = 2.0;
+const HEARTBEATS_UNTIL_COMPLETE: f64 = 2.0;
 /// Endpoints remembered as gone at the most, so that late news cannot bring them back.
-const MOST_GONE: usize = 16_384;
+const MAX_TOMBSTONES: usize = 16_384;
 
 /// A configuration in force.
 #[derive(Debug)]
-pub struct InForce {
+pub struct ActiveConfiguration {
     /// Its version.
     pub version: Version,
     /// The operator's number of it.
@@ -39,14 +39,14 @@
     /// Its routes and limits.
     pub table: RouteTable,
     /// Whether a route keeps turns.
-    pub keeps_turns: bool,
+    pub stores_turns: bool,
 }
 
 /// What is known at one moment.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
     /// The configuration; `None` until the first comes.
-    pub configuration: Option<Arc<InForce>>,
+    pub configuration: Option<Arc<ActiveConfiguration>>,
     /// Where turns and budgets are.
     pub stores: Arc<StoreMap>,
     instances: HashTrieMapSync<InstanceId, Known>,
@@ -81,29 +81,36 @@
     /// Whether all that is needed to serve is known.
     fn is_complete(&self, now: Time, heartbeat: Span) -> bool {
         let Some(configuration) = &self.configuration else { return false };
-        let aged = |first| now.since(first) >= heartbeat.mul_f64(HEARTBEATS_UNTIL_KNOWN);
+        let aged = |first| now.since(first) >= heartbeat.mul_f64(HEARTBEATS_UNTIL_COMPLETE);
         let endpoints = self.heard.complete || self.heard.first.is_some_and(aged);
-        endpoints && (!configuration.keeps_turns || !self.stores.partitions.is_empty())
+        endpoints && (!configuration.stores_turns || !self.stores.partitions.is_empty())
     }
 }
 
 /// Keeps the snapshot, and the dispatcher in step with it.
-pub struct World {
+pub struct ClusterView {
     snapshot: Mutex<Arc<Snapshot>>,
     dispatcher: Arc<Dispatcher>,
     heartbeat: Span,
     stores: watch::Sender<Arc<StoreMap>>,
     /// Whether all subscriptions to keepers are lost.
-    out_of_touch: AtomicBool,
+    is_disconnected: AtomicBool,
     log: Logger,
 }
 
-impl World {
+impl ClusterView {
     /// A world in which nothing is known. Endpoints send a heartbeat every `heartbeat`.
     pub fn new(dispatcher: Arc<Dispatcher>, heartbeat: Span, log: Logger) -> Arc<Self> {
         let (stores, _) = watch::channel(Arc::default());
-        let out_of_touch = AtomicBool::new(false);
-        Arc::new(World { snapshot: Mutex::default(), dispatcher, heartbeat, stores, out_of_touch, log })
+        let is_disconnected = AtomicBool::new(false);
+        Arc::new(ClusterView {
+            snapshot: Mutex::default(),
+            dispatcher,
+            heartbeat,
+            stores,
+            is_disconnected,
+            log,
+        })
     }
 
     /// What is known now.
@@ -124,7 +131,7 @@
     /// Whether what is known may be out of date, because all subscriptions to keepers are lost. It still holds, but
     /// that something is not in it proves nothing.
     pub fn is_out_of_touch(&self) -> bool {
-        self.out_of_touch.load(Ordering::Relaxed)
+        self.is_disconnected.load(Ordering::Relaxed)
     }
 
     /// Another instance has answered at an endpoint's address: it is no more, until something newer is told.
@@ -149,11 +156,11 @@
                 return;
             }
         };
-        let keeps_turns = configuration.routes.iter().any(|route| route.kept);
+        let stores_turns = configuration.routes.iter().any(|route| route.stores_turns);
         let table = RouteTable::new(&configuration);
         let generation = configuration.generation;
-        let in_force = Arc::new(InForce { version, generation, table, keeps_turns });
-        self.change(|snapshot| snapshot.configuration = Some(in_force));
+        let active = Arc::new(ActiveConfiguration { version, generation, table, stores_turns });
+        self.change(|snapshot| snapshot.configuration = Some(active));
         self.forget_destinations(&configuration);
         info!(self.log, "configuration in force"; "generation" => generation);
     }
@@ -205,7 +212,7 @@
     fn drop_unnamed(&self, snapshot: &mut Snapshot, update: &InstancesUpdate, now: Time) -> Vec<Instance> {
         let named: HashSet<&InstanceId> = update.instances.iter().map(|instance| &instance.id).collect();
         let patience = self.heartbeat.mul_f64(HEARTBEATS_UNTIL_DROPPED);
-        let full = snapshot.instances.size() > MOST_GONE;
+        let full = snapshot.instances.size() > MAX_TOMBSTONES;
         let is_old = |known: &Known| now.since(known.told_at) > patience;
         let dropped: Vec<Instance> = snapshot
             .instances
@@ -255,7 +262,7 @@
 
 /// What a relay acts on never goes back within a life.
 fn check_rises(before: &Snapshot, after: &Snapshot) {
-    let version = |snapshot: &Snapshot| snapshot.configuration.as_ref().map(|in_force| in_force.version);
+    let version = |snapshot: &Snapshot| snapshot.configuration.as_ref().map(|active| active.version);
     check(Invariant::ConfigurationVersionNeverDecreases, version(before) <= version(after), || {
         format!("{:?} is followed by {:?}", version(before), version(after))
     });
@@ -265,7 +272,7 @@
     });
 }
 
-impl Sink for World {
+impl Sink for ClusterView {
     fn apply(&self, update: Update) {
         match update {
             Update::Configuration { version, body } => self.apply_configuration(version, &body),
@@ -282,10 +289,10 @@
 
     fn configuration(&self) -> Version {
         let snapshot = self.snapshot();
-        snapshot.configuration.as_ref().map_or_else(Version::default, |in_force| in_force.version)
+        snapshot.configuration.as_ref().map_or_else(Version::default, |active| active.version)
     }
 
     fn connected(&self, is_connected: bool) {
-        self.out_of_touch.store(!is_connected, Ordering::Relaxed);
+        self.is_disconnected.store(!is_connected, Ordering::Relaxed);
     }
 }
--- a/crates/node/src/relay/stream.rs
+++ b/crates/node/src/relay/stream.rs
@@ -8,20 +8,20 @@
 use http::{HeaderValue, Response, StatusCode, response};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
-use juniperwing_balancing::Ending;
+use juniperwing_balancing::CallOutcome;
 use juniperwing_invariants::{Invariant, check};
 use juniperwing_protocol::headers;
 use tokio::time::{Instant, timeout_at};
 
-use super::Core;
+use super::RelayState;
 use super::attempt::{self, Answer, keep_alive};
-use super::body::{BrokenOff, RelayBody};
+use super::attempt_outcome::{AttemptFailure, FailureCause, header_name};
+use super::body::{RelayBody, StreamError};
 use super::dispatcher::Slot;
 use super::events::{Event, EventSplitter};
 use super::exchange::{Exchange, remove_hop_by_hop};
-use super::fate::{Cause, Failure, header_name};
+use super::retries::RetryState;
 use super::trace::{AttemptEnd, Outcome};
-use super::tries::Tries;
 use super::turn::OpenTurn;
 use super::upstream::Connection;
 use crate::clock::{duration, now};
@@ -66,8 +66,8 @@
     }
 
     /// Waits for whole events.
-    async fn next(&mut self) -> Result<Next, Failure> {
-        let broken = Failure::may_have_run(Cause::Broken);
+    async fn next(&mut self) -> Result<Next, AttemptFailure> {
+        let broken = AttemptFailure::may_have_run(FailureCause::Broken);
         loop {
             let Some(body) = &mut self.body else { return Ok(Next::End(Bytes::new())) };
             match body.frame().await {
@@ -82,7 +82,8 @@
                 Some(Ok(frame)) => {
                     let Some(data) = frame.data_ref() else { continue };
                     let events = self.splitter.push(data);
-                    let events = events.map_err(|_| Failure::may_have_run(Cause::Unsound))?;
+                    let events =
+                        events.map_err(|_| AttemptFailure::may_have_run(FailureCause::InvalidResponse))?;
                     if !events.is_empty() {
                         return Ok(Next::Events(events));
                     }
@@ -97,7 +98,7 @@
 /// # Errors
 ///
 /// If it breaks off before.
-pub async fn first_event(answer: Answer) -> Result<LiveStream, Failure> {
+pub async fn first_event(answer: Answer) -> Result<LiveStream, AttemptFailure> {
     let (parts, mut source) = Source::new(answer);
     let first = match source.next().await? {
         Next::Events(events) => events,
@@ -109,7 +110,7 @@
 
 /// The answer to the client: the head of the stream and its events.
 pub fn pass_on(
-    core: &Arc<Core>, exchange: Exchange, turn: Option<OpenTurn>, live: LiveStream, tries: Tries,
+    core: &Arc<RelayState>, exchange: Exchange, turn: Option<OpenTurn>, live: LiveStream, tries: RetryState,
 ) -> Response<RelayBody> {
     let LiveStream { mut parts, source, first, slot } = live;
     remove_hop_by_hop(&mut parts.headers);
@@ -118,7 +119,7 @@
     let status = parts.status;
     let left = duration(exchange.deadline.since(now()));
     let last_id = exchange.last_event_id();
-    let passage = Passage {
+    let stream = ForwardedStream {
         core: Arc::clone(core),
         exchange,
         turn,
@@ -132,19 +133,19 @@
         until: Instant::now() + left,
         ended: false,
     };
-    let pieces = unfold(passage, async |mut passage| {
-        let piece = passage.next().await?;
-        Some((piece, passage))
+    let pieces = unfold(stream, async |mut stream| {
+        let piece = stream.next().await?;
+        Some((piece, stream))
     });
     Response::from_parts(parts, RelayBody::pieces(Box::pin(pieces)))
 }
 
 /// A stream on its way to the client.
-struct Passage {
-    core: Arc<Core>,
+struct ForwardedStream {
+    core: Arc<RelayState>,
     exchange: Exchange,
     turn: Option<OpenTurn>,
-    tries: Tries,
+    tries: RetryState,
     source: Source,
     slot: Option<Slot>,
     status: StatusCode,
@@ -157,9 +158,9 @@
     ended: bool,
 }
 
-impl Passage {
+impl ForwardedStream {
     /// The next bytes for the client; `None` at the end.
-    async fn next(&mut self) -> Option<Result<Bytes, BrokenOff>> {
+    async fn next(&mut self) -> Option<Result<Bytes, StreamError>> {
         if self.ended {
             return None;
         }
@@ -168,20 +169,20 @@
         match next {
             Ok(Some(_)) => {}
             Ok(None) => self.exchange.trace.ended(Outcome::Answered(self.status)),
-            Err(why) => self.broke_off(why),
+            Err(why) => self.abort(why),
         }
         next.transpose()
     }
 
-    fn broke_off(&mut self, why: BrokenOff) {
+    fn abort(&mut self, why: StreamError) {
         self.core.metrics.broken_off.add();
-        self.exchange.trace.ended(Outcome::BrokenOff(why));
+        self.exchange.trace.ended(Outcome::StreamError(why));
         self.source.connection = None;
         self.slot = None;
         self.turn = None;
     }
 
-    async fn next_bytes(&mut self) -> Result<Option<Bytes>, BrokenOff> {
+    async fn next_bytes(&mut self) -> Result<Option<Bytes>, StreamError> {
         loop {
             if let Some(first) = self.first.take()
                 && let Some(bytes) = self.take_in(first)?
@@ -189,7 +190,7 @@
                 return Ok(Some(bytes));
             }
             match timeout_at(self.until, self.source.next()).await {
-                Err(_) => return Err(BrokenOff::Deadline),
+                Err(_) => return Err(StreamError::Deadline),
                 Ok(Ok(Next::Events(events))) => {
                     if let Some(bytes) = self.take_in(events)? {
                         return Ok(Some(bytes));
@@ -203,13 +204,13 @@
     }
 
     /// The bytes of events that the client does not have yet.
-    fn take_in(&mut self, events: Vec<Event>) -> Result<Option<Bytes>, BrokenOff> {
+    fn take_in(&mut self, events: Vec<Event>) -> Result<Option<Bytes>, StreamError> {
         let mut fresh: Vec<Event> = events.into_iter().filter(|event| !self.is_known(event)).collect();
         for event in &fresh {
             self.check_rises(event);
-            let kept = self.turn.as_mut().map_or(0, |turn| turn.hand_out(event));
+            let kept = self.turn.as_mut().map_or(0, |turn| turn.record_event(event));
             if !self.exchange.held.grow(kept) {
-                return Err(BrokenOff::NoRoom);
+                return Err(StreamError::NoCapacity);
             }
             if event.id.is_some() {
                 self.last_id.clone_from(&event.id);
@@ -246,39 +247,39 @@
     }
 
     /// Takes the stream up at another endpoint, behind the last event passed on.
-    async fn resume(&mut self, failure: Failure) -> Result<(), BrokenOff> {
+    async fn resume(&mut self, failure: AttemptFailure) -> Result<(), StreamError> {
         let mut failure = failure;
         loop {
             self.source.connection = None;
-            let Some(slot) = self.slot.take() else { return Err(BrokenOff::Endpoint) };
+            let Some(slot) = self.slot.take() else { return Err(StreamError::Endpoint) };
             self.tries.note(&self.core, slot.endpoint().clone(), failure);
             slot.end(failure.cause.ending());
-            self.ask_for_the_rest()?;
+            self.prepare_resumption()?;
             let ask = self.exchange.ask(self.tries.excluded.clone(), self.exchange.left());
             let patience = self.exchange.patience();
-            let slot = self.core.dispatcher.slot(ask, patience).await.map_err(|_| BrokenOff::Endpoint)?;
+            let slot = self.core.dispatcher.slot(ask, patience).await.map_err(|_| StreamError::Endpoint)?;
             self.exchange.trace.attempt_began(slot.endpoint());
             let answer = timeout_at(self.until, open(&self.core, &self.exchange, &slot)).await;
             self.slot = Some(slot);
             match answer {
-                Err(_) => return Err(BrokenOff::Deadline),
+                Err(_) => return Err(StreamError::Deadline),
                 Ok(Err(again)) => failure = again,
                 Ok(Ok(answer)) if answer.parts.status.is_success() => {
                     self.source = Source::new(answer).1;
                     self.core.metrics.resumed.add();
                     return Ok(());
                 }
-                Ok(Ok(_)) => return Err(BrokenOff::Endpoint),
+                Ok(Ok(_)) => return Err(StreamError::Endpoint),
             }
         }
     }
 
     /// Whether it may be resumed, and from where.
-    fn ask_for_the_rest(&mut self) -> Result<(), BrokenOff> {
+    fn prepare_resumption(&mut self) -> Result<(), StreamError> {
         let last_id = self.last_id.as_ref().and_then(|id| HeaderValue::from_bytes(id).ok());
-        let may_resume = self.exchange.may_repeat() && self.tries.left(&self.exchange) > 0;
+        let may_resume = self.exchange.is_retryable() && self.tries.left(&self.exchange) > 0;
         match last_id.filter(|_| may_resume) {
-            None => Err(BrokenOff::Endpoint),
+            None => Err(StreamError::Endpoint),
             Some(id) => {
                 self.resumed_behind = number(&self.last_id);
                 self.exchange.headers.insert(header_name(headers::LAST_EVENT_ID), id);
@@ -288,10 +289,10 @@
     }
 
     /// The stream has come to its end: a kept turn is on disk before the client learns of it.
-    async fn complete(&mut self) -> Result<(), BrokenOff> {
+    async fn complete(&mut self) -> Result<(), StreamError> {
         let Some(slot) = self.slot.take() else { return Ok(()) };
         let endpoint = slot.endpoint().clone();
-        slot.end(Ending::Answered);
+        slot.end(CallOutcome::Succeeded);
         self.exchange.trace.attempt_ended(AttemptEnd::Answered);
         if let Some(connection) = self.source.connection.take() {
             self.core.pool.give_back(&endpoint, connection, self.source.keep_alive);
@@ -300,7 +301,8 @@
             Some(turn) => {
                 let left = self.exchange.deadline.since(now());
                 let kept = turn.complete(&endpoint, left).await;
-                kept.inspect_err(|fault| self.exchange.note_stores(*fault)).map_err(|_| BrokenOff::NotKept)
+                kept.inspect_err(|fault| self.exchange.note_stores(*fault))
+                    .map_err(|_| StreamError::TurnNotStored)
             }
             None => Ok(()),
         }
@@ -312,7 +314,7 @@
     std::str::from_utf8(id.as_ref()?).ok()?.trim().parse().ok()
 }
 
-async fn open(core: &Core, exchange: &Exchange, slot: &Slot) -> Result<Answer, Failure> {
+async fn open(core: &RelayState, exchange: &Exchange, slot: &Slot) -> Result<Answer, AttemptFailure> {
     let connection = attempt::connect(core, exchange, slot).await?;
     attempt::send(core, exchange, slot, connection).await
 }
--- a/crates/node/src/relay/trace.rs
+++ b/crates/node/src/relay/trace.rs
@@ -13,21 +13,21 @@
 use juniperwing_protocol::identity::InstanceId;
 use slog::{Logger, info};
 
-use super::body::{BrokenOff, RelayBody};
-use super::fate::{Cause, GivenUp};
+use super::attempt_outcome::{FailureCause, Rejection};
+use super::body::{RelayBody, StreamError};
 use crate::clock::now;
 use crate::rate_limit::RateLimit;
 use crate::sessions_client::StoreTrouble;
 use crate::sync::lock;
 
 /// Lines for requests that failed in a second; further ones are counted.
-const FAILED_PER_SECOND: u32 = 100;
+const MAX_FAILED_LINES_PER_SECOND: u32 = 100;
 /// Lines for requests that were answered, but late, in a second.
-const SLOW_PER_SECOND: u32 = 10;
-/// Tries of one request that are told; configurations allow fewer.
+const MAX_SLOW_LINES_PER_SECOND: u32 = 10;
+/// RetryState of one request that are told; configurations allow fewer.
 const MAX_ATTEMPTS: usize = 16;
 /// Statuses by which the relay promises that a request has not run and never will.
-const PROMISES: [StatusCode; 5] = [
+const NOT_EXECUTED_STATUSES: [StatusCode; 5] = [
     StatusCode::PAYMENT_REQUIRED,
     StatusCode::REQUEST_TIMEOUT,
     StatusCode::MISDIRECTED_REQUEST,
@@ -43,9 +43,9 @@
     /// Answered by the relay for good.
     Refused(StatusCode),
     /// Given up by the relay.
-    GivenUp(GivenUp, StatusCode),
+    Rejection(Rejection, StatusCode),
     /// A stream was broken off.
-    BrokenOff(BrokenOff),
+    StreamError(StreamError),
 }
 
 /// How a try ended.
@@ -54,7 +54,7 @@
     /// With a whole answer, or the end of its stream.
     Answered,
     /// Without.
-    Failed(Cause),
+    Failed(FailureCause),
 }
 
 #[derive(Debug)]
@@ -128,9 +128,9 @@
     }
 
     /// The request is written to an endpoint now.
-    pub fn sending(&self, may_repeat: bool) {
+    pub fn sending(&self, is_retryable: bool) {
         let state = lock(&self.state);
-        let once = may_repeat || !state.may_have_run;
+        let once = is_retryable || !state.may_have_run;
         check(Invariant::SentOnceUnlessIdempotent, once, || format!("request {}", state.request));
     }
 
@@ -145,7 +145,7 @@
     /// How it ended; the first word counts, except that a stream which was answered may still break off.
     pub fn ended(&self, outcome: Outcome) {
         let mut state = lock(&self.state);
-        if state.outcome.is_none() || matches!(outcome, Outcome::BrokenOff(_)) {
+        if state.outcome.is_none() || matches!(outcome, Outcome::StreamError(_)) {
             state.outcome = Some(outcome);
         }
     }
@@ -174,7 +174,7 @@
     fn check_answer(&self, answer: &Response<RelayBody>) {
         let headers = answer.headers();
         let is_own = !headers.contains_key(SERVER_SIGNATURE);
-        let breaks_promise = is_own && self.may_have_run && PROMISES.contains(&answer.status());
+        let breaks_promise = is_own && self.may_have_run && NOT_EXECUTED_STATUSES.contains(&answer.status());
         let request = &self.request;
         check(Invariant::NotExecutedOnlyIfKnown, !breaks_promise, || {
             format!("request {request}, status {}", answer.status())
@@ -187,7 +187,7 @@
     fn has_failed(&self) -> bool {
         match self.outcome {
             Some(Outcome::Answered(status)) => status.is_server_error(),
-            Some(Outcome::Refused(_) | Outcome::GivenUp(..) | Outcome::BrokenOff(_)) | None => true,
+            Some(Outcome::Refused(_) | Outcome::Rejection(..) | Outcome::StreamError(_)) | None => true,
         }
     }
 
@@ -223,17 +223,17 @@
         match self {
             Outcome::Answered(_) => ("answered", ""),
             Outcome::Refused(_) => ("refused", ""),
-            Outcome::GivenUp(why, _) => ("given up", why.name()),
-            Outcome::BrokenOff(why) => ("broken off", why.name()),
+            Outcome::Rejection(why, _) => ("given up", why.name()),
+            Outcome::StreamError(why) => ("broken off", why.name()),
         }
     }
 
     fn status(self) -> Option<StatusCode> {
         match self {
-            Outcome::Answered(status) | Outcome::Refused(status) | Outcome::GivenUp(_, status) => {
+            Outcome::Answered(status) | Outcome::Refused(status) | Outcome::Rejection(_, status) => {
                 Some(status)
             }
-            Outcome::BrokenOff(_) => None,
+            Outcome::StreamError(_) => None,
         }
     }
 }
@@ -249,8 +249,8 @@
 impl RequestLog {
     /// Lines go to `log`.
     pub fn new(log: Logger) -> Self {
-        let failed = RateLimit::per_second(FAILED_PER_SECOND);
-        RequestLog { log, failed, slow: RateLimit::per_second(SLOW_PER_SECOND) }
+        let failed = RateLimit::per_second(MAX_FAILED_LINES_PER_SECOND);
+        RequestLog { log, failed, slow: RateLimit::per_second(MAX_SLOW_LINES_PER_SECOND) }
     }
 
     fn write(&self, trace: &RequestTrace) {
--- a/crates/node/src/relay/turn.rs
+++ b/crates/node/src/relay/turn.rs
@@ -10,35 +10,35 @@
 use juniperwing_protocol::identity::{InstanceId, ProgramId, RequestId};
 use juniperwing_protocol::session::{BeginTurn, FinishTurn, Turn};
 
-use super::Core;
+use super::RelayState;
+use super::attempt_outcome::Rejection;
 use super::events::Event;
 use super::exchange::{Exchange, header_number, header_text};
-use super::fate::GivenUp;
-use super::sessions::{SessionFault, Sessions};
+use super::sessions::{Sessions, TurnError};
 use crate::clock::duration;
 
 /// The end of an answer is held back for so long at the most while its turn is being kept.
-const KEEP_WITHIN: Span = Span::from_millis(1_000);
+const STORE_TIMEOUT: Span = Span::from_millis(1_000);
 /// Time to keep a turn whose answer ends just before its deadline.
-const KEEP_AT_DEADLINE: Span = Span::from_millis(100);
+const STORE_ALLOWANCE_PAST_DEADLINE: Span = Span::from_millis(100);
 /// The share of the time left that the stores may take to begin a turn.
-const BEGIN_SHARE: f64 = 0.5;
+const BEGIN_TIMEOUT_FRACTION: f64 = 0.5;
 
 /// Why a turn does not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Denied {
+pub enum TurnRejection {
     /// With this status: it is a final answer.
-    Finally(StatusCode),
+    Final(StatusCode),
     /// For now.
-    GivenUp(GivenUp),
+    Rejection(Rejection),
 }
 
-impl From<SessionFault> for Denied {
-    fn from(fault: SessionFault) -> Self {
+impl From<TurnError> for TurnRejection {
+    fn from(fault: TurnError) -> Self {
         match fault {
-            SessionFault::BudgetSpent => Denied::Finally(StatusCode::PAYMENT_REQUIRED),
-            SessionFault::UnknownTurn => Denied::Finally(StatusCode::NOT_FOUND),
-            SessionFault::Unavailable { .. } => Denied::GivenUp(GivenUp::NoSessions),
+            TurnError::BudgetExhausted => TurnRejection::Final(StatusCode::PAYMENT_REQUIRED),
+            TurnError::UnknownTurn => TurnRejection::Final(StatusCode::NOT_FOUND),
+            TurnError::Unavailable { .. } => TurnRejection::Rejection(Rejection::StoresUnreachable),
         }
     }
 }
@@ -56,7 +56,7 @@
     most: Option<u64>,
     /// For how long it is kept, where it is.
     retention: Option<Span>,
-    handed_out: u64,
+    delivered_tokens: u64,
     output: Vec<u8>,
     /// Whether the stores hold a reservation that must be settled.
     reserved: bool,
@@ -70,9 +70,9 @@
     ///
     /// If it must not run, or not now.
     pub async fn begin(
-        core: &Core, exchange: &mut Exchange, table: &RouteTable,
-    ) -> Result<Option<OpenTurn>, Denied> {
-        let kept = exchange.route.kept;
+        core: &RelayState, exchange: &mut Exchange, table: &RouteTable,
+    ) -> Result<Option<OpenTurn>, TurnRejection> {
+        let kept = exchange.route.stores_turns;
         let budget = budget(exchange)?;
         if !exchange.route.route_type.is_streaming() || (budget.is_none() && !kept) {
             return Ok(None);
@@ -86,12 +86,12 @@
             max_tokens: turn.most.or(budget).unwrap_or(0),
             imported: Vec::new(),
         };
-        let within = exchange.left().mul_f64(BEGIN_SHARE);
+        let within = exchange.left().mul_f64(BEGIN_TIMEOUT_FRACTION);
         let chain = match core.sessions.begin(begin, duration(within)).await {
             Ok(chain) => chain,
             Err(fault) => {
                 // Where the answer is certain there is no reservation.
-                turn.reserved &= matches!(fault, SessionFault::Unavailable { .. });
+                turn.reserved &= matches!(fault, TurnError::Unavailable { .. });
                 exchange.note_stores(fault);
                 return Err(fault.into());
             }
@@ -101,17 +101,18 @@
             let input = exchange.body.len();
             exchange.body = body_of(&chain, &exchange.body);
             // A prompt has about as many tokens for each byte everywhere.
-            exchange.new_share = input as f64 / exchange.body.len().max(1) as f64;
+            exchange.new_prompt_fraction = input as f64 / exchange.body.len().max(1) as f64;
         }
         Ok(Some(turn))
     }
 
-    fn new(core: &Core, exchange: &Exchange, table: &RouteTable, budget: Option<u64>) -> OpenTurn {
+    fn new(core: &RelayState, exchange: &Exchange, table: &RouteTable, budget: Option<u64>) -> OpenTurn {
         let request = exchange.request_id();
         let program = exchange.program.clone().unwrap_or_else(|| ProgramId(request.0.clone()));
         let service = table.service(&exchange.destination.service);
-        let stride = service.and_then(|service| service.engine.as_ref()).map_or(1, |engine| engine.stride);
-        let kept = exchange.route.kept;
+        let stride =
+            service.and_then(|service| service.engine.as_ref()).map_or(1, |engine| engine.tokens_per_event);
+        let kept = exchange.route.stores_turns;
         let previous = Some(header_text(&exchange.headers, headers::PREVIOUS)).filter(|id| !id.is_empty());
         OpenTurn {
             sessions: Arc::clone(&core.sessions),
@@ -122,16 +123,16 @@
             stride: u64::from(stride),
             most: most_tokens(exchange),
             retention: kept.then_some(exchange.route.retention),
-            handed_out: 0,
+            delivered_tokens: 0,
             output: Vec::new(),
             reserved: budget.is_some(),
         }
     }
 
     /// An event is passed on to the client. Returns how many bytes are kept of it.
-    pub fn hand_out(&mut self, event: &Event) -> usize {
+    pub fn record_event(&mut self, event: &Event) -> usize {
         let Some(data) = &event.data else { return 0 };
-        self.handed_out = self.handed_out.saturating_add(self.stride);
+        self.delivered_tokens = self.delivered_tokens.saturating_add(self.stride);
         if self.retention.is_none() {
             return 0;
         }
@@ -146,7 +147,7 @@
     /// # Errors
     ///
     /// If it could not be kept in time: the answer must not look complete.
-    pub async fn complete(mut self, endpoint: &InstanceId, left: Span) -> Result<(), SessionFault> {
+    pub async fn complete(mut self, endpoint: &InstanceId, left: Span) -> Result<(), TurnError> {
         let Some(retention) = self.retention else { return Ok(()) };
         let turn = Turn {
             request: self.request.clone(),
@@ -157,14 +158,14 @@
             endpoint: Some(endpoint.0.clone()),
         };
         let finish = FinishTurn { stored_turn: Some(turn), ..self.settled() };
-        let within = KEEP_WITHIN.min(left + KEEP_AT_DEADLINE);
+        let within = STORE_TIMEOUT.min(left + STORE_ALLOWANCE_PAST_DEADLINE);
         self.sessions.finish(finish, duration(within)).await?;
         self.reserved = false;
         Ok(())
     }
 
     fn settled(&self) -> FinishTurn {
-        let tokens = self.most.map_or(self.handed_out, |most| self.handed_out.min(most));
+        let tokens = self.most.map_or(self.delivered_tokens, |most| self.delivered_tokens.min(most));
         FinishTurn { program: self.program.clone(), request: self.request.clone(), tokens, stored_turn: None }
     }
 }
@@ -177,12 +178,12 @@
     }
 }
 
-fn budget(exchange: &Exchange) -> Result<Option<u64>, Denied> {
+fn budget(exchange: &Exchange) -> Result<Option<u64>, TurnRejection> {
     if !exchange.headers.contains_key(headers::BUDGET) {
         return Ok(None);
     }
     let budget = header_number(&exchange.headers, headers::BUDGET);
-    budget.map(Some).ok_or(Denied::Finally(StatusCode::BAD_REQUEST))
+    budget.map(Some).ok_or(TurnRejection::Final(StatusCode::BAD_REQUEST))
 }
 
 /// The second number of `X-Token-Count`.
--- a/crates/node/src/relay/upstream.rs
+++ b/crates/node/src/relay/upstream.rs
@@ -21,15 +21,15 @@
 use crate::sync::lock;
 
 /// A connection that has not come up by then is given up.
-pub const CONNECT_WITHIN: Duration = Duration::from_millis(300);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// For how long an idle connection is kept where the endpoint does not say.
-const KEEP_IDLE: Span = Span::from_millis(4_000);
+const DEFAULT_IDLE_TIMEOUT: Span = Span::from_millis(4_000);
 /// An idle connection is given up this long before the endpoint does.
-const BEFORE_ITS_END: Span = Span::from_millis(700);
+const IDLE_TIMEOUT_MARGIN: Span = Span::from_millis(700);
 /// Idle connections kept to one endpoint.
-const MOST_IDLE: usize = 32;
+const MAX_IDLE_PER_ENDPOINT: usize = 32;
 /// The read buffer of a connection, in bytes.
-const BUFFER_BYTES: usize = 64 << 10;
+const READ_BUFFER_BYTES: usize = 64 << 10;
 
 /// Ends the task of a connection, and with it the connection, when it is dropped.
 #[derive(Debug)]
@@ -69,16 +69,16 @@
 
 /// All connections of a relay to endpoints.
 #[derive(Debug)]
-pub struct Pool {
+pub struct ConnectionPool {
     idle: Mutex<HashMap<InstanceId, Vec<Idle>>>,
     open: Arc<AtomicUsize>,
     most: usize,
 }
 
-impl Pool {
+impl ConnectionPool {
     /// A pool of at most `most` connections.
     pub fn new(most: usize) -> Self {
-        Pool { idle: Mutex::default(), open: Arc::default(), most }
+        ConnectionPool { idle: Mutex::default(), open: Arc::default(), most }
     }
 
     /// An idle connection to an endpoint that may be used again.
@@ -101,10 +101,10 @@
             return None;
         }
         let open = Open(Arc::clone(&self.open));
-        let stream = timeout(within.min(CONNECT_WITHIN), TcpStream::connect(address)).await.ok()?.ok()?;
+        let stream = timeout(within.min(CONNECT_TIMEOUT), TcpStream::connect(address)).await.ok()?.ok()?;
         stream.set_nodelay(true).ok()?;
         let mut builder = http1::Builder::new();
-        builder.max_buf_size(BUFFER_BYTES);
+        builder.max_buf_size(READ_BUFFER_BYTES);
         let (sender, driver) = builder.handshake(TokioIo::new(stream)).await.ok()?;
         let driver = tokio::spawn(isolated(async move {
             // Its errors reach the request that is under way.
@@ -117,15 +117,15 @@
     pub fn give_back(&self, endpoint: &InstanceId, mut connection: Connection, keep_alive: Option<u64>) {
         connection.used = true;
         let told =
-            keep_alive.map(|seconds| Span::from_millis(seconds.saturating_mul(1_000)) - BEFORE_ITS_END);
-        let keep = told.map_or(KEEP_IDLE, |told| told.min(KEEP_IDLE));
+            keep_alive.map(|seconds| Span::from_millis(seconds.saturating_mul(1_000)) - IDLE_TIMEOUT_MARGIN);
+        let keep = told.map_or(DEFAULT_IDLE_TIMEOUT, |told| told.min(DEFAULT_IDLE_TIMEOUT));
         // Not ready: the endpoint answered before it had read the request. Its rest must not hold up another.
         if keep == Span::ZERO || connection.sender.is_closed() || !connection.sender.is_ready() {
             return;
         }
         let mut idle = self.lock();
         let connections = idle.entry(endpoint.clone()).or_default();
-        if connections.len() < MOST_IDLE {
+        if connections.len() < MAX_IDLE_PER_ENDPOINT {
             connections.push(Idle { connection, until: now() + keep });
         }
     }
--- a/crates/node/tests/relay/early.rs
+++ b/crates/node/tests/relay/early.rs
@@ -64,7 +64,7 @@
     }
 }
 
-// Guard: `is_ready` in `Pool::give_back`.
+// Guard: `is_ready` in `ConnectionPool::give_back`.
 #[tokio::test]
 async fn a_body_that_nobody_reads_is_not_held_once_its_request_is_answered() {
     let plan = long_request_answered_early(Kind::NonIdempotent, AfterEarly::KeepOpen, false);
--- a/crates/node/tests/relay/framing.rs
+++ b/crates/node/tests/relay/framing.rs
@@ -148,7 +148,7 @@
         assert_eq!(answer.status, StatusCode::BAD_GATEWAY, "{framing}");
         assert_eq!(answer.header("x-server-signature"), "", "{framing}");
     }
-    // `is_informational` in `is_sound`.
+    // `is_informational` in `is_valid_response`.
     let answer = answer_to("/n/x", |request| {
         vec![
             Step::Send(head(request, "HTTP/1.1", "101 Switching Protocols", "Upgrade: other\r\n")),
--- a/crates/node/tests/relay/handed_back.rs
+++ b/crates/node/tests/relay/handed_back.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use http::Request;
 use http_body_util::{BodyExt, Full};
-use juniperwing_node::relay::upstream::{Connection, Pool};
+use juniperwing_node::relay::upstream::{Connection, ConnectionPool};
 use tokio::sync::oneshot;
 
 use crate::support::soon;
@@ -95,7 +95,7 @@
 }
 
 async fn first_exchange(address: SocketAddr) -> Connection {
-    let pool = Pool::new(8);
+    let pool = ConnectionPool::new(8);
     let mut connection = pool.connect(address, Duration::from_secs(5)).await.unwrap();
     let answer = soon(connection.sender.send_request(request())).await.unwrap();
     soon(answer.into_body().collect()).await.unwrap();
--- a/crates/node/tests/relay/hostile/endpoint.rs
+++ b/crates/node/tests/relay/hostile/endpoint.rs
@@ -241,7 +241,7 @@
                 let head = format!("HTTP/1.1 101 Switching Protocols\r\nX-Request-Id: {id}\r\n\r\n");
                 self.stream.write_all(head.as_bytes()).await?;
             }
-            Reply::Silent => self.read_to_end().await?,
+            Reply::TimedOut => self.read_to_end().await?,
             Reply::Early { .. } | Reply::ResetAfter(_) => unreachable!("played above"),
         }
         Ok(None)
--- a/crates/node/tests/relay/hostile/oracle.rs
+++ b/crates/node/tests/relay/hostile/oracle.rs
@@ -27,7 +27,7 @@
         arrivals.get(id).copied().unwrap_or(0) - declined
     };
     for (id, plan) in plans {
-        if !plan.kind.may_repeat() && runs(id) > 1 {
+        if !plan.kind.is_retryable() && runs(id) > 1 {
             return Err(format!("{id} may have run {} times", runs(id)));
         }
     }
@@ -90,7 +90,7 @@
             if fits && whole { Ok(()) } else { Err("another failure than the endpoint's") }
         }
         "408" | "421" | "429" | "503" if stamp.is_some() => Err("a stamp on an answer of the relay"),
-        "408" | "421" | "429" | "503" if runs > 0 && !plan.kind.may_repeat() => Err("it has run after all"),
+        "408" | "421" | "429" | "503" if runs > 0 && !plan.kind.is_retryable() => Err("it has run after all"),
         "408" | "421" | "429" | "503" => Ok(()),
         "502" | "504" if stamp.is_some() => Err("a stamp on an answer of the relay"),
         "502" | "504" => Ok(()),
--- a/crates/node/tests/relay/hostile/script.rs
+++ b/crates/node/tests/relay/hostile/script.rs
@@ -32,7 +32,7 @@
     }
 
     /// Whether it may run more than once.
-    pub fn may_repeat(self) -> bool {
+    pub fn is_retryable(self) -> bool {
         matches!(self, Kind::Idempotent | Kind::ResumableStream)
     }
 }
@@ -130,7 +130,7 @@
     /// The endpoint's own failure.
     Failed(Framing),
     SwitchingProtocols,
-    Silent,
+    TimedOut,
     /// Resets the connection once this much of the body is read.
     ResetAfter(usize),
 }
@@ -225,7 +225,7 @@
         1 => Just(Reply::Declined),
         1 => framing().prop_map(Reply::Failed),
         1 => Just(Reply::SwitchingProtocols),
-        1 => Just(Reply::Silent),
+        1 => Just(Reply::TimedOut),
         1 => (0_usize..300).prop_map(Reply::ResetAfter),
     ]
 }
--- a/crates/node/tests/relay/lifecycle.rs
+++ b/crates/node/tests/relay/lifecycle.rs
@@ -41,7 +41,7 @@
     assert_eq!(bench.get("/i/x").await.status, StatusCode::NOT_FOUND);
 }
 
-/// Guard: `World::is_out_of_touch`. What a relay holds serves on; that it lacks a route proves nothing then.
+/// Guard: `ClusterView::is_out_of_touch`. What a relay holds serves on; that it lacks a route proves nothing then.
 #[tokio::test]
 async fn a_relay_that_has_lost_all_keepers_serves_on_and_denies_no_route() {
     let endpoint = Endpoint::start("i-1", |request| ok(request, "")).await;
--- a/crates/node/tests/relay/planned_work.rs
+++ b/crates/node/tests/relay/planned_work.rs
@@ -36,7 +36,7 @@
     (endpoint.await, go_on)
 }
 
-// Guards: `attempt::send` asks whether the endpoint is ready; `World` removes it from the dispatcher and touches
+// Guards: `attempt::send` asks whether the endpoint is ready; `ClusterView` removes it from the dispatcher and touches
 // nothing that is under way there.
 #[tokio::test]
 async fn an_endpoint_that_ends_without_draining_finishes_what_it_has() {
@@ -186,7 +186,7 @@
     soon(served).await.unwrap().unwrap();
 }
 
-// Guards: `ACCEPT_ON`; connections that rest are not ended before it is over.
+// Guards: `MAX_ACCEPT_PERIOD`; connections that rest are not ended before it is over.
 #[tokio::test]
 async fn a_relay_that_stops_serves_until_the_platform_has_missed_two_checks() {
     let endpoint = Endpoint::start("i-1", |request| ok(request, "")).await;
--- a/crates/node/tests/relay/refusals.rs
+++ b/crates/node/tests/relay/refusals.rs
@@ -38,7 +38,7 @@
     }
 }
 
-// Guards: `MOST_HEADERS`, and `REQUEST_LINE_BYTES` in the bound of the read buffer.
+// Guards: `MAX_HEADER_LINES`, and `REQUEST_LINE_BYTES` in the bound of the read buffer.
 #[tokio::test]
 async fn a_request_within_the_limits_is_not_refused_for_its_form() {
     let endpoint = Endpoint::start("i-1", |request| ok(request, "")).await;
--- a/crates/node/tests/relay/resumption.rs
+++ b/crates/node/tests/relay/resumption.rs
@@ -31,7 +31,7 @@
     with_headers(request("POST", path, "9c41", "in"), &[("last-event-id", "2")])
 }
 
-// Guards: the client's headers are passed on; `Passage::last_id` rises from the client's.
+// Guards: the client's headers are passed on; `ForwardedStream::last_id` rises from the client's.
 #[tokio::test]
 async fn a_client_goes_on_behind_its_last_event_and_the_relay_behind_its_own() {
     let first: Script = |request| {
@@ -48,7 +48,7 @@
     assert_eq!(named, ["2", "3"]);
 }
 
-// Guard: `last_event_id` is where `Passage::last_id` begins.
+// Guard: `last_event_id` is where `ForwardedStream::last_id` begins.
 #[tokio::test]
 async fn events_that_the_client_has_are_not_repeated() {
     let first: Script =
@@ -90,7 +90,7 @@
     assert_eq!(&*kept.output, b"four\nfive\n", "only data is kept");
 }
 
-// Guard: `Passage` ends with its source's end.
+// Guard: `ForwardedStream` ends with its source's end.
 #[tokio::test]
 async fn a_stream_ends_no_sooner_than_at_the_endpoint() {
     let go_on = Arc::new(Notify::new());
--- a/crates/node/tests/relay/support.rs
+++ b/crates/node/tests/relay/support.rs
@@ -14,9 +14,9 @@
 use hyper_util::rt::TokioIo;
 use juniperwing_balancing::Destination;
 use juniperwing_clock::Span;
-use juniperwing_node::relay::sessions::{SessionCall, SessionFault, Sessions};
-use juniperwing_node::relay::snapshot::World;
-use juniperwing_node::relay::{Core, Relay};
+use juniperwing_node::relay::sessions::{SessionCall, Sessions, TurnError};
+use juniperwing_node::relay::snapshot::ClusterView;
+use juniperwing_node::relay::{Relay, RelayState};
 use juniperwing_node::sessions_client::StoreFault;
 use juniperwing_node::settings::Settings;
 use juniperwing_node::subscriber::Sink;
@@ -49,7 +49,7 @@
     pub finished: Mutex<Vec<FinishTurn>>,
     pub later: Mutex<Vec<FinishTurn>>,
     /// What `begin` answers.
-    pub chain: Mutex<Option<Result<Vec<Turn>, SessionFault>>>,
+    pub chain: Mutex<Option<Result<Vec<Turn>, TurnError>>>,
     /// What `begin` waits for, if for anything.
     pub hold_begin: Mutex<Option<Arc<Notify>>>,
     /// What `finish` waits for, if for anything.
@@ -85,11 +85,7 @@
             if let Some(hold) = hold {
                 hold.notified().await;
             }
-            if fails {
-                Err(SessionFault::Unavailable { trouble: StoreFault::NoAnswer.into() })
-            } else {
-                Ok(())
-            }
+            if fails { Err(TurnError::Unavailable { trouble: StoreFault::NoAnswer.into() }) } else { Ok(()) }
         })
     }
 
@@ -134,8 +130,8 @@
 pub struct Bench {
     pub frontend: SocketAddr,
     pub readiness: SocketAddr,
-    pub world: Arc<World>,
-    pub core: Arc<Core>,
+    pub world: Arc<ClusterView>,
+    pub core: Arc<RelayState>,
     pub stores: Arc<Stores>,
     log: Lines,
     stop: Mutex<Option<oneshot::Sender<()>>>,
--- a/crates/node/tests/relay/turns.rs
+++ b/crates/node/tests/relay/turns.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::{Request, StatusCode};
 use http_body_util::Full;
-use juniperwing_node::relay::sessions::SessionFault;
+use juniperwing_node::relay::sessions::TurnError;
 use juniperwing_node::sessions_client::StoreFault;
 use juniperwing_protocol::identity::RequestId;
 use tokio::sync::Notify;
@@ -113,9 +113,9 @@
     let endpoint = Endpoint::start("i-1", two_events).await;
     let bench = Bench::with(&[&endpoint]).await;
     let denials = [
-        (SessionFault::BudgetSpent, StatusCode::PAYMENT_REQUIRED),
-        (SessionFault::UnknownTurn, StatusCode::NOT_FOUND),
-        (SessionFault::Unavailable { trouble: StoreFault::NoAnswer.into() }, StatusCode::SERVICE_UNAVAILABLE),
+        (TurnError::BudgetExhausted, StatusCode::PAYMENT_REQUIRED),
+        (TurnError::UnknownTurn, StatusCode::NOT_FOUND),
+        (TurnError::Unavailable { trouble: StoreFault::NoAnswer.into() }, StatusCode::SERVICE_UNAVAILABLE),
     ];
     for (fault, status) in denials {
         *bench.stores.chain.lock().unwrap() = Some(Err(fault));
