--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -15,13 +15,13 @@
 
 pub use order::{PutDecision, decide_put};
 pub use order_history::OrderHistory;
-pub use placement::{PARTITIONS, REPLICAS_BEYOND_REQUIRED};
-pub use plan::{PlanInput, plan, unrecoverable};
+pub use placement::{EXTRA_REPLICAS, PARTITION_COUNT};
+pub use plan::{PlanInput, plan_store_map, unrecoverable_partitions};
 pub use retire::{
-    RetireDecision, completed_retirements, decide_retire, retirement_state, retirement_to_renew,
+    RetireDecision, completed_retirements, decide_retire, retirement_of_replaced_disk, retirement_state,
 };
 pub use state::{
-    ConfigurationInForce, ControlChange, ControlState, MAX_ORDERS_REMEMBERED, MAX_REFUSALS_REMEMBERED,
-    MAX_RETIREMENTS, Retirement, RetirementState,
+    ConfigurationInForce, ControlChange, ControlState, MAX_REMEMBERED_ORDERS, MAX_REMEMBERED_REJECTIONS,
+    MAX_REMEMBERED_RETIREMENTS, Retirement, RetirementState,
 };
 pub use tracker::{StoreTracker, StoreView};
--- a/crates/control/src/order.rs
+++ b/crates/control/src/order.rs
@@ -13,9 +13,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum PutDecision {
     /// This very order was taken before, whatever came after.
-    AlreadyTaken,
+    AlreadyAccepted,
     /// It is valid and builds on the configuration in force: this change is to be made.
-    Take(ControlChange),
+    Accept(ControlChange),
     /// It builds on a configuration that is not in force, and never comes into force itself.
     Stale {
         /// The generation in force.
@@ -23,7 +23,7 @@
     },
     /// It builds on a generation above the one in force, which may yet come. It may be answered as stale only
     /// once this change is made: a copy of the order that comes later must not be taken.
-    Refuse {
+    Reject {
         /// The generation in force.
         current: u64,
         /// Makes the refusal last.
@@ -36,11 +36,11 @@
 /// Decides on the configuration `body`, which builds on the generation `base` (0 for the first).
 pub fn decide_put(state: &ControlState, base: u64, body: &[u8]) -> PutDecision {
     let digest = digest(base, body);
-    if state.has_taken(digest) {
-        return PutDecision::AlreadyTaken;
+    if state.has_accepted(digest) {
+        return PutDecision::AlreadyAccepted;
     }
     let current = state.generation();
-    if base < current || state.has_refused(digest) {
+    if base < current || state.has_rejected(digest) {
         return PutDecision::Stale { current };
     }
     let checked = Configuration::read(body).and_then(|configuration| {
@@ -50,11 +50,11 @@
     match checked {
         Err(findings) => PutDecision::Invalid(findings),
         Ok(_) if base > current => {
-            PutDecision::Refuse { current, change: ControlChange::RefuseConfiguration(digest) }
+            PutDecision::Reject { current, change: ControlChange::RejectConfiguration(digest) }
         }
         Ok(generation) => {
             let configuration = ConfigurationInForce { generation, body: body.into() };
-            PutDecision::Take(ControlChange::TakeConfiguration { digest, configuration })
+            PutDecision::Accept(ControlChange::ApplyConfiguration { digest, configuration })
         }
     }
 }
--- a/crates/control/src/order_history.rs
+++ b/crates/control/src/order_history.rs
@@ -21,7 +21,7 @@
     }
 
     /// Remembers an order; beyond `limit` the oldest give way.
-    pub fn remember(&mut self, digest: OrderDigest, limit: usize) {
+    pub fn insert(&mut self, digest: OrderDigest, limit: usize) {
         self.digests.push_back(digest);
         while self.digests.len() > limit {
             self.digests.pop_front();
--- a/crates/control/src/placement.rs
+++ b/crates/control/src/placement.rs
@@ -6,11 +6,11 @@
 use juniperwing_protocol::{DiskId, EpochNumber, PartitionId};
 
 /// The number of partitions; it never changes in the life of a tier.
-pub const PARTITIONS: u16 = 32;
+pub const PARTITION_COUNT: u16 = 32;
 
 /// Replicas of a partition beyond those required, where there are stores for them: after a loss the others
 /// are enough without copying.
-pub const REPLICAS_BEYOND_REQUIRED: usize = 1;
+pub const EXTRA_REPLICAS: usize = 1;
 
 /// How many replicas and how many primaries each store has.
 #[derive(Clone, Debug, Default)]
@@ -85,9 +85,9 @@
 /// The first assignment of all partitions.
 pub(crate) fn first_assignments(eligible: &BTreeMap<DiskId, StoreNode>, replicas: usize) -> Vec<Assignment> {
     let mut load = Load::default();
-    let share = (usize::from(PARTITIONS) * replicas).div_ceil(eligible.len().max(1));
+    let share = (usize::from(PARTITION_COUNT) * replicas).div_ceil(eligible.len().max(1));
     let mut assignments = Vec::new();
-    for partition in (0..PARTITIONS).map(PartitionId) {
+    for partition in (0..PARTITION_COUNT).map(PartitionId) {
         let members = first_members(partition, eligible, replicas, &load, share.saturating_sub(1));
         let by_load = |disk: &&DiskId| (load.primaries(**disk), u64::MAX - weight(partition, **disk));
         let primary = members.iter().min_by_key(by_load).copied().unwrap_or_default();
--- a/crates/control/src/plan.rs
+++ b/crates/control/src/plan.rs
@@ -15,12 +15,12 @@
 use juniperwing_protocol::subscription::{Assignment, CaughtUp, StoreMap, StoreNode};
 use juniperwing_protocol::{DiskId, EpochNumber, PartitionId};
 
-use crate::placement::{Load, PARTITIONS, REPLICAS_BEYOND_REQUIRED, first_assignments, next_replica};
+use crate::placement::{EXTRA_REPLICAS, Load, PARTITION_COUNT, first_assignments, next_replica};
 use crate::state::ControlState;
 use crate::tracker::StoreView;
 
 /// Primaries that are moved for balance by one change of the map.
-const MOVES_AT_ONCE: usize = 4;
+const MAX_PRIMARY_MOVES_PER_PLAN: usize = 4;
 
 /// What a plan is computed from.
 #[derive(Clone, Copy, Debug)]
@@ -30,18 +30,21 @@
     /// Which stores are alive.
     pub view: &'input StoreView,
     /// Reports of the partitions' primaries; those of other epochs than the present ones do not count.
-    pub caught_up: &'input [CaughtUp],
+    pub caught_up_reports: &'input [CaughtUp],
     /// Copies that must exist of everything that is acknowledged.
     pub required_copies: usize,
 }
 
 /// The map that should come into force now; `None` if the present one stays.
-pub fn plan(input: PlanInput) -> Option<Arc<StoreMap>> {
+pub fn plan_store_map(input: PlanInput) -> Option<Arc<StoreMap>> {
     let planner = Planner::new(input);
-    let present = &input.state.stores;
-    let partitions =
-        if present.partitions.is_empty() { planner.first()? } else { planner.next(&present.partitions) };
-    let stores = planner.stores(&partitions);
+    let present = &input.state.store_map;
+    let partitions = if present.partitions.is_empty() {
+        planner.first_assignments()?
+    } else {
+        planner.next_assignments(&present.partitions)
+    };
+    let stores = planner.named_stores(&partitions);
     if partitions == present.partitions && stores == present.stores {
         return None;
     }
@@ -49,15 +52,15 @@
 }
 
 /// Partitions of which every copy that counts was on disks that are gone for good.
-pub fn unrecoverable(state: &ControlState, view: &StoreView) -> Vec<PartitionId> {
-    let gone = gone_for_good(&state.stores.stores, &view.alive);
+pub fn unrecoverable_partitions(state: &ControlState, view: &StoreView) -> Vec<PartitionId> {
+    let gone = replaced_disks(&state.store_map.stores, &view.alive);
     let lost = |assignment: &Assignment| assignment.in_sync.iter().all(|disk| gone.contains(disk));
-    let partitions = (0..PARTITIONS).map(PartitionId).zip(&state.stores.partitions);
+    let partitions = (0..PARTITION_COUNT).map(PartitionId).zip(&state.store_map.partitions);
     partitions.filter(|(_, assignment)| lost(assignment)).map(|(partition, _)| partition).collect()
 }
 
 /// Disks whose machine is back with another one.
-fn gone_for_good(placed: &[StoreNode], alive: &BTreeMap<DiskId, StoreNode>) -> BTreeSet<DiskId> {
+fn replaced_disks(placed: &[StoreNode], alive: &BTreeMap<DiskId, StoreNode>) -> BTreeSet<DiskId> {
     let replaced = |store: &&StoreNode| {
         !alive.contains_key(&store.disk) && alive.values().any(|other| other.node == store.node)
     };
@@ -68,8 +71,8 @@
     input: PlanInput<'input>,
     /// Stores that may be given replicas.
     eligible: BTreeMap<DiskId, StoreNode>,
-    gone: BTreeSet<DiskId>,
-    replicas: usize,
+    replaced: BTreeSet<DiskId>,
+    target_replicas: usize,
 }
 
 impl<'input> Planner<'input> {
@@ -80,31 +83,31 @@
             .filter(|(disk, _)| !input.state.is_retiring(**disk))
             .map(|(disk, store)| (*disk, store.clone()))
             .collect();
-        let gone = gone_for_good(&input.state.stores.stores, alive);
-        let wanted = input.required_copies + REPLICAS_BEYOND_REQUIRED;
+        let gone = replaced_disks(&input.state.store_map.stores, alive);
+        let wanted = input.required_copies + EXTRA_REPLICAS;
         let replicas = wanted.min(eligible.len());
-        Planner { input, eligible, gone, replicas }
+        Planner { input, eligible, replaced: gone, target_replicas: replicas }
     }
 
-    fn first(&self) -> Option<Vec<Assignment>> {
-        let ready = self.input.view.gathered && self.eligible.len() >= self.input.required_copies;
-        ready.then(|| first_assignments(&self.eligible, self.replicas))
+    fn first_assignments(&self) -> Option<Vec<Assignment>> {
+        let ready = self.input.view.is_initial_wait_over && self.eligible.len() >= self.input.required_copies;
+        ready.then(|| first_assignments(&self.eligible, self.target_replicas))
     }
 
-    fn next(&self, present: &[Assignment]) -> Vec<Assignment> {
+    fn next_assignments(&self, present: &[Assignment]) -> Vec<Assignment> {
         let mut load = Load::of(present);
         let mut next = Vec::with_capacity(present.len());
         for (partition, assignment) in (0..).map(PartitionId).zip(present) {
             let mut planned = assignment.clone();
-            self.drop_lost(&mut planned);
-            self.let_in(partition, assignment, &mut planned);
-            self.drop_retiring(&mut planned);
+            self.remove_lost_replicas(&mut planned);
+            self.admit_caught_up_replicas(partition, assignment, &mut planned);
+            self.remove_retiring_replicas(&mut planned);
             self.choose_primary(&mut planned, &mut load);
-            self.add_joining(partition, &mut planned, &mut load);
-            planned.lost_replicas = self.lost_copies(&planned, assignment.lost_replicas);
+            self.add_joining_replicas(partition, &mut planned, &mut load);
+            planned.lost_replicas = self.allowed_lost_replicas(&planned, assignment.lost_replicas);
             next.push(planned);
         }
-        if self.input.view.calm && next == *present {
+        if self.input.view.is_stable && next == *present {
             self.balance_primaries(&mut next, &mut load);
         }
         for (planned, assignment) in next.iter_mut().zip(present) {
@@ -116,21 +119,23 @@
     }
 
     /// Removes stores that are lost; `in_sync` never becomes empty by it.
-    fn drop_lost(&self, planned: &mut Assignment) {
+    fn remove_lost_replicas(&self, planned: &mut Assignment) {
         let lost = &self.input.view.lost;
-        planned.joining.retain(|disk| !lost.contains(disk) && !self.gone.contains(disk));
-        retain_unless_empty(&mut planned.in_sync, |disk| !self.gone.contains(&disk));
+        planned.joining.retain(|disk| !lost.contains(disk) && !self.replaced.contains(disk));
+        retain_unless_empty(&mut planned.in_sync, |disk| !self.replaced.contains(&disk));
         retain_unless_empty(&mut planned.in_sync, |disk| !lost.contains(&disk));
     }
 
     /// Lets stores in that have caught up in the present epoch with a primary that stays.
-    fn let_in(&self, partition: PartitionId, present: &Assignment, planned: &mut Assignment) {
+    fn admit_caught_up_replicas(
+        &self, partition: PartitionId, present: &Assignment, planned: &mut Assignment,
+    ) {
         let primary_stays = planned.in_sync.contains(&present.primary)
             && self.input.view.alive.contains_key(&present.primary);
         if !primary_stays {
             return;
         }
-        for report in self.input.caught_up {
+        for report in self.input.caught_up_reports {
             let counts = report.partition == partition && report.epoch == present.epoch;
             if counts && planned.joining.contains(&report.replica) {
                 planned.joining.retain(|disk| *disk != report.replica);
@@ -140,7 +145,7 @@
     }
 
     /// Removes stores that are being emptied, once enough others hold everything.
-    fn drop_retiring(&self, planned: &mut Assignment) {
+    fn remove_retiring_replicas(&self, planned: &mut Assignment) {
         let retiring = |disk: DiskId| self.input.state.is_retiring(disk);
         planned.joining.retain(|disk| !retiring(*disk));
         let others = planned
@@ -148,7 +153,7 @@
             .iter()
             .filter(|disk| !retiring(**disk) && self.input.view.alive.contains_key(disk))
             .count();
-        let enough = self.replicas.max(self.input.required_copies);
+        let enough = self.target_replicas.max(self.input.required_copies);
         if others >= enough {
             planned.in_sync.retain(|disk| !retiring(*disk));
         }
@@ -169,8 +174,9 @@
     }
 
     /// Gives the partition further replicas while it has too few.
-    fn add_joining(&self, partition: PartitionId, planned: &mut Assignment, load: &mut Load) {
-        let share = (usize::from(PARTITIONS) * self.replicas).div_ceil(self.eligible.len().max(1));
+    fn add_joining_replicas(&self, partition: PartitionId, planned: &mut Assignment, load: &mut Load) {
+        let share =
+            (usize::from(PARTITION_COUNT) * self.target_replicas).div_ceil(self.eligible.len().max(1));
         while self.lacks_replicas(planned) {
             let members: Vec<DiskId> = planned.in_sync.iter().chain(&planned.joining).copied().collect();
             let zones: BTreeSet<&str> =
@@ -184,23 +190,26 @@
 
     /// How many of the required copies may be missing: none while another store could hold one. Once this is
     /// allowed it stays so until another store is seen, also at a keeper that has seen nothing yet.
-    fn lost_copies(&self, planned: &Assignment, before: u16) -> u16 {
+    fn allowed_lost_replicas(&self, planned: &Assignment, before: u16) -> u16 {
         let missing = self.input.required_copies.saturating_sub(planned.in_sync.len());
         let missing = u16::try_from(missing).unwrap_or(u16::MAX);
         let others_seen = self.eligible.keys().any(|disk| !planned.in_sync.contains(disk));
         if others_seen || !planned.joining.is_empty() {
             return 0;
         }
-        if missing <= before || self.others_are_lost(planned) { missing } else { 0 }
+        if missing <= before || self.are_others_lost(planned) { missing } else { 0 }
     }
 
     /// Whether every store beside those in sync is lost beyond doubt, gone or being emptied.
-    fn others_are_lost(&self, planned: &Assignment) -> bool {
+    fn are_others_lost(&self, planned: &Assignment) -> bool {
         let view = self.input.view;
-        let known = self.input.state.stores.stores.iter().map(|store| &store.disk).chain(view.alive.keys());
+        let known =
+            self.input.state.store_map.stores.iter().map(|store| &store.disk).chain(view.alive.keys());
         let mut others = known.filter(|disk| !planned.in_sync.contains(disk));
         others.all(|disk| {
-            view.surely_lost.contains(disk) || self.gone.contains(disk) || self.input.state.is_retiring(*disk)
+            view.confirmed_lost.contains(disk)
+                || self.replaced.contains(disk)
+                || self.input.state.is_retiring(*disk)
         })
     }
 
@@ -210,21 +219,21 @@
         let members = planned.in_sync.iter().chain(&planned.joining);
         let staying = members.filter(|disk| self.eligible.contains_key(disk)).count();
         let unseen = planned.in_sync.iter().filter(|disk| !self.input.view.alive.contains_key(disk)).count();
-        if staying + unseen >= self.replicas {
+        if staying + unseen >= self.target_replicas {
             return false;
         }
         let emptied = planned.in_sync.iter().any(|disk| self.input.state.is_retiring(*disk));
-        let returning = if emptied { 0 } else { self.returning(planned) };
-        staying < self.input.required_copies || staying + unseen + returning < self.replicas
+        let returning = if emptied { 0 } else { self.returning_stores(planned) };
+        staying < self.input.required_copies || staying + unseen + returning < self.target_replicas
     }
 
     /// Stores that were lost a short while ago and may come back.
-    fn returning(&self, planned: &Assignment) -> usize {
+    fn returning_stores(&self, planned: &Assignment) -> usize {
         let view = self.input.view;
-        let recent = view.lost.difference(&view.long_lost);
+        let recent = view.lost.difference(&view.replaceable);
         let expected = recent.filter(|disk| {
             !planned.in_sync.contains(disk)
-                && !self.gone.contains(disk)
+                && !self.replaced.contains(disk)
                 && !self.input.state.is_retiring(**disk)
         });
         expected.count()
@@ -234,7 +243,7 @@
     fn balance_primaries(&self, planned: &mut [Assignment], load: &mut Load) {
         let mut moves = 0;
         for assignment in planned {
-            if moves == MOVES_AT_ONCE {
+            if moves == MAX_PRIMARY_MOVES_PER_PLAN {
                 return;
             }
             let candidates = assignment.in_sync.iter().filter(|disk| self.eligible.contains_key(disk));
@@ -250,15 +259,16 @@
     }
 
     /// The stores that the map has to name: those alive and those that hold something.
-    fn stores(&self, partitions: &[Assignment]) -> Vec<StoreNode> {
+    fn named_stores(&self, partitions: &[Assignment]) -> Vec<StoreNode> {
         let holders: BTreeSet<DiskId> = partitions
             .iter()
             .flat_map(|assignment| assignment.in_sync.iter().chain(&assignment.joining))
             .copied()
             .collect();
         let mut named: BTreeMap<DiskId, StoreNode> = BTreeMap::new();
-        for store in &self.input.state.stores.stores {
-            let recent = !self.input.view.long_lost.contains(&store.disk) && !self.gone.contains(&store.disk);
+        for store in &self.input.state.store_map.stores {
+            let recent =
+                !self.input.view.replaceable.contains(&store.disk) && !self.replaced.contains(&store.disk);
             if holders.contains(&store.disk) || recent {
                 named.insert(store.disk, store.clone());
             }
--- a/crates/control/src/retire.rs
+++ b/crates/control/src/retire.rs
@@ -10,15 +10,15 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RetireDecision {
     /// It is under way, or done.
-    AlreadyTaken,
+    AlreadyAccepted,
     /// This change is to be made.
-    Take(ControlChange),
+    Accept(ControlChange),
     /// This keeper has not seen the stores for long enough to refuse anything.
-    NotCertain,
+    StoresUncertain,
     /// No store machine has that name.
-    Unknown,
+    UnknownMachine,
     /// Too few others would remain.
-    TooFewRemain {
+    TooFewRemaining {
         /// How many others there are.
         others: usize,
     },
@@ -31,21 +31,21 @@
     let present = known_stores(state, view).into_iter().rfind(|store| store.node == *node);
     let Some(store) = present else {
         return match newest_retirement(state, node) {
-            Some(_) => RetireDecision::AlreadyTaken,
-            None if view.settled => RetireDecision::Unknown,
-            None => RetireDecision::NotCertain,
+            Some(_) => RetireDecision::AlreadyAccepted,
+            None if view.is_settled => RetireDecision::UnknownMachine,
+            None => RetireDecision::StoresUncertain,
         };
     };
-    if state.is_retiring(store.disk) || is_under_way(state, node) {
-        return RetireDecision::AlreadyTaken;
+    if state.is_retiring(store.disk) || has_active_retirement(state, node) {
+        return RetireDecision::AlreadyAccepted;
     }
-    let others = remaining(state, view, node);
+    let others = remaining_machines(state, view, node);
     if others >= required_copies {
-        RetireDecision::Take(ControlChange::BeginRetirement(store.clone()))
-    } else if view.settled {
-        RetireDecision::TooFewRemain { others }
+        RetireDecision::Accept(ControlChange::BeginRetirement(store.clone()))
+    } else if view.is_settled {
+        RetireDecision::TooFewRemaining { others }
     } else {
-        RetireDecision::NotCertain
+        RetireDecision::StoresUncertain
     }
 }
 
@@ -59,8 +59,9 @@
 }
 
 /// A machine that is being emptied and has come back with another disk: that disk is to be given nothing either.
-pub fn retirement_to_renew(state: &ControlState, view: &StoreView) -> Option<ControlChange> {
-    let renewed = |store: &&StoreNode| !state.is_retiring(store.disk) && is_under_way(state, &store.node);
+pub fn retirement_of_replaced_disk(state: &ControlState, view: &StoreView) -> Option<ControlChange> {
+    let renewed =
+        |store: &&StoreNode| !state.is_retiring(store.disk) && has_active_retirement(state, &store.node);
     let store = view.alive.values().find(renewed)?;
     Some(ControlChange::BeginRetirement(store.clone()))
 }
@@ -69,13 +70,13 @@
     state.retirements.iter().rfind(|retirement| retirement.store.node == *node)
 }
 
-fn is_under_way(state: &ControlState, node: &NodeName) -> bool {
+fn has_active_retirement(state: &ControlState, node: &NodeName) -> bool {
     newest_retirement(state, node).is_some_and(|newest| newest.state == RetirementState::Active)
 }
 
 /// Stores that hold nothing any more and whose retirement is still under way.
 pub fn completed_retirements(state: &ControlState, required_copies: usize) -> Vec<DiskId> {
-    let partitions = &state.stores.partitions;
+    let partitions = &state.store_map.partitions;
     let enough = |disk: DiskId| {
         partitions.iter().all(|assignment| {
             let copies = assignment.in_sync.iter().filter(|holder| **holder != disk).count();
@@ -96,15 +97,15 @@
 
 /// The store machines of which something is known, those alive last.
 fn known_stores<'state>(state: &'state ControlState, view: &'state StoreView) -> Vec<&'state StoreNode> {
-    state.stores.stores.iter().chain(view.alive.values()).collect()
+    state.store_map.stores.iter().chain(view.alive.values()).collect()
 }
 
 /// How many other store machines may hold replicas.
-fn remaining(state: &ControlState, view: &StoreView, node: &NodeName) -> usize {
+fn remaining_machines(state: &ControlState, view: &StoreView, node: &NodeName) -> usize {
     let mut others: Vec<&NodeName> = known_stores(state, view)
         .into_iter()
         .filter(|store| store.node != *node && !state.is_retiring(store.disk))
-        .filter(|store| view.alive.contains_key(&store.disk) || !view.long_lost.contains(&store.disk))
+        .filter(|store| view.alive.contains_key(&store.disk) || !view.replaceable.contains(&store.disk))
         .map(|store| &store.node)
         .collect();
     others.sort();
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -12,13 +12,13 @@
 use crate::order_history::OrderHistory;
 
 /// Orders taken whose digests are remembered; the oldest give way.
-pub const MAX_ORDERS_REMEMBERED: usize = 100_000;
+pub const MAX_REMEMBERED_ORDERS: usize = 100_000;
 
 /// Refusals that are remembered; the oldest give way.
-pub const MAX_REFUSALS_REMEMBERED: usize = 1_000;
+pub const MAX_REMEMBERED_REJECTIONS: usize = 1_000;
 
 /// Retirements that are remembered; the oldest completed ones give way.
-pub const MAX_RETIREMENTS: usize = 1_000;
+pub const MAX_REMEMBERED_RETIREMENTS: usize = 1_000;
 
 /// The configuration in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -54,31 +54,31 @@
     /// The configuration in force; `None` before the first.
     pub configuration: Option<ConfigurationInForce>,
     /// Counts the configurations ever taken.
-    pub configurations_taken: u64,
+    pub configurations_accepted: u64,
     /// Which store holds which partition.
-    pub stores: Arc<StoreMap>,
+    pub store_map: Arc<StoreMap>,
     /// Store machines that are being emptied, or were.
     pub retirements: Vec<Retirement>,
     /// The orders that were refused although they could have been taken later.
-    refused: OrderHistory,
+    rejected: OrderHistory,
     /// The orders that were taken.
-    taken: OrderHistory,
+    accepted: OrderHistory,
 }
 
 /// A change of the control state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ControlChange {
     /// An operator's configuration comes into force.
-    TakeConfiguration {
+    ApplyConfiguration {
         /// Identifies the order.
         digest: OrderDigest,
         /// The configuration.
         configuration: ConfigurationInForce,
     },
     /// An operator's configuration is refused for good, though the version that it builds on may yet come.
-    RefuseConfiguration(OrderDigest),
+    RejectConfiguration(OrderDigest),
     /// Another store map comes into force.
-    SetStores(Arc<StoreMap>),
+    SetStoreMap(Arc<StoreMap>),
     /// A store machine is to be emptied.
     BeginRetirement(StoreNode),
     /// A store machine is empty.
@@ -94,17 +94,17 @@
     /// The version of the configuration in force, for subscribers. It rises with every configuration taken and
     /// does not depend on the epoch in which it was written.
     pub fn configuration_version(&self) -> Version {
-        Version { epoch: EpochNumber(0), sequence: self.configurations_taken }
+        Version { epoch: EpochNumber(0), sequence: self.configurations_accepted }
     }
 
     /// Whether this very order was ever taken.
-    pub fn has_taken(&self, digest: OrderDigest) -> bool {
-        self.taken.contains(digest)
+    pub fn has_accepted(&self, digest: OrderDigest) -> bool {
+        self.accepted.contains(digest)
     }
 
     /// Whether this very order was refused and must never come into force.
-    pub fn has_refused(&self, digest: OrderDigest) -> bool {
-        self.refused.contains(digest)
+    pub fn has_rejected(&self, digest: OrderDigest) -> bool {
+        self.rejected.contains(digest)
     }
 
     /// Whether the store is being emptied, or was: it is given nothing new.
@@ -112,9 +112,9 @@
         self.retirements.iter().any(|retirement| retirement.store.disk == disk)
     }
 
-    fn take_configuration(&mut self, digest: OrderDigest, configuration: ConfigurationInForce) {
-        self.taken.remember(digest, MAX_ORDERS_REMEMBERED);
-        self.configurations_taken += 1;
+    fn apply_configuration(&mut self, digest: OrderDigest, configuration: ConfigurationInForce) {
+        self.accepted.insert(digest, MAX_REMEMBERED_ORDERS);
+        self.configurations_accepted += 1;
         self.configuration = Some(configuration);
     }
 
@@ -122,7 +122,7 @@
         if self.is_retiring(store.disk) {
             return;
         }
-        if self.retirements.len() >= MAX_RETIREMENTS {
+        if self.retirements.len() >= MAX_REMEMBERED_RETIREMENTS {
             let completed = |retirement: &Retirement| retirement.state == RetirementState::Completed;
             let oldest = self.retirements.iter().position(completed).unwrap_or(0);
             self.retirements.remove(oldest);
@@ -143,13 +143,13 @@
 
     fn apply(&mut self, change: &ControlChange) {
         match change.clone() {
-            ControlChange::TakeConfiguration { digest, configuration } => {
-                self.take_configuration(digest, configuration);
+            ControlChange::ApplyConfiguration { digest, configuration } => {
+                self.apply_configuration(digest, configuration);
             }
-            ControlChange::RefuseConfiguration(digest) => {
-                self.refused.remember(digest, MAX_REFUSALS_REMEMBERED);
+            ControlChange::RejectConfiguration(digest) => {
+                self.rejected.insert(digest, MAX_REMEMBERED_REJECTIONS);
             }
-            ControlChange::SetStores(stores) => self.stores = stores,
+            ControlChange::SetStoreMap(stores) => self.store_map = stores,
             ControlChange::BeginRetirement(store) => self.begin_retirement(store),
             ControlChange::CompleteRetirement(disk) => self.complete_retirement(disk),
         }
--- a/crates/control/src/tracker.rs
+++ b/crates/control/src/tracker.rs
@@ -7,28 +7,28 @@
 use juniperwing_protocol::subscription::StoreNode;
 
 /// For how long a keeper's report counts.
-const REPORT_LIFE: Span = Span::from_millis(1_200);
+const REPORT_EXPIRY: Span = Span::from_millis(1_200);
 /// A store that no keeper has seen for this long is lost.
-const LOST_AFTER: Span = Span::from_millis(300);
+const LOSS_TIMEOUT: Span = Span::from_millis(300);
 /// A store that no keeper has seen for this long is lost beyond doubt: copies that only it could hold are not
 /// asked for until it is back. Longer than a hiccup of a machine that no one would count as lost.
-const SURELY_LOST_AFTER: Span = Span::from_millis(1_000);
+const CONFIRMED_LOSS_TIMEOUT: Span = Span::from_millis(1_000);
 /// After the start of the process, or a pause of it, nothing counts as lost for this long.
-const GRACE: Span = Span::from_millis(2_000);
+const STARTUP_GRACE_PERIOD: Span = Span::from_millis(2_000);
 /// Two ticks further apart than this mean that the process was paused.
-const PAUSE: Span = Span::from_millis(1_000);
+const PAUSE_THRESHOLD: Span = Span::from_millis(1_000);
 /// After the first store was seen, others are waited for this long before the first map is made.
-const WAIT_FOR_OTHERS: Span = Span::from_millis(1_500);
+const INITIAL_PLACEMENT_DELAY: Span = Span::from_millis(1_500);
 /// A lost store is waited for this long before another takes its place, where copies are enough without it.
-const REPLACE_AFTER: Span = Span::from_millis(6_000);
+const REPLACEMENT_DELAY: Span = Span::from_millis(6_000);
 /// Without a loss or return for this long, work may be spread anew.
-const CALM_AFTER: Span = Span::from_millis(5_000);
+const STABILITY_PERIOD: Span = Span::from_millis(5_000);
 /// Stores that are remembered at most.
-const MAX_STORES: usize = 10_000;
+const MAX_STORES_PER_REPORT: usize = 10_000;
 
 #[derive(Clone, Debug)]
 struct Report {
-    at: Time,
+    received_at: Time,
     stores: Vec<StoreNode>,
 }
 
@@ -40,15 +40,15 @@
     /// Stores of the map that have been seen by none for long enough to go on without them.
     pub lost: BTreeSet<DiskId>,
     /// Those of them that are lost beyond doubt.
-    pub surely_lost: BTreeSet<DiskId>,
+    pub confirmed_lost: BTreeSet<DiskId>,
     /// Those of them that others should replace.
-    pub long_lost: BTreeSet<DiskId>,
+    pub replaceable: BTreeSet<DiskId>,
     /// Whether this keeper has run for long enough to have heard of every store that is alive.
-    pub settled: bool,
+    pub is_settled: bool,
     /// Whether the stores of the first start have had their time to come.
-    pub gathered: bool,
+    pub is_initial_wait_over: bool,
     /// Whether nothing was lost and nothing came back for some seconds.
-    pub calm: bool,
+    pub is_stable: bool,
 }
 
 /// Collects what the keepers report of the stores, and turns it into a [`StoreView`].
@@ -56,10 +56,10 @@
 pub struct StoreTracker {
     reports: BTreeMap<DiskId, Report>,
     unseen_since: BTreeMap<DiskId, Time>,
-    seen: BTreeSet<DiskId>,
-    first_seen: Option<Time>,
+    last_alive: BTreeSet<DiskId>,
+    first_seen_at: Option<Time>,
     grace_until: Time,
-    last_tick: Time,
+    last_tick_at: Time,
     changed_at: Time,
 }
 
@@ -69,33 +69,33 @@
         StoreTracker {
             reports: BTreeMap::new(),
             unseen_since: BTreeMap::new(),
-            seen: BTreeSet::new(),
-            first_seen: None,
-            grace_until: now + GRACE,
-            last_tick: now,
+            last_alive: BTreeSet::new(),
+            first_seen_at: None,
+            grace_until: now + STARTUP_GRACE_PERIOD,
+            last_tick_at: now,
             changed_at: now,
         }
     }
 
     /// A keeper tells which stores it sees.
-    pub fn report(&mut self, now: Time, keeper: DiskId, mut stores: Vec<StoreNode>) {
-        stores.truncate(MAX_STORES);
+    pub fn record_report(&mut self, now: Time, keeper: DiskId, mut stores: Vec<StoreNode>) {
+        stores.truncate(MAX_STORES_PER_REPORT);
         if !stores.is_empty() {
-            self.first_seen.get_or_insert(now);
+            self.first_seen_at.get_or_insert(now);
         }
-        self.reports.insert(keeper, Report { at: now, stores });
+        self.reports.insert(keeper, Report { received_at: now, stores });
     }
 
     /// Brings everything up to `now`. `placed` are the stores of the map in force.
     pub fn tick(&mut self, now: Time, placed: &[StoreNode]) -> StoreView {
-        if now.since(self.last_tick) > PAUSE {
-            self.grace_until = now + GRACE;
+        if now.since(self.last_tick_at) > PAUSE_THRESHOLD {
+            self.grace_until = now + STARTUP_GRACE_PERIOD;
             self.unseen_since.clear();
         }
-        self.last_tick = now;
-        self.reports.retain(|_, report| now.since(report.at) <= REPORT_LIFE);
+        self.last_tick_at = now;
+        self.reports.retain(|_, report| now.since(report.received_at) <= REPORT_EXPIRY);
         let alive = self.alive();
-        self.note_changes(now, &alive, placed);
+        self.record_changes(now, &alive, placed);
         let unseen_for = |span: Span| -> BTreeSet<DiskId> {
             let since = self.unseen_since.iter();
             since.filter(|(_, since)| now.since(**since) >= span).map(|(disk, _)| *disk).collect()
@@ -103,37 +103,39 @@
         let graced = now < self.grace_until;
         let lost_after = |span: Span| if graced { BTreeSet::new() } else { unseen_for(span) };
         StoreView {
-            lost: lost_after(LOST_AFTER),
-            surely_lost: lost_after(SURELY_LOST_AFTER),
-            long_lost: lost_after(REPLACE_AFTER),
-            settled: !graced,
-            gathered: self.first_seen.is_some_and(|first| now.since(first) >= WAIT_FOR_OTHERS),
-            calm: now.since(self.changed_at) >= CALM_AFTER,
+            lost: lost_after(LOSS_TIMEOUT),
+            confirmed_lost: lost_after(CONFIRMED_LOSS_TIMEOUT),
+            replaceable: lost_after(REPLACEMENT_DELAY),
+            is_settled: !graced,
+            is_initial_wait_over: self
+                .first_seen_at
+                .is_some_and(|first| now.since(first) >= INITIAL_PLACEMENT_DELAY),
+            is_stable: now.since(self.changed_at) >= STABILITY_PERIOD,
             alive,
         }
     }
 
     /// The earliest moment at which a store that is unseen now counts as lost, or as lost beyond doubt;
     /// [`Time::NEVER`] if there is none.
-    pub fn next_loss(&self) -> Time {
+    pub fn next_loss_at(&self) -> Time {
         let unseen = self.unseen_since.values();
-        let pending = unseen.flat_map(|since| [*since + LOST_AFTER, *since + SURELY_LOST_AFTER]);
-        pending.filter(|at| *at > self.last_tick).min().map_or(Time::NEVER, |at| at.max(self.grace_until))
+        let pending = unseen.flat_map(|since| [*since + LOSS_TIMEOUT, *since + CONFIRMED_LOSS_TIMEOUT]);
+        pending.filter(|at| *at > self.last_tick_at).min().map_or(Time::NEVER, |at| at.max(self.grace_until))
     }
 
     fn alive(&self) -> BTreeMap<DiskId, StoreNode> {
         let mut by_age: Vec<&Report> = self.reports.values().collect();
         // Of two addresses of one store, the one that was reported last counts.
-        by_age.sort_by_key(|report| report.at);
+        by_age.sort_by_key(|report| report.received_at);
         let stores = by_age.into_iter().flat_map(|report| &report.stores);
         stores.map(|store| (store.disk, store.clone())).collect()
     }
 
-    fn note_changes(&mut self, now: Time, alive: &BTreeMap<DiskId, StoreNode>, placed: &[StoreNode]) {
+    fn record_changes(&mut self, now: Time, alive: &BTreeMap<DiskId, StoreNode>, placed: &[StoreNode]) {
         let seen: BTreeSet<DiskId> = alive.keys().copied().collect();
-        if seen != self.seen {
+        if seen != self.last_alive {
             self.changed_at = now;
-            self.seen = seen;
+            self.last_alive = seen;
         }
         let unseen: BTreeSet<DiskId> =
             placed.iter().map(|store| store.disk).filter(|disk| !alive.contains_key(disk)).collect();
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use juniperwing_control::{ControlChange, ControlState, PlanInput, StoreView, plan};
+use juniperwing_control::{ControlChange, ControlState, PlanInput, StoreView, plan_store_map};
 use juniperwing_protocol::subscription::{Assignment, CaughtUp, StoreMap, StoreNode};
 use juniperwing_protocol::{DiskId, PartitionId};
 use juniperwing_replication::ReplicatedState;
@@ -39,8 +39,8 @@
     pub fn of(stores: impl IntoIterator<Item = u64>) -> Self {
         let view = StoreView {
             alive: stores.into_iter().map(|disk| (DiskId(disk), store(disk))).collect(),
-            gathered: true,
-            settled: true,
+            is_initial_wait_over: true,
+            is_settled: true,
             ..StoreView::default()
         };
         let mut tier = Tier { state: ControlState::default(), view };
@@ -50,9 +50,14 @@
 
     /// Plans once and commits what comes of it.
     pub fn step(&mut self, caught_up: &[CaughtUp]) -> Option<Arc<StoreMap>> {
-        let input = PlanInput { state: &self.state, view: &self.view, caught_up, required_copies: REQUIRED };
-        let map = plan(input)?;
-        self.state.apply(&ControlChange::SetStores(Arc::clone(&map)));
+        let input = PlanInput {
+            state: &self.state,
+            view: &self.view,
+            caught_up_reports: caught_up,
+            required_copies: REQUIRED,
+        };
+        let map = plan_store_map(input)?;
+        self.state.apply(&ControlChange::SetStoreMap(Arc::clone(&map)));
         Some(map)
     }
 
@@ -69,7 +74,7 @@
 
     /// Reports that every joining replica has caught up.
     pub fn all_caught_up(&self) -> Vec<CaughtUp> {
-        let partitions = (0..).map(PartitionId).zip(&self.state.stores.partitions);
+        let partitions = (0..).map(PartitionId).zip(&self.state.store_map.partitions);
         let report = |(partition, assignment): (PartitionId, &Assignment)| {
             let epoch = assignment.epoch;
             let joining = assignment.joining.clone().into_iter();
@@ -87,25 +92,25 @@
     /// A store has been lost for long enough that nobody doubts it.
     pub fn lose_surely(&mut self, disk: u64) {
         self.lose(disk);
-        self.view.surely_lost.insert(DiskId(disk));
+        self.view.confirmed_lost.insert(DiskId(disk));
     }
 
     /// A lost store has been lost for long.
     pub fn lose_long(&mut self, disk: u64) {
         self.lose_surely(disk);
-        self.view.long_lost.insert(DiskId(disk));
+        self.view.replaceable.insert(DiskId(disk));
     }
 
     /// A store is there, whether it was before or not.
     pub fn bring(&mut self, node: StoreNode) {
         self.view.lost.remove(&node.disk);
-        self.view.surely_lost.remove(&node.disk);
-        self.view.long_lost.remove(&node.disk);
+        self.view.confirmed_lost.remove(&node.disk);
+        self.view.replaceable.remove(&node.disk);
         self.view.alive.insert(node.disk, node);
     }
 
     pub fn partitions(&self) -> &[Assignment] {
-        &self.state.stores.partitions
+        &self.state.store_map.partitions
     }
 
     /// The disks that hold something.
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -38,8 +38,8 @@
 fn changes() -> Vec<(&'static str, ControlChange)> {
     vec![
         ("take-configuration", take_configuration(41, 7, b"{\"generation\":7}")),
-        ("refuse-configuration", ControlChange::RefuseConfiguration(order_digest(42))),
-        ("set-stores", ControlChange::SetStores(Arc::new(store_map()))),
+        ("refuse-configuration", ControlChange::RejectConfiguration(order_digest(42))),
+        ("set-stores", ControlChange::SetStoreMap(Arc::new(store_map()))),
         ("begin-retirement", ControlChange::BeginRetirement(olive())),
         ("complete-retirement", ControlChange::CompleteRetirement(DiskId(21))),
     ]
@@ -51,7 +51,7 @@
     let before = [
         take_configuration(43, 6, b"{\"generation\":6}"),
         ControlChange::BeginRetirement(maple()),
-        ControlChange::RefuseConfiguration(order_digest(44)),
+        ControlChange::RejectConfiguration(order_digest(44)),
     ];
     before.iter().for_each(|change| state.apply(change));
     changes().iter().for_each(|(_, change)| state.apply(change));
@@ -60,7 +60,7 @@
 
 fn take_configuration(order: u8, generation: u64, body: &[u8]) -> ControlChange {
     let configuration = ConfigurationInForce { generation, body: body.into() };
-    ControlChange::TakeConfiguration { digest: order_digest(order), configuration }
+    ControlChange::ApplyConfiguration { digest: order_digest(order), configuration }
 }
 
 fn order_digest(order: u8) -> OrderDigest {
--- a/crates/control/tests/growth.rs
+++ b/crates/control/tests/growth.rs
@@ -1,7 +1,7 @@
 //! What the control state and its changes come to, in bytes, after many changes of large configurations.
 
 use juniperwing_configuration::digest;
-use juniperwing_control::{ConfigurationInForce, ControlChange, ControlState, MAX_ORDERS_REMEMBERED};
+use juniperwing_control::{ConfigurationInForce, ControlChange, ControlState, MAX_REMEMBERED_ORDERS};
 use juniperwing_replication::ReplicatedState;
 
 /// Bytes of an order that is remembered.
@@ -21,7 +21,7 @@
         routes.join(",")
     );
     let configuration = ConfigurationInForce { generation, body: body.as_bytes().into() };
-    ControlChange::TakeConfiguration { digest: digest(generation - 1, body.as_bytes()), configuration }
+    ControlChange::ApplyConfiguration { digest: digest(generation - 1, body.as_bytes()), configuration }
 }
 
 fn body_bytes(state: &ControlState) -> usize {
@@ -54,14 +54,14 @@
     }
 }
 
-/// Fails without the limit in `OrderHistory::remember`.
+/// Fails without the limit in `OrderHistory::insert`.
 #[test]
 fn the_state_grows_no_further_than_the_orders_that_are_remembered() {
     let mut state = ControlState::default();
-    for generation in 1..=MAX_ORDERS_REMEMBERED as u64 + 1_000 {
+    for generation in 1..=MAX_REMEMBERED_ORDERS as u64 + 1_000 {
         state.apply(&change(generation, 0));
     }
     let encoded = state.encode().len();
-    assert!(encoded <= PER_ORDER * MAX_ORDERS_REMEMBERED + body_bytes(&state) + OVERHEAD, "{encoded}");
+    assert!(encoded <= PER_ORDER * MAX_REMEMBERED_ORDERS + body_bytes(&state) + OVERHEAD, "{encoded}");
     assert_eq!(ControlState::decode(&state.encode()).expect("its own encoding"), state);
 }
--- a/crates/control/tests/orders.rs
+++ b/crates/control/tests/orders.rs
@@ -10,7 +10,7 @@
 
 fn take(state: &mut ControlState, base: u64, body: &[u8]) {
     match decide_put(state, base, body) {
-        PutDecision::Take(change) => state.apply(&change),
+        PutDecision::Accept(change) => state.apply(&change),
         other => panic!("{other:?}"),
     }
 }
@@ -18,7 +18,7 @@
 /// An order that builds on what may yet come is refused for good.
 fn refuse(state: &mut ControlState, base: u64, body: &[u8]) {
     match decide_put(state, base, body) {
-        PutDecision::Refuse { current, change } => {
+        PutDecision::Reject { current, change } => {
             assert_eq!(current, state.generation());
             state.apply(&change);
         }
@@ -42,8 +42,8 @@
     take(&mut state, 0, &configuration(3));
     take(&mut state, 3, &configuration(7));
     take(&mut state, 7, &configuration(8));
-    assert_eq!(decide_put(&state, 0, &configuration(3)), PutDecision::AlreadyTaken);
-    assert_eq!(decide_put(&state, 3, &configuration(7)), PutDecision::AlreadyTaken);
+    assert_eq!(decide_put(&state, 0, &configuration(3)), PutDecision::AlreadyAccepted);
+    assert_eq!(decide_put(&state, 3, &configuration(7)), PutDecision::AlreadyAccepted);
     // The same body on another base is another order.
     assert_eq!(decide_put(&state, 0, &configuration(7)), PutDecision::Stale { current: 8 });
 }
@@ -92,7 +92,7 @@
 fn no_more_orders_are_remembered_than_the_limit() {
     let mut history = OrderHistory::default();
     for base in 0..10 {
-        history.remember(digest(base, b""), 4);
+        history.insert(digest(base, b""), 4);
     }
     assert_eq!(history.len(), 4);
     assert!(!history.contains(digest(5, b"")));
--- a/crates/control/tests/orders_model.rs
+++ b/crates/control/tests/orders_model.rs
@@ -3,7 +3,7 @@
 //! A step is a copy of an order that is sent, that reaches a primary (which confirms its state), that is decided
 //! on (later, on the state that was confirmed), or a write that is committed, or lost with its primary. The
 //! oracle sees only what operators see: answers, and configurations read back. The test fails without the look
-//! at the orders taken, without the look at those refused, and with an answer of `Stale` in place of `Refuse` in
+//! at the orders taken, without the look at those refused, and with an answer of `Stale` in place of `Reject` in
 //! `decide_put`.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -153,11 +153,11 @@
 
     fn carry_out(&mut self, Decided { order, version, decision }: Decided) {
         let (change, status) = match decision {
-            PutDecision::AlreadyTaken => return self.oracle.answered(order, 200),
+            PutDecision::AlreadyAccepted => return self.oracle.answered(order, 200),
             PutDecision::Stale { .. } => return self.oracle.answered(order, 412),
             PutDecision::Invalid(_) => return self.oracle.answered(order, 400),
-            PutDecision::Take(change) => (change, 200),
-            PutDecision::Refuse { change, .. } => (change, 412),
+            PutDecision::Accept(change) => (change, 200),
+            PutDecision::Reject { change, .. } => (change, 412),
         };
         if version == self.version && self.under_way.is_none() {
             self.under_way = Some(Write { order, change, status });
--- a/crates/control/tests/plan.rs
+++ b/crates/control/tests/plan.rs
@@ -5,7 +5,9 @@
 use std::collections::BTreeMap;
 
 use common::{REQUIRED, Tier, check_successor, store, store_on};
-use juniperwing_control::{ControlState, PARTITIONS, PlanInput, StoreView, plan, unrecoverable};
+use juniperwing_control::{
+    ControlState, PARTITION_COUNT, PlanInput, StoreView, plan_store_map, unrecoverable_partitions,
+};
 use juniperwing_protocol::DiskId;
 use proptest::prelude::*;
 
@@ -15,10 +17,11 @@
     let mut view = StoreView::default();
     view.alive.insert(DiskId(1), store(1));
     view.alive.insert(DiskId(2), store(2));
-    let planned =
-        |view: &StoreView| plan(PlanInput { state: &state, view, caught_up: &[], required_copies: REQUIRED });
+    let planned = |view: &StoreView| {
+        plan_store_map(PlanInput { state: &state, view, caught_up_reports: &[], required_copies: REQUIRED })
+    };
     assert_eq!(planned(&view), None);
-    view.gathered = true;
+    view.is_initial_wait_over = true;
     assert!(planned(&view).is_some());
     view.alive.remove(&DiskId(2));
     assert_eq!(planned(&view), None);
@@ -27,7 +30,7 @@
 #[test]
 fn the_first_map_spreads_replicas_and_primaries() {
     let tier = Tier::of(1..=6);
-    assert_eq!(tier.partitions().len(), usize::from(PARTITIONS));
+    assert_eq!(tier.partitions().len(), usize::from(PARTITION_COUNT));
     let mut primaries: BTreeMap<DiskId, usize> = BTreeMap::new();
     for assignment in tier.partitions() {
         assert_eq!(assignment.in_sync.len(), REQUIRED + 1);
@@ -35,7 +38,7 @@
         assert!((0..3).all(|zone| zones.contains(&zone)), "a replica in each zone");
         *primaries.entry(assignment.primary).or_default() += 1;
     }
-    let share = usize::from(PARTITIONS) / 6;
+    let share = usize::from(PARTITION_COUNT) / 6;
     assert!(primaries.values().all(|count| (share - 1..=share + 2).contains(count)), "{primaries:?}");
 }
 
@@ -48,7 +51,7 @@
 #[test]
 fn a_lost_store_leaves_and_another_in_sync_takes_its_partitions() {
     let mut tier = Tier::of(1..=3);
-    let before = tier.state.stores.clone();
+    let before = tier.state.store_map.clone();
     tier.lose(1);
     let after = tier.step(&[]).unwrap();
     check_successor(&before, &after, &[]);
@@ -98,7 +101,7 @@
 
 #[test]
 fn fewer_copies_are_enough_only_while_the_others_are_lost_beyond_doubt() {
-    // Guards: `others_are_lost` and `others_seen` in `lost_copies`.
+    // Guards: `are_others_lost` and `others_seen` in `allowed_lost_replicas`.
     let mut tier = Tier::of(1..=2);
     let allowed =
         |tier: &Tier, copies: u16| tier.partitions().iter().all(|held| held.lost_replicas == copies);
@@ -106,14 +109,14 @@
     tier.step(&[]).unwrap();
     assert!(allowed(&tier, 0), "it may only have hiccuped");
     tier.lose_surely(1);
-    let before = tier.state.stores.clone();
+    let before = tier.state.store_map.clone();
     let after = tier.step(&[]).unwrap();
     check_successor(&before, &after, &[]);
     assert!(allowed(&tier, 1), "in an epoch of its own");
     // Long lost, and no longer named by the map: it stays so.
     tier.lose_long(1);
     tier.settle();
-    assert!(allowed(&tier, 1) && tier.state.stores.store(DiskId(1)).is_none());
+    assert!(allowed(&tier, 1) && tier.state.store_map.store(DiskId(1)).is_none());
     tier.bring(store(1));
     tier.step(&[]).unwrap();
     assert!(allowed(&tier, 0) && tier.partitions().iter().all(|held| held.joining == [DiskId(1)]));
@@ -133,7 +136,7 @@
 
 #[test]
 fn a_keeper_that_has_seen_nothing_yet_allows_nothing_and_takes_nothing_back() {
-    // Guard: `missing <= before` in `lost_copies`.
+    // Guard: `missing <= before` in `allowed_lost_replicas`.
     let mut tier = Tier::of(1..=2);
     tier.lose(1);
     tier.step(&[]).unwrap();
@@ -142,7 +145,7 @@
     tier.lose_surely(1);
     tier.step(&[]).unwrap();
     tier.view.lost.clear();
-    tier.view.surely_lost.clear();
+    tier.view.confirmed_lost.clear();
     assert_eq!(tier.step(&[]), None);
 }
 
@@ -155,7 +158,7 @@
     tier.step(&[]).unwrap();
     assert!(tier.partitions().iter().all(|held| held.joining == [DiskId(1)]));
     let reports = tier.all_caught_up();
-    let before = tier.state.stores.clone();
+    let before = tier.state.store_map.clone();
     let after = tier.step(&reports).unwrap();
     check_successor(&before, &after, &reports);
     assert!(after.partitions.iter().all(|held| held.in_sync.len() == 3 && held.joining.is_empty()));
@@ -201,7 +204,7 @@
     assert!(tier.partitions().iter().all(|held| held.joining == [DiskId(11)]));
     tier.settle();
     assert!(!tier.holders().contains(&DiskId(1)));
-    assert_eq!(tier.state.stores.store(DiskId(1)), None);
+    assert_eq!(tier.state.store_map.store(DiskId(1)), None);
 }
 
 #[test]
@@ -210,7 +213,7 @@
     tier.view.alive.clear();
     tier.bring(store_on(11, 1));
     tier.bring(store_on(12, 2));
-    assert_eq!(unrecoverable(&tier.state, &tier.view).len(), usize::from(PARTITIONS));
+    assert_eq!(unrecoverable_partitions(&tier.state, &tier.view).len(), usize::from(PARTITION_COUNT));
     tier.step(&[]);
     assert!(tier.partitions().iter().all(|held| held.in_sync.iter().all(|disk| disk.0 < 10)));
 }
@@ -245,8 +248,8 @@
     tier.bring(store(1));
     tier.settle();
     assert!(tier.partitions().iter().all(|held| held.primary != DiskId(1)));
-    tier.view.calm = true;
-    let before = tier.state.stores.clone();
+    tier.view.is_stable = true;
+    let before = tier.state.store_map.clone();
     let after = tier.step(&[]).unwrap();
     let moved =
         before.partitions.iter().zip(&after.partitions).filter(|(old, new)| old.primary != new.primary);
@@ -301,9 +304,9 @@
                 Happening::CatchUp { share } => {
                     reports = tier.all_caught_up().into_iter().step_by(share).collect();
                 }
-                Happening::Calm(calm) => tier.view.calm = calm,
+                Happening::Calm(calm) => tier.view.is_stable = calm,
             }
-            let before = tier.state.stores.clone();
+            let before = tier.state.store_map.clone();
             if let Some(after) = tier.step(&reports) {
                 check_successor(&before, &after, &reports);
             }
--- a/crates/control/tests/retire.rs
+++ b/crates/control/tests/retire.rs
@@ -5,7 +5,7 @@
 use common::{REQUIRED, Tier, store_on};
 use juniperwing_control::{
     ControlChange, ControlState, RetireDecision, RetirementState, StoreView, completed_retirements,
-    decide_retire, retirement_state, retirement_to_renew,
+    decide_retire, retirement_of_replaced_disk, retirement_state,
 };
 use juniperwing_protocol::{DiskId, NodeName};
 use juniperwing_replication::ReplicatedState;
@@ -20,7 +20,7 @@
 
 fn begin(tier: &mut Tier, machine: u64) {
     match decide(tier, machine) {
-        RetireDecision::Take(change) => tier.state.apply(&change),
+        RetireDecision::Accept(change) => tier.state.apply(&change),
         other => panic!("{other:?}"),
     }
 }
@@ -34,8 +34,8 @@
 #[test]
 fn unknown_machines_and_too_few_others_are_refused() {
     let tier = Tier::of(1..=2);
-    assert_eq!(decide(&tier, 9), RetireDecision::Unknown);
-    assert_eq!(decide(&tier, 1), RetireDecision::TooFewRemain { others: 1 });
+    assert_eq!(decide(&tier, 9), RetireDecision::UnknownMachine);
+    assert_eq!(decide(&tier, 1), RetireDecision::TooFewRemaining { others: 1 });
 }
 
 #[test]
@@ -43,8 +43,8 @@
     let mut tier = Tier::of(1..=4);
     begin(&mut tier, 1);
     begin(&mut tier, 2);
-    assert_eq!(decide(&tier, 3), RetireDecision::TooFewRemain { others: 1 });
-    assert_eq!(decide(&tier, 1), RetireDecision::AlreadyTaken);
+    assert_eq!(decide(&tier, 3), RetireDecision::TooFewRemaining { others: 1 });
+    assert_eq!(decide(&tier, 1), RetireDecision::AlreadyAccepted);
 }
 
 #[test]
@@ -63,7 +63,7 @@
     assert!(tier.partitions().iter().all(|held| held.in_sync.len() == REQUIRED + 1));
     complete(&mut tier);
     assert_eq!(retirement_state(&tier.state, &tier.view, &node(1)), Some(RetirementState::Completed));
-    assert_eq!(decide(&tier, 1), RetireDecision::AlreadyTaken);
+    assert_eq!(decide(&tier, 1), RetireDecision::AlreadyAccepted);
 }
 
 #[test]
@@ -111,21 +111,21 @@
     tier.lose_long(1);
     tier.settle();
     assert_eq!(retirement_state(&tier.state, &tier.view, &node(1)), Some(RetirementState::Completed));
-    assert_eq!(decide(&tier, 1), RetireDecision::AlreadyTaken);
+    assert_eq!(decide(&tier, 1), RetireDecision::AlreadyAccepted);
 }
 
 #[test]
 fn a_keeper_that_has_seen_no_store_yet_refuses_nothing() {
-    // Guard: `settled` in `decide_retire`.
+    // Guard: `is_settled` in `decide_retire`.
     let tier = Tier::of(1..=2);
     let empty = StoreView::default();
     let unknown = decide_retire(&ControlState::default(), &empty, &node(1), REQUIRED);
-    assert_eq!(unknown, RetireDecision::NotCertain);
+    assert_eq!(unknown, RetireDecision::StoresUncertain);
     let too_few = decide_retire(&tier.state, &empty, &node(1), REQUIRED);
-    assert_eq!(too_few, RetireDecision::NotCertain);
-    let settled = StoreView { settled: true, ..empty };
+    assert_eq!(too_few, RetireDecision::StoresUncertain);
+    let settled = StoreView { is_settled: true, ..empty };
     let unknown = decide_retire(&ControlState::default(), &settled, &node(1), REQUIRED);
-    assert_eq!(unknown, RetireDecision::Unknown);
+    assert_eq!(unknown, RetireDecision::UnknownMachine);
 }
 
 #[test]
@@ -133,7 +133,7 @@
     let mut tier = Tier::of(1..=3);
     tier.view = StoreView::default();
     begin(&mut tier, 1);
-    assert_eq!(decide(&tier, 1), RetireDecision::AlreadyTaken);
+    assert_eq!(decide(&tier, 1), RetireDecision::AlreadyAccepted);
     assert_eq!(retirement_state(&tier.state, &tier.view, &node(1)), Some(RetirementState::Active));
 }
 
@@ -162,18 +162,19 @@
 
 #[test]
 fn a_machine_that_lost_its_disk_while_being_emptied_goes_on_being_emptied() {
-    // Guards: `is_under_way` in `decide_retire`, and `retirement_to_renew`.
+    // Guards: `has_active_retirement` in `decide_retire`, and `retirement_of_replaced_disk`.
     let mut tier = Tier::of(1..=3);
     begin(&mut tier, 1);
     tier.view.alive.remove(&DiskId(1));
     tier.bring(store_on(11, 1));
     // The order that was taken is not refused, although too few would remain for another one.
     tier.lose_long(3);
-    assert_eq!(decide(&tier, 1), RetireDecision::AlreadyTaken);
+    assert_eq!(decide(&tier, 1), RetireDecision::AlreadyAccepted);
     tier.bring(common::store(3));
-    let renewed = retirement_to_renew(&tier.state, &tier.view).expect("another disk to be given nothing");
+    let renewed =
+        retirement_of_replaced_disk(&tier.state, &tier.view).expect("another disk to be given nothing");
     tier.state.apply(&renewed);
-    assert_eq!(retirement_to_renew(&tier.state, &tier.view), None);
+    assert_eq!(retirement_of_replaced_disk(&tier.state, &tier.view), None);
     tier.settle();
     complete(&mut tier);
     assert!(!tier.holders().contains(&DiskId(1)) && !tier.holders().contains(&DiskId(11)));
--- a/crates/control/tests/tracker.rs
+++ b/crates/control/tests/tracker.rs
@@ -18,7 +18,7 @@
 fn running() -> StoreTracker {
     let mut tracker = StoreTracker::new(at(0));
     for millis in (0..=10_000).step_by(100) {
-        tracker.report(at(millis), KEEPER, vec![store(1), store(2)]);
+        tracker.record_report(at(millis), KEEPER, vec![store(1), store(2)]);
         tracker.tick(at(millis), &[store(1), store(2)]);
     }
     tracker
@@ -27,24 +27,24 @@
 #[test]
 fn a_store_is_lost_when_no_keeper_sees_it_for_a_while() {
     let mut tracker = running();
-    tracker.report(at(10_100), KEEPER, vec![store(1)]);
+    tracker.record_report(at(10_100), KEEPER, vec![store(1)]);
     let view = tracker.tick(at(10_100), &[store(1), store(2)]);
     assert!(!view.alive.contains_key(&DiskId(2)) && view.lost.is_empty());
-    assert_eq!(tracker.next_loss(), at(10_400));
+    assert_eq!(tracker.next_loss_at(), at(10_400));
     let view = tracker.tick(at(10_400), &[store(1), store(2)]);
     assert_eq!(view.lost.into_iter().collect::<Vec<_>>(), [DiskId(2)]);
-    assert!(view.surely_lost.is_empty() && view.long_lost.is_empty() && !view.calm);
-    assert_eq!(tracker.next_loss(), at(11_100));
-    tracker.report(at(11_000), KEEPER, vec![store(1)]);
+    assert!(view.confirmed_lost.is_empty() && view.replaceable.is_empty() && !view.is_stable);
+    assert_eq!(tracker.next_loss_at(), at(11_100));
+    tracker.record_report(at(11_000), KEEPER, vec![store(1)]);
     let view = tracker.tick(at(11_100), &[store(1), store(2)]);
-    assert_eq!(view.surely_lost.into_iter().collect::<Vec<_>>(), [DiskId(2)]);
+    assert_eq!(view.confirmed_lost.into_iter().collect::<Vec<_>>(), [DiskId(2)]);
 }
 
 #[test]
 fn a_store_that_another_keeper_sees_is_alive() {
     let mut tracker = running();
-    tracker.report(at(10_100), OTHER, vec![store(2)]);
-    tracker.report(at(10_100), KEEPER, vec![store(1)]);
+    tracker.record_report(at(10_100), OTHER, vec![store(2)]);
+    tracker.record_report(at(10_100), KEEPER, vec![store(1)]);
     tracker.tick(at(10_100), &[store(1), store(2)]);
     let view = tracker.tick(at(10_600), &[store(1), store(2)]);
     assert_eq!(view.alive.len(), 2);
@@ -54,9 +54,9 @@
 #[test]
 fn a_keeper_that_says_nothing_does_not_count() {
     let mut tracker = running();
-    tracker.report(at(10_100), OTHER, vec![store(2)]);
+    tracker.record_report(at(10_100), OTHER, vec![store(2)]);
     for millis in (10_100..=11_800).step_by(100) {
-        tracker.report(at(millis), KEEPER, vec![store(1)]);
+        tracker.record_report(at(millis), KEEPER, vec![store(1)]);
         tracker.tick(at(millis), &[store(1), store(2)]);
     }
     let view = tracker.tick(at(11_800), &[store(1), store(2)]);
@@ -85,9 +85,9 @@
 #[test]
 fn others_are_waited_for_before_the_first_map() {
     let mut tracker = StoreTracker::new(at(0));
-    tracker.report(at(500), KEEPER, Vec::new());
-    assert!(!tracker.tick(at(500), &[]).gathered);
-    tracker.report(at(1_000), KEEPER, vec![store(1)]);
-    assert!(!tracker.tick(at(1_900), &[]).gathered);
-    assert!(tracker.tick(at(2_500), &[]).gathered);
+    tracker.record_report(at(500), KEEPER, Vec::new());
+    assert!(!tracker.tick(at(500), &[]).is_initial_wait_over);
+    tracker.record_report(at(1_000), KEEPER, vec![store(1)]);
+    assert!(!tracker.tick(at(1_900), &[]).is_initial_wait_over);
+    assert!(tracker.tick(at(2_500), &[]).is_initial_wait_over);
 }
--- a/crates/node/src/keeper.rs
+++ b/crates/node/src/keeper.rs
@@ -386,7 +386,7 @@
 
     async fn plan_changes(self: Arc<Self>) {
         loop {
-            let next_loss = self.lock().tracker.next_loss();
+            let next_loss = self.lock().tracker.next_loss_at();
             let pause = clock::duration(next_loss.since(clock::now()));
             // Whichever comes first: news of the stores, or the time at which one counts as lost.
             let _ = timeout(pause, self.wake_planner.notified()).await;
@@ -437,10 +437,10 @@
             state.logged_configuration = version;
             info!(self.log, "configuration"; "generation" => committed.generation());
         }
-        if committed.stores.version != state.logged_stores {
-            state.logged_stores = committed.stores.version;
+        if committed.store_map.version != state.logged_stores {
+            state.logged_stores = committed.store_map.version;
             info!(self.log, "store map";
-                "version" => committed.stores.version, "stores" => committed.stores.stores.len());
+                "version" => committed.store_map.version, "stores" => committed.store_map.stores.len());
         }
     }
 }
--- a/crates/node/src/keeper/figures.rs
+++ b/crates/node/src/keeper/figures.rs
@@ -61,7 +61,7 @@
             Figure::gauge(
                 "store_map_version",
                 "The version of the committed store map",
-                committed.map_or(0, |held| held.state.stores.version),
+                committed.map_or(0, |held| held.state.store_map.version),
             ),
             Figure::gauge("subscriptions", "Relays and stores subscribed", state.subscribers.count() as u64),
             Figure::gauge(
--- a/crates/node/src/keeper/orders.rs
+++ b/crates/node/src/keeper/orders.rs
@@ -176,15 +176,15 @@
         self: &Arc<Self>, confirmed: &Versioned<ControlState>, base: u64, body: &[u8], deadline: Instant,
     ) -> Attempt {
         let change = match decide_put(&confirmed.state, base, body) {
-            PutDecision::Take(change) => change,
-            PutDecision::AlreadyTaken => {
+            PutDecision::Accept(change) => change,
+            PutDecision::AlreadyAccepted => {
                 self.distribute(confirmed.state.configuration_version(), deadline).await;
                 return Attempt::Answered(json(200, &serde_json::json!({})));
             }
             PutDecision::Stale { current } => {
                 return Attempt::Answered(stale(current));
             }
-            PutDecision::Refuse { current, change } => {
+            PutDecision::Reject { current, change } => {
                 return match timeout_at(deadline, self.propose(confirmed.version, change)).await {
                     Ok(Ok(_)) => Attempt::Answered(stale(current)),
                     _ => Attempt::Again(Obstacle::NotInForce),
@@ -216,13 +216,13 @@
             decide_retire(&confirmed.state, &state.store_view, node, self.required_copies)
         };
         let change = match decision {
-            RetireDecision::Take(change) => change,
-            RetireDecision::AlreadyTaken => {
+            RetireDecision::Accept(change) => change,
+            RetireDecision::AlreadyAccepted => {
                 return Attempt::Answered(self.retire_state(&confirmed.state, node));
             }
-            RetireDecision::NotCertain => return Attempt::Again(Obstacle::StoresUncertain),
-            RetireDecision::Unknown => return Attempt::Answered(unknown_machine()),
-            RetireDecision::TooFewRemain { others } => {
+            RetireDecision::StoresUncertain => return Attempt::Again(Obstacle::StoresUncertain),
+            RetireDecision::UnknownMachine => return Attempt::Answered(unknown_machine()),
+            RetireDecision::TooFewRemaining { others } => {
                 info!(self.log, "retiring refused"; "store" => %node.0, "others" => others);
                 return Attempt::Answered(json(409, &refusal("too few machines would remain")));
             }
--- a/crates/node/src/keeper/stores.rs
+++ b/crates/node/src/keeper/stores.rs
@@ -3,7 +3,8 @@
 use std::sync::Arc;
 
 use juniperwing_control::{
-    ControlChange, PlanInput, completed_retirements, plan, retirement_to_renew, unrecoverable,
+    ControlChange, PlanInput, completed_retirements, plan_store_map, retirement_of_replaced_disk,
+    unrecoverable_partitions,
 };
 use juniperwing_protocol::registry::RegistryMessage;
 use juniperwing_protocol::replication::Voter;
@@ -24,7 +25,7 @@
         let mut state = self.lock();
         let now = clock::now();
         state.contact.heard(now, keeper);
-        state.tracker.report(now, keeper, stores);
+        state.tracker.record_report(now, keeper, stores);
         let epoch = state.consensus.replica.epoch().number;
         drop(state);
         self.wake_planner.notify_one();
@@ -37,7 +38,7 @@
         let stores = {
             let mut state = self.lock();
             let stores = state.subscribers.stores();
-            state.tracker.report(clock::now(), from, stores.clone());
+            state.tracker.record_report(clock::now(), from, stores.clone());
             stores
         };
         for voter in self.other_voters() {
@@ -92,8 +93,8 @@
     fn next_store_change(&self) -> Option<(juniperwing_protocol::replication::Version, ControlChange)> {
         let state = &mut *self.lock();
         let committed = state.consensus.committed()?.clone();
-        state.store_view = state.tracker.tick(clock::now(), &committed.state.stores.stores);
-        let placed = &committed.state.stores;
+        state.store_view = state.tracker.tick(clock::now(), &committed.state.store_map.stores);
+        let placed = &committed.state.store_map;
         // A report of an epoch that this keeper does not know yet is kept.
         state.caught_up.retain(|report| {
             placed.assignment(report.partition).is_some_and(|held| held.epoch <= report.epoch)
@@ -102,18 +103,18 @@
         if !replica.is_primary() || replica.latest().version != committed.version {
             return None;
         }
-        if let Some(change) = retirement_to_renew(&committed.state, &state.store_view) {
+        if let Some(change) = retirement_of_replaced_disk(&committed.state, &state.store_view) {
             return Some((committed.version, change));
         }
         self.warn_unrecoverable(state);
         let input = PlanInput {
             state: &committed.state,
             view: &state.store_view,
-            caught_up: &state.caught_up,
+            caught_up_reports: &state.caught_up,
             required_copies: self.required_copies,
         };
-        if let Some(map) = plan(input) {
-            return Some((committed.version, ControlChange::SetStores(map)));
+        if let Some(map) = plan_store_map(input) {
+            return Some((committed.version, ControlChange::SetStoreMap(map)));
         }
         let empty = completed_retirements(&committed.state, self.required_copies).into_iter().next()?;
         Some((committed.version, ControlChange::CompleteRetirement(empty)))
@@ -121,7 +122,7 @@
 
     fn warn_unrecoverable(&self, state: &mut State) {
         let Some(committed) = state.consensus.committed() else { return };
-        let lost = unrecoverable(&committed.state, &state.store_view).len();
+        let lost = unrecoverable_partitions(&committed.state, &state.store_view).len();
         if lost > 0 && lost != state.unrecoverable {
             warn!(self.log, "every copy of some partitions is gone"; "partitions" => lost);
         }
--- a/crates/node/src/keeper/subscribers.rs
+++ b/crates/node/src/keeper/subscribers.rs
@@ -241,11 +241,11 @@
 
     fn tell_stores(&mut self, tellable: &Tellable) {
         let Some(state) = tellable.committed else { return };
-        if state.stores.version <= self.told_stores {
+        if state.store_map.version <= self.told_stores {
             return;
         }
-        self.told_stores = state.stores.version;
-        self.tell(Update::Stores(Arc::clone(&state.stores)));
+        self.told_stores = state.store_map.version;
+        self.tell(Update::Stores(Arc::clone(&state.store_map)));
     }
 }
 
--- a/crates/node/tests/keepers/peer.rs
+++ b/crates/node/tests/keepers/peer.rs
@@ -160,7 +160,7 @@
         let event = {
             let mut state = self.shared.lock();
             let latest = state.replica.latest().clone();
-            let PutDecision::Take(change) = decide_put(&latest.state, base, body.as_bytes()) else {
+            let PutDecision::Accept(change) = decide_put(&latest.state, base, body.as_bytes()) else {
                 panic!("a configuration that can be taken");
             };
             Event::Propose { token: ProposeToken(state.token()), base: latest.version, change }
--- a/crates/sessions/tests/common/keepers.rs
+++ b/crates/sessions/tests/common/keepers.rs
@@ -5,7 +5,7 @@
 use juniperwing_clock::Time;
 use juniperwing_control::{
     ControlChange, ControlState, PlanInput, RetireDecision, RetirementState, StoreTracker,
-    completed_retirements, decide_retire, plan, retirement_state, retirement_to_renew,
+    completed_retirements, decide_retire, plan_store_map, retirement_of_replaced_disk, retirement_state,
 };
 use juniperwing_protocol::subscription::{CaughtUp, StoreMap, StoreNode};
 use juniperwing_protocol::{DiskId, NodeName};
@@ -30,14 +30,19 @@
     pub fn look(
         &mut self, now: Time, present: Vec<StoreNode>, caught_up: &[CaughtUp],
     ) -> Option<Arc<StoreMap>> {
-        self.tracker.report(now, KEEPER, present);
-        let view = self.tracker.tick(now, &self.state.stores.stores);
-        if let Some(renewed) = retirement_to_renew(&self.state, &view) {
+        self.tracker.record_report(now, KEEPER, present);
+        let view = self.tracker.tick(now, &self.state.store_map.stores);
+        if let Some(renewed) = retirement_of_replaced_disk(&self.state, &view) {
             self.state.apply(&renewed);
         }
-        let input = PlanInput { state: &self.state, view: &view, caught_up, required_copies: REQUIRED };
-        if let Some(map) = plan(input) {
-            self.state.apply(&ControlChange::SetStores(Arc::clone(&map)));
+        let input = PlanInput {
+            state: &self.state,
+            view: &view,
+            caught_up_reports: caught_up,
+            required_copies: REQUIRED,
+        };
+        if let Some(map) = plan_store_map(input) {
+            self.state.apply(&ControlChange::SetStoreMap(Arc::clone(&map)));
             return Some(map);
         }
         for disk in completed_retirements(&self.state, REQUIRED) {
@@ -48,10 +53,10 @@
 
     /// The operator orders a machine to be emptied; whether the order is taken.
     pub fn retire(&mut self, now: Time, node: &NodeName) -> bool {
-        let view = self.tracker.tick(now, &self.state.stores.stores);
+        let view = self.tracker.tick(now, &self.state.store_map.stores);
         match decide_retire(&self.state, &view, node, REQUIRED) {
-            RetireDecision::Take(change) => self.state.apply(&change),
-            RetireDecision::AlreadyTaken => {}
+            RetireDecision::Accept(change) => self.state.apply(&change),
+            RetireDecision::AlreadyAccepted => {}
             _ => return false,
         }
         true
@@ -59,7 +64,7 @@
 
     /// Whether a machine may be taken away with its disk.
     pub fn is_emptied(&mut self, now: Time, node: &NodeName) -> bool {
-        let view = self.tracker.tick(now, &self.state.stores.stores);
+        let view = self.tracker.tick(now, &self.state.store_map.stores);
         retirement_state(&self.state, &view, node) == Some(RetirementState::Completed)
     }
 }
