--- a/crates/lab/src/baselines.rs
+++ b/crates/lab/src/baselines.rs
@@ -174,8 +174,11 @@
                 ntf.history.last_doubtful_end.map_or(Time::default(), |at| at + self.figures.key_cooldown),
             );
         }
-        let (ran, over, pushes) =
-            (ntf.history.first_possible_run.clone(), ntf.history.has_final_answer, ntf.history.push_count);
+        let (ran, over, pushes) = (
+            ntf.history.first_possible_run.clone().map(|run| (run.sent_at, run.zone)),
+            ntf.history.has_final_answer,
+            ntf.history.push_count,
+        );
         self.held.insert(
             id,
             Held {
--- a/crates/model/src/world/relays.rs
+++ b/crates/model/src/world/relays.rs
@@ -2,7 +2,7 @@
 
 use juniperwing::interface::{
     CallStatus, Command, EndpointEntry, EndpointId, EndpointListUpdate, Event, Notification,
-    NotificationHistory, NotificationId, Readiness,
+    NotificationHistory, NotificationId, PossibleRun, Readiness,
 };
 use juniperwing::time::{Span, Time};
 
@@ -250,7 +250,7 @@
             history: NotificationHistory {
                 is_recovered: true,
                 push_count: held.pushes,
-                first_possible_run: held.ran.map(|(at, of)| (at, zone(of))),
+                first_possible_run: held.ran.map(|(at, of)| PossibleRun { sent_at: at, zone: zone(of) }),
                 last_doubtful_end: held.doubt,
                 has_final_answer: held.ended,
             },
--- a/crates/relay/src/serve.rs
+++ b/crates/relay/src/serve.rs
@@ -9,7 +9,7 @@
 
 use juniperwing::interface::{
     Command, DestinationId, EndpointId, EndpointListUpdate, Event, Notification, NotificationHistory,
-    NotificationId, PushOutcome, TopicType,
+    NotificationId, PossibleRun, PushOutcome, TopicType,
 };
 use juniperwing::time::{Span, Time};
 use slog::{Logger, debug, info, o, warn};
@@ -214,7 +214,10 @@
             let ran = history.ran.as_ref().or(history.out.as_ref());
             let past = NotificationHistory {
                 push_count: history.pushes,
-                first_possible_run: ran.map(|(at, zone)| (Time::from_nanos(*at), Arc::from(zone.as_str()))),
+                first_possible_run: ran.map(|(at, zone)| PossibleRun {
+                    sent_at: Time::from_nanos(*at),
+                    zone: Arc::from(zone.as_str()),
+                }),
                 last_doubtful_end: if history.out.is_some() {
                     Some(now)
                 } else {
--- a/src/rules/choice.rs
+++ b/src/rules/choice.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::*;
-use crate::interface::{DeduplicationScope, EndpointId, NotificationId, Semantics};
+use crate::interface::{DeduplicationScope, EndpointId, NotificationId, PossibleRun, Semantics};
 use crate::state::{Destination, Held};
 use crate::time::{Span, Time};
 
@@ -65,7 +65,8 @@
     /// Guards against an endpoint that fails one topic type: that goes to others, longer after each loss.
     pub(super) fn fails(&self, held: &Held, to: &EndpointId, now: Time) -> bool {
         let same = |h: &&Held| h.last.as_ref() == Some(to) && h.ntf.topic.name == held.ntf.topic.name;
-        let overdue = |h: &Held| h.out.as_ref().is_some_and(|out| now.since(out.0) > self.overdue_after());
+        let overdue =
+            |h: &Held| h.out.as_ref().is_some_and(|out| now.since(out.sent_at) > self.overdue_after());
         let lost = self.failing.get(&(to.clone(), held.ntf.topic.name.clone()));
         lost.is_some_and(|(times, at)| now.since(*at) < LEFT_OUT.mul_f64(f64::from(*times)))
             || self.held.iter().filter(same).any(overdue)
@@ -93,7 +94,7 @@
         let effect = match (&self.past.first_possible_run, self.ntf.topic.semantics) {
             (None, _) | (Some(_), Semantics::Idempotent) => true,
             (Some(_), Semantics::NonIdempotent) => false,
-            (Some((_, first)), Semantics::Deduplicated { scope, .. }) => {
+            (Some(PossibleRun { zone: first, .. }), Semantics::Deduplicated { scope, .. }) => {
                 let open = self.closes().is_some_and(|end| now + ARRIVAL < end);
                 open && (scope == DeduplicationScope::All || zone.is_none_or(|zone| zone == first))
             }
@@ -107,6 +108,6 @@
             .first_possible_run
             .as_ref()
             .zip(self.ntf.topic.semantics.deduplication_window())
-            .map(|(ran, window)| ran.0 + window)
+            .map(|(ran, window)| ran.sent_at + window)
     }
 }
--- a/src/rules/destination.rs
+++ b/src/rules/destination.rs
@@ -58,7 +58,7 @@
         let (now, usual, cancel) = (mail.now, self.overdue_after(), self.terms.limits.can_cancel);
         for place in 0..self.held.len() {
             let held = &self.held[place];
-            let Some(at) = held.out.as_ref().filter(|_| cancel).map(|o| o.0) else { continue };
+            let Some(at) = held.out.as_ref().filter(|_| cancel).map(|o| o.sent_at) else { continue };
             let waits = |h: &&Held| !h.turn && h.ntf.key == held.ntf.key;
             let behind = held.ntf.topic.is_ordered && self.held.iter().filter(waits).count() > 1;
             let after = if held.again() { usual } else { usual.max(self.terms.rules.overload_duration) };
--- a/src/state.rs
+++ b/src/state.rs
@@ -7,8 +7,8 @@
 use juniperwing_restart::{LatencyModel, SlotTimes};
 
 use crate::interface::{
-    DestinationId, EndpointEntry, EndpointId, Notification, NotificationHistory, NotificationId, Readiness,
-    RelayConfig,
+    DestinationId, EndpointEntry, EndpointId, Notification, NotificationHistory, NotificationId, PossibleRun,
+    Readiness, RelayConfig,
 };
 use crate::mail::Call;
 use crate::time::{Span, Time};
@@ -114,7 +114,7 @@
     pub(crate) taken: Time,
     pub(crate) turn: bool,
     /// When and to which zone the push now out was sent; the endpoint of the latest.
-    pub(crate) out: Option<(Time, Arc<str>)>,
+    pub(crate) out: Option<PossibleRun>,
     pub(crate) last: Option<EndpointId>,
     pub(crate) over: bool,
 }
@@ -176,7 +176,7 @@
         self.next = place + 1;
         for held in self.held.iter_mut().filter(|h| call.pushes.iter().any(|p| p.0 == h.ntf.id)) {
             held.past.push_count += 1;
-            held.out = Some((now, self.ends[place].1.clone()));
+            held.out = Some(PossibleRun { sent_at: now, zone: self.ends[place].1.clone() });
             held.last = Some(call.endpoint.clone());
         }
         Some(())
--- a/tests/rules/helper.rs
+++ b/tests/rules/helper.rs
@@ -177,8 +177,8 @@
     }
 
     /// So many milliseconds before now, in zone `z`.
-    pub fn ago(&self, ms: u64) -> (Time, Arc<str>) {
-        (Time::from_nanos((self.ms - ms) * 1_000_000), Arc::from("z"))
+    pub fn ago(&self, ms: u64) -> PossibleRun {
+        PossibleRun { sent_at: Time::from_nanos((self.ms - ms) * 1_000_000), zone: Arc::from("z") }
     }
 
     fn hand_in(&mut self, id: u64, topic: &str, key: Option<&str>, ttl_ms: u64, past: NotificationHistory) {
--- a/tests/rules/restarts.rs
+++ b/tests/rules/restarts.rs
@@ -70,7 +70,7 @@
     let out = |rig: &Rig, ms| NotificationHistory {
         push_count: 1,
         first_possible_run: Some(rig.ago(ms)),
-        last_doubtful_end: Some(rig.ago(0).0),
+        last_doubtful_end: Some(rig.ago(0).sent_at),
         has_final_answer: false,
         is_recovered: true,
     };
