--- a/crates/node/src/keeper.rs
+++ b/crates/node/src/keeper.rs
@@ -239,11 +239,11 @@
         address: settings.own_address(Port::Keeper),
     };
     let settings = juniperwing_replication::Settings {
-        me: me.clone(),
+        local_voter: me.clone(),
         seeds: settings.seed_keepers(),
         // Who has lost a disk does not found the tier once more.
         bootstrap: settings.bootstrap && loss.is_none(),
-        required_copies: settings.required_copies(),
+        min_in_sync_replicas: settings.required_copies(),
         timings: Timings::default(),
     };
     let initial = ControlState::default();
@@ -357,12 +357,12 @@
     /// A keeper that is told to end runs on until others hold all that was acknowledged and decide without it, or
     /// its grace is nearly over: whether it ever comes back is not known.
     async fn hand_over(self: &Arc<Self>, grace: Duration) {
-        self.replica_event(Event::StepDown);
+        self.replica_event(Event::PrepareShutdown);
         let until = Instant::now() + grace.saturating_sub(BEFORE_GRACE_ENDS);
-        while !self.lock().consensus.replica.may_end() && Instant::now() < until {
+        while !self.lock().consensus.replica.can_shut_down() && Instant::now() < until {
             sleep(END_CHECK).await;
         }
-        info!(self.log, "handed over"; "may_end" => self.lock().consensus.replica.may_end());
+        info!(self.log, "handed over"; "may_end" => self.lock().consensus.replica.can_shut_down());
     }
 
     /// Tells subscribers and keepers of changes; all that came in one turn go together.
--- a/crates/node/src/keeper/consensus.rs
+++ b/crates/node/src/keeper/consensus.rs
@@ -116,9 +116,11 @@
             Command::Persist { token, record } => self.persist(token, record),
             Command::WakeAt(at) => drop(self.lock().consensus.wake.send_replace(at)),
             Command::Committed(_) => self.committed(),
-            Command::Proposed { token, outcome } => self.lock().consensus.proposals.tell(token.0, outcome),
-            Command::ReadDone { token, outcome } => self.read_done(token, outcome),
-            Command::Role(role) => self.role_changed(role),
+            Command::ProposeCompleted { token, outcome } => {
+                self.lock().consensus.proposals.tell(token.0, outcome);
+            }
+            Command::ReadCompleted { token, outcome } => self.read_done(token, outcome),
+            Command::RoleChanged(role) => self.role_changed(role),
         }
     }
 
--- a/crates/node/src/keeper/contacts.rs
+++ b/crates/node/src/keeper/contacts.rs
@@ -44,7 +44,7 @@
         let (heard, receiver) = (Arc::clone(&known), Arc::clone(keeper));
         let observer = Box::new(move |found| {
             let all = update(&heard, |known| known.found = found);
-            receiver.replica_event(Event::Contacts(all));
+            receiver.replica_event(Event::ContactsChanged(all));
         });
         let myself = Myself { role: Role::Keeper, disk: Some(keeper.me.disk) };
         let gossip = Gossip::start(settings, myself, keeper.log.clone(), observer).await?;
@@ -56,7 +56,7 @@
         while changes.changed().await.is_ok() {
             let settings = changes.borrow_and_update().clone();
             let all = update(&self.known, |known| known.seeds = settings.seed_keepers());
-            self.keeper.replica_event(Event::Contacts(all));
+            self.keeper.replica_event(Event::ContactsChanged(all));
             self.gossip.reload(&settings);
         }
         // Nobody changes the settings any more.
--- a/crates/node/src/keeper/record_file.rs
+++ b/crates/node/src/keeper/record_file.rs
@@ -13,7 +13,7 @@
 
 use juniperwing_protocol::replication::{Epoch, Version};
 use juniperwing_protocol::{DiskId, EpochNumber};
-use juniperwing_replication::{Ballot, Record};
+use juniperwing_replication::{AcceptorState, Record};
 use juniperwing_storage::{SnapshotFiles, StorageError, identity, layout};
 use serde::{Deserialize, Serialize};
 use snafu::{ResultExt, Snafu};
@@ -141,7 +141,7 @@
         let later = newest_ballot.map(|bytes| decode_ballot(&bytes, disk)).transpose()?;
         if let Some((number, ballot)) = later {
             match &mut record {
-                Some(record) if number == files.newest() => record.ballot = ballot,
+                Some(record) if number == files.newest() => record.acceptor = ballot,
                 // The record that came after it holds a later one.
                 Some(_) if number < files.newest() => {}
                 _ => return MissingSnafu.fail(),
@@ -160,14 +160,14 @@
         let holds =
             |(version, state): &(Version, Arc<Vec<u8>>)| *version == record.version && *state == record.state;
         if self.written.as_ref().is_some_and(holds) {
-            return self.write_ballot(&record.ballot);
+            return self.write_ballot(&record.acceptor);
         }
         // Where this fails, the newest number is not known to be that of a record.
         self.written = None;
         let stored = StoredRecord {
             disk: self.disk,
-            promised: record.ballot.promised,
-            accepted: record.ballot.accepted.clone(),
+            promised: record.acceptor.promised,
+            accepted: record.acceptor.accepted.clone(),
             version: record.version,
             state: Arc::clone(&record.state),
         };
@@ -177,7 +177,7 @@
         Ok(())
     }
 
-    fn write_ballot(&mut self, ballot: &Ballot) -> Result<(), DiskError> {
+    fn write_ballot(&mut self, ballot: &AcceptorState) -> Result<(), DiskError> {
         let stored = StoredBallot {
             disk: self.disk,
             record: self.files.newest(),
@@ -192,15 +192,15 @@
 fn decode_record(bytes: &[u8], expected: DiskId) -> Result<Record, DiskError> {
     let stored: StoredRecord = postcard::from_bytes(bytes).context(MalformedSnafu)?;
     check_disk(stored.disk, expected)?;
-    let ballot = Ballot { promised: stored.promised, accepted: stored.accepted };
-    Ok(Record { ballot, version: stored.version, state: stored.state })
+    let ballot = AcceptorState { promised: stored.promised, accepted: stored.accepted };
+    Ok(Record { acceptor: ballot, version: stored.version, state: stored.state })
 }
 
 /// A ballot with the number of its record.
-fn decode_ballot(bytes: &[u8], expected: DiskId) -> Result<(u64, Ballot), DiskError> {
+fn decode_ballot(bytes: &[u8], expected: DiskId) -> Result<(u64, AcceptorState), DiskError> {
     let stored: StoredBallot = postcard::from_bytes(bytes).context(MalformedSnafu)?;
     check_disk(stored.disk, expected)?;
-    Ok((stored.record, Ballot { promised: stored.promised, accepted: stored.accepted }))
+    Ok((stored.record, AcceptorState { promised: stored.promised, accepted: stored.accepted }))
 }
 
 fn check_disk(found: DiskId, expected: DiskId) -> Result<(), DiskError> {
--- a/crates/node/tests/golden.rs
+++ b/crates/node/tests/golden.rs
@@ -12,7 +12,7 @@
 use juniperwing_node::keeper::record_file::{Opened, open};
 use juniperwing_protocol::replication::{Epoch, Version, Voter};
 use juniperwing_protocol::{DiskId, EpochNumber, NodeName};
-use juniperwing_replication::{Ballot, Record};
+use juniperwing_replication::{AcceptorState, Record};
 
 const DISK: u64 = 0x0102_0304_0506_0708;
 const RECORD_FILE: &str = "control-0000000000000001";
@@ -36,7 +36,7 @@
 
 #[test]
 fn a_ballot_has_its_golden_bytes() {
-    let encode = |ballot: &Ballot| {
+    let encode = |ballot: &AcceptorState| {
         let folder = Folder::new("write-ballot");
         let mut file = open_folder(&folder.0).file;
         file.write(&record(first_ballot())).unwrap();
@@ -47,7 +47,7 @@
         let folder = Folder::new("read-ballot");
         open_folder(&folder.0).file.write(&record(first_ballot())).unwrap();
         fs::write(folder.0.join(BALLOT_FILE), bytes).unwrap();
-        open_folder(&folder.0).record.expect("a record").ballot
+        open_folder(&folder.0).record.expect("a record").acceptor
     };
     assert_golden("golden/ballots", &[("later", later_ballot())], encode, decode);
 }
@@ -59,17 +59,17 @@
     opened
 }
 
-fn record(ballot: Ballot) -> Record {
+fn record(ballot: AcceptorState) -> Record {
     let version = Version { epoch: EpochNumber(204), sequence: 205 };
-    Record { ballot, version, state: Arc::new(vec![0, 1, 127, 128, 255]) }
+    Record { acceptor: ballot, version, state: Arc::new(vec![0, 1, 127, 128, 255]) }
 }
 
-fn first_ballot() -> Ballot {
-    Ballot { promised: EpochNumber(206), accepted: epoch(203, vec![voter(13, "cedar", ipv4(7013))]) }
+fn first_ballot() -> AcceptorState {
+    AcceptorState { promised: EpochNumber(206), accepted: epoch(203, vec![voter(13, "cedar", ipv4(7013))]) }
 }
 
-fn later_ballot() -> Ballot {
-    Ballot { promised: EpochNumber(0x0000_0003_0000_0207), accepted: epoch(208, Vec::new()) }
+fn later_ballot() -> AcceptorState {
+    AcceptorState { promised: EpochNumber(0x0000_0003_0000_0207), accepted: epoch(208, Vec::new()) }
 }
 
 fn epoch(number: u64, previous_voters: Vec<Voter>) -> Epoch {
--- a/crates/node/tests/keepers/peer.rs
+++ b/crates/node/tests/keepers/peer.rs
@@ -100,10 +100,10 @@
         let node = NodeName::from(settings.node_name.as_str());
         let me = Voter { disk: DiskId(1_000 + last(address)), node, address };
         let replica_settings = juniperwing_replication::Settings {
-            me: me.clone(),
+            local_voter: me.clone(),
             seeds: settings.seed_keepers(),
             bootstrap: settings.bootstrap,
-            required_copies: settings.required_copies(),
+            min_in_sync_replicas: settings.required_copies(),
             timings: Timings::default(),
         };
         let initial = ControlState::default();
@@ -278,8 +278,8 @@
                 self.lock().wake_at = at;
                 self.wake.notify_one();
             }
-            Command::ReadDone { token, outcome } => self.answer_read(token, outcome.is_ok()),
-            Command::Committed(_) | Command::Proposed { .. } | Command::Role(_) => {}
+            Command::ReadCompleted { token, outcome } => self.answer_read(token, outcome.is_ok()),
+            Command::Committed(_) | Command::ProposeCompleted { .. } | Command::RoleChanged(_) => {}
         }
         None
     }
--- a/crates/node/tests/record_file.rs
+++ b/crates/node/tests/record_file.rs
@@ -11,7 +11,7 @@
 use juniperwing_node::keeper::record_file::{DiskError, Opened, open};
 use juniperwing_protocol::EpochNumber;
 use juniperwing_protocol::replication::Version;
-use juniperwing_replication::{Ballot, Record};
+use juniperwing_replication::{AcceptorState, Record};
 use juniperwing_storage::file_system;
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -45,12 +45,12 @@
         let number = self.written.len() as u64 + 1;
         let promised = EpochNumber(number);
         let before = self.written.last();
-        let ballot = Ballot { promised, ..Ballot::default() };
+        let ballot = AcceptorState { promised, ..AcceptorState::default() };
         match before.filter(|_| !changes_state) {
-            Some(before) => Record { ballot, ..before.clone() },
+            Some(before) => Record { acceptor: ballot, ..before.clone() },
             None => {
                 let version = Version { epoch: promised, sequence: number };
-                Record { ballot, version, state: Arc::new(vec![number as u8; number as usize * 3]) }
+                Record { acceptor: ballot, version, state: Arc::new(vec![number as u8; number as usize * 3]) }
             }
         }
     }
--- a/crates/replication/src/ballot.rs
+++ b/crates/replication/src/acceptor.rs
@@ -12,7 +12,7 @@
 
 /// What a keeper has promised and accepted. It is on disk before any answer that rests on it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ballot {
+pub struct AcceptorState {
     /// Nothing below this number is accepted.
     pub promised: EpochNumber,
     /// The highest epoch accepted; number 0 if there is none.
--- a/crates/replication/src/founding.rs
+++ b/crates/replication/src/bootstrap.rs
@@ -4,21 +4,21 @@
 use juniperwing_protocol::EpochNumber;
 use juniperwing_protocol::replication::{Epoch, ReplicationBody, Voter};
 
-use crate::ballot::number_above;
-use crate::candidacy::Candidacy;
-use crate::disk::Deferred;
+use crate::acceptor::number_above;
+use crate::election::Candidacy;
+use crate::persistence::Deferred;
 use crate::replica::{Replica, Stage};
 use crate::state::ReplicatedState;
 
 impl<S: ReplicatedState> Replica<S> {
     /// Whether this keeper has part in the founding: it is a seed of the first start, and knows no epoch.
     fn may_found(&self) -> bool {
-        let is_seed = self.settings.seeds.contains(&self.settings.me.address);
+        let is_seed = self.settings.seeds.contains(&self.settings.local_voter.address);
         self.settings.bootstrap && is_seed && self.known.number == EpochNumber::default()
     }
 
     fn is_founder(&self) -> bool {
-        self.settings.seeds.iter().min() == Some(&self.settings.me.address)
+        self.settings.seeds.iter().min() == Some(&self.settings.local_voter.address)
     }
 
     /// Tells the founder who this seed is.
--- a/crates/replication/src/catch_up.rs
+++ b/crates/replication/src/catch_up.rs
@@ -11,7 +11,7 @@
 use juniperwing_protocol::EpochNumber;
 use juniperwing_protocol::replication::{NumberedChange, ReplicationBody, Version};
 
-use crate::office::Peer;
+use crate::leadership::Peer;
 use crate::replica::Replica;
 use crate::state::ReplicatedState;
 
@@ -168,8 +168,8 @@
             latest,
             state: &self.latest.encoded,
             changes: &office.changes,
-            resend: timings.confirm.mul_f64(0.5),
-            bytes_per_ms: timings.slowest_bytes_per_ms,
+            resend: timings.ack_timeout.mul_f64(0.5),
+            bytes_per_ms: timings.min_link_bytes_per_ms,
         };
         let mut sends = Vec::new();
         for peer in office.peers.values_mut() {
@@ -183,7 +183,7 @@
             if !self.ballot.accepted.in_sync.contains(&peer.voter.disk) {
                 peer.lags_since.get_or_insert(now);
             }
-            let is_gone = now.since(peer.last_answer) > timings.confirm;
+            let is_gone = now.since(peer.last_answer) > timings.ack_timeout;
             if !is_gone {
                 let body = sender.send_to(peer, held);
                 sends.extend(body.map(|body| (peer.voter.address, body)));
--- a/crates/replication/src/candidacy.rs
+++ b/crates/replication/src/election.rs
@@ -7,10 +7,10 @@
 use juniperwing_protocol::replication::{Epoch, ReplicationBody, Version, Voter, is_majority};
 use juniperwing_protocol::{DiskId, EpochNumber};
 
-use crate::ballot::{deciders, is_news, is_same_epoch, voter_of};
-use crate::disk::Deferred;
+use crate::acceptor::{deciders, is_news, is_same_epoch, voter_of};
+use crate::leadership::Office;
 use crate::membership::{Plan, fill_up};
-use crate::office::Office;
+use crate::persistence::Deferred;
 use crate::replica::{Replica, Stage};
 use crate::state::ReplicatedState;
 
@@ -125,7 +125,7 @@
     pub(crate) fn start_canvass(&mut self, now: Time) {
         let number = self.next_number();
         let granted = BTreeSet::from([self.me()]);
-        let give_up_at = now + self.settings.timings.attempt;
+        let give_up_at = now + self.settings.timings.attempt_timeout;
         self.stage = Stage::Canvassing(Canvass { number, granted, give_up_at });
         self.send_all(&deciders(&self.known), &ReplicationBody::PreVote { number });
     }
@@ -162,8 +162,8 @@
             promises: BTreeMap::new(),
             settle_at: None,
             proposal: None,
-            resend_at: now + self.settings.timings.resend,
-            give_up_at: now + self.settings.timings.attempt.mul_f64(2.0),
+            resend_at: now + self.settings.timings.resend_interval,
+            give_up_at: now + self.settings.timings.attempt_timeout.mul_f64(2.0),
         }));
         self.send_all(&deciders(&self.known), &ReplicationBody::Prepare { number });
     }
@@ -238,7 +238,7 @@
             return;
         }
         if candidacy.proposal.is_none() && candidacy.has_promises(me) {
-            let stragglers = self.settings.timings.stragglers;
+            let stragglers = self.settings.timings.straggler_wait;
             let settle_at = *candidacy.settle_at.get_or_insert(now + stragglers);
             if candidacy.is_complete() || now >= settle_at {
                 self.propose_epoch(now);
@@ -254,10 +254,10 @@
     fn propose_epoch(&mut self, now: Time) {
         let me = self.me();
         let Stage::Candidate(candidacy) = &mut self.stage else { return };
-        let epoch = candidacy.new_epoch(me, self.settings.required_copies);
+        let epoch = candidacy.new_epoch(me, self.settings.min_in_sync_replicas);
         candidacy.proposal =
             Some(Proposal { epoch: epoch.clone(), accepted: BTreeSet::new(), founds: false });
-        candidacy.resend_at = now + self.settings.timings.resend;
+        candidacy.resend_at = now + self.settings.timings.resend_interval;
         self.adopt(epoch);
         self.disk.defer(Deferred::OwnAccept(self.ballot.accepted.number));
         self.send_accepts();
@@ -287,7 +287,7 @@
     }
 
     fn ask_again(&mut self, now: Time) {
-        let resend = self.settings.timings.resend;
+        let resend = self.settings.timings.resend_interval;
         let me = self.me();
         let Stage::Candidate(candidacy) = &mut self.stage else { return };
         if now < candidacy.resend_at {
@@ -330,8 +330,8 @@
     /// Gives a canvass or an election up and waits longer than the last time.
     pub(crate) fn back_off(&mut self, now: Time) {
         self.attempts = self.attempts.saturating_add(1);
-        let most = self.settings.timings.election.mul_f64(f64::from(self.attempts.min(MAX_BACK_OFF)));
-        self.election_at = now + self.settings.timings.heartbeat + self.jitter.below(most);
+        let most = self.settings.timings.election_timeout.mul_f64(f64::from(self.attempts.min(MAX_BACK_OFF)));
+        self.election_at = now + self.settings.timings.heartbeat_interval + self.jitter.below(most);
         self.stage = Stage::Following;
     }
 
@@ -359,7 +359,7 @@
     /// Whether a majority of voters answered of late, as far as this primary knows.
     pub(crate) fn has_majority(&self, now: Time) -> bool {
         let Some(office) = &self.office else { return false };
-        let election = self.settings.timings.election;
+        let election = self.settings.timings.election_timeout;
         let me = self.me();
         let answers = |disk: DiskId| {
             office.peers.get(&disk).is_some_and(|peer| now.since(peer.last_answer) <= election)
@@ -402,6 +402,6 @@
 
     /// The voters with whom this keeper would be founded or let in.
     pub(crate) fn myself(&self) -> Voter {
-        self.settings.me.clone()
+        self.settings.local_voter.clone()
     }
 }
--- a/crates/replication/src/follower.rs
+++ b/crates/replication/src/follower.rs
@@ -7,7 +7,7 @@
 use juniperwing_protocol::EpochNumber;
 use juniperwing_protocol::replication::{Epoch, NumberedChange, ReplicationBody, Version};
 
-use crate::ballot::is_founding;
+use crate::acceptor::is_founding;
 use crate::interface::Command;
 use crate::replica::{Replica, Stage};
 use crate::state::{ReplicatedState, Versioned};
@@ -19,7 +19,7 @@
     /// Seeks office when no primary was heard for long; asks to be let in where that is of use.
     pub(crate) fn advance_following(&mut self, now: Time) {
         if now >= self.ask_at && self.must_ask(now) {
-            self.ask_at = now + self.settings.timings.ask;
+            self.ask_at = now + self.settings.timings.join_interval;
             self.ask_in();
             self.offer_to_found(now);
         }
@@ -34,7 +34,7 @@
 
     /// Whether a primary, or a candidate that may become one, was heard of late.
     fn hears_primary(&self, now: Time) -> bool {
-        let election = self.settings.timings.election;
+        let election = self.settings.timings.election_timeout;
         self.heard.is_some_and(|heard| now.since(heard) < election)
     }
 
@@ -64,7 +64,7 @@
         addresses.extend(self.known.voters.iter().map(|voter| voter.address));
         addresses.sort_unstable();
         addresses.dedup();
-        let mine = self.settings.me.address;
+        let mine = self.settings.local_voter.address;
         let voter = self.myself();
         for address in addresses.into_iter().filter(|address| *address != mine) {
             self.send(address, ReplicationBody::Join { voter: voter.clone() });
--- a/crates/replication/src/interface.rs
+++ b/crates/replication/src/interface.rs
@@ -6,7 +6,7 @@
 use juniperwing_clock::Time;
 use juniperwing_protocol::replication::{ReplicationMessage, Version};
 
-use crate::ballot::Ballot;
+use crate::acceptor::AcceptorState;
 use crate::error::{ProposeError, ReadError};
 use crate::state::ReplicatedState;
 
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
     /// What it promised and accepted.
-    pub ballot: Ballot,
+    pub acceptor: AcceptorState,
     /// The version of the state.
     pub version: Version,
     /// The state, encoded.
@@ -59,9 +59,9 @@
         token: ReadToken,
     },
     /// The process is about to end: a primary hands over, and seeks the office no more.
-    StepDown,
+    PrepareShutdown,
     /// Where other keepers may listen, beside the seeds of the start; replaces those given before.
-    Contacts(Vec<SocketAddr>),
+    ContactsChanged(Vec<SocketAddr>),
 }
 
 /// What to do, in this order.
@@ -86,21 +86,21 @@
     /// The committed state is now of this version (see [`crate::Replica::committed`]).
     Committed(Version),
     /// A proposal's outcome: the version that it made.
-    Proposed {
+    ProposeCompleted {
         /// Which.
         token: ProposeToken,
         /// The outcome.
         outcome: Result<Version, ProposeError>,
     },
     /// A read's outcome: if confirmed, the committed state of this moment may be given out as an answer to it.
-    ReadDone {
+    ReadCompleted {
         /// Which.
         token: ReadToken,
         /// The outcome.
         outcome: Result<(), ReadError>,
     },
     /// The role has changed.
-    Role(Role),
+    RoleChanged(Role),
 }
 
 /// What a keeper is at present.
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -20,23 +20,23 @@
 //! Reads rest on no clock and no lease: a read is confirmed by a round of heartbeats that began after it and
 //! that a majority of voters answered. A process that was frozen in between gets no false answer by it.
 
-mod ballot;
-mod candidacy;
+mod acceptor;
+mod bootstrap;
 mod catch_up;
-mod disk;
+mod election;
 mod error;
 mod follower;
-mod founding;
 mod interface;
 mod jitter;
+mod leadership;
 mod membership;
-mod office;
+mod persistence;
 mod primary;
 mod replica;
 mod settings;
 mod state;
 
-pub use ballot::Ballot;
+pub use acceptor::AcceptorState;
 pub use error::{MalformedState, ProposeError, ReadError};
 pub use interface::{Command, Event, PersistToken, ProposeToken, ReadToken, Record, Role};
 pub use replica::Replica;
--- a/crates/replication/src/membership.rs
+++ b/crates/replication/src/membership.rs
@@ -4,8 +4,8 @@
 use juniperwing_protocol::DiskId;
 use juniperwing_protocol::replication::{Epoch, Version, Voter};
 
-use crate::ballot::proposer_bits;
-use crate::office::{Office, Peer};
+use crate::acceptor::proposer_bits;
+use crate::leadership::{Office, Peer};
 use crate::replica::Replica;
 use crate::settings::{MAX_VOTERS, Settings};
 use crate::state::ReplicatedState;
@@ -46,14 +46,14 @@
 
     /// Whether a keeper holds all that was acknowledged.
     fn is_up_to_date(&self, peer: &Peer) -> bool {
-        let answers = self.now.since(peer.last_answer) < self.settings.timings.confirm;
+        let answers = self.now.since(peer.last_answer) < self.settings.timings.ack_timeout;
         let holds = peer.held == Some(self.latest) || (peer.held.is_some() && peer.held == self.committed);
         answers && holds
     }
 
     /// Whether an in-sync replica holds writes up.
     fn is_slow(&self, disk: DiskId) -> bool {
-        let limit = self.settings.timings.confirm;
+        let limit = self.settings.timings.ack_timeout;
         let Some(peer) = self.peer(disk) else { return false };
         let silent = self.now.since(peer.last_answer) > limit;
         let leaves = self.now < peer.leaves_until;
@@ -62,7 +62,7 @@
 
     /// Whether a voter is gone, or about to go.
     fn is_leaving_or_silent(&self, disk: DiskId) -> bool {
-        let silence = self.settings.timings.silence;
+        let silence = self.settings.timings.voter_timeout;
         let Some(peer) = self.peer(disk) else { return false };
         self.now < peer.leaves_until || self.now.since(peer.last_answer) >= silence
     }
@@ -116,7 +116,7 @@
 
     fn in_sync(&self, voters: &[Voter]) -> Vec<DiskId> {
         let me = self.epoch.primary;
-        let required = self.settings.required_copies;
+        let required = self.settings.min_in_sync_replicas;
         let is_voter = |disk: &DiskId| voters.iter().any(|voter| voter.disk == *disk);
         let mut in_sync = vec![me];
         let staying = self.epoch.in_sync.iter().filter(|disk| **disk != me && is_voter(disk));
@@ -139,7 +139,7 @@
         self.admit(&mut voters);
         self.drop_surplus(&mut voters);
         let in_sync = self.in_sync(&voters);
-        let least = self.settings.required_copies.min(self.epoch.in_sync.len());
+        let least = self.settings.min_in_sync_replicas.min(self.epoch.in_sync.len());
         if in_sync.len() < least {
             return Plan { voters: self.epoch.voters.clone(), in_sync: self.epoch.in_sync.clone() };
         }
--- a/crates/replication/src/primary.rs
+++ b/crates/replication/src/primary.rs
@@ -10,7 +10,7 @@
 use crate::catch_up::Made;
 use crate::error::{ProposeError, ReadError};
 use crate::interface::{Command, ProposeToken, ReadToken};
-use crate::office::{InFlight, MAX_PROPOSALS, MAX_READS, Office, Peer, PendingRead, Proposal};
+use crate::leadership::{InFlight, MAX_PROPOSALS, MAX_READS, Office, Peer, PendingRead, Proposal};
 use crate::replica::{Replica, Stage};
 use crate::settings::MAX_VOTERS;
 use crate::state::ReplicatedState;
@@ -56,14 +56,14 @@
         let Some(office) = self.office.take() else { return };
         self.election_at = now + self.election_span();
         if let Some(token) = office.in_flight.and_then(|in_flight| in_flight.token) {
-            self.command(Command::Proposed { token, outcome: Err(ProposeError::Unknown) });
+            self.command(Command::ProposeCompleted { token, outcome: Err(ProposeError::Unknown) });
         }
         for proposal in office.queue {
             let outcome = Err(ProposeError::NotPrimary);
-            self.command(Command::Proposed { token: proposal.token, outcome });
+            self.command(Command::ProposeCompleted { token: proposal.token, outcome });
         }
         for read in office.reads {
-            self.command(Command::ReadDone { token: read.token, outcome: Err(ReadError::NotPrimary) });
+            self.command(Command::ReadCompleted { token: read.token, outcome: Err(ReadError::NotPrimary) });
         }
     }
 
@@ -78,7 +78,7 @@
             }
             None => ProposeError::NotPrimary,
         };
-        self.command(Command::Proposed { token, outcome: Err(error) });
+        self.command(Command::ProposeCompleted { token, outcome: Err(error) });
     }
 
     /// A read waits for a round of heartbeats that begins after it. While an earlier read's round is under way,
@@ -95,7 +95,7 @@
             }
             _ => ReadError::NotPrimary,
         };
-        self.command(Command::ReadDone { token, outcome: Err(error) });
+        self.command(Command::ReadCompleted { token, outcome: Err(error) });
     }
 
     /// Seeks the office no more, and hands it over if it is held; a backup asks the primary to do without it.
@@ -115,12 +115,12 @@
         let Some(office) = &mut self.office else { return };
         for proposal in std::mem::take(&mut office.queue) {
             let outcome = Err(ProposeError::NotPrimary);
-            self.command(Command::Proposed { token: proposal.token, outcome });
+            self.command(Command::ProposeCompleted { token: proposal.token, outcome });
         }
     }
 
     fn expire(&mut self, now: Time) {
-        let patience = self.settings.timings.patience;
+        let patience = self.settings.timings.request_timeout;
         let is_old = |since: Time| now.since(since) > patience;
         let Some(office) = &mut self.office else { return };
         office.forget_strangers(now, &self.ballot.accepted);
@@ -128,15 +128,15 @@
         if let Some(in_flight) = office.in_flight.as_mut().filter(|in_flight| is_old(in_flight.proposed)) {
             let token = in_flight.token.take();
             let outcome = Err(ProposeError::Unknown);
-            outcomes.extend(token.map(|token| Command::Proposed { token, outcome }));
+            outcomes.extend(token.map(|token| Command::ProposeCompleted { token, outcome }));
         }
         while let Some(proposal) = office.queue.front().filter(|proposal| is_old(proposal.proposed)) {
             let outcome = Err(ProposeError::Unavailable);
-            outcomes.push(Command::Proposed { token: proposal.token, outcome });
+            outcomes.push(Command::ProposeCompleted { token: proposal.token, outcome });
             office.queue.pop_front();
         }
         while let Some(read) = office.reads.front().filter(|read| is_old(read.asked)) {
-            outcomes.push(Command::ReadDone { token: read.token, outcome: Err(ReadError::Unavailable) });
+            outcomes.push(Command::ReadCompleted { token: read.token, outcome: Err(ReadError::Unavailable) });
             office.reads.pop_front();
         }
         outcomes.into_iter().for_each(|outcome| self.command(outcome));
@@ -153,7 +153,7 @@
             }
             office.peers.get(disk).is_some_and(|peer| peer.held == Some(latest))
         };
-        in_sync.len() >= self.settings.required_copies && in_sync.iter().all(holds)
+        in_sync.len() >= self.settings.min_in_sync_replicas && in_sync.iter().all(holds)
     }
 
     /// Commits the latest version once all hold it, and tells the backups at once.
@@ -175,7 +175,7 @@
         self.show_latest();
         let Some(in_flight) = in_flight else { return };
         if let Some(token) = in_flight.token {
-            self.command(Command::Proposed { token, outcome: Ok(in_flight.version) });
+            self.command(Command::ProposeCompleted { token, outcome: Ok(in_flight.version) });
         }
     }
 
@@ -187,7 +187,7 @@
         let confirmed =
             office.peers.iter().filter(|(disk, peer)| in_sync.contains(disk) && peer.held == Some(latest));
         let copies = 1 + confirmed.count();
-        let durable = self.disk.version() == latest && copies >= self.settings.required_copies;
+        let durable = self.disk.version() == latest && copies >= self.settings.min_in_sync_replicas;
         check(Invariant::CommittedVersionIsDurable, durable && copies == in_sync.len(), || {
             format!("disk {}, version {latest:?}, {copies} copies, in sync {in_sync:?}", self.me().0)
         });
@@ -208,7 +208,7 @@
                 self.write(now, proposal);
             } else {
                 let outcome = Err(ProposeError::Conflict);
-                self.command(Command::Proposed { token: proposal.token, outcome });
+                self.command(Command::ProposeCompleted { token: proposal.token, outcome });
             }
         }
     }
@@ -217,7 +217,7 @@
     /// newest one and be counted in sync.
     fn waits_for_laggard(&self, now: Time) -> bool {
         let Some(office) = &self.office else { return false };
-        let confirm = self.settings.timings.confirm;
+        let confirm = self.settings.timings.ack_timeout;
         let is_due = |since: Time| {
             let turn = Span::from_nanos(now.since(since).as_nanos() % HOLD_EVERY.as_nanos());
             turn >= confirm && turn < confirm + confirm.mul_f64(HOLD)
@@ -250,7 +250,7 @@
         let epoch = self.ballot.accepted.clone();
         let Some(office) = &mut self.office else { return };
         office.round += 1;
-        office.heartbeat_at = now + self.settings.timings.heartbeat;
+        office.heartbeat_at = now + self.settings.timings.heartbeat_interval;
         let body = ReplicationBody::Heartbeat { epoch, committed, round: office.round };
         let peers: Vec<Voter> = office.peers.values().map(|peer| peer.voter.clone()).collect();
         self.send_all(&peers, &body);
@@ -263,7 +263,7 @@
         let in_sync = &self.ballot.accepted.in_sync;
         let office = self.office.as_ref().filter(|office| office.hands_over)?;
         let is_fit = |peer: &&Peer| {
-            let answers = now.since(peer.last_answer) < self.settings.timings.election;
+            let answers = now.since(peer.last_answer) < self.settings.timings.election_timeout;
             let is_held = peer.held == Some(latest) || office.in_flight.is_some();
             in_sync.contains(&peer.voter.disk) && is_held && answers && now >= peer.leaves_until
         };
@@ -283,7 +283,7 @@
 
     /// A backup is about to end. It says so again as long as it runs.
     pub(crate) fn asked_out(&mut self, now: Time, from: DiskId) {
-        let leaves_until = now + self.settings.timings.silence;
+        let leaves_until = now + self.settings.timings.voter_timeout;
         let Some(office) = &mut self.office else { return };
         let Some(peer) = office.peers.get_mut(&from) else { return };
         peer.leaves_until = leaves_until;
@@ -330,7 +330,7 @@
             office.heartbeat_at = Time::default();
         }
         for token in done {
-            self.command(Command::ReadDone { token, outcome: Ok(()) });
+            self.command(Command::ReadCompleted { token, outcome: Ok(()) });
         }
     }
 
@@ -338,7 +338,7 @@
     /// epoch above it, so that the voter can follow again.
     pub(crate) fn outbid(&mut self, now: Time) {
         let patience =
-            self.settings.timings.election.mul_f64(0.5) + self.jitter.below(Span::from_millis(100));
+            self.settings.timings.election_timeout.mul_f64(0.5) + self.jitter.below(Span::from_millis(100));
         let Some(office) = &mut self.office else { return };
         office.outbid_at.get_or_insert(now + patience);
     }
@@ -360,7 +360,7 @@
         if voter.disk == self.me() {
             return;
         }
-        let asks_until = now + self.settings.timings.ask.mul_f64(ASKINGS);
+        let asks_until = now + self.settings.timings.join_interval.mul_f64(ASKINGS);
         if let Some(office) = &mut self.office {
             if self.ballot.accepted.voters.contains(&voter) {
                 return;
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -8,13 +8,13 @@
 use juniperwing_protocol::replication::{Epoch, ReplicationBody, ReplicationMessage, Version, Voter};
 use juniperwing_protocol::{DiskId, EpochNumber};
 
-use crate::ballot::{Ballot, number_above, voter_of};
-use crate::candidacy::{Candidacy, Canvass};
-use crate::disk::{Deferred, Disk};
+use crate::acceptor::{AcceptorState, number_above, voter_of};
+use crate::election::{Candidacy, Canvass};
 use crate::error::MalformedState;
 use crate::interface::{Command, Event, PersistToken, Record, Role};
 use crate::jitter::Jitter;
-use crate::office::Office;
+use crate::leadership::Office;
+use crate::persistence::{Deferred, Disk};
 use crate::settings::{Settings, Timings};
 use crate::state::{ReplicatedState, Versioned};
 
@@ -39,7 +39,7 @@
 pub struct Replica<S: ReplicatedState> {
     pub(crate) settings: Settings,
     pub(crate) jitter: Jitter,
-    pub(crate) ballot: Ballot,
+    pub(crate) ballot: AcceptorState,
     /// The highest epoch heard of, at least the accepted one.
     pub(crate) known: Epoch,
     /// The highest number heard of.
@@ -81,13 +81,13 @@
         let (ballot, latest) = match restored {
             Some(record) => {
                 let bytes = record.state.as_ref().clone();
-                (record.ballot, Versioned::decode(record.version, bytes)?)
+                (record.acceptor, Versioned::decode(record.version, bytes)?)
             }
-            None => (Ballot::default(), Versioned::new(Version::default(), initial)),
+            None => (AcceptorState::default(), Versioned::new(Version::default(), initial)),
         };
         let mut jitter = Jitter::new(seed);
-        let was_primary = ballot.accepted.primary == settings.me.disk;
-        let patience = if was_primary { RETURN } else { settings.timings.election };
+        let was_primary = ballot.accepted.primary == settings.local_voter.disk;
+        let patience = if was_primary { RETURN } else { settings.timings.election_timeout };
         let election_at = now + patience + jitter.below(patience.mul_f64(0.5));
         Ok(Replica {
             settings,
@@ -122,8 +122,8 @@
             Event::Tick => {}
             Event::Propose { token, base, change } => self.propose(now, token, base, change),
             Event::Read { token } => self.read(now, token),
-            Event::StepDown => self.retire(now),
-            Event::Contacts(contacts) => self.set_contacts(now, contacts),
+            Event::PrepareShutdown => self.retire(now),
+            Event::ContactsChanged(contacts) => self.set_contacts(now, contacts),
         }
         self.release();
         if self.disk.watch(now) {
@@ -145,7 +145,7 @@
     /// Whether this process may end and never come back: the epoch known to be chosen has enough copies without
     /// it, and bears no more losses with its vote than without. [`Event::StepDown`] brings that about, where
     /// enough other keepers are there.
-    pub fn may_end(&self) -> bool {
+    pub fn can_shut_down(&self) -> bool {
         let epoch = &self.known;
         if self.office.is_some() {
             return epoch.voters.len() < 2;
@@ -154,7 +154,7 @@
         if voter_of(epoch, self.me()).is_none() {
             return is_settled;
         }
-        let has_copies = epoch.in_sync.len() >= self.settings.required_copies;
+        let has_copies = epoch.in_sync.len() >= self.settings.min_in_sync_replicas;
         let is_spared = has_copies && !epoch.in_sync.contains(&self.me());
         is_settled && is_spared && !self.settings.may_drop_one_of(epoch.voters.len())
     }
@@ -196,12 +196,12 @@
     }
 
     pub(crate) fn me(&self) -> DiskId {
-        self.settings.me.disk
+        self.settings.local_voter.disk
     }
 
     /// Whether the highest epoch lists this keeper, as it is now, among the voters.
     pub(crate) fn is_voter(&self) -> bool {
-        voter_of(&self.known, self.me()) == Some(&self.settings.me)
+        voter_of(&self.known, self.me()) == Some(&self.settings.local_voter)
     }
 
     /// Whether this keeper holds all that was acknowledged, and so may become primary.
@@ -218,10 +218,12 @@
     /// How long to wait for a primary: the in-sync replicas one after the other, lest they stand against each
     /// other.
     pub(crate) fn election_span(&mut self) -> Span {
-        let Timings { election, stagger, .. } = self.settings.timings;
-        let place = self.known.in_sync.iter().position(|disk| *disk == self.settings.me.disk);
+        let Timings { election_timeout, election_stagger, .. } = self.settings.timings;
+        let place = self.known.in_sync.iter().position(|disk| *disk == self.settings.local_voter.disk);
         let rank = place.unwrap_or_default().saturating_sub(1);
-        election + stagger.mul_f64(rank as f64) + self.jitter.below(stagger.mul_f64(0.5))
+        election_timeout
+            + election_stagger.mul_f64(rank as f64)
+            + self.jitter.below(election_stagger.mul_f64(0.5))
     }
 
     pub(crate) fn command(&mut self, command: Command) {
@@ -229,7 +231,8 @@
     }
 
     pub(crate) fn send(&mut self, to: SocketAddr, body: ReplicationBody) {
-        let message = ReplicationMessage { from: self.me(), address: self.settings.me.address, body };
+        let message =
+            ReplicationMessage { from: self.me(), address: self.settings.local_voter.address, body };
         self.commands.push(Command::Send { to, message });
     }
 
@@ -326,7 +329,7 @@
     fn persist(&mut self, now: Time) {
         let Some(token) = self.disk.begin(now, self.latest.version) else { return };
         let record = Record {
-            ballot: self.ballot.clone(),
+            acceptor: self.ballot.clone(),
             version: self.latest.version,
             state: self.latest.encoded.clone(),
         };
@@ -337,7 +340,7 @@
         let role = self.role();
         if role != self.told {
             self.told = role;
-            self.command(Command::Role(role));
+            self.command(Command::RoleChanged(role));
         }
     }
 
--- a/crates/replication/tests/catch_up.rs
+++ b/crates/replication/tests/catch_up.rs
@@ -11,7 +11,7 @@
 /// Two keepers have made `changes` changes while the third was away, over slow links.
 fn without_one(seed: u64, changes: usize) -> (World, usize) {
     let mut world = World::new(seed, 3, 2);
-    world.timings.slowest_bytes_per_ms = BYTES_PER_MS as f64;
+    world.timings.min_link_bytes_per_ms = BYTES_PER_MS as f64;
     world.expect_whole(Span::from_millis(3_000), "the start");
     let primary = world.primary().expect("a primary");
     let absent = (primary + 1) % 3;
--- a/crates/replication/tests/common/mod.rs
+++ b/crates/replication/tests/common/mod.rs
@@ -305,10 +305,10 @@
     fn start(&mut self, index: usize) {
         let seed = self.random.next();
         let settings = Settings {
-            me: self.machines[index].voter.clone(),
+            local_voter: self.machines[index].voter.clone(),
             seeds: self.seeds_of(index),
             bootstrap: self.machines[index].bootstrap,
-            required_copies: self.required,
+            min_in_sync_replicas: self.required,
             timings: self.timings,
         };
         let machine = &mut self.machines[index];
@@ -362,13 +362,13 @@
                 assert_eq!(shown.version, version);
                 self.judge.show(index, version, &shown.state);
             }
-            Command::Proposed { token, outcome } => self.judge.proposed(token, outcome),
-            Command::ReadDone { token, outcome } => {
+            Command::ProposeCompleted { token, outcome } => self.judge.proposed(token, outcome),
+            Command::ReadCompleted { token, outcome } => {
                 let replica = self.machines[index].replica.as_ref().expect("it runs");
                 let shown = replica.committed().map(|committed| committed.version);
                 self.judge.read_done(token, outcome, shown);
             }
-            Command::Role(_) => {}
+            Command::RoleChanged(_) => {}
         }
     }
 
@@ -460,10 +460,10 @@
 
     /// Tells a keeper to end, and waits until it may, for `grace` at most. It still runs.
     pub fn step_down(&mut self, index: usize, grace: Span) -> bool {
-        self.hand(index, Event::StepDown);
+        self.hand(index, Event::PrepareShutdown);
         self.run_until(grace, |world| {
             let replica = world.machines[index].replica.as_ref();
-            replica.is_none_or(Replica::may_end)
+            replica.is_none_or(Replica::can_shut_down)
         })
     }
 
--- a/crates/replication/tests/guards.rs
+++ b/crates/replication/tests/guards.rs
@@ -8,7 +8,7 @@
 use juniperwing_protocol::replication::{Epoch, ReplicationBody, ReplicationMessage, Version, Voter};
 use juniperwing_protocol::{DiskId, EpochNumber};
 use juniperwing_replication::{
-    Ballot, Command, Event, PersistToken, Record, Replica, ReplicatedState, Settings, Timings,
+    AcceptorState, Command, Event, PersistToken, Record, Replica, ReplicatedState, Settings, Timings,
 };
 
 fn voter(number: u64) -> Voter {
@@ -45,14 +45,14 @@
     /// Keeper 1, which has accepted `accepted` and holds seven entries of round 1.
     fn new(accepted: Epoch) -> Keeper {
         let settings = Settings {
-            me: voter(1),
+            local_voter: voter(1),
             seeds: (1..=3).map(|number| voter(number).address).collect(),
             bootstrap: false,
-            required_copies: 2,
+            min_in_sync_replicas: 2,
             timings: Timings::default(),
         };
-        let ballot = Ballot { promised: accepted.number, accepted };
-        let record = Record { ballot, version: version(1, 7), state: log(7).encode().into() };
+        let ballot = AcceptorState { promised: accepted.number, accepted };
+        let record = Record { acceptor: ballot, version: version(1, 7), state: log(7).encode().into() };
         let now = Time::from_nanos(1);
         let replica = Replica::new(now, settings, Some(record), Log::default(), 1).expect("a state");
         Keeper { replica, now, writing: None }
@@ -293,11 +293,11 @@
     without.voters.retain(|other| other.disk != DiskId(1));
     without.in_sync.retain(|disk| *disk != DiskId(1));
     let mut keeper = Keeper::new(epoch(1));
-    let said = keeper.hand(Event::StepDown);
+    let said = keeper.hand(Event::PrepareShutdown);
     assert!(said.contains(&ReplicationBody::Leave));
-    assert!(!keeper.replica.may_end());
+    assert!(!keeper.replica.can_shut_down());
     keeper.hear(2, ReplicationBody::Heartbeat { epoch: without, committed: version(1, 7), round: 1 });
-    assert!(keeper.replica.may_end());
+    assert!(keeper.replica.can_shut_down());
     keeper.now = Time::from_nanos(20_000_000_000);
     let said = keeper.hand(Event::Tick);
     assert!(!said.iter().any(|body| matches!(body, ReplicationBody::Join { .. })), "{said:?}");
@@ -311,11 +311,11 @@
     four.voters.push(voter(4));
     four.in_sync.retain(|disk| *disk != DiskId(1));
     let mut keeper = Keeper::new(four);
-    keeper.hand(Event::StepDown);
-    assert!(!keeper.replica.may_end());
+    keeper.hand(Event::PrepareShutdown);
+    assert!(!keeper.replica.can_shut_down());
     let mut three = epoch(3);
     three.voters = vec![voter(2), voter(3), voter(4)];
     three.in_sync = vec![DiskId(2), DiskId(3)];
     keeper.hear(2, ReplicationBody::Heartbeat { epoch: three, committed: version(1, 7), round: 1 });
-    assert!(keeper.replica.may_end());
+    assert!(keeper.replica.can_shut_down());
 }
--- a/crates/replication/tests/scenarios.rs
+++ b/crates/replication/tests/scenarios.rs
@@ -18,7 +18,7 @@
 fn a_primary_that_steps_down_hands_over_at_once() {
     for seed in 0..50 {
         let (mut world, primary) = started(seed);
-        world.hand(primary, Event::StepDown);
+        world.hand(primary, Event::PrepareShutdown);
         let limit = Span::from_millis(250);
         let moved =
             world.run_until(limit, |world| world.primary().is_some_and(|successor| successor != primary));
--- a/crates/replication/tests/simulation.rs
+++ b/crates/replication/tests/simulation.rs
@@ -51,7 +51,7 @@
         }
         7 => world.cuts.clear(),
         8 => {
-            world.hand(first, Event::StepDown);
+            world.hand(first, Event::PrepareShutdown);
             let span = random.millis(0, 200);
             world.run(span);
             world.kill(first);
