--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -26,9 +26,9 @@
 impl Buckets {
     /// Adds `record` to its range, or takes it out again.
     pub fn toggle(&mut self, record: &Record) {
-        let place = place(&record.member.id);
-        let sum = checksum(place, record);
-        let bucket = &mut self.0[(place >> BUCKET_SHIFT) as usize];
+        let hash = hash_of(&record.member.id);
+        let sum = checksum(hash, record);
+        let bucket = &mut self.0[(hash >> BUCKET_SHIFT) as usize];
         *bucket = (u32::from_le_bytes(*bucket) ^ sum).to_le_bytes();
     }
 
@@ -64,7 +64,7 @@
 }
 
 /// Where a member is placed.
-pub fn place(id: &MemberId) -> u64 {
+pub fn hash_of(id: &MemberId) -> u64 {
     let role = match id.role {
         Role::Relay => 0,
         Role::Keeper => 1,
@@ -73,18 +73,18 @@
     let mut hasher = FnvHasher::default();
     hasher.write(id.node.0.as_bytes());
     hasher.write_u8(role);
-    spread(hasher.finish())
+    mix_bits(hasher.finish())
 }
 
-fn checksum(place: u64, record: &Record) -> u32 {
-    let numbers = [place, record.incarnation.0, record.member.life.0];
+fn checksum(hash: u64, record: &Record) -> u32 {
+    let numbers = [hash, record.incarnation.0, record.member.run_id.0];
     let mut hasher = FnvHasher::default();
     numbers.into_iter().for_each(|number| hasher.write(&number.to_le_bytes()));
-    spread(hasher.finish()) as u32
+    mix_bits(hasher.finish()) as u32
 }
 
 /// Spreads the last bytes over all bits; names often differ only in their last character.
-fn spread(hash: u64) -> u64 {
+fn mix_bits(hash: u64) -> u64 {
     let mixed = (hash ^ (hash >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
     mixed ^ (mixed >> 32)
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -35,7 +35,7 @@
 mod wire;
 
 pub use digest::{Buckets, HashRange};
-pub use member::{Incarnation, Life, Member, MemberId, Record, Role, Status};
+pub use member::{Incarnation, Member, MemberId, Record, Role, RunId, Status};
 pub use membership::{Command, Event, Membership};
 pub use settings::{MAX_SEEDS, Settings, SettingsError, Timings};
 pub use table::MAX_MEMBERS;
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -29,7 +29,7 @@
 /// One run of a process, drawn when it starts. A restarted process has another life than the one before; a
 /// process that was frozen has the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Life(pub u64);
+pub struct RunId(pub u64);
 
 /// Counts how often a member has contradicted what was said of it. Only the member raises it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -41,11 +41,11 @@
     /// Its name.
     pub id: MemberId,
     /// This run of its process.
-    pub life: Life,
+    pub run_id: RunId,
     /// Its zone.
     pub zone: Arc<str>,
     /// Where it takes datagrams of the membership protocol (UDP).
-    pub gossip: SocketAddr,
+    pub gossip_address: SocketAddr,
     /// Where it takes the tier's own messages (TCP).
     pub address: SocketAddr,
     /// Its data directory, if it has one.
@@ -91,7 +91,7 @@
         self.precedence() > other.precedence()
     }
 
-    fn precedence(&self) -> (Incarnation, Life, Status) {
-        (self.incarnation, self.member.life, self.status)
+    fn precedence(&self) -> (Incarnation, RunId, Status) {
+        (self.incarnation, self.member.run_id, self.status)
     }
 }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -5,16 +5,16 @@
 use juniperwing_clock::Time;
 
 use crate::dissemination::{self, Dissemination};
-use crate::member::{Incarnation, Life, Member, MemberId, Record, Status};
+use crate::member::{Incarnation, Member, MemberId, Record, RunId, Status};
 use crate::probe::Prober;
 use crate::reconcile::Reconciler;
 use crate::settings::{Settings, SettingsError, Timings};
 use crate::table::Table;
-use crate::wire::{Datagram, DecodeError, MAX_INCARNATION, Message, Outgoing};
+use crate::wire::{Datagram, DatagramBuilder, DecodeError, MAX_INCARNATION, Message};
 use juniperwing_random::Rng;
 
 /// How often another life under the own name is contradicted before its process counts as running still.
-const MAX_CONTRADICTIONS: u32 = 3;
+const MAX_DUPLICATE_REFUTATIONS: u32 = 3;
 
 /// How many members are told directly that this one leaves.
 const LEAVE_FANOUT: usize = 8;
@@ -35,7 +35,7 @@
     /// The process is about to end. The others are told; nothing but pings is answered from then on.
     Leave,
     /// Other seeds, from settings that have changed.
-    Seeds(Vec<SocketAddr>),
+    SeedsChanged(Vec<SocketAddr>),
 }
 
 /// What is to be done, in this order.
@@ -58,7 +58,7 @@
     /// Hand in [`Event::Tick`] at this time; replaces the time given before.
     WakeAt(Time),
     /// A datagram was not understood and has been dropped.
-    Refused {
+    Rejected {
         /// Its sender's address.
         from: SocketAddr,
         /// What is wrong with it.
@@ -68,39 +68,39 @@
     /// is contradicted no more while it is held to be alive. Reported once for each of its lives.
     Conflict {
         /// What the other process tells of itself.
-        rival: Member,
+        duplicate: Member,
     },
 }
 
 /// On what ground a record is believed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Ground {
+pub(crate) enum UpdateSource {
     /// The member says it of itself, in a datagram of its own.
-    Itself,
+    Subject,
     /// An update that is being spread.
-    Rumor,
+    Gossip,
     /// The table of another member, which may be as old as a partition. Deaths in it are only suspicions, so
     /// that the members of a healed partition can refute them.
-    Comparison,
+    TableSync,
 }
 
 /// One member's view of all.
 #[derive(Debug)]
 pub struct Membership {
-    pub(crate) me: MemberId,
+    pub(crate) local_id: MemberId,
     /// What it says of itself; also in the table.
-    pub(crate) own: Record,
+    pub(crate) local_record: Record,
     pub(crate) timings: Timings,
     pub(crate) table: Table,
-    pub(crate) news: Dissemination,
+    pub(crate) dissemination: Dissemination,
     pub(crate) rng: Rng,
     pub(crate) prober: Prober,
     pub(crate) reconciler: Reconciler,
     commands: Vec<Command>,
     wake_at: Time,
-    left: bool,
+    has_left: bool,
     /// Another life under the own name, and how often it was contradicted.
-    rival: Option<(Life, u32)>,
+    duplicate: Option<(RunId, u32)>,
 }
 
 impl Membership {
@@ -112,45 +112,47 @@
     /// If the settings cannot be used.
     pub fn new(now: Time, settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
-        let Settings { me, seeds, timings } = settings;
+        let Settings { local_member, seeds, timings } = settings;
         let mut rng = Rng::new(seed);
         let mut table = Table::default();
         let prober = Prober::new(now, &timings, &mut rng);
-        let reconciler = Reconciler::new(now, seeds, me.gossip, &timings, &mut rng);
-        let id = me.id.clone();
-        let own = Record { member: me, incarnation: Incarnation(0), status: Status::Alive };
-        table.put(own.clone(), None);
+        let reconciler = Reconciler::new(now, seeds, local_member.gossip_address, &timings, &mut rng);
+        let id = local_member.id.clone();
+        let own = Record { member: local_member, incarnation: Incarnation(0), status: Status::Alive };
+        table.insert(own.clone(), None);
         Ok(Membership {
-            me: id,
-            own,
+            local_id: id,
+            local_record: own,
             timings,
             table,
-            news: Dissemination::default(),
+            dissemination: Dissemination::default(),
             rng,
             prober,
             reconciler,
             commands: Vec::new(),
             wake_at: now,
-            left: false,
-            rival: None,
+            has_left: false,
+            duplicate: None,
         })
     }
 
     /// Takes in an event.
     pub fn handle(&mut self, now: Time, event: Event<'_>) -> Vec<Command> {
         let is_tick = matches!(event, Event::Tick);
-        if !self.left {
-            self.notice_standstill(now);
+        if !self.has_left {
+            self.detect_pause(now);
         }
         match event {
-            Event::Datagram { from, bytes } => self.take_bytes(now, from, bytes),
-            Event::Tick if self.left => {}
+            Event::Datagram { from, bytes } => self.handle_bytes(now, from, bytes),
+            Event::Tick if self.has_left => {}
             Event::Tick => self.tick(now),
             Event::Leave => self.leave(),
-            Event::Seeds(seeds) => self.reconciler.set_seeds(now, seeds, self.own.member.gossip),
+            Event::SeedsChanged(seeds) => {
+                self.reconciler.set_seeds(now, seeds, self.local_record.member.gossip_address)
+            }
         }
-        if !self.left {
-            self.set_alarm(is_tick);
+        if !self.has_left {
+            self.schedule_wake_up(is_tick);
         }
         std::mem::take(&mut self.commands)
     }
@@ -162,40 +164,40 @@
 
     /// How many members are alive or suspect, this one included.
     pub fn live_count(&self) -> usize {
-        self.table.live()
+        self.table.live_count()
     }
 
     /// How many updates are still to be passed on.
     pub fn pending_updates(&self) -> usize {
-        self.news.iter().count()
+        self.dissemination.iter().count()
     }
 
     fn tick(&mut self, now: Time) {
-        self.probe_on_time(now);
-        if self.probe_is_due(now) {
-            self.conclude_probe(now);
+        self.request_indirect_probes_if_due(now);
+        if self.is_probe_due(now) {
+            self.suspect_unresponsive_target(now);
             self.expire(now);
-            self.begin_probe(now);
-            self.spread_news();
-            self.reconcile_on_time(now);
+            self.start_probe(now);
+            self.send_gossip();
+            self.sync_if_due(now);
         }
-        self.reach_on_time(now);
+        self.contact_unreached_if_due(now);
     }
 
     /// A process that stood still (frozen, or without processor) has heard nothing meanwhile, and must not hold
     /// that against the others.
-    fn notice_standstill(&mut self, now: Time) {
+    fn detect_pause(&mut self, now: Time) {
         let late = now.since(self.wake_at);
         if late <= self.timings.probe_interval {
             return;
         }
-        self.table.prolong_suspicions(late);
-        self.prober.stood_still(now);
+        self.table.extend_suspicions(late);
+        self.prober.handle_pause(now);
         self.wake_at = now;
     }
 
-    fn set_alarm(&mut self, always: bool) {
-        let next = self.next_probe_event().min(self.next_reach());
+    fn schedule_wake_up(&mut self, always: bool) {
+        let next = self.next_probe_event_at().min(self.next_contact_at());
         if always || next != self.wake_at {
             self.wake_at = next;
             self.commands.push(Command::WakeAt(next));
@@ -203,64 +205,64 @@
     }
 
     fn leave(&mut self) {
-        if self.left {
+        if self.has_left {
             return;
         }
-        self.left = true;
-        self.own.status = Status::Left;
-        self.table.put(self.own.clone(), None);
-        for record in self.pick_live(LEAVE_FANOUT, None) {
-            self.send(record.member.gossip, &Message::Gossip, Vec::new());
+        self.has_left = true;
+        self.local_record.status = Status::Left;
+        self.table.insert(self.local_record.clone(), None);
+        for record in self.pick_random_live(LEAVE_FANOUT, None) {
+            self.send(record.member.gossip_address, &Message::Gossip, Vec::new());
         }
     }
 
-    fn take_bytes(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
+    fn handle_bytes(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
         match Datagram::decode(bytes) {
-            Ok(datagram) => self.take_datagram(now, from, datagram),
-            Err(reason) => self.commands.push(Command::Refused { from, reason }),
+            Ok(datagram) => self.handle_datagram(now, from, datagram),
+            Err(reason) => self.commands.push(Command::Rejected { from, reason }),
         }
     }
 
-    fn take_datagram(&mut self, now: Time, from: SocketAddr, datagram: Datagram) {
+    fn handle_datagram(&mut self, now: Time, from: SocketAddr, datagram: Datagram) {
         let Datagram { sender, message, records } = datagram;
-        if self.left {
-            self.answer_after_leaving(from, message);
+        if self.has_left {
+            self.handle_message_after_leaving(from, message);
             return;
         }
         let sender_id = sender.member.id.clone();
-        if sender_id == self.me {
-            self.learn(now, sender, Ground::Itself);
+        if sender_id == self.local_id {
+            self.apply_record(now, sender, UpdateSource::Subject);
             return;
         }
         let said = sender.clone();
-        self.learn(now, sender, Ground::Itself);
+        self.apply_record(now, sender, UpdateSource::Subject);
         let ground = match message {
-            Message::Page { .. } | Message::Answer | Message::Correction => Ground::Comparison,
-            _ => Ground::Rumor,
+            Message::Page { .. } | Message::PageReply | Message::Correction => UpdateSource::TableSync,
+            _ => UpdateSource::Gossip,
         };
         for record in &records {
-            self.learn(now, record.clone(), ground);
+            self.apply_record(now, record.clone(), ground);
         }
         self.correct_sender(from, &said, &message);
-        self.take_message(from, sender_id, message, &records);
+        self.handle_message(from, sender_id, message, &records);
     }
 
-    fn take_message(&mut self, from: SocketAddr, sender: MemberId, message: Message, records: &[Record]) {
+    fn handle_message(&mut self, from: SocketAddr, sender: MemberId, message: Message, records: &[Record]) {
         match message {
             Message::Ping { sequence } => self.send_to(from, &sender, &Message::Ack { sequence }),
-            Message::Ack { sequence } => self.take_ack(sequence, &sender),
+            Message::Ack { sequence } => self.handle_ack(sequence, &sender),
             Message::PingRequest { sequence, target, address } => {
-                self.help_probe(from, sequence, target, address);
+                self.handle_ping_request(from, sequence, target, address);
             }
-            Message::IndirectAck { sequence, target } => self.take_indirect_ack(sequence, &target),
-            Message::Digest { buckets } => self.take_digest(from, &buckets),
-            Message::Page { range, more } => self.take_page(from, sender, range, more, records),
-            Message::Answer => self.take_answer(from, records),
+            Message::IndirectAck { sequence, target } => self.handle_indirect_ack(sequence, &target),
+            Message::Digest { buckets } => self.handle_digest(from, &buckets),
+            Message::Page { range, has_more } => self.handle_page(from, sender, range, has_more, records),
+            Message::PageReply => self.handle_page_reply(from, records),
             Message::Gossip | Message::Correction => {}
         }
     }
 
-    fn answer_after_leaving(&mut self, from: SocketAddr, message: Message) {
+    fn handle_message_after_leaving(&mut self, from: SocketAddr, message: Message) {
         if let Message::Ping { sequence } = message {
             self.send(from, &Message::Ack { sequence }, Vec::new());
         }
@@ -279,94 +281,94 @@
     }
 
     /// Believes `record` if it supersedes what is held.
-    pub(crate) fn learn(&mut self, now: Time, mut record: Record, ground: Ground) {
-        if record.member.id == self.me {
+    pub(crate) fn apply_record(&mut self, now: Time, mut record: Record, ground: UpdateSource) {
+        if record.member.id == self.local_id {
             self.refute(&record);
             return;
         }
         let held = self.table.get(&record.member.id).cloned();
         if let Some(held) = &held {
-            let second_hand_death = ground == Ground::Comparison && record.status == Status::Dead;
+            let second_hand_death = ground == UpdateSource::TableSync && record.status == Status::Dead;
             if second_hand_death && held.status.is_live() {
                 record.status = Status::Suspect;
             }
             if !record.supersedes(held) {
                 return;
             }
-        } else if !record.status.is_live() || !self.table.has_room() {
+        } else if !record.status.is_live() || !self.table.has_capacity() {
             return;
         }
         let was_live = held.as_ref().is_some_and(|held| held.status.is_live());
         if !was_live && record.status.is_live() {
-            self.enlist(now, &record, ground);
+            self.handle_new_live_member(now, &record, ground);
         }
-        if ground != Ground::Comparison || !self.reconciler.is_catching_up() {
-            self.news.announce(&record.member.id);
+        if ground != UpdateSource::TableSync || !self.reconciler.is_catching_up() {
+            self.dissemination.enqueue(&record.member.id);
         }
-        self.hold(now, record, held.as_ref());
+        self.store_record(now, record, held.as_ref());
     }
 
     /// Holds `record` from now on, and reports what is different from `before`.
-    pub(crate) fn hold(&mut self, now: Time, record: Record, before: Option<&Record>) {
+    pub(crate) fn store_record(&mut self, now: Time, record: Record, before: Option<&Record>) {
         let same =
             before.is_some_and(|before| before.member == record.member && before.status == record.status);
         let expiry = match record.status {
             Status::Alive => None,
-            Status::Suspect => Some(now + self.timings.suspicion_time_out(self.table.live())),
-            Status::Dead | Status::Left => Some(now + self.timings.forget_after),
+            Status::Suspect => Some(now + self.timings.suspicion_timeout(self.table.live_count())),
+            Status::Dead | Status::Left => Some(now + self.timings.dead_member_retention),
         };
         if !same {
             let Record { member, status, .. } = record.clone();
             self.commands.push(Command::Changed { member, status });
         }
-        self.table.put(record, expiry);
+        self.table.insert(record, expiry);
     }
 
     /// A member that is there, and was not known or not there before.
-    fn enlist(&mut self, now: Time, record: &Record, ground: Ground) {
+    fn handle_new_live_member(&mut self, now: Time, record: &Record, ground: UpdateSource) {
         let id = &record.member.id;
-        self.prober.enlist(id, &mut self.rng);
+        self.prober.insert_target(id, &mut self.rng);
         match ground {
-            Ground::Itself => self.reconciler.met(id),
-            Ground::Comparison => self.reconciler.learned_of_member(now, &self.timings),
-            Ground::Rumor => {}
+            UpdateSource::Subject => self.reconciler.handle_new_sender(id),
+            UpdateSource::TableSync => self.reconciler.handle_new_member(now, &self.timings),
+            UpdateSource::Gossip => {}
         }
     }
 
     /// Contradicts a statement about this member that supersedes its own.
     fn refute(&mut self, said: &Record) {
-        if self.left || !said.supersedes(&self.own) || self.yields_to(said) {
+        if self.has_left || !said.supersedes(&self.local_record) || self.must_yield_to(said) {
             return;
         }
-        self.own.incarnation = Incarnation(said.incarnation.0 + 1).min(MAX_INCARNATION);
-        self.table.put(self.own.clone(), None);
-        self.news.announce(&self.me);
+        self.local_record.incarnation = Incarnation(said.incarnation.0 + 1).min(MAX_INCARNATION);
+        self.table.insert(self.local_record.clone(), None);
+        self.dissemination.enqueue(&self.local_id);
     }
 
     /// Whether `said` tells of another process that lives under the same name. That of the life before a restart
     /// is contradicted once and is heard of no more; a process that runs contradicts in turn, without end.
-    fn yields_to(&mut self, said: &Record) -> bool {
-        let life = said.member.life;
-        if life == self.own.member.life || said.status != Status::Alive {
+    fn must_yield_to(&mut self, said: &Record) -> bool {
+        let life = said.member.run_id;
+        if life == self.local_record.member.run_id || said.status != Status::Alive {
             return false;
         }
-        let before = self.rival.filter(|(rival, _)| *rival == life).map_or(0, |(_, count)| count);
-        self.rival = Some((life, before.saturating_add(1)));
-        if before == MAX_CONTRADICTIONS {
-            self.commands.push(Command::Conflict { rival: said.member.clone() });
+        let before = self.duplicate.filter(|(rival, _)| *rival == life).map_or(0, |(_, count)| count);
+        self.duplicate = Some((life, before.saturating_add(1)));
+        if before == MAX_DUPLICATE_REFUTATIONS {
+            self.commands.push(Command::Conflict { duplicate: said.member.clone() });
         }
-        before >= MAX_CONTRADICTIONS
+        before >= MAX_DUPLICATE_REFUTATIONS
     }
 
     /// Suspicions that were not refuted, and members that have been remembered long enough.
     fn expire(&mut self, now: Time) {
-        while let Some(record) = self.table.expire(now) {
+        while let Some(record) = self.table.pop_expired(now) {
             if record.status == Status::Suspect {
                 let dead = Record { status: Status::Dead, ..record.clone() };
-                self.news.announce(&dead.member.id);
-                self.hold(now, dead, Some(&record));
+                self.dissemination.enqueue(&dead.member.id);
+                self.store_record(now, dead, Some(&record));
             } else {
-                self.news.forget(&record.member.id);
+                self.dissemination.remove(&record.member.id);
                 self.table.remove(&record.member.id);
             }
         }
@@ -380,36 +382,36 @@
 
     /// Sends a message with `first`, and as many updates as fit behind them.
     pub(crate) fn send(&mut self, to: SocketAddr, message: &Message, first: Vec<Record>) {
-        let mut outgoing = Outgoing::new(&self.own, message);
+        let mut outgoing = DatagramBuilder::new(&self.local_record, message);
         let fits = first.iter().all(|record| outgoing.push(record));
         if fits {
-            self.add_news(&mut outgoing, &first);
+            self.append_updates(&mut outgoing, &first);
         }
         self.commands.push(Command::Send { to, bytes: outgoing.into_bytes() });
     }
 
     /// Sends a message with these records and nothing else.
     pub(crate) fn send_bare(&mut self, to: SocketAddr, message: &Message, records: &[Record]) {
-        let bytes = crate::wire::encode(&self.own, message, records);
+        let bytes = crate::wire::encode(&self.local_record, message, records);
         self.commands.push(Command::Send { to, bytes });
     }
 
-    fn add_news(&mut self, outgoing: &mut Outgoing, already: &[Record]) {
+    fn append_updates(&mut self, outgoing: &mut DatagramBuilder, already: &[Record]) {
         let mut sent = Vec::new();
-        for id in self.news.iter() {
+        for id in self.dissemination.iter() {
             if already.iter().any(|record| record.member.id == *id) {
                 continue;
             }
             // The own record is in every datagram anyway.
-            let fits = *id == self.me || self.table.get(id).is_none_or(|record| outgoing.push(record));
+            let fits = *id == self.local_id || self.table.get(id).is_none_or(|record| outgoing.push(record));
             if !fits {
                 break;
             }
             sent.push(id.clone());
         }
-        let limit = dissemination::transmissions(self.table.live());
+        let limit = dissemination::max_transmissions(self.table.live_count());
         for id in sent {
-            self.news.sent(&id, limit);
+            self.dissemination.record_transmission(&id, limit);
         }
     }
 }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Itself.
-    pub me: Member,
+    pub local_member: Member,
     /// Where datagrams of the first members go (their `gossip` address). Its own may be among them.
     pub seeds: Vec<SocketAddr>,
     /// How often and how long.
@@ -34,7 +34,7 @@
     /// From one probe to the next.
     pub probe_interval: Span,
     /// How long a direct probe may take before others are asked to help; below `probe_interval`.
-    pub probe_time_out: Span,
+    pub probe_timeout: Span,
     /// How many others are asked to help.
     pub indirect_probes: usize,
     /// A suspicion lasts this many probe intervals for ten members, twice as many for a hundred.
@@ -48,28 +48,28 @@
     /// From one try to reach seeds and dead members to the next.
     pub reconnect_interval: Span,
     /// How long a dead or departed member is remembered.
-    pub forget_after: Span,
+    pub dead_member_retention: Span,
 }
 
 impl Default for Timings {
     fn default() -> Self {
         Timings {
             probe_interval: Span::from_millis(500),
-            probe_time_out: Span::from_millis(150),
+            probe_timeout: Span::from_millis(150),
             indirect_probes: 3,
             suspicion_multiplier: 5.0,
             gossip_fanout: 2,
             sync_interval: Span::from_millis(10_000),
             join_interval: Span::from_millis(60),
             reconnect_interval: Span::from_millis(2_000),
-            forget_after: Span::from_millis(600_000),
+            dead_member_retention: Span::from_millis(600_000),
         }
     }
 }
 
 impl Timings {
     /// How long a suspicion lasts among `members` members.
-    pub fn suspicion_time_out(&self, members: usize) -> Span {
+    pub fn suspicion_timeout(&self, members: usize) -> Span {
         let scale = ((members + 1) as f64).log10().max(1.0);
         self.probe_interval.mul_f64(self.suspicion_multiplier * scale)
     }
@@ -80,7 +80,7 @@
 pub enum SettingsError {
     /// A name is empty or too long for a datagram.
     #[snafu(display("{field} has {bytes} bytes; 1 to {MAX_TEXT_BYTES} are allowed"))]
-    Text {
+    InvalidNameLength {
         /// Which name.
         field: &'static str,
         /// Its length.
@@ -88,7 +88,7 @@
     },
     /// A figure is outside of what is allowed.
     #[snafu(display("{field} must be {allowed}"))]
-    Figure {
+    OutOfRange {
         /// Which figure.
         field: &'static str,
         /// What is allowed.
@@ -109,8 +109,8 @@
     ///
     /// The first finding.
     pub fn check(&self) -> Result<(), SettingsError> {
-        check_text("node", &self.me.id.node.0)?;
-        check_text("zone", &self.me.zone)?;
+        check_text("node", &self.local_member.id.node.0)?;
+        check_text("zone", &self.local_member.zone)?;
         ensure!(self.seeds.len() <= MAX_SEEDS, TooManySeedsSnafu { count: self.seeds.len() });
         self.timings.check()
     }
@@ -120,33 +120,36 @@
     fn check(&self) -> Result<(), SettingsError> {
         let spans = [
             ("probe_interval", self.probe_interval),
-            ("probe_time_out", self.probe_time_out),
+            ("probe_time_out", self.probe_timeout),
             ("sync_interval", self.sync_interval),
             ("join_interval", self.join_interval),
             ("reconnect_interval", self.reconnect_interval),
-            ("forget_after", self.forget_after),
+            ("forget_after", self.dead_member_retention),
         ];
         for (field, span) in spans {
-            ensure!(span > Span::ZERO, FigureSnafu { field, allowed: "more than 0" });
+            ensure!(span > Span::ZERO, OutOfRangeSnafu { field, allowed: "more than 0" });
         }
-        let in_time = self.probe_time_out < self.probe_interval;
-        ensure!(in_time, FigureSnafu { field: "probe_time_out", allowed: "below probe_interval" });
+        let in_time = self.probe_timeout < self.probe_interval;
+        ensure!(in_time, OutOfRangeSnafu { field: "probe_time_out", allowed: "below probe_interval" });
         let multiplier = self.suspicion_multiplier;
         let in_range = (1.0..=1000.0).contains(&multiplier);
-        ensure!(in_range, FigureSnafu { field: "suspicion_multiplier", allowed: "1 to 1000" });
+        ensure!(in_range, OutOfRangeSnafu { field: "suspicion_multiplier", allowed: "1 to 1000" });
         let helpers = self.indirect_probes;
         ensure!(
             helpers <= MAX_INDIRECT_PROBES,
-            FigureSnafu { field: "indirect_probes", allowed: "at most 16" }
+            OutOfRangeSnafu { field: "indirect_probes", allowed: "at most 16" }
         );
         let fanout = self.gossip_fanout;
-        ensure!(fanout <= MAX_GOSSIP_FANOUT, FigureSnafu { field: "gossip_fanout", allowed: "at most 16" });
+        ensure!(
+            fanout <= MAX_GOSSIP_FANOUT,
+            OutOfRangeSnafu { field: "gossip_fanout", allowed: "at most 16" }
+        );
         Ok(())
     }
 }
 
 fn check_text(field: &'static str, text: &str) -> Result<(), SettingsError> {
     let bytes = text.len();
-    ensure!((1..=MAX_TEXT_BYTES).contains(&bytes), TextSnafu { field, bytes });
+    ensure!((1..=MAX_TEXT_BYTES).contains(&bytes), InvalidNameLengthSnafu { field, bytes });
     Ok(())
 }
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -13,13 +13,13 @@
 /// A member's place in the table. Sorted by hash, so that ranges can be listed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Key {
-    place: u64,
+    hash: u64,
     id: MemberId,
 }
 
 impl Key {
     fn of(id: &MemberId) -> Self {
-        Key { place: digest::place(id), id: id.clone() }
+        Key { hash: digest::hash_of(id), id: id.clone() }
     }
 }
 
@@ -36,7 +36,7 @@
     entries: BTreeMap<Key, Entry>,
     expiries: BTreeSet<(Time, Key)>,
     buckets: Buckets,
-    live: usize,
+    live_count: usize,
 }
 
 impl Table {
@@ -51,13 +51,13 @@
     }
 
     /// Whether another member can be taken in.
-    pub fn has_room(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         self.entries.len() < MAX_MEMBERS
     }
 
     /// How many members are live.
-    pub fn live(&self) -> usize {
-        self.live
+    pub fn live_count(&self) -> usize {
+        self.live_count
     }
 
     /// The checksums of the live members.
@@ -73,20 +73,20 @@
     /// The records of a range.
     pub fn range(&self, range: HashRange) -> impl Iterator<Item = (u64, &Record)> {
         let lowest = MemberId { node: "".into(), role: crate::member::Role::Relay };
-        let from = Key { place: range.first, id: lowest };
+        let from = Key { hash: range.first, id: lowest };
         self.entries
             .range(from..)
-            .take_while(move |(key, _)| key.place <= range.last)
-            .map(|(key, entry)| (key.place, &entry.record))
+            .take_while(move |(key, _)| key.hash <= range.last)
+            .map(|(key, entry)| (key.hash, &entry.record))
     }
 
     /// Holds `record` from now on, until `expiry` if that is given.
-    pub fn put(&mut self, record: Record, expiry: Option<Time>) {
+    pub fn insert(&mut self, record: Record, expiry: Option<Time>) {
         let key = Key::of(&record.member.id);
-        self.take_out(&key);
+        self.remove_entry(&key);
         if record.status.is_live() {
             self.buckets.toggle(&record);
-            self.live += 1;
+            self.live_count += 1;
         }
         if let Some(time) = expiry {
             self.expiries.insert((time, key.clone()));
@@ -96,11 +96,11 @@
 
     /// Forgets `id`.
     pub fn remove(&mut self, id: &MemberId) {
-        self.take_out(&Key::of(id));
+        self.remove_entry(&Key::of(id));
     }
 
     /// Takes the next record whose time has come by `now`; it stays in the table without a time.
-    pub fn expire(&mut self, now: Time) -> Option<Record> {
+    pub fn pop_expired(&mut self, now: Time) -> Option<Record> {
         let (time, _) = self.expiries.first()?;
         if *time > now {
             return None;
@@ -112,7 +112,7 @@
     }
 
     /// Lets every suspicion last longer by `span`.
-    pub fn prolong_suspicions(&mut self, span: Span) {
+    pub fn extend_suspicions(&mut self, span: Span) {
         for (key, entry) in &mut self.entries {
             let Some(time) = entry.expiry else { continue };
             if entry.record.status != Status::Suspect {
@@ -124,11 +124,11 @@
         }
     }
 
-    fn take_out(&mut self, key: &Key) {
+    fn remove_entry(&mut self, key: &Key) {
         let Some(entry) = self.entries.remove(key) else { return };
         if entry.record.status.is_live() {
             self.buckets.toggle(&entry.record);
-            self.live -= 1;
+            self.live_count -= 1;
         }
         if let Some(time) = entry.expiry {
             self.expiries.remove(&(time, key.clone()));
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -66,10 +66,10 @@
         /// The range.
         range: HashRange,
         /// Whether the tables differ in other ranges for which no page was sent.
-        more: bool,
+        has_more: bool,
     },
     /// What the sender of a page did not know; asks for a [`Message::Correction`] where it knows better.
-    Answer,
+    PageReply,
     /// Records that supersede what the receiver has said. Not answered.
     Correction,
 }
@@ -99,7 +99,7 @@
     },
     /// Another version of the encoding.
     #[snafu(display("version {version} of the encoding; {WIRE_VERSION} is spoken here"))]
-    Version {
+    UnsupportedVersion {
         /// Which one.
         version: u8,
     },
@@ -111,19 +111,19 @@
     },
     /// A name is empty or too long.
     #[snafu(display("a name of {bytes} bytes; 1 to {MAX_TEXT_BYTES} are allowed"))]
-    Text {
+    InvalidNameLength {
         /// Its length.
         bytes: usize,
     },
     /// An incarnation above [`MAX_INCARNATION`].
     #[snafu(display("incarnation {} is not plausible", incarnation.0))]
-    Incarnation {
+    ImplausibleIncarnation {
         /// Which one.
         incarnation: Incarnation,
     },
     /// A digest with another number of ranges.
     #[snafu(display("a digest with another number of ranges"))]
-    Buckets,
+    InvalidDigest,
 }
 
 #[derive(Deserialize)]
@@ -147,7 +147,7 @@
     pub fn decode(bytes: &[u8]) -> Result<Datagram, DecodeError> {
         ensure!(bytes.len() <= MAX_DATAGRAM_BYTES, TooLargeSnafu { bytes: bytes.len() });
         let (&version, body) = bytes.split_first().ok_or(DecodeError::Empty)?;
-        ensure!(version == WIRE_VERSION, VersionSnafu { version });
+        ensure!(version == WIRE_VERSION, UnsupportedVersionSnafu { version });
         let (header, mut rest) = postcard::take_from_bytes::<Header>(body).context(MalformedSnafu)?;
         check_record(&header.sender)?;
         check_message(&header.message)?;
@@ -166,7 +166,7 @@
     check_text(&record.member.id.node.0)?;
     check_text(&record.member.zone)?;
     let incarnation = record.incarnation;
-    ensure!(incarnation <= MAX_INCARNATION, IncarnationSnafu { incarnation });
+    ensure!(incarnation <= MAX_INCARNATION, ImplausibleIncarnationSnafu { incarnation });
     Ok(())
 }
 
@@ -176,7 +176,7 @@
             check_text(&target.node.0)
         }
         Message::Digest { buckets } => {
-            ensure!(buckets.is_well_formed(), BucketsSnafu);
+            ensure!(buckets.is_well_formed(), InvalidDigestSnafu);
             Ok(())
         }
         _ => Ok(()),
@@ -185,14 +185,14 @@
 
 fn check_text(text: &str) -> Result<(), DecodeError> {
     let bytes = text.len();
-    ensure!((1..=MAX_TEXT_BYTES).contains(&bytes), TextSnafu { bytes });
+    ensure!((1..=MAX_TEXT_BYTES).contains(&bytes), InvalidNameLengthSnafu { bytes });
     Ok(())
 }
 
 /// The bytes of a datagram with the records that fit, in their order; those after the first that does not fit
 /// are left out.
 pub fn encode(sender: &Record, message: &Message, records: &[Record]) -> Vec<u8> {
-    let mut outgoing = Outgoing::new(sender, message);
+    let mut outgoing = DatagramBuilder::new(sender, message);
     for record in records {
         if !outgoing.push(record) {
             break;
@@ -202,12 +202,12 @@
 }
 
 /// A datagram that is being filled.
-pub struct Outgoing(Vec<u8>);
+pub struct DatagramBuilder(Vec<u8>);
 
-impl Outgoing {
+impl DatagramBuilder {
     /// Starts with what every datagram has.
     pub fn new(sender: &Record, message: &Message) -> Self {
-        Outgoing(append(vec![WIRE_VERSION], &HeaderView { sender, message }))
+        DatagramBuilder(append(vec![WIRE_VERSION], &HeaderView { sender, message }))
     }
 
     /// Adds `record`; `false` if it does not fit.
--- a/crates/membership/tests/conflict.rs
+++ b/crates/membership/tests/conflict.rs
@@ -4,7 +4,7 @@
 
 use juniperwing_clock::Time;
 use juniperwing_membership::{
-    Command, Datagram, Event, Incarnation, Life, Member, MemberId, Membership, Message, Record, Role,
+    Command, Datagram, Event, Incarnation, Member, MemberId, Membership, Message, Record, Role, RunId,
     Sequence, Settings, Status, Timings, encode,
 };
 use juniperwing_protocol::NodeName;
@@ -15,11 +15,11 @@
 fn member(node: &str, life: u64, address: &str) -> Member {
     let address: SocketAddr = address.parse().unwrap();
     let id = MemberId { node: NodeName::from(node), role: Role::Store };
-    Member { id, life: Life(life), zone: "a".into(), gossip: address, address, disk: None }
+    Member { id, run_id: RunId(life), zone: "a".into(), gossip_address: address, address, disk: None }
 }
 
 fn start(me: Member) -> Membership {
-    let settings = Settings { me, seeds: Vec::new(), timings: Timings::default() };
+    let settings = Settings { local_member: me, seeds: Vec::new(), timings: Timings::default() };
     Membership::new(Time::default(), settings, 7).unwrap()
 }
 
@@ -28,7 +28,7 @@
     let observer = member("observer", 9, "10.0.0.9:7382");
     let record = Record { member: observer, incarnation: Incarnation(0), status: Status::Alive };
     let bytes = encode(&record, &Message::Ping { sequence: Sequence(1) }, &[]);
-    let from = record.member.gossip;
+    let from = record.member.gossip_address;
     let commands = membership.handle(Time::default(), Event::Datagram { from, bytes: &bytes });
     let mut sent = commands.into_iter().filter_map(|command| match command {
         Command::Send { bytes, .. } => Datagram::decode(&bytes).ok(),
@@ -40,10 +40,10 @@
 /// Tells a member a record; the conflicts that it reports.
 fn tell(membership: &mut Membership, record: &Record) -> Vec<Member> {
     let bytes = encode(record, &Message::Gossip, &[]);
-    let from = record.member.gossip;
+    let from = record.member.gossip_address;
     let commands = membership.handle(Time::default(), Event::Datagram { from, bytes: &bytes });
     let conflicts = commands.into_iter().filter_map(|command| match command {
-        Command::Conflict { rival } => Some(rival),
+        Command::Conflict { duplicate } => Some(duplicate),
         _ => None,
     });
     conflicts.collect()
--- a/crates/membership/tests/datagrams.rs
+++ b/crates/membership/tests/datagrams.rs
@@ -4,9 +4,9 @@
 
 use juniperwing_clock::{Span, Time};
 use juniperwing_membership::{
-    Command, Datagram, DecodeError, Event, Incarnation, Life, MAX_DATAGRAM_BYTES, MAX_INCARNATION,
-    MAX_MEMBERS, Member, MemberId, Membership, Message, Record, Role, Sequence, Settings, SettingsError,
-    Status, Timings, WIRE_VERSION, encode,
+    Command, Datagram, DecodeError, Event, Incarnation, MAX_DATAGRAM_BYTES, MAX_INCARNATION, MAX_MEMBERS,
+    Member, MemberId, Membership, Message, Record, Role, RunId, Sequence, Settings, SettingsError, Status,
+    Timings, WIRE_VERSION, encode,
 };
 use proptest::prelude::*;
 use virtual_network::Network;
@@ -14,9 +14,9 @@
 fn record(name: &str) -> Record {
     let member = Member {
         id: MemberId { node: name.into(), role: Role::Relay },
-        life: Life(7),
+        run_id: RunId(7),
         zone: "osu-hall".into(),
-        gossip: "10.1.0.38:7380".parse().unwrap(),
+        gossip_address: "10.1.0.38:7380".parse().unwrap(),
         address: "10.1.0.38:7381".parse().unwrap(),
         disk: None,
     };
@@ -24,7 +24,7 @@
 }
 
 fn settings(name: &str) -> Settings {
-    Settings { me: record(name).member, seeds: Vec::new(), timings: Timings::default() }
+    Settings { local_member: record(name).member, seeds: Vec::new(), timings: Timings::default() }
 }
 
 #[test]
@@ -54,15 +54,15 @@
     assert_eq!(Datagram::decode(&long), Err(DecodeError::TooLarge { bytes: long.len() }));
     let mut other = good.clone();
     other[0] = 9;
-    assert_eq!(Datagram::decode(&other), Err(DecodeError::Version { version: 9 }));
+    assert_eq!(Datagram::decode(&other), Err(DecodeError::UnsupportedVersion { version: 9 }));
     let cut = Datagram::decode(&good[..good.len() - 1]);
     assert!(matches!(cut, Err(DecodeError::Malformed { .. })));
     let nameless = encode(&record(""), &Message::Gossip, &[]);
-    assert_eq!(Datagram::decode(&nameless), Err(DecodeError::Text { bytes: 0 }));
+    assert_eq!(Datagram::decode(&nameless), Err(DecodeError::InvalidNameLength { bytes: 0 }));
     let mut far = record("me");
     far.incarnation = Incarnation(MAX_INCARNATION.0 + 1);
     let implausible = encode(&far, &Message::Gossip, &[]);
-    assert!(matches!(Datagram::decode(&implausible), Err(DecodeError::Incarnation { .. })));
+    assert!(matches!(Datagram::decode(&implausible), Err(DecodeError::ImplausibleIncarnation { .. })));
 }
 
 #[test]
@@ -77,10 +77,10 @@
 fn unusable_settings_are_refused() {
     let now = Time::default();
     let nameless = Membership::new(now, settings(""), 1);
-    assert!(matches!(nameless, Err(SettingsError::Text { field: "node", bytes: 0 })));
+    assert!(matches!(nameless, Err(SettingsError::InvalidNameLength { field: "node", bytes: 0 })));
     let mut slow = settings("me");
-    slow.timings.probe_time_out = Span::from_millis(900);
-    assert!(matches!(Membership::new(now, slow, 1), Err(SettingsError::Figure { .. })));
+    slow.timings.probe_timeout = Span::from_millis(900);
+    assert!(matches!(Membership::new(now, slow, 1), Err(SettingsError::OutOfRange { .. })));
     let mut many = settings("me");
     many.seeds = vec!["10.0.0.1:1".parse().unwrap(); 17];
     assert!(matches!(Membership::new(now, many, 1), Err(SettingsError::TooManySeeds { count: 17 })));
@@ -112,7 +112,7 @@
     (0..4u8, 0..4u64, 0..3u64, status).prop_map(|(name, incarnation, life, status)| {
         let mut record = record(&format!("m-{name}"));
         record.incarnation = Incarnation(incarnation);
-        record.member.life = Life(life);
+        record.member.run_id = RunId(life);
         record.status = status;
         record
     })
@@ -129,7 +129,7 @@
         records in prop::collection::vec(any_record(), 0..10),
         damage in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..4),
     ) {
-        let mut bytes = encode(&record("other"), &Message::Answer, &records);
+        let mut bytes = encode(&record("other"), &Message::PageReply, &records);
         for (index, byte) in damage {
             let place = index.index(bytes.len());
             bytes[place] = byte;
@@ -147,7 +147,7 @@
         let mut oldest: Vec<Record> = (0..4).map(|name| record(&format!("m-{name}"))).collect();
         for first in &mut oldest {
             first.incarnation = Incarnation(0);
-            first.member.life = Life(0);
+            first.member.run_id = RunId(0);
         }
         let mut mixed = records.clone();
         let step = 1 + seed as usize % mixed.len();
--- a/crates/membership/tests/failures.rs
+++ b/crates/membership/tests/failures.rs
@@ -57,13 +57,13 @@
 fn a_frozen_member_refutes_its_death_and_accuses_nobody() {
     for (seed, freeze) in [(1, 3.0), (2, 8.0), (3, 60.0)] {
         let mut network = Network::settled(20, seed);
-        let life = network.machines[7].me.life;
+        let life = network.machines[7].me.run_id;
         network.freeze(7);
         network.run(seconds(freeze));
         network.take_deaths();
         network.thaw(7);
         network.run_until_true(seconds(6.0), "alive again for all", Network::converged);
-        assert_eq!(network.machines[7].me.life, life);
+        assert_eq!(network.machines[7].me.run_id, life);
         network.run(seconds(10.0));
         assert!(network.converged());
         let dead = network.take_deaths();
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -7,7 +7,7 @@
 
 use golden_files::assert_golden;
 use juniperwing_membership::{
-    Buckets, Datagram, HashRange, Incarnation, Life, Member, MemberId, Message, Record, Role, Sequence,
+    Buckets, Datagram, HashRange, Incarnation, Member, MemberId, Message, Record, Role, RunId, Sequence,
     Status, encode,
 };
 use juniperwing_protocol::{DiskId, NodeName};
@@ -33,8 +33,8 @@
         ("indirect-ack", datagram(Message::IndirectAck { sequence: Sequence(70_003), target })),
         ("gossip", datagram(Message::Gossip)),
         ("digest", datagram(Message::Digest { buckets: buckets() })),
-        ("page", datagram(Message::Page { range, more: true })),
-        ("answer", datagram(Message::Answer)),
+        ("page", datagram(Message::Page { range, has_more: true })),
+        ("answer", datagram(Message::PageReply)),
         ("correction", datagram(Message::Correction)),
     ]
 }
@@ -69,9 +69,9 @@
 fn record(node: &str, role: Role, number: u16, status: Status) -> Record {
     let member = Member {
         id: id(node, role),
-        life: Life(0x1000_0000 + u64::from(number)),
+        run_id: RunId(0x1000_0000 + u64::from(number)),
         zone: format!("zone-{number}").into(),
-        gossip: SocketAddr::from(([10, 20, 30, 40], 7400 + number)),
+        gossip_address: SocketAddr::from(([10, 20, 30, 40], 7400 + number)),
         address: ipv6(7500 + number),
         disk: Some(DiskId(0x2000_0000 + u64::from(number))),
     };
--- a/crates/membership/tests/probes.rs
+++ b/crates/membership/tests/probes.rs
@@ -4,7 +4,7 @@
 
 use juniperwing_clock::{Span, Time};
 use juniperwing_membership::{
-    Command, Datagram, Event, Incarnation, Life, Member, MemberId, Membership, Message, Record, Role,
+    Command, Datagram, Event, Incarnation, Member, MemberId, Membership, Message, Record, Role, RunId,
     Sequence, Settings, Status, Timings, encode,
 };
 
@@ -14,9 +14,9 @@
     let address: SocketAddr = address.parse().unwrap();
     let member = Member {
         id: MemberId { node: name.into(), role: Role::Relay },
-        life: Life(7),
+        run_id: RunId(7),
         zone: "osu-hall".into(),
-        gossip: address,
+        gossip_address: address,
         address,
         disk: None,
     };
@@ -26,7 +26,7 @@
 /// A member that knows one other, at incarnation 3.
 fn pair() -> Membership {
     let me = record("me", "10.0.0.1:7380").member;
-    let settings = Settings { me, seeds: Vec::new(), timings: Timings::default() };
+    let settings = Settings { local_member: me, seeds: Vec::new(), timings: Timings::default() };
     let mut membership = Membership::new(Time::default(), settings, 1).unwrap();
     take(&mut membership, Time::default(), &record("target", TARGET), &Message::Gossip);
     membership
@@ -34,7 +34,7 @@
 
 fn take(membership: &mut Membership, now: Time, sender: &Record, message: &Message) -> Vec<Datagram> {
     let bytes = encode(sender, message, &[]);
-    let from = sender.member.gossip;
+    let from = sender.member.gossip_address;
     datagrams(membership.handle(now, Event::Datagram { from, bytes: &bytes }))
 }
 
@@ -106,7 +106,7 @@
 fn one_that_is_out_of_date_about_itself_is_told_once() {
     let mut membership = pair();
     let mut reborn = record("target", TARGET);
-    reborn.member.life = Life(99);
+    reborn.member.run_id = RunId(99);
     reborn.incarnation = Incarnation(0);
     let sent = take(&mut membership, Time::default(), &reborn, &Message::Gossip);
     assert_eq!(sent.len(), 1);
@@ -120,12 +120,12 @@
 fn a_new_life_rises_above_the_one_before() {
     let mut membership = pair();
     let mut before = record("me", "10.0.0.5:7380");
-    before.member.life = Life(1);
+    before.member.run_id = RunId(1);
     let bytes = encode(&record("target", TARGET), &Message::Correction, &[before]);
     let from = TARGET.parse().unwrap();
     membership.handle(Time::default(), Event::Datagram { from, bytes: &bytes });
     let sequence = Sequence(1);
     let sent = take(&mut membership, Time::default(), &record("target", TARGET), &Message::Ping { sequence });
     assert_eq!(sent[0].sender.incarnation, Incarnation(4));
-    assert_eq!(sent[0].sender.member.life, Life(7));
+    assert_eq!(sent[0].sender.member.run_id, RunId(7));
 }
--- a/crates/membership/tests/virtual_network/mod.rs
+++ b/crates/membership/tests/virtual_network/mod.rs
@@ -8,8 +8,8 @@
 
 use juniperwing_clock::{Span, Time};
 use juniperwing_membership::{
-    Command, Event, Incarnation, Life, Member, MemberId, Membership, Message, Record, Role, Settings, Status,
-    Timings, encode,
+    Command, Event, Incarnation, Member, MemberId, Membership, Message, Record, Role, RunId, Settings,
+    Status, Timings, encode,
 };
 
 /// A datagram or a tick that is to come.
@@ -91,9 +91,9 @@
     };
     Member {
         id: MemberId { node: format!("edge-neihu-a-{number}").as_str().into(), role },
-        life: Life(0),
+        run_id: RunId(0),
         zone: "neihu-a".into(),
-        gossip: address(number),
+        gossip_address: address(number),
         address: address(number),
         disk: None,
     }
@@ -157,7 +157,7 @@
             for machine in 0..count {
                 let from = if machine == 0 { &records[1] } else { &records[0] };
                 let bytes = encode(from, &Message::Correction, chunk);
-                network.deliver(machine, from.member.gossip, &bytes);
+                network.deliver(machine, from.member.gossip_address, &bytes);
             }
         }
         network
@@ -179,9 +179,10 @@
     pub fn start(&mut self, machine: usize) {
         let seed = self.draw();
         let me = &mut self.machines[machine].me;
-        me.life = Life(seed);
-        let settings = Settings { me: me.clone(), seeds: self.seeds.clone(), timings: self.timings };
-        self.owners.insert(me.gossip, machine);
+        me.run_id = RunId(seed);
+        let settings =
+            Settings { local_member: me.clone(), seeds: self.seeds.clone(), timings: self.timings };
+        self.owners.insert(me.gossip_address, machine);
         let place = &mut self.machines[machine];
         place.membership = Some(Membership::new(self.now, settings, seed).unwrap());
         place.run += 1;
@@ -199,8 +200,8 @@
     /// Gives a machine that is not running another address.
     pub fn move_to(&mut self, machine: usize, number: usize) {
         let me = &mut self.machines[machine].me;
-        self.owners.remove(&me.gossip);
-        me.gossip = address(number);
+        self.owners.remove(&me.gossip_address);
+        me.gossip_address = address(number);
         me.address = address(number);
     }
 
@@ -366,8 +367,8 @@
                     self.machines[machine].wake_at = time;
                     self.schedule_wake(machine);
                 }
-                Command::Refused { .. } => self.machines[machine].refused += 1,
-                Command::Conflict { rival } => self.machines[machine].conflicts.push(rival),
+                Command::Rejected { .. } => self.machines[machine].refused += 1,
+                Command::Conflict { duplicate } => self.machines[machine].conflicts.push(duplicate),
             }
         }
     }
@@ -376,7 +377,7 @@
         self.traffic.datagrams += 1;
         self.traffic.bytes += bytes.len() as u64;
         self.traffic.largest = self.traffic.largest.max(bytes.len());
-        let from = self.machines[machine].me.gossip;
+        let from = self.machines[machine].me.gossip_address;
         let cut = self.owners.get(&to).is_some_and(|&target| self.cuts.contains(&(machine, target)));
         let lost = (self.draw() % 1_000_000) as f64 / 1e6 < self.loss;
         if cut || lost {
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -13,7 +13,7 @@
 
 use juniperwing_clock::{Span, Time};
 use juniperwing_membership::{
-    Command, Event, Life, MAX_DATAGRAM_BYTES, MAX_SEEDS, Member, MemberId, Membership, Role, Timings,
+    Command, Event, MAX_DATAGRAM_BYTES, MAX_SEEDS, Member, MemberId, Membership, Role, RunId, Timings,
 };
 use juniperwing_protocol::{DiskId, NodeName};
 use slog::{Logger, debug, warn};
@@ -79,10 +79,10 @@
         settings: &Settings, myself: Myself, log: Logger, observer: KeepersObserver,
     ) -> io::Result<Gossip> {
         let me = member(settings, myself);
-        let socket = Datagrams::bind(me.gossip).await?;
+        let socket = Datagrams::bind(me.gossip_address).await?;
         let view = View::new(&me.id);
         let membership_settings =
-            juniperwing_membership::Settings { me, seeds: seeds(settings), timings: timings() };
+            juniperwing_membership::Settings { local_member: me, seeds: seeds(settings), timings: timings() };
         let membership = Membership::new(now(), membership_settings, random()).map_err(io::Error::other)?;
         let state = Mutex::new(State { membership, wake_at: now(), view });
         let shared = Arc::new(Shared { socket, state, rearm: Notify::new(), observer, log });
@@ -92,7 +92,7 @@
 
     /// Takes the seeds of settings that have changed.
     pub fn reload(&self, settings: &Settings) {
-        self.shared.handle(Event::Seeds(seeds(settings)));
+        self.shared.handle(Event::SeedsChanged(seeds(settings)));
     }
 
     /// Tells the others that this process ends.
@@ -184,12 +184,12 @@
                 state.wake_at = at;
                 self.rearm.notify_one();
             }
-            Command::Refused { from, reason } => {
+            Command::Rejected { from, reason } => {
                 debug!(self.log, "datagram refused"; "from" => %from, "why" => %reason);
             }
-            Command::Conflict { rival } => {
+            Command::Conflict { duplicate } => {
                 warn!(self.log, "another process has this one's name";
-                    "node" => %rival.id.node, "role" => ?rival.id.role, "address" => %rival.address);
+                    "node" => %duplicate.id.node, "role" => ?duplicate.id.role, "address" => %duplicate.address);
             }
         }
         false
@@ -204,9 +204,9 @@
     let address = settings.own_address(port(myself.role));
     Member {
         id: MemberId { node: NodeName::from(settings.node_name.as_str()), role: myself.role },
-        life: Life(random()),
+        run_id: RunId(random()),
         zone: settings.zone.as_str().into(),
-        gossip: address,
+        gossip_address: address,
         address,
         disk: myself.disk,
     }
@@ -227,5 +227,5 @@
 }
 
 fn timings() -> Timings {
-    Timings { probe_interval: PROBE_INTERVAL, probe_time_out: PROBE_TIME_OUT, ..Timings::default() }
+    Timings { probe_interval: PROBE_INTERVAL, probe_timeout: PROBE_TIME_OUT, ..Timings::default() }
 }
