--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,13 @@
-//! juniperwing decides for a notification relay: which notification goes to which endpoint, when, with
-//! what time-out, and when it is given up. The crate is pure: typed events and a clock go in, commands
-//! come out. It does no I/O and knows no wire; a front (such as `crates/adapter`) carries both ways.
+//! The decisions of a notification relay: which notification is pushed to which endpoint, when, with what
+//! timeout, and when it is given up.
+//!
+//! The crate is pure: typed events and a clock go in, commands come out ([`Relay::handle`]). It does no I/O and
+//! knows no wire format; a front end such as `crates/adapter` or `crates/relay` carries both. `docs/design.md`
+//! explains the design.
 
 pub mod interface;
-mod mail;
+mod message;
+mod outbox;
 mod relay;
 pub mod rules;
 mod state;
--- a/src/relay.rs
+++ b/src/relay.rs
@@ -1,137 +1,167 @@
-//! A relay: its parts, where each event goes, and the loop that hands out their notes. Nothing here decides.
+//! A relay: its components, where each event goes, and the loop that delivers their messages. Nothing here decides.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use crate::interface::{Command, DestinationId, EndpointId, Event, MAX_WAKE_DELAY, RelayConfig};
-use crate::mail::{Mail, Note, Part};
-use crate::state::{Book, Destination, Endpoint, Lane, Slots, Turns};
+use crate::interface::{
+    Command, DestinationId, EndpointId, Event, MAX_WAKE_DELAY, NotificationId, RelayConfig,
+};
+use crate::message::{Component, Message};
+use crate::outbox::Outbox;
+use crate::state::{Destination, DestinationLimiter, Endpoint, EndpointList, KeyQueues, Slots};
 use crate::time::Time;
 
 /// A relay's decisions. It knows only its own events, its clock and its seed.
 pub struct Relay {
-    terms: Arc<RelayConfig>,
-    /// Slots at the most, whatever the terms say.
-    most_slots: usize,
-    /// When the next wake-up asked for is due.
-    wake: Time,
-    mail: Mail,
-    book: Book,
-    turns: Turns,
+    config: Arc<RelayConfig>,
+    /// Upper limit of slots, whatever the configuration says.
+    slot_limit: usize,
+    /// When the next wake-up requested is due.
+    next_wake_at: Time,
+    outbox: Outbox,
+    endpoint_list: EndpointList,
+    key_queues: KeyQueues,
     slots: Slots,
     endpoints: BTreeMap<EndpointId, Endpoint>,
-    lanes: BTreeMap<DestinationId, Lane>,
+    limiters: BTreeMap<DestinationId, DestinationLimiter>,
     destinations: BTreeMap<DestinationId, Destination>,
 }
 
 impl Relay {
-    /// A relay that has just started and knows nothing yet.
-    pub fn new(now: Time, seed: u64, terms: RelayConfig) -> Self {
-        let mut mail = Mail::new(seed);
-        mail.alarm(Part::Book, if terms.fleet.is_list_on_request { now } else { Time::NEVER });
+    /// A relay that has just started and knows no endpoint and no notification.
+    pub fn new(now: Time, seed: u64, config: RelayConfig) -> Self {
+        let mut outbox = Outbox::new(seed);
+        let subscribe_at = if config.fleet.is_list_on_request { now } else { Time::NEVER };
+        outbox.set_timer(Component::EndpointList, subscribe_at);
         Relay {
-            terms: Arc::new(terms),
-            most_slots: usize::MAX,
-            wake: Time::default(),
-            mail,
-            book: Book::default(),
-            turns: Turns::default(),
+            config: Arc::new(config),
+            slot_limit: usize::MAX,
+            next_wake_at: Time::default(),
+            outbox,
+            endpoint_list: EndpointList::default(),
+            key_queues: KeyQueues::default(),
             slots: Slots::default(),
             endpoints: BTreeMap::new(),
-            lanes: BTreeMap::new(),
+            limiters: BTreeMap::new(),
             destinations: BTreeMap::new(),
         }
     }
 
-    /// Takes all that happened up to `now` and gives the commands that follow from it.
+    /// Takes all that happened up to `now`, in order, and returns the commands that follow from it.
     pub fn handle(&mut self, now: Time, events: Vec<Event>) -> Vec<Command> {
-        self.mail.begin(now);
-        self.settle();
+        self.outbox.begin_round(now);
+        self.deliver_messages();
         for event in events {
-            let (part, note) = match event {
-                Event::EndpointListUpdated(news) => (Part::Book, Note::News(news)),
-                Event::Accepted(ntf) => (Part::Destination(ntf.destination), Note::Accepted(ntf)),
-                Event::PushEnded(outcome) => {
-                    (Part::Endpoint(outcome.endpoint.clone()), Note::Outcome(outcome, false))
-                }
-                Event::RetryAfterReported { endpoint, retry_after } => {
-                    (Part::Endpoint(endpoint), Note::Told(retry_after))
-                }
-                Event::Withdrawn(ntf) | Event::FinalAnswerAcknowledged(ntf) => {
-                    let Some((id, _)) = self.destinations.iter().find(|(_, d)| d.holds(ntf)) else {
-                        continue;
-                    };
-                    let withdrawn = matches!(event, Event::Withdrawn(_));
-                    let note = if withdrawn { Note::Withdrawn(ntf) } else { Note::Heard(ntf) };
-                    (Part::Destination(*id), note)
-                }
-                Event::SlotLimitChanged(slots) => {
-                    self.most_slots = slots;
-                    (Part::Slots, Note::Due)
-                }
-                Event::ConfigChanged(terms) => {
-                    self.adopt(Arc::new(terms));
-                    (Part::Slots, Note::Due)
-                }
-                Event::ProbeEnded { .. } | Event::WakeUp => continue,
-            };
-            self.mail.put(part, note);
-            self.settle();
+            if let Some((component, message)) = self.route(event) {
+                self.outbox.send(component, message);
+                self.deliver_messages();
+            }
+        }
+        self.request_wake_up(now);
+        std::mem::take(&mut self.outbox.commands)
+    }
+
+    /// The component that an event goes to, and the message.
+    fn route(&mut self, event: Event) -> Option<(Component, Message)> {
+        Some(match event {
+            Event::EndpointListUpdated(update) => {
+                (Component::EndpointList, Message::EndpointListUpdated(update))
+            }
+            Event::Accepted(notification) => {
+                (Component::Destination(notification.destination), Message::Accepted(notification))
+            }
+            Event::PushEnded(outcome) => (
+                Component::Endpoint(outcome.endpoint.clone()),
+                Message::PushEnded { outcome, is_first_of_call: false },
+            ),
+            Event::RetryAfterReported { endpoint, retry_after } => {
+                (Component::Endpoint(endpoint), Message::RetryAfterReported(retry_after))
+            }
+            Event::Withdrawn(id) => (self.destination_of(id)?, Message::Withdrawn(id)),
+            Event::FinalAnswerAcknowledged(id) => {
+                (self.destination_of(id)?, Message::FinalAnswerAcknowledged(id))
+            }
+            Event::SlotLimitChanged(slots) => {
+                self.slot_limit = slots;
+                (Component::Slots, Message::TimerExpired)
+            }
+            Event::ConfigChanged(config) => {
+                self.apply_config(Arc::new(config));
+                (Component::Slots, Message::TimerExpired)
+            }
+            Event::ProbeEnded { .. } | Event::WakeUp => return None,
+        })
+    }
+
+    /// The destination at which a notification is pending.
+    fn destination_of(&self, id: NotificationId) -> Option<Component> {
+        let (destination, _) =
+            self.destinations.iter().find(|(_, destination)| destination.is_pending(id))?;
+        Some(Component::Destination(*destination))
+    }
+
+    /// Requests a wake-up for the next timer, unless one that was requested earlier will do. One that is due within
+    /// a tick may have come by now, for a front end's clock can be coarser than this one.
+    fn request_wake_up(&mut self, now: Time) {
+        let next = self.outbox.next_timer().min(now + MAX_WAKE_DELAY);
+        if self.next_wake_at <= now + self.config.fleet.tick || next < self.next_wake_at {
+            self.next_wake_at = next;
+            self.outbox.commands.push(Command::WakeAfter(next.since(now)));
         }
-        // Each part says when time alone next changes something for it; a wake-up not yet due will do. One
-        // that is due within a tick may have come by now, for a front's clock can be coarser than this one.
-        let next = self.mail.next_alarm().min(now + MAX_WAKE_DELAY);
-        if self.wake <= now + self.terms.fleet.tick || next < self.wake {
-            self.wake = next;
-            self.mail.commands.push(Command::WakeAfter(next.since(now)));
+    }
+
+    /// Gives all components a new configuration. What they have seen and decided so far stays with them.
+    fn apply_config(&mut self, config: Arc<RelayConfig>) {
+        // Updates of the list may have to be requested from now on. A subscription that exists loses nothing.
+        if config.fleet.is_list_on_request && !self.config.fleet.is_list_on_request {
+            self.outbox.set_timer(Component::EndpointList, self.outbox.now);
         }
-        std::mem::take(&mut self.mail.commands)
+        self.endpoints.values_mut().for_each(|endpoint| endpoint.config = config.clone());
+        self.limiters.values_mut().for_each(|limiter| limiter.config = config.clone());
+        self.destinations.values_mut().for_each(|destination| destination.config = config.clone());
+        self.config = config;
     }
 
-    /// Has all parts go by other terms. What they have seen and decided so far stays with them.
-    fn adopt(&mut self, terms: Arc<RelayConfig>) {
-        // News of the list may have to be asked for from now on. One that is subscribed loses nothing.
-        if terms.fleet.is_list_on_request && !self.terms.fleet.is_list_on_request {
-            self.mail.alarm(Part::Book, self.mail.now);
+    /// Delivers messages until every inbox is empty.
+    fn deliver_messages(&mut self) {
+        while let Some((component, message)) = self.outbox.next_message() {
+            self.deliver(component, message);
         }
-        self.endpoints.values_mut().for_each(|endpoint| endpoint.terms = terms.clone());
-        self.lanes.values_mut().for_each(|lane| lane.terms = terms.clone());
-        self.destinations.values_mut().for_each(|destination| destination.terms = terms.clone());
-        self.terms = terms;
     }
 
-    /// The one loop: empties every inbox.
-    fn settle(&mut self) {
-        let terms = self.terms.clone();
-        let (slots, figures) = (terms.limits.slots.min(self.most_slots), &terms.rules);
-        while let Some((part, note)) = self.mail.next() {
-            let mail = &mut self.mail;
-            match part {
-                Part::Book => {
-                    self.book.take(note, figures.list_refresh_interval, terms.fleet.is_list_pushed, mail)
-                }
-                Part::Turns => self.turns.take(note, figures.key_cooldown, mail),
-                Part::Slots => self.slots.take(note, slots, figures.overload_duration, mail),
-                Part::Lane(id) => {
-                    let new = || Lane::new(terms.clone());
-                    self.lanes.entry(id).or_insert_with(new).take(note, mail);
-                }
-                Part::Endpoint(id) => {
-                    if let Note::Listed(entry) = &note {
-                        let new = || Endpoint::new(terms.clone());
-                        self.endpoints.entry(entry.endpoint.clone()).or_insert_with(new);
-                    }
-                    let Some(endpoint) = self.endpoints.get_mut(&id) else { continue };
-                    endpoint.take(note, mail);
-                    if endpoint.gone() {
-                        self.endpoints.remove(&id);
-                    }
+    fn deliver(&mut self, component: Component, message: Message) {
+        let (config, outbox) = (&self.config, &mut self.outbox);
+        match component {
+            Component::EndpointList => self.endpoint_list.handle(
+                message,
+                config.rules.list_refresh_interval,
+                config.fleet.is_list_pushed,
+                outbox,
+            ),
+            Component::KeyQueues => self.key_queues.handle(message, config.rules.key_cooldown, outbox),
+            Component::Slots => {
+                let slot_count = config.limits.slots.min(self.slot_limit);
+                self.slots.handle(message, slot_count, config.rules.overload_duration, outbox);
+            }
+            Component::DestinationLimiter(id) => {
+                let new = || DestinationLimiter::new(config.clone());
+                self.limiters.entry(id).or_insert_with(new).handle(message, outbox);
+            }
+            Component::Endpoint(id) => {
+                if let Message::EndpointChanged(entry) = &message {
+                    let new = || Endpoint::new(config.clone());
+                    self.endpoints.entry(entry.endpoint.clone()).or_insert_with(new);
                 }
-                Part::Destination(id) => {
-                    let new = || Destination::new(id, terms.clone());
-                    self.destinations.entry(id).or_insert_with(new).take(note, mail);
+                let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
+                endpoint.handle(message, outbox);
+                if endpoint.is_removable() {
+                    self.endpoints.remove(&id);
                 }
             }
+            Component::Destination(id) => {
+                let new = || Destination::new(id, config.clone());
+                self.destinations.entry(id).or_insert_with(new).handle(message, outbox);
+            }
         }
     }
 }
--- /dev/null
+++ b/src/rules/backoff.rs
@@ -0,0 +1,13 @@
+//! Exponential backoff with jitter.
+
+use super::tuning::{BACKOFF_GROWTH, MAX_BACKOFF_FACTOR};
+use crate::outbox::Outbox;
+use crate::time::Span;
+
+/// A backoff that grows with each `failures` in a row from `first` up to `longest` (or a multiple of `first`, if that
+/// is longer); jitter keeps many relays from coming back in step.
+pub(super) fn backoff(first: Span, failures: i32, longest: Span, outbox: &mut Outbox) -> Span {
+    let longest = longest.max(first.mul_f64(MAX_BACKOFF_FACTOR));
+    let backoff = first.mul_f64(BACKOFF_GROWTH.powi(failures.min(8))).min(longest);
+    backoff.mul_f64(0.5 + outbox.random_fraction())
+}
--- a/src/rules/destination.rs
+++ b/src/rules/destination.rs
@@ -1,144 +1,225 @@
-//! Destinations: what they hold, whom they offer it to, and when it is given up.
+//! Destinations: what is pending, to which endpoint it is proposed, and when it is given up.
 
-use super::{ARRIVAL, LEAST_LEFT, MEMORY};
-use crate::interface::{CallStatus, Command, PushOutcome};
-use crate::mail::{Call, Mail, Note, Part};
-use crate::state::{Destination, Held};
+use super::tuning::{LOAD_MEMORY_FACTOR, MIN_TIME_LEFT};
+use crate::interface::{CallStatus, Command, Notification, PushOutcome};
+use crate::message::{Component, Message};
+use crate::outbox::Outbox;
+use crate::state::{Destination, PendingNotification};
 use crate::time::{Span, Time};
 
 impl Destination {
-    pub(crate) fn take(&mut self, note: Note, mail: &mut Mail) {
-        self.born = self.born.or(Some(mail.now));
-        match note {
-            Note::Listed(entry) => self.list(entry),
-            Note::Accepted(ntf) => {
-                let key = ntf.key.clone().filter(|_| ntf.topic.is_ordered);
-                let (turn, taken) = (key.is_none(), mail.now);
-                key.into_iter().for_each(|key| mail.put(Part::Turns, Note::Join(key, ntf.id, self.id)));
-                self.hold(ntf, taken, turn);
-                self.handed.retain(|at| taken.since(*at) < self.terms.rules.warm_up_duration.mul_f64(MEMORY));
+    pub(crate) fn handle(&mut self, message: Message, outbox: &mut Outbox) {
+        self.first_seen_at = self.first_seen_at.or(Some(outbox.now));
+        match message {
+            Message::EndpointChanged(entry) => self.update_endpoint(entry),
+            Message::Accepted(notification) => self.handle_accepted(notification, outbox),
+            Message::KeyGranted(id) => self.update_pending(id, |pending| pending.is_key_granted = true),
+            Message::Withdrawn(id) => self.update_pending(id, |pending| pending.is_finished = true),
+            Message::FinalAnswerAcknowledged(id) => {
+                self.update_pending(id, |pending| pending.history.has_final_answer = false);
             }
-            Note::Turn(id) => self.change(id, |held| held.turn = true),
-            Note::Withdrawn(id) => self.change(id, |held| held.over = true),
-            Note::Heard(id) => self.change(id, |held| held.past.has_final_answer = false),
-            Note::Outcome(outcome, first) => self.outcome(&outcome, first, mail.now),
-            Note::Recall => {
-                self.ends.iter().for_each(|e| mail.commands.push(Command::CancelUnsent(e.0.clone())))
+            Message::PushEnded { outcome, is_first_of_call } => {
+                self.handle_push_ended(&outcome, is_first_of_call, outbox.now);
             }
-            Note::Sent(call) => {
-                let Some(()) = self.sent(&call, mail.now) else { return };
+            Message::CancelUnsent => {
+                let endpoints = self.endpoints.iter().map(|endpoint| endpoint.id.clone());
+                outbox.commands.extend(endpoints.map(Command::CancelUnsent));
+            }
+            Message::CallSent(call) => {
+                let is_recorded = self.record_call(&call, outbox.now);
+                if !is_recorded {
+                    return;
+                }
+            }
+            Message::SlotOffered => return self.offer_slot(0, Time::NEVER, outbox),
+            Message::CallDeclined { until } => {
+                let usable_from = self.slot_usable_from.min(until);
+                return self.offer_slot(self.endpoints_tried + 1, usable_from, outbox);
+            }
+            Message::SlotsUnavailable { until } => return self.decline_slot(until, outbox),
+            Message::ShedLoad { includes_non_idempotent } => {
+                return self.cancel_overdue(true, includes_non_idempotent, outbox);
             }
-            Note::Slot => return self.offer(0, Time::NEVER, mail),
-            Note::Declined(until) => return self.offer(self.asked + 1, self.again.min(until), mail),
-            Note::Pass(_, until) => return self.offer(2 * self.ends.len(), until, mail),
-            Note::Shed(dire) => return self.shed(true, dire, mail),
             _ => {}
         }
-        self.tidy(mail);
+        self.update_schedule(outbox);
     }
 
-    /// Gives up what is vain, asks for a slot for what waits, and sees to be woken when time changes that.
-    fn tidy(&mut self, mail: &mut Mail) {
-        (0..self.held.len()).rev().for_each(|place| self.give_up_if_vain(place, mail));
-        let (late, mut next) = (self.latencies.median().max(LEAST_LEFT) - Span::from_nanos(1), Time::NEVER);
-        for held in self.held.iter().filter(|h| h.out.is_none()) {
-            let end = held.closes().map_or(Time::NEVER, |end| end - ARRIVAL);
-            let dues = [held.ntf.valid_until - late, self.filled(held), end];
-            next = dues.into_iter().filter(|at| *at > mail.now).fold(next, Time::min);
+    fn handle_accepted(&mut self, notification: Notification, outbox: &mut Outbox) {
+        let (id, now) = (notification.id, outbox.now);
+        let key = notification.key.clone().filter(|_| notification.topic.is_ordered);
+        self.add_pending(notification, now, key.is_none());
+        if let Some(key) = key {
+            let message = Message::KeyRequested { key, notification: id, destination: self.id };
+            outbox.send(Component::KeyQueues, message);
         }
-        mail.alarm(Part::Destination(self.id), next);
-        self.shed(false, false, mail);
-        if self.held.iter().any(|h| h.turn && h.out.is_none() && !h.over) {
-            mail.put(Part::Slots, Note::Ask(self.id));
+        let memory = self.config.rules.warm_up_duration.mul_f64(LOAD_MEMORY_FACTOR);
+        self.accepted_times.retain(|at| now.since(*at) < memory);
+    }
+
+    /// Gives up what cannot succeed, requests a slot for what waits, and sets a timer for when time changes that.
+    fn update_schedule(&mut self, outbox: &mut Outbox) {
+        self.give_up_hopeless(outbox);
+        outbox.set_timer(Component::Destination(self.id), self.next_deadline(outbox.now));
+        self.cancel_overdue(false, false, outbox);
+        let is_waiting = |pending: &PendingNotification| {
+            pending.is_key_granted && pending.in_flight.is_none() && !pending.is_finished
+        };
+        if self.pending.iter().any(is_waiting) {
+            outbox.send(Component::Slots, Message::SlotRequested(self.id));
         }
     }
 
-    /// Calls off what is overdue, or sets an alarm: where slots are `full`, and where more of its key wait.
-    fn shed(&mut self, full: bool, dire: bool, mail: &mut Mail) {
-        let (now, usual, cancel) = (mail.now, self.overdue_after(), self.terms.limits.can_cancel);
-        for place in 0..self.held.len() {
-            let held = &self.held[place];
-            let Some(at) = held.out.as_ref().filter(|_| cancel).map(|o| o.sent_at) else { continue };
-            let waits = |h: &&Held| !h.turn && h.ntf.key == held.ntf.key;
-            let behind = held.ntf.topic.is_ordered && self.held.iter().filter(waits).count() > 1;
-            let after = if held.again() { usual } else { usual.max(self.terms.rules.overload_duration) };
-            let due = if full || behind { at + after } else { Time::NEVER };
+    /// When time alone next changes what may be done with a notification that is not in flight.
+    fn next_deadline(&self, now: Time) -> Time {
+        let cutoff = self.latencies.median().max(MIN_TIME_LEFT) - Span::from_nanos(1);
+        let deadlines = |pending: &PendingNotification| {
+            [
+                pending.notification.valid_until - cutoff,
+                self.batching_deadline(pending),
+                pending.last_duplicate_at().unwrap_or(Time::NEVER),
+            ]
+        };
+        let waiting = self.pending.iter().filter(|pending| pending.in_flight.is_none());
+        waiting.flat_map(deadlines).filter(|at| *at > now).fold(Time::NEVER, Time::min)
+    }
+
+    /// Cancels overdue pushes, or sets a timer for when they are: where slots are full, and where two or more of the
+    /// same key wait.
+    fn cancel_overdue(&mut self, are_slots_full: bool, includes_non_idempotent: bool, outbox: &mut Outbox) {
+        if !self.config.limits.can_cancel {
+            return;
+        }
+        let (now, overdue_after) = (outbox.now, self.overdue_after());
+        let non_idempotent_after = overdue_after.max(self.config.rules.overload_duration);
+        for index in 0..self.pending.len() {
+            let pending = &self.pending[index];
+            let Some(sent_at) = pending.in_flight.as_ref().map(|run| run.sent_at) else { continue };
+            let blocks_key = self.blocks_key(pending);
+            let after = if pending.is_retryable() { overdue_after } else { non_idempotent_after };
+            let due = if are_slots_full || blocks_key { sent_at + after } else { Time::NEVER };
             if now < due {
-                mail.alarm(if behind { Part::Destination(self.id) } else { Part::Slots }, due);
-            } else if held.past.last_doubtful_end.is_none_or(|d| d < at) && (behind || held.again() || dire) {
-                mail.commands.push(Command::Cancel {
-                    notification: held.ntf.id,
-                    push_index: held.past.push_count - 1,
+                let component = if blocks_key { Component::Destination(self.id) } else { Component::Slots };
+                outbox.set_timer(component, due);
+                continue;
+            }
+            let is_cancelled = pending.history.last_doubtful_end.is_some_and(|at| at >= sent_at);
+            if !is_cancelled && (blocks_key || pending.is_retryable() || includes_non_idempotent) {
+                outbox.commands.push(Command::Cancel {
+                    notification: pending.notification.id,
+                    push_index: pending.history.push_count - 1,
                 });
-                self.held[place].past.last_doubtful_end = Some(now);
+                self.pending[index].history.last_doubtful_end = Some(now);
             }
         }
     }
 
-    /// Asks the next endpoint in rotation, own zone first if crossing is priced; resends first go elsewhere.
-    fn offer(&mut self, asked: usize, again: Time, mail: &mut Mail) {
-        (self.asked, self.again) = (asked, again);
-        let mut order: Vec<usize> = (0..self.ends.len()).map(|i| (self.next + i) % self.ends.len()).collect();
-        let home = self.terms.fleet.home_zone.as_ref();
-        order.sort_by_key(|end| home.is_some_and(|home| *home != self.ends[*end].1));
-        while self.asked < 2 * self.ends.len() && !self.held.is_empty() {
-            let (endpoint, zone) = self.ends[order[self.asked % order.len()]].clone();
-            let pushes = self.pick(mail.now, &endpoint, &zone);
+    /// Whether two or more notifications wait for one of the same key.
+    fn blocks_key(&self, pending: &PendingNotification) -> bool {
+        let is_behind = |other: &&PendingNotification| {
+            !other.is_key_granted && other.notification.key == pending.notification.key
+        };
+        pending.notification.topic.is_ordered && self.pending.iter().filter(is_behind).count() > 1
+    }
+
+    /// Proposes a call to the next endpoint in rotation, those of the own zone first if crossing zones has a price. In
+    /// the first of two turns a retry goes to another endpoint than before.
+    fn offer_slot(&mut self, endpoints_tried: usize, usable_from: Time, outbox: &mut Outbox) {
+        (self.endpoints_tried, self.slot_usable_from) = (endpoints_tried, usable_from);
+        let order = self.rotation();
+        while self.endpoints_tried < 2 * order.len() && !self.pending.is_empty() {
+            let endpoint = &self.endpoints[order[self.endpoints_tried % order.len()]];
+            let pushes = self.select_pushes(outbox.now, endpoint);
             if !pushes.is_empty() {
-                let (to, destination, fresh, rate) = (Part::Endpoint(endpoint.clone()), self.id, false, 0.0);
-                let (usual, overdue, now) = (self.latencies.median(), self.overdue_after(), mail.now);
-                let gaps = (self.gap(self.ends.len(), now), self.gap(1, now));
-                let handed = (self.handed.len().max(1) as f64 / self.per_call as f64, self.known(now));
-                let call = Call { destination, endpoint, pushes, usual, overdue, gaps, handed, rate, fresh };
-                return mail.put(to, Note::Call(call));
+                let call = self.plan_call(endpoint.id.clone(), pushes, outbox.now);
+                let component = Component::Endpoint(call.endpoint.clone());
+                return outbox.send(component, Message::CallProposed(call));
             }
-            self.asked += 1;
+            self.endpoints_tried += 1;
         }
-        (0..self.held.len()).rev().for_each(|place| self.give_up_if_vain(place, mail));
-        mail.put(Part::Slots, Note::Pass(self.id, self.again));
+        self.decline_slot(usable_from, outbox);
     }
 
-    fn outcome(&mut self, o: &PushOutcome, first: bool, now: Time) {
-        // Throttled pushes and refused connections tell nothing of latency.
-        if first && matches!(o.status, CallStatus::Delivered | CallStatus::TimedOut | CallStatus::Cancelled) {
-            self.latencies.record(now, o.elapsed, o.status != CallStatus::Delivered);
+    /// Gives up what cannot succeed if no call is sent before `until`, and declines the slot.
+    fn decline_slot(&mut self, until: Time, outbox: &mut Outbox) {
+        (self.endpoints_tried, self.slot_usable_from) = (2 * self.endpoints.len(), until);
+        self.give_up_hopeless(outbox);
+        outbox.send(Component::Slots, Message::SlotDeclined { destination: self.id, until });
+    }
+
+    /// The indices of the endpoints in the order in which a call is proposed to them.
+    fn rotation(&self) -> Vec<usize> {
+        let count = self.endpoints.len();
+        let mut order: Vec<usize> = (0..count).map(|i| (self.rotation_start + i) % count).collect();
+        let home_zone = self.config.fleet.home_zone.as_ref();
+        order.sort_by_key(|index| home_zone.is_some_and(|home| *home != self.endpoints[*index].zone));
+        order
+    }
+
+    fn handle_push_ended(&mut self, outcome: &PushOutcome, is_first_of_call: bool, now: Time) {
+        // Rejections and refused connections say nothing of latency.
+        let (status, was_delivered) = (outcome.status, outcome.status == CallStatus::Delivered);
+        let has_latency = was_delivered || matches!(status, CallStatus::TimedOut | CallStatus::Cancelled);
+        if is_first_of_call && has_latency {
+            self.latencies.record(now, outcome.elapsed, !was_delivered);
         }
-        let Some(held) = self.held.iter_mut().find(|h| h.ntf.id == o.notification) else { return };
-        let sent = held.out.take();
-        held.over |= o.has_final_answer;
-        if o.status.may_have_run() {
-            let failing = self.failing.entry((o.endpoint.clone(), held.ntf.topic.name.clone())).or_default();
-            *failing = (if o.status == CallStatus::Delivered { 0 } else { failing.0 + 1 }, now);
-            held.past.first_possible_run = held.past.first_possible_run.take().or(sent);
+        let is_pushed = |pending: &&mut PendingNotification| pending.notification.id == outcome.notification;
+        let Some(pending) = self.pending.iter_mut().find(is_pushed) else { return };
+        let run = pending.in_flight.take();
+        pending.is_finished |= outcome.has_final_answer;
+        if status.may_have_run() {
+            let key = (outcome.endpoint.clone(), pending.notification.topic.name.clone());
+            let failures = self.topic_failures.entry(key).or_default();
+            failures.count = if was_delivered { 0 } else { failures.count + 1 };
+            failures.last_at = now;
+            pending.history.first_possible_run = pending.history.first_possible_run.take().or(run);
+        }
+        if status.may_be_running() {
+            pending.history.last_doubtful_end = Some(now);
         }
-        held.past.last_doubtful_end =
-            Some(now).filter(|_| o.status.may_be_running()).or(held.past.last_doubtful_end);
     }
 
-    /// The design's cutoff, and rule: one final answer, at once if an endpoint takes it too late.
-    fn give_up_if_vain(&mut self, place: usize, mail: &mut Mail) {
-        let (usual, held) = (self.latencies.median().max(LEAST_LEFT), &mut self.held[place]);
-        let from = if self.again < Time::NEVER { self.again.max(mail.now) } else { mail.now };
-        let left = held.ntf.valid_until.since(from);
-        let in_time = left >= LEAST_LEFT && self.latencies.is_worth_trying(left);
-        let lives = in_time && held.may_run(mail.now, None, self.terms.limits.max_pushes);
-        if held.out.is_some() || held.past.has_final_answer || lives {
-            return;
+    /// Gives up every notification that cannot succeed, if none can be sent before `slot_usable_from`.
+    fn give_up_hopeless(&mut self, outbox: &mut Outbox) {
+        let is_known = self.slot_usable_from < Time::NEVER;
+        let sendable_from = if is_known { self.slot_usable_from.max(outbox.now) } else { outbox.now };
+        for index in (0..self.pending.len()).rev() {
+            if self.is_hopeless(&self.pending[index], sendable_from, outbox.now) {
+                self.give_up(index, sendable_from, outbox);
+            }
         }
-        let (ntf, key) = (held.ntf.id, held.ntf.key.clone().filter(|_| held.ntf.topic.is_ordered));
-        if !held.over {
-            let retry_in = self.terms.limits.max_retry_after.min(usual.max(from.since(mail.now)));
-            let throttled = Command::Throttle { notification: ntf, retry_after: retry_in };
-            mail.commands.push(if held.past.first_possible_run.is_some() {
-                Command::Expire(ntf)
+    }
+
+    /// The design's cutoff: whether a notification that is not in flight cannot be pushed (again) in time.
+    fn is_hopeless(&self, pending: &PendingNotification, sendable_from: Time, now: Time) -> bool {
+        if pending.in_flight.is_some() || pending.history.has_final_answer {
+            return false;
+        }
+        let left = pending.notification.valid_until.since(sendable_from);
+        let is_in_time = left >= MIN_TIME_LEFT && self.latencies.is_worth_trying(left);
+        !(is_in_time && pending.can_run(now, None, self.config.limits.max_pushes))
+    }
+
+    /// Rule: one final answer. The notification is removed, unless the next of its key waits for the acknowledgement.
+    fn give_up(&mut self, index: usize, sendable_from: Time, outbox: &mut Outbox) {
+        let retry_after = self.latencies.median().max(MIN_TIME_LEFT).max(sendable_from.since(outbox.now));
+        let retry_after = self.config.limits.max_retry_after.min(retry_after);
+        let pending = &mut self.pending[index];
+        let (notification, key) = (pending.notification.id, pending.ordering_key());
+        if !pending.is_finished {
+            outbox.commands.push(if pending.history.first_possible_run.is_some() {
+                Command::Expire(notification)
             } else {
-                throttled
+                Command::Throttle { notification, retry_after }
             });
-            (held.over, held.past.has_final_answer) = (true, key.is_some());
+            (pending.is_finished, pending.history.has_final_answer) = (true, key.is_some());
         }
-        if !held.past.has_final_answer {
-            let doubt = self.held.remove(place).past.last_doubtful_end;
-            key.into_iter().for_each(|key| mail.put(Part::Turns, Note::Leave(key, ntf, doubt)));
+        if !pending.history.has_final_answer {
+            let last_doubtful_end = self.pending.remove(index).history.last_doubtful_end;
+            if let Some(key) = key {
+                let message = Message::KeyReleased { key, notification, last_doubtful_end };
+                outbox.send(Component::KeyQueues, message);
+            }
         }
     }
 }
--- a/src/rules/endpoint.rs
+++ b/src/rules/endpoint.rs
@@ -1,167 +1,223 @@
-//! Endpoints: drains, connections, and health.
+//! Endpoints: drains, idle connections, and health.
 
-use super::{BRIEF, OVERDUE_FLOOR, PATIENCE, STALE_MEMORY, SUSPECT};
+use super::tuning::{
+    EJECTION_THRESHOLD, IDLE_LIMIT_FRACTION, IDLE_LIMIT_MEMORY, MAX_IDLE_EVIDENCE_AGE_FACTOR,
+    MIN_IDLE_FACTOR, MIN_OUTAGE_FACTOR, TRIAL_DELAY_FACTOR,
+};
 use crate::interface::{CallStatus, Command, PushOutcome, RateLimitReport, Readiness};
-use crate::mail::{Mail, Note, Part};
-use crate::state::Endpoint;
+use crate::message::{Call, Component, Message};
+use crate::outbox::Outbox;
+use crate::state::{Endpoint, IdleLimit};
 use crate::time::{Span, Time};
 
 impl Endpoint {
-    /// The rate to go by that the list gives, in calls a second over all relays; zero if there is none.
-    pub(super) fn rate(&self) -> f64 {
-        if self.terms.fleet.has_listed_rates { self.entry.rate_per_second } else { 0.0 }
-    }
-
-    pub(crate) fn take(&mut self, note: Note, mail: &mut Mail) {
-        match note {
-            Note::Listed(entry) => self.entry = entry,
-            Note::Call(mut call) => {
-                call.rate = self.rate();
-                self.gap = call.gaps.0;
-                let until = self.takes_from(mail.now);
-                if until > mail.now {
-                    return mail.put(Part::Destination(call.destination), Note::Declined(until));
-                }
-                call.fresh = self.stale(mail.now).is_some_and(|span| mail.now.since(self.used) >= span);
-                mail.put(Part::Lane(call.destination), Note::Call(call));
+    pub(crate) fn handle(&mut self, message: Message, outbox: &mut Outbox) {
+        match message {
+            Message::EndpointChanged(entry) => self.entry = entry,
+            Message::CallProposed(call) => self.handle_call_proposed(call, outbox),
+            Message::CallSent(call) => {
+                self.ejected_until = self.ejected_until.map(|_| self.next_trial_at(outbox));
+                let timer = Component::Endpoint(call.endpoint.clone());
+                outbox.set_timer(timer, outbox.now + call.overdue_after);
+                self.record_call(&call, outbox.now);
             }
-            Note::Stale(span, _) => {
-                self.stale = Some((self.stale(mail.now).map_or(span, |known| known.min(span)), mail.now));
-                mail.commands.push(Command::CloseIdleConnections(self.entry.endpoint.clone()));
+            Message::PushEnded { outcome, .. } => self.handle_push_ended(outcome, outbox),
+            Message::IdleLimited { max_idle, .. } => {
+                let known = self.max_idle(outbox.now);
+                let max_idle = known.map_or(max_idle, |known| known.min(max_idle));
+                self.idle_limit = Some(IdleLimit { max_idle, learned_at: outbox.now });
+                outbox.commands.push(Command::CloseIdleConnections(self.entry.endpoint.clone()));
             }
-            Note::Sent(call) => {
-                self.aside = self.aside.map(|_| self.next_trial(mail));
-                mail.alarm(Part::Endpoint(call.endpoint.clone()), mail.now + call.overdue);
-                self.sent(&call, mail.now);
+            Message::RetryAfterReported(retry_after) => {
+                let destination = self.entry.destination;
+                let message = Message::RetryAfterReported(retry_after);
+                outbox.send(Component::DestinationLimiter(destination), message);
+                outbox.send(Component::Destination(destination), Message::CancelUnsent);
             }
-            Note::Outcome(outcome, _) => self.outcome(outcome, mail),
-            Note::Told(wait) => {
-                mail.put(Part::Lane(self.entry.destination), Note::Told(wait));
-                mail.put(Part::Destination(self.entry.destination), Note::Recall);
-            }
-            _ => self.suspect(mail),
+            _ => self.eject_if_unhealthy(outbox),
         }
     }
 
-    fn stale(&self, now: Time) -> Option<Span> {
-        self.stale.filter(|(_, told)| now.since(*told) < STALE_MEMORY).map(|(span, _)| span)
+    /// The listed rate limit in calls a second over all relays; zero if there is none.
+    fn listed_rate_per_second(&self) -> f64 {
+        if self.config.fleet.has_listed_rates { self.entry.rate_per_second } else { 0.0 }
     }
 
-    /// Rule: nothing to an endpoint that drains or is gone. From when a call may go.
-    fn takes_from(&self, now: Time) -> Time {
+    fn handle_call_proposed(&mut self, mut call: Call, outbox: &mut Outbox) {
+        call.listed_rate_per_second = self.listed_rate_per_second();
+        self.recovery_interval = call.endpoint_recovery_interval;
+        let until = self.accepts_calls_from(outbox.now);
+        if until > outbox.now {
+            let destination = Component::Destination(call.destination);
+            return outbox.send(destination, Message::CallDeclined { until });
+        }
+        let idle = outbox.now.since(self.last_sent_at);
+        call.needs_fresh_connection = self.max_idle(outbox.now).is_some_and(|max_idle| idle >= max_idle);
+        outbox.send(Component::DestinationLimiter(call.destination), Message::CallProposed(call));
+    }
+
+    /// How long connections may be idle, if that is known to be limited.
+    fn max_idle(&self, now: Time) -> Option<Span> {
+        let limit = self.idle_limit.filter(|limit| now.since(limit.learned_at) < IDLE_LIMIT_MEMORY)?;
+        Some(limit.max_idle)
+    }
+
+    /// Rule: no call to an endpoint that drains or has left the list. Returns when a call may be sent.
+    fn accepts_calls_from(&self, now: Time) -> Time {
+        let max_notifications = self.entry.kind.max_notifications_per_call;
         if self.entry.readiness != Readiness::Serving {
             Time::NEVER
         } else if self
-            .outs
+            .calls
             .last()
-            .is_some_and(|o| o.at == now && o.ntfs.len() < self.entry.kind.max_notifications_per_call)
+            .is_some_and(|call| call.sent_at == now && call.notifications.len() < max_notifications)
         {
             // A second call in the same round would be joined to the first.
             now + Span::from_nanos(1)
-        } else if let Some(next) = self.aside {
-            // A call still out there tells of the return by itself, and costs no further slot.
-            let patience = if self.outs.is_empty() { 0.0 } else { PATIENCE };
-            next + self.terms.rules.overload_duration.mul_f64(patience)
+        } else if let Some(next_trial_at) = self.ejected_until {
+            // A call still in flight there reports the recovery by itself, and uses no further slot.
+            let delay_factor = if self.calls.is_empty() { 0.0 } else { TRIAL_DELAY_FACTOR };
+            next_trial_at + self.config.rules.overload_duration.mul_f64(delay_factor)
         } else {
             now
         }
     }
 
-    fn next_trial(&self, mail: &mut Mail) -> Time {
-        let gap = self
-            .gap
-            .mul_f64(1.0 / self.terms.rules.warm_up_initial_fraction)
-            .max(self.terms.rules.overload_duration);
-        mail.now + gap.mul_f64(0.75 + mail.chance() / 2.0)
+    fn next_trial_at(&self, outbox: &mut Outbox) -> Time {
+        let rules = &self.config.rules;
+        let interval = self.recovery_interval.mul_f64(1.0 / rules.warm_up_initial_fraction);
+        let interval = interval.max(rules.overload_duration);
+        outbox.now + interval.mul_f64(0.75 + outbox.random_fraction() / 2.0)
     }
 
-    fn outcome(&mut self, outcome: PushOutcome, mail: &mut Mail) {
-        let Some(place) = self.outs.iter().position(|out| out.ntfs.contains(&outcome.notification)) else {
+    fn handle_push_ended(&mut self, outcome: PushOutcome, outbox: &mut Outbox) {
+        let is_in_call = |id| id == outcome.notification;
+        let Some(index) =
+            self.calls.iter().position(|call| call.notifications.iter().any(|id| is_in_call(*id)))
+        else {
             return;
         };
-        let out = &mut self.outs[place];
-        out.ntfs.retain(|ntf| *ntf != outcome.notification);
-        let (to, at, seldom) = (out.to, out.at, out.idle > self.terms.limits.idle_timeout);
-        let first = !std::mem::replace(&mut out.answered, true);
-        if out.ntfs.is_empty() {
-            self.outs.remove(place);
-            mail.put(Part::Lane(to), Note::Ended(to));
-            mail.put(Part::Slots, Note::Ended(to));
-            // Guards against few connections, full of idle ones: where short, or this relay comes too seldom.
-            if seldom || self.stale(mail.now) == Some(Span::ZERO) {
-                mail.commands.push(Command::CloseIdleConnections(self.entry.endpoint.clone()));
+        let call = &mut self.calls[index];
+        call.notifications.retain(|id| !is_in_call(*id));
+        let (destination, sent_at) = (call.destination, call.sent_at);
+        let is_rarely_used = call.idle_before > self.config.limits.idle_timeout;
+        let is_first_of_call = !std::mem::replace(&mut call.has_outcome, true);
+        if call.notifications.is_empty() {
+            self.calls.remove(index);
+            outbox.send(Component::DestinationLimiter(destination), Message::CallEnded(destination));
+            outbox.send(Component::Slots, Message::CallEnded(destination));
+            // Guards against few connections, full of idle ones: where they are short, or this relay calls too rarely.
+            if is_rarely_used || self.max_idle(outbox.now) == Some(Span::ZERO) {
+                outbox.commands.push(Command::CloseIdleConnections(self.entry.endpoint.clone()));
             }
         }
-        if first {
-            // Guards against calls whose connections are not up yet: they would go in the wait that was told.
-            outcome.retry_after.iter().for_each(|_| mail.put(Part::Destination(to), Note::Recall));
-            self.judge(at, outcome.status, outcome.rate_limit, mail);
+        if is_first_of_call {
+            // Guards against calls whose connections are not up yet: they would be sent during the wait.
+            if outcome.retry_after.is_some() {
+                outbox.send(Component::Destination(destination), Message::CancelUnsent);
+            }
+            self.update_health(sent_at, outcome.status, outcome.rate_limit, outbox);
         }
-        mail.put(Part::Lane(to), Note::Outcome(outcome.clone(), first));
-        mail.put(Part::Destination(to), Note::Outcome(outcome, first));
+        let message = |outcome| Message::PushEnded { outcome, is_first_of_call };
+        outbox.send(Component::DestinationLimiter(destination), message(outcome.clone()));
+        outbox.send(Component::Destination(destination), message(outcome));
     }
 
-    /// What an outcome, of a call sent at `at`, says of the endpoint's health.
-    fn judge(&mut self, at: Time, status: CallStatus, limit: Option<RateLimitReport>, mail: &mut Mail) {
-        let (now, span) = (mail.now, self.terms.rules.overload_duration);
-        let sign = match status {
-            CallStatus::Delivered => {
-                // Too short for an outage, as far as this relay saw: no reason to hold back.
-                let brief = self.delivered.is_some_and(|t| now.since(t) < span.mul_f64(BRIEF));
-                let was_aside = self.aside.take().is_some();
-                // One connection refused some time ago will do: of many relays most see no more of it.
-                let refused = self.refused.take();
-                let down = refused.is_some_and(|at| now.since(at) >= span.mul_f64(BRIEF));
-                if (was_aside || down) && !brief {
-                    mail.commands.push(Command::Log(format!("{} is back", self.entry.endpoint.0)));
-                    mail.put(Part::Lane(self.entry.destination), Note::Back(now, was_aside));
-                }
-                // Guards against connections that die unseen while idle: then all endpoints get fresh ones.
-                let idle = span.mul_f64(OVERDUE_FLOOR);
-                let mut lost = self.outs.iter().filter(|o| o.lost(now) && o.at < at && o.idle >= idle);
-                if let Some(out) = lost.next_back().filter(|o| now.since(o.at) < span.mul_f64(PATIENCE)) {
-                    mail.put(Part::Book, Note::Stale(out.idle.mul_f64(0.9), None));
-                }
-                // Refused before it answers, one that is up is short of connections.
-                if refused.is_some() && !down && !was_aside {
-                    self.short_of_connections(mail);
-                }
-                self.delivered = Some(now);
-                self.streak = if was_aside { 0 } else { self.streak.saturating_sub(1) };
-                false
-            }
-            // Above a limit, or up, as a call shows that is out and not lost: no sign of an outage.
-            CallStatus::Busy if limit.map_or(self.rate() > 0.0, RateLimitReport::is_used_up) => false,
-            CallStatus::NoConnection => self.outs.iter().all(|o| o.lost(now)),
-            CallStatus::ConnectionLimitReached => {
-                self.short_of_connections(mail);
-                false
+    /// What the outcome of a call says of the endpoint's health.
+    fn update_health(
+        &mut self, sent_at: Time, status: CallStatus, rate_limit: Option<RateLimitReport>,
+        outbox: &mut Outbox,
+    ) {
+        if status == CallStatus::Delivered {
+            self.handle_delivery(sent_at, outbox);
+        }
+        if status == CallStatus::ConnectionLimitReached {
+            self.handle_connection_shortage(outbox);
+        }
+        if self.is_sign_of_outage(status, rate_limit, outbox.now) {
+            self.consecutive_failures += 1;
+        }
+        if status == CallStatus::NoConnection {
+            self.refused_since = self.refused_since.or(Some(outbox.now));
+        }
+        self.eject_if_unhealthy(outbox);
+    }
+
+    fn is_sign_of_outage(&self, status: CallStatus, rate_limit: Option<RateLimitReport>, now: Time) -> bool {
+        match status {
+            CallStatus::Delivered | CallStatus::ConnectionLimitReached | CallStatus::Skipped => false,
+            // Above a limit, it is up.
+            CallStatus::Busy => {
+                let has_listed_rate = self.listed_rate_per_second() > 0.0;
+                !rate_limit.map_or(has_listed_rate, RateLimitReport::is_nearly_exhausted)
             }
-            _ => status != CallStatus::Skipped,
-        };
-        self.refused = self.refused.or((status == CallStatus::NoConnection).then_some(now));
-        self.streak += usize::from(sign);
-        self.suspect(mail);
+            // Up, as a call in flight shows that is not overdue.
+            CallStatus::NoConnection => self.calls.iter().all(|call| call.is_overdue(now)),
+            CallStatus::Error | CallStatus::TimedOut | CallStatus::Reset | CallStatus::Cancelled => true,
+        }
     }
 
-    /// Guards against few connections, which many relays fill with idle ones: at this kind none is left idle.
-    fn short_of_connections(&self, mail: &mut Mail) {
-        if self.stale(mail.now) != Some(Span::ZERO) {
-            mail.put(Part::Book, Note::Stale(Span::ZERO, Some(self.entry.kind.clone())));
+    /// A call sent at `sent_at` was delivered.
+    fn handle_delivery(&mut self, sent_at: Time, outbox: &mut Outbox) {
+        let now = outbox.now;
+        let min_outage = self.config.rules.overload_duration.mul_f64(MIN_OUTAGE_FACTOR);
+        // Too short for an outage, as far as this relay saw: no reason to limit the load.
+        let is_brief = self.last_delivered_at.is_some_and(|at| now.since(at) < min_outage);
+        let was_ejected = self.ejected_until.take().is_some();
+        // One connection refused some time ago is enough: most of many relays see no more of an outage.
+        let refused_since = self.refused_since.take();
+        let was_unreachable = refused_since.is_some_and(|at| now.since(at) >= min_outage);
+        if (was_ejected || was_unreachable) && !is_brief {
+            outbox.commands.push(Command::Log(format!("{} is back", self.entry.endpoint.0)));
+            let message = Message::Recovered { at: now, is_seen_by_all: was_ejected };
+            outbox.send(Component::DestinationLimiter(self.entry.destination), message);
+        }
+        self.limit_idle_connections(sent_at, outbox);
+        // Refused before it answers, one that is up is short of connections.
+        if refused_since.is_some() && !was_unreachable && !was_ejected {
+            self.handle_connection_shortage(outbox);
         }
+        self.last_delivered_at = Some(now);
+        self.consecutive_failures = if was_ejected { 0 } else { self.consecutive_failures.saturating_sub(1) };
     }
 
-    /// Guards against silence as well as failures: a call long overdue is evidence before its time-out.
-    fn suspect(&mut self, mail: &mut Mail) {
-        let (now, span) = (mail.now, self.terms.rules.overload_duration);
-        let mut lost = self.outs.iter().filter(|o| o.lost(now)).count();
-        if let Some(good) = self.delivered.filter(|t| lost > 0 && now.since(*t) < span) {
-            mail.alarm(Part::Endpoint(self.entry.endpoint.clone()), good + span);
-            lost = 0;
-        }
-        if self.aside.is_none() && self.streak + lost >= SUSPECT {
-            self.aside = Some(self.next_trial(mail));
-            mail.commands.push(Command::Log(format!("{} set aside", self.entry.endpoint.0)));
+    /// Guards against connections that die unnoticed while idle, which shows when a call after an idle spell is lost
+    /// and one sent later is delivered: then all endpoints get fresh ones.
+    fn limit_idle_connections(&self, delivered_sent_at: Time, outbox: &mut Outbox) {
+        let (now, overload_duration) = (outbox.now, self.config.rules.overload_duration);
+        let min_idle = overload_duration.mul_f64(MIN_IDLE_FACTOR);
+        let max_age = overload_duration.mul_f64(MAX_IDLE_EVIDENCE_AGE_FACTOR);
+        let latest_lost = self.calls.iter().rfind(|call| {
+            call.is_overdue(now) && call.sent_at < delivered_sent_at && call.idle_before >= min_idle
+        });
+        if let Some(lost) = latest_lost.filter(|call| now.since(call.sent_at) < max_age) {
+            let max_idle = lost.idle_before.mul_f64(IDLE_LIMIT_FRACTION);
+            outbox.send(Component::EndpointList, Message::IdleLimited { max_idle, kind: None });
+        }
+    }
+
+    /// Guards against few connections, which many relays fill with idle ones: at endpoints of this kind none is left
+    /// idle.
+    fn handle_connection_shortage(&self, outbox: &mut Outbox) {
+        if self.max_idle(outbox.now) != Some(Span::ZERO) {
+            let kind = Some(self.entry.kind.clone());
+            outbox.send(Component::EndpointList, Message::IdleLimited { max_idle: Span::ZERO, kind });
+        }
+    }
+
+    /// Guards against silence as well as failures: a call long overdue is evidence before its timeout.
+    fn eject_if_unhealthy(&mut self, outbox: &mut Outbox) {
+        let (now, overload_duration) = (outbox.now, self.config.rules.overload_duration);
+        let mut overdue = self.calls.iter().filter(|call| call.is_overdue(now)).count();
+        let recent_delivery = self.last_delivered_at.filter(|at| now.since(*at) < overload_duration);
+        if let Some(delivered_at) = recent_delivery.filter(|_| overdue > 0) {
+            let timer = Component::Endpoint(self.entry.endpoint.clone());
+            outbox.set_timer(timer, delivered_at + overload_duration);
+            overdue = 0;
+        }
+        if self.ejected_until.is_none() && self.consecutive_failures + overdue >= EJECTION_THRESHOLD {
+            self.ejected_until = Some(self.next_trial_at(outbox));
+            outbox.commands.push(Command::Log(format!("{} set aside", self.entry.endpoint.0)));
         }
     }
 }
--- /dev/null
+++ b/src/state/destination.rs
@@ -0,0 +1,138 @@
+//! The pending notifications of a destination, its endpoints and its latencies.
+
+use std::collections::{BTreeMap, VecDeque};
+use std::sync::Arc;
+
+use juniperwing_restart::LatencyModel;
+
+use crate::interface::{
+    DestinationId, EndpointEntry, EndpointId, Notification, NotificationHistory, NotificationId, PossibleRun,
+    Readiness, RelayConfig,
+};
+use crate::message::Call;
+use crate::time::Time;
+
+/// A notification without a final answer, or whose final answer its client has not acknowledged.
+#[derive(Debug, Default)]
+pub(crate) struct PendingNotification {
+    pub(crate) notification: Notification,
+    /// What was done with it, also before a restart. While `has_final_answer`, the next of its key waits for the
+    /// acknowledgement.
+    pub(crate) history: NotificationHistory,
+    pub(crate) accepted_at: Time,
+    /// Whether it is unordered, or the first of its key.
+    pub(crate) is_key_granted: bool,
+    /// The push in flight.
+    pub(crate) in_flight: Option<PossibleRun>,
+    /// The endpoint of the latest push.
+    pub(crate) last_endpoint: Option<EndpointId>,
+    /// Whether no further push is needed.
+    pub(crate) is_finished: bool,
+}
+
+impl PendingNotification {
+    /// Whether its semantics allow a second execution at all.
+    pub(crate) fn is_retryable(&self) -> bool {
+        self.notification.topic.semantics.is_retryable()
+    }
+
+    /// Its key, if its topic type is ordered.
+    pub(crate) fn ordering_key(&self) -> Option<String> {
+        self.notification.key.clone().filter(|_| self.notification.topic.is_ordered)
+    }
+}
+
+/// An endpoint that accepts calls.
+#[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct ServingEndpoint {
+    pub(crate) id: EndpointId,
+    pub(crate) zone: Arc<str>,
+}
+
+/// Pushes of one topic type that may have been executed, with no delivery since.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct TopicFailures {
+    pub(crate) count: u32,
+    pub(crate) last_at: Time,
+}
+
+/// A destination.
+#[derive(Default)]
+pub(crate) struct Destination {
+    pub(crate) config: Arc<RelayConfig>,
+    pub(crate) id: DestinationId,
+    pub(crate) max_notifications_per_call: usize,
+    /// Sorted by id.
+    pub(crate) endpoints: Vec<ServingEndpoint>,
+    /// Where the rotation over the endpoints begins.
+    pub(crate) rotation_start: usize,
+    /// Endpoints to which the offered slot was proposed so far.
+    pub(crate) endpoints_tried: usize,
+    /// From when one of those that declined accepts a call; [`Time::NEVER`] if none said so.
+    pub(crate) slot_usable_from: Time,
+    /// In order of acceptance.
+    pub(crate) pending: Vec<PendingNotification>,
+    /// When notifications were accepted of late.
+    pub(crate) accepted_times: VecDeque<Time>,
+    /// Since when acceptances are recorded.
+    pub(crate) first_seen_at: Option<Time>,
+    pub(crate) latencies: LatencyModel,
+    /// By endpoint and name of the topic type.
+    pub(crate) topic_failures: BTreeMap<(EndpointId, String), TopicFailures>,
+}
+
+impl Destination {
+    pub(crate) fn new(id: DestinationId, config: Arc<RelayConfig>) -> Self {
+        Destination { id, config, ..Destination::default() }
+    }
+
+    /// Applies a list entry of one of its endpoints.
+    pub(crate) fn update_endpoint(&mut self, entry: EndpointEntry) {
+        self.max_notifications_per_call = entry.kind.max_notifications_per_call.max(1);
+        self.endpoints.retain(|endpoint| endpoint.id != entry.endpoint);
+        if entry.readiness == Readiness::Serving {
+            self.endpoints.push(ServingEndpoint { id: entry.endpoint, zone: entry.zone });
+            self.endpoints.sort();
+        }
+        self.topic_failures.retain(|key, _| self.endpoints.iter().any(|endpoint| endpoint.id == key.0));
+    }
+
+    /// Adds a notification accepted now.
+    pub(crate) fn add_pending(&mut self, notification: Notification, now: Time, is_key_granted: bool) {
+        self.pending.push(PendingNotification {
+            history: notification.history.clone(),
+            is_finished: notification.history.has_final_answer,
+            notification,
+            accepted_at: now,
+            is_key_granted,
+            ..PendingNotification::default()
+        });
+        self.accepted_times.push_back(now);
+    }
+
+    /// Records that a call was sent. Returns whether its endpoint still accepts calls; if not, nothing is recorded.
+    pub(crate) fn record_call(&mut self, call: &Call, now: Time) -> bool {
+        let Some(index) = self.endpoints.iter().position(|endpoint| endpoint.id == call.endpoint) else {
+            return false;
+        };
+        self.rotation_start = index + 1;
+        let is_in_call = |id: NotificationId| call.pushes.iter().any(|push| push.notification == id);
+        for pending in self.pending.iter_mut().filter(|pending| is_in_call(pending.notification.id)) {
+            pending.history.push_count += 1;
+            pending.in_flight = Some(PossibleRun { sent_at: now, zone: self.endpoints[index].zone.clone() });
+            pending.last_endpoint = Some(call.endpoint.clone());
+        }
+        true
+    }
+
+    pub(crate) fn is_pending(&self, id: NotificationId) -> bool {
+        self.pending.iter().any(|pending| pending.notification.id == id)
+    }
+
+    /// Applies a change to the pending notification with this id, if there is one.
+    pub(crate) fn update_pending(
+        &mut self, id: NotificationId, change: impl FnMut(&mut PendingNotification),
+    ) {
+        self.pending.iter_mut().filter(|pending| pending.notification.id == id).for_each(change);
+    }
+}
--- /dev/null
+++ b/src/state/key_queues.rs
@@ -0,0 +1,22 @@
+//! The queues of ordered notifications.
+
+use std::collections::{BTreeMap, VecDeque};
+
+use crate::interface::{DestinationId, NotificationId};
+use crate::time::Time;
+
+/// The notifications of one key, in order of acceptance.
+#[derive(Default)]
+pub(crate) struct KeyQueue {
+    pub(crate) waiting: VecDeque<(NotificationId, DestinationId)>,
+    /// Whether the first may be pushed.
+    pub(crate) is_granted: bool,
+    /// No grant before then: a push of the key may still be executing.
+    pub(crate) cooldown_until: Time,
+}
+
+/// The keys in use.
+#[derive(Default)]
+pub(crate) struct KeyQueues {
+    pub(crate) queues: BTreeMap<String, KeyQueue>,
+}
