--- a/tests/rules/calls.rs
+++ b/tests/rules/calls.rs
@@ -3,19 +3,16 @@
 use expect_test::expect;
 use juniperwing::interface::CallStatus;
 
-use crate::helper::Rig;
+use crate::harness::{ONE_ENDPOINT, RelayHarness, TTL_MS, TWO_ENDPOINTS};
 
-/// When all slots are taken, calls long overdue are called off; once-only ones never are.
+/// When all slots are in use, overdue calls are cancelled; non-idempotent ones are not.
 #[test]
-fn overdue_calls_are_called_off_for_want_of_slots() {
-    let mut rig = Rig::new(4, 1, &[("a", "z"), ("b", "z")]);
-    rig.warm(1, 20, 100);
-    rig.accept(100, "once", None, 16_000);
-    for id in 101..106 {
-        rig.accept(id, "safe", None, 16_000);
-    }
-    rig.pass(1_000);
-    expect![[r#"
+fn overdue_calls_are_cancelled_when_slots_run_out() {
+    let mut relay = RelayHarness::new(4, 1, TWO_ENDPOINTS).warmed_up(20, 100);
+    relay.accept(100, "non-idempotent", None, TTL_MS);
+    relay.accept_all(101..106, "idempotent", TTL_MS);
+    relay.advance(1_000);
+    relay.assert_trace(expect![[r#"
         2000   push 100 to a for 16000 ms
         2000   push 101 to b for 2000 ms
         2000   push 102 to a for 2000 ms
@@ -26,62 +23,57 @@
         2760   push 101 to a for 2177 ms
         2760   push 102 to b for 2177 ms
         2760   push 103 to a for 2177 ms
-    "#]]
-    .assert_eq(&rig.trace);
+    "#]]);
 }
 
 #[test]
-fn calls_are_filled_before_they_go() {
-    let mut rig = Rig::new(4, 3, &[("a", "z")]);
+fn calls_wait_to_be_filled() {
+    let mut relay = RelayHarness::new(4, 3, ONE_ENDPOINT);
     for id in 1..=4 {
-        rig.accept(id, "safe", None, 16_000);
-        rig.pass(10);
+        relay.accept(id, "idempotent", None, TTL_MS);
+        relay.advance(10);
     }
-    rig.pass(1_000);
-    expect![[r#"
+    relay.advance(1_000);
+    relay.assert_trace(expect![[r#"
         0      subscribe
         20     push 1 to a for 15980 ms
         20     push 2 to a for 15980 ms
         20     push 3 to a for 15980 ms
         1030   push 4 to a for 15000 ms
-    "#]]
-    .assert_eq(&rig.trace);
+    "#]]);
 }
 
 /// A call ends with the first TTL in it, so only those go together whom that leaves enough: their own time-out,
 /// or what nine in ten calls last (here 900 ms).
 #[test]
-fn a_call_ends_with_the_first_ttl_in_it_and_costs_nobody_much() {
-    let mut rig = Rig::new(8, 4, &[("a", "z")]);
-    rig.warm(1, 6, 200);
-    rig.warm(7, 1, 500);
-    rig.accept(10, "once", None, 600);
-    rig.accept(11, "once", None, 16_000);
-    rig.accept(12, "safe", None, 900);
-    rig.accept(13, "safe", None, 16_000);
-    rig.pass(1_050);
-    expect![[r#"
+fn a_call_ends_with_its_first_ttl_and_leaves_each_push_enough_time() {
+    let mut relay = RelayHarness::new(8, 4, ONE_ENDPOINT).warmed_up(6, 200);
+    relay.deliver_in_turn(7, 1, 500);
+    relay.accept(10, "non-idempotent", None, 600);
+    relay.accept(11, "non-idempotent", None, TTL_MS);
+    relay.accept(12, "idempotent", None, 900);
+    relay.accept(13, "idempotent", None, TTL_MS);
+    relay.advance(1_050);
+    relay.assert_trace(expect![[r#"
         8700   push 10 to a for 600 ms
         8710   push 11 to a for 15990 ms
         8710   push 13 to a for 1998 ms
         8720   push 12 to a for 880 ms
-    "#]]
-    .assert_eq(&rig.trace);
+    "#]]);
 }
 
-/// Once-only pushes hang in most slots while others wait: they are given up, or the relay would stand still.
+/// Non-idempotent pushes occupy most slots while others wait: they are given up, or the relay would come to a halt.
 #[test]
-fn once_only_pushes_are_called_off_where_most_slots_are_stuck() {
-    let mut rig = Rig::new(3, 1, &[("a", "z")]);
-    rig.warm(1, 20, 100);
-    rig.accept(100, "once", None, 16_000);
-    rig.pass(50);
-    rig.accept(101, "once", None, 16_000);
-    rig.pass(50);
-    rig.accept(102, "safe", None, 16_000);
-    rig.accept(103, "safe", None, 16_000);
-    rig.pass(3_000);
-    expect![[r#"
+fn non_idempotent_pushes_are_cancelled_when_most_slots_are_stuck() {
+    let mut relay = RelayHarness::new(3, 1, ONE_ENDPOINT).warmed_up(20, 100);
+    relay.accept(100, "non-idempotent", None, TTL_MS);
+    relay.advance(50);
+    relay.accept(101, "non-idempotent", None, TTL_MS);
+    relay.advance(50);
+    relay.accept(102, "idempotent", None, TTL_MS);
+    relay.accept(103, "idempotent", None, TTL_MS);
+    relay.advance(3_000);
+    relay.assert_trace(expect![[r#"
         2000   push 100 to a for 16000 ms
         2050   push 101 to a for 16000 ms
         2100   push 102 to a for 2000 ms
@@ -92,21 +84,20 @@
         3610   cancel push 0 of 101
         3620   expire 100
         3620   expire 101
-    "#]]
-    .assert_eq(&rig.trace);
+    "#]]);
 }
 
 /// Filling must leave time within the objective for the call itself: where calls last long, they wait less.
 #[test]
-fn calls_that_last_long_wait_less_to_be_filled() {
-    let mut rig = Rig::new(4, 10, &[("a", "z")]);
+fn long_calls_wait_less_to_be_filled() {
+    let mut relay = RelayHarness::new(4, 10, ONE_ENDPOINT);
     for id in 1..=8 {
-        rig.accept(id, "safe", None, 16_000);
-        rig.pass_until_out(id);
-        rig.pass(400);
-        rig.end(id, CallStatus::Delivered);
+        relay.accept(id, "idempotent", None, TTL_MS);
+        relay.advance_until_in_flight(id);
+        relay.advance(400);
+        relay.end_push(id, CallStatus::Delivered);
     }
-    expect![[r#"
+    relay.assert_trace(expect![[r#"
         0      subscribe
         1000   push 1 to a for 15000 ms
         2400   push 2 to a for 15000 ms
@@ -116,6 +107,5 @@
         7600   push 6 to a for 2566 ms
         8600   push 7 to a for 2566 ms
         9600   push 8 to a for 2566 ms
-    "#]]
-    .assert_eq(&rig.trace);
+    "#]]);
 }
--- a/tests/rules/limits.rs
+++ b/tests/rules/limits.rs
@@ -1,20 +1,19 @@
-//! Waits, refusals and limits, told or listed.
+//! Waits, rejections and limits, reported or listed.
 
 use expect_test::expect;
 use juniperwing::interface::{CallStatus, RateLimitReport};
-use juniperwing::time::Span;
 
-use crate::helper::Rig;
+use crate::harness::{ONE_ENDPOINT, RelayHarness, TTL_MS, TWO_ENDPOINTS, config};
 
 #[test]
-fn waits_are_heeded_for_the_whole_destination() {
-    let mut rig = Rig::new(4, 1, &[("a", "z"), ("b", "z")]);
-    rig.accept(1, "safe", None, 16_000);
-    rig.accept(2, "safe", None, 16_000);
-    rig.refuse(1, Span::from_millis(800));
-    rig.refuse(2, Span::from_millis(300));
-    rig.pass(9_000);
-    expect![[r#"
+fn a_wait_applies_to_the_whole_destination() {
+    let mut relay = RelayHarness::new(4, 1, TWO_ENDPOINTS);
+    relay.accept(1, "idempotent", None, TTL_MS);
+    relay.accept(2, "idempotent", None, TTL_MS);
+    relay.reject_push(1, 800);
+    relay.reject_push(2, 300);
+    relay.advance(9_000);
+    relay.assert_trace(expect![[r#"
         0      subscribe
         0      push 1 to a for 16000 ms
         0      push 2 to b for 16000 ms
@@ -24,85 +23,79 @@
         0      recall what is not out to b
         1500   push 2 to a for 14500 ms
         3000   push 1 to b for 13000 ms
-    "#]]
-    .assert_eq(&rig.trace);
+    "#]]);
 }
 
 /// The outcomes of one call may come one by one, each with its own wait; the longest stands.
 #[test]
-fn every_outcome_of_a_call_may_tell_a_wait() {
-    let mut rig = Rig::new(4, 2, &[("a", "z")]);
-    rig.accept(1, "safe", None, 16_000);
-    rig.accept(2, "safe", None, 16_000);
-    rig.end(1, CallStatus::Busy);
-    rig.refuse(2, Span::from_millis(700));
-    rig.pass(9_000);
-    expect![[r#"
+fn every_outcome_of_a_call_may_report_a_wait() {
+    let mut relay = RelayHarness::new(4, 2, ONE_ENDPOINT);
+    relay.accept(1, "idempotent", None, TTL_MS);
+    relay.accept(2, "idempotent", None, TTL_MS);
+    relay.end_push(1, CallStatus::Busy);
+    relay.reject_push(2, 700);
+    relay.advance(9_000);
+    relay.assert_trace(expect![[r#"
         0      subscribe
         0      push 1 to a for 16000 ms
         0      push 2 to a for 16000 ms
         700    push 1 to a for 15300 ms
         700    push 2 to a for 15300 ms
-    "#]]
-    .assert_eq(&rig.trace);
+    "#]]);
 }
 
-/// Refused with no wait told: each time it comes back ever more rarely, for many others may do so too.
+/// Rejected with no wait reported: each time it retries ever more rarely, for many others may do so too.
 #[test]
-fn refusals_in_a_row_are_met_with_longer_pauses() {
-    let mut rig = Rig::new(4, 1, &[("a", "z")]);
-    rig.accept(1, "safe", None, 30_000);
+fn consecutive_rejections_lengthen_the_backoff() {
+    let mut relay = RelayHarness::new(4, 1, ONE_ENDPOINT);
+    relay.accept(1, "idempotent", None, 30_000);
     for _ in 0..3 {
-        rig.end(1, CallStatus::Busy);
-        rig.pass(9_000);
+        relay.end_push(1, CallStatus::Busy);
+        relay.advance(9_000);
     }
-    expect![[r#"
+    relay.assert_trace(expect![[r#"
         0      subscribe
         0      push 1 to a for 30000 ms
         90     push 1 to a for 29910 ms
         11050  push 1 to a for 18950 ms
         14050  a set aside
         19580  push 1 to a for 10420 ms
-    "#]]
-    .assert_eq(&rig.trace);
+    "#]]);
 }
 
-/// The same where a limit is told: what is refused uses it up too, so calls are spaced by up to four parts of it.
+/// The same where a limit is reported: rejected calls use it up too, so calls are spaced by up to four parts of it.
 #[test]
-fn refusals_above_a_told_limit_space_calls_in_equal_parts_of_it() {
-    let mut rig = Rig::new(4, 1, &[("a", "z")]);
-    rig.limit = Some(RateLimitReport { remaining_fraction: 0.1, rate_per_second: 10.0 });
-    rig.accept(1, "safe", None, 30_000);
+fn rejections_above_a_reported_limit_space_calls_in_equal_parts_of_it() {
+    let mut relay = RelayHarness::new(4, 1, ONE_ENDPOINT);
+    relay.rate_limit = Some(RateLimitReport { remaining_fraction: 0.1, rate_per_second: 10.0 });
+    relay.accept(1, "idempotent", None, 30_000);
     for _ in 0..3 {
-        rig.end(1, CallStatus::Busy);
-        rig.pass(4_000);
+        relay.end_push(1, CallStatus::Busy);
+        relay.advance(4_000);
     }
-    expect![[r#"
+    relay.assert_trace(expect![[r#"
         0      subscribe
         0      push 1 to a for 30000 ms
         200    push 1 to a for 29800 ms
         4520   push 1 to a for 25480 ms
         9100   push 1 to a for 20900 ms
-    "#]]
-    .assert_eq(&rig.trace);
+    "#]]);
 }
 
-/// Refused calls use the limit up too, so a refusal spaces a relay's calls for longer than the pause after it:
-/// until answers tell that more than half of the limit is left.
+/// Rejected calls use the limit up too, so a rejection spaces a relay's calls for longer than the backoff after it:
+/// until answers report that more than half of the limit is left.
 #[test]
-fn a_pace_kept_after_a_refusal_shrinks_as_answers_tell_of_room() {
-    let mut rig = Rig::new(1, 1, &[("a", "z")]);
-    rig.limit = Some(RateLimitReport { remaining_fraction: 0.0, rate_per_second: 2.0 });
-    for id in 1..=6 {
-        rig.accept(id, "safe", None, 30_000);
-    }
-    rig.end(1, CallStatus::Busy);
+fn pacing_after_a_rejection_shrinks_as_answers_report_remaining_capacity() {
+    let mut relay = RelayHarness::new(1, 1, ONE_ENDPOINT);
+    relay.rate_limit = Some(RateLimitReport { remaining_fraction: 0.0, rate_per_second: 2.0 });
+    relay.accept_all(1..=6, "idempotent", 30_000);
+    relay.end_push(1, CallStatus::Busy);
     for (id, left) in [(2, 0.3), (3, 0.7), (4, 1.0), (5, 1.0), (6, 1.0)] {
-        rig.pass_until_out(id);
-        rig.limit = Some(RateLimitReport { remaining_fraction: left, rate_per_second: 2.0 });
-        rig.end(id, CallStatus::Delivered);
+        relay.advance_until_in_flight(id);
+        relay.rate_limit = Some(RateLimitReport { remaining_fraction: left, rate_per_second: 2.0 });
+        relay.end_push(id, CallStatus::Delivered);
     }
-    expect![[r#"
+    relay.assert_trace(expect![[r#"
         0      subscribe
         0      push 1 to a for 30000 ms
         1000   push 2 to a for 29000 ms
@@ -110,25 +103,24 @@
         3150   push 4 to a for 26850 ms
         3860   push 5 to a for 26140 ms
         4360   push 6 to a for 25640 ms
-    "#]]
-    .assert_eq(&rig.trace);
+    "#]]);
 }
 
-/// A relay that has just started was handed little for want of time, not of traffic: its calls to a
-/// destination that refuses all are no rarer than those of one that was handed as much a second for longer.
+/// A relay that has just started has accepted little for want of time, not of traffic: its calls to a
+/// destination that rejects all are no rarer than those of one that has accepted as much a second for longer.
 #[test]
-fn a_relay_that_has_just_started_tries_a_shut_destination_as_often_as_one_that_has_long_run() {
+fn a_relay_that_has_just_started_calls_a_rejecting_destination_as_often_as_one_that_has_long_run() {
     let tries = |before: u64| {
-        let mut rig = Rig::one_of(100, 4, 1, &[("a", "z")]);
+        let mut relay = RelayHarness::with_config(config(100, 4), 1, ONE_ENDPOINT);
         let (mut next, mut refused) = (1, 0);
         for second in 0..before + 24 {
-            rig.accept(next, "safe", None, 16_000);
+            relay.accept(next, "idempotent", None, TTL_MS);
             next += 1;
             for _ in 0..50 {
-                rig.pass(20);
+                relay.advance(20);
                 let status = if second < before { CallStatus::Delivered } else { CallStatus::Busy };
-                refused += if second < before { 0 } else { rig.out_now().len() };
-                rig.out_now().into_iter().for_each(|id| rig.end(id, status));
+                refused += if second < before { 0 } else { relay.in_flight().len() };
+                relay.end_all_pushes(status);
             }
         }
         refused
@@ -137,37 +129,36 @@
 }
 
 #[test]
-fn a_wait_binds_whatever_became_of_the_push() {
-    let mut rig = Rig::new(4, 1, &[("a", "z")]);
-    rig.accept(1, "safe", None, 16_000);
-    rig.ends(1, CallStatus::Delivered, Some(Span::from_millis(700)));
-    rig.accept(2, "safe", None, 16_000);
-    rig.pass(3_000);
-    expect![[r#"
+fn a_wait_applies_whatever_the_outcome_of_the_push() {
+    let mut relay = RelayHarness::new(4, 1, ONE_ENDPOINT);
+    relay.accept(1, "idempotent", None, TTL_MS);
+    relay.end_push_with_wait(1, CallStatus::Delivered, Some(700));
+    relay.accept(2, "idempotent", None, TTL_MS);
+    relay.advance(3_000);
+    relay.assert_trace(expect![[r#"
         0      subscribe
         0      push 1 to a for 16000 ms
         0      recall what is not out to a
         840    push 2 to a for 15160 ms
-    "#]]
-    .assert_eq(&rig.trace);
+    "#]]);
 }
 
-/// A rate is listed and nothing is told in answers: what is refused is above the limit, no sign of an outage, and if
-/// a wait is told sets a pace that grows with each and shrinks with deliveries. A short wait's end is no return.
+/// A rate is listed and answers report none: what is rejected is above the limit, no sign of an outage, and if
+/// a wait is reported sets a pacing interval that grows with each and shrinks with deliveries. The end of a short wait is no recovery.
 #[test]
-fn a_listed_rate_stands_in_for_a_told_limit() {
-    let mut rig = Rig::listed(50, 20.0, &["a"]);
-    rig.accept(1, "safe", None, 90_000);
+fn a_listed_rate_replaces_a_reported_limit() {
+    let mut relay = RelayHarness::with_listed_rate(50, 20.0, ONE_ENDPOINT);
+    relay.accept(1, "idempotent", None, 90_000);
     for wait in [0, 300, 300] {
-        rig.pass_until_out(1);
-        rig.ends(1, CallStatus::Busy, Some(Span::from_millis(wait)).filter(|wait| *wait > Span::ZERO));
+        relay.advance_until_in_flight(1);
+        relay.end_push_with_wait(1, CallStatus::Busy, Some(wait).filter(|wait| *wait > 0));
     }
     for id in 1..=3 {
-        rig.accept(id + 1, "safe", None, 90_000);
-        rig.pass_until_out(id);
-        rig.end(id, CallStatus::Delivered);
+        relay.accept(id + 1, "idempotent", None, 90_000);
+        relay.advance_until_in_flight(id);
+        relay.end_push(id, CallStatus::Delivered);
     }
-    expect![[r#"
+    relay.assert_trace(expect![[r#"
         0      subscribe
         50     push 1 to a for 89950 ms
         190    push 1 to a for 89810 ms
@@ -177,28 +168,26 @@
         12720  push 2 to a for 83230 ms
         17520  push 1 to a for 72480 ms
         20920  push 3 to a for 86600 ms
-    "#]]
-    .assert_eq(&rig.trace);
+    "#]]);
 }
 
-/// Full queues behind a silence: refusals in a row, some with a wait and some without, with none delivered between,
-/// are met as an outage is, though a rate is listed.
+/// Full queues after an outage: consecutive rejections, some with a wait and some without, with none delivered between,
+/// are treated as an outage, though a rate is listed.
 #[test]
-fn refusals_in_a_row_keep_a_relay_to_its_part_though_a_rate_is_listed() {
-    let mut rig = Rig::listed(50, 20.0, &["a"]);
-    rig.accept(1, "safe", None, 60_000);
+fn consecutive_rejections_keep_a_relay_to_its_equal_part_though_a_rate_is_listed() {
+    let mut relay = RelayHarness::with_listed_rate(50, 20.0, ONE_ENDPOINT);
+    relay.accept(1, "idempotent", None, 60_000);
     for wait in [200, 0, 0] {
-        rig.pass_until_out(1);
-        rig.ends(1, CallStatus::Busy, Some(Span::from_millis(wait)).filter(|wait| *wait > Span::ZERO));
+        relay.advance_until_in_flight(1);
+        relay.end_push_with_wait(1, CallStatus::Busy, Some(wait).filter(|wait| *wait > 0));
     }
-    rig.pass_until_out(1);
-    expect![[r#"
+    relay.advance_until_in_flight(1);
+    relay.assert_trace(expect![[r#"
         0      subscribe
         50     push 1 to a for 59950 ms
         50     recall what is not out to a
         450    push 1 to a for 59550 ms
         7100   push 1 to a for 52900 ms
         15330  push 1 to a for 44670 ms
-    "#]]
-    .assert_eq(&rig.trace);
+    "#]]);
 }
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -3,7 +3,7 @@
 mod calls;
 mod connections;
 mod effects;
-mod helper;
+mod harness;
 mod limits;
 mod list;
 mod outages;
--- a/tests/rules/restarts.rs
+++ b/tests/rules/restarts.rs
@@ -1,96 +1,93 @@
-//! Starts, stops and other terms while a relay runs.
+//! Starts, stops and configuration changes of a running relay.
 
 use expect_test::expect;
 use juniperwing::interface::{CallStatus, Event, NotificationHistory, NotificationId};
-use juniperwing::time::Span;
 
-use crate::helper::{Rig, terms};
+use crate::harness::{ONE_ENDPOINT, RelayHarness, TTL_MS, config};
 
-/// Before a planned restart: what would be out of time by the next process is handed back at once, with a time to come
-/// back; the rest is held for it. What is out may end.
+/// Before a planned restart: what the next process could not push in time is rejected at once, with a time to
+/// retry; the rest is kept for it. Pushes in flight may end.
 #[test]
-fn with_no_slots_any_more_what_the_next_process_could_not_push_in_time_is_handed_back_at_once() {
-    let mut rig = Rig::new(1, 1, &[("a", "z")]);
-    for (id, ttl) in [(1, 16_000), (2, 2_000), (3, 16_000)] {
-        rig.accept(id, "safe", None, ttl);
+fn without_slots_what_the_next_process_could_not_push_in_time_is_throttled_at_once() {
+    let mut relay = RelayHarness::new(1, 1, ONE_ENDPOINT);
+    for (id, ttl) in [(1, TTL_MS), (2, 2_000), (3, TTL_MS)] {
+        relay.accept(id, "idempotent", None, ttl);
     }
-    rig.accept(4, "once", Some("k"), 16_000);
-    rig.accept(5, "once", Some("k"), 1_500);
-    rig.pass(100);
-    rig.give(Event::SlotLimitChanged(0));
-    rig.accept(6, "safe", None, 2_200);
-    rig.accept(7, "safe", None, 2_400);
-    rig.pass(50);
-    rig.end(1, CallStatus::Delivered);
-    rig.accept(8, "mark", None, 900);
-    expect![[r#"
+    relay.accept(4, "non-idempotent", Some("k"), TTL_MS);
+    relay.accept(5, "non-idempotent", Some("k"), 1_500);
+    relay.advance(100);
+    relay.handle(Event::SlotLimitChanged(0));
+    relay.accept(6, "idempotent", None, 2_200);
+    relay.accept(7, "idempotent", None, 2_400);
+    relay.advance(50);
+    relay.end_push(1, CallStatus::Delivered);
+    relay.accept(8, "deduplicated", None, 900);
+    relay.assert_trace(expect![[r#"
         0      subscribe
         0      push 1 to a for 16000 ms
         100    throttle 5
         100    throttle 2
         100    throttle 6
         150    throttle 8
-    "#]]
-    .assert_eq(&rig.trace);
+    "#]]);
 }
 
-/// What an earlier life left untried has waited longest: it goes before what has come since, past its objective too.
+/// What an earlier process never pushed has waited longest: it goes before what was accepted since, past its latency target too.
 #[test]
-fn what_a_restart_finds_untried_goes_before_what_has_come_since() {
-    let mut rig = Rig::new(1, 1, &[("a", "z")]);
+fn recovered_notifications_that_were_never_pushed_go_first() {
+    let mut relay = RelayHarness::new(1, 1, ONE_ENDPOINT);
     for id in [1, 2] {
-        rig.resume(
+        relay.accept_recovered(
             id,
-            "safe",
+            "idempotent",
             None,
             NotificationHistory { is_recovered: true, ..NotificationHistory::default() },
         );
     }
-    rig.accept(3, "safe", None, 16_000);
-    rig.pass(2_100);
-    rig.accept(4, "safe", None, 16_000);
+    relay.accept(3, "idempotent", None, TTL_MS);
+    relay.advance(2_100);
+    relay.accept(4, "idempotent", None, TTL_MS);
     for id in [1, 2, 4] {
-        rig.end(id, CallStatus::Delivered);
+        relay.end_push(id, CallStatus::Delivered);
     }
-    expect![[r#"
+    relay.assert_trace(expect![[r#"
         0      subscribe
         0      push 1 to a for 16000 ms
         2100   push 2 to a for 13900 ms
         2100   push 4 to a for 16000 ms
         2100   push 3 to a for 13900 ms
-    "#]]
-    .assert_eq(&rig.trace);
+    "#]]);
 }
 
-/// A push that was out when the relay was killed may have run.
+/// A push that was in flight when the relay was killed may have run.
 #[test]
-fn after_a_restart_what_may_have_run_goes_again_only_where_that_is_safe() {
-    let mut rig = Rig::new(4, 1, &[("a", "z"), ("b", "y")]);
-    rig.pass(5_000);
-    let out = |rig: &Rig, ms| NotificationHistory {
+fn after_a_restart_what_may_have_run_is_pushed_again_only_where_that_is_safe() {
+    let mut relay = RelayHarness::new(4, 1, &[("a", "z"), ("b", "y")]);
+    relay.advance(5_000);
+    let out = |relay: &RelayHarness, ms| NotificationHistory {
         push_count: 1,
-        first_possible_run: Some(rig.ago(ms)),
-        last_doubtful_end: Some(rig.ago(0).sent_at),
+        first_possible_run: Some(relay.possible_run(ms)),
+        last_doubtful_end: Some(relay.possible_run(0).sent_at),
         has_final_answer: false,
         is_recovered: true,
     };
     for (id, topic, past) in [
-        (1, "once", out(&rig, 1_000)),
-        (2, "once", NotificationHistory::default()),
-        (3, "mark", out(&rig, 1_000)),
-        (4, "mark", out(&rig, 4_500)),
-        (5, "safe", NotificationHistory { push_count: 8, ..out(&rig, 1_000) }),
-        (6, "once", NotificationHistory { has_final_answer: true, ..out(&rig, 1_000) }),
-        (7, "once", NotificationHistory::default()),
+        (1, "non-idempotent", out(&relay, 1_000)),
+        (2, "non-idempotent", NotificationHistory::default()),
+        (3, "deduplicated", out(&relay, 1_000)),
+        (4, "deduplicated", out(&relay, 4_500)),
+        (5, "idempotent", NotificationHistory { push_count: 8, ..out(&relay, 1_000) }),
+        (6, "non-idempotent", NotificationHistory { has_final_answer: true, ..out(&relay, 1_000) }),
+        (7, "non-idempotent", NotificationHistory::default()),
     ] {
-        rig.resume(id, topic, Some("k").filter(|_| topic == "once"), past);
+        relay.accept_recovered(id, topic, Some("k").filter(|_| topic == "non-idempotent"), past);
     }
-    rig.pass(400);
-    rig.end(2, CallStatus::Delivered);
-    rig.pass(400);
-    rig.give(Event::FinalAnswerAcknowledged(NotificationId(6)));
-    rig.pass(400);
-    expect![[r#"
+    relay.advance(400);
+    relay.end_push(2, CallStatus::Delivered);
+    relay.advance(400);
+    relay.handle(Event::FinalAnswerAcknowledged(NotificationId(6)));
+    relay.advance(400);
+    relay.assert_trace(expect![[r#"
         0      subscribe
         5000   expire 1
         5000   push 3 to a for 16000 ms
@@ -98,49 +95,45 @@
         5000   expire 5
         5300   push 2 to b for 15700 ms
         5800   push 7 to a for 15200 ms
-    "#]]
-    .assert_eq(&rig.trace);
+    "#]]);
 }
 
 #[test]
-fn a_relay_that_stops_makes_no_further_calls() {
-    let mut rig = Rig::new(4, 1, &[("a", "z")]);
-    rig.accept(1, "safe", None, 16_000);
-    rig.give(Event::SlotLimitChanged(0));
-    rig.accept(2, "safe", None, 16_000);
-    rig.end(1, CallStatus::Busy);
-    rig.pass(1_000);
-    expect![[r#"
+fn a_stopping_relay_makes_no_further_calls() {
+    let mut relay = RelayHarness::new(4, 1, ONE_ENDPOINT);
+    relay.accept(1, "idempotent", None, TTL_MS);
+    relay.handle(Event::SlotLimitChanged(0));
+    relay.accept(2, "idempotent", None, TTL_MS);
+    relay.end_push(1, CallStatus::Busy);
+    relay.advance(1_000);
+    relay.assert_trace(expect![[r#"
         0      subscribe
         0      push 1 to a for 16000 ms
-    "#]]
-    .assert_eq(&rig.trace);
+    "#]]);
 }
 
-/// Other terms while it runs: fewer slots than calls out only mean no new ones; what was taken keeps its effect;
+/// Another configuration: fewer slots than calls in flight only mean no new ones; accepted notifications keep their semantics;
 /// waits stay; the way back is the same step.
 #[test]
-fn other_terms_take_effect_in_a_running_relay_both_ways() {
-    let mut rig = Rig::new(3, 1, &[("a", "z"), ("b", "y")]);
-    let mut fewer = terms(2, 1);
+fn a_configuration_change_takes_effect_in_a_running_relay_and_can_be_reverted() {
+    let mut relay = RelayHarness::new(3, 1, &[("a", "z"), ("b", "y")]);
+    let mut fewer = config(2, 1);
     fewer.fleet.home_zone = Some("y".into());
-    for id in 1..=3 {
-        rig.accept(id, "once", None, 16_000);
-    }
-    rig.give(Event::ConfigChanged(fewer));
-    rig.accept(4, "safe", None, 16_000);
-    rig.pass(10);
-    rig.end(1, CallStatus::Delivered);
-    rig.end(2, CallStatus::Delivered);
-    rig.pass(10);
-    rig.end(3, CallStatus::TimedOut);
-    rig.pass(10);
-    rig.refuse(4, Span::from_millis(300));
-    rig.give(Event::ConfigChanged(terms(2, 3)));
-    rig.accept(5, "safe", None, 16_000);
-    rig.accept(6, "safe", None, 16_000);
-    rig.pass(20_000);
-    expect![[r#"
+    relay.accept_all(1..=3, "non-idempotent", TTL_MS);
+    relay.handle(Event::ConfigChanged(fewer));
+    relay.accept(4, "idempotent", None, TTL_MS);
+    relay.advance(10);
+    relay.end_push(1, CallStatus::Delivered);
+    relay.end_push(2, CallStatus::Delivered);
+    relay.advance(10);
+    relay.end_push(3, CallStatus::TimedOut);
+    relay.advance(10);
+    relay.reject_push(4, 300);
+    relay.handle(Event::ConfigChanged(config(2, 3)));
+    relay.accept(5, "idempotent", None, TTL_MS);
+    relay.accept(6, "idempotent", None, TTL_MS);
+    relay.advance(20_000);
+    relay.assert_trace(expect![[r#"
         0      subscribe
         0      push 1 to a for 16000 ms
         0      push 2 to b for 16000 ms
@@ -153,27 +146,22 @@
         3020   push 5 to b for 13010 ms
         6020   b set aside
         16020  throttle 6
-    "#]]
-    .assert_eq(&rig.trace);
+    "#]]);
 }
 
-/// Rates listed from now on are gone by at once, and no longer once they are not: the list itself has not changed.
+/// Listed rates are enforced as soon as the configuration says so, and no longer once it does not: the list itself has not changed.
 #[test]
-fn listed_rates_come_and_go_with_the_terms() {
-    let mut rig = Rig::new(8, 1, &[("a", "z")]);
+fn listed_rates_come_and_go_with_the_configuration() {
+    let mut relay = RelayHarness::new(8, 1, ONE_ENDPOINT);
     for listed in [false, true, false] {
-        let mut other = terms(2, 8);
+        let mut other = config(2, 8);
         other.fleet.has_listed_rates = listed;
-        rig.give(Event::ConfigChanged(other));
-        for id in 1..=2 {
-            rig.accept(id, "safe", None, 16_000);
-        }
-        rig.pass(1_500);
-        for id in rig.out_now() {
-            rig.end(id, CallStatus::Delivered);
-        }
+        relay.handle(Event::ConfigChanged(other));
+        relay.accept_all(1..=2, "idempotent", TTL_MS);
+        relay.advance(1_500);
+        relay.end_all_pushes(CallStatus::Delivered);
     }
-    expect![[r#"
+    relay.assert_trace(expect![[r#"
         0      subscribe
         0      push 1 to a for 16000 ms
         0      push 2 to a for 16000 ms
@@ -181,6 +169,5 @@
         2500   push 2 to a for 15000 ms
         3000   push 1 to a for 16000 ms
         3000   push 2 to a for 16000 ms
-    "#]]
-    .assert_eq(&rig.trace);
+    "#]]);
 }
