--- a/crates/balancing/src/latency.rs
+++ b/crates/balancing/src/latency.rs
@@ -33,7 +33,7 @@
 
     /// The cutoff: whether the time left is no shorter than the fitted median.
     pub fn has_time_for_attempt(&self, destination: &Destination, left: Span) -> bool {
-        left > Span::ZERO && self.models.get(destination).is_none_or(|model| model.is_worth_trying(left))
+        left > Span::ZERO && self.models.get(destination).is_none_or(|model| model.has_time_for_attempt(left))
     }
 
     /// The fitted median; zero until enough calls are seen.
--- a/crates/restart/src/fit.rs
+++ b/crates/restart/src/fit.rs
@@ -5,19 +5,28 @@
 
 use juniperwing_clock::{Span, Time};
 
-/// The age at which a latency counts half.
-const HALF_AGE: Span = Span::from_millis(8_000);
-/// Latencies vary at least this much (standard deviation of the logarithm).
-const SIGMA_FLOOR: f64 = 0.25;
-/// Tries that Algorithm 2 looks at, at the most, whatever the caller allows.
-const MOST_TRIES: u32 = 1_024;
+/// A sample of this age has half the weight of the newest.
+const SAMPLE_HALF_LIFE: Span = Span::from_millis(8_000);
+/// The least weight of a sample.
+const MIN_SAMPLE_WEIGHT: f64 = 1e-9;
+/// Lower limit of the standard deviation of the logarithm of latency.
+const MIN_SIGMA: f64 = 0.25;
+/// Upper limit of the attempts that Algorithm 2 considers, whatever the caller allows.
+const MAX_ATTEMPTS: u32 = 1_024;
+/// Iterations of expectation and maximisation: with no censored sample the second reproduces the first.
+const ITERATIONS: usize = 2;
+const ITERATIONS_WITH_CENSORED: usize = 12;
+/// Where the upper tail of the normal distribution is still above zero in floating point.
+const MAX_Z: f64 = 36.0;
+const MIN_UPPER_TAIL: f64 = 1e-300;
 
-/// One latency seen; a censored one lasted at least that long.
+/// One latency observed; a censored one lasted at least that long.
 #[derive(Debug)]
 pub(crate) struct Sample {
-    pub(crate) at: Time,
+    pub(crate) observed_at: Time,
+    /// The natural logarithm of the latency in seconds.
     pub(crate) ln_secs: f64,
-    pub(crate) censored: bool,
+    pub(crate) is_censored: bool,
 }
 
 /// Mean and standard deviation of the logarithm of a destination's latency.
@@ -30,56 +39,73 @@
 }
 
 impl Fit {
-    /// Aged maximum likelihood by expectation and maximisation: a censored sample counts with the mean and
-    /// spread of the part of the curve beyond it.
+    /// Maximum likelihood, weighted by age, by expectation and maximisation: a censored sample counts with the mean and
+    /// variance of the part of the distribution beyond it. `None` without samples.
     pub(crate) fn of(samples: &VecDeque<Sample>) -> Option<Fit> {
-        let newest = samples.back()?.at;
-        let weight =
-            |s: &Sample| 0.5f64.powf(newest.since(s.at).as_secs_f64() / HALF_AGE.as_secs_f64()).max(1e-9);
-        let aged: Vec<(f64, &Sample)> = samples.iter().map(|s| (weight(s), s)).collect();
-        let total: f64 = aged.iter().map(|a| a.0).sum();
-        let mu = aged.iter().map(|(weight, s)| weight * s.ln_secs).sum::<f64>() / total;
+        let newest_at = samples.back()?.observed_at;
+        let weighted: Vec<(f64, &Sample)> =
+            samples.iter().map(|sample| (sample.weight(newest_at), sample)).collect();
+        let total: f64 = weighted.iter().map(|(weight, _)| weight).sum();
+        let mu = weighted.iter().map(|(weight, sample)| weight * sample.ln_secs).sum::<f64>() / total;
         let mut fit = Fit { mu, sigma: 1.0 };
-        let rounds = if samples.iter().any(|s| s.censored) { 12 } else { 2 };
-        for _ in 0..rounds {
-            let (mut first, mut second) = (0.0, 0.0);
-            for (weight, s) in &aged {
-                let (mean, spread) = if s.censored { fit.beyond(s.ln_secs) } else { (s.ln_secs, 0.0) };
-                first += weight * mean;
-                second += weight * (mean * mean + spread);
-            }
-            let mu = first / total;
-            fit = Fit { mu, sigma: (second / total - mu * mu).max(0.0).sqrt().max(SIGMA_FLOOR) };
+        let has_censored = samples.iter().any(|sample| sample.is_censored);
+        for _ in 0..if has_censored { ITERATIONS_WITH_CENSORED } else { ITERATIONS } {
+            fit = fit.maximised(&weighted, total);
         }
         Some(fit)
     }
 
-    /// Mean and variance of the part of the curve beyond a point.
+    /// One iteration of expectation and maximisation.
+    fn maximised(&self, weighted: &[(f64, &Sample)], total: f64) -> Fit {
+        let (mut first_moment, mut second_moment) = (0.0, 0.0);
+        for (weight, sample) in weighted {
+            let (mean, variance) =
+                if sample.is_censored { self.beyond(sample.ln_secs) } else { (sample.ln_secs, 0.0) };
+            first_moment += weight * mean;
+            second_moment += weight * (mean * mean + variance);
+        }
+        let mu = first_moment / total;
+        Fit { mu, sigma: (second_moment / total - mu * mu).max(0.0).sqrt().max(MIN_SIGMA) }
+    }
+
+    /// Mean and variance of the part of the distribution beyond a point.
     fn beyond(&self, ln_secs: f64) -> (f64, f64) {
         let z = (ln_secs - self.mu) / self.sigma;
-        let hazard = ((-z * z / 2.0).exp() / (2.0 * PI).sqrt() / upper_tail(z).max(1e-300)).max(z);
-        let spread = self.sigma.powi(2) * (1.0 + z * hazard - hazard * hazard).clamp(0.0, 1.0);
-        (self.mu + self.sigma * hazard, spread)
+        let density = (-z * z / 2.0).exp() / (2.0 * PI).sqrt();
+        let hazard = (density / upper_tail(z).max(MIN_UPPER_TAIL)).max(z);
+        let variance = self.sigma.powi(2) * (1.0 + z * hazard - hazard * hazard).clamp(0.0, 1.0);
+        (self.mu + self.sigma * hazard, variance)
     }
 
-    /// The logarithm of the chance that evenly spaced tries all miss: the chance itself saturates.
-    fn ln_miss(&self, left: Span, tries: u32) -> f64 {
-        let z = (((left.as_secs_f64() / f64::from(tries)).ln() - self.mu) / self.sigma).min(36.0);
-        f64::from(tries) * upper_tail(z).ln()
+    /// The logarithm of the probability that evenly spaced attempts all fail: the probability itself saturates.
+    fn ln_failure_probability(&self, left: Span, attempts: u32) -> f64 {
+        let interval_secs = left.as_secs_f64() / f64::from(attempts);
+        let z = ((interval_secs.ln() - self.mu) / self.sigma).min(MAX_Z);
+        f64::from(attempts) * upper_tail(z).ln()
     }
 
-    /// Algorithm 2 of the paper: raises the number of tries until the first drop of the chance to make it in
-    /// the time left, or to the tries that may still be made. The interval is no longer than the time left.
-    pub fn timeout(&self, left: Span, tries_left: u32) -> Span {
-        let mut n = 1;
-        while n < tries_left.min(MOST_TRIES) && self.ln_miss(left, n + 1) <= self.ln_miss(left, n) {
-            n += 1;
+    /// Algorithm 2 of the paper: raises the number of attempts until the probability of success in the time left first
+    /// falls, or to `attempts_left`. Returns the restart interval, which is no longer than the time left, and zero only
+    /// if that is.
+    pub fn timeout(&self, left: Span, attempts_left: u32) -> Span {
+        let failure = |attempts| self.ln_failure_probability(left, attempts);
+        let mut attempts = 1;
+        while attempts < attempts_left.min(MAX_ATTEMPTS) && failure(attempts + 1) <= failure(attempts) {
+            attempts += 1;
         }
-        left.mul_f64(1.0 / f64::from(n)).max(Span::from_nanos(1)).min(left)
+        left.mul_f64(1.0 / f64::from(attempts)).max(Span::from_nanos(1)).min(left)
+    }
+}
+
+impl Sample {
+    /// Its weight by its age, where the newest sample has 1.
+    fn weight(&self, newest_at: Time) -> f64 {
+        let age = newest_at.since(self.observed_at);
+        0.5f64.powf(age.as_secs_f64() / SAMPLE_HALF_LIFE.as_secs_f64()).max(MIN_SAMPLE_WEIGHT)
     }
 }
 
-/// The chance that a standard normal variable lies beyond `z`.
+/// The probability that a standard normal variable lies beyond `z`.
 fn upper_tail(z: f64) -> f64 {
     libm::erfc(z / SQRT_2) / 2.0
 }
--- a/src/rules/destination.rs
+++ b/src/rules/destination.rs
@@ -196,7 +196,7 @@
             return false;
         }
         let left = pending.notification.valid_until.since(sendable_from);
-        let is_in_time = left >= MIN_TIME_LEFT && self.latencies.is_worth_trying(left);
+        let is_in_time = left >= MIN_TIME_LEFT && self.latencies.has_time_for_attempt(left);
         !(is_in_time && pending.can_run(now, None, self.config.limits.max_pushes))
     }
 
