--- a/crates/replication/src/bootstrap.rs
+++ b/crates/replication/src/bootstrap.rs
@@ -4,64 +4,64 @@
 use juniperwing_protocol::EpochNumber;
 use juniperwing_protocol::replication::{Epoch, ReplicationBody, Voter};
 
-use crate::acceptor::number_above;
-use crate::election::Candidacy;
-use crate::persistence::Deferred;
+use crate::acceptor::next_epoch_number;
+use crate::election::Election;
+use crate::persistence::DeferredAction;
 use crate::replica::{Replica, Stage};
 use crate::state::ReplicatedState;
 
 impl<S: ReplicatedState> Replica<S> {
     /// Whether this keeper has part in the founding: it is a seed of the first start, and knows no epoch.
-    fn may_found(&self) -> bool {
+    fn can_bootstrap(&self) -> bool {
         let is_seed = self.settings.seeds.contains(&self.settings.local_voter.address);
-        self.settings.bootstrap && is_seed && self.known.number == EpochNumber::default()
+        self.settings.bootstrap && is_seed && self.known_epoch.number == EpochNumber::default()
     }
 
-    fn is_founder(&self) -> bool {
+    fn is_bootstrap_coordinator(&self) -> bool {
         self.settings.seeds.iter().min() == Some(&self.settings.local_voter.address)
     }
 
     /// Tells the founder who this seed is.
-    pub(crate) fn offer_to_found(&mut self, now: Time) {
-        if !self.may_found() {
+    pub(crate) fn offer_bootstrap(&mut self, now: Time) {
+        if !self.can_bootstrap() {
             return;
         }
-        let voter = self.myself();
-        if self.is_founder() {
-            self.found_by(voter);
-            self.found(now);
+        let voter = self.local_voter();
+        if self.is_bootstrap_coordinator() {
+            self.handle_bootstrap_offer(voter);
+            self.bootstrap(now);
         } else if let Some(founder) = self.settings.seeds.iter().min().copied() {
             self.send(founder, ReplicationBody::Bootstrap { voter });
         }
     }
 
     /// A seed says who it is.
-    pub(crate) fn found_by(&mut self, voter: Voter) {
+    pub(crate) fn handle_bootstrap_offer(&mut self, voter: Voter) {
         let expected = self.settings.seeds.contains(&voter.address);
-        if self.may_found() && self.is_founder() && expected {
-            self.founders.insert(voter.address, voter);
+        if self.can_bootstrap() && self.is_bootstrap_coordinator() && expected {
+            self.bootstrap_offers.insert(voter.address, voter);
         }
     }
 
     /// Proposes the first epoch once all seeds are known.
-    pub(crate) fn found(&mut self, now: Time) {
-        if !self.may_found() || self.ballot.promised != EpochNumber::default() {
+    pub(crate) fn bootstrap(&mut self, now: Time) {
+        if !self.can_bootstrap() || self.acceptor.promised != EpochNumber::default() {
             return;
         }
         let mut seeds = self.settings.seeds.iter();
-        if !seeds.all(|seed| self.founders.contains_key(seed)) {
+        if !seeds.all(|seed| self.bootstrap_offers.contains_key(seed)) {
             return;
         }
-        let voters: Vec<Voter> = self.founders.values().cloned().collect();
+        let voters: Vec<Voter> = self.bootstrap_offers.values().cloned().collect();
         let epoch = Epoch {
-            number: number_above(EpochNumber::default(), self.me()),
-            primary: self.me(),
+            number: next_epoch_number(EpochNumber::default(), self.local_disk()),
+            primary: self.local_disk(),
             in_sync: voters.iter().map(|voter| voter.disk).collect(),
             voters,
             previous_voters: Vec::new(),
         };
-        self.adopt(epoch.clone());
-        self.disk.defer(Deferred::OwnAccept(epoch.number));
-        self.stage = Stage::Candidate(Box::new(Candidacy::founding(now, epoch)));
+        self.accept_epoch(epoch.clone());
+        self.persistence.defer(DeferredAction::CountOwnAccept(epoch.number));
+        self.stage = Stage::Candidate(Box::new(Election::for_bootstrap(now, epoch)));
     }
 }
--- a/crates/replication/src/catch_up.rs
+++ b/crates/replication/src/catch_up.rs
@@ -16,123 +16,140 @@
 use crate::state::ReplicatedState;
 
 /// The most changes that are kept for replicas that lag.
-const MAX_CHANGES: usize = 256;
+const MAX_RETAINED_CHANGES: usize = 256;
 
 /// Changes and snapshots on their way to one replica may be so many times as large as the state...
-const STATES_ON_THE_WAY: usize = 2;
+const MAX_STATES_IN_FLIGHT: usize = 2;
 /// ... and this many bytes larger.
-const BYTES_ON_THE_WAY: usize = 64 << 10;
+const MAX_BYTES_IN_FLIGHT: usize = 64 << 10;
 
 /// A change that this primary made.
 #[derive(Clone, Debug)]
-pub(crate) struct Made {
+pub(crate) struct RetainedChange {
     pub(crate) base: Version,
     pub(crate) version: Version,
     /// The change, encoded.
     pub(crate) change: Vec<u8>,
 }
 
-impl Made {
-    fn numbered(&self) -> NumberedChange {
+impl RetainedChange {
+    fn to_numbered_change(&self) -> NumberedChange {
         NumberedChange { version: self.version, change: self.change.clone() }
     }
 }
 
 /// The newest changes in a row, together no larger than the state: past that, a snapshot is less.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Changes {
-    made: VecDeque<Made>,
-    bytes: usize,
+pub(crate) struct RecentChanges {
+    entries: VecDeque<RetainedChange>,
+    total_bytes: usize,
 }
 
-impl Changes {
+impl RecentChanges {
     /// Adds a change; the oldest give way, but the newest always stays.
-    pub(crate) fn push(&mut self, made: Made, state_bytes: usize) {
-        self.bytes += made.change.len();
-        self.made.push_back(made);
-        while self.made.len() > 1 && (self.made.len() > MAX_CHANGES || self.bytes > state_bytes) {
-            if let Some(oldest) = self.made.pop_front() {
-                self.bytes -= oldest.change.len();
+    pub(crate) fn push(&mut self, entry: RetainedChange, state_bytes: usize) {
+        self.total_bytes += entry.change.len();
+        self.entries.push_back(entry);
+        while self.entries.len() > 1
+            && (self.entries.len() > MAX_RETAINED_CHANGES || self.total_bytes > state_bytes)
+        {
+            if let Some(oldest) = self.entries.pop_front() {
+                self.total_bytes -= oldest.change.len();
             }
         }
     }
 
     /// The changes that lead from `base` to the newest version; `None` if they are not all there.
-    fn since(&self, base: Version) -> Option<impl Iterator<Item = &Made>> {
-        let first = self.made.iter().position(|made| made.base == base)?;
-        Some(self.made.iter().skip(first))
+    fn since(&self, base: Version) -> Option<impl Iterator<Item = &RetainedChange>> {
+        let first = self.entries.iter().position(|entry| entry.base == base)?;
+        Some(self.entries.iter().skip(first))
     }
 }
 
 /// What is on its way to a replica.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Shipment {
+pub(crate) struct StateTransfer {
     /// What the replica held when it last made progress.
-    held: Version,
+    acknowledged: Version,
     /// What it will hold.
-    version: Version,
+    target: Version,
     /// Bytes that it has not confirmed.
-    bytes: usize,
+    bytes_in_flight: usize,
     /// When it counts as lost.
-    until: Time,
+    lost_at: Time,
 }
 
 /// What is known when it is decided what to send.
-struct Sender<'a> {
+struct TransferPlanner<'a> {
     now: Time,
     epoch: EpochNumber,
     latest: Version,
     state: &'a [u8],
-    changes: &'a Changes,
-    resend: Span,
-    bytes_per_ms: f64,
+    changes: &'a RecentChanges,
+    resend_interval: Span,
+    link_bytes_per_ms: f64,
 }
 
-impl Sender<'_> {
+impl TransferPlanner<'_> {
     /// What a replica that holds `held` is to be sent now.
-    fn send_to(&self, peer: &mut Peer, held: Version) -> Option<ReplicationBody> {
-        peer.sent = peer.sent.and_then(|sent| self.on_the_way(sent, held));
-        let base = peer.sent.map_or(held, |sent| sent.version);
+    fn next_transfer(&self, peer: &mut Peer, acknowledged: Version) -> Option<ReplicationBody> {
+        peer.transfer = peer.transfer.and_then(|transfer| self.remaining_transfer(transfer, acknowledged));
+        let base = peer.transfer.map_or(acknowledged, |transfer| transfer.target);
         if base == self.latest {
             return None;
         }
         let body = match self.changes.since(base) {
-            Some(changes) => self.write(base, changes),
-            None if peer.sent.is_none() => self.snapshot(),
+            Some(changes) => self.changes_message(base, changes),
+            None if peer.transfer.is_none() => self.snapshot_message(),
             // A newer snapshot goes out when the one on its way has come.
             None => return None,
         };
         let bytes = payload_bytes(&body);
-        let on_the_way = bytes + peer.sent.map_or(0, |sent| sent.bytes);
-        if peer.sent.is_some() && on_the_way > STATES_ON_THE_WAY * self.state.len() + BYTES_ON_THE_WAY {
+        let bytes_in_flight = bytes + peer.transfer.map_or(0, |transfer| transfer.bytes_in_flight);
+        if peer.transfer.is_some()
+            && bytes_in_flight > MAX_STATES_IN_FLIGHT * self.state.len() + MAX_BYTES_IN_FLIGHT
+        {
             return None;
         }
-        let until = peer.sent.map_or(self.now + self.resend, |sent| sent.until) + self.time_for(bytes);
-        peer.sent = Some(Shipment { held, version: self.latest, bytes: on_the_way, until });
+        let lost_at = peer.transfer.map_or(self.now + self.resend_interval, |transfer| transfer.lost_at)
+            + self.transfer_time(bytes);
+        peer.transfer = Some(StateTransfer {
+            acknowledged: acknowledged,
+            target: self.latest,
+            bytes_in_flight: bytes_in_flight,
+            lost_at: lost_at,
+        });
         Some(body)
     }
 
     /// What is left of a shipment; `None` if all has come, or the rest counts as lost.
-    fn on_the_way(&self, mut sent: Shipment, held: Version) -> Option<Shipment> {
-        if held != sent.held {
-            sent.held = held;
-            let left = self.changes.since(held);
-            let left = left.map(|changes| changes.take_while(|made| made.base != sent.version));
-            sent.bytes = left.map_or(sent.bytes, |left| left.map(|made| made.change.len()).sum());
-            sent.until = self.now + self.resend + self.time_for(sent.bytes);
+    fn remaining_transfer(
+        &self, mut transfer: StateTransfer, acknowledged: Version,
+    ) -> Option<StateTransfer> {
+        if acknowledged != transfer.acknowledged {
+            transfer.acknowledged = acknowledged;
+            let remaining = self.changes.since(acknowledged);
+            let remaining =
+                remaining.map(|changes| changes.take_while(|entry| entry.base != transfer.target));
+            transfer.bytes_in_flight = remaining.map_or(transfer.bytes_in_flight, |remaining| {
+                remaining.map(|entry| entry.change.len()).sum()
+            });
+            transfer.lost_at = self.now + self.resend_interval + self.transfer_time(transfer.bytes_in_flight);
         }
-        Some(sent).filter(|sent| sent.version != held && self.now < sent.until)
+        Some(transfer).filter(|transfer| transfer.target != acknowledged && self.now < transfer.lost_at)
     }
 
     /// How long the slowest link takes.
-    fn time_for(&self, bytes: usize) -> Span {
-        Span::from_millis((bytes as f64 / self.bytes_per_ms) as u64)
+    fn transfer_time(&self, bytes: usize) -> Span {
+        Span::from_millis((bytes as f64 / self.link_bytes_per_ms) as u64)
     }
 
     /// The one change that is lacking, or all of them in one message, lest they come in another order.
-    fn write<'m>(&self, base: Version, changes: impl Iterator<Item = &'m Made>) -> ReplicationBody {
+    fn changes_message<'m>(
+        &self, base: Version, changes: impl Iterator<Item = &'m RetainedChange>,
+    ) -> ReplicationBody {
         let epoch = self.epoch;
-        let mut changes: Vec<NumberedChange> = changes.map(Made::numbered).collect();
+        let mut changes: Vec<NumberedChange> = changes.map(RetainedChange::to_numbered_change).collect();
         match changes.len() {
             1 => {
                 let NumberedChange { version, change } = changes.remove(0);
@@ -142,7 +159,7 @@
         }
     }
 
-    fn snapshot(&self) -> ReplicationBody {
+    fn snapshot_message(&self) -> ReplicationBody {
         ReplicationBody::Snapshot { epoch: self.epoch, version: self.latest, state: self.state.to_vec() }
     }
 }
@@ -150,7 +167,7 @@
 fn payload_bytes(body: &ReplicationBody) -> usize {
     match body {
         ReplicationBody::Write { change, .. } => change.len(),
-        ReplicationBody::Changes { changes, .. } => changes.iter().map(|made| made.change.len()).sum(),
+        ReplicationBody::Changes { changes, .. } => changes.iter().map(|entry| entry.change.len()).sum(),
         ReplicationBody::Snapshot { state, .. } => state.len(),
         _ => 0,
     }
@@ -161,34 +178,34 @@
     pub(crate) fn catch_up(&mut self, now: Time) {
         let timings = self.settings.timings;
         let latest = self.latest.version;
-        let Some(office) = &mut self.office else { return };
-        let sender = Sender {
+        let Some(leadership) = &mut self.leadership else { return };
+        let planner = TransferPlanner {
             now,
-            epoch: self.ballot.accepted.number,
+            epoch: self.acceptor.accepted.number,
             latest,
             state: &self.latest.encoded,
-            changes: &office.changes,
-            resend: timings.ack_timeout.mul_f64(0.5),
-            bytes_per_ms: timings.min_link_bytes_per_ms,
+            changes: &leadership.recent_changes,
+            resend_interval: timings.ack_timeout.mul_f64(0.5),
+            link_bytes_per_ms: timings.min_link_bytes_per_ms,
         };
-        let mut sends = Vec::new();
-        for peer in office.peers.values_mut() {
-            let Some(held) = peer.held else { continue };
-            if held == latest {
+        let mut messages = Vec::new();
+        for peer in leadership.peers.values_mut() {
+            let Some(acknowledged) = peer.durable_version else { continue };
+            if acknowledged == latest {
                 peer.behind_since = None;
-                peer.lags_since = None;
+                peer.out_of_sync_since = None;
                 continue;
             }
             peer.behind_since.get_or_insert(now);
-            if !self.ballot.accepted.in_sync.contains(&peer.voter.disk) {
-                peer.lags_since.get_or_insert(now);
+            if !self.acceptor.accepted.in_sync.contains(&peer.voter.disk) {
+                peer.out_of_sync_since.get_or_insert(now);
             }
-            let is_gone = now.since(peer.last_answer) > timings.ack_timeout;
-            if !is_gone {
-                let body = sender.send_to(peer, held);
-                sends.extend(body.map(|body| (peer.voter.address, body)));
+            let is_unresponsive = now.since(peer.last_reply_at) > timings.ack_timeout;
+            if !is_unresponsive {
+                let body = planner.next_transfer(peer, acknowledged);
+                messages.extend(body.map(|body| (peer.voter.address, body)));
             }
         }
-        sends.into_iter().for_each(|(to, body)| self.send(to, body));
+        messages.into_iter().for_each(|(to, body)| self.send(to, body));
     }
 }
--- a/crates/replication/src/membership.rs
+++ b/crates/replication/src/membership.rs
@@ -4,21 +4,21 @@
 use juniperwing_protocol::DiskId;
 use juniperwing_protocol::replication::{Epoch, Version, Voter};
 
-use crate::acceptor::proposer_bits;
-use crate::leadership::{Office, Peer};
+use crate::acceptor::proposer_id;
+use crate::leadership::{Leadership, Peer};
 use crate::replica::Replica;
 use crate::settings::{MAX_VOTERS, Settings};
 use crate::state::ReplicatedState;
 
 /// The voters and in-sync replicas that the primary wants.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Plan {
+pub(crate) struct EpochPlan {
     pub(crate) voters: Vec<Voter>,
     pub(crate) in_sync: Vec<DiskId>,
 }
 
 /// Adds replicas of `from` that are voters until there are `required` of them, if so many can be had.
-pub(crate) fn fill_up(in_sync: &mut Vec<DiskId>, from: &[DiskId], voters: &[Voter], required: usize) {
+pub(crate) fn fill_in_sync(in_sync: &mut Vec<DiskId>, from: &[DiskId], voters: &[Voter], required: usize) {
     for disk in from {
         let is_voter = voters.iter().any(|voter| voter.disk == *disk);
         if in_sync.len() < required && is_voter && !in_sync.contains(disk) {
@@ -28,7 +28,7 @@
 }
 
 /// What a plan is made from.
-struct Planner<'a> {
+struct EpochPlanner<'a> {
     now: Time,
     settings: &'a Settings,
     epoch: &'a Epoch,
@@ -39,59 +39,60 @@
     committed: Option<Version>,
 }
 
-impl Planner<'_> {
+impl EpochPlanner<'_> {
     fn peer(&self, disk: DiskId) -> Option<&Peer> {
         self.peers.iter().find(|peer| peer.voter.disk == disk).copied()
     }
 
     /// Whether a keeper holds all that was acknowledged.
     fn is_up_to_date(&self, peer: &Peer) -> bool {
-        let answers = self.now.since(peer.last_answer) < self.settings.timings.ack_timeout;
-        let holds = peer.held == Some(self.latest) || (peer.held.is_some() && peer.held == self.committed);
-        answers && holds
+        let is_responsive = self.now.since(peer.last_reply_at) < self.settings.timings.ack_timeout;
+        let is_current = peer.durable_version == Some(self.latest)
+            || (peer.durable_version.is_some() && peer.durable_version == self.committed);
+        is_responsive && is_current
     }
 
     /// Whether an in-sync replica holds writes up.
     fn is_slow(&self, disk: DiskId) -> bool {
         let limit = self.settings.timings.ack_timeout;
         let Some(peer) = self.peer(disk) else { return false };
-        let silent = self.now.since(peer.last_answer) > limit;
-        let leaves = self.now < peer.leaves_until;
-        leaves || silent || peer.behind_since.is_some_and(|since| self.now.since(since) > limit)
+        let is_silent = self.now.since(peer.last_reply_at) > limit;
+        let is_leaving = self.now < peer.leave_requested_until;
+        is_leaving || is_silent || peer.behind_since.is_some_and(|since| self.now.since(since) > limit)
     }
 
     /// Whether a voter is gone, or about to go.
     fn is_leaving_or_silent(&self, disk: DiskId) -> bool {
-        let silence = self.settings.timings.voter_timeout;
+        let voter_timeout = self.settings.timings.voter_timeout;
         let Some(peer) = self.peer(disk) else { return false };
-        self.now < peer.leaves_until || self.now.since(peer.last_answer) >= silence
+        self.now < peer.leave_requested_until || self.now.since(peer.last_reply_at) >= voter_timeout
     }
 
     /// Whether `voter` asks to be let in, and may be.
     fn is_admissible(&self, peer: &Peer, voters: &[Voter]) -> bool {
-        let asks = self.now < peer.asks_until && !voters.contains(&peer.voter);
-        let bits = proposer_bits(peer.voter.disk);
+        let is_requesting = self.now < peer.join_requested_until && !voters.contains(&peer.voter);
+        let proposer = proposer_id(peer.voter.disk);
         let mut others = voters.iter().filter(|voter| voter.disk != peer.voter.disk);
-        asks && self.is_up_to_date(peer) && others.all(|voter| proposer_bits(voter.disk) != bits)
+        is_requesting && self.is_up_to_date(peer) && others.all(|voter| proposer_id(voter.disk) != proposer)
     }
 
     /// The voter whose place `newcomer` takes: its former self, or one that leaves or is silent.
-    fn replaced_by(&self, newcomer: &Voter, voters: &[Voter]) -> Option<usize> {
+    fn find_replaced_voter(&self, newcomer: &Voter, voters: &[Voter]) -> Option<usize> {
         let me = self.epoch.primary;
         let others = || voters.iter().enumerate().filter(move |(_, voter)| voter.disk != me);
         let same_disk = others().find(|(_, voter)| voter.disk == newcomer.disk);
         let same_machine =
             || others().find(|(_, voter)| voter.node == newcomer.node || voter.address == newcomer.address);
-        let going = || others().find(|(_, voter)| self.is_leaving_or_silent(voter.disk));
-        same_disk.or_else(same_machine).or_else(going).map(|(index, _)| index)
+        let leaving = || others().find(|(_, voter)| self.is_leaving_or_silent(voter.disk));
+        same_disk.or_else(same_machine).or_else(leaving).map(|(index, _)| index)
     }
 
-    fn admit(&self, voters: &mut Vec<Voter>) {
+    fn admit_voters(&self, voters: &mut Vec<Voter>) {
         for peer in &self.peers {
             if !self.is_admissible(peer, voters) {
                 continue;
             }
-            match self.replaced_by(&peer.voter, voters) {
+            match self.find_replaced_voter(&peer.voter, voters) {
                 Some(index) => voters[index] = peer.voter.clone(),
                 None if voters.len() < MAX_VOTERS => voters.push(peer.voter.clone()),
                 None => {}
@@ -101,10 +102,10 @@
 
     /// Voters that leave or are silent go, down to the least that are kept. An odd number stays: an even one bears
     /// no more losses than one fewer.
-    fn drop_surplus(&self, voters: &mut Vec<Voter>) {
-        let least = self.settings.least_voters();
-        let going = voters.iter().filter(|voter| self.is_leaving_or_silent(voter.disk)).count();
-        let mut surplus = going.min(voters.len().saturating_sub(least));
+    fn drop_surplus_voters(&self, voters: &mut Vec<Voter>) {
+        let min_voters = self.settings.min_voters();
+        let leaving = voters.iter().filter(|voter| self.is_leaving_or_silent(voter.disk)).count();
+        let mut surplus = leaving.min(voters.len().saturating_sub(min_voters));
         if (voters.len() - surplus).is_multiple_of(2) {
             surplus = surplus.saturating_sub(1);
         }
@@ -119,43 +120,43 @@
         let required = self.settings.min_in_sync_replicas;
         let is_voter = |disk: &DiskId| voters.iter().any(|voter| voter.disk == *disk);
         let mut in_sync = vec![me];
-        let staying = self.epoch.in_sync.iter().filter(|disk| **disk != me && is_voter(disk));
-        in_sync.extend(staying.filter(|disk| !self.is_slow(**disk)));
+        let retained = self.epoch.in_sync.iter().filter(|disk| **disk != me && is_voter(disk));
+        in_sync.extend(retained.filter(|disk| !self.is_slow(**disk)));
         for voter in voters {
             let up_to_date = self.peer(voter.disk).is_some_and(|peer| self.is_up_to_date(peer));
             if up_to_date && !in_sync.contains(&voter.disk) && !self.is_slow(voter.disk) {
                 in_sync.push(voter.disk);
             }
         }
-        let answers = |disk: &&DiskId| self.peer(**disk).is_some_and(|peer| self.is_up_to_date(peer));
-        let present: Vec<DiskId> = self.epoch.in_sync.iter().filter(answers).copied().collect();
-        fill_up(&mut in_sync, &present, voters, required);
-        fill_up(&mut in_sync, &self.epoch.in_sync, voters, required);
+        let is_responsive = |disk: &&DiskId| self.peer(**disk).is_some_and(|peer| self.is_up_to_date(peer));
+        let present: Vec<DiskId> = self.epoch.in_sync.iter().filter(is_responsive).copied().collect();
+        fill_in_sync(&mut in_sync, &present, voters, required);
+        fill_in_sync(&mut in_sync, &self.epoch.in_sync, voters, required);
         in_sync
     }
 
-    fn plan(&self) -> Plan {
+    fn plan(&self) -> EpochPlan {
         let mut voters = self.epoch.voters.clone();
-        self.admit(&mut voters);
-        self.drop_surplus(&mut voters);
+        self.admit_voters(&mut voters);
+        self.drop_surplus_voters(&mut voters);
         let in_sync = self.in_sync(&voters);
-        let least = self.settings.min_in_sync_replicas.min(self.epoch.in_sync.len());
-        if in_sync.len() < least {
-            return Plan { voters: self.epoch.voters.clone(), in_sync: self.epoch.in_sync.clone() };
+        let min_voters = self.settings.min_in_sync_replicas.min(self.epoch.in_sync.len());
+        if in_sync.len() < min_voters {
+            return EpochPlan { voters: self.epoch.voters.clone(), in_sync: self.epoch.in_sync.clone() };
         }
-        Plan { voters, in_sync }
+        EpochPlan { voters, in_sync }
     }
 }
 
 impl<S: ReplicatedState> Replica<S> {
     /// What the primary would have the next epoch be.
-    pub(crate) fn plan(&self, now: Time, office: &Office<S::Change>) -> Plan {
-        let committed = self.committed.as_ref().filter(|_| office.synced);
-        let planner = Planner {
+    pub(crate) fn plan(&self, now: Time, leadership: &Leadership<S::Change>) -> EpochPlan {
+        let committed = self.committed.as_ref().filter(|_| leadership.is_synchronized);
+        let planner = EpochPlanner {
             now,
             settings: &self.settings,
-            epoch: &self.ballot.accepted,
-            peers: office.peers.values().collect(),
+            epoch: &self.acceptor.accepted,
+            peers: leadership.peers.values().collect(),
             latest: self.latest.version,
             committed: committed.map(|committed| committed.version),
         };
@@ -163,13 +164,13 @@
     }
 
     /// Whether `plan` differs from the present epoch.
-    pub(crate) fn is_change(&self, plan: &Plan) -> bool {
-        let epoch = &self.ballot.accepted;
+    pub(crate) fn differs_from_epoch(&self, plan: &EpochPlan) -> bool {
+        let epoch = &self.acceptor.accepted;
         let same_voters = plan.voters == epoch.voters;
-        let mut wanted = plan.in_sync.clone();
+        let mut planned = plan.in_sync.clone();
         let mut present = epoch.in_sync.clone();
-        wanted.sort_unstable();
+        planned.sort_unstable();
         present.sort_unstable();
-        !same_voters || wanted != present
+        !same_voters || planned != present
     }
 }
--- a/crates/replication/src/persistence.rs
+++ b/crates/replication/src/persistence.rs
@@ -10,137 +10,143 @@
 use crate::interface::PersistToken;
 
 /// The most answers that wait for the disk; their senders ask again for those beyond.
-const MAX_DEFERRED: usize = 256;
+const MAX_DEFERRED_ACTIONS: usize = 256;
 
 /// Before a failed write is tried again.
-const RETRY: Span = Span::from_millis(200);
+const WRITE_RETRY_INTERVAL: Span = Span::from_millis(200);
 
 /// A write that takes so long counts as failed: whatever needs this keeper's disk is better done by another one.
-const STALLED_AFTER: Span = Span::from_millis(1_500);
+const WRITE_STALL_TIMEOUT: Span = Span::from_millis(1_500);
 
 /// What is to be done once the disk holds what it rests on.
 #[derive(Clone, Debug)]
-pub(crate) enum Deferred {
+pub(crate) enum DeferredAction {
     /// Send an answer.
     Send(SocketAddr, ReplicationBody),
     /// Count this keeper's own promise.
-    OwnPromise(EpochNumber),
+    CountOwnPromise(EpochNumber),
     /// Count this keeper's own acceptance.
-    OwnAccept(EpochNumber),
+    CountOwnAccept(EpochNumber),
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Writing {
+struct PendingWrite {
     generation: u64,
     version: Version,
-    began: Time,
+    started_at: Time,
 }
 
 /// One record is written at a time; all changes made meanwhile go into the next.
 #[derive(Clone, Debug)]
-pub(crate) struct Disk {
-    wanted: u64,
-    durable: u64,
+pub(crate) struct Persistence {
+    latest_generation: u64,
+    durable_generation: u64,
     durable_version: Version,
-    writing: Option<Writing>,
+    pending_write: Option<PendingWrite>,
     retry_at: Option<Time>,
     /// Whether the write under way has taken for too long.
-    stalled: bool,
-    deferred: VecDeque<(u64, Deferred)>,
+    is_stalled: bool,
+    deferred: VecDeque<(u64, DeferredAction)>,
 }
 
-impl Disk {
+impl Persistence {
     /// A disk that holds `version`.
     pub(crate) fn new(version: Version) -> Self {
-        Disk {
-            wanted: 0,
-            durable: 0,
+        Persistence {
+            latest_generation: 0,
+            durable_generation: 0,
             durable_version: version,
-            writing: None,
+            pending_write: None,
             retry_at: None,
-            stalled: false,
+            is_stalled: false,
             deferred: VecDeque::new(),
         }
     }
 
     /// Something that belongs on disk has changed.
-    pub(crate) fn mark(&mut self) {
-        self.wanted += 1;
+    pub(crate) fn mark_dirty(&mut self) {
+        self.latest_generation += 1;
     }
 
     /// The version of the state that is on disk for sure.
-    pub(crate) fn version(&self) -> Version {
+    pub(crate) fn durable_version(&self) -> Version {
         self.durable_version
     }
 
     /// Whether the disk holds all that belongs there.
-    pub(crate) fn is_clean(&self) -> bool {
-        self.durable == self.wanted
+    pub(crate) fn is_up_to_date(&self) -> bool {
+        self.durable_generation == self.latest_generation
     }
 
     /// Whether the last write failed, or the one under way has taken for too long.
     pub(crate) fn is_failing(&self) -> bool {
-        self.retry_at.is_some() || self.stalled
+        self.retry_at.is_some() || self.is_stalled
     }
 
     /// When the write under way will have taken for too long.
-    pub(crate) fn stalls_at(&self) -> Time {
-        let writing = self.writing.filter(|_| !self.stalled);
-        writing.map_or(Time::NEVER, |writing| writing.began + STALLED_AFTER)
+    pub(crate) fn stall_deadline(&self) -> Time {
+        let write = self.pending_write.filter(|_| !self.is_stalled);
+        write.map_or(Time::NEVER, |write| write.started_at + WRITE_STALL_TIMEOUT)
     }
 
     /// Takes in how late it is. `true` if the write under way has just become one that takes too long.
-    pub(crate) fn watch(&mut self, now: Time) -> bool {
-        let stalls = now >= self.stalls_at();
-        self.stalled |= stalls;
-        stalls
+    pub(crate) fn detect_stall(&mut self, now: Time) -> bool {
+        let has_stalled = now >= self.stall_deadline();
+        self.is_stalled |= has_stalled;
+        has_stalled
     }
 
     /// When a failed write is tried again, unless it is being tried now.
     pub(crate) fn retry_at(&self) -> Time {
-        self.retry_at.filter(|_| self.writing.is_none()).unwrap_or(Time::NEVER)
+        self.retry_at.filter(|_| self.pending_write.is_none()).unwrap_or(Time::NEVER)
     }
 
     /// Holds `deferred` back until all changes up to now are on disk.
-    pub(crate) fn defer(&mut self, deferred: Deferred) {
-        if self.deferred.len() < MAX_DEFERRED {
-            self.deferred.push_back((self.wanted, deferred));
+    pub(crate) fn defer(&mut self, deferred: DeferredAction) {
+        if self.deferred.len() < MAX_DEFERRED_ACTIONS {
+            self.deferred.push_back((self.latest_generation, deferred));
         }
     }
 
     /// What rests on nothing that is missing on disk.
-    pub(crate) fn release(&mut self) -> Option<Deferred> {
+    pub(crate) fn next_released(&mut self) -> Option<DeferredAction> {
         let (generation, _) = self.deferred.front()?;
-        if *generation > self.durable {
+        if *generation > self.durable_generation {
             return None;
         }
         self.deferred.pop_front().map(|(_, deferred)| deferred)
     }
 
     /// Begins to write if there is something to write and nothing is being written.
-    pub(crate) fn begin(&mut self, now: Time, version: Version) -> Option<PersistToken> {
-        let waits = self.retry_at.is_some_and(|at| now < at);
-        if waits || self.writing.is_some() || self.wanted == self.durable {
+    pub(crate) fn start_write(&mut self, now: Time, version: Version) -> Option<PersistToken> {
+        let is_waiting_for_retry = self.retry_at.is_some_and(|at| now < at);
+        if is_waiting_for_retry
+            || self.pending_write.is_some()
+            || self.latest_generation == self.durable_generation
+        {
             return None;
         }
-        self.writing = Some(Writing { generation: self.wanted, version, began: now });
-        Some(PersistToken(self.wanted))
+        self.pending_write =
+            Some(PendingWrite { generation: self.latest_generation, version, started_at: now });
+        Some(PersistToken(self.latest_generation))
     }
 
     /// The record of `token` is on disk.
-    pub(crate) fn complete(&mut self, token: PersistToken) {
-        let Some(writing) = self.writing.take_if(|writing| writing.generation == token.0) else { return };
-        self.durable = writing.generation;
-        self.durable_version = writing.version;
+    pub(crate) fn complete_write(&mut self, token: PersistToken) {
+        let Some(write) = self.pending_write.take_if(|write| write.generation == token.0) else {
+            return;
+        };
+        self.durable_generation = write.generation;
+        self.durable_version = write.version;
         self.retry_at = None;
-        self.stalled = false;
+        self.is_stalled = false;
     }
 
     /// The record of `token` could not be written.
-    pub(crate) fn fail(&mut self, now: Time, token: PersistToken) {
-        if self.writing.take_if(|writing| writing.generation == token.0).is_some() {
-            self.retry_at = Some(now + RETRY);
-            self.stalled = false;
+    pub(crate) fn fail_write(&mut self, now: Time, token: PersistToken) {
+        if self.pending_write.take_if(|write| write.generation == token.0).is_some() {
+            self.retry_at = Some(now + WRITE_RETRY_INTERVAL);
+            self.is_stalled = false;
         }
     }
 }
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -8,18 +8,18 @@
 use juniperwing_protocol::replication::{Epoch, ReplicationBody, ReplicationMessage, Version, Voter};
 use juniperwing_protocol::{DiskId, EpochNumber};
 
-use crate::acceptor::{AcceptorState, number_above, voter_of};
-use crate::election::{Candidacy, Canvass};
+use crate::acceptor::{AcceptorState, find_voter, next_epoch_number};
+use crate::election::{Election, PreVote};
 use crate::error::MalformedState;
 use crate::interface::{Command, Event, PersistToken, Record, Role};
 use crate::jitter::Jitter;
-use crate::leadership::Office;
-use crate::persistence::{Deferred, Disk};
+use crate::leadership::Leadership;
+use crate::persistence::{DeferredAction, Persistence};
 use crate::settings::{Settings, Timings};
 use crate::state::{ReplicatedState, Versioned};
 
 /// After a start, the primary of the last epoch seeks office again this soon.
-const RETURN: Span = Span::from_millis(100);
+const FORMER_PRIMARY_ELECTION_TIMEOUT: Span = Span::from_millis(100);
 
 /// What a replica is busy with.
 #[derive(Clone, Debug)]
@@ -27,9 +27,9 @@
     /// Follows a primary, or waits for one.
     Following,
     /// Asks whether it would be let through.
-    Canvassing(Canvass),
+    PreVote(PreVote),
     /// Seeks an epoch of its own.
-    Candidate(Box<Candidacy>),
+    Candidate(Box<Election>),
     /// Is primary of the accepted epoch.
     Primary,
 }
@@ -39,31 +39,31 @@
 pub struct Replica<S: ReplicatedState> {
     pub(crate) settings: Settings,
     pub(crate) jitter: Jitter,
-    pub(crate) ballot: AcceptorState,
+    pub(crate) acceptor: AcceptorState,
     /// The highest epoch heard of, at least the accepted one.
-    pub(crate) known: Epoch,
+    pub(crate) known_epoch: Epoch,
     /// The highest number heard of.
     pub(crate) highest_number: EpochNumber,
     pub(crate) latest: Versioned<S>,
     pub(crate) committed: Option<Versioned<S>>,
-    pub(crate) disk: Disk,
+    pub(crate) persistence: Persistence,
     pub(crate) stage: Stage,
-    pub(crate) office: Option<Office<S::Change>>,
+    pub(crate) leadership: Option<Leadership<S::Change>>,
     /// When a primary's heartbeat or a candidate's request came last.
-    pub(crate) heard: Option<Time>,
+    pub(crate) last_primary_contact_at: Option<Time>,
     pub(crate) election_at: Time,
     /// Attempts at an election since the last primary was heard.
-    pub(crate) attempts: u32,
-    pub(crate) ask_at: Time,
+    pub(crate) election_attempts: u32,
+    pub(crate) join_retry_at: Time,
     /// Where keepers may listen, beside the seeds.
     pub(crate) contacts: Vec<SocketAddr>,
     /// Set before the process ends: it seeks the office no more.
-    pub(crate) retires: bool,
+    pub(crate) is_shutting_down: bool,
     /// Keepers that are ready to found the tier, by address; used by the founder only.
-    pub(crate) founders: BTreeMap<SocketAddr, Voter>,
+    pub(crate) bootstrap_offers: BTreeMap<SocketAddr, Voter>,
     commands: Vec<Command>,
-    armed: Option<Time>,
-    told: Role,
+    timer_at: Option<Time>,
+    reported_role: Role,
 }
 
 impl<S: ReplicatedState> Replica<S> {
@@ -78,7 +78,7 @@
     pub fn new(
         now: Time, settings: Settings, restored: Option<Record>, initial: S, seed: u64,
     ) -> Result<Self, MalformedState> {
-        let (ballot, latest) = match restored {
+        let (acceptor, latest) = match restored {
             Some(record) => {
                 let bytes = record.state.as_ref().clone();
                 (record.acceptor, Versioned::decode(record.version, bytes)?)
@@ -86,53 +86,54 @@
             None => (AcceptorState::default(), Versioned::new(Version::default(), initial)),
         };
         let mut jitter = Jitter::new(seed);
-        let was_primary = ballot.accepted.primary == settings.local_voter.disk;
-        let patience = if was_primary { RETURN } else { settings.timings.election_timeout };
-        let election_at = now + patience + jitter.below(patience.mul_f64(0.5));
+        let was_primary = acceptor.accepted.primary == settings.local_voter.disk;
+        let election_timeout =
+            if was_primary { FORMER_PRIMARY_ELECTION_TIMEOUT } else { settings.timings.election_timeout };
+        let election_at = now + election_timeout + jitter.below(election_timeout.mul_f64(0.5));
         Ok(Replica {
             settings,
             jitter,
-            known: ballot.accepted.clone(),
-            highest_number: ballot.promised.max(ballot.accepted.number),
-            ballot,
-            disk: Disk::new(latest.version),
+            known_epoch: acceptor.accepted.clone(),
+            highest_number: acceptor.promised.max(acceptor.accepted.number),
+            acceptor: acceptor,
+            persistence: Persistence::new(latest.version),
             latest,
             committed: None,
             stage: Stage::Following,
-            office: None,
-            heard: None,
+            leadership: None,
+            last_primary_contact_at: None,
             election_at,
-            attempts: 0,
-            ask_at: now,
+            election_attempts: 0,
+            join_retry_at: now,
             contacts: Vec::new(),
-            retires: false,
-            founders: BTreeMap::new(),
+            is_shutting_down: false,
+            bootstrap_offers: BTreeMap::new(),
             commands: Vec::new(),
-            armed: None,
-            told: Role::Joining,
+            timer_at: None,
+            reported_role: Role::Joining,
         })
     }
 
     /// Takes an event in and says what to do.
     pub fn handle(&mut self, now: Time, event: Event<S>) -> Vec<Command> {
         match event {
-            Event::Message(message) => self.take_message(now, message),
-            Event::Persisted(token) => self.persisted(token),
-            Event::PersistFailed(token) => self.persist_failed(now, token),
+            Event::Message(message) => self.handle_message(now, message),
+            Event::Persisted(token) => self.handle_persisted(token),
+            Event::PersistFailed(token) => self.handle_persist_failed(now, token),
             Event::Tick => {}
-            Event::Propose { token, base, change } => self.propose(now, token, base, change),
-            Event::Read { token } => self.read(now, token),
-            Event::PrepareShutdown => self.retire(now),
+            Event::Propose { token, base, change } => self.handle_propose(now, token, base, change),
+            Event::Read { token } => self.handle_read(now, token),
+            Event::PrepareShutdown => self.prepare_shutdown(now),
             Event::ContactsChanged(contacts) => self.set_contacts(now, contacts),
         }
-        self.release();
-        if self.disk.watch(now) {
-            self.step_aside(now);
+        self.run_released_actions();
+        if self.persistence.detect_stall(now) {
+            self.become_follower(now);
         }
         self.advance(now);
-        self.persist(now);
-        self.tell_role();
-        self.arm(now);
+        self.start_persist(now);
+        self.report_role();
+        self.arm_timer(now);
         mem::take(&mut self.commands)
     }
 
@@ -146,25 +147,25 @@
     /// it, and bears no more losses with its vote than without. [`Event::StepDown`] brings that about, where
     /// enough other keepers are there.
     pub fn can_shut_down(&self) -> bool {
-        let epoch = &self.known;
-        if self.office.is_some() {
+        let epoch = &self.known_epoch;
+        if self.leadership.is_some() {
             return epoch.voters.len() < 2;
         }
-        let is_settled = epoch.previous_voters.is_empty();
-        if voter_of(epoch, self.me()).is_none() {
-            return is_settled;
+        let is_committed = epoch.previous_voters.is_empty();
+        if find_voter(epoch, self.local_disk()).is_none() {
+            return is_committed;
         }
-        let has_copies = epoch.in_sync.len() >= self.settings.min_in_sync_replicas;
-        let is_spared = has_copies && !epoch.in_sync.contains(&self.me());
-        is_settled && is_spared && !self.settings.may_drop_one_of(epoch.voters.len())
+        let has_enough_replicas = epoch.in_sync.len() >= self.settings.min_in_sync_replicas;
+        let is_dispensable = has_enough_replicas && !epoch.in_sync.contains(&self.local_disk());
+        is_committed && is_dispensable && !self.settings.can_drop_one_of(epoch.voters.len())
     }
 
     /// What this keeper is at present.
     pub fn role(&self) -> Role {
-        match (&self.office, &self.stage) {
-            (Some(office), _) if office.serves => Role::Primary,
+        match (&self.leadership, &self.stage) {
+            (Some(leadership), _) if leadership.has_served => Role::Primary,
             (Some(_), _) => Role::Recovering,
-            (None, Stage::Canvassing(_) | Stage::Candidate(_)) => Role::Candidate,
+            (None, Stage::PreVote(_) | Stage::Candidate(_)) => Role::Candidate,
             (None, _) if self.is_voter() => Role::Backup,
             (None, _) => Role::Joining,
         }
@@ -172,7 +173,7 @@
 
     /// Where the primary listens, as far as is known; it may be out of office already.
     pub fn primary_address(&self) -> Option<SocketAddr> {
-        voter_of(&self.known, self.known.primary).map(|voter| voter.address)
+        find_voter(&self.known_epoch, self.known_epoch.primary).map(|voter| voter.address)
     }
 
     /// The newest state known to be committed, the only one that may be shown.
@@ -187,40 +188,42 @@
 
     /// The highest epoch known.
     pub fn epoch(&self) -> &Epoch {
-        &self.known
+        &self.known_epoch
     }
 
     /// The voters of the highest epoch known.
     pub fn voters(&self) -> &[Voter] {
-        &self.known.voters
+        &self.known_epoch.voters
     }
 
-    pub(crate) fn me(&self) -> DiskId {
+    pub(crate) fn local_disk(&self) -> DiskId {
         self.settings.local_voter.disk
     }
 
     /// Whether the highest epoch lists this keeper, as it is now, among the voters.
     pub(crate) fn is_voter(&self) -> bool {
-        voter_of(&self.known, self.me()) == Some(&self.settings.local_voter)
+        find_voter(&self.known_epoch, self.local_disk()) == Some(&self.settings.local_voter)
     }
 
     /// Whether this keeper holds all that was acknowledged, and so may become primary.
     pub(crate) fn is_eligible(&self) -> bool {
-        let listed = voter_of(&self.known, self.me()).is_some() && self.known.in_sync.contains(&self.me());
-        listed && !self.retires && !self.disk.is_failing()
+        let is_in_sync_voter = find_voter(&self.known_epoch, self.local_disk()).is_some()
+            && self.known_epoch.in_sync.contains(&self.local_disk());
+        is_in_sync_voter && !self.is_shutting_down && !self.persistence.is_failing()
     }
 
     pub(crate) fn next_number(&self) -> EpochNumber {
-        let seen = self.highest_number.max(self.ballot.promised).max(self.known.number);
-        number_above(seen, self.me())
+        let seen = self.highest_number.max(self.acceptor.promised).max(self.known_epoch.number);
+        next_epoch_number(seen, self.local_disk())
     }
 
     /// How long to wait for a primary: the in-sync replicas one after the other, lest they stand against each
     /// other.
-    pub(crate) fn election_span(&mut self) -> Span {
+    pub(crate) fn draw_election_timeout(&mut self) -> Span {
         let Timings { election_timeout, election_stagger, .. } = self.settings.timings;
-        let place = self.known.in_sync.iter().position(|disk| *disk == self.settings.local_voter.disk);
-        let rank = place.unwrap_or_default().saturating_sub(1);
+        let position =
+            self.known_epoch.in_sync.iter().position(|disk| *disk == self.settings.local_voter.disk);
+        let rank = position.unwrap_or_default().saturating_sub(1);
         election_timeout
             + election_stagger.mul_f64(rank as f64)
             + self.jitter.below(election_stagger.mul_f64(0.5))
@@ -232,13 +235,13 @@
 
     pub(crate) fn send(&mut self, to: SocketAddr, body: ReplicationBody) {
         let message =
-            ReplicationMessage { from: self.me(), address: self.settings.local_voter.address, body };
+            ReplicationMessage { from: self.local_disk(), address: self.settings.local_voter.address, body };
         self.commands.push(Command::Send { to, message });
     }
 
     /// Sends to each of `voters` but itself.
     pub(crate) fn send_all(&mut self, voters: &[Voter], body: &ReplicationBody) {
-        let me = self.me();
+        let me = self.local_disk();
         for voter in voters.iter().filter(|voter| voter.disk != me) {
             self.send(voter.address, body.clone());
         }
@@ -246,67 +249,67 @@
 
     /// Sends once all that was changed up to now is on disk.
     pub(crate) fn send_when_durable(&mut self, to: SocketAddr, body: ReplicationBody) {
-        self.disk.defer(Deferred::Send(to, body));
+        self.persistence.defer(DeferredAction::Send(to, body));
     }
 
-    fn take_message(&mut self, now: Time, message: ReplicationMessage) {
+    fn handle_message(&mut self, now: Time, message: ReplicationMessage) {
         let ReplicationMessage { from, address, body } = message;
-        if from == self.me() {
+        if from == self.local_disk() {
             return;
         }
         match body {
-            ReplicationBody::PreVote { number } => self.answer_canvass(now, address, number),
+            ReplicationBody::PreVote { number } => self.handle_pre_vote(now, address, number),
             ReplicationBody::PreVoteReply { number, granted, epoch } => {
-                self.canvass_answered(from, number, granted, epoch);
+                self.handle_pre_vote_reply(from, number, granted, epoch);
             }
-            ReplicationBody::TransferLeadership { epoch } => self.take_over(now, epoch),
-            ReplicationBody::Prepare { number } => self.prepare(now, address, number),
+            ReplicationBody::TransferLeadership { epoch } => self.handle_leadership_transfer(now, epoch),
+            ReplicationBody::Prepare { number } => self.handle_prepare(now, address, number),
             ReplicationBody::Promise { number, accepted, version } => {
-                self.promised(now, from, number, accepted, version);
+                self.handle_promise(now, from, number, accepted, version);
             }
-            ReplicationBody::Accept { epoch } => self.accept(now, address, epoch),
-            ReplicationBody::Accepted { number } => self.accepted(from, number),
-            ReplicationBody::Rejected { promised } => self.refused(now, promised),
+            ReplicationBody::Accept { epoch } => self.handle_accept(now, address, epoch),
+            ReplicationBody::Accepted { number } => self.handle_accepted(from, number),
+            ReplicationBody::Rejected { promised } => self.handle_rejection(now, promised),
             ReplicationBody::Write { epoch, base, version, change } => {
-                self.take_write(now, address, epoch, (base, version), &change);
+                self.handle_write(now, address, epoch, (base, version), &change);
             }
             ReplicationBody::Changes { epoch, base, changes } => {
-                self.take_changes(now, address, epoch, base, &changes);
+                self.handle_changes(now, address, epoch, base, &changes);
             }
             ReplicationBody::Snapshot { epoch, version, state } => {
-                self.take_snapshot(now, address, epoch, version, state);
+                self.handle_snapshot(now, address, epoch, version, state);
             }
-            ReplicationBody::WriteAck { epoch, version } => self.confirmed(now, from, epoch, version),
+            ReplicationBody::WriteAck { epoch, version } => self.handle_write_ack(now, from, epoch, version),
             ReplicationBody::Heartbeat { epoch, committed, round } => {
-                self.follow(now, address, epoch, committed, round);
+                self.handle_heartbeat(now, address, epoch, committed, round);
             }
             ReplicationBody::HeartbeatReply { epoch, round, version } => {
-                self.heartbeat_answered(now, from, epoch, round, version);
+                self.handle_heartbeat_reply(now, from, epoch, round, version);
             }
-            ReplicationBody::Join { voter } => self.asked_in(now, from, voter),
-            ReplicationBody::Bootstrap { voter } => self.found_by(voter),
-            ReplicationBody::Leave => self.asked_out(now, from),
+            ReplicationBody::Join { voter } => self.handle_join_request(now, from, voter),
+            ReplicationBody::Bootstrap { voter } => self.handle_bootstrap_offer(voter),
+            ReplicationBody::Leave => self.handle_leave_request(now, from),
         }
     }
 
-    fn persisted(&mut self, token: PersistToken) {
-        self.disk.complete(token);
+    fn handle_persisted(&mut self, token: PersistToken) {
+        self.persistence.complete_write(token);
     }
 
-    fn persist_failed(&mut self, now: Time, token: PersistToken) {
-        self.disk.fail(now, token);
-        if self.disk.is_failing() {
-            self.step_aside(now);
+    fn handle_persist_failed(&mut self, now: Time, token: PersistToken) {
+        self.persistence.fail_write(now, token);
+        if self.persistence.is_failing() {
+            self.become_follower(now);
         }
     }
 
     /// Does what waited for the disk and need wait no longer.
-    fn release(&mut self) {
-        while let Some(deferred) = self.disk.release() {
-            match deferred {
-                Deferred::Send(to, body) => self.send(to, body),
-                Deferred::OwnPromise(number) => self.own_promise(number),
-                Deferred::OwnAccept(number) => self.own_accept(number),
+    fn run_released_actions(&mut self) {
+        while let Some(action) = self.persistence.next_released() {
+            match action {
+                DeferredAction::Send(to, body) => self.send(to, body),
+                DeferredAction::CountOwnPromise(number) => self.persisted_own_promise(number),
+                DeferredAction::CountOwnAccept(number) => self.persisted_own_accept(number),
             }
         }
     }
@@ -315,52 +318,55 @@
         if matches!(self.stage, Stage::Following) {
             self.advance_following(now);
         }
-        if matches!(self.stage, Stage::Canvassing(_)) {
-            self.advance_canvass(now);
+        if matches!(self.stage, Stage::PreVote(_)) {
+            self.advance_pre_vote(now);
         }
         if matches!(self.stage, Stage::Candidate(_)) {
-            self.advance_candidacy(now);
+            self.advance_election(now);
         }
         if matches!(self.stage, Stage::Primary) {
             self.advance_primary(now);
         }
     }
 
-    fn persist(&mut self, now: Time) {
-        let Some(token) = self.disk.begin(now, self.latest.version) else { return };
+    fn start_persist(&mut self, now: Time) {
+        let Some(token) = self.persistence.start_write(now, self.latest.version) else { return };
         let record = Record {
-            acceptor: self.ballot.clone(),
+            acceptor: self.acceptor.clone(),
             version: self.latest.version,
             state: self.latest.encoded.clone(),
         };
         self.command(Command::Persist { token, record });
     }
 
-    fn tell_role(&mut self) {
+    fn report_role(&mut self) {
         let role = self.role();
-        if role != self.told {
-            self.told = role;
+        if role != self.reported_role {
+            self.reported_role = role;
             self.command(Command::RoleChanged(role));
         }
     }
 
     /// Asks for a tick if the one asked for is spent or would come too late.
-    fn arm(&mut self, now: Time) {
-        let deadline = self.deadline(now).min(self.disk.retry_at()).min(self.disk.stalls_at());
-        let spent = self.armed.is_none_or(|armed| armed <= now || deadline < armed);
-        if spent && deadline != Time::NEVER {
-            self.armed = Some(deadline);
+    fn arm_timer(&mut self, now: Time) {
+        let deadline =
+            self.next_deadline(now).min(self.persistence.retry_at()).min(self.persistence.stall_deadline());
+        let is_expired = self.timer_at.is_none_or(|at| at <= now || deadline < at);
+        if is_expired && deadline != Time::NEVER {
+            self.timer_at = Some(deadline);
             self.command(Command::WakeAt(deadline));
         }
     }
 
-    fn deadline(&self, now: Time) -> Time {
+    fn next_deadline(&self, now: Time) -> Time {
         match &self.stage {
-            Stage::Following if self.must_ask(now) => self.ask_at.min(self.election_at),
+            Stage::Following if self.must_request_join(now) => self.join_retry_at.min(self.election_at),
             Stage::Following => self.election_at,
-            Stage::Canvassing(canvass) => canvass.give_up_at,
-            Stage::Candidate(candidacy) => candidacy.deadline(),
-            Stage::Primary => self.office.as_ref().map_or(self.election_at, |office| office.heartbeat_at),
+            Stage::PreVote(pre_vote) => pre_vote.give_up_at,
+            Stage::Candidate(election) => election.deadline(),
+            Stage::Primary => {
+                self.leadership.as_ref().map_or(self.election_at, |leadership| leadership.heartbeat_at)
+            }
         }
     }
 }
--- a/crates/replication/src/settings.rs
+++ b/crates/replication/src/settings.rs
@@ -26,13 +26,13 @@
 impl Settings {
     /// The fewest voters that are kept, even if some are silent: as many as founded the tier or are needed for
     /// the copies.
-    pub(crate) fn least_voters(&self) -> usize {
+    pub(crate) fn min_voters(&self) -> usize {
         self.seeds.len().max(2 * self.min_in_sync_replicas - 1)
     }
 
     /// Whether one of `voters` may go and as many losses can be borne as before.
-    pub(crate) fn may_drop_one_of(&self, voters: usize) -> bool {
-        voters > self.least_voters() && voters.is_multiple_of(2)
+    pub(crate) fn can_drop_one_of(&self, voters: usize) -> bool {
+        voters > self.min_voters() && voters.is_multiple_of(2)
     }
 }
 
--- a/crates/replication/src/state.rs
+++ b/crates/replication/src/state.rs
@@ -62,14 +62,14 @@
     }
 
     /// This state with `change` made.
-    pub(crate) fn with(&self, version: Version, change: &S::Change) -> Self {
+    pub(crate) fn with_change(&self, version: Version, change: &S::Change) -> Self {
         let mut state = (*self.state).clone();
         state.apply(change);
         Versioned::new(version, state)
     }
 
     /// This state with all the changes made.
-    pub(crate) fn with_all(&self, changes: &[NumberedChange]) -> Result<Self, MalformedState> {
+    pub(crate) fn with_changes(&self, changes: &[NumberedChange]) -> Result<Self, MalformedState> {
         let mut state = (*self.state).clone();
         let mut version = self.version;
         for numbered in changes {
