--- a/crates/replication/src/catch_up.rs
+++ b/crates/replication/src/catch_up.rs
@@ -114,10 +114,10 @@
         let lost_at = peer.transfer.map_or(self.now + self.resend_interval, |transfer| transfer.lost_at)
             + self.transfer_time(bytes);
         peer.transfer = Some(StateTransfer {
-            acknowledged: acknowledged,
+            acknowledged,
             target: self.latest,
-            bytes_in_flight: bytes_in_flight,
-            lost_at: lost_at,
+            bytes_in_flight,
+            lost_at,
         });
         Some(body)
     }
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -95,7 +95,7 @@
             jitter,
             known_epoch: acceptor.accepted.clone(),
             highest_number: acceptor.promised.max(acceptor.accepted.number),
-            acceptor: acceptor,
+            acceptor,
             persistence: Persistence::new(latest.version),
             latest,
             committed: None,
