--- a/crates/node/src/keeper/consensus.rs
+++ b/crates/node/src/keeper/consensus.rs
@@ -15,28 +15,28 @@
 use slog::info;
 use tokio::sync::{mpsc, watch};
 
-use super::Keeper;
-use super::waiters::Waiters;
+use super::Controller;
+use super::pending_outcomes::PendingOutcomes;
 use crate::clock;
 use crate::host::write_to_disk;
 use crate::panics::critical;
 
 /// Records on their way to the disk; the replica hands out one at a time.
-pub(super) const MAX_WRITES: usize = 4;
+pub(super) const MAX_QUEUED_WRITES: usize = 4;
 
 /// A record to be written.
-pub(super) struct Write {
+pub(super) struct RecordWrite {
     pub(super) token: PersistToken,
     pub(super) record: Record,
 }
 
 /// Where orders are decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum PrimaryPlace {
+pub(super) enum PrimaryLocation {
     /// Here.
-    Here,
+    Local,
     /// At another keeper.
-    At(SocketAddr),
+    Remote(SocketAddr),
     /// Nobody knows at present.
     Unknown,
 }
@@ -44,17 +44,23 @@
 /// The replica, and who waits for what.
 pub(super) struct Consensus {
     pub(super) replica: Replica<ControlState>,
-    proposals: Waiters<Result<Version, ProposeError>>,
-    reads: Waiters<Result<Versioned<ControlState>, ReadError>>,
-    writes: mpsc::Sender<Write>,
-    wake: watch::Sender<Time>,
+    proposals: PendingOutcomes<Result<Version, ProposeError>>,
+    reads: PendingOutcomes<Result<Versioned<ControlState>, ReadError>>,
+    record_writes: mpsc::Sender<RecordWrite>,
+    replica_timer: watch::Sender<Time>,
 }
 
 impl Consensus {
     pub(super) fn new(
-        replica: Replica<ControlState>, writes: mpsc::Sender<Write>, wake: watch::Sender<Time>,
+        replica: Replica<ControlState>, writes: mpsc::Sender<RecordWrite>, wake: watch::Sender<Time>,
     ) -> Self {
-        Consensus { replica, proposals: Waiters::default(), reads: Waiters::default(), writes, wake }
+        Consensus {
+            replica,
+            proposals: PendingOutcomes::default(),
+            reads: PendingOutcomes::default(),
+            record_writes: writes,
+            replica_timer: wake,
+        }
     }
 
     /// The committed state, if one is known.
@@ -63,26 +69,26 @@
     }
 }
 
-impl Keeper {
+impl Controller {
     /// Hands the replica an event and carries out what it says.
-    pub(super) fn replica_event(self: &Arc<Self>, event: Event<ControlState>) {
+    pub(super) fn step_replica(self: &Arc<Self>, event: Event<ControlState>) {
         let commands = critical(|| self.lock().consensus.replica.handle(clock::now(), event));
         for command in commands {
-            self.carry_out(command);
+            self.execute_command(command);
         }
     }
 
     /// Where the primary is. Another keeper counts only if it was heard of a short while ago.
-    pub(super) fn primary_place(&self) -> PrimaryPlace {
+    pub(super) fn primary_location(&self) -> PrimaryLocation {
         let state = self.lock();
         let replica = &state.consensus.replica;
         if replica.is_primary() {
-            return PrimaryPlace::Here;
+            return PrimaryLocation::Local;
         }
         let heard = state.contact.has_recent_message(clock::now(), replica.epoch().primary);
-        match replica.primary_address().filter(|address| heard && *address != self.me.address) {
-            Some(address) => PrimaryPlace::At(address),
-            None => PrimaryPlace::Unknown,
+        match replica.primary_address().filter(|address| heard && *address != self.local_voter.address) {
+            Some(address) => PrimaryLocation::Remote(address),
+            None => PrimaryLocation::Unknown,
         }
     }
 
@@ -94,8 +100,8 @@
     pub(super) async fn propose(
         self: &Arc<Self>, base: Version, change: ControlChange,
     ) -> Result<Version, ProposeError> {
-        let (token, receiver) = self.lock().consensus.proposals.draw();
-        self.replica_event(Event::Propose { token: ProposeToken(token), base, change });
+        let (token, receiver) = self.lock().consensus.proposals.register();
+        self.step_replica(Event::Propose { token: ProposeToken(token), base, change });
         receiver.await.unwrap_or(Err(ProposeError::Unknown))
     }
 
@@ -105,66 +111,69 @@
     ///
     /// If this keeper is not primary or no majority answers.
     pub(super) async fn read_confirmed(self: &Arc<Self>) -> Result<Versioned<ControlState>, ReadError> {
-        let (token, receiver) = self.lock().consensus.reads.draw();
-        self.replica_event(Event::Read { token: ReadToken(token) });
+        let (token, receiver) = self.lock().consensus.reads.register();
+        self.step_replica(Event::Read { token: ReadToken(token) });
         receiver.await.unwrap_or(Err(ReadError::Unavailable))
     }
 
-    fn carry_out(self: &Arc<Self>, command: Command) {
+    fn execute_command(self: &Arc<Self>, command: Command) {
         match command {
             Command::Send { to, message } => self.send_replication(to, message),
             Command::Persist { token, record } => self.persist(token, record),
-            Command::WakeAt(at) => drop(self.lock().consensus.wake.send_replace(at)),
-            Command::Committed(_) => self.committed(),
-            Command::Proposed { token, outcome } => self.lock().consensus.proposals.tell(token.0, outcome),
-            Command::ReadDone { token, outcome } => self.read_done(token, outcome),
-            Command::Role(role) => self.role_changed(role),
+            Command::WakeAt(at) => drop(self.lock().consensus.replica_timer.send_replace(at)),
+            Command::Committed(_) => self.handle_commit(),
+            Command::Proposed { token, outcome } => {
+                self.lock().consensus.proposals.complete(token.0, outcome)
+            }
+            Command::ReadDone { token, outcome } => self.handle_read_done(token, outcome),
+            Command::Role(role) => self.handle_role_change(role),
         }
     }
 
     fn send_replication(self: &Arc<Self>, to: SocketAddr, message: ReplicationMessage) {
-        if to != self.me.address {
+        if to != self.local_voter.address {
             self.peers.send(to, Message::Replication(message));
         }
     }
 
     fn persist(self: &Arc<Self>, token: PersistToken, record: Record) {
-        let sent = self.lock().consensus.writes.try_send(Write { token, record });
+        let sent = self.lock().consensus.record_writes.try_send(RecordWrite { token, record });
         if sent.is_err() {
-            let keeper = Arc::clone(self);
-            tokio::spawn(async move { keeper.replica_event(Event::PersistFailed(token)) });
+            let controller = Arc::clone(self);
+            tokio::spawn(async move { controller.step_replica(Event::PersistFailed(token)) });
         }
     }
 
-    fn read_done(&self, token: ReadToken, outcome: Result<(), ReadError>) {
+    fn handle_read_done(&self, token: ReadToken, outcome: Result<(), ReadError>) {
         let mut state = self.lock();
         let committed = state.consensus.committed().cloned();
         let answer = outcome.and_then(|()| committed.ok_or(ReadError::Unavailable));
-        state.consensus.reads.tell(token.0, answer);
+        state.consensus.reads.complete(token.0, answer);
     }
 
-    fn role_changed(self: &Arc<Self>, role: Role) {
+    fn handle_role_change(self: &Arc<Self>, role: Role) {
         let epoch = self.lock().consensus.replica.epoch().number.0;
         info!(self.log, "role"; "role" => format!("{role:?}"), "epoch" => epoch);
-        self.progress.notify_waiters();
-        self.wake_planner.notify_one();
+        self.state_changed.notify_waiters();
+        self.planning_requested.notify_one();
     }
 
     /// The committed state is another one: subscribers are told, those that wait for it look again.
-    fn committed(self: &Arc<Self>) {
+    fn handle_commit(self: &Arc<Self>) {
         self.log_committed();
-        self.wake_push.notify_one();
-        self.wake_planner.notify_one();
-        self.progress.notify_waiters();
+        self.push_requested.notify_one();
+        self.planning_requested.notify_one();
+        self.state_changed.notify_waiters();
     }
 }
 
 /// Writes records one after the other, for as long as the keeper lives.
-pub(super) async fn write_records(
-    keeper: Arc<Keeper>, mut file: super::record_file::RecordFile, mut writes: mpsc::Receiver<Write>,
+pub(super) async fn run_record_writer(
+    controller: Arc<Controller>, mut file: super::record_file::RecordFile,
+    mut writes: mpsc::Receiver<RecordWrite>,
 ) {
-    while let Some(Write { token, record }) = writes.recv().await {
-        let written = write_to_disk(&keeper.log, move || {
+    while let Some(RecordWrite { token, record }) = writes.recv().await {
+        let written = write_to_disk(&controller.log, move || {
             let outcome = file.write(&record);
             (file, outcome)
         });
@@ -172,17 +181,17 @@
         let Ok((returned, outcome)) = written.await else { return };
         file = returned;
         match outcome {
-            Ok(()) => keeper.replica_event(Event::Persisted(token)),
+            Ok(()) => controller.step_replica(Event::Persisted(token)),
             Err(error) => {
-                slog::warn!(keeper.log, "the disk refuses"; "why" => error.to_string());
-                keeper.replica_event(Event::PersistFailed(token));
+                slog::warn!(controller.log, "the disk refuses"; "why" => error.to_string());
+                controller.step_replica(Event::PersistFailed(token));
             }
         }
     }
 }
 
 /// Wakes the replica at the times that it names.
-pub(super) async fn tick_replica(keeper: Arc<Keeper>, mut wake: watch::Receiver<Time>) {
+pub(super) async fn run_replica_timer(controller: Arc<Controller>, mut wake: watch::Receiver<Time>) {
     loop {
         let at = *wake.borrow_and_update();
         let pause = clock::duration(at.since(clock::now()));
@@ -190,9 +199,9 @@
             biased;
             () = tokio::time::sleep(pause) => {
                 // The next time to wake is set before anything is awaited.
-                keeper.lock().consensus.wake.send_replace(Time::NEVER);
+                controller.lock().consensus.replica_timer.send_replace(Time::NEVER);
                 wake.mark_unchanged();
-                keeper.replica_event(Event::Tick);
+                controller.step_replica(Event::Tick);
             }
             changed = wake.changed() => if changed.is_err() { return },
         }
--- a/crates/node/src/keeper/control_listener.rs
+++ b/crates/node/src/keeper/control_listener.rs
@@ -22,9 +22,9 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::timeout;
 
-use super::Keeper;
-use super::discovery::HeartbeatAnswer;
-use super::orders::json;
+use super::Controller;
+use super::endpoints::EndpointReply;
+use super::orders::json_reply;
 use crate::host::{Listener, Stream};
 use crate::panics::isolated;
 
@@ -33,18 +33,18 @@
 /// The largest body of any other call, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 10;
 /// How long a body may take.
-const BODY_WITHIN: Duration = Duration::from_secs(10);
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long a connection may rest, or take for the head of a call.
-const IDLE: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Unacknowledged bytes end a connection after this time: the other end is cut off.
-const USER_TIMEOUT: Duration = Duration::from_secs(2);
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Connections at a time.
 const MAX_CONNECTIONS: usize = 3_000;
 /// The pause after a connection could not be accepted.
-const PAUSE_AFTER_FAILURE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// `Retry-After` with a 503, in seconds.
-const RETRY_AFTER: HeaderValue = HeaderValue::from_static("0.2");
-const JSON: HeaderValue = HeaderValue::from_static("application/json");
+const RETRY_AFTER_S: HeaderValue = HeaderValue::from_static("0.2");
+const JSON_CONTENT_TYPE: HeaderValue = HeaderValue::from_static("application/json");
 
 /// What is wrong with a call.
 #[derive(Serialize)]
@@ -62,9 +62,9 @@
 
 /// Serves until `stop` says otherwise, then finishes what is under way. `open` is held while anything is.
 pub(super) async fn serve(
-    listener: Listener, keeper: Arc<Keeper>, mut stop: watch::Receiver<bool>, open: mpsc::Sender<()>,
+    listener: Listener, controller: Arc<Controller>, mut stop: watch::Receiver<bool>, open: mpsc::Sender<()>,
 ) {
-    let router = router(keeper);
+    let router = router(controller);
     loop {
         let accepted = tokio::select! {
             biased;
@@ -75,12 +75,12 @@
             // The count includes this loop's own sender.
             Ok(_) if open.strong_count() > MAX_CONNECTIONS => {}
             Ok(mut stream) => {
-                if stream.prepare(USER_TIMEOUT).is_ok() {
-                    let serving = connection(stream, router.clone(), stop.clone(), open.clone());
+                if stream.prepare(TCP_USER_TIMEOUT).is_ok() {
+                    let serving = serve_connection(stream, router.clone(), stop.clone(), open.clone());
                     tokio::spawn(isolated(serving));
                 }
             }
-            Err(_) => tokio::time::sleep(PAUSE_AFTER_FAILURE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
@@ -100,9 +100,11 @@
     let _ = stop.wait_for(|stop| *stop).await;
 }
 
-async fn connection(stream: Stream, router: Router, mut stop: watch::Receiver<bool>, open: mpsc::Sender<()>) {
+async fn serve_connection(
+    stream: Stream, router: Router, mut stop: watch::Receiver<bool>, open: mpsc::Sender<()>,
+) {
     let mut builder = hyper::server::conn::http1::Builder::new();
-    builder.timer(TokioTimer::new()).header_read_timeout(IDLE);
+    builder.timer(TokioTimer::new()).header_read_timeout(IDLE_TIMEOUT);
     let serving = builder.serve_connection(TokioIo::new(stream), TowerToHyperService::new(router));
     tokio::pin!(serving);
     let stopped = tokio::select! {
@@ -118,77 +120,83 @@
     drop(open);
 }
 
-fn router(keeper: Arc<Keeper>) -> Router {
+fn router(controller: Arc<Controller>) -> Router {
     Router::new()
         .route("/instances/{id}", put(put_instance).delete(delete_instance))
         .route("/config", put(put_configuration).get(get_configuration))
         .route("/retire/{node}", post(post_retire).get(get_retire))
-        .with_state(keeper)
+        .with_state(controller)
 }
 
-async fn put_instance(State(keeper): State<Arc<Keeper>>, Path(id): Path<String>, call: Request) -> Response {
+async fn put_instance(
+    State(controller): State<Arc<Controller>>, Path(id): Path<String>, call: Request,
+) -> Response {
     let body = match read_body(call, MAX_BODY_BYTES).await {
         Ok(body) => body,
-        Err(refusal) => return respond(refusal),
+        Err(refusal) => return http_response(refusal),
     };
     match parse_heartbeat(&id, &body) {
-        Err(findings) => respond(json(400, &Findings { findings })),
-        Ok(instance) => heartbeat_response(keeper.heartbeat(instance).await),
+        Err(findings) => http_response(json_reply(400, &Findings { findings })),
+        Ok(instance) => endpoint_response(controller.handle_heartbeat(instance).await),
     }
 }
 
-async fn delete_instance(State(keeper): State<Arc<Keeper>>, Path(id): Path<String>) -> Response {
-    heartbeat_response(keeper.end_instance(InstanceId::from(id.as_str())).await)
+async fn delete_instance(State(controller): State<Arc<Controller>>, Path(id): Path<String>) -> Response {
+    endpoint_response(controller.handle_instance_end(InstanceId::from(id.as_str())).await)
 }
 
-async fn put_configuration(State(keeper): State<Arc<Keeper>>, call: Request) -> Response {
-    let base = match base_of(call.headers()) {
+async fn put_configuration(State(controller): State<Arc<Controller>>, call: Request) -> Response {
+    let base = match base_version(call.headers()) {
         Ok(base) => base,
-        Err(refusal) => return respond(refusal),
+        Err(refusal) => return http_response(refusal),
     };
     match read_body(call, MAX_CONFIGURATION_BYTES).await {
-        Ok(body) => respond(keeper.order(Order::PutConfiguration { base, body: body.to_vec() }).await),
-        Err(refusal) => respond(refusal),
+        Ok(body) => http_response(
+            controller.handle_order(Order::PutConfiguration { base, body: body.to_vec() }).await,
+        ),
+        Err(refusal) => http_response(refusal),
     }
 }
 
-async fn get_configuration(State(keeper): State<Arc<Keeper>>) -> Response {
-    respond(keeper.order(Order::GetConfiguration).await)
+async fn get_configuration(State(controller): State<Arc<Controller>>) -> Response {
+    http_response(controller.handle_order(Order::GetConfiguration).await)
 }
 
-async fn post_retire(State(keeper): State<Arc<Keeper>>, Path(node): Path<String>, call: Request) -> Response {
+async fn post_retire(
+    State(controller): State<Arc<Controller>>, Path(node): Path<String>, call: Request,
+) -> Response {
     let body = match read_body(call, MAX_BODY_BYTES).await {
         Ok(body) => body,
-        Err(refusal) => return respond(refusal),
+        Err(refusal) => return http_response(refusal),
     };
     match serde_json::from_slice::<RetireBody>(&body) {
-        Err(error) => respond(bad_call("", &error.to_string())),
+        Err(error) => http_response(bad_request_reply("", &error.to_string())),
         Ok(RetireBody { duration_s }) => {
             let node = NodeName::from(node.as_str());
-            respond(keeper.order(Order::Retire { node, duration_s }).await)
+            http_response(controller.handle_order(Order::Retire { node, duration_s }).await)
         }
     }
 }
 
-async fn get_retire(State(keeper): State<Arc<Keeper>>, Path(node): Path<String>) -> Response {
+async fn get_retire(State(controller): State<Arc<Controller>>, Path(node): Path<String>) -> Response {
     let node = NodeName::from(node.as_str());
-    respond(keeper.order(Order::RetireState { node }).await)
+    http_response(controller.handle_order(Order::RetireState { node }).await)
 }
 
 /// The version that a configuration builds on.
-fn base_of(headers: &HeaderMap) -> Result<u64, OrderReply> {
+fn base_version(headers: &HeaderMap) -> Result<u64, OrderReply> {
     let mut values = headers.get_all(header::IF_MATCH).iter();
     let Some(value) = values.next() else {
-        return Err(bad_call("If-Match", "missing: the version that the configuration builds on"));
+        return Err(bad_request_reply("If-Match", "missing: the version that the configuration builds on"));
     };
     if values.next().is_some() {
-        return Err(bad_call("If-Match", "more than one version"));
+        return Err(bad_request_reply("If-Match", "more than one version"));
     }
-    version_of(value).ok_or_else(|| bad_call("If-Match", "not a version"))
+    parse_version(value).ok_or_else(|| bad_request_reply("If-Match", "not a version"))
 }
 
 /// A whole number, with or without the quotes of an entity tag.
-fn version_of(value: &HeaderValue) -> Option<u64> {
+fn parse_version(value: &HeaderValue) -> Option<u64> {
     let text = value.to_str().ok()?.trim();
     let inner = text.strip_prefix('"').and_then(|rest| rest.strip_suffix('"')).unwrap_or(text);
     // A sign would be taken by `parse`.
@@ -197,42 +205,42 @@
 
 async fn read_body(call: Request, limit: usize) -> Result<Bytes, OrderReply> {
     let body: Body = call.into_body();
-    match timeout(BODY_WITHIN, Limited::new(body, limit).collect()).await {
+    match timeout(BODY_READ_TIMEOUT, Limited::new(body, limit).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(too_large(limit)),
-        Ok(Err(error)) => Err(bad_call("body", &error.to_string())),
+        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(too_large_reply(limit)),
+        Ok(Err(error)) => Err(bad_request_reply("body", &error.to_string())),
         // A slow link is no reason to refuse what another copy of the call may have brought about.
-        Err(_) => Err(super::orders::unavailable()),
+        Err(_) => Err(super::orders::unavailable_reply()),
     }
 }
 
-fn too_large(limit: usize) -> OrderReply {
+fn too_large_reply(limit: usize) -> OrderReply {
     let finding = juniperwing_registry::FieldError {
         field: "body".to_owned(),
         problem: format!("longer than {limit} bytes"),
     };
-    json(413, &Findings { findings: [finding] })
+    json_reply(413, &Findings { findings: [finding] })
 }
 
-fn bad_call(place: &str, problem: &str) -> OrderReply {
+fn bad_request_reply(place: &str, problem: &str) -> OrderReply {
     let finding = juniperwing_registry::FieldError { field: place.to_owned(), problem: problem.to_owned() };
-    json(400, &Findings { findings: [finding] })
+    json_reply(400, &Findings { findings: [finding] })
 }
 
-fn heartbeat_response(answer: HeartbeatAnswer) -> Response {
+fn endpoint_response(answer: EndpointReply) -> Response {
     match answer {
-        HeartbeatAnswer::Accepted => respond(json(200, &serde_json::json!({}))),
-        HeartbeatAnswer::Unavailable => respond(super::orders::unavailable()),
+        EndpointReply::Accepted => http_response(json_reply(200, &serde_json::json!({}))),
+        EndpointReply::Unavailable => http_response(super::orders::unavailable_reply()),
     }
 }
 
-fn respond(answer: OrderReply) -> Response {
+fn http_response(answer: OrderReply) -> Response {
     let mut response = Response::new(Body::from(answer.body));
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     *response.status_mut() = status;
-    response.headers_mut().insert(header::CONTENT_TYPE, JSON);
+    response.headers_mut().insert(header::CONTENT_TYPE, JSON_CONTENT_TYPE);
     if status == StatusCode::SERVICE_UNAVAILABLE {
-        response.headers_mut().insert(header::RETRY_AFTER, RETRY_AFTER);
+        response.headers_mut().insert(header::RETRY_AFTER, RETRY_AFTER_S);
     }
     response
 }
--- a/crates/node/src/keeper/discovery.rs
+++ b/crates/node/src/keeper/endpoints.rs
@@ -10,13 +10,13 @@
 use slog::{debug, info};
 use tokio::time::Instant;
 
-use super::{Keeper, State};
+use super::{Controller, State};
 use crate::clock;
 use crate::link::{LinkId, Reply};
 
 /// The answer to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum HeartbeatAnswer {
+pub(super) enum EndpointReply {
     /// Heard, by a keeper that a majority of the keepers answers. Where the endpoint leaves, enough keepers for
     /// every relay to hear of it have taken it, a majority at least, and the relays subscribed there applied it.
     Accepted,
@@ -25,77 +25,79 @@
 }
 
 /// What has to be confirmed before an endpoint that leaves is answered.
-struct Spread {
+struct Propagation {
     revision: u64,
-    change: ChangeNumber,
+    change_number: ChangeNumber,
 }
 
-impl Keeper {
+impl Controller {
     /// An endpoint's heartbeat.
-    pub(super) async fn heartbeat(self: &Arc<Self>, instance: Instance) -> HeartbeatAnswer {
+    pub(super) async fn handle_heartbeat(self: &Arc<Self>, instance: Instance) -> EndpointReply {
         let leaves = instance.state != InstanceState::Ready;
         let id = instance.id.clone();
         let spread = {
             let state = &mut *self.lock();
             let now = clock::now();
-            if !self.is_in_contact(state) {
-                return HeartbeatAnswer::Unavailable;
+            if !self.has_majority_contact(state) {
+                return EndpointReply::Unavailable;
             }
             match state.registry.handle_heartbeat(now, instance) {
-                HeartbeatOutcome::Full => return HeartbeatAnswer::Unavailable,
+                HeartbeatOutcome::Full => return EndpointReply::Unavailable,
                 HeartbeatOutcome::Stale => {}
                 HeartbeatOutcome::Refreshed(refresh) => state.exchange.record_refresh(&refresh),
-                HeartbeatOutcome::Changed(changed) => self.publish(state, &changed),
+                HeartbeatOutcome::Changed(changed) => self.publish_instances(state, &changed),
             }
             if !leaves {
-                return HeartbeatAnswer::Accepted;
+                return EndpointReply::Accepted;
             }
-            self.spread(state, &id)
+            self.propagate(state, &id)
         };
         info!(self.log, "endpoint drains"; "endpoint" => %id.0);
-        self.wait_spread(spread).await
+        self.wait_until_propagated(spread).await
     }
 
     /// An endpoint says that it ends.
-    pub(super) async fn end_instance(self: &Arc<Self>, id: InstanceId) -> HeartbeatAnswer {
+    pub(super) async fn handle_instance_end(self: &Arc<Self>, id: InstanceId) -> EndpointReply {
         let spread = {
             let state = &mut *self.lock();
-            if !self.is_in_contact(state) {
-                return HeartbeatAnswer::Unavailable;
+            if !self.has_majority_contact(state) {
+                return EndpointReply::Unavailable;
             }
             let gone = state.registry.deregister(clock::now(), &id);
-            self.publish(state, gone.as_slice());
-            self.spread(state, &id)
+            self.publish_instances(state, gone.as_slice());
+            self.propagate(state, &id)
         };
         info!(self.log, "endpoint ends"; "endpoint" => %id.0);
-        self.wait_spread(spread).await
+        self.wait_until_propagated(spread).await
     }
 
     /// Another keeper tells of instances. If it wants them confirmed, it is answered when the subscribers here
     /// have applied them.
-    pub(super) fn merge_instances(
+    pub(super) fn handle_instances(
         self: &Arc<Self>, changed: Vec<Instance>, refreshed: &[Refresh], confirm: bool, reply: Reply,
     ) {
         let revision = {
             let mut state = self.lock();
             let news = state.registry.merge(clock::now(), changed, refreshed);
             if !news.is_empty() {
-                self.wake_push.notify_one();
+                self.push_requested.notify_one();
             }
-            state.subscribers.note(&news)
+            state.subscribers.record_changed(&news)
         };
-        let keeper = Arc::clone(self);
+        let controller = Arc::clone(self);
         if !confirm {
-            return reply.send(keeper.instances_taken(false));
+            return reply.send(controller.instances_merged(false));
         }
         tokio::spawn(async move {
-            let until = Instant::now() + keeper.times.subscribers_apply_within;
-            let applied = keeper.wait_until(until, |state| state.subscribers.have_instances(revision)).await;
-            reply.send(keeper.instances_taken(applied));
+            let until = Instant::now() + controller.control_times.subscribers_apply_within;
+            let applied = controller
+                .wait_until(until, |state| state.subscribers.have_applied_instances(revision))
+                .await;
+            reply.send(controller.instances_merged(applied));
         });
     }
 
-    fn instances_taken(&self, applied: bool) -> Message {
+    fn instances_merged(&self, applied: bool) -> Message {
         let epoch = self.lock().consensus.replica.epoch().number;
         Message::Registry(RegistryMessage::InstancesMerged { epoch, applied })
     }
@@ -104,7 +106,7 @@
     pub(super) fn expire_instances(&self, state: &mut State) {
         let now = clock::now();
         let epoch = state.consensus.replica.epoch();
-        let confirmed_at = state.contact.confirmed_until(now, self.me.disk, epoch);
+        let confirmed_at = state.contact.confirmed_until(now, self.local_voter.disk, epoch);
         let Some(confirmed_at) = confirmed_at.filter(|_| !state.was_paused) else {
             return state.registry.restart_timeouts(now);
         };
@@ -112,24 +114,24 @@
         for instance in &expired {
             info!(self.log, "endpoint lost"; "endpoint" => %instance.id.0, "service" => %instance.service.0);
         }
-        self.publish(state, &expired);
+        self.publish_instances(state, &expired);
     }
 
     /// Sends the other keepers what they have to be told now.
-    pub(super) fn send_batches(self: &Arc<Self>, regular: bool) {
+    pub(super) fn send_instance_batches(self: &Arc<Self>, regular: bool) {
         let batches = {
             let state = &mut *self.lock();
             let registry = &state.registry;
             state.exchange.next_batches(regular, || registry.instances().collect())
         };
         for batch in batches {
-            tokio::spawn(Arc::clone(self).send_batch(batch));
+            tokio::spawn(Arc::clone(self).send_instance_batch(batch));
         }
     }
 
-    async fn send_batch(self: Arc<Self>, batch: Batch) {
+    async fn send_instance_batch(self: Arc<Self>, batch: Batch) {
         let Batch { to, number, changed, refreshed, needs_confirmation } = batch;
-        let from = self.me.disk;
+        let from = self.local_voter.disk;
         let message = Message::Registry(RegistryMessage::Instances {
             from,
             changed,
@@ -155,71 +157,75 @@
                 }
             }
         }
-        self.progress.notify_waiters();
+        self.state_changed.notify_waiters();
     }
 
     /// Another keeper's answer, with the link over which it came.
     async fn call_peer(&self, address: SocketAddr, message: Message) -> Option<(LinkId, RegistryMessage)> {
         let link = self.peers.link(address).await.ok()?;
-        match link.call(message, self.times.peer_answers_within).await {
+        match link.call(message, self.control_times.peer_answers_within).await {
             Ok(Message::Registry(answer)) => Some((link.id(), answer)),
             _ => None,
         }
     }
 
     /// Tells subscribers and keepers of changes, with the next push.
-    fn publish(&self, state: &mut State, changed: &[Instance]) {
+    fn publish_instances(&self, state: &mut State, changed: &[Instance]) {
         if changed.is_empty() {
             return;
         }
-        state.subscribers.note(changed);
+        state.subscribers.record_changed(changed);
         // A voter of this moment must not be missed by what is acknowledged in it.
-        self.set_exchange_keepers(state);
+        self.update_exchange_peers(state);
         state.exchange.record_changes(changed);
-        self.wake_push.notify_one();
+        self.push_requested.notify_one();
     }
 
     /// Has an end that was taken here confirmed by the other keepers, also if they or this keeper knew of it: an
     /// earlier call may have been refused because it did not reach a majority.
-    fn spread(&self, state: &mut State, id: &InstanceId) -> Spread {
-        self.set_exchange_keepers(state);
+    fn propagate(&self, state: &mut State, id: &InstanceId) -> Propagation {
+        self.update_exchange_peers(state);
         if let Some(instance) = state.registry.get(id).cloned() {
             state.exchange.record_changes(&[instance]);
-            self.wake_push.notify_one();
+            self.push_requested.notify_one();
+        }
+        Propagation {
+            revision: state.subscribers.pending_revision(),
+            change_number: state.exchange.newest_change(),
         }
-        Spread { revision: state.subscribers.pending_revision(), change: state.exchange.newest_change() }
     }
 
     /// Waits until every keeper in reach has confirmed, for a limited time. Enough have to have confirmed in any
     /// case, so that every relay has a subscription to one that has.
-    async fn wait_spread(&self, spread: Spread) -> HeartbeatAnswer {
-        let until = Instant::now() + self.times.spread_within;
+    async fn wait_until_propagated(&self, spread: Propagation) -> EndpointReply {
+        let until = Instant::now() + self.control_times.spread_within;
         self.wait_until(until, |state| {
-            self.is_known_to_enough(state, &spread) && state.is_known_in_reach(&spread)
+            self.is_propagated_to_enough(state, &spread) && state.is_propagated_to_reachable(&spread)
         })
         .await;
-        if self.is_known_to_enough(&self.lock(), &spread) {
-            return HeartbeatAnswer::Accepted;
+        if self.is_propagated_to_enough(&self.lock(), &spread) {
+            return EndpointReply::Accepted;
         }
-        HeartbeatAnswer::Unavailable
+        EndpointReply::Unavailable
     }
 
     /// Whether the relays subscribed here have confirmed, and enough keepers for every relay to hear of it.
-    fn is_known_to_enough(&self, state: &State, spread: &Spread) -> bool {
+    fn is_propagated_to_enough(&self, state: &State, spread: &Propagation) -> bool {
         let epoch = state.consensus.replica.epoch();
-        let confirmed: Vec<DiskId> = state.exchange.confirmed_peers(spread.change).collect();
-        let has = |voter: &&Voter| voter.disk == self.me.disk || confirmed.contains(&voter.disk);
+        let confirmed: Vec<DiskId> = state.exchange.confirmed_peers(spread.change_number).collect();
+        let has = |voter: &&Voter| voter.disk == self.local_voter.disk || confirmed.contains(&voter.disk);
         let needed = needed_confirmations(epoch.voters.len(), self.required_copies - 1);
         let is_enough = epoch.voters.iter().filter(has).count() >= needed;
-        is_enough && state.subscribers.have_instances(spread.revision)
+        is_enough && state.subscribers.have_applied_instances(spread.revision)
     }
 }
 
 impl State {
     /// Whether every keeper that answers, or was heard of a short while ago, has confirmed.
-    fn is_known_in_reach(&self, spread: &Spread) -> bool {
+    fn is_propagated_to_reachable(&self, spread: &Propagation) -> bool {
         let now = clock::now();
-        self.exchange
-            .is_confirmed_by_reachable_peers(spread.change, |disk| self.contact.has_recent_message(now, disk))
+        self.exchange.is_confirmed_by_reachable_peers(spread.change_number, |disk| {
+            self.contact.has_recent_message(now, disk)
+        })
     }
 }
--- a/crates/node/src/keeper/inbox.rs
+++ b/crates/node/src/keeper/message_handler.rs
@@ -11,84 +11,84 @@
 use slog::info;
 use tokio::time::Instant;
 
-use super::Keeper;
-use super::subscribers::store_of;
+use super::Controller;
+use super::subscribers::subscribing_store;
 use crate::clock;
 use crate::link::{Link, Reply, Service};
 
 /// The longest that a keeper waits for its subscribers, whatever it is asked.
-const MAX_WAIT_MS: u32 = 1_000;
+const MAX_DISTRIBUTION_WAIT_MS: u32 = 1_000;
 
 /// The receiving end of a keeper's links.
-pub(super) struct Inbox {
-    keeper: Weak<Keeper>,
+pub(super) struct MessageHandler {
+    controller: Weak<Controller>,
 }
 
-impl Inbox {
-    pub(super) fn new(keeper: Weak<Keeper>) -> Self {
-        Inbox { keeper }
+impl MessageHandler {
+    pub(super) fn new(controller: Weak<Controller>) -> Self {
+        MessageHandler { controller }
     }
 }
 
-impl Service for Inbox {
+impl Service for MessageHandler {
     fn message(&self, link: &Link, message: Message, reply: Reply) {
-        let Some(keeper) = self.keeper.upgrade() else { return link.close() };
+        let Some(controller) = self.controller.upgrade() else { return link.close() };
         match message {
-            Message::Replication(message) => keeper.replication_message(message),
-            Message::Registry(message) => keeper.registry_message(message, reply),
-            Message::Subscribe(subscribe) => keeper.subscribe(link, subscribe),
-            Message::Applied(applied) => keeper.applied(link, applied),
+            Message::Replication(message) => controller.handle_replication_message(message),
+            Message::Registry(message) => controller.handle_registry_message(message, reply),
+            Message::Subscribe(subscribe) => controller.handle_subscribe(link, subscribe),
+            Message::Applied(applied) => controller.handle_applied(link, applied),
             // Nothing else is said to a keeper.
             _ => {}
         }
     }
 
     fn closed(&self, link: &Link) {
-        if let Some(keeper) = self.keeper.upgrade() {
-            keeper.link_closed(link);
+        if let Some(controller) = self.controller.upgrade() {
+            controller.handle_link_closed(link);
         }
     }
 }
 
-impl Keeper {
-    fn replication_message(self: &Arc<Self>, message: ReplicationMessage) {
+impl Controller {
+    fn handle_replication_message(self: &Arc<Self>, message: ReplicationMessage) {
         self.lock().contact.record_message(clock::now(), message.from);
-        self.replica_event(Event::Message(message));
+        self.step_replica(Event::Message(message));
     }
 
-    fn registry_message(self: &Arc<Self>, message: RegistryMessage, reply: Reply) {
+    fn handle_registry_message(self: &Arc<Self>, message: RegistryMessage, reply: Reply) {
         match message {
             RegistryMessage::Instances { from, changed, refreshed, confirm } => {
                 self.lock().contact.record_message(clock::now(), from);
-                self.merge_instances(changed, &refreshed, confirm, reply);
+                self.handle_instances(changed, &refreshed, confirm, reply);
             }
             RegistryMessage::DistributeConfiguration { version, wait_ms } => {
-                let keeper = Arc::clone(self);
-                let wait = Duration::from_millis(u64::from(wait_ms.min(MAX_WAIT_MS)));
+                let controller = Arc::clone(self);
+                let wait = Duration::from_millis(u64::from(wait_ms.min(MAX_DISTRIBUTION_WAIT_MS)));
                 tokio::spawn(async move {
-                    keeper.distribute_here(version, Instant::now() + wait).await;
+                    controller.distribute_to_own_subscribers(version, Instant::now() + wait).await;
                     reply.send(Message::Registry(RegistryMessage::ConfigurationDistributed));
                 });
             }
             RegistryMessage::Order(order) => {
-                let keeper = Arc::clone(self);
+                let controller = Arc::clone(self);
                 tokio::spawn(async move {
-                    let answer = keeper.order_passed_on(order).await;
+                    let answer = controller.handle_forwarded_order(order).await;
                     reply.send(Message::Registry(RegistryMessage::OrderReply(answer)));
                 });
             }
             RegistryMessage::ReadCommittedVersion => {
-                let keeper = Arc::clone(self);
+                let controller = Arc::clone(self);
                 tokio::spawn(async move {
-                    let version = keeper.own_current_version().await;
+                    let version = controller.confirmed_version_as_primary().await;
                     reply.send(Message::Registry(RegistryMessage::CommittedVersion { version }));
                 });
             }
             RegistryMessage::ReachableStores { from, stores } => {
-                let epoch = self.stores_seen(from, stores);
+                let epoch = self.handle_reachable_stores(from, stores);
                 reply.send(Message::Registry(RegistryMessage::ReachableStoresReply { epoch }));
             }
-            RegistryMessage::CaughtUp(reports) => self.caught_up(reports),
+            RegistryMessage::CaughtUp(reports) => self.handle_caught_up_reports(reports),
             // Answers come to those that called.
             RegistryMessage::InstancesMerged { .. }
             | RegistryMessage::ConfigurationDistributed
@@ -98,32 +98,32 @@
         }
     }
 
-    fn subscribe(self: &Arc<Self>, link: &Link, subscribe: Subscribe) {
-        let store = store_of(&subscribe);
+    fn handle_subscribe(self: &Arc<Self>, link: &Link, subscribe: Subscribe) {
+        let store = subscribing_store(&subscribe);
         self.lock().subscribers.add(link, subscribe);
-        self.wake_confirmation.notify_one();
+        self.confirmation_requested.notify_one();
         if let Some(store) = store {
             info!(self.log, "store seen"; "store" => %store.node.0, "disk" => store.disk.0);
-            self.report_stores();
+            self.report_reachable_stores();
         }
     }
 
-    fn applied(self: &Arc<Self>, link: &Link, applied: AppliedVersions) {
-        self.lock().subscribers.applied(link.id(), &applied);
-        self.progress.notify_waiters();
+    fn handle_applied(self: &Arc<Self>, link: &Link, applied: AppliedVersions) {
+        self.lock().subscribers.record_applied(link.id(), &applied);
+        self.state_changed.notify_waiters();
         if !applied.caught_up.is_empty() {
-            self.caught_up(applied.caught_up);
-            self.pass_on_caught_up();
+            self.handle_caught_up_reports(applied.caught_up);
+            self.forward_caught_up_reports();
         }
     }
 
-    fn link_closed(self: &Arc<Self>, link: &Link) {
+    fn handle_link_closed(self: &Arc<Self>, link: &Link) {
         let subscribe = self.lock().subscribers.remove(link.id());
         let Some(subscribe) = subscribe else { return };
-        self.progress.notify_waiters();
-        if let Some(store) = store_of(&subscribe) {
+        self.state_changed.notify_waiters();
+        if let Some(store) = subscribing_store(&subscribe) {
             info!(self.log, "store link closed"; "store" => %store.node.0);
-            self.report_stores();
+            self.report_reachable_stores();
         }
     }
 }
--- a/crates/node/src/keeper/figures.rs
+++ b/crates/node/src/keeper/metrics.rs
@@ -2,36 +2,37 @@
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use super::Keeper;
+use super::Controller;
 use crate::metrics::{Figure, FigureSource};
 
 /// Answers to orders and questions of operators, by what their status says.
 #[derive(Debug, Default)]
-pub(super) struct OrderAnswers {
+pub(super) struct OrderReplyCounters {
     accepted: AtomicU64,
-    refused: AtomicU64,
-    unclear: AtomicU64,
+    rejected: AtomicU64,
+    unavailable: AtomicU64,
 }
 
-impl OrderAnswers {
+impl OrderReplyCounters {
     /// Counts an answer.
     pub(super) fn count(&self, status: u16) {
         let counter = match status {
             200..300 => &self.accepted,
-            400..500 => &self.refused,
-            _ => &self.unclear,
+            400..500 => &self.rejected,
+            _ => &self.unavailable,
         };
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
     fn figure(&self) -> Figure {
-        let values = [("accepted", &self.accepted), ("refused", &self.refused), ("unclear", &self.unclear)];
+        let values =
+            [("accepted", &self.accepted), ("refused", &self.rejected), ("unclear", &self.unavailable)];
         let values = values.map(|(name, counter)| (name, counter.load(Ordering::Relaxed)));
         Figure::counters("order_answers", "Answers to operators", "answer", values.to_vec())
     }
 }
 
-impl FigureSource for Keeper {
+impl FigureSource for Controller {
     fn figures(&self) -> Vec<Figure> {
         let state = self.lock();
         let replica = &state.consensus.replica;
@@ -45,7 +46,7 @@
             Figure::gauge(
                 "is_in_contact",
                 "Whether a majority has answered a short while ago",
-                flag(self.is_in_contact(&state)),
+                flag(self.has_majority_contact(&state)),
             ),
             Figure::gauge("voters", "Voters of the highest epoch", replica.epoch().voters.len() as u64),
             Figure::gauge(
@@ -72,9 +73,9 @@
             Figure::gauge(
                 "partitions_without_copy",
                 "Partitions of which no copy is left",
-                state.unrecoverable as u64,
+                state.unrecoverable_partitions as u64,
             ),
-            self.order_answers.figure(),
+            self.order_replies.figure(),
         ]
     }
 }
--- a/crates/node/src/keeper/contacts.rs
+++ b/crates/node/src/keeper/peer_discovery.rs
@@ -9,54 +9,56 @@
 use juniperwing_replication::Event;
 use tokio::sync::watch;
 
-use super::Keeper;
+use super::Controller;
 use crate::gossip::{Gossip, Myself};
 use crate::settings::Settings;
 use crate::sync::lock;
 
 /// The membership of a keeper and the seeds of its present settings.
-pub(super) struct Contacts {
-    keeper: Arc<Keeper>,
+pub(super) struct PeerDiscovery {
+    controller: Arc<Controller>,
     gossip: Gossip,
-    known: Arc<Mutex<Known>>,
+    known: Arc<Mutex<KnownAddresses>>,
 }
 
 /// What was heard, by its source.
 #[derive(Default)]
-struct Known {
+struct KnownAddresses {
     seeds: Vec<SocketAddr>,
-    found: Vec<SocketAddr>,
+    members: Vec<SocketAddr>,
 }
 
-impl Known {
+impl KnownAddresses {
     /// Found members first: they are alive.
     fn all(&self) -> Vec<SocketAddr> {
-        let mut all = self.found.clone();
-        all.extend(self.seeds.iter().filter(|seed| !self.found.contains(seed)));
+        let mut all = self.members.clone();
+        all.extend(self.seeds.iter().filter(|seed| !self.members.contains(seed)));
         all
     }
 }
 
-impl Contacts {
+impl PeerDiscovery {
     /// Joins the membership.
-    pub(super) async fn start(settings: &Settings, keeper: &Arc<Keeper>) -> io::Result<Arc<Contacts>> {
-        let known: Arc<Mutex<Known>> = Arc::default();
-        let (heard, receiver) = (Arc::clone(&known), Arc::clone(keeper));
+    pub(super) async fn start(
+        settings: &Settings, controller: &Arc<Controller>,
+    ) -> io::Result<Arc<PeerDiscovery>> {
+        let known: Arc<Mutex<KnownAddresses>> = Arc::default();
+        let (heard, receiver) = (Arc::clone(&known), Arc::clone(controller));
         let observer = Box::new(move |found| {
-            let all = update(&heard, |known| known.found = found);
-            receiver.replica_event(Event::Contacts(all));
+            let all = update(&heard, |known| known.members = found);
+            receiver.step_replica(Event::Contacts(all));
         });
-        let myself = Myself { role: Role::Keeper, disk: Some(keeper.me.disk) };
-        let gossip = Gossip::start(settings, myself, keeper.log.clone(), observer).await?;
-        Ok(Arc::new(Contacts { keeper: Arc::clone(keeper), gossip, known }))
+        let myself = Myself { role: Role::Keeper, disk: Some(controller.local_voter.disk) };
+        let gossip = Gossip::start(settings, myself, controller.log.clone(), observer).await?;
+        Ok(Arc::new(PeerDiscovery { controller: Arc::clone(controller), gossip, known }))
     }
 
     /// Takes the seeds of settings as they change.
-    pub(super) async fn follow(self: Arc<Self>, mut changes: watch::Receiver<Settings>) {
+    pub(super) async fn follow_settings(self: Arc<Self>, mut changes: watch::Receiver<Settings>) {
         while changes.changed().await.is_ok() {
             let settings = changes.borrow_and_update().clone();
             let all = update(&self.known, |known| known.seeds = settings.seed_keepers());
-            self.keeper.replica_event(Event::Contacts(all));
+            self.controller.step_replica(Event::Contacts(all));
             self.gossip.reload(&settings);
         }
         // Nobody changes the settings any more.
@@ -69,7 +71,7 @@
     }
 }
 
-fn update(known: &Mutex<Known>, change: impl FnOnce(&mut Known)) -> Vec<SocketAddr> {
+fn update(known: &Mutex<KnownAddresses>, change: impl FnOnce(&mut KnownAddresses)) -> Vec<SocketAddr> {
     let mut known = lock(known);
     change(&mut known);
     known.all()
--- a/crates/node/src/keeper/peers.rs
+++ b/crates/node/src/keeper/peers.rs
@@ -11,7 +11,7 @@
 use crate::sync::lock;
 
 /// Messages that wait for a connection to come up; the oldest give way.
-const MAX_WAITING: usize = 64;
+const MAX_QUEUED_MESSAGES: usize = 64;
 /// Keepers that are remembered; more than ever take part.
 const MAX_PEERS: usize = 64;
 
@@ -24,8 +24,8 @@
 #[derive(Default)]
 struct Peer {
     link: Option<Link>,
-    waiting: VecDeque<Message>,
-    connecting: bool,
+    queued: VecDeque<Message>,
+    is_connecting: bool,
 }
 
 impl Peers {
@@ -38,18 +38,18 @@
     pub(super) fn send(self: &Arc<Self>, address: SocketAddr, message: Message) {
         let mut peers = self.lock();
         if peers.len() >= MAX_PEERS {
-            peers.retain(|_, peer| peer.connecting || peer.live().is_some());
+            peers.retain(|_, peer| peer.is_connecting || peer.live_link().is_some());
         }
         let peer = peers.entry(address).or_default();
-        if let Some(link) = peer.live() {
+        if let Some(link) = peer.live_link() {
             return link.send(message);
         }
-        if peer.waiting.len() == MAX_WAITING {
-            peer.waiting.pop_front();
+        if peer.queued.len() == MAX_QUEUED_MESSAGES {
+            peer.queued.pop_front();
         }
-        peer.waiting.push_back(message);
-        if !peer.connecting {
-            peer.connecting = true;
+        peer.queued.push_back(message);
+        if !peer.is_connecting {
+            peer.is_connecting = true;
             tokio::spawn(Arc::clone(self).connect(address));
         }
     }
@@ -70,8 +70,8 @@
         let link = self.pool.link(address).await.ok();
         let mut peers = self.lock();
         let Some(peer) = peers.get_mut(&address) else { return };
-        peer.connecting = false;
-        let waiting = std::mem::take(&mut peer.waiting);
+        peer.is_connecting = false;
+        let waiting = std::mem::take(&mut peer.queued);
         if let Some(link) = &link {
             waiting.into_iter().for_each(|message| link.send(message));
         }
@@ -84,7 +84,7 @@
 }
 
 impl Peer {
-    fn live(&self) -> Option<&Link> {
+    fn live_link(&self) -> Option<&Link> {
         self.link.as_ref().filter(|link| !link.is_closed())
     }
 }
--- a/crates/node/src/keeper/record_file.rs
+++ b/crates/node/src/keeper/record_file.rs
@@ -19,18 +19,18 @@
 use snafu::{ResultExt, Snafu};
 
 /// The layout of records and ballots; another number with every change of what is in them.
-const LAYOUT: u32 = 1;
+const LAYOUT_VERSION: u32 = 1;
 /// The name of the state in the data directory.
 const STATE_NAME: &str = "control";
 /// The name of the ballots that came after it.
-const BALLOT_NAME: &str = "ballot";
+const ACCEPTOR_STATE_NAME: &str = "ballot";
 
 /// Why the disk cannot be used.
 #[derive(Debug, Snafu)]
 pub enum DiskError {
     /// It refuses.
     #[snafu(display("{source}"))]
-    Refused {
+    Storage {
         /// What was tried.
         source: StorageError,
     },
@@ -42,10 +42,10 @@
     },
     /// A ballot belongs to a record that is not there.
     #[snafu(display("the record of the last ballot is missing"))]
-    Missing,
+    MissingRecord,
     /// The record was written by the keeper of another folder.
     #[snafu(display("the record on disk is that of disk {}, not of {}", found.0, expected.0))]
-    Foreign {
+    ForeignRecord {
         /// The identity in the record.
         found: DiskId,
         /// The identity of the folder.
@@ -57,9 +57,9 @@
     /// Whether the disk counts as lost.
     fn is_loss(&self) -> bool {
         match self {
-            DiskError::Refused { source } => source.is_corruption(),
+            DiskError::Storage { source } => source.is_corruption(),
             DiskError::Malformed { .. } => false,
-            DiskError::Missing | DiskError::Foreign { .. } => true,
+            DiskError::MissingRecord | DiskError::ForeignRecord { .. } => true,
         }
     }
 }
@@ -76,7 +76,7 @@
 
 /// The layout of a ballot on disk.
 #[derive(Serialize, Deserialize)]
-struct StoredBallot {
+struct StoredAcceptorState {
     disk: DiskId,
     /// The number of the record that it belongs to.
     record: u64,
@@ -86,11 +86,11 @@
 
 /// What a keeper finds on its disk.
 #[derive(Debug)]
-pub struct Opened {
+pub struct OpenedRecordFile {
     /// The identity of its folder.
     pub disk: DiskId,
     /// Where its records go.
-    pub file: RecordFile,
+    pub record_file: RecordFile,
     /// The newest record; `None` if there is none yet.
     pub record: Option<Record>,
     /// Why what was there counts as lost, if it does; the identity is a new one then.
@@ -102,53 +102,57 @@
 /// # Errors
 ///
 /// If the disk refuses, or holds what another release wrote.
-pub fn open(folder: &Path, draw: impl Fn() -> u64) -> Result<Opened, DiskError> {
-    let (disk, _) = identity::open(folder, draw()).context(RefusedSnafu)?;
+pub fn open(folder: &Path, draw: impl Fn() -> u64) -> Result<OpenedRecordFile, DiskError> {
+    let (disk, _) = identity::open(folder, draw()).context(StorageSnafu)?;
     let disk = DiskId(disk);
-    layout::check(folder, STATE_NAME, LAYOUT).context(RefusedSnafu)?;
+    layout::check(folder, STATE_NAME, LAYOUT_VERSION).context(StorageSnafu)?;
     match RecordFile::open(folder, disk) {
-        Ok((file, record)) => Ok(Opened { disk, file, record, loss: None }),
-        Err(loss) if loss.is_loss() => start_over(folder, DiskId(draw()), loss),
+        Ok((file, record)) => Ok(OpenedRecordFile { disk, record_file: file, record, loss: None }),
+        Err(loss) if loss.is_loss() => reset_identity(folder, DiskId(draw()), loss),
         Err(error) => Err(error),
     }
 }
 
 /// The identity goes first: a record that is still there after a loss of power is a foreign one then.
-fn start_over(folder: &Path, disk: DiskId, loss: DiskError) -> Result<Opened, DiskError> {
-    identity::renew(folder, disk.0).context(RefusedSnafu)?;
-    let files = SnapshotFiles::clear(folder, STATE_NAME).context(RefusedSnafu)?;
-    let ballots = SnapshotFiles::clear(folder, BALLOT_NAME).context(RefusedSnafu)?;
-    let file = RecordFile { disk, files, ballots, written: None };
-    Ok(Opened { disk, file, record: None, loss: Some(loss) })
+fn reset_identity(folder: &Path, disk: DiskId, loss: DiskError) -> Result<OpenedRecordFile, DiskError> {
+    identity::renew(folder, disk.0).context(StorageSnafu)?;
+    let files = SnapshotFiles::clear(folder, STATE_NAME).context(StorageSnafu)?;
+    let ballots = SnapshotFiles::clear(folder, ACCEPTOR_STATE_NAME).context(StorageSnafu)?;
+    let file = RecordFile { disk, record_files: files, acceptor_files: ballots, newest_written: None };
+    Ok(OpenedRecordFile { disk, record_file: file, record: None, loss: Some(loss) })
 }
 
 /// The files. All calls block on the disk.
 #[derive(Debug)]
 pub struct RecordFile {
     disk: DiskId,
-    files: SnapshotFiles,
-    ballots: SnapshotFiles,
+    record_files: SnapshotFiles,
+    acceptor_files: SnapshotFiles,
     /// The state that the newest record holds.
-    written: Option<(Version, Arc<Vec<u8>>)>,
+    newest_written: Option<(Version, Arc<Vec<u8>>)>,
 }
 
 impl RecordFile {
     /// Opens the files and reads the newest record of this disk with its newest ballot.
     fn open(folder: &Path, disk: DiskId) -> Result<(Self, Option<Record>), DiskError> {
-        let (files, newest) = SnapshotFiles::open(folder, STATE_NAME).context(RefusedSnafu)?;
-        let (ballots, newest_ballot) = SnapshotFiles::open(folder, BALLOT_NAME).context(RefusedSnafu)?;
+        let (files, newest) = SnapshotFiles::open(folder, STATE_NAME).context(StorageSnafu)?;
+        let (ballots, newest_ballot) =
+            SnapshotFiles::open(folder, ACCEPTOR_STATE_NAME).context(StorageSnafu)?;
         let mut record = newest.map(|bytes| decode_record(&bytes, disk)).transpose()?;
-        let later = newest_ballot.map(|bytes| decode_ballot(&bytes, disk)).transpose()?;
+        let later = newest_ballot.map(|bytes| decode_acceptor_state(&bytes, disk)).transpose()?;
         if let Some((number, ballot)) = later {
             match &mut record {
                 Some(record) if number == files.newest_number() => record.ballot = ballot,
                 // The record that came after it holds a later one.
                 Some(_) if number < files.newest_number() => {}
-                _ => return MissingSnafu.fail(),
+                _ => return MissingRecordSnafu.fail(),
             }
         }
         let written = record.as_ref().map(|record| (record.version, Arc::clone(&record.state)));
-        Ok((RecordFile { disk, files, ballots, written }, record))
+        Ok((
+            RecordFile { disk, record_files: files, acceptor_files: ballots, newest_written: written },
+            record,
+        ))
     }
 
     /// Writes a record. When this returns, it outlasts a loss of power.
@@ -159,11 +163,11 @@
     pub fn write(&mut self, record: &Record) -> Result<(), DiskError> {
         let holds =
             |(version, state): &(Version, Arc<Vec<u8>>)| *version == record.version && *state == record.state;
-        if self.written.as_ref().is_some_and(holds) {
-            return self.write_ballot(&record.ballot);
+        if self.newest_written.as_ref().is_some_and(holds) {
+            return self.write_acceptor_state(&record.ballot);
         }
         // Where this fails, the newest number is not known to be that of a record.
-        self.written = None;
+        self.newest_written = None;
         let stored = StoredRecord {
             disk: self.disk,
             promised: record.ballot.promised,
@@ -172,20 +176,20 @@
             state: Arc::clone(&record.state),
         };
         let bytes = postcard::to_stdvec(&stored).context(MalformedSnafu)?;
-        self.files.write(&bytes).context(RefusedSnafu)?;
-        self.written = Some((record.version, Arc::clone(&record.state)));
+        self.record_files.write(&bytes).context(StorageSnafu)?;
+        self.newest_written = Some((record.version, Arc::clone(&record.state)));
         Ok(())
     }
 
-    fn write_ballot(&mut self, ballot: &Ballot) -> Result<(), DiskError> {
-        let stored = StoredBallot {
+    fn write_acceptor_state(&mut self, ballot: &Ballot) -> Result<(), DiskError> {
+        let stored = StoredAcceptorState {
             disk: self.disk,
-            record: self.files.newest_number(),
+            record: self.record_files.newest_number(),
             promised: ballot.promised,
             accepted: ballot.accepted.clone(),
         };
         let bytes = postcard::to_stdvec(&stored).context(MalformedSnafu)?;
-        self.ballots.write(&bytes).context(RefusedSnafu)
+        self.acceptor_files.write(&bytes).context(StorageSnafu)
     }
 }
 
@@ -197,12 +201,12 @@
 }
 
 /// A ballot with the number of its record.
-fn decode_ballot(bytes: &[u8], expected: DiskId) -> Result<(u64, Ballot), DiskError> {
-    let stored: StoredBallot = postcard::from_bytes(bytes).context(MalformedSnafu)?;
+fn decode_acceptor_state(bytes: &[u8], expected: DiskId) -> Result<(u64, Ballot), DiskError> {
+    let stored: StoredAcceptorState = postcard::from_bytes(bytes).context(MalformedSnafu)?;
     check_disk(stored.disk, expected)?;
     Ok((stored.record, Ballot { promised: stored.promised, accepted: stored.accepted }))
 }
 
 fn check_disk(found: DiskId, expected: DiskId) -> Result<(), DiskError> {
-    if found == expected { Ok(()) } else { ForeignSnafu { found, expected }.fail() }
+    if found == expected { Ok(()) } else { ForeignRecordSnafu { found, expected }.fail() }
 }
--- a/crates/node/src/keeper/stores.rs
+++ b/crates/node/src/keeper/store_placement.rs
@@ -12,46 +12,46 @@
 use juniperwing_protocol::{DiskId, EpochNumber, Message};
 use slog::{info, warn};
 
-use super::consensus::PrimaryPlace;
-use super::{Keeper, State};
+use super::consensus::PrimaryLocation;
+use super::{Controller, State};
 use crate::clock;
 
 /// Reports of primaries that wait to be used.
-const MAX_CAUGHT_UP: usize = 1_024;
+const MAX_CAUGHT_UP_REPORTS: usize = 1_024;
 
-impl Keeper {
+impl Controller {
     /// Another keeper tells which stores it sees. Returns the highest epoch known here, for the answer.
-    pub(super) fn stores_seen(&self, keeper: DiskId, stores: Vec<StoreNode>) -> EpochNumber {
+    pub(super) fn handle_reachable_stores(&self, keeper: DiskId, stores: Vec<StoreNode>) -> EpochNumber {
         let mut state = self.lock();
         let now = clock::now();
         state.contact.record_message(now, keeper);
         state.tracker.record_report(now, keeper, stores);
         let epoch = state.consensus.replica.epoch().number;
         drop(state);
-        self.wake_planner.notify_one();
+        self.planning_requested.notify_one();
         epoch
     }
 
     /// Tells the others which stores this keeper sees. Their answers are evidence of contact.
-    pub(super) fn report_stores(self: &Arc<Self>) {
-        let from = self.me.disk;
+    pub(super) fn report_reachable_stores(self: &Arc<Self>) {
+        let from = self.local_voter.disk;
         let stores = {
             let mut state = self.lock();
-            let stores = state.subscribers.stores();
+            let stores = state.subscribers.subscribed_stores();
             state.tracker.record_report(clock::now(), from, stores.clone());
             stores
         };
         for voter in self.other_voters() {
             let message = RegistryMessage::ReachableStores { from, stores: stores.clone() };
-            tokio::spawn(Arc::clone(self).report_stores_to(voter, message));
+            tokio::spawn(Arc::clone(self).send_reachable_stores(voter, message));
         }
-        self.pass_on_caught_up();
-        self.wake_planner.notify_one();
+        self.forward_caught_up_reports();
+        self.planning_requested.notify_one();
     }
 
-    async fn report_stores_to(self: Arc<Self>, voter: Voter, report: RegistryMessage) {
+    async fn send_reachable_stores(self: Arc<Self>, voter: Voter, report: RegistryMessage) {
         let asked_at = clock::now();
-        let within = self.times.peer_answers_within;
+        let within = self.control_times.peer_answers_within;
         let answer = self.peers.call(voter.address, Message::Registry(report), within).await;
         if let Ok(Message::Registry(RegistryMessage::ReachableStoresReply { epoch })) = answer {
             self.lock().contact.record_reply(clock::now(), voter.disk, asked_at, epoch);
@@ -60,31 +60,33 @@
 
     /// Primaries of partitions report replicas that have caught up. Such a report is true until the partition's
     /// epoch changes, so it is kept until then, whoever is primary keeper meanwhile.
-    pub(super) fn caught_up(self: &Arc<Self>, reports: Vec<CaughtUp>) {
+    pub(super) fn handle_caught_up_reports(self: &Arc<Self>, reports: Vec<CaughtUp>) {
         let mut state = self.lock();
         for report in reports {
-            if state.caught_up.len() < MAX_CAUGHT_UP && !state.caught_up.contains(&report) {
-                state.caught_up.push(report);
+            if state.caught_up_reports.len() < MAX_CAUGHT_UP_REPORTS
+                && !state.caught_up_reports.contains(&report)
+            {
+                state.caught_up_reports.push(report);
             }
         }
         drop(state);
-        self.wake_planner.notify_one();
+        self.planning_requested.notify_one();
     }
 
     /// Passes the reports that still count on to the primary keeper, if that is another one.
-    pub(super) fn pass_on_caught_up(self: &Arc<Self>) {
-        let PrimaryPlace::At(address) = self.primary_place() else { return };
-        let reports = self.lock().caught_up.clone();
+    pub(super) fn forward_caught_up_reports(self: &Arc<Self>) {
+        let PrimaryLocation::Remote(address) = self.primary_location() else { return };
+        let reports = self.lock().caught_up_reports.clone();
         if !reports.is_empty() {
             self.peers.send(address, Message::Registry(RegistryMessage::CaughtUp(reports)));
         }
     }
 
     /// Brings the view of the stores up to date and, as primary, changes the map where it has to change.
-    pub(super) async fn plan_stores(self: &Arc<Self>) {
+    pub(super) async fn plan_store_map_change(self: &Arc<Self>) {
         let Some((base, change)) = self.next_store_change() else { return };
         match self.propose(base, change).await {
-            Ok(_) => self.wake_planner.notify_one(),
+            Ok(_) => self.planning_requested.notify_one(),
             // The next look at the stores computes it anew.
             Err(error) => info!(self.log, "the store map stays"; "why" => error.to_string()),
         }
@@ -96,7 +98,7 @@
         state.store_view = state.tracker.tick(clock::now(), &committed.state.store_map.stores);
         let placed = &committed.state.store_map;
         // A report of an epoch that this keeper does not know yet is kept.
-        state.caught_up.retain(|report| {
+        state.caught_up_reports.retain(|report| {
             placed.assignment(report.partition).is_some_and(|held| held.epoch <= report.epoch)
         });
         let replica = &state.consensus.replica;
@@ -106,11 +108,11 @@
         if let Some(change) = retirement_of_replaced_disk(&committed.state, &state.store_view) {
             return Some((committed.version, change));
         }
-        self.warn_unrecoverable(state);
+        self.log_unrecoverable_partitions(state);
         let input = PlanInput {
             state: &committed.state,
             view: &state.store_view,
-            caught_up_reports: &state.caught_up,
+            caught_up_reports: &state.caught_up_reports,
             required_copies: self.required_copies,
         };
         if let Some(map) = plan_store_map(input) {
@@ -120,12 +122,12 @@
         Some((committed.version, ControlChange::CompleteRetirement(empty)))
     }
 
-    fn warn_unrecoverable(&self, state: &mut State) {
+    fn log_unrecoverable_partitions(&self, state: &mut State) {
         let Some(committed) = state.consensus.committed() else { return };
         let lost = unrecoverable_partitions(&committed.state, &state.store_view).len();
-        if lost > 0 && lost != state.unrecoverable {
+        if lost > 0 && lost != state.unrecoverable_partitions {
             warn!(self.log, "every copy of some partitions is gone"; "partitions" => lost);
         }
-        state.unrecoverable = lost;
+        state.unrecoverable_partitions = lost;
     }
 }
--- a/crates/node/src/keeper/subscribers.rs
+++ b/crates/node/src/keeper/subscribers.rs
@@ -22,13 +22,13 @@
 const MAX_SUBSCRIPTIONS: usize = 4_000;
 
 /// All that a subscriber may be told, at one moment.
-pub(super) struct Tellable<'state> {
+pub(super) struct PublishedState<'state> {
     /// The committed state; `None` while none is known.
     pub(super) committed: Option<&'state ControlState>,
     /// Where the keepers listen.
-    pub(super) keepers: &'state [SocketAddr],
+    pub(super) controller_addresses: &'state [SocketAddr],
     /// Whether the keeper has heard of every live endpoint.
-    pub(super) complete: bool,
+    pub(super) is_registry_complete: bool,
 }
 
 /// Counts subscriptions in the order in which they came.
@@ -37,24 +37,24 @@
 
 /// Whether a subscriber may be told anything.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Stage {
+enum SubscriptionStage {
     /// This keeper is not confirmed to be current since the subscription came.
     Unconfirmed(SubscriptionNumber),
     /// Confirmed; the first updates go with the next push.
     Confirmed,
     /// Told everything; changes follow.
-    Told,
+    Active,
 }
 
 struct Subscription {
     link: Link,
-    stage: Stage,
+    stage: SubscriptionStage,
     subscribe: Subscribe,
     applied: AppliedVersions,
-    told_keepers: Vec<SocketAddr>,
-    told_configuration: Version,
-    told_stores: u64,
-    told_complete: bool,
+    sent_addresses: Vec<SocketAddr>,
+    sent_configuration: Version,
+    sent_store_map: u64,
+    sent_registry_complete: bool,
 }
 
 /// The subscribers.
@@ -65,7 +65,7 @@
     changed: BTreeMap<InstanceId, Instance>,
     /// Counts pushes of instances.
     revision: u64,
-    newest: SubscriptionNumber,
+    newest_number: SubscriptionNumber,
 }
 
 impl Subscribers {
@@ -74,18 +74,18 @@
         if self.subscriptions.len() >= MAX_SUBSCRIPTIONS {
             return link.close();
         }
-        self.newest.0 += 1;
+        self.newest_number.0 += 1;
         let told_configuration = subscribe.configuration;
         let applied = AppliedVersions { configuration: told_configuration, ..AppliedVersions::default() };
         let subscription = Subscription {
             link: link.clone(),
-            stage: Stage::Unconfirmed(self.newest),
+            stage: SubscriptionStage::Unconfirmed(self.newest_number),
             subscribe,
             applied,
-            told_keepers: Vec::new(),
-            told_configuration,
-            told_stores: 0,
-            told_complete: false,
+            sent_addresses: Vec::new(),
+            sent_configuration: told_configuration,
+            sent_store_map: 0,
+            sent_registry_complete: false,
         };
         self.subscriptions.insert(link.id(), subscription);
     }
@@ -105,7 +105,7 @@
     pub(super) fn confirm(&mut self, newest: SubscriptionNumber) {
         for subscription in self.subscriptions.values_mut() {
             if subscription.unconfirmed().is_some_and(|number| number <= newest) {
-                subscription.stage = Stage::Confirmed;
+                subscription.stage = SubscriptionStage::Confirmed;
             }
         }
     }
@@ -116,7 +116,7 @@
     }
 
     /// A subscriber confirms what it has applied. It never goes back.
-    pub(super) fn applied(&mut self, link: LinkId, applied: &AppliedVersions) {
+    pub(super) fn record_applied(&mut self, link: LinkId, applied: &AppliedVersions) {
         let Some(subscription) = self.subscriptions.get_mut(&link) else { return };
         let known = &mut subscription.applied;
         known.configuration = known.configuration.max(applied.configuration);
@@ -125,7 +125,7 @@
     }
 
     /// Instances that subscribers have to be told of. Returns the revision with which they will be told.
-    pub(super) fn note(&mut self, instances: &[Instance]) -> u64 {
+    pub(super) fn record_changed(&mut self, instances: &[Instance]) -> u64 {
         for instance in instances {
             self.changed.insert(instance.id.clone(), instance.clone());
         }
@@ -138,43 +138,46 @@
     }
 
     /// Tells every confirmed subscriber what it does not know yet. `all` gives all instances.
-    pub(super) fn push(&mut self, tellable: &Tellable, all: impl Fn() -> Vec<Instance>) {
+    pub(super) fn push(&mut self, tellable: &PublishedState, all: impl Fn() -> Vec<Instance>) {
         let changed: Vec<Instance> = std::mem::take(&mut self.changed).into_values().collect();
         if !changed.is_empty() {
             self.revision += 1;
         }
         for subscription in self.subscriptions.values_mut() {
             match subscription.stage {
-                Stage::Unconfirmed(_) => continue,
-                Stage::Confirmed => {
-                    subscription.stage = Stage::Told;
-                    subscription.tell_all_instances(all(), self.revision, tellable.complete);
+                SubscriptionStage::Unconfirmed(_) => continue,
+                SubscriptionStage::Confirmed => {
+                    subscription.stage = SubscriptionStage::Active;
+                    subscription.send_instance_snapshot(all(), self.revision, tellable.is_registry_complete);
+                }
+                SubscriptionStage::Active => {
+                    subscription.send_instance_changes(&changed, self.revision, tellable.is_registry_complete)
                 }
-                Stage::Told => subscription.tell_instances(&changed, self.revision, tellable.complete),
             }
-            subscription.tell_keepers(tellable);
-            subscription.tell_configuration(tellable);
-            subscription.tell_stores(tellable);
+            subscription.send_controller_addresses(tellable);
+            subscription.send_configuration(tellable);
+            subscription.send_store_map(tellable);
         }
     }
 
     /// Whether all relays subscribed have applied the instances up to a revision. One that waits to be
     /// confirmed has not.
-    pub(super) fn have_instances(&self, revision: u64) -> bool {
-        let has_applied =
-            |relay: &Subscription| relay.stage == Stage::Told && relay.applied.instances >= revision;
+    pub(super) fn have_applied_instances(&self, revision: u64) -> bool {
+        let has_applied = |relay: &Subscription| {
+            relay.stage == SubscriptionStage::Active && relay.applied.instances >= revision
+        };
         self.revision >= revision && self.relays().all(has_applied)
     }
 
     /// Whether all relays subscribed have applied the configuration.
-    pub(super) fn have_configuration(&self, version: Version) -> bool {
+    pub(super) fn have_applied_configuration(&self, version: Version) -> bool {
         self.relays().all(|relay| relay.applied.configuration >= version)
     }
 
     /// The stores that are subscribed, those included that wait to be confirmed: their links are alive.
-    pub(super) fn stores(&self) -> Vec<StoreNode> {
+    pub(super) fn subscribed_stores(&self) -> Vec<StoreNode> {
         let subscriptions = self.subscriptions.values().filter(|subscription| !subscription.link.is_closed());
-        subscriptions.filter_map(|subscription| store_of(&subscription.subscribe)).collect()
+        subscriptions.filter_map(|subscription| subscribing_store(&subscription.subscribe)).collect()
     }
 
     fn relays(&self) -> impl Iterator<Item = &Subscription> {
@@ -187,51 +190,51 @@
 impl Subscription {
     fn unconfirmed(&self) -> Option<SubscriptionNumber> {
         match self.stage {
-            Stage::Unconfirmed(number) => Some(number),
-            Stage::Confirmed | Stage::Told => None,
+            SubscriptionStage::Unconfirmed(number) => Some(number),
+            SubscriptionStage::Confirmed | SubscriptionStage::Active => None,
         }
     }
 
-    fn tell(&self, update: Update) {
+    fn send(&self, update: Update) {
         self.link.send(Message::Update(update));
     }
 
-    fn tell_keepers(&mut self, tellable: &Tellable) {
-        if tellable.keepers.is_empty() || self.told_keepers == tellable.keepers {
+    fn send_controller_addresses(&mut self, tellable: &PublishedState) {
+        if tellable.controller_addresses.is_empty() || self.sent_addresses == tellable.controller_addresses {
             return;
         }
-        self.told_keepers = tellable.keepers.to_vec();
-        self.tell(Update::Keepers(self.told_keepers.clone()));
+        self.sent_addresses = tellable.controller_addresses.to_vec();
+        self.send(Update::Keepers(self.sent_addresses.clone()));
     }
 
-    fn tell_configuration(&mut self, tellable: &Tellable) {
+    fn send_configuration(&mut self, tellable: &PublishedState) {
         let Some(state) = tellable.committed else { return };
         let Some(configuration) = &state.configuration else { return };
         let version = state.configuration_version();
-        if !is_relay(&self.subscribe) || version <= self.told_configuration {
+        if !is_relay(&self.subscribe) || version <= self.sent_configuration {
             return;
         }
-        self.told_configuration = version;
-        self.tell(Update::Configuration { version, body: Arc::clone(&configuration.body) });
+        self.sent_configuration = version;
+        self.send(Update::Configuration { version, body: Arc::clone(&configuration.body) });
     }
 
-    fn tell_all_instances(&mut self, instances: Vec<Instance>, revision: u64, complete: bool) {
+    fn send_instance_snapshot(&mut self, instances: Vec<Instance>, revision: u64, complete: bool) {
         if is_relay(&self.subscribe) {
-            self.told_complete = complete;
+            self.sent_registry_complete = complete;
             let update =
                 InstancesUpdate { revision, is_snapshot: true, is_registry_complete: complete, instances };
-            self.tell(Update::Instances(update));
+            self.send(Update::Instances(update));
         }
     }
 
-    fn tell_instances(&mut self, changed: &[Instance], revision: u64, complete: bool) {
-        let newly_complete = complete && !self.told_complete;
+    fn send_instance_changes(&mut self, changed: &[Instance], revision: u64, complete: bool) {
+        let newly_complete = complete && !self.sent_registry_complete;
         if !is_relay(&self.subscribe) || (changed.is_empty() && !newly_complete) {
             return;
         }
-        self.told_complete = complete;
+        self.sent_registry_complete = complete;
         let instances = changed.to_vec();
-        self.tell(Update::Instances(InstancesUpdate {
+        self.send(Update::Instances(InstancesUpdate {
             revision,
             is_snapshot: false,
             is_registry_complete: complete,
@@ -239,13 +242,13 @@
         }));
     }
 
-    fn tell_stores(&mut self, tellable: &Tellable) {
+    fn send_store_map(&mut self, tellable: &PublishedState) {
         let Some(state) = tellable.committed else { return };
-        if state.store_map.version <= self.told_stores {
+        if state.store_map.version <= self.sent_store_map {
             return;
         }
-        self.told_stores = state.store_map.version;
-        self.tell(Update::Stores(Arc::clone(&state.store_map)));
+        self.sent_store_map = state.store_map.version;
+        self.send(Update::Stores(Arc::clone(&state.store_map)));
     }
 }
 
@@ -254,7 +257,7 @@
 }
 
 /// The store that subscribes, if it is one.
-pub(super) fn store_of(subscribe: &Subscribe) -> Option<StoreNode> {
+pub(super) fn subscribing_store(subscribe: &Subscribe) -> Option<StoreNode> {
     let SubscriberKind::Store { disk } = subscribe.subscriber else { return None };
     Some(StoreNode {
         disk,
--- a/crates/node/src/keeper/confirmation.rs
+++ b/crates/node/src/keeper/subscription_confirmation.rs
@@ -14,23 +14,23 @@
 use juniperwing_protocol::replication::Version;
 use tokio::time::{Instant, sleep, timeout};
 
-use super::Keeper;
-use super::consensus::PrimaryPlace;
+use super::Controller;
+use super::consensus::PrimaryLocation;
 
 /// Between two questions while no majority confirms.
-const RETRY_AFTER: Duration = Duration::from_millis(50);
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-impl Keeper {
+impl Controller {
     /// Confirms subscriptions, for as long as the keeper lives.
-    pub(super) async fn confirm_subscriptions(self: Arc<Self>) {
+    pub(super) async fn run_subscription_confirmation(self: Arc<Self>) {
         loop {
-            self.wake_confirmation.notified().await;
+            self.confirmation_requested.notified().await;
             while let Some(newest) = self.newest_unconfirmed() {
-                if self.is_current().await {
+                if self.is_committed_state_current().await {
                     self.lock().subscribers.confirm(newest);
-                    self.wake_push.notify_one();
+                    self.push_requested.notify_one();
                 } else {
-                    sleep(RETRY_AFTER).await;
+                    sleep(RETRY_INTERVAL).await;
                 }
             }
         }
@@ -43,12 +43,12 @@
 
     /// Whether the committed state here has every change that was committed before this was called. `false`
     /// if it is not known within the time for it.
-    async fn is_current(self: &Arc<Self>) -> bool {
-        let until = Instant::now() + self.times.confirmed_within;
+    async fn is_committed_state_current(self: &Arc<Self>) -> bool {
+        let until = Instant::now() + self.control_times.confirmed_within;
         if !self.is_voter(&self.lock()) {
             return false;
         }
-        let Some(version) = self.current_version().await else { return false };
+        let Some(version) = self.confirmed_version().await else { return false };
         let has_reached = |state: &super::State| {
             state.consensus.committed().is_some_and(|committed| committed.version >= version)
         };
@@ -56,23 +56,23 @@
     }
 
     /// The newest committed version, confirmed by a majority after this was called.
-    async fn current_version(self: &Arc<Self>) -> Option<Version> {
-        match self.primary_place() {
-            PrimaryPlace::Here => self.own_current_version().await,
-            PrimaryPlace::At(address) => {
+    async fn confirmed_version(self: &Arc<Self>) -> Option<Version> {
+        match self.primary_location() {
+            PrimaryLocation::Local => self.confirmed_version_as_primary().await,
+            PrimaryLocation::Remote(address) => {
                 let question = Message::Registry(RegistryMessage::ReadCommittedVersion);
-                match self.peers.call(address, question, self.times.confirmed_within).await {
+                match self.peers.call(address, question, self.control_times.confirmed_within).await {
                     Ok(Message::Registry(RegistryMessage::CommittedVersion { version })) => version,
                     _ => None,
                 }
             }
-            PrimaryPlace::Unknown => None,
+            PrimaryLocation::Unknown => None,
         }
     }
 
     /// As primary: the committed version, confirmed by a majority after this was called.
-    pub(super) async fn own_current_version(self: &Arc<Self>) -> Option<Version> {
-        let confirmed = timeout(self.times.confirmed_within, self.read_confirmed()).await.ok()?;
+    pub(super) async fn confirmed_version_as_primary(self: &Arc<Self>) -> Option<Version> {
+        let confirmed = timeout(self.control_times.confirmed_within, self.read_confirmed()).await.ok()?;
         confirmed.ok().map(|committed| committed.version)
     }
 }
--- a/crates/node/tests/golden.rs
+++ b/crates/node/tests/golden.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 use golden_files::assert_golden;
-use juniperwing_node::keeper::record_file::{Opened, open};
+use juniperwing_node::keeper::record_file::{OpenedRecordFile, open};
 use juniperwing_protocol::replication::{Epoch, Version, Voter};
 use juniperwing_protocol::{DiskId, EpochNumber, NodeName};
 use juniperwing_replication::{Ballot, Record};
@@ -22,7 +22,7 @@
 fn a_record_has_its_golden_bytes() {
     let encode = |record: &Record| {
         let folder = Folder::new("write-record");
-        open_folder(&folder.0).file.write(record).unwrap();
+        open_folder(&folder.0).record_file.write(record).unwrap();
         folder.read(RECORD_FILE)
     };
     let decode = |bytes: &[u8]| {
@@ -38,14 +38,14 @@
 fn a_ballot_has_its_golden_bytes() {
     let encode = |ballot: &Ballot| {
         let folder = Folder::new("write-ballot");
-        let mut file = open_folder(&folder.0).file;
+        let mut file = open_folder(&folder.0).record_file;
         file.write(&record(first_ballot())).unwrap();
         file.write(&record(ballot.clone())).unwrap();
         folder.read(BALLOT_FILE)
     };
     let decode = |bytes: &[u8]| {
         let folder = Folder::new("read-ballot");
-        open_folder(&folder.0).file.write(&record(first_ballot())).unwrap();
+        open_folder(&folder.0).record_file.write(&record(first_ballot())).unwrap();
         fs::write(folder.0.join(BALLOT_FILE), bytes).unwrap();
         open_folder(&folder.0).record.expect("a record").ballot
     };
@@ -53,7 +53,7 @@
 }
 
 /// The folder's identity comes first, so every file of it names the same disk.
-fn open_folder(folder: &Path) -> Opened {
+fn open_folder(folder: &Path) -> OpenedRecordFile {
     let opened = open(folder, || DISK).unwrap();
     assert!(opened.loss.is_none(), "{:?}", opened.loss);
     opened
--- a/crates/node/tests/gossip.rs
+++ b/crates/node/tests/gossip.rs
@@ -20,7 +20,7 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-use keepers::{Keepers, Observer, PATIENCE, configuration};
+use keepers::{Keepers, Observer, TEST_TIMEOUT, configuration};
 
 /// Nobody listens there.
 const DEAD: u8 = 250;
@@ -74,7 +74,7 @@
 
     async fn until_keepers(&mut self, wanted: &[SocketAddr]) {
         let found = self.keepers.wait_for(|found| found == wanted);
-        timeout(PATIENCE, found).await.expect("in time").expect("the member runs");
+        timeout(TEST_TIMEOUT, found).await.expect("in time").expect("the member runs");
     }
 }
 
@@ -157,7 +157,7 @@
     };
     let subscriber = Subscriber::start(subscribe, settings.seed_keepers(), 1, Arc::new(Nothing));
     subscriber.set_found(vec![machines.keeper(1)]);
-    timeout(PATIENCE, keeper.accept()).await.expect("in time").unwrap();
+    timeout(TEST_TIMEOUT, keeper.accept()).await.expect("in time").unwrap();
 }
 
 #[tokio::test]
--- a/crates/node/tests/keeper.rs
+++ b/crates/node/tests/keeper.rs
@@ -130,7 +130,7 @@
     assert_eq!(relay.instance_state("i-1"), Some(InstanceState::Terminated));
 }
 
-// Guard: `end_instance` waits until what it changed has spread.
+// Guard: `handle_instance_end` waits until what it changed has propagated.
 #[tokio::test]
 async fn an_end_without_a_drain_is_acknowledged_when_relays_of_other_keepers_know() {
     let keepers = Keepers::start(3).await;
--- a/crates/node/tests/keeper_contact.rs
+++ b/crates/node/tests/keeper_contact.rs
@@ -39,7 +39,7 @@
 async fn a_keeper_that_hears_and_is_not_heard_acknowledges_nothing() {
     let (keepers, peers) = Keepers::start_among_peers(BACKUP).await;
     keepers.until_heartbeat(BACKUP, "i-1", &heartbeat("ready", 1)).await;
-    set_gates(&peers, Gate::DEAF);
+    set_gates(&peers, Gate::NO_INBOUND);
     keepers.until_heartbeat_status(BACKUP, 503).await;
     assert_eq!(status_of_drain(&keepers, BACKUP, "i-1", 2).await, 503);
     assert_eq!(keepers.delete(BACKUP, "i-1").await.unwrap().status, 503);
@@ -53,7 +53,7 @@
 async fn a_keeper_that_is_heard_and_hears_nobody_acknowledges_nothing() {
     let (keepers, peers) = Keepers::start_among_peers(BACKUP).await;
     keepers.until_heartbeat(BACKUP, "i-1", &heartbeat("ready", 1)).await;
-    set_gates(&peers, Gate::MUTE);
+    set_gates(&peers, Gate::NO_OUTBOUND);
     keepers.until_heartbeat_status(BACKUP, 503).await;
     assert_eq!(status_of_drain(&keepers, BACKUP, "i-1", 2).await, 503);
     assert_eq!(keepers.try_get(BACKUP).await.unwrap().status, 503);
@@ -65,7 +65,7 @@
     let (mut keepers, peers) = Keepers::start_among_peers(BACKUP).await;
     keepers.until_heartbeat(BACKUP, "i-1", &heartbeat("ready", 1)).await;
     keepers.kill(BACKUP).await;
-    set_gates(&peers, Gate::DEAF);
+    set_gates(&peers, Gate::NO_INBOUND);
     keepers.restart(BACKUP).await;
     for sequence in 2..5 {
         let answer = keepers.heartbeat(BACKUP, "i-1", &heartbeat("ready", sequence)).await;
@@ -110,7 +110,7 @@
     assert_eq!(before.configurations(), [configuration(3), configuration(4)]);
 }
 
-/// Guard: subscriptions wait for a confirmation (`Stage::Unconfirmed`).
+/// Guard: subscriptions wait for a confirmation (`SubscriptionStage::Unconfirmed`).
 #[tokio::test]
 async fn a_backup_that_is_cut_off_tells_a_new_relay_nothing() {
     a_relay_subscribes_while_cut_off(BACKUP, Gate::CLOSED).await;
@@ -118,7 +118,7 @@
 
 #[tokio::test]
 async fn a_backup_that_hears_nobody_tells_a_new_relay_nothing() {
-    a_relay_subscribes_while_cut_off(BACKUP, Gate::MUTE).await;
+    a_relay_subscribes_while_cut_off(BACKUP, Gate::NO_OUTBOUND).await;
 }
 
 #[tokio::test]
@@ -137,15 +137,15 @@
     assert_eq!(keepers.try_get(BACKUP).await.unwrap().status, 503);
     assert_eq!(store.updates(), 0);
     set_gates(&peers, Gate::OPEN);
-    store.until_told().await;
+    store.until_updated().await;
 }
 
-/// Guard: an end is acknowledged only with a majority (`is_known_to_enough`). Here the others answer all but that.
+/// Guard: an end is acknowledged only with a majority (`is_propagated_to_enough`). Here the others answer all but that.
 #[tokio::test]
 async fn a_drain_that_no_other_keeper_takes_is_refused() {
     let (keepers, peers) = Keepers::start_among_peers(BACKUP).await;
     keepers.until_heartbeat(BACKUP, "i-1", &heartbeat("ready", 1)).await;
-    set_gates(&peers, Gate { takes_instances: false, ..Gate::OPEN });
+    set_gates(&peers, Gate { accepts_instances: false, ..Gate::OPEN });
     assert_eq!(status_of_drain(&keepers, BACKUP, "i-1", 2).await, 503);
     assert_eq!(keepers.delete(BACKUP, "i-1").await.unwrap().status, 503);
     set_gates(&peers, Gate::OPEN);
@@ -153,12 +153,12 @@
     assert!(peers.iter().any(|peer| peer.instance_state("i-1") == Some(InstanceState::Terminated)));
 }
 
-/// Guard: `InstancesTaken::applied`. A keeper whose relays lack the end has taken it and does not confirm it.
+/// Guard: `InstancesMerged::applied`. A keeper whose relays lack the end has taken it and does not confirm it.
 #[tokio::test]
 async fn a_drain_that_relays_of_the_other_keepers_lack_is_refused() {
     let (keepers, peers) = Keepers::start_among_peers(BACKUP).await;
     keepers.until_heartbeat(BACKUP, "i-1", &heartbeat("ready", 1)).await;
-    set_gates(&peers, Gate { applies_instances: false, ..Gate::OPEN });
+    set_gates(&peers, Gate { confirms_instances: false, ..Gate::OPEN });
     assert_eq!(status_of_drain(&keepers, BACKUP, "i-1", 2).await, 503);
     set_gates(&peers, Gate::OPEN);
     keepers.until_heartbeat(BACKUP, "i-1", &heartbeat("draining", 3)).await;
@@ -168,20 +168,20 @@
 async fn a_drain_needs_only_one_of_the_two_others() {
     let (keepers, peers) = Keepers::start_among_peers(BACKUP).await;
     keepers.until_heartbeat(BACKUP, "i-1", &heartbeat("ready", 1)).await;
-    peers[0].set_gate(Gate { takes_instances: false, ..Gate::OPEN });
+    peers[0].set_gate(Gate { accepts_instances: false, ..Gate::OPEN });
     assert_eq!(status_of_drain(&keepers, BACKUP, "i-1", 2).await, 200);
     assert_eq!(peers[1].instance_state("i-1"), Some(InstanceState::Draining));
 }
 
-/// Guard: `Keeper::spread` has an end confirmed also where it is known here already. Without it, an end that some
+/// Guard: `Controller::propagate` has an end confirmed also where it is known here already. Without it, an end that some
 /// other keeper took and could not spread would be acknowledged on the word of this keeper alone.
 #[tokio::test]
 async fn an_end_that_is_known_here_is_refused_until_a_majority_has_it() {
     let (keepers, peers) = Keepers::start_among_peers(BACKUP).await;
     // Acknowledged, so nothing is left that the others have not confirmed.
     keepers.until_heartbeat(BACKUP, "i-0", &heartbeat("draining", 1)).await;
-    set_gates(&peers, Gate { takes_instances: false, ..Gate::OPEN });
-    peers[0].tell(keepers.internal(BACKUP), draining("i-1", 2)).await;
+    set_gates(&peers, Gate { accepts_instances: false, ..Gate::OPEN });
+    peers[0].send_instance(keepers.internal(BACKUP), draining("i-1", 2)).await;
     assert_eq!(status_of_drain(&keepers, BACKUP, "i-1", 2).await, 503);
     assert_eq!(status_of_drain(&keepers, BACKUP, "i-1", 3).await, 503);
     set_gates(&peers, Gate::OPEN);
@@ -194,7 +194,7 @@
     let keepers = Keepers::start(1).await;
     keepers.until_heartbeat(0, "i-1", &heartbeat("ready", 1)).await;
     let relay = Observer::subscribe_stuck(keepers.internal(0));
-    relay.until_told().await;
+    relay.until_updated().await;
     assert_eq!(status_of_drain(&keepers, 0, "i-1", 2).await, 503);
     assert_eq!(keepers.delete(0, "i-1").await.unwrap().status, 503);
     relay.close();
@@ -218,7 +218,7 @@
     assert_eq!(relay.configurations(), [configuration(4)]);
 }
 
-/// Guard: subscriptions wait for a confirmation (`Stage::Unconfirmed`).
+/// Guard: subscriptions wait for a confirmation (`SubscriptionStage::Unconfirmed`).
 #[tokio::test]
 async fn a_primary_that_stood_still_tells_a_new_relay_nothing_old() {
     a_relay_subscribes_to_a_frozen_keeper(PRIMARY).await;
@@ -229,7 +229,7 @@
     a_relay_subscribes_to_a_frozen_keeper(BACKUP).await;
 }
 
-/// Guard: `Keeper::is_current` asks whether this keeper votes. The others answer one that does not, and its committed
+/// Guard: `Controller::is_committed_state_current` asks whether this keeper votes. The others answer one that does not, and its committed
 /// state may be current, but nobody tells it of endpoints.
 #[tokio::test]
 async fn a_keeper_that_is_no_voter_tells_a_new_relay_nothing() {
@@ -237,7 +237,7 @@
     keepers.until_heartbeat(BACKUP, "i-1", &heartbeat("ready", 1)).await;
     keepers.kill(BACKUP).await;
     keepers.wipe(BACKUP);
-    set_gates(&peers, Gate { admits: false, ..Gate::OPEN });
+    set_gates(&peers, Gate { accepts_joins: false, ..Gate::OPEN });
     keepers.restart(BACKUP).await;
     // The others answer it, so what it hears is passed on.
     keepers.until_heartbeat(BACKUP, "i-2", &heartbeat("ready", 1)).await;
@@ -246,5 +246,5 @@
     assert_eq!(keepers.try_get(BACKUP).await.unwrap().status, 503);
     assert_eq!(relay.updates(), 0);
     set_gates(&peers, Gate::OPEN);
-    relay.until_told().await;
+    relay.until_updated().await;
 }
--- a/crates/node/tests/keeper_disk.rs
+++ b/crates/node/tests/keeper_disk.rs
@@ -76,7 +76,7 @@
             }
         }
     };
-    timeout(keepers::PATIENCE, replaced).await.expect("the voter is replaced");
+    timeout(keepers::TEST_TIMEOUT, replaced).await.expect("the voter is replaced");
 }
 
 /// How often a record names the disk that an identity file tells of.
@@ -105,7 +105,7 @@
     expect_new_start(keepers, &before).await;
 }
 
-/// Fails without the comparison of disks in `decode`.
+/// Fails without the comparison of disks in `decode_record`.
 #[tokio::test]
 async fn a_record_of_another_keeper_is_a_lost_disk() {
     let mut keepers = with_one_behind().await;
@@ -200,5 +200,5 @@
             keepers.get(lost).await;
         }
     };
-    timeout(keepers::PATIENCE, changed).await.expect("a ballot");
+    timeout(keepers::TEST_TIMEOUT, changed).await.expect("a ballot");
 }
--- a/crates/node/tests/keeper_orders.rs
+++ b/crates/node/tests/keeper_orders.rs
@@ -33,7 +33,7 @@
     taken[0]
 }
 
-/// Fails if a conflict of proposals is answered as a refusal in `put`, and without the orders remembered.
+/// Fails if a conflict of proposals is answered as a refusal in `put_configuration`, and without the orders remembered.
 #[tokio::test]
 async fn of_eight_orders_under_one_number_at_all_members_one_is_taken_for_ever() {
     let keepers = Keepers::start(3).await;
@@ -54,7 +54,7 @@
     assert_eq!(keepers.get(1).await.body, configuration(13));
 }
 
-/// Fails if a conflict of proposals is answered as a refusal in `put`.
+/// Fails if a conflict of proposals is answered as a refusal in `put_configuration`.
 #[tokio::test]
 async fn orders_race_through_the_loss_of_each_member() {
     let mut keepers = Keepers::start(3).await;
@@ -89,7 +89,7 @@
     }
 }
 
-/// Fails with an answer of `Stale` in place of `Refuse` in `decide_put`.
+/// Fails with an answer of `Stale` in place of `Reject` in `decide_put`.
 #[tokio::test]
 async fn an_order_that_was_refused_before_its_base_came_stays_refused_everywhere() {
     let mut keepers = Keepers::start(3).await;
@@ -105,7 +105,7 @@
     assert_eq!(keepers.put(0, 2, &variant(3, 1)).await.status, 200);
 }
 
-/// Fails with a `trim_matches` or a plain `parse` in `version_of`, and with the first of several versions.
+/// Fails with a `trim_matches` or a plain `parse` in `parse_version`, and with the first of several versions.
 #[tokio::test]
 async fn the_version_that_a_configuration_builds_on_has_one_form() {
     let keepers = Keepers::start(1).await;
--- a/crates/node/tests/keepers/mod.rs
+++ b/crates/node/tests/keepers/mod.rs
@@ -27,7 +27,7 @@
 pub use peer::{Gate, Peer};
 
 /// The longest that anything may take, on a machine that does much else.
-pub const PATIENCE: Duration = Duration::from_secs(40);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(40);
 
 const CONTROL_PORT: u16 = 8_144;
 
@@ -54,24 +54,24 @@
 
 struct Running {
     stop: oneshot::Sender<End>,
-    freezes: mpsc::UnboundedSender<Freeze>,
+    freeze_requests: mpsc::UnboundedSender<FreezeRequest>,
     thread: std::thread::JoinHandle<()>,
 }
 
 /// Has a keeper stand still until the other end is dropped.
-struct Freeze {
-    stands_still: oneshot::Sender<()>,
-    until: std::sync::mpsc::Receiver<()>,
+struct FreezeRequest {
+    frozen: oneshot::Sender<()>,
+    resume: std::sync::mpsc::Receiver<()>,
 }
 
 /// A keeper stands still for as long as this is held.
 pub struct Frozen {
-    _until: std::sync::mpsc::Sender<()>,
+    _resume: std::sync::mpsc::Sender<()>,
 }
 
 /// How a keeper is brought to its end.
 enum End {
-    Orderly,
+    Graceful,
     Kill,
 }
 
@@ -116,7 +116,7 @@
         let settings = self.settings[keeper].clone();
         let (listens, listening) = oneshot::channel();
         let (stop, mut stopped) = oneshot::channel();
-        let (freezes, mut frozen) = mpsc::unbounded_channel::<Freeze>();
+        let (freeze_requests, mut requests) = mpsc::unbounded_channel::<FreezeRequest>();
         let thread = std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
             runtime.block_on(async {
@@ -129,9 +129,9 @@
                 };
                 // Blocks the only thread of the keeper, so that nothing runs meanwhile.
                 tokio::spawn(async move {
-                    while let Some(Freeze { stands_still, until }) = frozen.recv().await {
-                        let _ = stands_still.send(());
-                        let _ = until.recv();
+                    while let Some(FreezeRequest { frozen, resume }) = requests.recv().await {
+                        let _ = frozen.send(());
+                        let _ = resume.recv();
                     }
                 });
                 let role = run_until(settings, log, stop);
@@ -140,29 +140,29 @@
                     ended = role.as_mut() => return ended.unwrap(),
                     end = &mut stopped => end,
                 };
-                if let Ok(End::Orderly) = end {
+                if let Ok(End::Graceful) = end {
                     drop(orderly);
                     role.await.unwrap();
                 }
             });
         });
-        self.running[keeper] = Some(Running { stop, freezes, thread });
-        timeout(PATIENCE, listening).await.expect("in time").expect("the keeper listens");
+        self.running[keeper] = Some(Running { stop, freeze_requests, thread });
+        timeout(TEST_TIMEOUT, listening).await.expect("in time").expect("the keeper listens");
     }
 
     /// Has a keeper stand still, as by SIGSTOP: its sockets take connections and bytes, and nobody reads them.
     pub async fn freeze(&self, keeper: usize) -> Frozen {
-        let (stands_still, frozen) = oneshot::channel();
-        let (sender, until) = std::sync::mpsc::channel();
+        let (frozen, has_frozen) = oneshot::channel();
+        let (resume_sender, resume) = std::sync::mpsc::channel();
         let running = self.running[keeper].as_ref().expect("the keeper runs");
-        assert!(running.freezes.send(Freeze { stands_still, until }).is_ok());
-        timeout(PATIENCE, frozen).await.expect("in time").expect("the keeper stands still");
-        Frozen { _until: sender }
+        assert!(running.freeze_requests.send(FreezeRequest { frozen, resume }).is_ok());
+        timeout(TEST_TIMEOUT, has_frozen).await.expect("in time").expect("the keeper stands still");
+        Frozen { _resume: resume_sender }
     }
 
     /// Ends a keeper as the platform does in an orderly way.
     pub async fn stop(&mut self, keeper: usize) {
-        self.end(keeper, End::Orderly).await;
+        self.end(keeper, End::Graceful).await;
     }
 
     /// Ends a keeper at once.
@@ -196,7 +196,7 @@
     /// Sends a configuration until there is a clear answer.
     pub async fn put(&self, keeper: usize, base: u64, body: &str) -> Answer {
         let head = format!("PUT /config HTTP/1.1\r\nIf-Match: {base}\r\n");
-        self.until_clear(keeper, &head, body).await
+        self.call_until_clear(keeper, &head, body).await
     }
 
     /// Sends a configuration once, with header lines of the caller's choice.
@@ -214,7 +214,7 @@
 
     /// Asks for the configuration until there is a clear answer.
     pub async fn get(&self, keeper: usize) -> Answer {
-        self.until_clear(keeper, "GET /config HTTP/1.1\r\n", "").await
+        self.call_until_clear(keeper, "GET /config HTTP/1.1\r\n", "").await
     }
 
     /// Asks for the configuration once.
@@ -225,18 +225,18 @@
     /// Asks for a store to be emptied until there is a clear answer.
     pub async fn retire(&self, keeper: usize, node: &str) -> Answer {
         let head = format!("POST /retire/{node} HTTP/1.1\r\n");
-        self.until_clear(keeper, &head, "{\"durationS\":10}").await
+        self.call_until_clear(keeper, &head, "{\"durationS\":10}").await
     }
 
     /// Asks how far the emptying of a store has come until there is a clear answer.
     pub async fn retire_state(&self, keeper: usize, node: &str) -> Answer {
-        self.until_clear(keeper, &format!("GET /retire/{node} HTTP/1.1\r\n"), "").await
+        self.call_until_clear(keeper, &format!("GET /retire/{node} HTTP/1.1\r\n"), "").await
     }
 
     /// Waits until a store has been emptied.
     pub async fn until_retired(&self, keeper: usize, node: &str) {
         let completed = async { while !self.retire_state(keeper, node).await.body.contains("completed") {} };
-        timeout(PATIENCE, completed).await.expect("the store is emptied");
+        timeout(TEST_TIMEOUT, completed).await.expect("the store is emptied");
     }
 
     /// Sends a heartbeat once.
@@ -246,13 +246,13 @@
 
     /// Sends a heartbeat until it is acknowledged.
     pub async fn until_heartbeat(&self, keeper: usize, id: &str, body: &str) {
-        let answer = self.until_clear(keeper, &format!("PUT /instances/{id} HTTP/1.1\r\n"), body).await;
+        let answer = self.call_until_clear(keeper, &format!("PUT /instances/{id} HTTP/1.1\r\n"), body).await;
         assert_eq!(answer.status, 200, "{}", answer.body);
     }
 
     /// Says that an instance ends until it is acknowledged.
     pub async fn until_deleted(&self, keeper: usize, id: &str) {
-        let answer = self.until_clear(keeper, &format!("DELETE /instances/{id} HTTP/1.1\r\n"), "").await;
+        let answer = self.call_until_clear(keeper, &format!("DELETE /instances/{id} HTTP/1.1\r\n"), "").await;
         assert_eq!(answer.status, 200, "{}", answer.body);
     }
 
@@ -273,10 +273,10 @@
                 self.try_get(keeper).await;
             }
         };
-        timeout(PATIENCE, answered).await.expect("that status");
+        timeout(TEST_TIMEOUT, answered).await.expect("that status");
     }
 
-    async fn until_clear(&self, keeper: usize, head: &str, body: &str) -> Answer {
+    async fn call_until_clear(&self, keeper: usize, head: &str, body: &str) -> Answer {
         let answered = async {
             loop {
                 match self.call(keeper, head, body).await {
@@ -287,12 +287,12 @@
                 }
             }
         };
-        timeout(PATIENCE, answered).await.expect("a clear answer")
+        timeout(TEST_TIMEOUT, answered).await.expect("a clear answer")
     }
 
     async fn call(&self, keeper: usize, head: &str, body: &str) -> Option<Answer> {
         let address = self.settings[keeper].listeners_map.control_plane.unwrap();
-        timeout(PATIENCE, http::call(address, head, body)).await.expect("an answer or an end")
+        timeout(TEST_TIMEOUT, http::call(address, head, body)).await.expect("an answer or an end")
     }
 }
 
--- a/crates/node/tests/keepers/observer.rs
+++ b/crates/node/tests/keepers/observer.rs
@@ -15,10 +15,10 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-use super::PATIENCE;
+use super::TEST_TIMEOUT;
 
 #[derive(Default)]
-struct Seen {
+struct ObservedState {
     configuration: Option<String>,
     /// All updates ever told.
     updates: usize,
@@ -34,8 +34,8 @@
 struct Recorder {
     /// Whether it confirms nothing.
     is_stuck: bool,
-    seen: Mutex<Seen>,
-    news: Notify,
+    observed: Mutex<ObservedState>,
+    changed: Notify,
 }
 
 /// A subscription to one keeper; it comes up again when its link breaks.
@@ -55,7 +55,7 @@
 impl Service for Recorder {
     fn message(&self, link: &Link, message: Message, _: Reply) {
         let Message::Update(update) = message else { return };
-        let mut seen = self.seen.lock().unwrap();
+        let mut seen = self.observed.lock().unwrap();
         seen.updates += 1;
         match update {
             Update::Keepers(_) => {}
@@ -81,7 +81,7 @@
             link.send(Message::Applied(seen.applied.clone()));
         }
         drop(seen);
-        self.news.notify_waiters();
+        self.changed.notify_waiters();
     }
 }
 
@@ -93,8 +93,8 @@
         };
         let link = Link::start(stream, true, recorder.clone()).unwrap();
         link.send(Message::Subscribe(subscribe.clone()));
-        recorder.seen.lock().unwrap().link = Some(link.clone());
-        recorder.news.notify_waiters();
+        recorder.observed.lock().unwrap().link = Some(link.clone());
+        recorder.changed.notify_waiters();
         link.closed().await;
     }
 }
@@ -126,64 +126,64 @@
     /// Ends the subscription.
     pub fn close(self) {
         self.subscription.abort();
-        if let Some(link) = &self.recorder.seen.lock().unwrap().link {
+        if let Some(link) = &self.recorder.observed.lock().unwrap().link {
             link.close();
         }
     }
 
     /// Whether this configuration was the last that it was told.
     pub fn has_configuration(&self, body: &str) -> bool {
-        self.recorder.seen.lock().unwrap().configuration.as_deref() == Some(body)
+        self.recorder.observed.lock().unwrap().configuration.as_deref() == Some(body)
     }
 
     /// How many updates it was told.
     pub fn updates(&self) -> usize {
-        self.recorder.seen.lock().unwrap().updates
+        self.recorder.observed.lock().unwrap().updates
     }
 
     /// All configurations that it was told, in their order.
     pub fn configurations(&self) -> Vec<String> {
-        self.recorder.seen.lock().unwrap().configurations.clone()
+        self.recorder.observed.lock().unwrap().configurations.clone()
     }
 
     /// Waits until it has a link to the keeper, over which it subscribes.
     pub async fn until_subscribed(&self) {
-        self.until(|seen| seen.link.as_ref().map(|_| ())).await;
+        self.wait_for(|seen| seen.link.as_ref().map(|_| ())).await;
     }
 
     /// Waits until it is told anything.
-    pub async fn until_told(&self) {
-        self.until(|seen| (seen.updates > 0).then_some(())).await;
+    pub async fn until_updated(&self) {
+        self.wait_for(|seen| (seen.updates > 0).then_some(())).await;
     }
 
     /// What it was told last of an instance.
     pub fn instance_state(&self, id: &str) -> Option<InstanceState> {
-        self.recorder.seen.lock().unwrap().instances.get(id).copied()
+        self.recorder.observed.lock().unwrap().instances.get(id).copied()
     }
 
     /// Waits until it is told a configuration.
     pub async fn until_configuration(&mut self, body: &str) {
-        self.until(|seen| (seen.configuration.as_deref() == Some(body)).then_some(())).await;
+        self.wait_for(|seen| (seen.configuration.as_deref() == Some(body)).then_some(())).await;
     }
 
     /// Waits until it is told that an instance is in this state.
     pub async fn until_instance(&mut self, id: &str, state: InstanceState) {
-        self.until(|seen| (seen.instances.get(id) == Some(&state)).then_some(())).await;
+        self.wait_for(|seen| (seen.instances.get(id) == Some(&state)).then_some(())).await;
     }
 
     /// Waits until it is told a store map that satisfies a condition.
     pub async fn until_stores(&mut self, condition: impl Fn(&StoreMap) -> bool) -> Arc<StoreMap> {
-        self.until(|seen| condition(&seen.stores).then(|| Arc::clone(&seen.stores))).await
+        self.wait_for(|seen| condition(&seen.stores).then(|| Arc::clone(&seen.stores))).await
     }
 
     /// Reports, as the primary of all partitions, that a joining store has caught up in each of them.
     pub fn report_caught_up(&self, map: &StoreMap, replica: DiskId) {
-        let mut applied = self.recorder.seen.lock().unwrap().applied.clone();
+        let mut applied = self.recorder.observed.lock().unwrap().applied.clone();
         let partitions = (0..).map(PartitionId).zip(&map.partitions);
         applied.caught_up = partitions
             .map(|(partition, assignment)| CaughtUp { partition, epoch: assignment.epoch, replica })
             .collect();
-        let seen = self.recorder.seen.lock().unwrap();
+        let seen = self.recorder.observed.lock().unwrap();
         seen.link.as_ref().expect("a link").send(Message::Applied(applied));
     }
 
@@ -211,18 +211,18 @@
         joining.into_iter().for_each(|replica| self.report_caught_up(map, replica));
     }
 
-    async fn until<T>(&self, condition: impl Fn(&Seen) -> Option<T>) -> T {
+    async fn wait_for<T>(&self, condition: impl Fn(&ObservedState) -> Option<T>) -> T {
         let met = async {
             loop {
-                let news = self.recorder.news.notified();
+                let news = self.recorder.changed.notified();
                 tokio::pin!(news);
                 news.as_mut().enable();
-                if let Some(met) = condition(&self.recorder.seen.lock().unwrap()) {
+                if let Some(met) = condition(&self.recorder.observed.lock().unwrap()) {
                     return met;
                 }
                 news.await;
             }
         };
-        timeout(PATIENCE, met).await.expect("the keeper tells of it")
+        timeout(TEST_TIMEOUT, met).await.expect("the keeper tells of it")
     }
 }
--- a/crates/node/tests/keepers/peer.rs
+++ b/crates/node/tests/keepers/peer.rs
@@ -19,33 +19,38 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-use super::PATIENCE;
+use super::TEST_TIMEOUT;
 
 /// What a peer lets through between itself and the real keepers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Gate {
     /// Whether what they send reaches it.
-    pub hears: bool,
+    pub receives: bool,
     /// Whether what it sends reaches them.
-    pub tells: bool,
+    pub sends: bool,
     /// Whether it takes instances; where not, it leaves them unanswered.
-    pub takes_instances: bool,
+    pub accepts_instances: bool,
     /// Whether it says that its relays have applied them.
-    pub applies_instances: bool,
+    pub confirms_instances: bool,
     /// Whether keepers may ask it to be let in.
-    pub admits: bool,
+    pub accepts_joins: bool,
 }
 
 impl Gate {
     /// Everything gets through.
-    pub const OPEN: Gate =
-        Gate { hears: true, tells: true, takes_instances: true, applies_instances: true, admits: true };
+    pub const OPEN: Gate = Gate {
+        receives: true,
+        sends: true,
+        accepts_instances: true,
+        confirms_instances: true,
+        accepts_joins: true,
+    };
     /// The real keepers hear it and are not heard.
-    pub const DEAF: Gate = Gate { hears: false, ..Gate::OPEN };
+    pub const NO_INBOUND: Gate = Gate { receives: false, ..Gate::OPEN };
     /// The real keepers are heard and do not hear it.
-    pub const MUTE: Gate = Gate { tells: false, ..Gate::OPEN };
+    pub const NO_OUTBOUND: Gate = Gate { sends: false, ..Gate::OPEN };
     /// Nothing gets through.
-    pub const CLOSED: Gate = Gate { hears: false, tells: false, ..Gate::OPEN };
+    pub const CLOSED: Gate = Gate { receives: false, sends: false, ..Gate::OPEN };
 }
 
 /// A keeper that the test plays.
@@ -61,8 +66,8 @@
     peers: Vec<SocketAddr>,
     state: Mutex<State>,
     pool: Arc<LinkPool>,
-    news: Notify,
-    wake: Notify,
+    changed: Notify,
+    timer_changed: Notify,
 }
 
 struct State {
@@ -74,20 +79,22 @@
     instances: BTreeMap<InstanceId, InstanceState>,
 }
 
-struct Inbox(Arc<Shared>);
+struct MessageHandler(Arc<Shared>);
 
 /// Answers come to those that called; nothing else comes over a link that a peer opened.
-struct Unasked;
+struct NoRequests;
 
-impl Service for Unasked {
+impl Service for NoRequests {
     fn message(&self, _: &Link, _: Message, _: Reply) {}
 }
 
-impl Service for Inbox {
+impl Service for MessageHandler {
     fn message(&self, _: &Link, message: Message, reply: Reply) {
         match message {
-            Message::Replication(message) => self.0.replication(message),
-            Message::Registry(message) if self.0.lock().gate.hears => self.0.registry(message, reply),
+            Message::Replication(message) => self.0.handle_replication_message(message),
+            Message::Registry(message) if self.0.lock().gate.receives => {
+                self.0.handle_registry_message(message, reply)
+            }
             _ => {}
         }
     }
@@ -98,7 +105,7 @@
     pub async fn start(settings: &Settings, peers: &[SocketAddr]) -> Peer {
         let address = settings.own_address(Port::Keeper);
         let node = NodeName::from(settings.node_name.as_str());
-        let me = Voter { disk: DiskId(1_000 + last(address)), node, address };
+        let me = Voter { disk: DiskId(1_000 + machine_number(address)), node, address };
         let replica_settings = juniperwing_replication::Settings {
             me: me.clone(),
             seeds: settings.seed_keepers(),
@@ -107,7 +114,8 @@
             timings: Timings::default(),
         };
         let initial = ControlState::default();
-        let replica = Replica::new(Time::default(), replica_settings, None, initial, last(address)).unwrap();
+        let replica =
+            Replica::new(Time::default(), replica_settings, None, initial, machine_number(address)).unwrap();
         let state = State {
             replica,
             gate: Gate::OPEN,
@@ -121,12 +129,12 @@
             started: Instant::now(),
             peers: peers.to_vec(),
             state: Mutex::new(state),
-            pool: Arc::new(LinkPool::new(Arc::new(Unasked))),
-            news: Notify::new(),
-            wake: Notify::new(),
+            pool: Arc::new(LinkPool::new(Arc::new(NoRequests))),
+            changed: Notify::new(),
+            timer_changed: Notify::new(),
         });
         let listener = TcpListener::bind(address).await.unwrap();
-        let serving = tokio::spawn(serve(listener, Arc::new(Inbox(Arc::clone(&shared)))));
+        let serving = tokio::spawn(serve(listener, Arc::new(MessageHandler(Arc::clone(&shared)))));
         let ticking = tokio::spawn(Arc::clone(&shared).tick());
         Peer { shared, tasks: vec![serving, ticking] }
     }
@@ -143,12 +151,12 @@
 
     /// Waits until it is primary.
     pub async fn until_primary(&self) {
-        self.until(|state| state.replica.is_primary().then_some(())).await;
+        self.wait_for(|state| state.replica.is_primary().then_some(())).await;
     }
 
     /// Waits until this configuration is committed, as far as it knows.
     pub async fn until_configuration(&self, generation: u64) {
-        self.until(|state| {
+        self.wait_for(|state| {
             let committed = state.replica.committed()?;
             (committed.state.generation() == generation).then_some(())
         })
@@ -163,26 +171,26 @@
             let PutDecision::Accept(change) = decide_put(&latest.state, base, body.as_bytes()) else {
                 panic!("a configuration that can be taken");
             };
-            Event::Propose { token: ProposeToken(state.token()), base: latest.version, change }
+            Event::Propose { token: ProposeToken(state.next_token()), base: latest.version, change }
         };
         self.shared.handle(event);
     }
 
     /// Tells a real keeper of an instance, as if an endpoint had called here.
-    pub async fn tell(&self, keeper: SocketAddr, instance: Instance) {
+    pub async fn send_instance(&self, keeper: SocketAddr, instance: Instance) {
         let message = RegistryMessage::Instances {
             from: self.shared.me.disk,
             changed: vec![instance],
             refreshed: Vec::new(),
             confirm: true,
         };
-        self.shared.pool.call(keeper, Message::Registry(message), PATIENCE).await.expect("an answer");
+        self.shared.pool.call(keeper, Message::Registry(message), TEST_TIMEOUT).await.expect("an answer");
     }
 
-    async fn until<T>(&self, condition: impl Fn(&State) -> Option<T>) -> T {
+    async fn wait_for<T>(&self, condition: impl Fn(&State) -> Option<T>) -> T {
         let met = async {
             loop {
-                let news = self.shared.news.notified();
+                let news = self.shared.changed.notified();
                 tokio::pin!(news);
                 news.as_mut().enable();
                 if let Some(met) = condition(&self.shared.lock()) {
@@ -191,7 +199,7 @@
                 news.await;
             }
         };
-        timeout(PATIENCE, met).await.expect("the peer gets there")
+        timeout(TEST_TIMEOUT, met).await.expect("the peer gets there")
     }
 }
 
@@ -202,7 +210,7 @@
 }
 
 impl State {
-    fn token(&mut self) -> u64 {
+    fn next_token(&mut self) -> u64 {
         self.next_token += 1;
         self.next_token
     }
@@ -217,35 +225,35 @@
         Time::default() + Span::from_nanos(self.started.elapsed().as_nanos() as u64)
     }
 
-    fn replication(self: &Arc<Self>, message: ReplicationMessage) {
+    fn handle_replication_message(self: &Arc<Self>, message: ReplicationMessage) {
         let gate = self.lock().gate;
         let is_peer = self.peers.contains(&message.address);
         let asks_in = matches!(message.body, ReplicationBody::Join { .. });
-        if is_peer || (gate.hears && (gate.admits || !asks_in)) {
+        if is_peer || (gate.receives && (gate.accepts_joins || !asks_in)) {
             self.handle(Event::Message(message));
         }
     }
 
-    fn registry(self: &Arc<Self>, message: RegistryMessage, reply: Reply) {
+    fn handle_registry_message(self: &Arc<Self>, message: RegistryMessage, reply: Reply) {
         let (gate, epoch) = {
             let state = self.lock();
             (state.gate, state.replica.epoch().number)
         };
         let answer = match message {
             RegistryMessage::Instances { changed, confirm, .. } => {
-                if !gate.takes_instances {
+                if !gate.accepts_instances {
                     return;
                 }
                 let told = changed.into_iter().map(|instance| (instance.id, instance.state));
                 self.lock().instances.extend(told);
-                self.news.notify_waiters();
-                RegistryMessage::InstancesMerged { epoch, applied: confirm && gate.applies_instances }
+                self.changed.notify_waiters();
+                RegistryMessage::InstancesMerged { epoch, applied: confirm && gate.confirms_instances }
             }
             RegistryMessage::ReachableStores { .. } => RegistryMessage::ReachableStoresReply { epoch },
             RegistryMessage::ReadCommittedVersion => {
                 let token = {
                     let mut state = self.lock();
-                    let token = ReadToken(state.token());
+                    let token = ReadToken(state.next_token());
                     state.reads.insert(token, reply);
                     token
                 };
@@ -253,7 +261,7 @@
             }
             _ => return,
         };
-        if gate.tells {
+        if gate.sends {
             reply.send(Message::Registry(answer));
         }
     }
@@ -264,35 +272,35 @@
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             let commands = self.lock().replica.handle(self.now(), event);
-            events.extend(commands.into_iter().filter_map(|command| self.carry_out(command)));
+            events.extend(commands.into_iter().filter_map(|command| self.execute_command(command)));
         }
-        self.news.notify_waiters();
+        self.changed.notify_waiters();
     }
 
     /// Returns the event that follows at once.
-    fn carry_out(self: &Arc<Self>, command: Command) -> Option<Event<ControlState>> {
+    fn execute_command(self: &Arc<Self>, command: Command) -> Option<Event<ControlState>> {
         match command {
             Command::Send { to, message } => self.send(to, message),
             Command::Persist { token, .. } => return Some(Event::Persisted(token)),
             Command::WakeAt(at) => {
                 self.lock().wake_at = at;
-                self.wake.notify_one();
+                self.timer_changed.notify_one();
             }
-            Command::ReadDone { token, outcome } => self.answer_read(token, outcome.is_ok()),
+            Command::ReadDone { token, outcome } => self.reply_to_read(token, outcome.is_ok()),
             Command::Committed(_) | Command::Proposed { .. } | Command::Role(_) => {}
         }
         None
     }
 
-    fn answer_read(&self, token: ReadToken, is_confirmed: bool) {
+    fn reply_to_read(&self, token: ReadToken, is_confirmed: bool) {
         let mut state = self.lock();
         let version = state.replica.committed().map(|committed| committed.version).filter(|_| is_confirmed);
-        let Some(reply) = state.reads.remove(&token).filter(|_| state.gate.tells) else { return };
+        let Some(reply) = state.reads.remove(&token).filter(|_| state.gate.sends) else { return };
         reply.send(Message::Registry(RegistryMessage::CommittedVersion { version }));
     }
 
     fn send(self: &Arc<Self>, to: SocketAddr, message: ReplicationMessage) {
-        if self.peers.contains(&to) || self.lock().gate.tells {
+        if self.peers.contains(&to) || self.lock().gate.sends {
             let pool = Arc::clone(&self.pool);
             tokio::spawn(async move {
                 // A keeper that does not listen yet is sent the next message.
@@ -305,7 +313,7 @@
         loop {
             let pause = self.lock().wake_at.since(self.now());
             let pause = Duration::from_nanos(pause.as_nanos());
-            if timeout(pause, self.wake.notified()).await.is_err() {
+            if timeout(pause, self.timer_changed.notified()).await.is_err() {
                 self.lock().wake_at = Time::NEVER;
                 self.handle(Event::Tick);
             }
@@ -314,7 +322,7 @@
 }
 
 /// The number of a machine, which tells the machines of a test apart.
-fn last(address: SocketAddr) -> u64 {
+fn machine_number(address: SocketAddr) -> u64 {
     match address.ip() {
         std::net::IpAddr::V4(ip) => u64::from(ip.octets()[3]),
         std::net::IpAddr::V6(_) => 0,
--- a/crates/node/tests/record_file.rs
+++ b/crates/node/tests/record_file.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use forgetful::ForgetfulDisk;
-use juniperwing_node::keeper::record_file::{DiskError, Opened, open};
+use juniperwing_node::keeper::record_file::{DiskError, OpenedRecordFile, open};
 use juniperwing_protocol::EpochNumber;
 use juniperwing_protocol::replication::Version;
 use juniperwing_replication::{Ballot, Record};
@@ -56,7 +56,7 @@
     }
 
     fn live(&mut self, writes: &[bool]) -> Result<(), DiskError> {
-        let Opened { mut file, record, loss, .. } = open(Path::new("/data"), || 7)?;
+        let OpenedRecordFile { mut record_file, record, loss, .. } = open(Path::new("/data"), || 7)?;
         assert!(loss.is_none(), "{loss:?}");
         let read = record.map(|record| {
             self.written.iter().position(|written| *written == record).expect("a record that was written")
@@ -68,7 +68,7 @@
         for changes_state in writes {
             let record = self.next(*changes_state);
             self.written.push(record.clone());
-            file.write(&record)?;
+            record_file.write(&record)?;
             self.confirmed = Some(self.written.len() - 1);
         }
         Ok(())
