--- a/crates/node/src/keeper/consensus.rs
+++ b/crates/node/src/keeper/consensus.rs
@@ -122,11 +122,11 @@
             Command::Persist { token, record } => self.persist(token, record),
             Command::WakeAt(at) => drop(self.lock().consensus.replica_timer.send_replace(at)),
             Command::Committed(_) => self.handle_commit(),
-            Command::Proposed { token, outcome } => {
+            Command::ProposeCompleted { token, outcome } => {
                 self.lock().consensus.proposals.complete(token.0, outcome)
             }
-            Command::ReadDone { token, outcome } => self.handle_read_done(token, outcome),
-            Command::Role(role) => self.handle_role_change(role),
+            Command::ReadCompleted { token, outcome } => self.handle_read_done(token, outcome),
+            Command::RoleChanged(role) => self.handle_role_change(role),
         }
     }
 
--- a/crates/node/src/keeper/peer_discovery.rs
+++ b/crates/node/src/keeper/peer_discovery.rs
@@ -46,7 +46,7 @@
         let (heard, receiver) = (Arc::clone(&known), Arc::clone(controller));
         let observer = Box::new(move |found| {
             let all = update(&heard, |known| known.members = found);
-            receiver.step_replica(Event::Contacts(all));
+            receiver.step_replica(Event::ContactsChanged(all));
         });
         let myself = Myself { role: Role::Keeper, disk: Some(controller.local_voter.disk) };
         let gossip = Gossip::start(settings, myself, controller.log.clone(), observer).await?;
@@ -58,7 +58,7 @@
         while changes.changed().await.is_ok() {
             let settings = changes.borrow_and_update().clone();
             let all = update(&self.known, |known| known.seeds = settings.seed_keepers());
-            self.controller.step_replica(Event::Contacts(all));
+            self.controller.step_replica(Event::ContactsChanged(all));
             self.gossip.reload(&settings);
         }
         // Nobody changes the settings any more.
