--- a/crates/emulator/tests/days.rs
+++ b/crates/emulator/tests/days.rs
@@ -43,7 +43,7 @@
 }
 
 /// Seeds in which a keeper that had just lost touch told relays that live endpoints had expired. Guards:
-/// `Registry::contradicting`, and `Contact::confirmed_at` in the keeper's `expire_instances`.
+/// `Registry::refutation_of`, and `Contact::confirmed_until` in the keeper's `expire_instances`.
 /// A keeper that is told to end takes its time while another one is cut off. The core is not stable around its end and
 /// its start, whatever the day had planned.
 #[test]
--- a/crates/registry/src/exchange.rs
+++ b/crates/registry/src/exchange.rs
@@ -1,4 +1,4 @@
-//! What each other keeper still has to be told of instances, and what it has confirmed.
+//! Replication of instances between keepers: what each peer still has to receive, and what it has confirmed.
 
 use std::collections::BTreeMap;
 
@@ -6,29 +6,29 @@
 use juniperwing_protocol::replication::Voter;
 use juniperwing_protocol::{DiskId, InstanceId};
 
-/// Batches on their way to one keeper at a time.
+/// Batches in flight to one peer at a time.
 const MAX_IN_FLIGHT: usize = 4;
 
-/// Counts changes of instances.
+/// Number of a change of instances; numbers increase.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ChangeNumber(u64);
 
-/// Names a batch.
+/// Number of a batch; unique within an [`Exchange`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BatchNumber(u64);
 
-/// A batch to be sent to another keeper.
+/// Instances to be sent to a peer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Batch {
-    /// Who is to be told.
+    /// The peer.
     pub to: Voter,
-    /// Names it.
+    /// Identifies the batch in the peer's reply.
     pub number: BatchNumber,
     /// Instances that are new or have changed.
     pub changed: Vec<Instance>,
-    /// Instances heard of again.
+    /// Instances that sent another heartbeat but are otherwise unchanged.
     pub refreshed: Vec<Refresh>,
-    /// Whether the answer has to say that the relays there have applied all that was told.
+    /// Whether the reply must confirm that the peer's relays have applied everything sent to it.
     pub needs_confirmation: bool,
 }
 
@@ -37,18 +37,18 @@
     voter: Voter,
     changed: BTreeMap<InstanceId, Instance>,
     refreshed: BTreeMap<InstanceId, u64>,
-    /// The first change that it has not confirmed and that no batch on its way to it asks about.
+    /// The first change that the peer has not confirmed and that no batch in flight asks it to confirm.
     first_unconfirmed: Option<ChangeNumber>,
-    /// Batches without an answer yet, each with the first change in it, if there is one.
+    /// Batches without a reply, each with the first change that its reply confirms, if any.
     in_flight: BTreeMap<BatchNumber, Option<ChangeNumber>>,
-    /// Whether it must be told all instances.
+    /// Whether the next batch must contain all instances.
     needs_snapshot: bool,
-    /// Whether it answered the last batch; assumed until one fails.
+    /// Whether the last batch was replied to; assumed until one fails.
     is_reachable: bool,
     connection: Option<Connection>,
 }
 
-/// What all other keepers have to be told. `Connection` tells apart the connections over which they answer.
+/// Progress of replication to all peers. `Connection` identifies the connection over which a peer replies.
 #[derive(Clone, Debug)]
 pub struct Exchange<Connection> {
     newest_change: ChangeNumber,
@@ -67,12 +67,12 @@
 }
 
 impl<Connection: Copy + PartialEq> Exchange<Connection> {
-    /// Goes by these keepers from now on; a new one is told everything.
+    /// Replaces the set of peers; a new peer is sent a snapshot.
     pub fn set_peers(&mut self, others: &[Voter]) {
-        self.peers.retain(|_, counterpart| others.contains(&counterpart.voter));
+        self.peers.retain(|_, peer| others.contains(&peer.voter));
         for voter in others {
-            let known = self.peers.entry(voter.disk);
-            known.or_insert_with(|| PeerProgress::new(voter.clone()));
+            let entry = self.peers.entry(voter.disk);
+            entry.or_insert_with(|| PeerProgress::new(voter.clone()));
         }
     }
 
@@ -81,107 +81,111 @@
         self.newest_change
     }
 
-    /// Changes that all others have to be told.
+    /// Queues changed instances for all peers and returns the number of the change.
     pub fn record_changes(&mut self, instances: &[Instance]) -> ChangeNumber {
         if instances.is_empty() {
             return self.newest_change;
         }
         self.newest_change.0 += 1;
-        for counterpart in self.peers.values_mut() {
-            counterpart.first_unconfirmed.get_or_insert(self.newest_change);
+        for peer in self.peers.values_mut() {
+            peer.first_unconfirmed.get_or_insert(self.newest_change);
             for instance in instances {
-                counterpart.refreshed.remove(&instance.id);
-                counterpart.changed.insert(instance.id.clone(), instance.clone());
+                peer.refreshed.remove(&instance.id);
+                peer.changed.insert(instance.id.clone(), instance.clone());
             }
         }
         self.newest_change
     }
 
-    /// An instance was heard of again.
+    /// Queues a heartbeat that changed nothing else for all peers.
     pub fn record_refresh(&mut self, refresh: &Refresh) {
-        for counterpart in self.peers.values_mut() {
-            counterpart.refreshed.insert(refresh.id.clone(), refresh.sequence);
+        for peer in self.peers.values_mut() {
+            peer.refreshed.insert(refresh.id.clone(), refresh.sequence);
         }
     }
 
-    /// Batches to be sent now: changes at once, all else only where `regular`.
+    /// Batches to be sent now: changes at once, all else only if `is_regular`, that is on the regular interval.
+    ///
+    /// `instances` returns all instances; it is called for a peer that needs a snapshot.
     pub fn next_batches<'registry>(
-        &mut self, regular: bool, instances: impl Fn() -> Vec<&'registry Instance>,
+        &mut self, is_regular: bool, instances: impl Fn() -> Vec<&'registry Instance>,
     ) -> Vec<Batch> {
         let mut batches = Vec::new();
-        for counterpart in self.peers.values_mut() {
-            if !counterpart.is_due(regular) {
+        for peer in self.peers.values_mut() {
+            if !peer.is_due(is_regular) {
                 continue;
             }
-            if std::mem::take(&mut counterpart.needs_snapshot) {
-                counterpart.refreshed.clear();
-                let whole = instances().into_iter();
-                counterpart.changed.extend(whole.map(|instance| (instance.id.clone(), instance.clone())));
+            if std::mem::take(&mut peer.needs_snapshot) {
+                peer.refreshed.clear();
+                let snapshot = instances().into_iter();
+                peer.changed.extend(snapshot.map(|instance| (instance.id.clone(), instance.clone())));
             }
             self.newest_batch.0 += 1;
             let number = self.newest_batch;
-            let confirm = counterpart.first_unconfirmed.is_some();
-            counterpart.in_flight.insert(number, counterpart.first_unconfirmed.take());
-            let refreshed = std::mem::take(&mut counterpart.refreshed).into_iter();
+            let needs_confirmation = peer.first_unconfirmed.is_some();
+            peer.in_flight.insert(number, peer.first_unconfirmed.take());
+            let refreshed = std::mem::take(&mut peer.refreshed).into_iter();
             batches.push(Batch {
-                to: counterpart.voter.clone(),
+                to: peer.voter.clone(),
                 number,
-                changed: std::mem::take(&mut counterpart.changed).into_values().collect(),
+                changed: std::mem::take(&mut peer.changed).into_values().collect(),
                 refreshed: refreshed.map(|(id, sequence)| Refresh { id, sequence }).collect(),
-                needs_confirmation: confirm,
+                needs_confirmation,
             });
         }
         batches
     }
 
-    /// A batch was answered over this connection, and the relays there have applied what was told. A connection
-    /// not seen before may lead to a keeper that has started again and knows nothing: what it confirmed is void.
+    /// Handles a reply which says that the peer's relays have applied everything sent so far.
+    ///
+    /// Another connection than before may lead to a restarted keeper without any state, so earlier confirmations of
+    /// the peer are void and it is sent a snapshot.
     pub fn handle_reply(&mut self, disk: DiskId, number: BatchNumber, connection: Connection) {
-        let Some(counterpart) = self.peers.get_mut(&disk) else { return };
-        counterpart.in_flight.remove(&number);
-        counterpart.is_reachable = true;
-        if counterpart.connection.replace(connection).is_some_and(|before| before != connection) {
-            counterpart.needs_snapshot = true;
-            counterpart.first_unconfirmed = Some(ChangeNumber::default());
+        let Some(peer) = self.peers.get_mut(&disk) else { return };
+        peer.in_flight.remove(&number);
+        peer.is_reachable = true;
+        if peer.connection.replace(connection).is_some_and(|before| before != connection) {
+            peer.needs_snapshot = true;
+            peer.first_unconfirmed = Some(ChangeNumber::default());
         }
     }
 
-    /// A batch was answered over this connection, but some relay there has not applied what was told. It need
-    /// not be told again; whether it is applied is asked again with the next regular batch.
+    /// Handles a reply which says that some relay of the peer has not applied everything yet.
+    ///
+    /// Nothing is sent again; the next regular batch asks for confirmation again.
     pub fn handle_not_applied(&mut self, disk: DiskId, number: BatchNumber, connection: Connection) {
-        let Some(counterpart) = self.peers.get_mut(&disk) else { return };
-        let unconfirmed = counterpart.in_flight.get(&number).copied().flatten();
+        let Some(peer) = self.peers.get_mut(&disk) else { return };
+        let unconfirmed = peer.in_flight.get(&number).copied().flatten();
         self.handle_reply(disk, number, connection);
-        let Some(counterpart) = self.peers.get_mut(&disk) else { return };
-        counterpart.first_unconfirmed =
-            [counterpart.first_unconfirmed, unconfirmed].into_iter().flatten().min();
+        let Some(peer) = self.peers.get_mut(&disk) else { return };
+        peer.require_confirmation_from(unconfirmed);
     }
 
-    /// A batch was not answered: all it said has to be said again.
+    /// Handles the loss of a batch or of its reply: the peer is sent a snapshot.
     pub fn handle_failure(&mut self, disk: DiskId, number: BatchNumber) {
-        let Some(counterpart) = self.peers.get_mut(&disk) else { return };
-        let unconfirmed = counterpart.in_flight.remove(&number).flatten();
-        counterpart.first_unconfirmed =
-            [counterpart.first_unconfirmed, unconfirmed].into_iter().flatten().min();
-        counterpart.is_reachable = false;
-        counterpart.needs_snapshot = true;
+        let Some(peer) = self.peers.get_mut(&disk) else { return };
+        let unconfirmed = peer.in_flight.remove(&number).flatten();
+        peer.require_confirmation_from(unconfirmed);
+        peer.is_reachable = false;
+        peer.needs_snapshot = true;
     }
 
-    /// Whether every keeper that can be reached has confirmed all changes up to `number`. Besides those that
-    /// answer, those count that were heard of a short while ago.
+    /// Whether every reachable peer has confirmed all changes up to `number`.
+    ///
+    /// A peer counts as reachable if it replied to the last batch or if `has_recent_message` holds for it.
     pub fn is_confirmed_by_reachable_peers(
-        &self, number: ChangeNumber, is_heard: impl Fn(DiskId) -> bool,
+        &self, number: ChangeNumber, has_recent_message: impl Fn(DiskId) -> bool,
     ) -> bool {
         self.peers
             .values()
-            .filter(|counterpart| counterpart.is_reachable || is_heard(counterpart.voter.disk))
-            .all(|counterpart| counterpart.has_confirmed(number))
+            .filter(|peer| peer.is_reachable || has_recent_message(peer.voter.disk))
+            .all(|peer| peer.has_confirmed(number))
     }
 
-    /// The keepers that have confirmed all changes up to `number`.
+    /// The peers that have confirmed all changes up to `number`.
     pub fn confirmed_peers(&self, number: ChangeNumber) -> impl Iterator<Item = DiskId> {
-        let confirmed = self.peers.values().filter(move |known| known.has_confirmed(number));
-        confirmed.map(|counterpart| counterpart.voter.disk)
+        let confirmed = self.peers.values().filter(move |peer| peer.has_confirmed(number));
+        confirmed.map(|peer| peer.voter.disk)
     }
 }
 
@@ -191,7 +195,7 @@
             voter,
             changed: BTreeMap::new(),
             refreshed: BTreeMap::new(),
-            // It has confirmed nothing, not even what was noted before it came.
+            // It has confirmed nothing, not even the changes recorded before it became a peer.
             first_unconfirmed: Some(ChangeNumber::default()),
             in_flight: BTreeMap::new(),
             needs_snapshot: true,
@@ -200,18 +204,23 @@
         }
     }
 
+    /// Asks the peer again to confirm the changes from `first` on.
+    fn require_confirmation_from(&mut self, first: Option<ChangeNumber>) {
+        self.first_unconfirmed = [self.first_unconfirmed, first].into_iter().flatten().min();
+    }
+
     fn has_confirmed(&self, number: ChangeNumber) -> bool {
-        let waits = self.first_unconfirmed.is_some_and(|pending| pending <= number);
-        let unanswered = self.in_flight.values().flatten().any(|first| *first <= number);
-        !waits && !unanswered
+        let is_unrequested = self.first_unconfirmed.is_some_and(|first| first <= number);
+        let is_in_flight = self.in_flight.values().flatten().any(|first| *first <= number);
+        !is_unrequested && !is_in_flight
     }
 
-    fn is_due(&self, regular: bool) -> bool {
-        let has_news = self.needs_snapshot || !self.changed.is_empty() || !self.refreshed.is_empty();
-        let waits = has_news || self.first_unconfirmed.is_some();
+    fn is_due(&self, is_regular: bool) -> bool {
+        let has_updates = self.needs_snapshot || !self.changed.is_empty() || !self.refreshed.is_empty();
+        let is_waiting = has_updates || self.first_unconfirmed.is_some();
         if !self.is_reachable {
-            return regular && waits && self.in_flight.is_empty();
+            return is_regular && is_waiting && self.in_flight.is_empty();
         }
-        self.in_flight.len() < MAX_IN_FLIGHT && (!self.changed.is_empty() || (regular && waits))
+        self.in_flight.len() < MAX_IN_FLIGHT && (!self.changed.is_empty() || (is_regular && is_waiting))
     }
 }
--- a/crates/registry/src/heartbeat.rs
+++ b/crates/registry/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Reads the body of a heartbeat.
+//! Parses and validates the JSON body of an endpoint's heartbeat.
 
 use std::net::SocketAddr;
 
@@ -6,20 +6,20 @@
 use juniperwing_protocol::{InstanceId, ServiceName};
 use serde::{Deserialize, Serialize};
 
-/// The longest text in any field, in bytes.
+/// Maximum length of a text field, in bytes.
 const MAX_TEXT_BYTES: usize = 256;
 
-/// What is wrong with a body, and where.
+/// An invalid field of a request body.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct FieldError {
-    /// The field; empty for the whole body.
+    /// The name of the field; empty if the body as a whole is invalid.
     #[serde(rename = "place")]
     pub field: String,
-    /// What is wrong with it.
+    /// What is wrong with the field.
     pub problem: String,
 }
 
-/// The fields that matter here; all others are passed over.
+/// The fields that discovery uses; all others are ignored.
 #[derive(Deserialize)]
 struct HeartbeatBody {
     #[serde(default)]
@@ -34,46 +34,46 @@
     sequence: Option<u64>,
 }
 
-/// The instance that the body of `PUT /instances/ID` tells of.
+/// Parses the body of `PUT /instances/ID`.
 ///
 /// # Errors
 ///
-/// All that is wrong, each with its field.
+/// All invalid fields.
 pub fn parse_heartbeat(id: &str, body: &[u8]) -> Result<Instance, Vec<FieldError>> {
-    let message: HeartbeatBody = match serde_json::from_slice(body) {
-        Ok(message) => message,
+    let body: HeartbeatBody = match serde_json::from_slice(body) {
+        Ok(body) => body,
         Err(error) => return Err(vec![field_error("", error)]),
     };
-    let mut findings = Vec::new();
-    check_text("id", id, &mut findings);
-    check_text("backend", &message.backend, &mut findings);
-    check_text("zone", &message.zone, &mut findings);
-    let address = message.address.parse::<SocketAddr>();
+    let mut errors = Vec::new();
+    check_text("id", id, &mut errors);
+    check_text("backend", &body.backend, &mut errors);
+    check_text("zone", &body.zone, &mut errors);
+    let address = body.address.parse::<SocketAddr>();
     if let Err(error) = &address {
-        findings.push(field_error("address", error));
+        errors.push(field_error("address", error));
     }
-    let state = parse_state(&message.state);
+    let state = parse_state(&body.state);
     if state.is_none() {
-        findings.push(field_error("state", "neither ready nor draining"));
+        errors.push(field_error("state", "neither ready nor draining"));
     }
-    if message.sequence.is_none() {
-        findings.push(field_error("sequence", "missing"));
+    if body.sequence.is_none() {
+        errors.push(field_error("sequence", "missing"));
     }
-    let capacity = message.capacity.unwrap_or(1.0);
+    let capacity = body.capacity.unwrap_or(1.0);
     if !(0.0..=f64::from(u32::MAX)).contains(&capacity) {
-        findings.push(field_error("capacity", "not a number of requests"));
+        errors.push(field_error("capacity", "not a number of requests"));
     }
-    match (address, state, message.sequence) {
-        (Ok(address), Some(state), Some(sequence)) if findings.is_empty() => Ok(Instance {
+    match (address, state, body.sequence) {
+        (Ok(address), Some(state), Some(sequence)) if errors.is_empty() => Ok(Instance {
             id: InstanceId::from(id),
-            service: ServiceName::from(message.backend.as_str()),
+            service: ServiceName::from(body.backend.as_str()),
             address,
-            zone: message.zone.as_str().into(),
+            zone: body.zone.as_str().into(),
             capacity: capacity as u32,
             state,
             sequence,
         }),
-        _ => Err(findings),
+        _ => Err(errors),
     }
 }
 
@@ -85,14 +85,14 @@
     }
 }
 
-fn check_text(field: &str, text: &str, findings: &mut Vec<FieldError>) {
+fn check_text(field: &str, text: &str, errors: &mut Vec<FieldError>) {
     if text.is_empty() {
-        findings.push(field_error(field, "missing or empty"));
+        errors.push(field_error(field, "missing or empty"));
     } else if text.len() > MAX_TEXT_BYTES {
-        findings.push(field_error(field, format_args!("longer than {MAX_TEXT_BYTES} bytes")));
+        errors.push(field_error(field, format_args!("longer than {MAX_TEXT_BYTES} bytes")));
     }
 }
 
-fn field_error(place: &str, problem: impl ToString) -> FieldError {
-    FieldError { field: place.to_owned(), problem: problem.to_string() }
+fn field_error(field: &str, problem: impl ToString) -> FieldError {
+    FieldError { field: field.to_owned(), problem: problem.to_string() }
 }
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,8 +1,9 @@
-//! What a keeper knows of endpoint instances, and of its contact with the other keepers, as pure state machines.
+//! Service discovery of a keeper: endpoint instances and quorum contact with the other keepers, without I/O.
 //!
 //! Instances are soft state: they come from heartbeats, are merged between keepers by
-//! [`Instance::supersedes`](juniperwing_protocol::registry::Instance::supersedes), and expire when no keeper
-//! hears of them. A drain is final within a life; an end leaves a tombstone for longer than a late call takes.
+//! [`Instance::supersedes`](juniperwing_protocol::registry::Instance::supersedes), and expire when no keeper receives
+//! heartbeats of them. Draining is final within one incarnation of an endpoint; a terminated instance leaves a
+//! tombstone that outlives delayed heartbeats.
 
 mod contact;
 mod exchange;
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -1,4 +1,4 @@
-//! The table of instances.
+//! The registry: a table of endpoint instances with their heartbeats, expiry and tombstones.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -7,36 +7,36 @@
 use juniperwing_protocol::registry::{Instance, InstanceState, Refresh};
 use juniperwing_protocol::{InstanceId, ServiceName};
 
-/// Heartbeats that may be missing before an instance expires.
+/// Number of heartbeat intervals without a heartbeat after which an instance expires.
 pub const EXPIRY_TIMEOUT_HEARTBEATS: f64 = 3.0;
-/// Heartbeats after which every live endpoint has called some keeper.
+/// Number of heartbeat intervals after which every live endpoint has sent a heartbeat to some keeper.
 const COMPLETENESS_HEARTBEATS: f64 = 2.0;
-/// How long an instance that has ended, or expired, is remembered.
+/// How long a terminated or expired instance is retained.
 pub const TOMBSTONE_RETENTION: Span = Span::from_millis(60_000);
-/// Instances that are kept at most, tombstones included.
+/// Maximum number of instances, tombstones included.
 pub const MAX_INSTANCES: usize = 50_000;
-/// An instance that was silent for this long has given up its address if another calls from there.
+/// An instance without heartbeats for this long loses its address to another one that sends heartbeats from there.
 const ADDRESS_TIMEOUT: Span = Span::from_millis(1_500);
 
 /// Settings of a registry.
 #[derive(Clone, Copy, Debug)]
 pub struct RegistrySettings {
-    /// How often endpoints send heartbeats.
+    /// Interval at which endpoints send heartbeats.
     pub heartbeat_interval: Span,
-    /// Instances that are kept at most.
+    /// Maximum number of instances, tombstones included.
     pub max_instances: usize,
 }
 
-/// What became of a heartbeat.
+/// The effect of a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HeartbeatOutcome {
     /// These instances are new or have changed.
     Changed(Vec<Instance>),
-    /// The instance is known as it is; it was heard of again.
+    /// Nothing but the sequence of the instance has changed.
     Refreshed(Refresh),
-    /// A later call was heard before, or the instance has ended.
+    /// The heartbeat is older than the known state, or the instance is terminated.
     Stale,
-    /// There is no room for another instance.
+    /// The registry holds its maximum number of instances.
     Full,
 }
 
@@ -47,49 +47,49 @@
     last_heard_at: Time,
 }
 
-/// All instances that a keeper knows of.
+/// All instances that a keeper knows.
 #[derive(Clone, Debug)]
 pub struct Registry {
     settings: RegistrySettings,
-    /// Silence counts only from here on.
+    /// Heartbeat time-outs run from this time at the earliest.
     timeouts_start_at: Time,
     entries: BTreeMap<InstanceId, Entry>,
     by_address: HashMap<SocketAddr, Vec<InstanceId>>,
 }
 
 impl Registry {
-    /// An empty registry of a process that starts now.
+    /// An empty registry of a process that starts at `now`.
     pub fn new(now: Time, settings: RegistrySettings) -> Self {
         Registry { settings, timeouts_start_at: now, entries: BTreeMap::new(), by_address: HashMap::new() }
     }
 
-    /// Whether it has run, in contact with the other keepers, for long enough to have heard of every live
-    /// endpoint and of every end.
+    /// Whether the registry has been in contact with the other keepers for long enough to know every live endpoint
+    /// and every termination.
     pub fn is_complete(&self, now: Time) -> bool {
         now.since(self.timeouts_start_at) >= self.settings.heartbeat_interval.mul_f64(COMPLETENESS_HEARTBEATS)
     }
 
-    /// All instances, those that have ended included.
+    /// All instances, tombstones included.
     pub fn instances(&self) -> impl Iterator<Item = &Instance> {
         self.entries.values().map(|entry| &entry.instance)
     }
 
-    /// An instance.
+    /// The instance `id`.
     pub fn get(&self, id: &InstanceId) -> Option<&Instance> {
         self.entries.get(id).map(|entry| &entry.instance)
     }
 
-    /// How many instances there are.
+    /// The number of instances, tombstones included.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no instances.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// An endpoint called.
+    /// Handles a heartbeat of an endpoint.
     pub fn handle_heartbeat(&mut self, now: Time, instance: Instance) -> HeartbeatOutcome {
         let id = instance.id.clone();
         let Some(entry) = self.entries.get_mut(&id) else {
@@ -105,23 +105,24 @@
             return HeartbeatOutcome::Stale;
         }
         entry.last_heard_at = now;
-        let unchanged = is_same_except_sequence(&entry.instance, &instance);
-        if unchanged {
+        let is_unchanged = is_same_except_sequence(&entry.instance, &instance);
+        if is_unchanged {
             entry.instance.sequence = instance.sequence;
         } else {
             self.replace(instance.clone());
         }
-        let gone = self.terminate_previous_at_address(now, &id);
-        if unchanged && gone.is_empty() {
+        let terminated = self.terminate_previous_at_address(now, &id);
+        if is_unchanged && terminated.is_empty() {
             return HeartbeatOutcome::Refreshed(Refresh { id, sequence: instance.sequence });
         }
         let mut changed = vec![instance];
-        changed.extend(gone);
+        changed.extend(terminated);
         HeartbeatOutcome::Changed(changed)
     }
 
-    /// An endpoint says that it ends. Returns what changed; nothing if that was known. An instance that was
-    /// never heard of leaves a tombstone too, since a late heartbeat may follow.
+    /// Handles an endpoint's own deregistration and returns its tombstone; `None` if it was terminated already.
+    ///
+    /// An unknown instance leaves a tombstone too, since a delayed heartbeat of it may follow.
     pub fn deregister(&mut self, now: Time, id: &InstanceId) -> Option<Instance> {
         let Some(entry) = self.entries.get_mut(id) else {
             if self.entries.len() >= self.settings.max_instances {
@@ -139,60 +140,64 @@
         Some(entry.instance.clone())
     }
 
-    /// Another keeper tells of instances. Returns those that are news here.
+    /// Merges instances sent by another keeper and returns those that changed here.
     pub fn merge(&mut self, now: Time, changed: Vec<Instance>, refreshed: &[Refresh]) -> Vec<Instance> {
-        let mut news = Vec::new();
+        let mut updates = Vec::new();
         for instance in changed {
-            news.extend(self.refutation_of(&instance));
+            updates.extend(self.refutation_of(&instance));
             if self.merge_instance(now, &instance) {
-                news.push(instance);
+                updates.push(instance);
             }
         }
         for refresh in refreshed {
-            news.extend(self.apply_refresh(now, refresh));
+            updates.extend(self.apply_refresh(now, refresh));
         }
-        news
+        updates
     }
 
-    /// Instances of which nobody has heard for too long; they are expired from now on. Silence counts up to
-    /// `confirmed_at`, the newest moment up to which contact with the other keepers is proved: heartbeats that
-    /// they took after it may be unknown here.
-    pub fn expire(&mut self, now: Time, confirmed_at: Time) -> Vec<Instance> {
+    /// Expires the instances whose heartbeats have timed out and returns them.
+    ///
+    /// Time-outs are measured up to `confirmed_until`, the latest time up to which contact with the other keepers is
+    /// proved: heartbeats that they received later may be unknown here.
+    pub fn expire(&mut self, now: Time, confirmed_until: Time) -> Vec<Instance> {
         self.remove_old_tombstones(now);
         let limit = self.settings.heartbeat_interval.mul_f64(EXPIRY_TIMEOUT_HEARTBEATS);
         let mut expired = Vec::new();
         for entry in self.entries.values_mut() {
-            let living = matches!(entry.instance.state, InstanceState::Ready | InstanceState::Draining);
-            let silent = confirmed_at.since(entry.last_heard_at.max(self.timeouts_start_at)) >= limit;
-            if !(living && silent) {
+            let is_live = matches!(entry.instance.state, InstanceState::Ready | InstanceState::Draining);
+            let is_timed_out =
+                confirmed_until.since(entry.last_heard_at.max(self.timeouts_start_at)) >= limit;
+            if !(is_live && is_timed_out) {
                 continue;
             }
-            // A drain is final: an instance that drains and falls silent has ended.
-            let draining = entry.instance.state == InstanceState::Draining;
-            entry.instance.state = if draining { InstanceState::Terminated } else { InstanceState::Expired };
+            // Draining is final: a draining instance that stops sending heartbeats has terminated.
+            let is_draining = entry.instance.state == InstanceState::Draining;
+            entry.instance.state =
+                if is_draining { InstanceState::Terminated } else { InstanceState::Expired };
             expired.push(entry.instance.clone());
         }
         expired
     }
 
-    /// Silence counts anew from now on: the keeper was paused, or cut off from the others. What it missed
-    /// meanwhile comes with the next heartbeats, so it is not complete until then.
+    /// Restarts all heartbeat time-outs, after the keeper was paused or partitioned from the others.
+    ///
+    /// What it missed meanwhile arrives with the next heartbeats; until then the registry is incomplete.
     pub fn restart_timeouts(&mut self, now: Time) {
         self.timeouts_start_at = now;
     }
 
-    /// What is known of an instance that another keeper takes for expired though a later heartbeat was heard here.
-    /// That keeper's subscribers were told of the expiry, and a heartbeat alone is no news to them.
+    /// The known state of an instance that another keeper declares expired although a later heartbeat was received
+    /// here. That keeper has notified its subscribers of the expiry, which a mere refresh would not revoke.
     fn refutation_of(&self, instance: &Instance) -> Option<Instance> {
         let known = self.get(&instance.id)?;
-        let lives = known.state == InstanceState::Ready && known.sequence > instance.sequence;
-        Some(known.clone()).filter(|_| instance.state == InstanceState::Expired && lives)
+        let is_alive = known.state == InstanceState::Ready && known.sequence > instance.sequence;
+        Some(known.clone()).filter(|_| instance.state == InstanceState::Expired && is_alive)
     }
 
     fn merge_instance(&mut self, now: Time, instance: &Instance) -> bool {
-        let full = self.entries.len() >= self.settings.max_instances;
+        let is_full = self.entries.len() >= self.settings.max_instances;
         match self.entries.get_mut(&instance.id) {
-            None if full => false,
+            None if is_full => false,
             None => {
                 self.insert(now, instance.clone());
                 true
@@ -213,41 +218,41 @@
 
     fn apply_refresh(&mut self, now: Time, refresh: &Refresh) -> Option<Instance> {
         let entry = self.entries.get_mut(&refresh.id)?;
-        let ended = entry.instance.state == InstanceState::Terminated;
-        if ended || refresh.sequence < entry.instance.sequence {
+        let is_terminated = entry.instance.state == InstanceState::Terminated;
+        if is_terminated || refresh.sequence < entry.instance.sequence {
             return None;
         }
         entry.last_heard_at = now;
-        let revived =
+        let is_revived =
             entry.instance.state == InstanceState::Expired && refresh.sequence > entry.instance.sequence;
         entry.instance.sequence = refresh.sequence;
-        if !revived {
+        if !is_revived {
             return None;
         }
         entry.instance.state = InstanceState::Ready;
         Some(entry.instance.clone())
     }
 
-    /// Older instances at the address of `id` that have fallen silent have ended.
+    /// Terminates older instances at the address of `id` that have stopped sending heartbeats, and returns them.
     fn terminate_previous_at_address(&mut self, now: Time, id: &InstanceId) -> Vec<Instance> {
         let Some(newer) = self.entries.get(id) else { return Vec::new() };
-        let (address, first_heard) = (newer.instance.address, newer.first_heard_at);
+        let (address, first_heard_at) = (newer.instance.address, newer.first_heard_at);
         let others = self.by_address.get(&address).cloned().unwrap_or_default();
-        let mut gone = Vec::new();
+        let mut terminated = Vec::new();
         for other in others.iter().filter(|other| *other != id) {
             let Some(entry) = self.entries.get_mut(other) else { continue };
-            let older = entry.first_heard_at < first_heard;
-            let silent = now.since(entry.last_heard_at) >= ADDRESS_TIMEOUT;
-            if older && silent && entry.instance.state != InstanceState::Terminated {
+            let is_older = entry.first_heard_at < first_heard_at;
+            let is_timed_out = now.since(entry.last_heard_at) >= ADDRESS_TIMEOUT;
+            if is_older && is_timed_out && entry.instance.state != InstanceState::Terminated {
                 entry.instance.state = InstanceState::Terminated;
                 entry.last_heard_at = now;
-                gone.push(entry.instance.clone());
+                terminated.push(entry.instance.clone());
             }
         }
-        gone
+        terminated
     }
 
-    /// Drops what has ended or expired long ago.
+    /// Removes instances that terminated or expired longer ago than the retention.
     fn remove_old_tombstones(&mut self, now: Time) {
         let old: Vec<InstanceId> = self
             .entries
@@ -271,7 +276,7 @@
         self.entries.insert(entry.instance.id.clone(), entry);
     }
 
-    /// Puts another version in the place of a known one.
+    /// Replaces a known instance, also in the index by address.
     fn replace(&mut self, instance: Instance) {
         let Some(entry) = self.entries.get_mut(&instance.id) else { return };
         let before = std::mem::replace(&mut entry.instance, instance.clone());
@@ -290,13 +295,19 @@
     }
 }
 
-/// Whether a call is older than what is known, or comes from an instance that has ended or may not go back.
-fn is_stale(call: &Instance, known: &Instance) -> bool {
+/// Whether a heartbeat is older than the known state, or would undo a termination or a drain.
+fn is_stale(heartbeat: &Instance, known: &Instance) -> bool {
     match known.state {
         InstanceState::Terminated => true,
-        InstanceState::Draining => call.state != InstanceState::Draining || call.sequence < known.sequence,
-        InstanceState::Expired => call.sequence <= known.sequence && call.state == InstanceState::Ready,
-        InstanceState::Ready => call.sequence < known.sequence && call.state != InstanceState::Draining,
+        InstanceState::Draining => {
+            heartbeat.state != InstanceState::Draining || heartbeat.sequence < known.sequence
+        }
+        InstanceState::Expired => {
+            heartbeat.sequence <= known.sequence && heartbeat.state == InstanceState::Ready
+        }
+        InstanceState::Ready => {
+            heartbeat.sequence < known.sequence && heartbeat.state != InstanceState::Draining
+        }
     }
 }
 
@@ -308,7 +319,7 @@
         && one.capacity == other.capacity
 }
 
-/// What is kept of an instance that ended before it was heard of.
+/// The tombstone of an instance that was deregistered before its first heartbeat.
 fn tombstone(id: InstanceId) -> Instance {
     Instance {
         id,
--- a/crates/registry/tests/contact.rs
+++ b/crates/registry/tests/contact.rs
@@ -1,4 +1,4 @@
-//! Traces of which evidence counts as contact with the other keepers.
+//! Quorum contact: which replies count, for how long, and for which epochs.
 
 use juniperwing_clock::{Span, Time};
 use juniperwing_protocol::replication::{Epoch, Voter};
@@ -29,10 +29,10 @@
     Contact::new(Span::from_millis(WINDOW_MS))
 }
 
-/// Guard: only round trips count towards the majority. A keeper that hears all others but is heard by none (a
-/// one-way cut) has no contact.
+/// Guard: only round trips count towards the majority. A keeper that receives from all others but reaches none of them
+/// (a one-way partition) has no contact.
 #[test]
-fn hearing_the_others_without_being_heard_is_no_contact() {
+fn messages_without_replies_are_no_contact() {
     let mut contact = contact();
     let epoch = epoch(5, &[1, 2, 3]);
     for ms in (0..20_000).step_by(150) {
@@ -45,7 +45,7 @@
 
 /// Guard: the primary alone does not stand for the majority, not even right after the start.
 #[test]
-fn a_young_keeper_needs_a_majority_like_any_other() {
+fn a_keeper_that_has_just_started_needs_a_majority() {
     let mut contact = contact();
     let epoch = Epoch { primary: DiskId(2), ..epoch(5, &[1, 2, 3, 4, 5]) };
     contact.record_reply(at(10), DiskId(2), at(0), EpochNumber(5));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn one_answer_makes_a_majority_of_three() {
+fn one_reply_makes_a_majority_of_three() {
     let mut contact = contact();
     let epoch = epoch(5, &[1, 2, 3]);
     assert!(!contact.has_majority(at(0), ME, &epoch));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn contact_ends_when_the_window_is_over() {
+fn contact_ends_after_the_window() {
     let mut contact = contact();
     let epoch = epoch(5, &[1, 2, 3]);
     contact.record_reply(at(105), DiskId(2), at(100), EpochNumber(5));
@@ -72,9 +72,9 @@
     assert!(!contact.has_majority(at(101 + WINDOW_MS), ME, &epoch));
 }
 
-/// Guard: the time of the question counts, not that of the answer. A process that was frozen finds old answers.
+/// Guard: the time of the request counts, not that of the reply. A process that was paused finds old replies.
 #[test]
-fn an_answer_that_comes_late_proves_nothing_about_the_present() {
+fn a_delayed_reply_does_not_prove_present_contact() {
     let mut contact = contact();
     let epoch = epoch(5, &[1, 2, 3]);
     contact.record_reply(at(20_000), DiskId(2), at(100), EpochNumber(5));
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn an_older_answer_does_not_replace_a_newer_one() {
+fn an_older_reply_does_not_replace_a_newer_one() {
     let mut contact = contact();
     let epoch = epoch(5, &[1, 2, 3]);
     contact.record_reply(at(1_010), DiskId(2), at(1_000), EpochNumber(5));
@@ -90,9 +90,9 @@
     assert!(contact.has_majority(at(2_000), ME, &epoch));
 }
 
-/// Guard: answers of keepers in a higher epoch do not count until this keeper knows that epoch.
+/// Guard: replies of keepers in a higher epoch do not count until this keeper knows that epoch.
 #[test]
-fn a_keeper_that_is_behind_the_others_has_no_contact_until_it_knows_their_epoch() {
+fn a_keeper_with_an_outdated_epoch_has_no_contact_until_it_knows_the_newer_one() {
     let mut contact = contact();
     contact.record_reply(at(10), DiskId(2), at(0), EpochNumber(6));
     assert!(!contact.has_majority(at(10), ME, &epoch(5, &[1, 2, 3])));
@@ -100,19 +100,19 @@
     assert!(!contact.has_majority(at(20), ME, &epoch(6, &[1, 3, 4])));
 }
 
-/// Guard: an epoch that still depends on the voters before it needs a majority of both.
+/// Guard: an epoch that still depends on the previous voters needs a majority of both sets.
 #[test]
-fn a_change_of_voters_that_is_not_settled_needs_both_majorities() {
+fn an_uncommitted_change_of_voters_needs_both_majorities() {
     let mut contact = contact();
-    let unsettled = Epoch { previous_voters: voters(&[1, 4, 5]), ..epoch(5, &[1, 2, 3]) };
+    let uncommitted = Epoch { previous_voters: voters(&[1, 4, 5]), ..epoch(5, &[1, 2, 3]) };
     contact.record_reply(at(10), DiskId(2), at(0), EpochNumber(5));
-    assert!(!contact.has_majority(at(10), ME, &unsettled));
+    assert!(!contact.has_majority(at(10), ME, &uncommitted));
     contact.record_reply(at(10), DiskId(4), at(0), EpochNumber(5));
-    assert!(contact.has_majority(at(10), ME, &unsettled));
+    assert!(contact.has_majority(at(10), ME, &uncommitted));
 }
 
 #[test]
-fn a_keeper_that_does_not_vote_counts_only_the_others() {
+fn a_keeper_that_does_not_vote_counts_only_the_voters() {
     let mut contact = contact();
     let epoch = epoch(5, &[2, 3, 4]);
     contact.record_reply(at(10), DiskId(2), at(0), EpochNumber(5));
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn what_is_remembered_is_bounded() {
+fn the_number_of_entries_is_bounded() {
     let mut contact = contact();
     for disk in 0..10_000 {
         contact.record_reply(at(disk * 10), DiskId(disk), at(disk * 10), EpochNumber(5));
@@ -139,29 +139,29 @@
 /// Guard: with more voters than the tolerated losses need, a majority alone could miss all keepers that a relay is
 /// subscribed to.
 #[test]
-fn any_keepers_that_a_relay_subscribes_to_meet_those_that_confirm() {
+fn the_subscriptions_of_any_relay_overlap_with_the_confirming_keepers() {
     for tolerated in 0..=4 {
         for voters in 1..=9 {
             let needed = needed_confirmations(voters, tolerated);
             let subscriptions = (tolerated + 1).min(voters);
-            assert!(needed + subscriptions > voters, "{voters} voters, {tolerated} losses");
+            assert!(needed + subscriptions > voters, "{voters} voters, {tolerated} failures");
             assert!(2 * needed > voters && needed <= voters);
         }
     }
-    // The losses that are tolerated do not keep an end from being acknowledged.
+    // Tolerated failures do not prevent a termination from being acknowledged.
     assert_eq!(
-        [(3, 1), (5, 2), (4, 1), (5, 1)].map(|(voters, lost)| needed_confirmations(voters, lost)),
+        [(3, 1), (5, 2), (4, 1), (5, 1)].map(|(voters, tolerated)| needed_confirmations(voters, tolerated)),
         [2, 3, 3, 4]
     );
 }
 
-/// Guard: the time of the answered question counts, for the slowest keeper of the fastest majority.
+/// Guard: the time of the request counts, for the slowest keeper of the fastest majority.
 #[test]
-fn contact_is_proved_up_to_the_question_that_a_majority_has_answered() {
+fn contact_is_confirmed_until_the_request_that_a_majority_replied_to() {
     let mut contact = contact();
     let epoch = epoch(5, &[1, 2, 3, 4, 5]);
-    for (disk, asked_ms) in [(2, 100), (3, 300), (4, 900)] {
-        contact.record_reply(at(1_000), DiskId(disk), at(asked_ms), EpochNumber(5));
+    for (disk, sent_ms) in [(2, 100), (3, 300), (4, 900)] {
+        contact.record_reply(at(1_000), DiskId(disk), at(sent_ms), EpochNumber(5));
     }
     assert_eq!(contact.confirmed_until(at(1_000), ME, &epoch), Some(at(300)));
     assert_eq!(contact.confirmed_until(at(1_600), ME, &epoch), None);
@@ -169,9 +169,9 @@
     assert_eq!(contact.confirmed_until(at(1_600), ME, &alone), Some(at(1_600)));
 }
 
-/// Guard: while an epoch is not settled, the voters before it count too.
+/// Guard: while an epoch is not committed, the previous voters count too.
 #[test]
-fn contact_with_both_sets_of_voters_is_proved_up_to_the_older_question() {
+fn contact_with_both_sets_of_voters_is_confirmed_until_the_older_request() {
     let mut contact = contact();
     let epoch = Epoch { previous_voters: voters(&[1, 4, 5]), ..epoch(5, &[1, 2, 3]) };
     contact.record_reply(at(1_000), DiskId(2), at(900), EpochNumber(5));
--- a/crates/registry/tests/exchange.rs
+++ b/crates/registry/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Traces of what keepers tell each other, and of what counts as confirmed.
+//! Replication of instances between keepers, and which changes count as confirmed.
 
 use juniperwing_protocol::DiskId;
 use juniperwing_protocol::registry::{Instance, InstanceState, Refresh};
@@ -6,7 +6,7 @@
 use juniperwing_registry::{Batch, ChangeNumber, Exchange};
 
 const FIRST_CONNECTION: u32 = 1;
-const NOBODY_HEARD: fn(DiskId) -> bool = |_| false;
+const NO_RECENT_MESSAGES: fn(DiskId) -> bool = |_| false;
 
 fn voter(disk: u64) -> Voter {
     Voter {
@@ -28,25 +28,25 @@
     }
 }
 
-/// Exchange with one other keeper, and what this keeper knows.
-struct Trace {
+/// Replication to one peer, and the instances known locally.
+struct Harness {
     exchange: Exchange<u32>,
     known: Vec<Instance>,
 }
 
-impl Trace {
+impl Harness {
     fn new() -> Self {
         let mut exchange = Exchange::default();
         exchange.set_peers(&[voter(2)]);
-        Trace { exchange, known: Vec::new() }
+        Harness { exchange, known: Vec::new() }
     }
 
-    /// A trace in which the other keeper has answered once.
-    fn in_contact() -> Self {
-        let mut trace = Trace::new();
-        let first = trace.batch(true).unwrap();
-        trace.exchange.handle_reply(DiskId(2), first.number, FIRST_CONNECTION);
-        trace
+    /// A harness whose peer has replied to one batch.
+    fn with_synchronized_peer() -> Self {
+        let mut harness = Harness::new();
+        let first = harness.batch(true).unwrap();
+        harness.exchange.handle_reply(DiskId(2), first.number, FIRST_CONNECTION);
+        harness
     }
 
     fn change(&mut self, id: &str) -> ChangeNumber {
@@ -54,9 +54,9 @@
         self.exchange.record_changes(&[instance(id)])
     }
 
-    fn batch(&mut self, regular: bool) -> Option<Batch> {
+    fn batch(&mut self, is_regular: bool) -> Option<Batch> {
         let known = &self.known;
-        let batches = self.exchange.next_batches(regular, || known.iter().collect());
+        let batches = self.exchange.next_batches(is_regular, || known.iter().collect());
         assert!(batches.len() <= 1);
         batches.into_iter().next()
     }
@@ -67,149 +67,152 @@
 }
 
 #[test]
-fn a_keeper_of_which_nothing_is_known_yet_has_not_confirmed() {
-    let mut trace = Trace::new();
-    let change = trace.change("a");
-    assert!(!trace.exchange.is_confirmed_by_reachable_peers(change, NOBODY_HEARD));
-    let batch = trace.batch(false).expect("changes go at once");
-    assert!(!trace.exchange.is_confirmed_by_reachable_peers(change, NOBODY_HEARD));
-    trace.exchange.handle_reply(DiskId(2), batch.number, FIRST_CONNECTION);
-    assert!(trace.exchange.is_confirmed_by_reachable_peers(change, NOBODY_HEARD));
+fn a_peer_that_has_not_replied_yet_has_not_confirmed() {
+    let mut harness = Harness::new();
+    let change = harness.change("a");
+    assert!(!harness.exchange.is_confirmed_by_reachable_peers(change, NO_RECENT_MESSAGES));
+    let batch = harness.batch(false).expect("changes are sent at once");
+    assert!(!harness.exchange.is_confirmed_by_reachable_peers(change, NO_RECENT_MESSAGES));
+    harness.exchange.handle_reply(DiskId(2), batch.number, FIRST_CONNECTION);
+    assert!(harness.exchange.is_confirmed_by_reachable_peers(change, NO_RECENT_MESSAGES));
 }
 
 #[test]
-fn changes_go_at_once_and_the_rest_regularly() {
-    let mut trace = Trace::in_contact();
-    trace.exchange.record_refresh(&Refresh { id: "a".into(), sequence: 2 });
-    assert_eq!(trace.batch(false), None);
-    assert_eq!(trace.batch(true).unwrap().refreshed, [Refresh { id: "a".into(), sequence: 2 }]);
-    trace.change("b");
-    assert_eq!(ids(&trace.batch(false).unwrap()), ["b"]);
-    assert_eq!(trace.batch(true), None);
+fn changes_are_sent_at_once_and_refreshes_regularly() {
+    let mut harness = Harness::with_synchronized_peer();
+    harness.exchange.record_refresh(&Refresh { id: "a".into(), sequence: 2 });
+    assert_eq!(harness.batch(false), None);
+    assert_eq!(harness.batch(true).unwrap().refreshed, [Refresh { id: "a".into(), sequence: 2 }]);
+    harness.change("b");
+    assert_eq!(ids(&harness.batch(false).unwrap()), ["b"]);
+    assert_eq!(harness.batch(true), None);
 }
 
 #[test]
 fn each_of_several_batches_is_confirmed_on_its_own() {
-    let mut trace = Trace::in_contact();
-    let one = trace.change("a");
-    let first = trace.batch(false).unwrap();
-    let two = trace.change("b");
-    let second = trace.batch(false).unwrap();
-    trace.exchange.handle_reply(DiskId(2), second.number, FIRST_CONNECTION);
-    assert!(!trace.exchange.is_confirmed_by_reachable_peers(two, NOBODY_HEARD));
-    trace.exchange.handle_reply(DiskId(2), first.number, FIRST_CONNECTION);
-    assert!(trace.exchange.is_confirmed_by_reachable_peers(one, NOBODY_HEARD));
-    assert!(trace.exchange.is_confirmed_by_reachable_peers(two, NOBODY_HEARD));
+    let mut harness = Harness::with_synchronized_peer();
+    let one = harness.change("a");
+    let first = harness.batch(false).unwrap();
+    let two = harness.change("b");
+    let second = harness.batch(false).unwrap();
+    harness.exchange.handle_reply(DiskId(2), second.number, FIRST_CONNECTION);
+    assert!(!harness.exchange.is_confirmed_by_reachable_peers(two, NO_RECENT_MESSAGES));
+    harness.exchange.handle_reply(DiskId(2), first.number, FIRST_CONNECTION);
+    assert!(harness.exchange.is_confirmed_by_reachable_peers(one, NO_RECENT_MESSAGES));
+    assert!(harness.exchange.is_confirmed_by_reachable_peers(two, NO_RECENT_MESSAGES));
 }
 
 #[test]
-fn the_answer_to_a_regular_batch_does_not_confirm_a_later_change() {
-    let mut trace = Trace::in_contact();
-    trace.exchange.record_refresh(&Refresh { id: "a".into(), sequence: 2 });
-    let regular = trace.batch(true).unwrap();
-    let change = trace.change("b");
-    trace.batch(false).unwrap();
-    trace.exchange.handle_reply(DiskId(2), regular.number, FIRST_CONNECTION);
-    assert!(!trace.exchange.is_confirmed_by_reachable_peers(change, NOBODY_HEARD));
+fn the_reply_to_a_regular_batch_does_not_confirm_a_later_change() {
+    let mut harness = Harness::with_synchronized_peer();
+    harness.exchange.record_refresh(&Refresh { id: "a".into(), sequence: 2 });
+    let regular = harness.batch(true).unwrap();
+    let change = harness.change("b");
+    harness.batch(false).unwrap();
+    harness.exchange.handle_reply(DiskId(2), regular.number, FIRST_CONNECTION);
+    assert!(!harness.exchange.is_confirmed_by_reachable_peers(change, NO_RECENT_MESSAGES));
 }
 
 #[test]
-fn after_a_failure_everything_is_told_again() {
-    let mut trace = Trace::in_contact();
-    let change = trace.change("a");
-    let lost = trace.batch(false).unwrap();
-    trace.exchange.handle_failure(DiskId(2), lost.number);
-    assert_eq!(trace.batch(false), None, "one that does not answer is tried with the regular ones only");
+fn after_a_failure_everything_is_sent_again() {
+    let mut harness = Harness::with_synchronized_peer();
+    let change = harness.change("a");
+    let lost = harness.batch(false).unwrap();
+    harness.exchange.handle_failure(DiskId(2), lost.number);
+    assert_eq!(harness.batch(false), None, "an unreachable peer is sent regular batches only");
     assert!(
-        trace.exchange.is_confirmed_by_reachable_peers(change, NOBODY_HEARD),
-        "nobody waits for one out of reach"
+        harness.exchange.is_confirmed_by_reachable_peers(change, NO_RECENT_MESSAGES),
+        "an unreachable peer is not waited for"
     );
-    assert!(!trace.exchange.is_confirmed_by_reachable_peers(change, |_| true), "but for one that is heard");
-    let again = trace.batch(true).unwrap();
+    assert!(
+        !harness.exchange.is_confirmed_by_reachable_peers(change, |_| true),
+        "unless a message of it was received recently"
+    );
+    let again = harness.batch(true).unwrap();
     assert_eq!(ids(&again), ["a"]);
-    trace.exchange.handle_reply(DiskId(2), again.number, FIRST_CONNECTION);
-    assert!(trace.exchange.is_confirmed_by_reachable_peers(change, |_| true));
+    harness.exchange.handle_reply(DiskId(2), again.number, FIRST_CONNECTION);
+    assert!(harness.exchange.is_confirmed_by_reachable_peers(change, |_| true));
 }
 
 #[test]
-fn a_keeper_that_started_again_is_told_everything() {
-    let mut trace = Trace::in_contact();
-    trace.change("a");
-    let batch = trace.batch(false).unwrap();
-    trace.exchange.handle_reply(DiskId(2), batch.number, FIRST_CONNECTION);
-    trace.change("b");
-    let batch = trace.batch(false).unwrap();
-    trace.exchange.handle_reply(DiskId(2), batch.number, FIRST_CONNECTION + 1);
-    assert_eq!(ids(&trace.batch(true).unwrap()), ["a", "b"]);
+fn a_restarted_keeper_is_sent_a_snapshot() {
+    let mut harness = Harness::with_synchronized_peer();
+    harness.change("a");
+    let batch = harness.batch(false).unwrap();
+    harness.exchange.handle_reply(DiskId(2), batch.number, FIRST_CONNECTION);
+    harness.change("b");
+    let batch = harness.batch(false).unwrap();
+    harness.exchange.handle_reply(DiskId(2), batch.number, FIRST_CONNECTION + 1);
+    assert_eq!(ids(&harness.batch(true).unwrap()), ["a", "b"]);
 }
 
 #[test]
-fn a_keeper_that_is_no_voter_any_more_is_not_waited_for() {
-    let mut trace = Trace::in_contact();
-    let change = trace.change("a");
-    trace.exchange.set_peers(&[voter(3)]);
-    let batch = trace.batch(true).unwrap();
+fn a_removed_voter_is_not_waited_for() {
+    let mut harness = Harness::with_synchronized_peer();
+    let change = harness.change("a");
+    harness.exchange.set_peers(&[voter(3)]);
+    let batch = harness.batch(true).unwrap();
     assert_eq!((batch.to.disk, ids(&batch)), (DiskId(3), vec!["a"]));
-    trace.exchange.handle_reply(DiskId(3), batch.number, FIRST_CONNECTION);
-    assert!(trace.exchange.is_confirmed_by_reachable_peers(change, NOBODY_HEARD));
+    harness.exchange.handle_reply(DiskId(3), batch.number, FIRST_CONNECTION);
+    assert!(harness.exchange.is_confirmed_by_reachable_peers(change, NO_RECENT_MESSAGES));
 }
 
 fn confirmed_by(exchange: &Exchange<u32>, change: ChangeNumber) -> Vec<DiskId> {
     exchange.confirmed_peers(change).collect()
 }
 
-/// Guard: a counterpart starts with everything unconfirmed.
+/// Guard: a new peer starts with everything unconfirmed.
 #[test]
-fn a_keeper_that_came_after_a_change_has_not_confirmed_it() {
-    let mut trace = Trace::in_contact();
-    let change = trace.change("a");
-    trace.exchange.set_peers(&[voter(3)]);
-    assert_eq!(confirmed_by(&trace.exchange, change), []);
-    let batch = trace.batch(true).unwrap();
+fn a_keeper_added_after_a_change_has_not_confirmed_it() {
+    let mut harness = Harness::with_synchronized_peer();
+    let change = harness.change("a");
+    harness.exchange.set_peers(&[voter(3)]);
+    assert_eq!(confirmed_by(&harness.exchange, change), []);
+    let batch = harness.batch(true).unwrap();
     assert!(batch.needs_confirmation);
-    trace.exchange.handle_reply(DiskId(3), batch.number, FIRST_CONNECTION);
-    assert_eq!(confirmed_by(&trace.exchange, change), [DiskId(3)]);
+    harness.exchange.handle_reply(DiskId(3), batch.number, FIRST_CONNECTION);
+    assert_eq!(confirmed_by(&harness.exchange, change), [DiskId(3)]);
 }
 
 #[test]
-fn a_keeper_out_of_reach_is_not_waited_for_but_has_not_confirmed() {
-    let mut trace = Trace::in_contact();
-    let change = trace.change("a");
-    let lost = trace.batch(false).unwrap();
-    trace.exchange.handle_failure(DiskId(2), lost.number);
-    assert!(trace.exchange.is_confirmed_by_reachable_peers(change, NOBODY_HEARD));
-    assert_eq!(confirmed_by(&trace.exchange, change), []);
+fn an_unreachable_keeper_is_not_waited_for_but_has_not_confirmed() {
+    let mut harness = Harness::with_synchronized_peer();
+    let change = harness.change("a");
+    let lost = harness.batch(false).unwrap();
+    harness.exchange.handle_failure(DiskId(2), lost.number);
+    assert!(harness.exchange.is_confirmed_by_reachable_peers(change, NO_RECENT_MESSAGES));
+    assert_eq!(confirmed_by(&harness.exchange, change), []);
 }
 
-/// Guard: an answer that says that a relay has not applied a change leaves it unconfirmed, and it is asked
-/// about again without being told again.
+/// Guard: a reply which says that a relay has not applied a change leaves it unconfirmed; confirmation is requested
+/// again without sending the change again.
 #[test]
-fn a_change_that_relays_have_not_applied_is_asked_about_again() {
-    let mut trace = Trace::in_contact();
-    let change = trace.change("a");
-    let batch = trace.batch(false).unwrap();
+fn confirmation_of_a_change_that_relays_have_not_applied_is_requested_again() {
+    let mut harness = Harness::with_synchronized_peer();
+    let change = harness.change("a");
+    let batch = harness.batch(false).unwrap();
     assert!(batch.needs_confirmation);
-    trace.exchange.handle_not_applied(DiskId(2), batch.number, FIRST_CONNECTION);
-    assert_eq!(confirmed_by(&trace.exchange, change), []);
-    assert!(!trace.exchange.is_confirmed_by_reachable_peers(change, NOBODY_HEARD));
-    assert_eq!(trace.batch(false), None);
-    let again = trace.batch(true).expect("asked about again");
+    harness.exchange.handle_not_applied(DiskId(2), batch.number, FIRST_CONNECTION);
+    assert_eq!(confirmed_by(&harness.exchange, change), []);
+    assert!(!harness.exchange.is_confirmed_by_reachable_peers(change, NO_RECENT_MESSAGES));
+    assert_eq!(harness.batch(false), None);
+    let again = harness.batch(true).expect("confirmation is requested again");
     assert_eq!((ids(&again), again.needs_confirmation), (vec![], true));
-    trace.exchange.handle_reply(DiskId(2), again.number, FIRST_CONNECTION);
-    assert_eq!(confirmed_by(&trace.exchange, change), [DiskId(2)]);
+    harness.exchange.handle_reply(DiskId(2), again.number, FIRST_CONNECTION);
+    assert_eq!(confirmed_by(&harness.exchange, change), [DiskId(2)]);
 }
 
-/// Guard: what a keeper confirmed before it started again is void.
+/// Guard: confirmations of a keeper from before its restart are void.
 #[test]
-fn a_keeper_that_started_again_has_confirmed_nothing() {
-    let mut trace = Trace::in_contact();
-    let change = trace.change("a");
-    let batch = trace.batch(false).unwrap();
-    trace.exchange.handle_reply(DiskId(2), batch.number, FIRST_CONNECTION);
-    assert_eq!(confirmed_by(&trace.exchange, change), [DiskId(2)]);
-    trace.exchange.record_refresh(&Refresh { id: "a".into(), sequence: 2 });
-    let regular = trace.batch(true).unwrap();
+fn a_restarted_keeper_has_confirmed_nothing() {
+    let mut harness = Harness::with_synchronized_peer();
+    let change = harness.change("a");
+    let batch = harness.batch(false).unwrap();
+    harness.exchange.handle_reply(DiskId(2), batch.number, FIRST_CONNECTION);
+    assert_eq!(confirmed_by(&harness.exchange, change), [DiskId(2)]);
+    harness.exchange.record_refresh(&Refresh { id: "a".into(), sequence: 2 });
+    let regular = harness.batch(true).unwrap();
     assert!(!regular.needs_confirmation, "refreshes alone need no confirmation");
-    trace.exchange.handle_reply(DiskId(2), regular.number, FIRST_CONNECTION + 1);
-    assert_eq!(confirmed_by(&trace.exchange, change), []);
+    harness.exchange.handle_reply(DiskId(2), regular.number, FIRST_CONNECTION + 1);
+    assert_eq!(confirmed_by(&harness.exchange, change), []);
 }
--- a/crates/registry/tests/registry.rs
+++ b/crates/registry/tests/registry.rs
@@ -1,4 +1,4 @@
-//! Traces of heartbeats, drains, ends and expiry, and of what keepers tell each other.
+//! Heartbeats, draining, termination, expiry and the merging of instances between keepers.
 
 use juniperwing_clock::{Span, Time};
 use juniperwing_protocol::InstanceId;
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn the_first_heartbeat_is_news_and_the_next_is_not() {
+fn the_first_heartbeat_is_a_change_and_the_next_is_a_refresh() {
     let mut registry = registry();
     assert_eq!(
         registry.handle_heartbeat(at(0), ready("a", 1)),
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_late_heartbeat_changes_nothing() {
+fn a_stale_heartbeat_changes_nothing() {
     let mut registry = registry();
     registry.handle_heartbeat(at(0), ready("a", 5));
     assert_eq!(registry.handle_heartbeat(at(1), ready("a", 4)), HeartbeatOutcome::Stale);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_drain_is_final_within_a_life() {
+fn draining_is_final_within_an_incarnation() {
     let mut registry = registry();
     registry.handle_heartbeat(at(0), ready("a", 1));
     assert!(matches!(registry.handle_heartbeat(at(1), draining("a", 2)), HeartbeatOutcome::Changed(_)));
@@ -78,11 +78,11 @@
 }
 
 #[test]
-fn an_end_leaves_a_tombstone_for_longer_than_a_late_call_takes() {
+fn a_terminated_instance_leaves_a_tombstone_that_outlives_delayed_heartbeats() {
     let mut registry = registry();
     registry.handle_heartbeat(at(0), ready("a", 1));
     assert_eq!(
-        registry.deregister(at(1), &"a".into()).map(|gone| gone.state),
+        registry.deregister(at(1), &"a".into()).map(|tombstone| tombstone.state),
         Some(InstanceState::Terminated)
     );
     assert_eq!(registry.deregister(at(2), &"a".into()), None);
@@ -94,14 +94,14 @@
 }
 
 #[test]
-fn an_end_before_any_heartbeat_is_remembered_too() {
+fn a_deregistration_before_any_heartbeat_leaves_a_tombstone() {
     let mut registry = registry();
     assert!(registry.deregister(at(0), &"a".into()).is_some());
     assert_eq!(registry.handle_heartbeat(at(1), ready("a", 1)), HeartbeatOutcome::Stale);
 }
 
 #[test]
-fn silence_expires_and_a_later_heartbeat_brings_back() {
+fn an_instance_expires_without_heartbeats_and_a_later_one_revives_it() {
     let mut registry = registry();
     registry.handle_heartbeat(at(0), ready("a", 1));
     assert!(registry.expire(at(2_999), at(2_999)).is_empty());
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn what_another_keeper_hears_keeps_an_instance() {
+fn heartbeats_received_by_another_keeper_prevent_expiry() {
     let mut registry = registry();
     registry.handle_heartbeat(at(0), ready("a", 1));
     assert!(registry.merge(at(2_000), Vec::new(), &[refresh("a", 3)]).is_empty());
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn silence_does_not_count_while_cut_off() {
+fn timeouts_do_not_run_during_a_partition() {
     let mut registry = registry();
     registry.handle_heartbeat(at(0), ready("a", 1));
     registry.restart_timeouts(at(10_000));
@@ -132,33 +132,34 @@
     assert_eq!(registry.expire(at(13_000), at(13_000)).len(), 1);
 }
 
-/// Guard: silence counts up to `confirmed_at`, not up to now. Heartbeats that the others took since then are unknown.
+/// Guard: time-outs are measured up to `confirmed_until`, not up to now. Heartbeats that the other keepers received
+/// since then are unknown.
 #[test]
-fn silence_counts_only_while_contact_is_proved() {
+fn timeouts_run_only_while_contact_is_confirmed() {
     let mut registry = registry();
     registry.handle_heartbeat(at(0), ready("a", 1));
     assert!(registry.expire(at(3_900), at(2_900)).is_empty());
     assert_eq!(registry.expire(at(3_900), at(3_000)).len(), 1);
 }
 
-/// Guard: `contradicting`. The subscribers of the keeper that lost touch were told of the expiry, and they would hold
-/// to it, since a heartbeat that changes nothing is no news.
+/// Guard: `refutation_of`. The subscribers of the keeper that lost contact were notified of the expiry and would keep
+/// to it, since a heartbeat that changes nothing is not sent to them.
 #[test]
-fn an_expiry_told_by_a_keeper_that_missed_heartbeats_is_contradicted() {
+fn an_expiry_sent_by_a_keeper_that_missed_heartbeats_is_refuted() {
     let mut registry = registry();
     registry.handle_heartbeat(at(0), ready("a", 1));
     registry.handle_heartbeat(at(1_000), ready("a", 2));
     let expired = instance("a", 1, InstanceState::Expired, 1);
-    let news = registry.merge(at(1_100), vec![expired.clone()], &[]);
-    assert_eq!(news.len(), 1);
-    assert!(news[0].state == InstanceState::Ready && news[0].supersedes(&expired));
-    // One that is as old as what is known here may be right.
+    let updates = registry.merge(at(1_100), vec![expired.clone()], &[]);
+    assert_eq!(updates.len(), 1);
+    assert!(updates[0].state == InstanceState::Ready && updates[0].supersedes(&expired));
+    // An expiry with the same sequence may be right.
     let expired = instance("a", 1, InstanceState::Expired, 2);
     assert_eq!(registry.merge(at(1_200), vec![expired.clone()], &[]), [expired]);
 }
 
 #[test]
-fn an_address_taken_by_a_newer_instance_ends_the_older_one() {
+fn a_newer_instance_at_an_address_terminates_the_older_one() {
     let mut registry = registry();
     registry.handle_heartbeat(at(0), ready("a", 1));
     registry.handle_heartbeat(at(2_500), ready("b", 1));
@@ -167,7 +168,7 @@
 }
 
 #[test]
-fn a_late_call_of_the_older_one_does_not_end_the_newer_one() {
+fn a_delayed_heartbeat_of_the_older_instance_does_not_terminate_the_newer_one() {
     let mut registry = registry();
     registry.handle_heartbeat(at(0), ready("a", 1));
     registry.handle_heartbeat(at(2_500), ready("b", 1));
@@ -188,15 +189,15 @@
 }
 
 #[test]
-fn it_is_complete_after_two_heartbeats() {
+fn the_registry_is_complete_after_two_heartbeat_intervals() {
     let registry = registry();
     assert!(!registry.is_complete(at(1_999)));
     assert!(registry.is_complete(at(2_000)));
 }
 
-/// Guard: completeness counts from the end of a pause or cut, not from the start of the process.
+/// Guard: completeness counts from the end of a pause or partition, not from the start of the process.
 #[test]
-fn it_is_not_complete_until_two_heartbeats_after_it_was_cut_off() {
+fn the_registry_is_incomplete_until_two_heartbeat_intervals_after_a_partition() {
     let mut registry = registry();
     registry.restart_timeouts(at(20_000));
     assert!(!registry.is_complete(at(21_999)));
@@ -204,20 +205,20 @@
 }
 
 #[test]
-fn a_heartbeat_is_read_and_all_findings_are_told() {
+fn a_heartbeat_is_parsed_and_all_invalid_fields_are_reported() {
     let body = br#"{"backend":"s","address":"10.0.0.1:80","zone":"a","generation":"v1","capacity":4,
         "state":"ready","warmupRemainingMs":0,"stage":"both","models":[{"name":"m"}],"sequence":7}"#;
     assert_eq!(parse_heartbeat("a", body), Ok(ready("a", 7)));
-    let findings = parse_heartbeat("a", br#"{"address":"here","state":"asleep","capacity":-1}"#).unwrap_err();
-    let places: Vec<&str> = findings.iter().map(|finding| finding.field.as_str()).collect();
-    assert_eq!(places, ["backend", "zone", "address", "state", "sequence", "capacity"]);
+    let errors = parse_heartbeat("a", br#"{"address":"here","state":"asleep","capacity":-1}"#).unwrap_err();
+    let fields: Vec<&str> = errors.iter().map(|error| error.field.as_str()).collect();
+    assert_eq!(fields, ["backend", "zone", "address", "state", "sequence", "capacity"]);
     assert!(parse_heartbeat("a", b"[").is_err());
     assert!(parse_heartbeat("a", br#"{"sequence":-1}"#).is_err());
 }
 
-fn call() -> impl Strategy<Value = Instance> {
-    (0_u64..20, prop::bool::weighted(0.1)).prop_map(|(sequence, drains)| {
-        let state = if drains { InstanceState::Draining } else { InstanceState::Ready };
+fn heartbeat() -> impl Strategy<Value = Instance> {
+    (0_u64..20, prop::bool::weighted(0.1)).prop_map(|(sequence, is_draining)| {
+        let state = if is_draining { InstanceState::Draining } else { InstanceState::Ready };
         instance("a", 80, state, sequence)
     })
 }
@@ -226,21 +227,21 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn two_keepers_agree_once_they_have_told_each_other_all(
-        calls in prop::collection::vec((call(), any::<bool>()), 1..40), ends in any::<bool>(),
+    fn two_keepers_agree_after_merging_each_others_instances(
+        heartbeats in prop::collection::vec((heartbeat(), any::<bool>()), 1..40), deregisters in any::<bool>(),
     ) {
         let (mut one, mut other) = (registry(), registry());
-        for (call, first) in calls {
+        for (heartbeat, first) in heartbeats {
             let keeper = if first { &mut one } else { &mut other };
-            keeper.handle_heartbeat(at(1), call);
+            keeper.handle_heartbeat(at(1), heartbeat);
         }
-        if ends {
+        if deregisters {
             one.deregister(at(1), &"a".into());
         }
-        let told: Vec<Instance> = one.instances().cloned().collect();
-        other.merge(at(2), told, &[]);
-        let told: Vec<Instance> = other.instances().cloned().collect();
-        one.merge(at(2), told, &[]);
+        let sent: Vec<Instance> = one.instances().cloned().collect();
+        other.merge(at(2), sent, &[]);
+        let sent: Vec<Instance> = other.instances().cloned().collect();
+        one.merge(at(2), sent, &[]);
         prop_assert_eq!(one.get(&"a".into()), other.get(&"a".into()));
     }
 }
