--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -25,18 +25,25 @@
 
 mod digest;
 mod dissemination;
+mod event;
+mod failure_detection;
 mod jitter;
 mod member;
 mod membership;
-mod probe;
-mod reconcile;
+mod message_handlers;
+mod prober;
+mod reconciler;
+mod reconciliation;
+mod send;
 mod settings;
 mod table;
+mod update;
 mod wire;
 
 pub use digest::{Buckets, HashRange};
+pub use event::{Command, Event};
 pub use member::{Incarnation, Member, MemberId, Record, Role, RunId, Status};
-pub use membership::{Command, Event, Membership};
+pub use membership::Membership;
 pub use settings::{MAX_SEEDS, Settings, SettingsError, Timings};
 pub use table::MAX_MEMBERS;
 pub use wire::{
