--- a/crates/emulator/src/host.rs
+++ b/crates/emulator/src/host.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use juniperwing_clock::Time;
-use juniperwing_node::host::{Host, Pending, SimulatedDatagrams, SimulatedListener, SimulatedStream};
+use juniperwing_node::host::{Host, IoFuture, SimulatedDatagrams, SimulatedListener, SimulatedStream};
 use juniperwing_node::sync::lock;
 use juniperwing_storage::file_system::FileSystem;
 
@@ -53,7 +53,7 @@
         self.clock.now()
     }
 
-    fn time_of_day_ms(&self) -> u64 {
+    fn unix_time_ms(&self) -> u64 {
         DAYBREAK_MS + self.clock.now().since(Time::default()).as_nanos() / 1_000_000
     }
 
@@ -66,7 +66,7 @@
         Ok(Arc::new(Listener { ports: self.ports.clone(), address, accepting }))
     }
 
-    fn connect(&self, address: SocketAddr) -> Pending<'static, SimulatedStream> {
+    fn connect(&self, address: SocketAddr) -> IoFuture<'static, SimulatedStream> {
         let (ports, from) = (self.ports.clone(), self.address);
         Box::pin(async move {
             loop {
--- a/crates/emulator/src/machine.rs
+++ b/crates/emulator/src/machine.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use juniperwing_clock::Time;
-use juniperwing_node::host::{Host, enter};
+use juniperwing_node::host::{Host, simulate};
 use tokio::runtime::Runtime;
 use tokio::sync::oneshot;
 use tokio::task::JoinHandle;
@@ -51,7 +51,7 @@
     {
         let mut builder = tokio::runtime::Builder::new_current_thread();
         let runtime = builder.enable_time().start_paused(true).build().expect("memory for a runtime");
-        let _entered = enter(Arc::<SimulatedHost>::clone(&self.host) as Arc<dyn Host>);
+        let _entered = simulate(Arc::<SimulatedHost>::clone(&self.host) as Arc<dyn Host>);
         let (stop, stopped) = oneshot::channel();
         let context = runtime.enter();
         self.host.clock.start_process();
@@ -64,7 +64,7 @@
     /// Runs the process up to `until`. Returns whether it has ended by itself.
     pub fn run(&mut self, until: Time) -> bool {
         let Some(process) = self.process.as_mut().filter(|_| !self.frozen) else { return false };
-        let _entered = enter(Arc::<SimulatedHost>::clone(&self.host) as Arc<dyn Host>);
+        let _entered = simulate(Arc::<SimulatedHost>::clone(&self.host) as Arc<dyn Host>);
         let end = process.started + Duration::from_nanos(until.since(process.started_at).as_nanos());
         process.runtime.block_on(async move { tokio::time::sleep_until(end).await });
         let ended = process.main.is_finished();
@@ -83,7 +83,7 @@
     pub fn thaw(&mut self, now: Time) {
         self.frozen = false;
         let Some(process) = &mut self.process else { return };
-        let _entered = enter(Arc::<SimulatedHost>::clone(&self.host) as Arc<dyn Host>);
+        let _entered = simulate(Arc::<SimulatedHost>::clone(&self.host) as Arc<dyn Host>);
         let end = process.started + Duration::from_nanos(now.since(process.started_at).as_nanos());
         process.runtime.block_on(async {
             let missed = end.saturating_duration_since(Instant::now());
@@ -106,7 +106,7 @@
     }
 
     fn end_process(&mut self) {
-        let _entered = enter(Arc::<SimulatedHost>::clone(&self.host) as Arc<dyn Host>);
+        let _entered = simulate(Arc::<SimulatedHost>::clone(&self.host) as Arc<dyn Host>);
         self.host.clock.end_process();
         drop(self.process.take());
     }
--- a/crates/emulator/src/relay.rs
+++ b/crates/emulator/src/relay.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 
 use juniperwing_node::clock;
-use juniperwing_node::subscriber::{Sink, Subscriber};
+use juniperwing_node::subscriber::{Subscriber, UpdateSink};
 use juniperwing_node::sync::lock;
 use juniperwing_protocol::NodeName;
 use juniperwing_protocol::registry::Instance;
@@ -73,7 +73,7 @@
     }
 }
 
-impl Sink for Recorder {
+impl UpdateSink for Recorder {
     fn apply(&self, update: Update) {
         let mut held = lock(&self.held);
         match update {
@@ -92,7 +92,7 @@
         }
     }
 
-    fn applied(&self) -> AppliedVersions {
+    fn applied_versions(&self) -> AppliedVersions {
         let held = lock(&self.held);
         AppliedVersions {
             configuration: held.configuration,
@@ -101,7 +101,7 @@
         }
     }
 
-    fn configuration(&self) -> Version {
+    fn configuration_version(&self) -> Version {
         lock(&self.held).configuration
     }
 }
--- a/crates/emulator/src/stream.rs
+++ b/crates/emulator/src/stream.rs
@@ -11,7 +11,7 @@
 
 use juniperwing_clock::Time;
 use juniperwing_node::host::{
-    Pending, SimulatedDatagrams, SimulatedListener, SimulatedStream, SimulatedWriter,
+    IoFuture, SimulatedDatagrams, SimulatedListener, SimulatedStream, SimulatedWriter,
 };
 use juniperwing_node::sync::lock;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
@@ -143,7 +143,7 @@
 }
 
 impl SimulatedListener for Listener {
-    fn accept(&self) -> Pending<'_, SimulatedStream> {
+    fn accept(&self) -> IoFuture<'_, SimulatedStream> {
         Box::pin(async move {
             loop {
                 let news = self.accepting.news.notified();
@@ -190,7 +190,7 @@
 }
 
 impl SimulatedDatagrams for Datagrams {
-    fn readable(&self) -> Pending<'_, ()> {
+    fn readable(&self) -> IoFuture<'_, ()> {
         Box::pin(async move {
             loop {
                 let news = self.mailbox.news.notified();
--- a/crates/node/src/check_configuration.rs
+++ b/crates/node/src/check_configuration.rs
@@ -36,7 +36,7 @@
             ExitCode::SUCCESS
         }
         Err(findings) => {
-            print!("{}", list(file, &findings));
+            print!("{}", format_findings(file, &findings));
             ExitCode::FAILURE
         }
     }
@@ -68,7 +68,7 @@
     format!("{host}{prefix}: {kind}{kept}, up to {seconds} s, up to {most} endpoints")
 }
 
-fn list(file: &str, findings: &Findings) -> String {
+fn format_findings(file: &str, findings: &Findings) -> String {
     let mut text = String::new();
     for finding in findings.listed() {
         // Writing to a string cannot fail.
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -9,7 +9,7 @@
 
 /// Now on the steady clock, counted from the first call in this process.
 pub fn now() -> Time {
-    if let Some(host) = host::simulated() {
+    if let Some(host) = host::simulated_host() {
         return host.now();
     }
     static START: OnceLock<Instant> = OnceLock::new();
@@ -18,9 +18,9 @@
 }
 
 /// The time of day in milliseconds since 1970. It may jump, and differs between machines.
-pub fn time_of_day_ms() -> u64 {
-    if let Some(host) = host::simulated() {
-        return host.time_of_day_ms();
+pub fn unix_time_ms() -> u64 {
+    if let Some(host) = host::simulated_host() {
+        return host.unix_time_ms();
     }
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
@@ -28,12 +28,12 @@
 /// A number that differs from process to process and from call to call.
 pub fn random() -> u64 {
     use std::hash::{BuildHasher, Hasher, RandomState};
-    if let Some(host) = host::simulated() {
+    if let Some(host) = host::simulated_host() {
         return host.random();
     }
     let mut hasher = RandomState::new().build_hasher();
     hasher.write_u64(now().since(Time::default()).as_nanos());
-    hasher.write_u64(time_of_day_ms());
+    hasher.write_u64(unix_time_ms());
     hasher.write_u32(std::process::id());
     hasher.finish()
 }
--- a/crates/node/src/command.rs
+++ b/crates/node/src/command.rs
@@ -7,12 +7,12 @@
 use getopts::Options;
 use slog::{Level, Logger, error};
 
-use crate::log::{flush, log_faults, logger};
+use crate::log::{flush, install_fault_logging, logger};
 use crate::settings::{Settings, SettingsError};
 use crate::signals::Signals;
 
 /// How long a write to the disk that is under way may hold up the end.
-const LAST_WRITES: Duration = Duration::from_millis(200);
+const DISK_SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A role that a process may have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,7 +27,7 @@
 
 impl Role {
     /// The role of this name.
-    pub fn of(name: &str) -> Option<Role> {
+    pub fn from_name(name: &str) -> Option<Role> {
         [Role::Relay, Role::Keeper, Role::Store].into_iter().find(|role| role.name() == name)
     }
 
@@ -68,28 +68,28 @@
     let usage = options.usage(&format!("Usage: juniperwing {} [OPTIONS]", role.name()));
     let matches = match options.parse(arguments) {
         Ok(matches) if matches.free.is_empty() => matches,
-        Ok(matches) => return misused(&format!("unknown argument {:?}", matches.free[0]), &usage),
-        Err(e) => return misused(&e.to_string(), &usage),
+        Ok(matches) => return usage_error(&format!("unknown argument {:?}", matches.free[0]), &usage),
+        Err(e) => return usage_error(&e.to_string(), &usage),
     };
     if matches.opt_present("help") {
         print!("{usage}");
         return ExitCode::SUCCESS;
     }
-    let Some(level) = level(matches.opt_str("log-level").as_deref()) else {
-        return misused("--log-level: error, warning, info or debug", &usage);
+    let Some(level) = parse_level(matches.opt_str("log-level").as_deref()) else {
+        return usage_error("--log-level: error, warning, info or debug", &usage);
     };
     let settings_file = matches.opt_str("settings").map(PathBuf::from);
     if !matches.opt_present("check") {
         return serve(role, settings_file, matches.opt_str("metrics"), level);
     }
     match Settings::read(settings_file.as_deref()) {
-        Err(e) => unusable(role, &e),
+        Err(e) => settings_error(role, &e),
         Ok(settings) => check(role, &settings),
     }
 }
 
 /// Tells what is wrong with the settings.
-fn unusable(role: Role, error: &SettingsError) -> ExitCode {
+fn settings_error(role: Role, error: &SettingsError) -> ExitCode {
     eprintln!("juniperwing {}: {error}", role.name());
     ExitCode::from(2)
 }
@@ -117,7 +117,7 @@
     };
     let code = runtime.block_on(serve_role(role, settings_file, metrics, level));
     // A disk that answers nothing must not keep the process.
-    runtime.shutdown_timeout(LAST_WRITES);
+    runtime.shutdown_timeout(DISK_SHUTDOWN_TIMEOUT);
     flush();
     code
 }
@@ -129,11 +129,11 @@
     let signals = Signals::new();
     let mut settings = match Settings::read(settings_file.as_deref()) {
         Ok(settings) => settings,
-        Err(e) => return unusable(role, &e),
+        Err(e) => return settings_error(role, &e),
     };
     settings.metrics = metrics.or(settings.metrics);
     let log = logger(level, role.name(), &settings.node_name);
-    log_faults(&log);
+    install_fault_logging(&log);
     let ended = match signals {
         Err(e) => Err(e),
         Ok(signals) => {
@@ -154,7 +154,7 @@
     }
 }
 
-fn level(name: Option<&str>) -> Option<Level> {
+fn parse_level(name: Option<&str>) -> Option<Level> {
     match name {
         None | Some("info") => Some(Level::Info),
         Some("error") => Some(Level::Error),
@@ -164,7 +164,7 @@
     }
 }
 
-fn misused(why: &str, usage: &str) -> ExitCode {
+fn usage_error(why: &str, usage: &str) -> ExitCode {
     eprintln!("juniperwing: {why}\n{usage}");
     ExitCode::from(2)
 }
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -20,7 +20,7 @@
 use tokio::sync::Notify;
 use tokio::task::JoinHandle;
 
-use self::view::View;
+use self::view::MemberView;
 use crate::clock::{duration, now, random};
 use crate::host::Datagrams;
 use crate::panics::spawn_essential;
@@ -30,18 +30,18 @@
 /// From one probe to the next. Losses that matter at once show on links, so that this can be rare.
 const PROBE_INTERVAL: Span = Span::from_millis(1_000);
 /// How long a probe may take before other members are asked to help.
-const PROBE_TIME_OUT: Span = Span::from_millis(300);
+const PROBE_TIMEOUT: Span = Span::from_millis(300);
 /// Datagrams that are read before the timer has its turn.
-const MAX_BATCH: usize = 64;
+const MAX_DATAGRAMS_PER_BATCH: usize = 64;
 /// The pause after the socket has failed.
-const PAUSE_AFTER_FAILURE: Duration = Duration::from_millis(100);
+const SOCKET_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Is told where live keepers listen, whenever that changes.
 pub type KeepersObserver = Box<dyn Fn(Vec<SocketAddr>) + Send + Sync>;
 
 /// What a process tells of itself.
 #[derive(Clone, Copy, Debug)]
-pub struct Myself {
+pub struct LocalProcess {
     /// Its role.
     pub role: Role,
     /// The identity of its data folder, if it has one.
@@ -58,7 +58,7 @@
     socket: Datagrams,
     state: Mutex<State>,
     /// The time of the next tick is another one.
-    rearm: Notify,
+    wake_up_changed: Notify,
     observer: KeepersObserver,
     log: Logger,
 }
@@ -66,7 +66,7 @@
 struct State {
     membership: Membership,
     wake_at: Time,
-    view: View,
+    view: MemberView,
 }
 
 impl Gossip {
@@ -76,16 +76,16 @@
     ///
     /// If the socket cannot be opened or the settings name no usable member.
     pub async fn start(
-        settings: &Settings, myself: Myself, log: Logger, observer: KeepersObserver,
+        settings: &Settings, myself: LocalProcess, log: Logger, observer: KeepersObserver,
     ) -> io::Result<Gossip> {
         let me = member(settings, myself);
         let socket = Datagrams::bind(me.gossip_address).await?;
-        let view = View::new(&me.id);
+        let view = MemberView::new(&me.id);
         let membership_settings =
             juniperwing_membership::Settings { local_member: me, seeds: seeds(settings), timings: timings() };
         let membership = Membership::new(now(), membership_settings, random()).map_err(io::Error::other)?;
         let state = Mutex::new(State { membership, wake_at: now(), view });
-        let shared = Arc::new(Shared { socket, state, rearm: Notify::new(), observer, log });
+        let shared = Arc::new(Shared { socket, state, wake_up_changed: Notify::new(), observer, log });
         let task = spawn_essential("membership", Arc::clone(&shared).run());
         Ok(Gossip { shared, task })
     }
@@ -109,7 +109,10 @@
     /// The live relays of a zone, this process not counted.
     pub fn live_relays(&self, zone: &str) -> Vec<Member> {
         let state = self.shared.lock();
-        view::live(&state.membership, Role::Relay).filter(|member| &*member.zone == zone).cloned().collect()
+        view::live_members(&state.membership, Role::Relay)
+            .filter(|member| &*member.zone == zone)
+            .cloned()
+            .collect()
     }
 }
 
@@ -129,11 +132,11 @@
                 biased;
                 readable = self.socket.readable() => readable,
                 () = tokio::time::sleep(pause) => Ok(()),
-                () = self.rearm.notified() => continue,
+                () = self.wake_up_changed.notified() => continue,
             };
             // What waits in the socket is heard before anything counts as missing.
             if readable.and_then(|()| self.read_datagrams(&mut buffer)).is_err() {
-                tokio::time::sleep(PAUSE_AFTER_FAILURE).await;
+                tokio::time::sleep(SOCKET_RETRY_DELAY).await;
             }
             let due = self.lock().wake_at <= now();
             if due {
@@ -143,7 +146,7 @@
     }
 
     fn read_datagrams(&self, buffer: &mut [u8]) -> io::Result<()> {
-        for _ in 0..MAX_BATCH {
+        for _ in 0..MAX_DATAGRAMS_PER_BATCH {
             match self.socket.try_recv_from(buffer) {
                 Ok((length, from)) => self.handle(Event::Datagram { from, bytes: &buffer[..length] }),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
@@ -159,10 +162,10 @@
             let commands = state.membership.handle(now(), event);
             let mut changed = false;
             for command in commands {
-                changed |= self.carry_out(&mut state, command);
+                changed |= self.execute(&mut state, command);
             }
             let State { membership, view, .. } = &mut *state;
-            if changed && view.find_keepers(membership) { Some(view.keepers().to_vec()) } else { None }
+            if changed && view.update_keepers(membership) { Some(view.keepers().to_vec()) } else { None }
         };
         if let Some(keepers) = keepers {
             (self.observer)(keepers);
@@ -170,19 +173,19 @@
     }
 
     /// Returns whether a member has changed.
-    fn carry_out(&self, state: &mut State, command: Command) -> bool {
+    fn execute(&self, state: &mut State, command: Command) -> bool {
         match command {
             Command::Send { to, bytes } => {
                 // A datagram may be lost, here as well as under way.
                 let _ = self.socket.try_send_to(&bytes, to);
             }
             Command::Changed { member, status } => {
-                state.view.log(&self.log, &member, status);
+                state.view.log_change(&self.log, &member, status);
                 return true;
             }
             Command::WakeAt(at) => {
                 state.wake_at = at;
-                self.rearm.notify_one();
+                self.wake_up_changed.notify_one();
             }
             Command::Rejected { from, reason } => {
                 debug!(self.log, "datagram refused"; "from" => %from, "why" => %reason);
@@ -200,7 +203,7 @@
     }
 }
 
-fn member(settings: &Settings, myself: Myself) -> Member {
+fn member(settings: &Settings, myself: LocalProcess) -> Member {
     let address = settings.own_address(port(myself.role));
     Member {
         id: MemberId { node: NodeName::from(settings.node_name.as_str()), role: myself.role },
@@ -227,5 +230,5 @@
 }
 
 fn timings() -> Timings {
-    Timings { probe_interval: PROBE_INTERVAL, probe_timeout: PROBE_TIME_OUT, ..Timings::default() }
+    Timings { probe_interval: PROBE_INTERVAL, probe_timeout: PROBE_TIMEOUT, ..Timings::default() }
 }
--- a/crates/node/src/gossip/view.rs
+++ b/crates/node/src/gossip/view.rs
@@ -10,23 +10,23 @@
 const MAX_KEEPERS: usize = 32;
 
 /// The keepers found, and whom the log holds for dead.
-pub(super) struct View {
-    me: MemberId,
+pub(super) struct MemberView {
+    local_id: MemberId,
     keepers: Vec<SocketAddr>,
-    dead: HashSet<MemberId>,
+    logged_dead: HashSet<MemberId>,
 }
 
 /// Live members of a role.
-pub(super) fn live(membership: &Membership, role: Role) -> impl Iterator<Item = &Member> {
+pub(super) fn live_members(membership: &Membership, role: Role) -> impl Iterator<Item = &Member> {
     membership
         .members()
         .filter(move |(member, status)| member.id.role == role && status.is_live())
         .map(|(member, _)| member)
 }
 
-impl View {
-    pub(super) fn new(me: &MemberId) -> View {
-        View { me: me.clone(), keepers: Vec::new(), dead: HashSet::new() }
+impl MemberView {
+    pub(super) fn new(me: &MemberId) -> MemberView {
+        MemberView { local_id: me.clone(), keepers: Vec::new(), logged_dead: HashSet::new() }
     }
 
     /// Where live keepers listen, in order of their addresses.
@@ -35,8 +35,8 @@
     }
 
     /// Looks for the keepers again; whether they are others than before.
-    pub(super) fn find_keepers(&mut self, membership: &Membership) -> bool {
-        let others = live(membership, Role::Keeper).filter(|member| member.id != self.me);
+    pub(super) fn update_keepers(&mut self, membership: &Membership) -> bool {
+        let others = live_members(membership, Role::Keeper).filter(|member| member.id != self.local_id);
         let mut keepers: Vec<SocketAddr> = others.map(|member| member.address).collect();
         keepers.sort_unstable();
         keepers.dedup();
@@ -47,14 +47,14 @@
     }
 
     /// Logs a death and a return, except at relays, of which there are many.
-    pub(super) fn log(&mut self, log: &Logger, member: &Member, status: Status) {
-        if self.me.role == Role::Relay {
+    pub(super) fn log_change(&mut self, log: &Logger, member: &Member, status: Status) {
+        if self.local_id.role == Role::Relay {
             return;
         }
         if status == Status::Dead {
-            self.dead.insert(member.id.clone());
+            self.logged_dead.insert(member.id.clone());
             info!(log, "member dead"; "member" => %member.id.node, "its role" => ?member.id.role);
-        } else if self.dead.remove(&member.id) && status.is_live() {
+        } else if self.logged_dead.remove(&member.id) && status.is_live() {
             info!(log, "member back"; "member" => %member.id.node, "its role" => ?member.id.role);
         }
     }
--- a/crates/node/src/host.rs
+++ b/crates/node/src/host.rs
@@ -27,10 +27,10 @@
 pub use self::stream::{ReadHalf, Stream, WriteHalf};
 
 /// A write to the disk that takes longer is told in the log.
-const SLOW_WRITE: Duration = Duration::from_millis(300);
+const SLOW_WRITE_THRESHOLD: Duration = Duration::from_millis(300);
 
 /// What a simulated call will come to.
-pub type Pending<'call, T> = Pin<Box<dyn Future<Output = io::Result<T>> + Send + 'call>>;
+pub type IoFuture<'call, T> = Pin<Box<dyn Future<Output = io::Result<T>> + Send + 'call>>;
 
 /// A simulated machine.
 pub trait Host: Debug + Send + Sync {
@@ -38,7 +38,7 @@
     fn now(&self) -> Time;
 
     /// The time of day in milliseconds since 1970.
-    fn time_of_day_ms(&self) -> u64;
+    fn unix_time_ms(&self) -> u64;
 
     /// The next number of the machine's own sequence.
     fn random(&self) -> u64;
@@ -51,7 +51,7 @@
     fn listen(&self, address: SocketAddr) -> io::Result<Arc<dyn SimulatedListener>>;
 
     /// Opens a connection.
-    fn connect(&self, address: SocketAddr) -> Pending<'static, SimulatedStream>;
+    fn connect(&self, address: SocketAddr) -> IoFuture<'static, SimulatedStream>;
 
     /// Opens a socket for datagrams.
     ///
@@ -67,7 +67,7 @@
     fn take_disk_time(&self) -> Duration;
 
     /// Whether calls to the disk take their time by themselves, and so are made on a thread of their own.
-    fn waits_for_disk_on_a_thread(&self) -> bool {
+    fn uses_disk_thread(&self) -> bool {
         false
     }
 }
@@ -75,13 +75,13 @@
 /// A simulated socket that accepts connections.
 pub trait SimulatedListener: Debug + Send + Sync {
     /// The next connection.
-    fn accept(&self) -> Pending<'_, SimulatedStream>;
+    fn accept(&self) -> IoFuture<'_, SimulatedStream>;
 }
 
 /// A simulated socket for datagrams.
 pub trait SimulatedDatagrams: Debug + Send + Sync {
     /// Returns when there is a datagram to receive.
-    fn readable(&self) -> Pending<'_, ()>;
+    fn readable(&self) -> IoFuture<'_, ()>;
 
     /// See [`tokio::net::UdpSocket::try_recv_from`].
     ///
@@ -120,31 +120,31 @@
 
 /// As long as it lives, this thread is a simulated machine; it is used by simulations only.
 #[derive(Debug)]
-pub struct Entered {
+pub struct SimulationGuard {
     before: Option<Arc<dyn Host>>,
     _disk: juniperwing_storage::file_system::SimulationGuard,
 }
 
 /// Makes this thread a simulated machine until the guard is dropped.
 #[must_use]
-pub fn enter(host: Arc<dyn Host>) -> Entered {
+pub fn simulate(host: Arc<dyn Host>) -> SimulationGuard {
     let disk = juniperwing_storage::file_system::simulate(host.disk());
-    Entered { before: SIMULATED.replace(Some(host)), _disk: disk }
+    SimulationGuard { before: SIMULATED.replace(Some(host)), _disk: disk }
 }
 
-impl Drop for Entered {
+impl Drop for SimulationGuard {
     fn drop(&mut self) {
         SIMULATED.set(self.before.take());
     }
 }
 
 /// The simulated machine that this thread is, if it is one.
-pub(crate) fn simulated() -> Option<Arc<dyn Host>> {
+pub(crate) fn simulated_host() -> Option<Arc<dyn Host>> {
     SIMULATED.with_borrow(Clone::clone)
 }
 
 /// An error with the address at which it came up.
-pub(crate) fn at(address: SocketAddr, error: &io::Error) -> io::Error {
+pub(crate) fn with_address(address: SocketAddr, error: &io::Error) -> io::Error {
     io::Error::new(error.kind(), format!("{address}: {error}"))
 }
 
@@ -154,13 +154,13 @@
 /// # Errors
 ///
 /// If the work panicked.
-pub(crate) async fn write_to_disk<T: Send + 'static>(
+pub(crate) async fn run_disk_write<T: Send + 'static>(
     log: &Logger, work: impl FnOnce() -> T + Send + 'static,
 ) -> Result<T, JoinError> {
     let began = Instant::now();
-    let done = wait_for_disk(work).await;
+    let done = run_disk_work(work).await;
     let took = began.elapsed();
-    if took >= SLOW_WRITE {
+    if took >= SLOW_WRITE_THRESHOLD {
         warn!(log, "the disk is slow"; "took_ms" => took.as_millis() as u64);
     }
     done
@@ -171,11 +171,11 @@
 /// # Errors
 ///
 /// If the work panicked.
-pub(crate) async fn wait_for_disk<T: Send + 'static>(
+pub(crate) async fn run_disk_work<T: Send + 'static>(
     work: impl FnOnce() -> T + Send + 'static,
 ) -> Result<T, JoinError> {
-    let Some(host) = simulated() else { return tokio::task::spawn_blocking(work).await };
-    if host.waits_for_disk_on_a_thread() {
+    let Some(host) = simulated_host() else { return tokio::task::spawn_blocking(work).await };
+    if host.uses_disk_thread() {
         let disk = host.disk();
         let on_that_disk = move || {
             let _entered = juniperwing_storage::file_system::simulate(disk);
--- a/crates/node/src/host/datagrams.rs
+++ b/crates/node/src/host/datagrams.rs
@@ -6,7 +6,7 @@
 
 use tokio::net::UdpSocket;
 
-use super::{SimulatedDatagrams, at, simulated};
+use super::{SimulatedDatagrams, simulated_host, with_address};
 
 /// A socket for datagrams.
 #[derive(Debug)]
@@ -24,11 +24,11 @@
     ///
     /// If the address cannot be used.
     pub async fn bind(address: SocketAddr) -> io::Result<Datagrams> {
-        let socket = match simulated() {
+        let socket = match simulated_host() {
             None => UdpSocket::bind(address).await.map(Datagrams::Udp),
             Some(host) => host.bind(address).map(Datagrams::Simulated),
         };
-        socket.map_err(|error| at(address, &error))
+        socket.map_err(|error| with_address(address, &error))
     }
 
     /// Returns when there may be a datagram to receive.
--- a/crates/node/src/host/listener.rs
+++ b/crates/node/src/host/listener.rs
@@ -6,7 +6,7 @@
 
 use tokio::net::TcpListener;
 
-use super::{SimulatedListener, Stream, at, simulated};
+use super::{SimulatedListener, Stream, simulated_host, with_address};
 
 /// A socket that accepts connections.
 #[derive(Debug)]
@@ -30,11 +30,11 @@
     ///
     /// If the address cannot be used.
     pub async fn bind(address: SocketAddr) -> io::Result<Listener> {
-        let listener = match simulated() {
+        let listener = match simulated_host() {
             None => TcpListener::bind(address).await.map(Listener::Tcp),
             Some(host) => host.listen(address).map(Listener::Simulated),
         };
-        listener.map_err(|error| at(address, &error))
+        listener.map_err(|error| with_address(address, &error))
     }
 
     /// The next connection.
--- a/crates/node/src/host/stream.rs
+++ b/crates/node/src/host/stream.rs
@@ -10,7 +10,7 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpSocket, TcpStream};
 
-use super::{SimulatedStream, SimulatedWriter, simulated};
+use super::{SimulatedStream, SimulatedWriter, simulated_host};
 
 /// A connection.
 pub enum Stream {
@@ -49,7 +49,7 @@
     ///
     /// If it does not come up.
     pub async fn connect(address: SocketAddr, user_timeout: Duration) -> io::Result<Stream> {
-        if let Some(host) = simulated() {
+        if let Some(host) = simulated_host() {
             let mut stream = host.connect(address).await?;
             stream.writer.set_user_timeout(user_timeout);
             return Ok(Stream::Simulated(stream));
@@ -76,7 +76,7 @@
     /// # Errors
     ///
     /// If the connection is gone.
-    pub fn prepare(&mut self, user_timeout: Duration) -> io::Result<()> {
+    pub fn configure(&mut self, user_timeout: Duration) -> io::Result<()> {
         match self {
             Stream::Tcp(stream) => {
                 stream.set_nodelay(true)?;
--- a/crates/node/src/keeper.rs
+++ b/crates/node/src/keeper.rs
@@ -46,13 +46,13 @@
 use self::subscribers::{Subscribers, Tellable};
 use crate::clock;
 use crate::command::Process;
-use crate::host::{Listener, wait_for_disk};
+use crate::host::{Listener, run_disk_work};
 use crate::link::LinkId;
-use crate::metrics::{self, FigureSource};
+use crate::metrics::{self, MetricSource};
 use crate::panics::spawn_essential;
 use crate::rate_limit::RateLimit;
-use crate::settings::{ControlTimes, Port, Settings};
-use crate::signals::Wish;
+use crate::settings::{ControlTimings, Port, Settings};
+use crate::signals::ShutdownOrReload;
 use crate::sync::lock;
 
 /// Between two rounds of housekeeping.
@@ -93,7 +93,7 @@
 struct Keeper {
     me: Voter,
     required_copies: usize,
-    times: ControlTimes,
+    times: ControlTimings,
     log: Logger,
     state: Mutex<State>,
     peers: Arc<Peers>,
@@ -127,12 +127,12 @@
         biased;
         opened = Opening::of(&settings, &log) => opened?,
         // Nothing was promised in this life yet.
-        () = signals.stop() => return Ok(()),
+        () = signals.wait_for_shutdown() => return Ok(()),
     };
     let (changed, changes) = watch::channel(settings.clone());
     let reload_log = log.clone();
     let stop = async move {
-        while signals.next().await == Wish::Reload {
+        while signals.next().await == ShutdownOrReload::Reload {
             match Settings::read(settings_file.as_deref()) {
                 Ok(settings) => drop(changed.send_replace(settings)),
                 Err(error) => warn!(reload_log, "settings not read again"; "why" => error.to_string()),
@@ -184,7 +184,7 @@
         let internal = Listener::bind(settings.own_address(Port::Keeper)).await?;
         let control = control_listener::bind(control).await?;
         let (for_disk, disk_log) = (settings.clone(), log.clone());
-        let opened = wait_for_disk(move || open(&for_disk, &folder, &disk_log));
+        let opened = run_disk_work(move || open(&for_disk, &folder, &disk_log));
         let start = opened.await.map_err(io::Error::other)??;
         Ok(Opening { internal, control, start })
     }
@@ -203,7 +203,7 @@
         let (wake, wake_received) = watch::channel(Time::default());
         let consensus = Consensus::new(replica, writes, wake);
         let keeper = Keeper::new(&settings, log, me, consensus);
-        metrics::start(&settings, Arc::clone(&keeper) as Arc<dyn FigureSource>, &keeper.log).await;
+        metrics::start(&settings, Arc::clone(&keeper) as Arc<dyn MetricSource>, &keeper.log).await;
         let mut tasks = keeper.start_tasks(internal, file, writes_received, wake_received);
         let contacts = Contacts::start(&settings, &keeper).await?;
         tasks.push(spawn_essential("contacts", Arc::clone(&contacts).follow(changes)));
@@ -243,7 +243,7 @@
         seeds: settings.seed_keepers(),
         // Who has lost a disk does not found the tier once more.
         bootstrap: settings.bootstrap && loss.is_none(),
-        min_in_sync_replicas: settings.required_copies(),
+        min_in_sync_replicas: settings.required_replicas(),
         timings: Timings::default(),
     };
     let initial = ControlState::default();
@@ -259,7 +259,7 @@
     fn new(settings: &Settings, log: Logger, me: Voter, consensus: Consensus) -> Arc<Keeper> {
         let now = clock::now();
         let heartbeat = Span::from_millis(settings.heartbeat_ms);
-        let times = settings.control_times();
+        let times = settings.control_timings();
         let registry = Registry::new(
             now,
             RegistrySettings { heartbeat_interval: heartbeat, max_instances: MAX_INSTANCES },
@@ -281,7 +281,7 @@
         };
         Arc::new_cyclic(|keeper| Keeper {
             me,
-            required_copies: settings.required_copies(),
+            required_copies: settings.required_replicas(),
             times,
             log,
             state: Mutex::new(state),
--- a/crates/node/src/keeper/confirmation.rs
+++ b/crates/node/src/keeper/confirmation.rs
@@ -44,7 +44,7 @@
     /// Whether the committed state here has every change that was committed before this was called. `false`
     /// if it is not known within the time for it.
     async fn is_current(self: &Arc<Self>) -> bool {
-        let until = Instant::now() + self.times.confirmed_within;
+        let until = Instant::now() + self.times.confirmation_timeout;
         if !self.is_voter(&self.lock()) {
             return false;
         }
@@ -61,7 +61,7 @@
             PrimaryPlace::Here => self.own_current_version().await,
             PrimaryPlace::At(address) => {
                 let question = Message::Registry(RegistryMessage::ReadCommittedVersion);
-                match self.peers.call(address, question, self.times.confirmed_within).await {
+                match self.peers.call(address, question, self.times.confirmation_timeout).await {
                     Ok(Message::Registry(RegistryMessage::CommittedVersion { version })) => version,
                     _ => None,
                 }
@@ -72,7 +72,7 @@
 
     /// As primary: the committed version, confirmed by a majority after this was called.
     pub(super) async fn own_current_version(self: &Arc<Self>) -> Option<Version> {
-        let confirmed = timeout(self.times.confirmed_within, self.read_confirmed()).await.ok()?;
+        let confirmed = timeout(self.times.confirmation_timeout, self.read_confirmed()).await.ok()?;
         confirmed.ok().map(|committed| committed.version)
     }
 }
--- a/crates/node/src/keeper/consensus.rs
+++ b/crates/node/src/keeper/consensus.rs
@@ -18,8 +18,8 @@
 use super::Keeper;
 use super::waiters::Waiters;
 use crate::clock;
-use crate::host::write_to_disk;
-use crate::panics::critical;
+use crate::host::run_disk_write;
+use crate::panics::critical_section;
 
 /// Records on their way to the disk; the replica hands out one at a time.
 pub(super) const MAX_WRITES: usize = 4;
@@ -66,7 +66,7 @@
 impl Keeper {
     /// Hands the replica an event and carries out what it says.
     pub(super) fn replica_event(self: &Arc<Self>, event: Event<ControlState>) {
-        let commands = critical(|| self.lock().consensus.replica.handle(clock::now(), event));
+        let commands = critical_section(|| self.lock().consensus.replica.handle(clock::now(), event));
         for command in commands {
             self.carry_out(command);
         }
@@ -166,7 +166,7 @@
     keeper: Arc<Keeper>, mut file: super::record_file::RecordFile, mut writes: mpsc::Receiver<Write>,
 ) {
     while let Some(Write { token, record }) = writes.recv().await {
-        let written = write_to_disk(&keeper.log, move || {
+        let written = run_disk_write(&keeper.log, move || {
             let outcome = file.write(&record);
             (file, outcome)
         });
--- a/crates/node/src/keeper/contacts.rs
+++ b/crates/node/src/keeper/contacts.rs
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 
 use super::Keeper;
-use crate::gossip::{Gossip, Myself};
+use crate::gossip::{Gossip, LocalProcess};
 use crate::settings::Settings;
 use crate::sync::lock;
 
@@ -46,7 +46,7 @@
             let all = update(&heard, |known| known.found = found);
             receiver.replica_event(Event::ContactsChanged(all));
         });
-        let myself = Myself { role: Role::Keeper, disk: Some(keeper.me.disk) };
+        let myself = LocalProcess { role: Role::Keeper, disk: Some(keeper.me.disk) };
         let gossip = Gossip::start(settings, myself, keeper.log.clone(), observer).await?;
         Ok(Arc::new(Contacts { keeper: Arc::clone(keeper), gossip, known }))
     }
--- a/crates/node/src/keeper/control_listener.rs
+++ b/crates/node/src/keeper/control_listener.rs
@@ -26,7 +26,7 @@
 use super::discovery::HeartbeatAnswer;
 use super::orders::json;
 use crate::host::{Listener, Stream};
-use crate::panics::isolated;
+use crate::panics::isolate;
 
 /// The largest configuration, in bytes.
 const MAX_CONFIGURATION_BYTES: usize = 8 << 20;
@@ -75,9 +75,9 @@
             // The count includes this loop's own sender.
             Ok(_) if open.strong_count() > MAX_CONNECTIONS => {}
             Ok(mut stream) => {
-                if stream.prepare(USER_TIMEOUT).is_ok() {
+                if stream.configure(USER_TIMEOUT).is_ok() {
                     let serving = connection(stream, router.clone(), stop.clone(), open.clone());
-                    tokio::spawn(isolated(serving));
+                    tokio::spawn(isolate(serving));
                 }
             }
             Err(_) => tokio::time::sleep(PAUSE_AFTER_FAILURE).await,
--- a/crates/node/src/keeper/discovery.rs
+++ b/crates/node/src/keeper/discovery.rs
@@ -12,7 +12,7 @@
 
 use super::{Keeper, State};
 use crate::clock;
-use crate::link::{LinkId, Reply};
+use crate::link::{LinkId, ReplySender};
 
 /// The answer to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -74,7 +74,7 @@
     /// Another keeper tells of instances. If it wants them confirmed, it is answered when the subscribers here
     /// have applied them.
     pub(super) fn merge_instances(
-        self: &Arc<Self>, changed: Vec<Instance>, refreshed: &[Refresh], confirm: bool, reply: Reply,
+        self: &Arc<Self>, changed: Vec<Instance>, refreshed: &[Refresh], confirm: bool, reply: ReplySender,
     ) {
         let revision = {
             let mut state = self.lock();
@@ -89,7 +89,7 @@
             return reply.send(keeper.instances_taken(false));
         }
         tokio::spawn(async move {
-            let until = Instant::now() + keeper.times.subscribers_apply_within;
+            let until = Instant::now() + keeper.times.subscriber_apply_timeout;
             let applied = keeper.wait_until(until, |state| state.subscribers.have_instances(revision)).await;
             reply.send(keeper.instances_taken(applied));
         });
@@ -161,7 +161,7 @@
     /// Another keeper's answer, with the link over which it came.
     async fn call_peer(&self, address: SocketAddr, message: Message) -> Option<(LinkId, RegistryMessage)> {
         let link = self.peers.link(address).await.ok()?;
-        match link.call(message, self.times.peer_answers_within).await {
+        match link.call(message, self.times.peer_reply_timeout).await {
             Ok(Message::Registry(answer)) => Some((link.id(), answer)),
             _ => None,
         }
@@ -193,7 +193,7 @@
     /// Waits until every keeper in reach has confirmed, for a limited time. Enough have to have confirmed in any
     /// case, so that every relay has a subscription to one that has.
     async fn wait_spread(&self, spread: Spread) -> HeartbeatAnswer {
-        let until = Instant::now() + self.times.spread_within;
+        let until = Instant::now() + self.times.propagation_timeout;
         self.wait_until(until, |state| {
             self.is_known_to_enough(state, &spread) && state.is_known_in_reach(&spread)
         })
--- a/crates/node/src/keeper/inbox.rs
+++ b/crates/node/src/keeper/inbox.rs
@@ -14,7 +14,7 @@
 use super::Keeper;
 use super::subscribers::store_of;
 use crate::clock;
-use crate::link::{Link, Reply, Service};
+use crate::link::{Link, ReplySender, Service};
 
 /// The longest that a keeper waits for its subscribers, whatever it is asked.
 const MAX_WAIT_MS: u32 = 1_000;
@@ -31,11 +31,11 @@
 }
 
 impl Service for Inbox {
-    fn message(&self, link: &Link, message: Message, reply: Reply) {
+    fn handle_message(&self, link: &Link, handle_message: Message, reply: ReplySender) {
         let Some(keeper) = self.keeper.upgrade() else { return link.close() };
-        match message {
-            Message::Replication(message) => keeper.replication_message(message),
-            Message::Registry(message) => keeper.registry_message(message, reply),
+        match handle_message {
+            Message::Replication(handle_message) => keeper.replication_message(handle_message),
+            Message::Registry(handle_message) => keeper.registry_message(handle_message, reply),
             Message::Subscribe(subscribe) => keeper.subscribe(link, subscribe),
             Message::Applied(applied) => keeper.applied(link, applied),
             // Nothing else is said to a keeper.
@@ -43,7 +43,7 @@
         }
     }
 
-    fn closed(&self, link: &Link) {
+    fn handle_closed(&self, link: &Link) {
         if let Some(keeper) = self.keeper.upgrade() {
             keeper.link_closed(link);
         }
@@ -56,7 +56,7 @@
         self.replica_event(Event::Message(message));
     }
 
-    fn registry_message(self: &Arc<Self>, message: RegistryMessage, reply: Reply) {
+    fn registry_message(self: &Arc<Self>, message: RegistryMessage, reply: ReplySender) {
         match message {
             RegistryMessage::Instances { from, changed, refreshed, confirm } => {
                 self.lock().contact.record_message(clock::now(), from);
--- a/crates/node/src/keeper/orders.rs
+++ b/crates/node/src/keeper/orders.rs
@@ -124,7 +124,7 @@
         if !changes && answer.status != UNAVAILABLE {
             return;
         }
-        let Some(unlogged) = self.order_lines.take() else { return };
+        let Some(unlogged) = self.order_lines.try_acquire() else { return };
         let (kind, base, digest) = described(order);
         let epoch = self.lock().consensus.replica.epoch().number.0;
         info!(self.log, "order";
@@ -246,7 +246,7 @@
     /// Brings the configuration to the subscribers of all keepers in reach; returns when all have it, or the
     /// time for it is over.
     async fn distribute(self: &Arc<Self>, version: Version, deadline: Instant) {
-        let apply_within = self.times.configuration_applies_within;
+        let apply_within = self.times.configuration_apply_timeout;
         let until = deadline.min(Instant::now() + apply_within);
         let wait_ms = until.saturating_duration_since(Instant::now()).as_millis() as u32;
         let mut calls = JoinSet::new();
--- a/crates/node/src/keeper/stores.rs
+++ b/crates/node/src/keeper/stores.rs
@@ -51,7 +51,7 @@
 
     async fn report_stores_to(self: Arc<Self>, voter: Voter, report: RegistryMessage) {
         let asked_at = clock::now();
-        let within = self.times.peer_answers_within;
+        let within = self.times.peer_reply_timeout;
         let answer = self.peers.call(voter.address, Message::Registry(report), within).await;
         if let Ok(Message::Registry(RegistryMessage::ReachableStoresReply { epoch })) = answer {
             self.lock().contact.record_reply(clock::now(), voter.disk, asked_at, epoch);
--- a/crates/node/src/link.rs
+++ b/crates/node/src/link.rs
@@ -7,17 +7,17 @@
 mod connection;
 mod pool;
 
-pub use connection::{CallError, Link, LinkId, Reply, Service, serve};
+pub use connection::{CallError, Link, LinkId, ReplySender, Service, serve};
 pub use pool::LinkPool;
 pub(crate) use pool::connect;
 
 use std::time::Duration;
 
 /// Silence after which the connecting end pings.
-pub const PING_AFTER: Duration = Duration::from_millis(200);
+pub const PING_INTERVAL: Duration = Duration::from_millis(200);
 /// Silence after which a link counts as dead.
-pub const DEAD_AFTER: Duration = Duration::from_millis(700);
+pub const LINK_TIMEOUT: Duration = Duration::from_millis(700);
 /// How long a connection may take to come up.
-pub const CONNECT_WITHIN: Duration = Duration::from_millis(400);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Bytes that may wait to be written on one link; more means that the other end does not read.
-pub const MAX_WAITING_BYTES: usize = 64 << 20;
+pub const MAX_QUEUED_BYTES: usize = 64 << 20;
--- a/crates/node/src/link/connection.rs
+++ b/crates/node/src/link/connection.rs
@@ -13,19 +13,19 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::{Instant, timeout, timeout_at};
 
-use super::{DEAD_AFTER, MAX_WAITING_BYTES, PING_AFTER};
+use super::{LINK_TIMEOUT, MAX_QUEUED_BYTES, PING_INTERVAL};
 use crate::host::{Listener, ReadHalf, Stream, WriteHalf};
 use crate::sync::lock;
 
-const READ_BYTES: usize = 16 << 10;
+const READ_BUFFER_BYTES: usize = 16 << 10;
 
 /// What a process does with the messages that reach it.
 pub trait Service: Send + Sync + 'static {
     /// A message came. Where the sender waits for an answer, `reply` takes it, now or later.
-    fn message(&self, link: &Link, message: Message, reply: Reply);
+    fn handle_message(&self, link: &Link, message: Message, reply: ReplySender);
 
     /// A link is no more.
-    fn closed(&self, link: &Link) {
+    fn handle_closed(&self, link: &Link) {
         let _ = link;
     }
 }
@@ -42,7 +42,7 @@
     NotConnected,
     /// The link broke: the call may have been handled.
     #[snafu(display("the link broke"))]
-    Broken,
+    LinkClosed,
     /// No answer in time: the call may have been handled.
     #[snafu(display("no answer in time"))]
     TimedOut,
@@ -58,24 +58,24 @@
     id: LinkId,
     peer: SocketAddr,
     next_call: AtomicU64,
-    closed: AtomicBool,
-    ended: Notify,
+    is_closed: AtomicBool,
+    closed: Notify,
     outgoing: Mutex<Vec<u8>>,
     wake_writer: Notify,
-    calls: Mutex<HashMap<CallId, oneshot::Sender<Message>>>,
+    pending_calls: Mutex<HashMap<CallId, oneshot::Sender<Message>>>,
 }
 
 /// The place for the answer to a message; without a caller it is dropped silently.
-pub struct Reply {
+pub struct ReplySender {
     link: Link,
     call: CallId,
 }
 
-impl Reply {
+impl ReplySender {
     /// Answers.
     pub fn send(self, message: Message) {
         if self.call != CallId::default() {
-            self.link.put(&Envelope { call: self.call, is_reply: true, message });
+            self.link.enqueue(&Envelope { call: self.call, is_reply: true, message });
         }
     }
 }
@@ -90,22 +90,22 @@
         static NEXT: AtomicU64 = AtomicU64::new(1);
         let mut stream = stream.into();
         let peer = stream.peer_addr()?;
-        stream.prepare(DEAD_AFTER)?;
+        stream.configure(LINK_TIMEOUT)?;
         let link = Link {
             shared: Arc::new(Shared {
                 id: LinkId(NEXT.fetch_add(1, Ordering::Relaxed)),
                 peer,
                 next_call: AtomicU64::new(1),
-                closed: AtomicBool::new(false),
-                ended: Notify::new(),
+                is_closed: AtomicBool::new(false),
+                closed: Notify::new(),
                 outgoing: Mutex::default(),
                 wake_writer: Notify::new(),
-                calls: Mutex::default(),
+                pending_calls: Mutex::default(),
             }),
         };
         let (reader, writer) = stream.into_split();
-        tokio::spawn(write(link.clone(), writer));
-        tokio::spawn(read(link.clone(), reader, connecting, service));
+        tokio::spawn(run_writer(link.clone(), writer));
+        tokio::spawn(run_reader(link.clone(), reader, connecting, service));
         Ok(link)
     }
 
@@ -121,12 +121,12 @@
 
     /// Whether it is given up.
     pub fn is_closed(&self) -> bool {
-        self.shared.closed.load(Ordering::Relaxed)
+        self.shared.is_closed.load(Ordering::Relaxed)
     }
 
     /// Waits until it is given up.
-    pub async fn closed(&self) {
-        let ended = self.shared.ended.notified();
+    pub async fn wait_closed(&self) {
+        let ended = self.shared.closed.notified();
         tokio::pin!(ended);
         // Registered before the check, so that an end between the two is not missed.
         ended.as_mut().enable();
@@ -137,16 +137,16 @@
 
     /// Gives it up.
     pub fn close(&self) {
-        if !self.shared.closed.swap(true, Ordering::Relaxed) {
-            lock(&self.shared.calls).clear();
-            self.shared.ended.notify_waiters();
+        if !self.shared.is_closed.swap(true, Ordering::Relaxed) {
+            lock(&self.shared.pending_calls).clear();
+            self.shared.closed.notify_waiters();
             self.shared.wake_writer.notify_one();
         }
     }
 
     /// Sends a message that nobody answers. It is lost if the link breaks.
     pub fn send(&self, message: Message) {
-        self.put(&Envelope { call: CallId::default(), is_reply: false, message });
+        self.enqueue(&Envelope { call: CallId::default(), is_reply: false, message });
     }
 
     /// Sends a message and waits for its answer.
@@ -157,22 +157,22 @@
     pub async fn call(&self, message: Message, within: Duration) -> Result<Message, CallError> {
         let call = CallId(self.shared.next_call.fetch_add(1, Ordering::Relaxed));
         let (sender, receiver) = oneshot::channel();
-        lock(&self.shared.calls).insert(call, sender);
+        lock(&self.shared.pending_calls).insert(call, sender);
         if self.is_closed() {
-            lock(&self.shared.calls).remove(&call);
-            return Err(CallError::Broken);
+            lock(&self.shared.pending_calls).remove(&call);
+            return Err(CallError::LinkClosed);
         }
         // Also when this future is dropped, the call must not stay in the table.
-        let _guard = OpenCall { link: self, call };
-        self.put(&Envelope { call, is_reply: false, message });
+        let _guard = PendingCallGuard { link: self, call };
+        self.enqueue(&Envelope { call, is_reply: false, message });
         match timeout(within, receiver).await {
             Ok(Ok(answer)) => Ok(answer),
-            Ok(Err(_)) => Err(CallError::Broken),
+            Ok(Err(_)) => Err(CallError::LinkClosed),
             Err(_) => Err(CallError::TimedOut),
         }
     }
 
-    fn put(&self, envelope: &Envelope) {
+    fn enqueue(&self, envelope: &Envelope) {
         if self.is_closed() {
             return;
         }
@@ -182,36 +182,38 @@
             outgoing.extend_from_slice(&bytes);
             outgoing.len()
         };
-        if waiting > MAX_WAITING_BYTES {
+        if waiting > MAX_QUEUED_BYTES {
             return self.close();
         }
         self.shared.wake_writer.notify_one();
     }
 
-    fn take(&self, envelope: Envelope, service: &Arc<dyn Service>) {
+    fn dispatch(&self, envelope: Envelope, service: &Arc<dyn Service>) {
         match envelope.message {
             Message::Ping => {
-                self.put(&Envelope { call: envelope.call, is_reply: true, message: Message::Pong })
+                self.enqueue(&Envelope { call: envelope.call, is_reply: true, message: Message::Pong })
             }
             message if envelope.is_reply => {
-                if let Some(caller) = lock(&self.shared.calls).remove(&envelope.call) {
+                if let Some(caller) = lock(&self.shared.pending_calls).remove(&envelope.call) {
                     // A caller that no longer waits has dropped its end.
                     let _ = caller.send(message);
                 }
             }
-            message => service.message(self, message, Reply { link: self.clone(), call: envelope.call }),
+            message => {
+                service.handle_message(self, message, ReplySender { link: self.clone(), call: envelope.call })
+            }
         }
     }
 }
 
-struct OpenCall<'link> {
+struct PendingCallGuard<'link> {
     link: &'link Link,
     call: CallId,
 }
 
-impl Drop for OpenCall<'_> {
+impl Drop for PendingCallGuard<'_> {
     fn drop(&mut self) {
-        lock(&self.link.shared.calls).remove(&self.call);
+        lock(&self.link.shared.pending_calls).remove(&self.call);
     }
 }
 
@@ -228,7 +230,7 @@
     }
 }
 
-async fn write(link: Link, mut writer: WriteHalf) {
+async fn run_writer(link: Link, mut writer: WriteHalf) {
     loop {
         let bytes = std::mem::take(&mut *lock(&link.shared.outgoing));
         if link.is_closed() {
@@ -240,7 +242,7 @@
             tokio::select! {
                 biased;
                 written = writer.write_all(&bytes) => written,
-                () = link.closed() => return,
+                () = link.wait_closed() => return,
             },
             Ok(())
         ) {
@@ -249,45 +251,45 @@
     }
 }
 
-async fn read(link: Link, mut reader: ReadHalf, connecting: bool, service: Arc<dyn Service>) {
-    let mut buffer = Vec::with_capacity(READ_BYTES);
+async fn run_reader(link: Link, mut reader: ReadHalf, connecting: bool, service: Arc<dyn Service>) {
+    let mut buffer = Vec::with_capacity(READ_BUFFER_BYTES);
     let mut heard = Instant::now();
     let mut pinged = Instant::now();
     loop {
         // The accepting end only waits; the connecting end wakes up to ping.
-        let wake = if connecting { Instant::now() + PING_AFTER } else { heard + DEAD_AFTER };
+        let wake = if connecting { Instant::now() + PING_INTERVAL } else { heard + LINK_TIMEOUT };
         let received = tokio::select! {
             biased;
-            () = link.closed() => break,
+            () = link.wait_closed() => break,
             received = timeout_at(wake, reader.read_buf(&mut buffer)) => received,
         };
         match received {
             Ok(Ok(0) | Err(_)) => break,
             Ok(Ok(_)) => heard = Instant::now(),
-            Err(_) if heard.elapsed() >= DEAD_AFTER => break,
+            Err(_) if heard.elapsed() >= LINK_TIMEOUT => break,
             Err(_) => link.send(Message::Ping),
         }
-        if !deliver(&link, &mut buffer, &service) {
+        if !dispatch_envelopes(&link, &mut buffer, &service) {
             break;
         }
         // Whoever sends a large envelope over a slow link hears for as long that it is being read.
-        if !buffer.is_empty() && pinged.elapsed() >= PING_AFTER {
+        if !buffer.is_empty() && pinged.elapsed() >= PING_INTERVAL {
             link.send(Message::Ping);
             pinged = Instant::now();
         }
     }
     link.close();
-    service.closed(&link);
+    service.handle_closed(&link);
 }
 
 /// Hands on every whole envelope; `false` if the bytes are none.
-fn deliver(link: &Link, buffer: &mut Vec<u8>, service: &Arc<dyn Service>) -> bool {
+fn dispatch_envelopes(link: &Link, buffer: &mut Vec<u8>, service: &Arc<dyn Service>) -> bool {
     let mut taken = 0;
     let intact = loop {
         match Envelope::decode(&buffer[taken..]) {
             Ok(Some((envelope, bytes))) => {
                 taken += bytes;
-                link.take(envelope, service);
+                link.dispatch(envelope, service);
             }
             Ok(None) => break true,
             Err(_) => break false,
--- a/crates/node/src/link/pool.rs
+++ b/crates/node/src/link/pool.rs
@@ -9,7 +9,7 @@
 use tokio::time::timeout;
 
 use super::connection::{CallError, Link, Service};
-use super::{CONNECT_WITHIN, DEAD_AFTER};
+use super::{CONNECT_TIMEOUT, LINK_TIMEOUT};
 use crate::host::Stream;
 use crate::sync::lock;
 
@@ -39,7 +39,7 @@
             slots.retain(|known, slot| {
                 *known == address
                     || Arc::strong_count(slot) > 1
-                    || slot.try_lock().is_ok_and(|slot| live(&slot))
+                    || slot.try_lock().is_ok_and(|slot| is_live(&slot))
             });
             Arc::clone(slots.entry(address).or_default())
         };
@@ -78,11 +78,11 @@
     }
 }
 
-fn live(slot: &Option<Link>) -> bool {
+fn is_live(slot: &Option<Link>) -> bool {
     slot.as_ref().is_some_and(|link| !link.is_closed())
 }
 
 /// Opens a connection; `None` if it does not come up in time.
 pub(crate) async fn connect(address: SocketAddr) -> Option<Stream> {
-    timeout(CONNECT_WITHIN, Stream::connect(address, DEAD_AFTER)).await.ok()?.ok()
+    timeout(CONNECT_TIMEOUT, Stream::connect(address, LINK_TIMEOUT)).await.ok()?.ok()
 }
--- a/crates/node/src/local.rs
+++ b/crates/node/src/local.rs
@@ -16,12 +16,12 @@
 use tokio::sync::mpsc::{Sender, channel};
 
 use crate::command::Role;
-use crate::signals::{Signals, Wish};
+use crate::signals::{ShutdownOrReload, Signals};
 
 /// A role that ends by itself sooner than this after its first start has settings that cannot be used.
-const TRIAL: Duration = Duration::from_secs(2);
+const MIN_FIRST_RUN: Duration = Duration::from_secs(2);
 /// The pause before a role that has ended is started again.
-const PAUSE: Duration = Duration::from_secs(1);
+const RESTART_DELAY: Duration = Duration::from_secs(1);
 /// Roles in one folder at most.
 const MAX_ROLES: usize = 64;
 const USAGE: &str = "\
@@ -60,7 +60,7 @@
     },
     /// There is nothing to start, or too much.
     #[snafu(display("{}: {count} settings files; there must be 1 to {MAX_ROLES}", folder.display()))]
-    Count {
+    SettingsFileCount {
         /// The folder.
         folder: PathBuf,
         /// How many there are.
@@ -70,7 +70,7 @@
 
 /// The part of a settings file that says which role it is for.
 #[derive(Deserialize)]
-struct RoleOnly {
+struct RoleSetting {
     role: String,
 }
 
@@ -80,7 +80,7 @@
     /// Which.
     pub role: Role,
     /// Its settings.
-    pub settings: PathBuf,
+    pub settings_file: PathBuf,
 }
 
 /// The roles of a folder, in the order of their files' names.
@@ -88,7 +88,7 @@
 /// # Errors
 ///
 /// If the folder holds no settings, or a file names no role.
-pub fn roles(folder: &Path) -> Result<Vec<LocalRole>, LocalError> {
+pub fn read_roles(folder: &Path) -> Result<Vec<LocalRole>, LocalError> {
     let entries = std::fs::read_dir(folder).context(UnreadableSnafu { path: folder })?;
     let mut files = Vec::new();
     for entry in entries {
@@ -97,16 +97,16 @@
             files.push(path);
         }
     }
-    ensure!((1..=MAX_ROLES).contains(&files.len()), CountSnafu { folder, count: files.len() });
+    ensure!((1..=MAX_ROLES).contains(&files.len()), SettingsFileCountSnafu { folder, count: files.len() });
     files.sort();
-    files.into_iter().map(role_of).collect()
+    files.into_iter().map(read_role).collect()
 }
 
-fn role_of(path: PathBuf) -> Result<LocalRole, LocalError> {
+fn read_role(path: PathBuf) -> Result<LocalRole, LocalError> {
     let text = std::fs::read_to_string(&path).context(UnreadableSnafu { path: &path })?;
-    let named: RoleOnly = toml::from_str(&text).context(MalformedSnafu { path: &path })?;
-    match Role::of(&named.role) {
-        Some(role) => Ok(LocalRole { role, settings: path }),
+    let named: RoleSetting = toml::from_str(&text).context(MalformedSnafu { path: &path })?;
+    match Role::from_name(&named.role) {
+        Some(role) => Ok(LocalRole { role, settings_file: path }),
         None => UnknownRoleSnafu { path, role: named.role }.fail(),
     }
 }
@@ -118,20 +118,20 @@
     options.optflag("h", "help", "print this");
     let matches = match options.parse(arguments) {
         Ok(matches) => matches,
-        Err(e) => return misused(&e.to_string()),
+        Err(e) => return usage_error(&e.to_string()),
     };
     if matches.opt_present("help") {
         print!("{}", options.usage(USAGE));
         return ExitCode::SUCCESS;
     }
-    let [folder] = matches.free.as_slice() else { return misused("name one folder of settings") };
-    match roles(Path::new(folder)) {
+    let [folder] = matches.free.as_slice() else { return usage_error("name one folder of settings") };
+    match read_roles(Path::new(folder)) {
         Ok(roles) => serve(&roles, matches.opt_str("log-level")),
-        Err(e) => misused(&e.to_string()),
+        Err(e) => usage_error(&e.to_string()),
     }
 }
 
-fn misused(why: &str) -> ExitCode {
+fn usage_error(why: &str) -> ExitCode {
     eprintln!("juniperwing local: {why}\nTry 'juniperwing local --help'.");
     ExitCode::from(2)
 }
@@ -158,13 +158,13 @@
     for role in roles {
         let process = Arc::new(RoleProcess::new(&program, role, log_level.as_deref()));
         let (running, failed) = (Arc::clone(&process), failed.clone());
-        supervised.push((process, thread::spawn(move || running.keep_running(&failed))));
+        supervised.push((process, thread::spawn(move || running.run(&failed))));
     }
     let all_started = loop {
         tokio::select! {
             wish = signals.next() => match wish {
-                Wish::Stop => break true,
-                Wish::Reload => supervised.iter().for_each(|(process, _)| process.signal(Signal::HUP)),
+                ShutdownOrReload::Shutdown => break true,
+                ShutdownOrReload::Reload => supervised.iter().for_each(|(process, _)| process.send_signal(Signal::HUP)),
             },
             _ = failures.recv() => break false,
         }
@@ -181,9 +181,9 @@
 
 /// What is known of the process of a role.
 #[derive(Debug, Default)]
-struct Progress {
+struct ChildState {
     child: Option<Pid>,
-    stopping: bool,
+    is_stopping: bool,
 }
 
 /// The process of a role, started again when it ends.
@@ -192,14 +192,14 @@
     program: PathBuf,
     name: String,
     arguments: Vec<String>,
-    progress: Mutex<Progress>,
+    state: Mutex<ChildState>,
     /// Told when the end is wanted.
-    stopped: std::sync::Condvar,
+    stop_requested: std::sync::Condvar,
 }
 
 impl RoleProcess {
     fn new(program: &Path, role: &LocalRole, log_level: Option<&str>) -> Self {
-        let settings = role.settings.display().to_string();
+        let settings = role.settings_file.display().to_string();
         let mut arguments = vec![role.role.name().to_owned(), "--settings".to_owned(), settings.clone()];
         if let Some(level) = log_level {
             arguments.extend(["--log-level".to_owned(), level.to_owned()]);
@@ -208,13 +208,13 @@
             program: program.to_owned(),
             name: format!("{} ({settings})", role.role.name()),
             arguments,
-            progress: Mutex::default(),
-            stopped: std::sync::Condvar::new(),
+            state: Mutex::default(),
+            stop_requested: std::sync::Condvar::new(),
         }
     }
 
     /// Starts the process again and again. Tells if the first start failed.
-    fn keep_running(&self, failed: &Sender<()>) {
+    fn run(&self, failed: &Sender<()>) {
         let mut is_first = true;
         loop {
             let begun = Instant::now();
@@ -223,15 +223,15 @@
             if self.is_stopping() {
                 return;
             }
-            report(&self.name, &ended);
+            report_exit(&self.name, &ended);
             let was_killed = matches!(&ended, Ok(status) if status.code().is_none());
-            if is_first && !was_killed && begun.elapsed() < TRIAL {
+            if is_first && !was_killed && begun.elapsed() < MIN_FIRST_RUN {
                 // Whoever listens ends when the first has told.
                 let _ = failed.blocking_send(());
                 return;
             }
             is_first = false;
-            if self.stops_within(PAUSE) {
+            if self.wait_for_stop(RESTART_DELAY) {
                 return;
             }
         }
@@ -240,7 +240,7 @@
     /// Starts the process, unless the end is wanted.
     fn start(&self) -> Option<io::Result<Child>> {
         let mut progress = self.lock();
-        if progress.stopping {
+        if progress.is_stopping {
             return None;
         }
         let started = Command::new(&self.program).args(&self.arguments).spawn();
@@ -257,7 +257,7 @@
         ended
     }
 
-    fn signal(&self, signal: Signal) {
+    fn send_signal(&self, signal: Signal) {
         if let Some(child) = self.lock().child {
             // A process that has just ended needs no signal.
             let _ = kill_process(child, signal);
@@ -265,27 +265,28 @@
     }
 
     fn stop(&self) {
-        self.lock().stopping = true;
-        self.stopped.notify_all();
-        self.signal(Signal::TERM);
+        self.lock().is_stopping = true;
+        self.stop_requested.notify_all();
+        self.send_signal(Signal::TERM);
     }
 
     fn is_stopping(&self) -> bool {
-        self.lock().stopping
+        self.lock().is_stopping
     }
 
     /// Waits for the end to be wanted. Returns whether it is.
-    fn stops_within(&self, time: Duration) -> bool {
-        let waited = self.stopped.wait_timeout_while(self.lock(), time, |progress| !progress.stopping);
-        waited.unwrap_or_else(PoisonError::into_inner).0.stopping
+    fn wait_for_stop(&self, time: Duration) -> bool {
+        let waited =
+            self.stop_requested.wait_timeout_while(self.lock(), time, |progress| !progress.is_stopping);
+        waited.unwrap_or_else(PoisonError::into_inner).0.is_stopping
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Progress> {
-        self.progress.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> std::sync::MutexGuard<'_, ChildState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn report(name: &str, ended: &io::Result<ExitStatus>) {
+fn report_exit(name: &str, ended: &io::Result<ExitStatus>) {
     match ended {
         Ok(status) => eprintln!("juniperwing local: {name} ended: {status}"),
         Err(e) => eprintln!("juniperwing local: {name} cannot be started: {e}"),
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -16,12 +16,12 @@
 use crate::sync::lock;
 
 /// Violations of invariants that are logged in a second; all are counted.
-const VIOLATIONS_PER_SECOND: u32 = 20;
+const MAX_LOGGED_VIOLATIONS_PER_SECOND: u32 = 20;
 
 /// The exit code of a process that a panic has ended, as of any Rust program.
-const PANICKED: i32 = 101;
+const PANIC_EXIT_CODE: i32 = 101;
 
-static PANICS: AtomicU64 = AtomicU64::new(0);
+static PANIC_COUNT: AtomicU64 = AtomicU64::new(0);
 
 /// Flushes the log; wherever the process ends, whoever ends it takes the guard.
 static FLUSH_GUARD: Mutex<Option<FlushGuard>> = Mutex::new(None);
@@ -45,24 +45,24 @@
 
 /// Has panics and violated invariants of this process logged and counted. A panic ends the process, unless it is
 /// isolated (`panics`).
-pub fn log_faults(log: &Logger) {
+pub fn install_fault_logging(log: &Logger) {
     let panics = log.clone();
     panic::set_hook(Box::new(move |panic| {
-        PANICS.fetch_add(1, Ordering::Relaxed);
+        PANIC_COUNT.fetch_add(1, Ordering::Relaxed);
         let place = panic.location().map(ToString::to_string).unwrap_or_default();
         let is_isolated = is_isolated();
-        crit!(panics, "panic"; "place" => place, "why" => message(panic.payload()),
+        crit!(panics, "panic"; "place" => place, "why" => panic_message(panic.payload()),
             "ends the process" => !is_isolated);
         if !is_isolated {
             flush();
-            exit(PANICKED);
+            exit(PANIC_EXIT_CODE);
         }
     }));
     let violations = log.clone();
-    let limit = RateLimit::per_second(VIOLATIONS_PER_SECOND);
+    let limit = RateLimit::per_second(MAX_LOGGED_VIOLATIONS_PER_SECOND);
     // A second role in one process, as in tests, keeps the first one's reporter.
     let _ = report_to(Box::new(move |violation| {
-        if let Some(unlogged) = limit.take() {
+        if let Some(unlogged) = limit.try_acquire() {
             crit!(violations, "invariant violated"; "invariant" => violation.invariant.name(),
                 "details" => &violation.details, "unlogged" => unlogged);
         }
@@ -70,12 +70,12 @@
 }
 
 /// The text that a panic carries.
-fn message(payload: &dyn Any) -> &str {
+fn panic_message(payload: &dyn Any) -> &str {
     let text = payload.downcast_ref::<&str>().copied();
     text.or_else(|| payload.downcast_ref::<String>().map(String::as_str)).unwrap_or("no text")
 }
 
 /// Panics of this process so far.
-pub fn panics() -> u64 {
-    PANICS.load(Ordering::Relaxed)
+pub fn panic_count() -> u64 {
+    PANIC_COUNT.load(Ordering::Relaxed)
 }
--- a/crates/node/src/panics.rs
+++ b/crates/node/src/panics.rs
@@ -14,29 +14,29 @@
 use tokio::task::JoinHandle;
 
 thread_local! {
-    static ISOLATED: Cell<bool> = const { Cell::new(false) };
+    static IS_ISOLATED: Cell<bool> = const { Cell::new(false) };
 }
 
 /// Sets whether panics of this thread are isolated, until it is dropped.
-struct Scope {
+struct IsolationScope {
     before: bool,
 }
 
-impl Scope {
-    fn enter(isolated: bool) -> Scope {
-        Scope { before: ISOLATED.replace(isolated) }
+impl IsolationScope {
+    fn enter(isolated: bool) -> IsolationScope {
+        IsolationScope { before: IS_ISOLATED.replace(isolated) }
     }
 }
 
-impl Drop for Scope {
+impl Drop for IsolationScope {
     fn drop(&mut self) {
-        ISOLATED.set(self.before);
+        IS_ISOLATED.set(self.before);
     }
 }
 
 /// Whether a panic of this thread, at this moment, ends no more than its task.
 pub fn is_isolated() -> bool {
-    ISOLATED.get()
+    IS_ISOLATED.get()
 }
 
 /// A task whose panics end nothing else.
@@ -45,7 +45,7 @@
 }
 
 /// Isolates a task that concerns one caller only.
-pub fn isolated<T>(task: impl Future<Output = T> + Send + 'static) -> Isolated<T> {
+pub fn isolate<T>(task: impl Future<Output = T> + Send + 'static) -> Isolated<T> {
     Isolated { inner: Box::pin(task) }
 }
 
@@ -53,14 +53,14 @@
     type Output = T;
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<T> {
-        let _scope = Scope::enter(true);
+        let _scope = IsolationScope::enter(true);
         self.inner.as_mut().poll(context)
     }
 }
 
 /// Changes what several tasks share: a panic meanwhile ends the process, whoever called.
-pub fn critical<T>(work: impl FnOnce() -> T) -> T {
-    let _scope = Scope::enter(false);
+pub fn critical_section<T>(work: impl FnOnce() -> T) -> T {
+    let _scope = IsolationScope::enter(false);
     work()
 }
 
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -47,15 +47,15 @@
 
 use crate::clock::random;
 use crate::command::Process;
-use crate::gossip::{Gossip, Myself};
-use crate::host::at;
-use crate::link::{Link, LinkPool, Reply, Service};
-use crate::metrics::FigureSource;
+use crate::gossip::{Gossip, LocalProcess};
+use crate::host::with_address;
+use crate::link::{Link, LinkPool, ReplySender, Service};
+use crate::metrics::MetricSource;
 use crate::panics::spawn_essential;
 use crate::sessions_client::SessionsClient;
 use crate::settings::{Port, Settings};
-use crate::signals::Wish;
-use crate::subscriber::{Sink, Subscriber};
+use crate::signals::ShutdownOrReload;
+use crate::subscriber::{Subscriber, UpdateSink};
 use connections::Connections;
 use dispatcher::Dispatcher;
 use memory::MemoryBudget;
@@ -152,12 +152,12 @@
     let relay = Relay::open(settings, log.clone(), stores).await?;
     let subscriber = relay.subscribe();
     let found = Arc::clone(&subscriber);
-    let observer = Box::new(move |keepers| found.set_found(keepers));
-    let myself = Myself { role: Role::Relay, disk: None };
+    let observer = Box::new(move |keepers| found.set_discovered(keepers));
+    let myself = LocalProcess { role: Role::Relay, disk: None };
     let gossip = Gossip::start(&relay.settings, myself, log.clone(), observer).await?;
     relay
         .serve(async move {
-            while signals.next().await == Wish::Reload {
+            while signals.next().await == ShutdownOrReload::Reload {
                 match Settings::read(settings_file.as_deref()) {
                     Ok(settings) => {
                         subscriber.set_seeds(settings.seed_keepers());
@@ -211,10 +211,10 @@
             zone: settings.zone.as_str().into(),
             address: settings.own_address(Port::Relay),
             subscriber: Kind::Relay,
-            configuration: self.core.world.configuration(),
+            configuration: self.core.world.configuration_version(),
         };
         let wanted = settings.fault_tolerance.machines + 1;
-        let sink = Arc::clone(&self.core.world) as Arc<dyn Sink>;
+        let sink = Arc::clone(&self.core.world) as Arc<dyn UpdateSink>;
         Subscriber::start(subscribe, settings.seed_keepers(), wanted, sink)
     }
 
@@ -254,7 +254,7 @@
     pub async fn serve(self, stop: impl Future<Output = ()>) -> io::Result<()> {
         let Relay { core, frontend, readiness, settings, log } = self;
         info!(log, "serving");
-        crate::metrics::start(&settings, Arc::clone(&core) as Arc<dyn FigureSource>, &log).await;
+        crate::metrics::start(&settings, Arc::clone(&core) as Arc<dyn MetricSource>, &log).await;
         let readiness = spawn_essential("readiness", readiness::serve(Arc::clone(&core), readiness));
         let accepting = spawn_essential("accepting", frontend::accept(Arc::clone(&core), frontend));
         let upkeep = spawn_essential("upkeep", upkeep(Arc::clone(&core), log.clone()));
@@ -285,7 +285,7 @@
 async fn listen(address: Option<SocketAddr>, key: &str) -> io::Result<TcpListener> {
     let address =
         address.ok_or_else(|| io::Error::new(io::ErrorKind::InvalidInput, format!("{key}: missing")))?;
-    TcpListener::bind(address).await.map_err(|error| at(address, &error))
+    TcpListener::bind(address).await.map_err(|error| with_address(address, &error))
 }
 
 /// Closes connections whose time is over, and logs counters.
@@ -330,7 +330,7 @@
 struct IgnoreUnsolicited;
 
 impl Service for IgnoreUnsolicited {
-    fn message(&self, _: &Link, _: Message, _: Reply) {}
+    fn handle_message(&self, _: &Link, _: Message, _: ReplySender) {}
 }
 
 fn stores(world: &ClusterView) -> Arc<dyn Sessions> {
--- a/crates/node/src/relay/dispatcher.rs
+++ b/crates/node/src/relay/dispatcher.rs
@@ -15,7 +15,7 @@
 use tokio::time::timeout;
 
 use crate::clock::{duration, now};
-use crate::panics::critical;
+use crate::panics::critical_section;
 use crate::sync::lock;
 
 /// What endpoints tell ages without an event: those that wait look again this often.
@@ -113,7 +113,7 @@
         let destination = ask.destination.clone();
         let mut state = self.lock();
         let usual = state.latencies.median(&destination);
-        match critical(|| state.balancer.admit(now(), ask, usual)) {
+        match critical_section(|| state.balancer.admit(now(), ask, usual)) {
             Admission::Granted(endpoint) => {
                 drop(state);
                 Ok(Admitted::Slot(self.slot_at(destination, endpoint)))
@@ -149,7 +149,7 @@
 
     /// Hands free slots of a service to those that wait.
     fn release(self: &Arc<Self>, service: &ServiceName) {
-        let given: Vec<_> = critical(|| {
+        let given: Vec<_> = critical_section(|| {
             let mut state = self.lock();
             let grants = state.balancer.release(now(), service);
             grants.into_iter().map(|grant| (state.waiting.remove(&grant.ticket), grant)).collect()
@@ -162,7 +162,7 @@
     }
 
     fn end(self: &Arc<Self>, destination: &Destination, endpoint: &InstanceId, ending: CallOutcome) {
-        critical(|| self.lock().balancer.end(now(), destination, endpoint, ending));
+        critical_section(|| self.lock().balancer.end(now(), destination, endpoint, ending));
         self.release(&destination.service);
     }
 
@@ -190,7 +190,7 @@
 
     /// An endpoint began to answer a call, so long after it was sent.
     pub fn answered(&self, ask: &PlacementRequest, endpoint: &InstanceId, lasted: Span) {
-        critical(|| self.lock().balancer.answered(ask, endpoint, lasted));
+        critical_section(|| self.lock().balancer.answered(ask, endpoint, lasted));
     }
 
     /// Takes in how long a try lasted.
--- a/crates/node/src/relay/frontend.rs
+++ b/crates/node/src/relay/frontend.rs
@@ -32,7 +32,7 @@
 use super::trace::{Outcome, RequestTrace, Traced};
 use super::turn::{OpenTurn, TurnRejection};
 use crate::clock::{duration, now, random};
-use crate::panics::isolated;
+use crate::panics::isolate;
 
 /// The pause after a connection could not be accepted.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
@@ -64,7 +64,7 @@
     let limits = core.world.snapshot().limits();
     // RegisteredConnection at once: a relay that stops ends all that it has accepted.
     let listed = core.connections.add(limits.max_header_bytes);
-    tokio::spawn(isolated(serve_connection(Arc::clone(core), stream, listed, limits, has_room)));
+    tokio::spawn(isolate(serve_connection(Arc::clone(core), stream, listed, limits, has_room)));
 }
 
 async fn serve_connection(
--- a/crates/node/src/relay/metrics.rs
+++ b/crates/node/src/relay/metrics.rs
@@ -5,7 +5,7 @@
 use slog::{KV, Logger, Record, Serializer, info};
 
 use super::attempt_outcome::Rejection;
-use crate::metrics::Figure;
+use crate::metrics::Metric;
 
 /// How often counters are logged.
 pub const LOG_INTERVAL: std::time::Duration = std::time::Duration::from_secs(10);
@@ -112,10 +112,10 @@
     }
 
     /// The counters as figures.
-    pub fn figures(&self) -> Vec<Figure> {
+    pub fn figures(&self) -> Vec<Metric> {
         self.all()
             .into_iter()
-            .map(|(name, help, counter)| Figure::counter(name, help, counter.get()))
+            .map(|(name, help, counter)| Metric::counter(name, help, counter.get()))
             .collect()
     }
 
--- a/crates/node/src/relay/snapshot.rs
+++ b/crates/node/src/relay/snapshot.rs
@@ -19,7 +19,7 @@
 
 use super::dispatcher::Dispatcher;
 use crate::clock::now;
-use crate::subscriber::Sink;
+use crate::subscriber::UpdateSink;
 use crate::sync::lock;
 
 /// Endpoints that a whole update does not name are dropped if nothing was told of them for so many heartbeats.
@@ -145,7 +145,7 @@
     }
 
     fn apply_configuration(&self, version: Version, body: &[u8]) {
-        if self.configuration() >= version {
+        if self.configuration_version() >= version {
             return;
         }
         let configuration = match Configuration::read(body) {
@@ -272,7 +272,7 @@
     });
 }
 
-impl Sink for ClusterView {
+impl UpdateSink for ClusterView {
     fn apply(&self, update: Update) {
         match update {
             Update::Configuration { version, body } => self.apply_configuration(version, &body),
@@ -282,17 +282,17 @@
         }
     }
 
-    fn applied(&self) -> AppliedVersions {
+    fn applied_versions(&self) -> AppliedVersions {
         let stores = self.snapshot().stores.version;
-        AppliedVersions { configuration: self.configuration(), stores, ..AppliedVersions::default() }
+        AppliedVersions { configuration: self.configuration_version(), stores, ..AppliedVersions::default() }
     }
 
-    fn configuration(&self) -> Version {
+    fn configuration_version(&self) -> Version {
         let snapshot = self.snapshot();
         snapshot.configuration.as_ref().map_or_else(Version::default, |active| active.version)
     }
 
-    fn connected(&self, is_connected: bool) {
+    fn handle_connection_change(&self, is_connected: bool) {
         self.is_disconnected.store(!is_connected, Ordering::Relaxed);
     }
 }
--- a/crates/node/src/relay/trace.rs
+++ b/crates/node/src/relay/trace.rs
@@ -260,7 +260,7 @@
             return;
         }
         let limit = if has_failed { &self.failed } else { &self.slow };
-        let Some(unlogged) = limit.take() else { return };
+        let Some(unlogged) = limit.try_acquire() else { return };
         let (outcome, why) = state.outcome.map_or(("left", "the client left"), Outcome::names);
         let status = state.outcome.and_then(Outcome::status).map_or(0, |status| status.as_u16());
         info!(self.log, "request";
--- a/crates/node/src/relay/upstream.rs
+++ b/crates/node/src/relay/upstream.rs
@@ -17,7 +17,7 @@
 use tokio::time::timeout;
 
 use crate::clock::now;
-use crate::panics::isolated;
+use crate::panics::isolate;
 use crate::sync::lock;
 
 /// A connection that has not come up by then is given up.
@@ -106,7 +106,7 @@
         let mut builder = http1::Builder::new();
         builder.max_buf_size(READ_BUFFER_BYTES);
         let (sender, driver) = builder.handshake(TokioIo::new(stream)).await.ok()?;
-        let driver = tokio::spawn(isolated(async move {
+        let driver = tokio::spawn(isolate(async move {
             // Its errors reach the request that is under way.
             let _ = driver.await;
         }));
--- a/crates/node/src/sessions_client.rs
+++ b/crates/node/src/sessions_client.rs
@@ -102,7 +102,7 @@
     fn from(error: CallError) -> Self {
         match error {
             CallError::NotConnected => StoreFault::NotConnected,
-            CallError::Broken => StoreFault::LinkBroke,
+            CallError::LinkClosed => StoreFault::LinkBroke,
             CallError::TimedOut => StoreFault::NoAnswer,
         }
     }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of a process: a TOML file that the platform writes. Unknown fields are skipped.
 
-mod control_times;
+mod control_timings;
 mod describe;
 
 use std::collections::BTreeMap;
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 use snafu::{ResultExt, Snafu, ensure};
 
-pub use control_times::{CALLER_PATIENCE, ControlTimes};
+pub use control_timings::{CALLER_TIMEOUT, ControlTimings};
 
 /// The variable that names the file.
 pub const SETTINGS_VARIABLE: &str = "JUNIPERWING_CONFIG";
@@ -20,7 +20,7 @@
 pub enum SettingsError {
     /// No file was named.
     #[snafu(display("no settings: name the file by --settings or {SETTINGS_VARIABLE}"))]
-    Unnamed,
+    NoFileNamed,
     /// The file cannot be read.
     #[snafu(display("reading {}: {source}", path.display()))]
     Unreadable {
@@ -202,7 +202,7 @@
     /// If it cannot be read or used; the message names the key.
     pub fn read(path: Option<&Path>) -> Result<Settings, SettingsError> {
         let named = std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from);
-        let Some(path) = path.map(Path::to_owned).or(named) else { return UnnamedSnafu.fail() };
+        let Some(path) = path.map(Path::to_owned).or(named) else { return NoFileNamedSnafu.fail() };
         let text = std::fs::read_to_string(&path).context(UnreadableSnafu { path: &path })?;
         Settings::parse(&path, &text)
     }
@@ -253,12 +253,12 @@
     }
 
     /// How many disks must hold what is acknowledged.
-    pub fn required_copies(&self) -> usize {
+    pub fn required_replicas(&self) -> usize {
         self.fault_tolerance.machines + 1
     }
 
     /// The times that keepers go by.
-    pub fn control_times(&self) -> ControlTimes {
-        ControlTimes::of(&self.bounds)
+    pub fn control_timings(&self) -> ControlTimings {
+        ControlTimings::of(&self.bounds)
     }
 }
--- a/crates/node/src/settings/control_times.rs
+++ b/crates/node/src/settings/control_timings.rs
@@ -5,61 +5,62 @@
 use juniperwing_clock::Span;
 
 use super::Bounds;
-use crate::link::DEAD_AFTER;
+use crate::link::LINK_TIMEOUT;
 
 /// Callers of the control listener, endpoints and operators, move on after so long without an answer. Part of
 /// the protocol, not of the bounds.
-pub const CALLER_PATIENCE: Duration = Duration::from_millis(1_000);
+pub const CALLER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// What is left of a caller's patience when the answer to an end must be on its way.
-const ANSWER_MARGIN: Duration = Duration::from_millis(250);
+const REPLY_MARGIN: Duration = Duration::from_millis(250);
 /// How much sooner than a keeper answers its caller the other keepers must have answered it.
-const HOP: Duration = Duration::from_millis(50);
+const HOP_ALLOWANCE: Duration = Duration::from_millis(50);
 /// The share of `contactMs` for which evidence of contact counts. The rest is for losing and finding it again.
-const CONTACT_SHARE: f64 = 0.4;
+const CONTACT_WINDOW_FRACTION: f64 = 0.4;
 /// The shortest time for which evidence of contact counts: two reports between keepers, 450 ms apart, must fit.
 const MIN_CONTACT_WINDOW: Span = Span::from_millis(900);
 /// The share of `configApplyMs` for which an acknowledgement of a configuration waits for subscribers.
-const CONFIGURATION_SHARE: f64 = 0.25;
+const CONFIGURATION_WAIT_FRACTION: f64 = 0.25;
 /// The longest that such an acknowledgement waits, whatever the bounds allow: the rest of the caller's patience is
 /// for committing.
 const MAX_CONFIGURATION_WAIT: Duration = Duration::from_millis(500);
 /// The shortest `contactMs`: a little more than the shortest window, for losing contact and finding it again.
 const MIN_CONTACT_MS: u64 = 1_200;
 /// The shortest `drainMs` and `configApplyMs`: before that, a subscriber that is cut off cannot be known to be.
-const MIN_SPREAD_MS: u64 = DEAD_AFTER.as_millis() as u64;
+const MIN_PROPAGATION_MS: u64 = LINK_TIMEOUT.as_millis() as u64;
 
 /// The times that a keeper goes by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ControlTimes {
+pub struct ControlTimings {
     /// For how long an answer, or a message, of another keeper is evidence of contact.
     pub contact_window: Span,
     /// How long an end of an endpoint may take to spread before the endpoint is refused.
-    pub spread_within: Duration,
+    pub propagation_timeout: Duration,
     /// When another keeper's answer is given up.
-    pub peer_answers_within: Duration,
+    pub peer_reply_timeout: Duration,
     /// How long a keeper waits for its own subscribers before it tells another keeper that some lack a change.
-    pub subscribers_apply_within: Duration,
+    pub subscriber_apply_timeout: Duration,
     /// How long a confirmation that the committed state is current may take before it is asked for again.
-    pub confirmed_within: Duration,
+    pub confirmation_timeout: Duration,
     /// How long subscribers have for applying a configuration before it is acknowledged all the same.
-    pub configuration_applies_within: Duration,
+    pub configuration_apply_timeout: Duration,
 }
 
-impl ControlTimes {
+impl ControlTimings {
     /// Computes them.
-    pub fn of(bounds: &Bounds) -> ControlTimes {
-        let spread_within = CALLER_PATIENCE - ANSWER_MARGIN;
-        let peer_answers_within = spread_within - HOP;
-        let configuration = Duration::from_millis(bounds.config_apply_ms).mul_f64(CONFIGURATION_SHARE);
-        let contact_window = Span::from_millis(bounds.contact_ms).mul_f64(CONTACT_SHARE);
-        ControlTimes {
+    pub fn of(bounds: &Bounds) -> ControlTimings {
+        let spread_within = CALLER_TIMEOUT - REPLY_MARGIN;
+        let peer_answers_within = spread_within - HOP_ALLOWANCE;
+        let configuration =
+            Duration::from_millis(bounds.config_apply_ms).mul_f64(CONFIGURATION_WAIT_FRACTION);
+        let contact_window = Span::from_millis(bounds.contact_ms).mul_f64(CONTACT_WINDOW_FRACTION);
+        ControlTimings {
             contact_window: contact_window.max(MIN_CONTACT_WINDOW),
-            spread_within,
-            peer_answers_within,
-            subscribers_apply_within: peer_answers_within - HOP,
-            confirmed_within: DEAD_AFTER,
-            configuration_applies_within: configuration.min(MAX_CONFIGURATION_WAIT),
+            propagation_timeout: spread_within,
+            peer_reply_timeout: peer_answers_within,
+            subscriber_apply_timeout: peer_answers_within - HOP_ALLOWANCE,
+            confirmation_timeout: LINK_TIMEOUT,
+            configuration_apply_timeout: configuration.min(MAX_CONFIGURATION_WAIT),
         }
     }
 }
@@ -69,9 +70,9 @@
     pub fn too_short(&self) -> Vec<String> {
         let least = [
             ("contactMs", self.contact_ms, MIN_CONTACT_MS),
-            ("drainMs", self.drain_ms, MIN_SPREAD_MS),
-            ("configApplyMs", self.config_apply_ms, MIN_SPREAD_MS),
-            ("ackMs", self.ack_ms, CALLER_PATIENCE.as_millis() as u64),
+            ("drainMs", self.drain_ms, MIN_PROPAGATION_MS),
+            ("configApplyMs", self.config_apply_ms, MIN_PROPAGATION_MS),
+            ("ackMs", self.ack_ms, CALLER_TIMEOUT.as_millis() as u64),
         ];
         let too_short = least.into_iter().filter(|(_, given, least)| given < least);
         too_short
--- a/crates/node/src/settings/describe.rs
+++ b/crates/node/src/settings/describe.rs
@@ -27,7 +27,7 @@
     pub fn describe(&self, role: Role) -> String {
         let mut lines = vec![format!("{} {} in zone {}", role.name(), self.node_name, self.zone)];
         lines.extend(self.describe_listeners(role));
-        lines.push(format!("seed keepers: {}", join(&self.seed_keepers())));
+        lines.push(format!("seed keepers: {}", format_addresses(&self.seed_keepers())));
         if let (Role::Keeper | Role::Store, Some(folder)) = (role, &self.data_directory) {
             lines.push(format!("keeps its data in {}", folder.display()));
         }
@@ -35,7 +35,7 @@
             let start = if self.bootstrap { "founds a tier if its folder is empty" } else { "joins a tier" };
             lines.push(start.to_owned());
         }
-        let (machines, copies) = (self.fault_tolerance.machines, self.required_copies());
+        let (machines, copies) = (self.fault_tolerance.machines, self.required_replicas());
         lines.push(format!("bears the loss of {machines} machines: {copies} copies of what is acknowledged"));
         let limits = &self.limits;
         lines.push(format!(
@@ -64,7 +64,7 @@
     }
 }
 
-fn join(addresses: &[SocketAddr]) -> String {
+fn format_addresses(addresses: &[SocketAddr]) -> String {
     if addresses.is_empty() {
         return "none".to_owned();
     }
--- a/crates/node/src/signals.rs
+++ b/crates/node/src/signals.rs
@@ -14,9 +14,9 @@
 
 /// What the platform wants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wish {
+pub enum ShutdownOrReload {
     /// End, after what is under way (SIGTERM, SIGINT).
-    Stop,
+    Shutdown,
     /// Read the settings again (SIGHUP).
     Reload,
 }
@@ -36,16 +36,16 @@
     }
 
     /// Waits until the end is wanted. Nothing is read again meanwhile.
-    pub async fn stop(&mut self) {
-        while self.next().await != Wish::Stop {}
+    pub async fn wait_for_shutdown(&mut self) {
+        while self.next().await != ShutdownOrReload::Shutdown {}
     }
 
     /// Waits for the next one.
-    pub async fn next(&mut self) -> Wish {
+    pub async fn next(&mut self) -> ShutdownOrReload {
         tokio::select! {
-            _ = self.terminate.recv() => Wish::Stop,
-            _ = self.interrupt.recv() => Wish::Stop,
-            _ = self.hangup.recv() => Wish::Reload,
+            _ = self.terminate.recv() => ShutdownOrReload::Shutdown,
+            _ = self.interrupt.recv() => ShutdownOrReload::Shutdown,
+            _ = self.hangup.recv() => ShutdownOrReload::Reload,
         }
     }
 }
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -23,13 +23,13 @@
 use self::core::{Core, Handle};
 use self::disk::{Disk, Opened};
 use crate::command::Process;
-use crate::gossip::{Gossip, Myself};
-use crate::host::{Listener, wait_for_disk};
+use crate::gossip::{Gossip, LocalProcess};
+use crate::host::{Listener, run_disk_work};
 use crate::link::serve;
-use crate::metrics::{self, FigureSource};
+use crate::metrics::{self, MetricSource};
 use crate::panics::spawn_essential;
 use crate::settings::{Port, Settings};
-use crate::signals::Wish;
+use crate::signals::ShutdownOrReload;
 use crate::subscriber::Subscriber;
 
 /// Keepers that a store subscribes to at most; usually there are fewer.
@@ -54,12 +54,12 @@
     let node = tokio::select! {
         started = starting => started?,
         // Nothing was promised yet.
-        () = process.signals.stop() => return Ok(()),
+        () = process.signals.wait_for_shutdown() => return Ok(()),
     };
     loop {
         match process.signals.next().await {
-            Wish::Stop => break,
-            Wish::Reload => match Settings::read(process.settings_file.as_deref()) {
+            ShutdownOrReload::Shutdown => break,
+            ShutdownOrReload::Reload => match Settings::read(process.settings_file.as_deref()) {
                 Ok(settings) => node.reload(&settings),
                 Err(e) => warn!(process.log, "settings are not read again"; "why" => e.to_string()),
             },
@@ -101,12 +101,12 @@
             .as_ref()
             .ok_or_else(|| io::Error::other("dataDirectory: a store needs one"))?;
         let (folder, limits, disk_log) = (folder.clone(), limits(settings), log.clone());
-        let opened = wait_for_disk(move || Disk::open(&folder, limits, &disk_log)).await;
+        let opened = run_disk_work(move || Disk::open(&folder, limits, &disk_log)).await;
         let Opened { disk, is_new, files, store } =
             opened.map_err(io::Error::other)?.map_err(io::Error::other)?;
         let listener = Listener::bind(settings.own_address(Port::Store)).await?;
         let core = Core::start(store, files, log.clone());
-        metrics::start(settings, Arc::clone(&core) as Arc<dyn FigureSource>, &log).await;
+        metrics::start(settings, Arc::clone(&core) as Arc<dyn MetricSource>, &log).await;
         let listening = spawn_essential("links", serve(listener, Arc::new(Handle(core.clone()))));
         let subscribe = Subscribe {
             node: NodeName::from(settings.node_name.as_str()),
@@ -120,8 +120,8 @@
         let subscriber = Subscriber::start(subscribe, seeds, MAX_SUBSCRIPTIONS, sink);
         core.subscribed(&subscriber);
         let found = Arc::clone(&subscriber);
-        let observer = Box::new(move |keepers| found.set_found(keepers));
-        let myself = Myself { role: Role::Store, disk: Some(disk) };
+        let observer = Box::new(move |keepers| found.set_discovered(keepers));
+        let myself = LocalProcess { role: Role::Store, disk: Some(disk) };
         let gossip = Gossip::start(settings, myself, log.clone(), observer).await?;
         info!(log, "serving"; "disk" => disk.0, "new" => is_new);
         let hand_over_within = hand_over_within(settings);
@@ -142,7 +142,7 @@
             warn!(self.log, "ends with the only copy");
         }
         self.gossip.leave();
-        self.subscriber.suspend(true);
+        self.subscriber.set_suspended(true);
         self.listening.abort();
         if timeout(END_WITHIN, self.core.until(Store::is_idle)).await.is_err() {
             info!(self.log, "ends with questions open");
@@ -157,7 +157,7 @@
 
 fn limits(settings: &Settings) -> Limits {
     Limits {
-        required_copies: settings.required_copies(),
+        required_copies: settings.required_replicas(),
         memory_bytes: (settings.limits.memory_mb as f64 * MEGABYTE * MEMORY_SHARE) as u64,
         disk_bytes: (settings.limits.disk_mb as f64 * MEGABYTE * DISK_SHARE) as u64,
     }
--- a/crates/node/src/store/core.rs
+++ b/crates/node/src/store/core.rs
@@ -16,10 +16,10 @@
 use tokio::sync::{Notify, mpsc};
 
 use super::disk::{Disk, DiskJob};
-use crate::clock::{duration, now, time_of_day_ms};
-use crate::link::{Link, LinkPool, Reply, Service};
+use crate::clock::{duration, now, unix_time_ms};
+use crate::link::{Link, LinkPool, ReplySender, Service};
 use crate::panics::spawn_essential;
-use crate::subscriber::{Sink, Subscriber};
+use crate::subscriber::{Subscriber, UpdateSink};
 use crate::sync::lock;
 
 /// How long a call to another store may take.
@@ -41,7 +41,7 @@
 
 pub(super) struct State {
     pub(super) store: Store,
-    pub(super) askers: HashMap<AskerId, Reply>,
+    pub(super) askers: HashMap<AskerId, ReplySender>,
     last_asker: u64,
     /// What the timer waits for.
     armed: Option<Time>,
@@ -57,12 +57,12 @@
 struct NoService;
 
 impl Service for NoService {
-    fn message(&self, _: &Link, _: Message, _: Reply) {}
+    fn handle_message(&self, _: &Link, _: Message, _: ReplySender) {}
 }
 
 /// Now, on both clocks.
 pub(super) fn moment() -> Moment {
-    Moment { now: now(), time_of_day_ms: time_of_day_ms() }
+    Moment { now: now(), time_of_day_ms: unix_time_ms() }
 }
 
 impl Core {
@@ -113,7 +113,7 @@
             self.rearm.notify_one();
         }
         if let Some((subscriber, suspended)) = watched {
-            subscriber.suspend(suspended);
+            subscriber.set_suspended(suspended);
         }
         self.execute(commands);
         self.handled.notify_waiters();
@@ -140,7 +140,7 @@
             self.consider_disk(&mut state)
         };
         if let Some((subscriber, suspended)) = changed {
-            subscriber.suspend(suspended);
+            subscriber.set_suspended(suspended);
         }
     }
 
@@ -206,11 +206,11 @@
     fn report(&self) {
         let subscriber = self.lock().subscriber.upgrade();
         if let Some(subscriber) = subscriber {
-            subscriber.confirm();
+            subscriber.send_applied_versions();
         }
     }
 
-    fn expect(&self, reply: Reply) -> AskerId {
+    fn expect(&self, reply: ReplySender) -> AskerId {
         let mut state = self.lock();
         state.last_asker += 1;
         let asker = AskerId(state.last_asker);
@@ -246,8 +246,8 @@
 pub(super) struct Handle(pub(super) Arc<Core>);
 
 impl Service for Handle {
-    fn message(&self, link: &Link, message: Message, reply: Reply) {
-        match message {
+    fn handle_message(&self, link: &Link, handle_message: Message, reply: ReplySender) {
+        match handle_message {
             Message::SessionRequest(request) => {
                 let asker = self.0.expect(reply);
                 self.0.handle(Event::Asked { asker, request });
@@ -262,14 +262,14 @@
     }
 }
 
-impl Sink for Handle {
+impl UpdateSink for Handle {
     fn apply(&self, update: Update) {
         if let Update::Stores(map) = update {
             self.0.handle(Event::Map(map));
         }
     }
 
-    fn applied(&self) -> AppliedVersions {
+    fn applied_versions(&self) -> AppliedVersions {
         let state = self.0.lock();
         AppliedVersions {
             stores: state.store.map_version(),
@@ -278,7 +278,7 @@
         }
     }
 
-    fn configuration(&self) -> Version {
+    fn configuration_version(&self) -> Version {
         Version::default()
     }
 }
--- a/crates/node/src/store/disk.rs
+++ b/crates/node/src/store/disk.rs
@@ -13,7 +13,7 @@
 
 use super::core::{Core, DISK_LOST_AFTER};
 use crate::clock::{duration, random};
-use crate::host::write_to_disk;
+use crate::host::run_disk_write;
 use crate::rate_limit::RateLimit;
 
 /// The folder of the batches within the data folder.
@@ -92,14 +92,14 @@
         let mut waiting = Vec::new();
         while jobs.recv_many(&mut waiting, usize::MAX).await > 0 {
             let taken = std::mem::take(&mut waiting);
-            let done = write_to_disk(&log, move || {
+            let done = run_disk_write(&log, move || {
                 let outcome = disk.work(taken);
                 (disk, outcome)
             });
             let Ok((returned, outcome)) = answered(done, &core).await else { return };
             disk = returned;
             for failure in outcome.failures {
-                if let Some(unlogged) = refusals.take() {
+                if let Some(unlogged) = refusals.try_acquire() {
                     warn!(log, "the disk refuses"; "why" => failure.to_string(), "unlogged" => unlogged);
                 }
             }
--- a/crates/node/tests/gossip.rs
+++ b/crates/node/tests/gossip.rs
@@ -8,10 +8,10 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 
 use juniperwing_membership::Role;
-use juniperwing_node::gossip::{Gossip, Myself};
+use juniperwing_node::gossip::{Gossip, LocalProcess};
 use juniperwing_node::keeper::run_with;
 use juniperwing_node::settings::{Port, Settings};
-use juniperwing_node::subscriber::{Sink, Subscriber};
+use juniperwing_node::subscriber::{Subscriber, UpdateSink};
 use juniperwing_protocol::NodeName;
 use juniperwing_protocol::replication::Version;
 use juniperwing_protocol::subscription::{AppliedVersions, Subscribe, SubscriberKind as Kind, Update};
@@ -68,7 +68,7 @@
         let (sender, keepers) = watch::channel(Vec::new());
         let observer = Box::new(move |found| drop(sender.send_replace(found)));
         let log = Logger::root(Discard, o!());
-        let gossip = Gossip::start(settings, Myself { role, disk: None }, log, observer).await.unwrap();
+        let gossip = Gossip::start(settings, LocalProcess { role, disk: None }, log, observer).await.unwrap();
         Node { gossip, keepers }
     }
 
@@ -131,14 +131,14 @@
 /// Holds nothing.
 struct Nothing;
 
-impl Sink for Nothing {
+impl UpdateSink for Nothing {
     fn apply(&self, _: Update) {}
 
-    fn applied(&self) -> AppliedVersions {
+    fn applied_versions(&self) -> AppliedVersions {
         AppliedVersions::default()
     }
 
-    fn configuration(&self) -> Version {
+    fn configuration_version(&self) -> Version {
         Version::default()
     }
 }
@@ -156,7 +156,7 @@
         configuration: Version::default(),
     };
     let subscriber = Subscriber::start(subscribe, settings.seed_keepers(), 1, Arc::new(Nothing));
-    subscriber.set_found(vec![machines.keeper(1)]);
+    subscriber.set_discovered(vec![machines.keeper(1)]);
     timeout(PATIENCE, keeper.accept()).await.expect("in time").unwrap();
 }
 
--- a/crates/node/tests/keepers/observer.rs
+++ b/crates/node/tests/keepers/observer.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
-use juniperwing_node::link::{Link, Reply, Service};
+use juniperwing_node::link::{Link, ReplySender, Service};
 use juniperwing_protocol::registry::InstanceState;
 use juniperwing_protocol::replication::Version;
 use juniperwing_protocol::subscription::{
@@ -53,8 +53,8 @@
 }
 
 impl Service for Recorder {
-    fn message(&self, link: &Link, message: Message, _: Reply) {
-        let Message::Update(update) = message else { return };
+    fn handle_message(&self, link: &Link, handle_message: Message, _: ReplySender) {
+        let Message::Update(update) = handle_message else { return };
         let mut seen = self.seen.lock().unwrap();
         seen.updates += 1;
         match update {
@@ -95,7 +95,7 @@
         link.send(Message::Subscribe(subscribe.clone()));
         recorder.seen.lock().unwrap().link = Some(link.clone());
         recorder.news.notify_waiters();
-        link.closed().await;
+        link.wait_closed().await;
     }
 }
 
--- a/crates/node/tests/keepers/peer.rs
+++ b/crates/node/tests/keepers/peer.rs
@@ -9,7 +9,7 @@
 
 use juniperwing_clock::{Span, Time};
 use juniperwing_control::{ControlState, PutDecision, decide_put};
-use juniperwing_node::link::{Link, LinkPool, Reply, Service, serve};
+use juniperwing_node::link::{Link, LinkPool, ReplySender, Service, serve};
 use juniperwing_node::settings::{Port, Settings};
 use juniperwing_protocol::registry::{Instance, InstanceState, RegistryMessage};
 use juniperwing_protocol::replication::{ReplicationBody, ReplicationMessage, Voter};
@@ -69,7 +69,7 @@
     replica: Replica<ControlState>,
     gate: Gate,
     wake_at: Time,
-    reads: HashMap<ReadToken, Reply>,
+    reads: HashMap<ReadToken, ReplySender>,
     next_token: u64,
     instances: BTreeMap<InstanceId, InstanceState>,
 }
@@ -80,14 +80,16 @@
 struct Unasked;
 
 impl Service for Unasked {
-    fn message(&self, _: &Link, _: Message, _: Reply) {}
+    fn handle_message(&self, _: &Link, _: Message, _: ReplySender) {}
 }
 
 impl Service for Inbox {
-    fn message(&self, _: &Link, message: Message, reply: Reply) {
-        match message {
-            Message::Replication(message) => self.0.replication(message),
-            Message::Registry(message) if self.0.lock().gate.hears => self.0.registry(message, reply),
+    fn handle_message(&self, _: &Link, handle_message: Message, reply: ReplySender) {
+        match handle_message {
+            Message::Replication(handle_message) => self.0.replication(handle_message),
+            Message::Registry(handle_message) if self.0.lock().gate.hears => {
+                self.0.registry(handle_message, reply)
+            }
             _ => {}
         }
     }
@@ -103,7 +105,7 @@
             local_voter: me.clone(),
             seeds: settings.seed_keepers(),
             bootstrap: settings.bootstrap,
-            min_in_sync_replicas: settings.required_copies(),
+            min_in_sync_replicas: settings.required_replicas(),
             timings: Timings::default(),
         };
         let initial = ControlState::default();
@@ -226,7 +228,7 @@
         }
     }
 
-    fn registry(self: &Arc<Self>, message: RegistryMessage, reply: Reply) {
+    fn registry(self: &Arc<Self>, message: RegistryMessage, reply: ReplySender) {
         let (gate, epoch) = {
             let state = self.lock();
             (state.gate, state.replica.epoch().number)
--- a/crates/node/tests/link.rs
+++ b/crates/node/tests/link.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use juniperwing_node::link::{CallError, Link, LinkPool, Reply, Service, serve};
+use juniperwing_node::link::{CallError, Link, LinkPool, ReplySender, Service, serve};
 use juniperwing_protocol::registry::{Order, RegistryMessage};
 use juniperwing_protocol::{CallId, Envelope, Message};
 use tokio::net::TcpListener;
@@ -19,8 +19,8 @@
 }
 
 impl Service for Recorder {
-    fn message(&self, link: &Link, message: Message, reply: Reply) {
-        match message {
+    fn handle_message(&self, link: &Link, handle_message: Message, reply: ReplySender) {
+        match handle_message {
             Message::Registry(RegistryMessage::DistributeConfiguration { .. }) => {
                 reply.send(Message::Registry(RegistryMessage::ConfigurationDistributed));
             }
@@ -73,8 +73,8 @@
     let (address, _) = server().await;
     let pool = LinkPool::new(Arc::new(Recorder::default()));
     let link = pool.link(address).await.unwrap();
-    assert_eq!(link.call(Message::Pong, WITHIN).await, Err(CallError::Broken));
-    link.closed().await;
+    assert_eq!(link.call(Message::Pong, WITHIN).await, Err(CallError::LinkClosed));
+    link.wait_closed().await;
     assert!(link.is_closed());
     assert!(pool.call(address, question(), WITHIN).await.is_ok());
 }
--- a/crates/node/tests/link_answers.rs
+++ b/crates/node/tests/link_answers.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use juniperwing_node::link::{CallError, Link, LinkPool, Reply, Service};
+use juniperwing_node::link::{CallError, Link, LinkPool, ReplySender, Service};
 use juniperwing_protocol::registry::RegistryMessage;
 use juniperwing_protocol::{CallId, Envelope, Message};
 use proptest::prelude::*;
@@ -20,7 +20,7 @@
 struct Unasked;
 
 impl Service for Unasked {
-    fn message(&self, _: &Link, _: Message, _: Reply) {}
+    fn handle_message(&self, _: &Link, _: Message, _: ReplySender) {}
 }
 
 /// A message that bears a number; answers bear that of their question.
@@ -94,7 +94,7 @@
         let call = peer.next_call().await;
         peer.send(&answer(call, 1)[..cut]).await;
         drop(peer);
-        assert_eq!(calling.await.unwrap(), Err(CallError::Broken), "cut at {cut}");
+        assert_eq!(calling.await.unwrap(), Err(CallError::LinkClosed), "cut at {cut}");
     }
 }
 
@@ -146,7 +146,7 @@
     drop(peer);
     for (place, caller) in callers.into_iter().enumerate() {
         let answered = script.order.contains(&place);
-        let expected = if answered { Ok(numbered(place as u32)) } else { Err(CallError::Broken) };
+        let expected = if answered { Ok(numbered(place as u32)) } else { Err(CallError::LinkClosed) };
         let got = caller.await.unwrap();
         if got != expected {
             return Err(format!("call {place}: {got:?}"));
--- a/crates/node/tests/metrics.rs
+++ b/crates/node/tests/metrics.rs
@@ -5,29 +5,29 @@
 use std::time::Duration;
 
 use juniperwing_invariants::Invariant;
-use juniperwing_node::metrics::{Figure, FigureSource, MetricsPlace, page, serve};
+use juniperwing_node::metrics::{Metric, MetricSource, MetricsEndpoint, render, serve};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
 struct Fixed;
 
-impl FigureSource for Fixed {
-    fn figures(&self) -> Vec<Figure> {
+impl MetricSource for Fixed {
+    fn metrics(&self) -> Vec<Metric> {
         vec![
-            Figure::counter("requests", "Requests read", 7),
-            Figure::gauge("epoch", "The highest epoch known", 3),
-            Figure::counters("order_answers", "Answers", "answer", vec![("accepted", 2), ("refused", 1)]),
+            Metric::counter("requests", "Requests read", 7),
+            Metric::gauge("epoch", "The highest epoch known", 3),
+            Metric::counters("order_answers", "Answers", "answer", vec![("accepted", 2), ("refused", 1)]),
         ]
     }
 }
 
-fn source() -> Arc<dyn FigureSource> {
+fn source() -> Arc<dyn MetricSource> {
     Arc::new(Fixed)
 }
 
 #[test]
 fn figures_are_told_with_their_names_and_labels() {
-    let page = page(&source());
+    let page = render(&source());
     for line in [
         "# TYPE juniperwing_requests counter",
         "juniperwing_requests_total 7",
@@ -46,12 +46,12 @@
 
 #[test]
 fn the_place_is_a_port_and_a_path() {
-    let place = |port, path: &str| Some(MetricsPlace { port, path: path.to_owned() });
-    assert_eq!(MetricsPlace::parse("9464/metrics"), place(9_464, "/metrics"));
-    assert_eq!(MetricsPlace::parse("9464/"), place(9_464, "/"));
-    assert_eq!(MetricsPlace::parse("9464/a/{b}"), place(9_464, "/a/{b}"));
+    let place = |port, path: &str| Some(MetricsEndpoint { port, path: path.to_owned() });
+    assert_eq!(MetricsEndpoint::parse("9464/metrics"), place(9_464, "/metrics"));
+    assert_eq!(MetricsEndpoint::parse("9464/"), place(9_464, "/"));
+    assert_eq!(MetricsEndpoint::parse("9464/a/{b}"), place(9_464, "/a/{b}"));
     for wrong in ["", "/metrics", "metrics", "9464", "0/metrics", "65536/metrics", "-1/m"] {
-        assert_eq!(MetricsPlace::parse(wrong), None, "{wrong}");
+        assert_eq!(MetricsEndpoint::parse(wrong), None, "{wrong}");
     }
 }
 
--- a/crates/node/tests/relay/lifecycle.rs
+++ b/crates/node/tests/relay/lifecycle.rs
@@ -8,7 +8,7 @@
 
 use crate::endpoint::{Endpoint, Step, chunk, last_chunk, ok, stream_head};
 use crate::support::{Bench, connect, instance, next_piece, read, request, soon};
-use juniperwing_node::subscriber::Sink;
+use juniperwing_node::subscriber::UpdateSink;
 use juniperwing_protocol::registry::InstanceState;
 
 async fn readiness(bench: &Bench) -> StatusCode {
@@ -47,10 +47,10 @@
     let endpoint = Endpoint::start("i-1", |request| ok(request, "")).await;
     let bench = Bench::with(&[&endpoint]).await;
     assert_eq!(bench.get("/nowhere").await.status, StatusCode::NOT_FOUND);
-    bench.world.connected(false);
+    bench.world.handle_connection_change(false);
     assert_eq!(bench.get("/nowhere").await.status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(bench.get("/i/x").await.status, StatusCode::OK);
-    bench.world.connected(true);
+    bench.world.handle_connection_change(true);
     assert_eq!(bench.get("/nowhere").await.status, StatusCode::NOT_FOUND);
 }
 
--- a/crates/node/tests/relay/support.rs
+++ b/crates/node/tests/relay/support.rs
@@ -19,7 +19,7 @@
 use juniperwing_node::relay::{Relay, RelayState};
 use juniperwing_node::sessions_client::StoreFault;
 use juniperwing_node::settings::Settings;
-use juniperwing_node::subscriber::Sink;
+use juniperwing_node::subscriber::UpdateSink;
 use juniperwing_protocol::identity::{EpochNumber, InstanceId, RequestId, ServiceName};
 use juniperwing_protocol::registry::{Instance, InstanceState};
 use juniperwing_protocol::replication::Version;
--- a/crates/node/tests/relay/trace.rs
+++ b/crates/node/tests/relay/trace.rs
@@ -3,7 +3,7 @@
 use http::StatusCode;
 use juniperwing_node::relay::sessions::TurnError;
 use juniperwing_node::sessions_client::StoreFault;
-use juniperwing_node::subscriber::Sink;
+use juniperwing_node::subscriber::UpdateSink;
 use juniperwing_protocol::registry::InstanceState;
 use serde_json::Value;
 
@@ -143,7 +143,7 @@
     assert_eq!(ask("b", "/n/x").await, (503, "given up".into(), "no endpoint".into(), "".into()));
     bench.tell(true, vec![instance(&endpoint, InstanceState::Ready, 1)]);
     assert_eq!(ask("c", "/nowhere").await, (404, "refused".into(), "".into(), "".into()));
-    bench.world.connected(false);
+    bench.world.handle_connection_change(false);
     assert_eq!(ask("d", "/nowhere").await, (503, "given up".into(), "out of touch".into(), "".into()));
     let fault = TurnError::Unavailable { trouble: StoreFault::NotPrimary.into() };
     *bench.stores.chain.lock().unwrap() = Some(Err(fault));
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -3,8 +3,8 @@
 use std::path::Path;
 
 use juniperwing_clock::Span;
-use juniperwing_node::link::DEAD_AFTER;
-use juniperwing_node::settings::{CALLER_PATIENCE, Port, Settings};
+use juniperwing_node::link::LINK_TIMEOUT;
+use juniperwing_node::settings::{CALLER_TIMEOUT, Port, Settings};
 
 const CORE: &str = r#"
 nodeName = "core-a-1"
@@ -52,7 +52,7 @@
     assert_eq!(settings.own_address(Port::Keeper).to_string(), "10.1.0.41:7381");
     let seeds: Vec<String> = settings.seed_keepers().iter().map(ToString::to_string).collect();
     assert_eq!(seeds, ["10.1.0.41:7381", "10.2.0.43:7381"]);
-    assert_eq!(settings.required_copies(), 2);
+    assert_eq!(settings.required_replicas(), 2);
     assert_eq!((settings.bounds.drain_ms, settings.bounds.config_apply_ms), (2_000, 1_500));
     assert_eq!(settings.bounds.contact_ms, 3_000);
     assert_eq!(settings.listeners_map.control_plane.unwrap().port(), 8_144);
@@ -77,14 +77,14 @@
 
 #[test]
 fn a_keeper_s_times_follow_from_the_bounds() {
-    let times = parse(CORE).unwrap().control_times();
+    let times = parse(CORE).unwrap().control_timings();
     assert_eq!(times.contact_window, Span::from_millis(1_200));
-    assert_eq!(times.configuration_applies_within.as_millis(), 375);
+    assert_eq!(times.configuration_apply_timeout.as_millis(), 375);
     let longer = CORE.replace("contactMs = 3000", "contactMs = 4000").replace("Ms = 1500", "Ms = 9000");
-    let times = parse(&longer).unwrap().control_times();
+    let times = parse(&longer).unwrap().control_timings();
     assert_eq!(times.contact_window, Span::from_millis(1_600));
     // The rest of the caller's second is for committing, whatever the bounds allow.
-    assert_eq!(times.configuration_applies_within.as_millis(), 500);
+    assert_eq!(times.configuration_apply_timeout.as_millis(), 500);
 }
 
 /// Guard: each wait ends before the one that contains it, and the outermost before the caller's second.
@@ -96,14 +96,14 @@
             .fold(CORE.to_owned(), |text, line| {
                 text.replace(line, &format!("{}= {bound}", line.split('=').next().unwrap()))
             });
-        let times = parse(&text).unwrap().control_times();
-        assert!(times.subscribers_apply_within < times.peer_answers_within);
-        assert!(times.peer_answers_within < times.spread_within);
-        assert!(times.spread_within < CALLER_PATIENCE);
-        assert!(times.configuration_applies_within < CALLER_PATIENCE / 2 + CALLER_PATIENCE / 10);
+        let times = parse(&text).unwrap().control_timings();
+        assert!(times.subscriber_apply_timeout < times.peer_reply_timeout);
+        assert!(times.peer_reply_timeout < times.propagation_timeout);
+        assert!(times.propagation_timeout < CALLER_TIMEOUT);
+        assert!(times.configuration_apply_timeout < CALLER_TIMEOUT / 2 + CALLER_TIMEOUT / 10);
         assert!(times.contact_window < Span::from_millis(bound));
         // At a dead link's time-out the subscriber is known dead, so that it cannot refuse ends for long.
-        assert!(times.spread_within >= DEAD_AFTER);
+        assert!(times.propagation_timeout >= LINK_TIMEOUT);
     }
 }
 
@@ -120,7 +120,7 @@
         assert!(told.contains(key), "{told}");
     }
     // Two reports between keepers fit in the window, so contact is not lost by its own rhythm.
-    assert!(settings.control_times().contact_window >= Span::from_millis(900));
+    assert!(settings.control_timings().contact_window >= Span::from_millis(900));
     assert!(parse(CORE).unwrap().bounds.too_short().is_empty());
 }
 
--- a/crates/node/tests/stores/mod.rs
+++ b/crates/node/tests/stores/mod.rs
@@ -7,7 +7,7 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-use juniperwing_node::link::{Link, LinkPool, Reply, Service, serve};
+use juniperwing_node::link::{Link, LinkPool, ReplySender, Service, serve};
 use juniperwing_node::sessions_client::SessionsClient;
 use juniperwing_node::settings::Settings;
 use juniperwing_protocol::subscription::{
@@ -41,9 +41,9 @@
 }
 
 impl Service for Keeper {
-    fn message(&self, link: &Link, message: Message, _: Reply) {
+    fn handle_message(&self, link: &Link, handle_message: Message, _: ReplySender) {
         let mut state = self.state.lock().unwrap();
-        match message {
+        match handle_message {
             Message::Subscribe(subscribe) => {
                 let SubscriberKind::Store { disk } = subscribe.subscriber else { return };
                 state.stores.insert(disk, (node(&subscribe, disk), link.clone()));
@@ -59,7 +59,7 @@
         self.changed.notify_waiters();
     }
 
-    fn closed(&self, link: &Link) {
+    fn handle_closed(&self, link: &Link) {
         self.state.lock().unwrap().stores.retain(|_, (_, held)| held.id() != link.id());
         self.changed.notify_waiters();
     }
--- a/crates/node/tests/subscriber.rs
+++ b/crates/node/tests/subscriber.rs
@@ -4,8 +4,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use juniperwing_node::link::{Link, Reply, Service, serve};
-use juniperwing_node::subscriber::{Sink, Subscriber};
+use juniperwing_node::link::{Link, ReplySender, Service, serve};
+use juniperwing_node::subscriber::{Subscriber, UpdateSink};
 use juniperwing_protocol::replication::Version;
 use juniperwing_protocol::subscription::{self, AppliedVersions, InstancesUpdate, Subscribe, Update};
 use juniperwing_protocol::{Message, NodeName};
@@ -26,8 +26,8 @@
 }
 
 impl Service for Keeper {
-    fn message(&self, link: &Link, message: Message, _: Reply) {
-        if !matches!(message, Message::Subscribe(_)) {
+    fn handle_message(&self, link: &Link, handle_message: Message, _: ReplySender) {
+        if !matches!(handle_message, Message::Subscribe(_)) {
             return;
         }
         *self.subscriptions.lock().unwrap() += 1;
@@ -78,21 +78,21 @@
     connection: Notify,
 }
 
-impl Sink for Counter {
+impl UpdateSink for Counter {
     fn apply(&self, _: Update) {
         *self.updates.lock().unwrap() += 1;
         self.told.notify_one();
     }
 
-    fn applied(&self) -> AppliedVersions {
+    fn applied_versions(&self) -> AppliedVersions {
         AppliedVersions::default()
     }
 
-    fn configuration(&self) -> Version {
+    fn configuration_version(&self) -> Version {
         Version::default()
     }
 
-    fn connected(&self, is_connected: bool) {
+    fn handle_connection_change(&self, is_connected: bool) {
         self.connected.lock().unwrap().push(is_connected);
         self.connection.notify_one();
     }
@@ -131,7 +131,7 @@
     let sink = Arc::new(Counter::default());
     let subscriber = Subscriber::start(subscribe(), vec![silent], 2, sink.clone());
     silent_keeper.until_subscriptions(1).await;
-    subscriber.set_found(vec![found]);
+    subscriber.set_discovered(vec![found]);
     found_keeper.until_subscriptions(1).await;
     timeout(PATIENCE, sink.told.notified()).await.expect("an update");
 }
@@ -151,7 +151,7 @@
         }
     };
     timeout(PATIENCE, answered).await.expect("an answer");
-    subscriber.suspend(true);
+    subscriber.set_suspended(true);
     let lost = async {
         while sink.connected.lock().unwrap().last() != Some(&false) {
             sink.connection.notified().await
@@ -172,7 +172,7 @@
     let link_to_voter = voter_keeper.link.lock().unwrap().clone().unwrap();
     let link_to_replaced = replaced_keeper.link.lock().unwrap().clone().unwrap();
     link_to_voter.send(Message::Update(Update::Keepers(vec![voter])));
-    timeout(PATIENCE, link_to_replaced.closed()).await.expect("the end of the subscription");
+    timeout(PATIENCE, link_to_replaced.wait_closed()).await.expect("the end of the subscription");
     assert!(!link_to_voter.is_closed());
     assert!(subscriber.keepers().contains(&voter));
 }
--- a/crates/relay/src/main.rs
+++ b/crates/relay/src/main.rs
@@ -123,7 +123,7 @@
 /// Runs a command of the serving tier, if the first word is one.
 fn serving_tier(words: &[String]) -> Option<ExitCode> {
     let (command, arguments) = words.split_first()?;
-    if let Some(role) = Role::of(command) {
+    if let Some(role) = Role::from_name(command) {
         return Some(juniperwing_node::command::run(role, arguments));
     }
     match command.as_str() {
--- a/crates/soak/src/fault/host.rs
+++ b/crates/soak/src/fault/host.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use juniperwing_clock::Time;
-use juniperwing_node::host::{Host, Pending, SimulatedDatagrams, SimulatedListener, SimulatedStream};
+use juniperwing_node::host::{Host, IoFuture, SimulatedDatagrams, SimulatedListener, SimulatedStream};
 use juniperwing_storage::file_system::FileSystem;
 use tokio::net::{TcpListener, TcpSocket, UdpSocket};
 
@@ -44,7 +44,7 @@
         Time::from_nanos(1 + self.began.elapsed().as_nanos() as u64)
     }
 
-    fn time_of_day_ms(&self) -> u64 {
+    fn unix_time_ms(&self) -> u64 {
         let elapsed = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let offset = self.rules.get(|rules| rules.clock_offset_ms);
         (elapsed.as_millis() as u64).saturating_add_signed(offset)
@@ -62,7 +62,7 @@
         Ok(Arc::new(Listener { listener, rules: self.rules.clone() }))
     }
 
-    fn connect(&self, address: SocketAddr) -> Pending<'static, SimulatedStream> {
+    fn connect(&self, address: SocketAddr) -> IoFuture<'static, SimulatedStream> {
         let (rules, from) = (self.rules.clone(), SocketAddr::new(self.address, 0));
         Box::pin(async move {
             wait_for_way(&rules, address).await;
@@ -88,7 +88,7 @@
         Duration::ZERO
     }
 
-    fn waits_for_disk_on_a_thread(&self) -> bool {
+    fn uses_disk_thread(&self) -> bool {
         true
     }
 }
@@ -100,7 +100,7 @@
 }
 
 impl SimulatedListener for Listener {
-    fn accept(&self) -> Pending<'_, SimulatedStream> {
+    fn accept(&self) -> IoFuture<'_, SimulatedStream> {
         Box::pin(async {
             let (stream, _) = self.listener.accept().await?;
             under_rules(stream, &self.rules)
@@ -115,7 +115,7 @@
 }
 
 impl SimulatedDatagrams for Datagrams {
-    fn readable(&self) -> Pending<'_, ()> {
+    fn readable(&self) -> IoFuture<'_, ()> {
         Box::pin(self.socket.readable())
     }
 
--- a/crates/soak/src/fault/node.rs
+++ b/crates/soak/src/fault/node.rs
@@ -7,7 +7,7 @@
 use std::thread;
 
 use juniperwing_node::command::{Role, run as run_role};
-use juniperwing_node::host::enter;
+use juniperwing_node::host::simulate;
 use juniperwing_node::settings::Settings;
 
 use super::host::FaultyHost;
@@ -23,7 +23,7 @@
         eprintln!("juniperwing-soak node: ROLE RULES SETTINGS");
         return ExitCode::from(2);
     };
-    let Some(role) = Role::of(role) else {
+    let Some(role) = Role::from_name(role) else {
         eprintln!("juniperwing-soak node: no role {role:?}");
         return ExitCode::from(2);
     };
@@ -33,7 +33,7 @@
         // The role tells what is wrong with its settings.
         return run_role(role, &["--settings".to_owned(), settings.clone()]);
     };
-    let _machine = enter(Arc::new(FaultyHost::new(address, rules)));
+    let _machine = simulate(Arc::new(FaultyHost::new(address, rules)));
     run_role(role, &["--settings".to_owned(), settings.clone()])
 }
 
