--- a/crates/node/src/keeper.rs
+++ b/crates/node/src/keeper.rs
@@ -46,13 +46,13 @@
 use self::subscribers::{PublishedState, Subscribers};
 use crate::clock;
 use crate::command::Process;
-use crate::host::{Listener, wait_for_disk};
+use crate::host::{Listener, run_disk_work};
 use crate::link::LinkId;
-use crate::metrics::{FigureSource, start as start_metrics};
+use crate::metrics::{MetricSource, start as start_metrics};
 use crate::panics::spawn_essential;
 use crate::rate_limit::RateLimit;
-use crate::settings::{ControlTimes, Port, Settings};
-use crate::signals::Wish;
+use crate::settings::{ControlTimings, Port, Settings};
+use crate::signals::ShutdownOrReload;
 use crate::sync::lock;
 
 /// Between two rounds of housekeeping.
@@ -93,7 +93,7 @@
 struct Controller {
     local_voter: Voter,
     required_copies: usize,
-    control_times: ControlTimes,
+    control_times: ControlTimings,
     log: Logger,
     state: Mutex<State>,
     peers: Arc<Peers>,
@@ -127,12 +127,12 @@
         biased;
         opened = StartupResources::acquire(&settings, &log) => opened?,
         // Nothing was promised in this life yet.
-        () = signals.stop() => return Ok(()),
+        () = signals.wait_for_shutdown() => return Ok(()),
     };
     let (changed, changes) = watch::channel(settings.clone());
     let reload_log = log.clone();
     let stop = async move {
-        while signals.next().await == Wish::Reload {
+        while signals.next().await == ShutdownOrReload::Reload {
             match Settings::read(settings_file.as_deref()) {
                 Ok(settings) => drop(changed.send_replace(settings)),
                 Err(error) => warn!(reload_log, "settings not read again"; "why" => error.to_string()),
@@ -184,7 +184,7 @@
         let internal = Listener::bind(settings.own_address(Port::Keeper)).await?;
         let control = control_listener::bind(control).await?;
         let (for_disk, disk_log) = (settings.clone(), log.clone());
-        let opened = wait_for_disk(move || open_disk(&for_disk, &folder, &disk_log));
+        let opened = run_disk_work(move || open_disk(&for_disk, &folder, &disk_log));
         let start = opened.await.map_err(io::Error::other)??;
         Ok(StartupResources { internal_listener: internal, control_listener: control, restored: start })
     }
@@ -207,7 +207,7 @@
         let (wake, wake_received) = watch::channel(Time::default());
         let consensus = Consensus::new(replica, writes, wake);
         let controller = Controller::new(&settings, log, local_voter, consensus);
-        start_metrics(&settings, Arc::clone(&controller) as Arc<dyn FigureSource>, &controller.log).await;
+        start_metrics(&settings, Arc::clone(&controller) as Arc<dyn MetricSource>, &controller.log).await;
         let mut tasks =
             controller.start_tasks(internal_listener, record_file, writes_received, wake_received);
         let contacts = PeerDiscovery::start(&settings, &controller).await?;
@@ -249,7 +249,7 @@
         seeds: settings.seed_keepers(),
         // Who has lost a disk does not found the tier once more.
         bootstrap: settings.bootstrap && loss.is_none(),
-        min_in_sync_replicas: settings.required_copies(),
+        min_in_sync_replicas: settings.required_replicas(),
         timings: Timings::default(),
     };
     let initial = ControlState::default();
@@ -265,7 +265,7 @@
     fn new(settings: &Settings, log: Logger, me: Voter, consensus: Consensus) -> Arc<Controller> {
         let now = clock::now();
         let heartbeat = Span::from_millis(settings.heartbeat_ms);
-        let times = settings.control_times();
+        let times = settings.control_timings();
         let registry = Registry::new(
             now,
             RegistrySettings { heartbeat_interval: heartbeat, max_instances: MAX_INSTANCES },
@@ -287,7 +287,7 @@
         };
         Arc::new_cyclic(|controller| Controller {
             local_voter: me,
-            required_copies: settings.required_copies(),
+            required_copies: settings.required_replicas(),
             control_times: times,
             log,
             state: Mutex::new(state),
--- a/crates/node/src/keeper/consensus.rs
+++ b/crates/node/src/keeper/consensus.rs
@@ -18,8 +18,8 @@
 use super::Controller;
 use super::pending_outcomes::PendingOutcomes;
 use crate::clock;
-use crate::host::write_to_disk;
-use crate::panics::critical;
+use crate::host::run_disk_write;
+use crate::panics::critical_section;
 
 /// Records on their way to the disk; the replica hands out one at a time.
 pub(super) const MAX_QUEUED_WRITES: usize = 4;
@@ -72,7 +72,7 @@
 impl Controller {
     /// Hands the replica an event and carries out what it says.
     pub(super) fn step_replica(self: &Arc<Self>, event: Event<ControlState>) {
-        let commands = critical(|| self.lock().consensus.replica.handle(clock::now(), event));
+        let commands = critical_section(|| self.lock().consensus.replica.handle(clock::now(), event));
         for command in commands {
             self.execute_command(command);
         }
@@ -173,7 +173,7 @@
     mut writes: mpsc::Receiver<RecordWrite>,
 ) {
     while let Some(RecordWrite { token, record }) = writes.recv().await {
-        let written = write_to_disk(&controller.log, move || {
+        let written = run_disk_write(&controller.log, move || {
             let outcome = file.write(&record);
             (file, outcome)
         });
--- a/crates/node/src/keeper/store_placement.rs
+++ b/crates/node/src/keeper/store_placement.rs
@@ -51,7 +51,7 @@
 
     async fn send_reachable_stores(self: Arc<Self>, voter: Voter, report: RegistryMessage) {
         let asked_at = clock::now();
-        let within = self.control_times.peer_answers_within;
+        let within = self.control_times.peer_reply_timeout;
         let answer = self.peers.call(voter.address, Message::Registry(report), within).await;
         if let Ok(Message::Registry(RegistryMessage::ReachableStoresReply { epoch })) = answer {
             self.lock().contact.record_reply(clock::now(), voter.disk, asked_at, epoch);
