--- a/crates/node/src/relay/sessions.rs
+++ b/crates/node/src/relay/sessions.rs
@@ -7,7 +7,7 @@
 use juniperwing_protocol::session::{BeginTurn, FinishTurn, Turn};
 use snafu::Snafu;
 
-use crate::sessions_client::{NotSettled, SessionError, SessionsClient, StoreTrouble};
+use crate::sessions_client::{CommitUncertain, SessionError, SessionsClient, StoreFailure};
 
 /// Why a turn cannot be begun or finished.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
@@ -22,7 +22,7 @@
     #[snafu(display("the stores cannot do it now: {trouble}"))]
     Unavailable {
         /// Why, as far as is known.
-        trouble: StoreTrouble,
+        trouble: StoreFailure,
     },
 }
 
@@ -62,9 +62,9 @@
         let client = self.clone();
         Box::pin(async move {
             let begun = client.begin(turn, within).await.map_err(|error| match error {
-                SessionError::BudgetSpent => SessionFault::BudgetSpent,
+                SessionError::BudgetExhausted => SessionFault::BudgetSpent,
                 SessionError::UnknownTurn => SessionFault::UnknownTurn,
-                SessionError::Unavailable { trouble } => SessionFault::Unavailable { trouble },
+                SessionError::Unavailable { failure } => SessionFault::Unavailable { trouble: failure },
             })?;
             Ok(begun.chain)
         })
@@ -74,24 +74,24 @@
         let client = self.clone();
         Box::pin(async move {
             let finished = client.finish(turn, within).await;
-            finished.map_err(|NotSettled { trouble }| SessionFault::Unavailable { trouble })
+            finished.map_err(|CommitUncertain { failure }| SessionFault::Unavailable { trouble: failure })
         })
     }
 
     fn finish_later(&self, turn: FinishTurn) {
-        SessionsClient::finish_later(self, turn);
+        SessionsClient::finish_in_background(self, turn);
     }
 
     fn settled(&self) -> Pin<Box<dyn Future<Output = ()> + Send>> {
         let client = self.clone();
-        Box::pin(async move { client.settled().await })
+        Box::pin(async move { client.wait_for_background_commits().await })
     }
 
     fn settling(&self) -> usize {
-        SessionsClient::settling(self)
+        SessionsClient::background_commits(self)
     }
 
     fn settlements_lost(&self) -> u64 {
-        SessionsClient::settlements_lost(self)
+        SessionsClient::lost_commits(self)
     }
 }
--- a/crates/node/src/relay/trace.rs
+++ b/crates/node/src/relay/trace.rs
@@ -17,7 +17,7 @@
 use super::fate::{Cause, GivenUp};
 use crate::clock::now;
 use crate::rate_limit::RateLimit;
-use crate::sessions_client::StoreTrouble;
+use crate::sessions_client::StoreFailure;
 use crate::sync::lock;
 
 /// Lines for requests that failed in a second; further ones are counted.
@@ -72,7 +72,7 @@
     generation: u64,
     attempts: Vec<Attempt>,
     may_have_run: bool,
-    stores: Option<StoreTrouble>,
+    stores: Option<StoreFailure>,
     /// When the first byte of the answer could go out.
     answered_after: Option<Span>,
     outcome: Option<Outcome>,
@@ -100,7 +100,7 @@
     }
 
     /// The stores could not do what it needs.
-    pub fn stores_failed(&self, trouble: StoreTrouble) {
+    pub fn stores_failed(&self, trouble: StoreFailure) {
         lock(&self.state).stores = Some(trouble);
     }
 
--- a/crates/node/src/sessions_client.rs
+++ b/crates/node/src/sessions_client.rs
@@ -31,29 +31,29 @@
 
 /// What a turn may go on with.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Begun {
+pub struct BegunTurn {
     /// The turns before, oldest first.
     pub chain: Vec<Turn>,
 }
 
 /// What the last try at the stores came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StoreTrouble {
+pub struct StoreFailure {
     /// The store that was asked last, if one was.
     pub store: Option<SocketAddr>,
     /// Why it did not decide.
-    pub why: StoreFault,
+    pub reason: StoreFailureReason,
 }
 
-impl From<StoreFault> for StoreTrouble {
-    fn from(why: StoreFault) -> Self {
-        StoreTrouble { store: None, why }
+impl From<StoreFailureReason> for StoreFailure {
+    fn from(why: StoreFailureReason) -> Self {
+        StoreFailure { store: None, reason: why }
     }
 }
 
-impl fmt::Display for StoreTrouble {
+impl fmt::Display for StoreFailure {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str(self.why.name())?;
+        formatter.write_str(self.reason.name())?;
         match self.store {
             Some(store) => write!(formatter, " ({store})"),
             None => Ok(()),
@@ -63,47 +63,47 @@
 
 /// Why a store did not decide.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StoreFault {
+pub enum StoreFailureReason {
     /// No map of the stores is known, or it names no primary for the program.
     NoPrimary,
     /// The primary cannot be reached.
     NotConnected,
     /// The link to it broke.
-    LinkBroke,
+    ConnectionLost,
     /// It did not answer in time.
-    NoAnswer,
+    TimedOut,
     /// It is not, or not certainly, the primary any more.
     NotPrimary,
     /// It cannot decide now.
     Unavailable,
     /// It answered what nobody asked.
-    WrongAnswer,
+    UnexpectedReply,
     /// Some partition could not say whether it has the turn before.
     Uncertain,
 }
 
-impl StoreFault {
+impl StoreFailureReason {
     /// Its name in logs.
     pub fn name(self) -> &'static str {
         match self {
-            StoreFault::NoPrimary => "no primary known",
-            StoreFault::NotConnected => "not connected",
-            StoreFault::LinkBroke => "link broke",
-            StoreFault::NoAnswer => "no answer",
-            StoreFault::NotPrimary => "not primary",
-            StoreFault::Unavailable => "unavailable",
-            StoreFault::WrongAnswer => "wrong answer",
-            StoreFault::Uncertain => "uncertain",
+            StoreFailureReason::NoPrimary => "no primary known",
+            StoreFailureReason::NotConnected => "not connected",
+            StoreFailureReason::ConnectionLost => "link broke",
+            StoreFailureReason::TimedOut => "no answer",
+            StoreFailureReason::NotPrimary => "not primary",
+            StoreFailureReason::Unavailable => "unavailable",
+            StoreFailureReason::UnexpectedReply => "wrong answer",
+            StoreFailureReason::Uncertain => "uncertain",
         }
     }
 }
 
-impl From<CallError> for StoreFault {
+impl From<CallError> for StoreFailureReason {
     fn from(error: CallError) -> Self {
         match error {
-            CallError::NotConnected => StoreFault::NotConnected,
-            CallError::Broken => StoreFault::LinkBroke,
-            CallError::TimedOut => StoreFault::NoAnswer,
+            CallError::NotConnected => StoreFailureReason::NotConnected,
+            CallError::Broken => StoreFailureReason::ConnectionLost,
+            CallError::TimedOut => StoreFailureReason::TimedOut,
         }
     }
 }
@@ -113,24 +113,24 @@
 pub enum SessionError {
     /// The budget is spent. The turn has not run and never will.
     #[snafu(display("the budget is spent"))]
-    BudgetSpent,
+    BudgetExhausted,
     /// There is no such previous turn; all partitions are certain of that.
     #[snafu(display("the previous turn is not known"))]
     UnknownTurn,
     /// No certain answer in time. The turn may have been reserved: settle it at 0 tokens.
-    #[snafu(display("no certain answer in time: {trouble}"))]
+    #[snafu(display("no certain answer in time: {failure}"))]
     Unavailable {
         /// Why, as far as is known.
-        trouble: StoreTrouble,
+        failure: StoreFailure,
     },
 }
 
 /// A turn was not settled in time, or not certainly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("the turn is not certain to be settled: {trouble}"))]
-pub struct NotSettled {
+#[snafu(display("the turn is not certain to be settled: {failure}"))]
+pub struct CommitUncertain {
     /// Why, as far as is known.
-    pub trouble: StoreTrouble,
+    pub failure: StoreFailure,
 }
 
 /// Talks to the stores. Cheap to clone.
@@ -178,26 +178,31 @@
     /// # Errors
     ///
     /// If the turn must not run, or it is not certain `within` this time that it may.
-    pub async fn begin(&self, begin: BeginTurn, within: Duration) -> Result<Begun, SessionError> {
+    pub async fn begin(&self, begin: BeginTurn, within: Duration) -> Result<BegunTurn, SessionError> {
         if begin.budget.is_none() && begin.previous.is_none() {
-            return Ok(Begun::default());
+            return Ok(BegunTurn::default());
         }
         let until = Instant::now() + within;
         let mut begin = begin;
         loop {
             let reply = self.ask(&begin.program, SessionCall::Begin(begin.clone()), until).await;
-            match reply.map_err(|trouble| SessionError::Unavailable { trouble })? {
-                SessionReply::TurnBegun { chain } => return Ok(Begun { chain }),
-                SessionReply::BudgetExhausted => return Err(SessionError::BudgetSpent),
+            match reply.map_err(|trouble| SessionError::Unavailable { failure: trouble })? {
+                SessionReply::TurnBegun { chain } => return Ok(BegunTurn { chain }),
+                SessionReply::BudgetExhausted => return Err(SessionError::BudgetExhausted),
                 SessionReply::UnknownTurn if begin.imported.is_empty() => {
-                    let wrong = SessionError::Unavailable { trouble: StoreFault::WrongAnswer.into() };
+                    let wrong =
+                        SessionError::Unavailable { failure: StoreFailureReason::UnexpectedReply.into() };
                     let previous = begin.previous.as_ref().ok_or(wrong)?;
                     begin.imported = self.find(previous, until).await?;
                 }
                 SessionReply::UnknownTurn => {
-                    return Err(SessionError::Unavailable { trouble: StoreFault::Uncertain.into() });
+                    return Err(SessionError::Unavailable { failure: StoreFailureReason::Uncertain.into() });
+                }
+                _ => {
+                    return Err(SessionError::Unavailable {
+                        failure: StoreFailureReason::UnexpectedReply.into(),
+                    });
                 }
-                _ => return Err(SessionError::Unavailable { trouble: StoreFault::WrongAnswer.into() }),
             }
         }
     }
@@ -207,19 +212,19 @@
     /// # Errors
     ///
     /// If it is not certain `within` this time that it is on enough disks.
-    pub async fn finish(&self, finish: FinishTurn, within: Duration) -> Result<(), NotSettled> {
+    pub async fn finish(&self, finish: FinishTurn, within: Duration) -> Result<(), CommitUncertain> {
         let until = Instant::now() + within;
         let program = finish.program.clone();
         match self.ask(&program, SessionCall::Finish(finish), until).await {
             Ok(SessionReply::TurnFinished) => Ok(()),
-            Ok(_) => Err(NotSettled { trouble: StoreFault::WrongAnswer.into() }),
-            Err(trouble) => Err(NotSettled { trouble }),
+            Ok(_) => Err(CommitUncertain { failure: StoreFailureReason::UnexpectedReply.into() }),
+            Err(trouble) => Err(CommitUncertain { failure: trouble }),
         }
     }
 
     /// Settles a turn with nobody waiting for it, trying for about ten seconds. If too many are under way, or the
     /// time is over, the turn counts at its most.
-    pub fn finish_later(&self, finish: FinishTurn) {
+    pub fn finish_in_background(&self, finish: FinishTurn) {
         let Ok(permit) = Arc::clone(&self.settling).try_acquire_owned() else { return self.count_lost() };
         let client = self.clone();
         tokio::spawn(async move {
@@ -235,18 +240,18 @@
     }
 
     /// Waits until no turn is being settled with nobody waiting for it.
-    pub async fn settled(&self) {
+    pub async fn wait_for_background_commits(&self) {
         // The semaphore is never closed.
         let _ = self.settling.acquire_many(MAX_SETTLING as u32).await;
     }
 
     /// Turns that are being settled with nobody waiting for them.
-    pub fn settling(&self) -> usize {
+    pub fn background_commits(&self) -> usize {
         MAX_SETTLING - self.settling.available_permits()
     }
 
     /// Turns that could not be settled with nobody waiting for them.
-    pub fn settlements_lost(&self) -> u64 {
+    pub fn lost_commits(&self) -> u64 {
         self.settlements_lost.load(Ordering::Relaxed)
     }
 
@@ -254,7 +259,7 @@
     /// names another primary or epoch: the one that was asked may be gone.
     async fn ask(
         &self, program: &ProgramId, call: SessionCall, until: Instant,
-    ) -> Result<SessionReply, StoreTrouble> {
+    ) -> Result<SessionReply, StoreFailure> {
         let mut map = self.map.clone();
         loop {
             let target = target(&map.borrow_and_update(), program);
@@ -263,11 +268,11 @@
                     tried = self.try_once(asked, call.clone(), until) => tried,
                     () = replaced(&mut map, program, asked) => continue,
                 },
-                None => Err(StoreFault::NoPrimary),
+                None => Err(StoreFailureReason::NoPrimary),
             };
             let trouble = match tried {
                 Ok(reply) => return Ok(reply),
-                Err(why) => StoreTrouble { store: target.map(|target| target.address), why },
+                Err(why) => StoreFailure { store: target.map(|target| target.address), reason: why },
             };
             wait_for_change(&mut map, until).await.ok_or(trouble)?;
         }
@@ -276,14 +281,14 @@
     /// One try.
     async fn try_once(
         &self, target: Target, call: SessionCall, until: Instant,
-    ) -> Result<SessionReply, StoreFault> {
+    ) -> Result<SessionReply, StoreFailureReason> {
         let request = SessionRequest { partition: target.partition, epoch: target.epoch, body: call };
         let within = TRY_WITHIN.min(until.saturating_duration_since(Instant::now()));
         match self.pool.call(target.address, Message::SessionRequest(request), within).await? {
-            Message::SessionReply(SessionReply::NotPrimary { .. }) => Err(StoreFault::NotPrimary),
-            Message::SessionReply(SessionReply::Unavailable) => Err(StoreFault::Unavailable),
+            Message::SessionReply(SessionReply::NotPrimary { .. }) => Err(StoreFailureReason::NotPrimary),
+            Message::SessionReply(SessionReply::Unavailable) => Err(StoreFailureReason::Unavailable),
             Message::SessionReply(reply) => Ok(reply),
-            _ => Err(StoreFault::WrongAnswer),
+            _ => Err(StoreFailureReason::UnexpectedReply),
         }
     }
 
@@ -296,7 +301,8 @@
                 Search::Found(chain) => return Ok(chain),
                 Search::Nowhere => return Err(SessionError::UnknownTurn),
                 Search::Uncertain => {
-                    let uncertain = SessionError::Unavailable { trouble: StoreFault::Uncertain.into() };
+                    let uncertain =
+                        SessionError::Unavailable { failure: StoreFailureReason::Uncertain.into() };
                     wait_for_change(&mut map, until).await.ok_or(uncertain)?;
                 }
             }
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -137,7 +137,7 @@
     /// Fills another store first, where this one has the only copy. Then leaves the keepers, so that they move the
     /// partitions, and ends what is under way if that is soon done.
     async fn stop(self) {
-        let filled = self.core.until(|store| !store.is_filling_a_second_copy());
+        let filled = self.core.until(|store| !store.is_filling_second_replica());
         if timeout(self.hand_over_within, filled).await.is_err() {
             warn!(self.log, "ends with the only copy");
         }
@@ -157,7 +157,7 @@
 
 fn limits(settings: &Settings) -> Limits {
     Limits {
-        required_copies: settings.required_copies(),
+        required_replicas: settings.required_copies(),
         memory_bytes: (settings.limits.memory_mb as f64 * MEGABYTE * MEMORY_SHARE) as u64,
         disk_bytes: (settings.limits.disk_mb as f64 * MEGABYTE * DISK_SHARE) as u64,
     }
--- a/crates/node/src/store/core.rs
+++ b/crates/node/src/store/core.rs
@@ -10,7 +10,7 @@
 use juniperwing_protocol::replication::Version;
 use juniperwing_protocol::subscription::{AppliedVersions, Update};
 use juniperwing_protocol::transfer::TransferRequest;
-use juniperwing_sessions::{AskerId, Command, Event, Moment, Store, TransferCallId};
+use juniperwing_sessions::{CallerId, Command, Event, Moment, Store, TransferCallId};
 use juniperwing_storage::SegmentNumber;
 use slog::{Logger, warn};
 use tokio::sync::{Notify, mpsc};
@@ -41,8 +41,8 @@
 
 pub(super) struct State {
     pub(super) store: Store,
-    pub(super) askers: HashMap<AskerId, Reply>,
-    last_asker: u64,
+    pub(super) callers: HashMap<CallerId, Reply>,
+    last_caller: u64,
     /// What the timer waits for.
     armed: Option<Time>,
     subscriber: Weak<Subscriber>,
@@ -62,7 +62,7 @@
 
 /// Now, on both clocks.
 pub(super) fn moment() -> Moment {
-    Moment { now: now(), time_of_day_ms: time_of_day_ms() }
+    Moment { now: now(), unix_time_ms: time_of_day_ms() }
 }
 
 impl Core {
@@ -71,8 +71,8 @@
         let (jobs, waiting) = mpsc::unbounded_channel();
         let state = State {
             store,
-            askers: HashMap::new(),
-            last_asker: 0,
+            callers: HashMap::new(),
+            last_caller: 0,
             armed: None,
             subscriber: Weak::new(),
             failing_since: None,
@@ -89,7 +89,7 @@
         });
         spawn_essential("disk", disk.run(waiting, core.clone(), log));
         spawn_essential("timer", core.clone().keep_time());
-        let commands = core.lock().store.recovered(moment());
+        let commands = core.lock().store.finish_recovery(moment());
         core.execute(commands);
         core
     }
@@ -105,7 +105,7 @@
         let (commands, earlier) = {
             let mut state = self.lock();
             let commands = state.store.handle(moment(), event);
-            let wake = state.store.next_wake();
+            let wake = state.store.next_wake_at();
             let earlier = wake.is_some_and(|wake| state.armed.is_none_or(|armed| wake < armed));
             (commands, earlier)
         };
@@ -170,15 +170,19 @@
     fn execute(self: &Arc<Self>, commands: Vec<Command>) {
         for command in commands {
             match command {
-                Command::Answer { asker, reply } => self.reply(asker, Message::SessionReply(reply)),
-                Command::AnswerTransfer { asker, reply } => self.reply(asker, Message::TransferReply(reply)),
+                Command::SendSessionReply { caller, reply } => {
+                    self.reply(caller, Message::SessionReply(reply))
+                }
+                Command::SendTransferReply { caller, reply } => {
+                    self.reply(caller, Message::TransferReply(reply))
+                }
                 Command::Call { call, to, request } => {
                     tokio::spawn(self.clone().call(call, to, request));
                 }
                 Command::WriteBatch { records } => self.put(DiskJob::Write(records)),
                 Command::RemoveSegment { segment } => self.put(DiskJob::Remove(SegmentNumber(segment))),
                 Command::WriteMapVersion { version } => self.put(DiskJob::WriteMapVersion(version)),
-                Command::Report => self.report(),
+                Command::ReportCaughtUp => self.report(),
             }
         }
     }
@@ -188,11 +192,11 @@
             Ok(Message::TransferReply(reply)) => Some(reply),
             _ => None,
         };
-        self.handle(Event::Answered { call, answer });
+        self.handle(Event::CallCompleted { call, reply: answer });
     }
 
-    fn reply(&self, asker: AskerId, message: Message) {
-        let reply = self.lock().askers.remove(&asker);
+    fn reply(&self, caller: CallerId, message: Message) {
+        let reply = self.lock().callers.remove(&caller);
         if let Some(reply) = reply {
             reply.send(message);
         }
@@ -210,12 +214,12 @@
         }
     }
 
-    fn expect(&self, reply: Reply) -> AskerId {
+    fn expect(&self, reply: Reply) -> CallerId {
         let mut state = self.lock();
-        state.last_asker += 1;
-        let asker = AskerId(state.last_asker);
-        state.askers.insert(asker, reply);
-        asker
+        state.last_caller += 1;
+        let caller = CallerId(state.last_caller);
+        state.callers.insert(caller, reply);
+        caller
     }
 
     /// Rings when the store wants to be woken, and not otherwise.
@@ -223,7 +227,7 @@
         loop {
             let wake = {
                 let mut state = self.lock();
-                state.armed = state.store.next_wake();
+                state.armed = state.store.next_wake_at();
                 state.armed
             };
             match wake {
@@ -249,12 +253,12 @@
     fn message(&self, link: &Link, message: Message, reply: Reply) {
         match message {
             Message::SessionRequest(request) => {
-                let asker = self.0.expect(reply);
-                self.0.handle(Event::Asked { asker, request });
+                let caller = self.0.expect(reply);
+                self.0.handle(Event::SessionRequest { caller, request });
             }
             Message::TransferRequest(request) => {
-                let asker = self.0.expect(reply);
-                self.0.handle(Event::Transfer { asker, request });
+                let caller = self.0.expect(reply);
+                self.0.handle(Event::TransferRequest { caller, request });
             }
             // Nobody has anything else to say to a store.
             _ => link.close(),
@@ -265,7 +269,7 @@
 impl Sink for Handle {
     fn apply(&self, update: Update) {
         if let Update::Stores(map) = update {
-            self.0.handle(Event::Map(map));
+            self.0.handle(Event::StoreMap(map));
         }
     }
 
@@ -273,7 +277,7 @@
         let state = self.0.lock();
         AppliedVersions {
             stores: state.store.map_version(),
-            caught_up: state.store.caught_up(),
+            caught_up: state.store.caught_up_replicas(),
             ..AppliedVersions::default()
         }
     }
--- a/crates/node/src/store/disk.rs
+++ b/crates/node/src/store/disk.rs
@@ -64,7 +64,7 @@
             batches += 1;
             let bytes = batch.contents.len() as u64;
             match decode_batch(&batch.contents) {
-                Ok(records) => store.recover(moment, batch.segment.0, bytes, records),
+                Ok(records) => store.recover_batch(moment, batch.segment.0, bytes, records),
                 Err(e) => {
                     is_readable = false;
                     warn!(log, "a batch cannot be read"; "number" => batch.segment.0, "why" => %e);
--- a/crates/node/src/store/figures.rs
+++ b/crates/node/src/store/figures.rs
@@ -7,14 +7,14 @@
     fn figures(&self) -> Vec<Figure> {
         let state = self.lock();
         let store = &state.store;
-        let counts = store.counts();
+        let counts = store.statistics();
         vec![
             Figure::gauge("store_map_version", "The version of the map held", store.map_version()),
             Figure::gauge("partitions_led", "Partitions that this store leads", counts.partitions_led),
             Figure::gauge(
                 "partitions_not_level",
                 "Partitions led of which some replica is not level",
-                counts.partitions_not_level,
+                counts.partitions_out_of_sync,
             ),
             Figure::gauge("records", "Records held", counts.records),
             Figure::gauge("record_bytes", "Bytes of the records held, roughly", counts.record_bytes),
@@ -24,18 +24,22 @@
                 "Turns that are reserved and not settled, of partitions led",
                 counts.reservations,
             ),
-            Figure::gauge("writes_under_way", "Writes that some replica has not confirmed", counts.writes),
+            Figure::gauge(
+                "writes_under_way",
+                "Writes that some replica has not confirmed",
+                counts.pending_writes,
+            ),
             Figure::gauge(
                 "questions_waiting",
                 "Questions that wait for an answer",
-                state.askers.len() as u64,
+                state.callers.len() as u64,
             ),
             Figure::gauge("disk_is_lost", "Whether the disk counts as lost", u64::from(state.suspended)),
             Figure::counters(
                 "unavailable_answers",
                 "Questions of relays that could not be decided, by reason",
                 "reason",
-                counts.unavailable,
+                counts.unavailable_replies,
             ),
         ]
     }
--- a/crates/node/tests/golden_state.rs
+++ b/crates/node/tests/golden_state.rs
@@ -19,7 +19,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-use juniperwing_node::sessions_client::{Begun, SessionError};
+use juniperwing_node::sessions_client::{BegunTurn, SessionError};
 use juniperwing_protocol::session::{BeginTurn, FinishTurn, Turn};
 use juniperwing_protocol::subscription::SubscriberKind;
 use juniperwing_protocol::{DiskId, ProgramId, RequestId};
@@ -210,12 +210,12 @@
     stores.assign(&[found, empty[0], empty[1]], &[]);
 
     let next = stores.client.begin(begin("t3", Some("t2"), Some(1_000)), WITHIN).await;
-    assert_eq!(next, Ok(Begun { chain: kept() }), "the turns");
+    assert_eq!(next, Ok(BegunTurn { chain: kept() }), "the turns");
     let unknown = stores.client.begin(begin("t4", Some("settled"), Some(1_000)), WITHIN).await;
     assert_eq!(unknown, Err(SessionError::UnknownTurn), "a turn settled and not kept");
     // Spent or set aside: 10 + 10 + 20 + 40 as committed, and 40 for the turn begun above.
     let spent = stores.client.begin(begin("t5", None, Some(159)), WITHIN).await;
-    assert_eq!(spent, Err(SessionError::BudgetSpent), "the budget");
+    assert_eq!(spent, Err(SessionError::BudgetExhausted), "the budget");
     let left = stores.client.begin(begin("t5", None, Some(160)), WITHIN).await;
-    assert_eq!(left, Ok(Begun::default()), "the budget");
+    assert_eq!(left, Ok(BegunTurn::default()), "the budget");
 }
--- a/crates/node/tests/relay/support.rs
+++ b/crates/node/tests/relay/support.rs
@@ -17,7 +17,7 @@
 use juniperwing_node::relay::sessions::{SessionCall, SessionFault, Sessions};
 use juniperwing_node::relay::snapshot::World;
 use juniperwing_node::relay::{Core, Relay};
-use juniperwing_node::sessions_client::StoreFault;
+use juniperwing_node::sessions_client::StoreFailureReason;
 use juniperwing_node::settings::Settings;
 use juniperwing_node::subscriber::Sink;
 use juniperwing_protocol::identity::{EpochNumber, InstanceId, RequestId, ServiceName};
@@ -86,7 +86,7 @@
                 hold.notified().await;
             }
             if fails {
-                Err(SessionFault::Unavailable { trouble: StoreFault::NoAnswer.into() })
+                Err(SessionFault::Unavailable { trouble: StoreFailureReason::TimedOut.into() })
             } else {
                 Ok(())
             }
--- a/crates/node/tests/relay/trace.rs
+++ b/crates/node/tests/relay/trace.rs
@@ -2,7 +2,7 @@
 
 use http::StatusCode;
 use juniperwing_node::relay::sessions::SessionFault;
-use juniperwing_node::sessions_client::StoreFault;
+use juniperwing_node::sessions_client::StoreFailureReason;
 use juniperwing_node::subscriber::Sink;
 use juniperwing_protocol::registry::InstanceState;
 use serde_json::Value;
@@ -145,7 +145,7 @@
     assert_eq!(ask("c", "/nowhere").await, (404, "refused".into(), "".into(), "".into()));
     bench.world.connected(false);
     assert_eq!(ask("d", "/nowhere").await, (503, "given up".into(), "out of touch".into(), "".into()));
-    let fault = SessionFault::Unavailable { trouble: StoreFault::NotPrimary.into() };
+    let fault = SessionFault::Unavailable { trouble: StoreFailureReason::NotPrimary.into() };
     *bench.stores.chain.lock().unwrap() = Some(Err(fault));
     let turn = with_headers(request("POST", "/k/x", "f", "x"), &[("program", "p"), ("budget", "9")]);
     assert_eq!(read(bench.send(turn).await).await.status.as_u16(), 503);
--- a/crates/node/tests/relay/turns.rs
+++ b/crates/node/tests/relay/turns.rs
@@ -6,7 +6,7 @@
 use http::{Request, StatusCode};
 use http_body_util::Full;
 use juniperwing_node::relay::sessions::SessionFault;
-use juniperwing_node::sessions_client::StoreFault;
+use juniperwing_node::sessions_client::StoreFailureReason;
 use juniperwing_protocol::identity::RequestId;
 use tokio::sync::Notify;
 
@@ -115,7 +115,10 @@
     let denials = [
         (SessionFault::BudgetSpent, StatusCode::PAYMENT_REQUIRED),
         (SessionFault::UnknownTurn, StatusCode::NOT_FOUND),
-        (SessionFault::Unavailable { trouble: StoreFault::NoAnswer.into() }, StatusCode::SERVICE_UNAVAILABLE),
+        (
+            SessionFault::Unavailable { trouble: StoreFailureReason::TimedOut.into() },
+            StatusCode::SERVICE_UNAVAILABLE,
+        ),
     ];
     for (fault, status) in denials {
         *bench.stores.chain.lock().unwrap() = Some(Err(fault));
--- a/crates/node/tests/store.rs
+++ b/crates/node/tests/store.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use juniperwing_node::sessions_client::{Begun, NotSettled, SessionError};
+use juniperwing_node::sessions_client::{BegunTurn, CommitUncertain, SessionError};
 use juniperwing_node::store::run_until;
 use juniperwing_protocol::session::{BeginTurn, FinishTurn, Turn};
 use juniperwing_protocol::{ProgramId, RequestId};
@@ -65,8 +65,8 @@
     }
 }
 
-fn two() -> Begun {
-    Begun { chain: vec![turn("t1", None), turn("t2", Some("t1"))] }
+fn two() -> BegunTurn {
+    BegunTurn { chain: vec![turn("t1", None), turn("t2", Some("t1"))] }
 }
 
 #[tokio::test]
@@ -92,10 +92,10 @@
         stores.client.begin(begin("p", request, None, Some(100)), WITHIN).await.unwrap();
     }
     let third = || stores.client.begin(begin("p", "c", None, Some(100)), WITHIN);
-    assert_eq!(third().await, Err(SessionError::BudgetSpent));
+    assert_eq!(third().await, Err(SessionError::BudgetExhausted));
     let settled = FinishTurn { stored_turn: None, ..keep("p", "a", None) };
-    stores.client.finish_later(settled);
-    assert_eq!(stores.client.settlements_lost(), 0);
+    stores.client.finish_in_background(settled);
+    assert_eq!(stores.client.lost_commits(), 0);
     let begun = async {
         while third().await.is_err() {
             tokio::task::yield_now().await;
@@ -127,10 +127,10 @@
     stores.assign(&[empty, left[1]], &[]);
     let chain = [two().chain, vec![turn("t3", Some("t2"))]].concat();
     let next = stores.client.begin(begin("p", "t4", Some("t3"), Some(1_000)), WITHIN).await;
-    assert_eq!(next, Ok(Begun { chain }));
+    assert_eq!(next, Ok(BegunTurn { chain }));
 }
 
-fn is_unavailable(begun: &Result<Begun, SessionError>) -> bool {
+fn is_unavailable(begun: &Result<BegunTurn, SessionError>) -> bool {
     matches!(begun, Err(SessionError::Unavailable { .. }))
 }
 
@@ -154,7 +154,7 @@
     keep_two(&stores).await;
     stores.running[2].take().unwrap().stop();
     let finished = stores.client.finish(keep("p", "t3", Some("t2")), SHORTLY).await;
-    assert!(matches!(finished, Err(NotSettled { .. })), "{finished:?}");
+    assert!(matches!(finished, Err(CommitUncertain { .. })), "{finished:?}");
     let unknown = stores.client.begin(begin("p", "t4", Some("nobody"), None), SHORTLY).await;
     assert!(is_unavailable(&unknown), "{unknown:?}");
     // As soon as the keepers have taken it out, all is.
@@ -179,7 +179,7 @@
         assert!(filled < MOST_OPEN_SEGMENTS, "the disk takes everything");
     }
     let finished = stores.client.finish(keep("p", "t3", Some("t2")), SHORTLY).await;
-    assert!(matches!(finished, Err(NotSettled { .. })), "{finished:?}");
+    assert!(matches!(finished, Err(CommitUncertain { .. })), "{finished:?}");
     stores.keeper.subscribed(COUNT - 1).await;
     std::fs::rename(&aside, &batches).unwrap();
     stores.keeper.subscribed(COUNT).await;
@@ -248,10 +248,10 @@
     stores.client.begin(begin("p", "settled", None, Some(100)), WITHIN).await.unwrap();
     let settled = FinishTurn { stored_turn: None, tokens: 40, ..keep("p", "settled", None) };
     stores.client.finish(settled, WITHIN).await.unwrap();
-    // Begun and never settled: it counts at its most.
+    // BegunTurn and never settled: it counts at its most.
     stores.client.begin(begin("p", "open", None, Some(100)), WITHIN).await.unwrap();
     let next = |request: &str| begin("p", request, None, Some(100));
-    assert_eq!(stores.client.begin(next("before"), WITHIN).await, Err(SessionError::BudgetSpent));
+    assert_eq!(stores.client.begin(next("before"), WITHIN).await, Err(SessionError::BudgetExhausted));
     for number in 0..COUNT {
         stores.running[number].take().unwrap().kill();
     }
@@ -260,10 +260,10 @@
     (0..COUNT).for_each(|number| stores.restart(number));
     // A program that loops asks again and again.
     for request in ["after", "again", "before"] {
-        assert_eq!(stores.client.begin(next(request), WITHIN).await, Err(SessionError::BudgetSpent));
+        assert_eq!(stores.client.begin(next(request), WITHIN).await, Err(SessionError::BudgetExhausted));
     }
     let other = stores.client.begin(begin("q", "first", None, Some(100)), WITHIN).await;
-    assert_eq!(other, Ok(Begun::default()));
+    assert_eq!(other, Ok(BegunTurn::default()));
 }
 
 // Guard: what a turn needs is at the stores, not at the relay that served the turn before.
@@ -279,10 +279,10 @@
         let begun = relay.begin(begin("p", &request, previous, Some(80)), WITHIN).await;
         if number == 5 {
             // Five turns of 10 tokens and the most of a sixth are more than the budget, through either relay.
-            assert_eq!(begun, Err(SessionError::BudgetSpent));
+            assert_eq!(begun, Err(SessionError::BudgetExhausted));
             continue;
         }
-        assert_eq!(begun, Ok(Begun { chain: before.clone() }));
+        assert_eq!(begun, Ok(BegunTurn { chain: before.clone() }));
         relay.finish(keep("p", &request, previous), WITHIN).await.unwrap();
         before.push(turn(&request, previous));
     }
@@ -290,7 +290,7 @@
 
 #[tokio::test]
 async fn the_only_holder_fills_another_store_before_it_ends() {
-    // Guard: `stop` waits while `is_filling_a_second_copy`.
+    // Guard: `stop` waits while `is_filling_second_replica`.
     let mut stores = Stores::start("handover").await;
     keep_two(&stores).await;
     stores.running[2].take().unwrap().kill();
--- a/crates/sessions/src/event.rs
+++ b/crates/sessions/src/event.rs
@@ -16,12 +16,12 @@
     /// The steady clock.
     pub now: Time,
     /// The time of day in milliseconds; it may jump, and differs between machines.
-    pub time_of_day_ms: u64,
+    pub unix_time_ms: u64,
 }
 
 /// Names one who waits for an answer; chosen by the process around the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct AskerId(pub u64);
+pub struct CallerId(pub u64);
 
 /// Names a call to another store; chosen by the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -31,27 +31,27 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A keeper told a map; it may be older than the one held.
-    Map(Arc<StoreMap>),
+    StoreMap(Arc<StoreMap>),
     /// A relay asks.
-    Asked {
+    SessionRequest {
         /// Who waits.
-        asker: AskerId,
+        caller: CallerId,
         /// The question.
         request: SessionRequest,
     },
     /// Another store asks.
-    Transfer {
+    TransferRequest {
         /// Who waits.
-        asker: AskerId,
+        caller: CallerId,
         /// The question.
         request: TransferRequest,
     },
     /// A call has ended.
-    Answered {
+    CallCompleted {
         /// The call.
         call: TransferCallId,
         /// The answer; `None` if the link broke or no answer came in time.
-        answer: Option<TransferReply>,
+        reply: Option<TransferReply>,
     },
     /// The batch under way is on disk.
     BatchWritten {
@@ -69,7 +69,7 @@
     },
     /// The map version could not be written.
     MapVersionFailed,
-    /// The time that [`crate::Store::next_wake`] named has come.
+    /// The time that [`crate::Store::next_wake_at`] named has come.
     Tick,
 }
 
@@ -77,16 +77,16 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Answer a relay.
-    Answer {
+    SendSessionReply {
         /// Who waits.
-        asker: AskerId,
+        caller: CallerId,
         /// The answer.
         reply: SessionReply,
     },
     /// Answer a store.
-    AnswerTransfer {
+    SendTransferReply {
         /// Who waits.
-        asker: AskerId,
+        caller: CallerId,
         /// The answer.
         reply: TransferReply,
     },
@@ -116,6 +116,6 @@
         /// The version.
         version: u64,
     },
-    /// Tell the keepers what [`crate::Store::caught_up`] returns.
-    Report,
+    /// Tell the keepers what [`crate::Store::caught_up_replicas`] returns.
+    ReportCaughtUp,
 }
--- a/crates/sessions/src/journal.rs
+++ b/crates/sessions/src/journal.rs
@@ -5,7 +5,7 @@
 use juniperwing_protocol::PartitionId;
 use juniperwing_protocol::transfer::RecordKey;
 
-use crate::event::AskerId;
+use crate::event::CallerId;
 use crate::write::WriteId;
 
 /// Names a record in the store.
@@ -21,9 +21,9 @@
     /// A write of this store's own.
     Write(WriteId),
     /// A primary that has sent records.
-    Replica(AskerId),
+    Replica(CallerId),
     /// A primary that wants digests of what is on disk.
-    Digests { asker: AskerId, partition: PartitionId, ranges: u16, live_after_ms: u64 },
+    Digests { caller: CallerId, partition: PartitionId, ranges: u16, live_after_ms: u64 },
 }
 
 /// A record as it was put into the batch under way.
--- a/crates/sessions/src/levelling.rs
+++ b/crates/sessions/src/levelling.rs
@@ -133,7 +133,7 @@
     }
 
     fn compare(&mut self, partition: PartitionId, replica: DiskId, comparisons: u32) {
-        let live_after_ms = self.moment.time_of_day_ms.saturating_sub(LEVEL_SLACK_MS);
+        let live_after_ms = self.moment.unix_time_ms.saturating_sub(LEVEL_SLACK_MS);
         let step = LevelStep { partition, replica, attempt: 0, live_after_ms, comparisons };
         self.level_step(step, Work::Compare);
     }
@@ -254,7 +254,7 @@
 
     /// The joining replicas that hold all that this store holds, of all partitions that it leads, as far as the
     /// keepers may be told: the map that made them join is on disk.
-    pub fn caught_up(&self) -> Vec<CaughtUp> {
+    pub fn caught_up_replicas(&self) -> Vec<CaughtUp> {
         self.caught_up_since(self.map_version.on_disk())
     }
 
@@ -280,11 +280,13 @@
         if self.report_due || self.caught_up_since(version).is_empty() {
             return;
         }
-        if self.caught_up().len() < self.caught_up_since(version).len() && self.map_version.request(version) {
+        if self.caught_up_replicas().len() < self.caught_up_since(version).len()
+            && self.map_version.request(version)
+        {
             self.commands.push(Command::WriteMapVersion { version });
         }
-        if !self.caught_up().is_empty() {
-            self.commands.push(Command::Report);
+        if !self.caught_up_replicas().is_empty() {
+            self.commands.push(Command::ReportCaughtUp);
         }
         self.report_due = true;
         self.timers.insert((self.moment.now + REPORT_PAUSE, Timer::Report));
@@ -293,8 +295,8 @@
     /// The version of the map is on disk: what it held up is told.
     pub(crate) fn map_version_written(&mut self, version: u64) {
         self.map_version.succeed(version);
-        if !self.caught_up().is_empty() {
-            self.commands.push(Command::Report);
+        if !self.caught_up_replicas().is_empty() {
+            self.commands.push(Command::ReportCaughtUp);
         }
     }
 
--- a/crates/sessions/src/lib.rs
+++ b/crates/sessions/src/lib.rs
@@ -8,7 +8,6 @@
 
 mod batch;
 mod call;
-mod counts;
 mod event;
 mod journal;
 mod ledger;
@@ -19,14 +18,15 @@
 mod primary;
 mod program;
 mod replica;
+mod statistics;
 mod store;
 mod table;
 mod write;
 
 pub use batch::{StoredRecord, decode_batch, encode_batch};
-pub use counts::Counts;
-pub use event::{AskerId, Command, Event, Moment, TransferCallId};
+pub use event::{CallerId, Command, Event, Moment, TransferCallId};
 pub use limits::Limits;
 pub use merge::merge;
+pub use statistics::StoreStatistics;
 pub use store::Store;
 pub use table::{Chain, Page, Table};
--- a/crates/sessions/src/limits.rs
+++ b/crates/sessions/src/limits.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// How many disks must hold what is acknowledged.
-    pub required_copies: usize,
+    pub required_replicas: usize,
     /// Bytes of records in memory above which no further turn is admitted.
     pub memory_bytes: u64,
     /// Bytes of segments on disk above which no further turn is admitted.
--- a/crates/sessions/src/primary.rs
+++ b/crates/sessions/src/primary.rs
@@ -10,12 +10,12 @@
 use juniperwing_protocol::{DiskId, EpochNumber, PartitionId, RequestId};
 
 use crate::call::Purpose;
-use crate::counts::Undecided;
-use crate::event::{AskerId, Command};
+use crate::event::{CallerId, Command};
 use crate::limits::{
     ANSWER_WITHIN, BUDGET_MEMORY_MS, KEPT_MEMORY_MS, MAX_RETENTION_MS, MAX_WAITING, MAX_WRITES,
     RESERVED_MEMORY_MS,
 };
+use crate::statistics::Undecided;
 use crate::store::{Store, Timer, Waiting};
 use crate::table::Chain;
 
@@ -26,7 +26,7 @@
 /// A round before a denial. An old primary whose epoch is over never gets it confirmed.
 #[derive(Clone, Debug)]
 pub(crate) struct Round {
-    asker: AskerId,
+    caller: CallerId,
     request: SessionRequest,
     epochs: Vec<PartitionEpoch>,
     outstanding: usize,
@@ -41,68 +41,68 @@
 
 impl Store {
     /// A relay asks.
-    pub(crate) fn asked(&mut self, asker: AskerId, request: SessionRequest) {
-        self.decide(asker, request, Certainty::Presumed);
+    pub(crate) fn asked(&mut self, caller: CallerId, request: SessionRequest) {
+        self.decide(caller, request, Certainty::Presumed);
     }
 
-    fn decide(&mut self, asker: AskerId, request: SessionRequest, certainty: Certainty) {
+    fn decide(&mut self, caller: CallerId, request: SessionRequest, certainty: Certainty) {
         if let SessionCall::Find { turn, partitions } = &request.body {
             let (turn, partitions) = (turn.clone(), partitions.clone());
-            return self.find(asker, request, &turn, partitions, certainty);
+            return self.find(caller, request, &turn, partitions, certainty);
         }
         let partition = request.partition;
         let leads = self.leads.get(&partition).is_some_and(|lead| lead.epoch >= request.epoch);
         if !leads {
-            return self.refuse(asker, partition);
+            return self.refuse(caller, partition);
         }
         if !self.has_copies(partition) {
-            return self.answer_undecided(asker, Undecided::TooFewCopies);
+            return self.answer_undecided(caller, Undecided::TooFewCopies);
         }
         if self.writes.len() >= MAX_WRITES {
-            return self.answer_undecided(asker, Undecided::TooManyWrites);
+            return self.answer_undecided(caller, Undecided::TooManyWrites);
         }
         match &request.body {
             SessionCall::Finish(finish) => {
                 let finish = finish.clone();
-                self.finish(asker, partition, finish);
+                self.finish(caller, partition, finish);
             }
             SessionCall::Begin(begin) if begin.budget.is_none() && begin.previous.is_none() => {
-                self.answer(asker, SessionReply::TurnBegun { chain: Vec::new() });
+                self.answer(caller, SessionReply::TurnBegun { chain: Vec::new() });
             }
-            SessionCall::Begin(_) if !self.is_levelled(partition) => self.wait_for_level(asker, request),
+            SessionCall::Begin(_) if !self.is_levelled(partition) => self.wait_for_level(caller, request),
             SessionCall::Begin(begin) => {
                 let begin = begin.clone();
-                self.begin(asker, request, &begin, certainty);
+                self.begin(caller, request, &begin, certainty);
             }
             SessionCall::Find { .. } => {}
         }
     }
 
-    fn begin(&mut self, asker: AskerId, request: SessionRequest, begin: &BeginTurn, certainty: Certainty) {
+    fn begin(&mut self, caller: CallerId, request: SessionRequest, begin: &BeginTurn, certainty: Certainty) {
         if self.is_full() {
-            return self.answer_undecided(asker, Undecided::Full);
+            return self.answer_undecided(caller, Undecided::Full);
         }
         let partition = request.partition;
         let chain = match self.chain_for(partition, begin) {
             Chain::Found(chain) => chain,
-            Chain::Broken => return self.answer_undecided(asker, Undecided::BrokenChain),
-            Chain::Unknown => return self.deny(asker, request, SessionReply::UnknownTurn, certainty),
+            Chain::Broken => return self.answer_undecided(caller, Undecided::BrokenChain),
+            Chain::Unknown => return self.deny(caller, request, SessionReply::UnknownTurn, certainty),
         };
         let mut records = self.imports(partition, begin, &chain);
         if let Some(budget) = begin.budget {
             match self.admit(partition, begin, budget) {
                 Admission::Admitted(record) => records.push(*record),
-                Admission::Settled => return self.answer_undecided(asker, Undecided::AlreadySettled),
+                Admission::Settled => return self.answer_undecided(caller, Undecided::AlreadySettled),
                 Admission::Spent => {
-                    return self.deny(asker, request, SessionReply::BudgetExhausted, certainty);
+                    return self.deny(caller, request, SessionReply::BudgetExhausted, certainty);
                 }
             }
         }
         let reply = SessionReply::TurnBegun { chain };
         if records.is_empty() {
-            return self.answer(asker, reply);
+            return self.answer(caller, reply);
         }
-        self.write(partition, records, asker, reply);
+        self.write(partition, records, caller, reply);
         self.check_budget(partition, begin);
     }
 
@@ -123,8 +123,8 @@
     fn imports(&self, partition: PartitionId, begin: &BeginTurn, chain: &[Turn]) -> Vec<Record> {
         let table = self.tables.get(&partition);
         let foreign =
-            chain.iter().filter(|turn| !table.is_some_and(|t| t.holds_turn(&begin.program, &turn.request)));
-        let expires_at_ms = self.moment.time_of_day_ms.saturating_add(RESERVED_MEMORY_MS);
+            chain.iter().filter(|turn| !table.is_some_and(|t| t.has_turn(&begin.program, &turn.request)));
+        let expires_at_ms = self.moment.unix_time_ms.saturating_add(RESERVED_MEMORY_MS);
         let record = |turn: &Turn| Record {
             program: begin.program.clone(),
             request: turn.request.clone(),
@@ -156,7 +156,7 @@
             tokens,
             is_committed: false,
             turn: None,
-            expires_at_ms: self.moment.time_of_day_ms.saturating_add(RESERVED_MEMORY_MS),
+            expires_at_ms: self.moment.unix_time_ms.saturating_add(RESERVED_MEMORY_MS),
         }))
     }
 
@@ -185,9 +185,9 @@
         check(Invariant::StoredTurnIsImmutable, same, name);
     }
 
-    fn finish(&mut self, asker: AskerId, partition: PartitionId, finish: FinishTurn) {
+    fn finish(&mut self, caller: CallerId, partition: PartitionId, finish: FinishTurn) {
         if finish.stored_turn.as_ref().is_some_and(|turn| turn.request != finish.request) {
-            return self.answer_undecided(asker, Undecided::WrongTurn);
+            return self.answer_undecided(caller, Undecided::WrongTurn);
         }
         self.check_settlement(partition, &finish);
         let memory_ms = match &finish.stored_turn {
@@ -200,46 +200,46 @@
             tokens: finish.tokens,
             is_committed: true,
             turn: finish.stored_turn,
-            expires_at_ms: self.moment.time_of_day_ms.saturating_add(memory_ms),
+            expires_at_ms: self.moment.unix_time_ms.saturating_add(memory_ms),
         };
-        self.write(partition, vec![record], asker, SessionReply::TurnFinished);
+        self.write(partition, vec![record], caller, SessionReply::TurnFinished);
     }
 
     fn find(
-        &mut self, asker: AskerId, request: SessionRequest, turn: &RequestId,
+        &mut self, caller: CallerId, request: SessionRequest, turn: &RequestId,
         partitions: Vec<PartitionEpoch>, certainty: Certainty,
     ) {
         // What is held is true, whoever leads the partition.
-        let held = self.tables.values().map(|table| table.chain_of_any(turn));
+        let held = self.tables.values().map(|table| table.chain_in_any_program(turn));
         if let Some(Chain::Found(chain)) = held.into_iter().find(|chain| matches!(chain, Chain::Found(_))) {
-            return self.answer(asker, SessionReply::TurnFound { chain });
+            return self.answer(caller, SessionReply::TurnFound { chain });
         }
         for named in &partitions {
             if self.leads.get(&named.partition).is_none_or(|lead| lead.epoch < named.epoch) {
-                return self.refuse(asker, named.partition);
+                return self.refuse(caller, named.partition);
             }
             if !self.has_copies(named.partition) {
-                return self.answer_undecided(asker, Undecided::TooFewCopies);
+                return self.answer_undecided(caller, Undecided::TooFewCopies);
             }
             if !self.is_levelled(named.partition) {
-                return self.answer_undecided(asker, Undecided::NotLevel);
+                return self.answer_undecided(caller, Undecided::NotLevel);
             }
         }
-        self.deny_all(asker, request, partitions, SessionReply::UnknownTurn, certainty);
+        self.deny_all(caller, request, partitions, SessionReply::UnknownTurn, certainty);
     }
 
-    fn deny(&mut self, asker: AskerId, request: SessionRequest, reply: SessionReply, certainty: Certainty) {
+    fn deny(&mut self, caller: CallerId, request: SessionRequest, reply: SessionReply, certainty: Certainty) {
         let partitions = vec![PartitionEpoch { partition: request.partition, epoch: request.epoch }];
-        self.deny_all(asker, request, partitions, reply, certainty);
+        self.deny_all(caller, request, partitions, reply, certainty);
     }
 
     /// Denies, if all other replicas have confirmed the epochs; else has them asked first.
     fn deny_all(
-        &mut self, asker: AskerId, request: SessionRequest, partitions: Vec<PartitionEpoch>,
+        &mut self, caller: CallerId, request: SessionRequest, partitions: Vec<PartitionEpoch>,
         reply: SessionReply, certainty: Certainty,
     ) {
         if certainty == Certainty::Confirmed {
-            return self.answer(asker, reply);
+            return self.answer(caller, reply);
         }
         let mut asked: BTreeMap<DiskId, Vec<PartitionEpoch>> = BTreeMap::new();
         let mut epochs = Vec::new();
@@ -251,13 +251,13 @@
             }
         }
         if asked.is_empty() {
-            return self.answer(asker, reply);
+            return self.answer(caller, reply);
         }
         if self.rounds.len() >= MAX_WAITING {
-            return self.answer_undecided(asker, Undecided::TooManyWaiting);
+            return self.answer_undecided(caller, Undecided::TooManyWaiting);
         }
         let round = RoundId(self.next_number());
-        self.rounds.insert(round, Round { asker, request, epochs, outstanding: asked.len() });
+        self.rounds.insert(round, Round { caller, request, epochs, outstanding: asked.len() });
         for (replica, partitions) in asked {
             self.call(replica, TransferRequest::Confirm { partitions }, Purpose::Confirm { round });
         }
@@ -274,9 +274,9 @@
         let Some(round) = self.rounds.remove(&id) else { return };
         if confirmed && round.epochs.iter().all(|named| self.leads_in(*named)) {
             // Decided anew: what was missing may have come meanwhile.
-            self.decide(round.asker, round.request, Certainty::Confirmed);
+            self.decide(round.caller, round.request, Certainty::Confirmed);
         } else {
-            self.answer_undecided(round.asker, Undecided::NotConfirmed);
+            self.answer_undecided(round.caller, Undecided::NotConfirmed);
         }
     }
 
@@ -284,12 +284,12 @@
         self.leads.get(&named.partition).is_some_and(|lead| lead.epoch == named.epoch)
     }
 
-    fn wait_for_level(&mut self, asker: AskerId, request: SessionRequest) {
+    fn wait_for_level(&mut self, caller: CallerId, request: SessionRequest) {
         if self.waiting.len() >= MAX_WAITING {
-            return self.answer_undecided(asker, Undecided::TooManyWaiting);
+            return self.answer_undecided(caller, Undecided::TooManyWaiting);
         }
         let number = self.next_number();
-        self.waiting.insert(number, Waiting::Level { asker, request });
+        self.waiting.insert(number, Waiting::Level { caller, request });
         self.timers.insert((self.moment.now + ANSWER_WITHIN, Timer::Waiting(number)));
     }
 
@@ -297,7 +297,7 @@
     /// that the keepers know to be lost.
     fn has_copies(&self, partition: PartitionId) -> bool {
         let in_sync = self.map.assignment(partition).map_or(0, |assignment| assignment.in_sync.len());
-        in_sync > 0 && in_sync + self.lost_copies(partition) >= self.limits.required_copies
+        in_sync > 0 && in_sync + self.lost_copies(partition) >= self.limits.required_replicas
     }
 
     /// How many of the required copies are on lost machines and not asked for.
@@ -313,14 +313,14 @@
             || self.journal.is_paused()
     }
 
-    pub(crate) fn answer(&mut self, asker: AskerId, reply: SessionReply) {
-        self.commands.push(Command::Answer { asker, reply });
+    pub(crate) fn answer(&mut self, caller: CallerId, reply: SessionReply) {
+        self.commands.push(Command::SendSessionReply { caller, reply });
     }
 
     /// Not the primary, or not known to be.
-    pub(crate) fn refuse(&mut self, asker: AskerId, partition: PartitionId) {
+    pub(crate) fn refuse(&mut self, caller: CallerId, partition: PartitionId) {
         let epoch = self.map.assignment(partition).map_or(EpochNumber::default(), |held| held.epoch);
-        self.answer(asker, SessionReply::NotPrimary { epoch });
+        self.answer(caller, SessionReply::NotPrimary { epoch });
     }
 }
 
--- a/crates/sessions/src/replica.rs
+++ b/crates/sessions/src/replica.rs
@@ -6,7 +6,7 @@
 use juniperwing_protocol::transfer::{TransferReply, TransferRequest};
 use juniperwing_protocol::{DiskId, EpochNumber, PartitionId};
 
-use crate::event::{AskerId, Command};
+use crate::event::{CallerId, Command};
 use crate::journal::Waiter;
 use crate::limits::{MAP_WITHIN, MAX_WAITING};
 use crate::store::{Store, Timer, Waiting};
@@ -22,16 +22,16 @@
 
 impl Store {
     /// Another store asks; `waited` if it has waited for the map already.
-    pub(crate) fn transfer(&mut self, asker: AskerId, request: TransferRequest, waited: bool) {
+    pub(crate) fn transfer(&mut self, caller: CallerId, request: TransferRequest, waited: bool) {
         match self.gate_of(&request) {
-            Gate::Open => self.serve_transfer(asker, request),
-            Gate::Fenced(epoch) => self.answer_transfer(asker, TransferReply::Fenced { epoch }),
+            Gate::Open => self.serve_transfer(caller, request),
+            Gate::Fenced(epoch) => self.answer_transfer(caller, TransferReply::Fenced { epoch }),
             Gate::Unknown if waited || self.waiting.len() >= MAX_WAITING => {
-                self.answer_transfer(asker, TransferReply::Failed);
+                self.answer_transfer(caller, TransferReply::Failed);
             }
             Gate::Unknown => {
                 let number = self.next_number();
-                self.waiting.insert(number, Waiting::Map { asker, request });
+                self.waiting.insert(number, Waiting::Map { caller, request });
                 self.timers.insert((self.moment.now + MAP_WITHIN, Timer::Waiting(number)));
             }
         }
@@ -69,23 +69,23 @@
         }
     }
 
-    fn serve_transfer(&mut self, asker: AskerId, request: TransferRequest) {
+    fn serve_transfer(&mut self, caller: CallerId, request: TransferRequest) {
         match request {
-            TransferRequest::Confirm { .. } => self.answer_transfer(asker, TransferReply::Written),
+            TransferRequest::Confirm { .. } => self.answer_transfer(caller, TransferReply::Written),
             TransferRequest::Write { partition, records, .. } => {
                 for record in &records {
                     self.take(partition, record);
                 }
-                self.wait_for_disk(Waiter::Replica(asker));
+                self.wait_for_disk(Waiter::Replica(caller));
             }
             TransferRequest::Digests { partition, ranges, live_after_ms, .. } => {
-                self.wait_for_disk(Waiter::Digests { asker, partition, ranges, live_after_ms });
+                self.wait_for_disk(Waiter::Digests { caller, partition, ranges, live_after_ms });
             }
             TransferRequest::Records { partition, ranges, requested, live_after_ms, after, .. } => {
                 let table = self.tables.entry(partition).or_default();
                 let page = table.page(ranges, &requested, live_after_ms, after.as_ref());
                 let reply = TransferReply::Records { records: page.records, next: page.next };
-                self.answer_transfer(asker, reply);
+                self.answer_transfer(caller, reply);
             }
         }
     }
@@ -102,11 +102,11 @@
     pub(crate) fn disk_done(&mut self, waiter: Waiter) {
         match waiter {
             Waiter::Write(id) => self.write_durable(id),
-            Waiter::Replica(asker) => self.answer_transfer(asker, TransferReply::Written),
-            Waiter::Digests { asker, partition, ranges, live_after_ms } => {
+            Waiter::Replica(caller) => self.answer_transfer(caller, TransferReply::Written),
+            Waiter::Digests { caller, partition, ranges, live_after_ms } => {
                 let digests =
-                    self.tables.entry(partition).or_default().digests_on_disk(ranges, live_after_ms);
-                self.answer_transfer(asker, TransferReply::Digests(digests));
+                    self.tables.entry(partition).or_default().durable_digests(ranges, live_after_ms);
+                self.answer_transfer(caller, TransferReply::Digests(digests));
             }
         }
     }
@@ -119,14 +119,14 @@
                     self.write_durable(id);
                 }
             }
-            Waiter::Replica(asker) | Waiter::Digests { asker, .. } => {
-                self.answer_transfer(asker, TransferReply::Failed);
+            Waiter::Replica(caller) | Waiter::Digests { caller, .. } => {
+                self.answer_transfer(caller, TransferReply::Failed);
             }
         }
     }
 
-    pub(crate) fn answer_transfer(&mut self, asker: AskerId, reply: TransferReply) {
-        self.commands.push(Command::AnswerTransfer { asker, reply });
+    pub(crate) fn answer_transfer(&mut self, caller: CallerId, reply: TransferReply) {
+        self.commands.push(Command::SendTransferReply { caller, reply });
     }
 
     /// The replicas whose confirmation every write of a partition needs: those in sync, and joining ones that
--- a/crates/sessions/src/counts.rs
+++ b/crates/sessions/src/statistics.rs
@@ -4,7 +4,7 @@
 
 use juniperwing_protocol::session::SessionReply;
 
-use crate::event::AskerId;
+use crate::event::CallerId;
 use crate::store::Store;
 
 /// Why a question of a relay could not be decided.
@@ -68,11 +68,11 @@
 
 /// Figures of a store at one moment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct StoreStatistics {
     /// Partitions that it leads.
     pub partitions_led: u64,
     /// Those of them of which some replica is not level.
-    pub partitions_not_level: u64,
+    pub partitions_out_of_sync: u64,
     /// Records held.
     pub records: u64,
     /// Their bytes, roughly.
@@ -82,33 +82,33 @@
     /// Turns that are reserved and not settled, of partitions led.
     pub reservations: u64,
     /// Writes that some replica has not confirmed.
-    pub writes: u64,
+    pub pending_writes: u64,
     /// Questions of relays that could not be decided, by reason.
-    pub unavailable: Vec<(&'static str, u64)>,
+    pub unavailable_replies: Vec<(&'static str, u64)>,
 }
 
 impl Store {
     /// Figures now.
-    pub fn counts(&self) -> Counts {
+    pub fn statistics(&self) -> StoreStatistics {
         let led = || self.leads.keys().filter_map(|partition| self.tables.get(partition));
         let unavailable = Undecided::ALL
             .map(|reason| (reason.name(), self.undecided.0.get(&reason).copied().unwrap_or_default()));
-        Counts {
+        StoreStatistics {
             partitions_led: self.leads.len() as u64,
-            partitions_not_level: self.leads.keys().filter(|held| !self.is_levelled(**held)).count() as u64,
+            partitions_out_of_sync: self.leads.keys().filter(|held| !self.is_levelled(**held)).count() as u64,
             records: self.tables.values().map(|table| table.records().count() as u64).sum(),
             record_bytes: self.tables.values().map(|table| table.bytes()).sum(),
             disk_bytes: self.ledger.bytes(),
             reservations: led().flat_map(|table| table.records()).filter(|held| !held.is_committed).count()
                 as u64,
-            writes: self.writes.len() as u64,
-            unavailable: unavailable.to_vec(),
+            pending_writes: self.writes.len() as u64,
+            unavailable_replies: unavailable.to_vec(),
         }
     }
 
     /// A question cannot be decided now.
-    pub(crate) fn answer_undecided(&mut self, asker: AskerId, reason: Undecided) {
+    pub(crate) fn answer_undecided(&mut self, caller: CallerId, reason: Undecided) {
         *self.undecided.0.entry(reason).or_default() += 1;
-        self.answer(asker, SessionReply::Unavailable);
+        self.answer(caller, SessionReply::Unavailable);
     }
 }
--- a/crates/sessions/src/store.rs
+++ b/crates/sessions/src/store.rs
@@ -12,8 +12,7 @@
 
 use crate::batch::StoredRecord;
 use crate::call::Purpose;
-use crate::counts::{Undecided, UndecidedCounts};
-use crate::event::{AskerId, Command, Event, Moment, TransferCallId};
+use crate::event::{CallerId, Command, Event, Moment, TransferCallId};
 use crate::journal::{Journal, StoredKey, Written};
 use crate::ledger::Ledger;
 use crate::levelling::Lead;
@@ -21,6 +20,7 @@
 use crate::map_version::DurableMapVersion;
 use crate::primary::{Round, RoundId};
 use crate::program::{Place, record_bytes};
+use crate::statistics::{Undecided, UndecidedCounts};
 use crate::table::Table;
 use crate::write::{PendingWrite, WriteId};
 
@@ -31,7 +31,7 @@
     Level(PartitionId, DiskId),
     /// A write may be sent again.
     Resend(WriteId, DiskId),
-    /// The asker of a write has waited for long enough.
+    /// The caller of a write has waited for long enough.
     Overdue(WriteId),
     /// A question has waited for long enough.
     Waiting(u64),
@@ -47,9 +47,9 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Waiting {
     /// Of a relay, until all replicas of the partition are level.
-    Level { asker: AskerId, request: SessionRequest },
+    Level { caller: CallerId, request: SessionRequest },
     /// Of a store, until the map names its epoch.
-    Map { asker: AskerId, request: TransferRequest },
+    Map { caller: CallerId, request: TransferRequest },
 }
 
 /// The state machine of a store. It does no I/O and reads no clock.
@@ -106,7 +106,7 @@
     }
 
     /// Takes a batch that was found in a segment at the start; batches come in the order in which they were written.
-    pub fn recover(&mut self, moment: Moment, segment: u64, bytes: u64, records: Vec<StoredRecord>) {
+    pub fn recover_batch(&mut self, moment: Moment, segment: u64, bytes: u64, records: Vec<StoredRecord>) {
         self.moment = moment;
         self.ledger.add(segment, bytes);
         for stored in records {
@@ -139,7 +139,7 @@
     }
 
     /// All batches have been taken: forgets what has expired, and returns what is to be done.
-    pub fn recovered(&mut self, moment: Moment) -> Vec<Command> {
+    pub fn finish_recovery(&mut self, moment: Moment) -> Vec<Command> {
         self.moment = moment;
         self.sweep();
         self.expect_sweep();
@@ -150,10 +150,10 @@
     pub fn handle(&mut self, moment: Moment, event: Event) -> Vec<Command> {
         self.moment = moment;
         match event {
-            Event::Map(map) => self.take_map(map),
-            Event::Asked { asker, request } => self.asked(asker, request),
-            Event::Transfer { asker, request } => self.transfer(asker, request, false),
-            Event::Answered { call, answer } => self.answered(call, answer),
+            Event::StoreMap(map) => self.take_map(map),
+            Event::SessionRequest { caller, request } => self.asked(caller, request),
+            Event::TransferRequest { caller, request } => self.transfer(caller, request, false),
+            Event::CallCompleted { call, reply } => self.answered(call, reply),
             Event::BatchWritten { segment, bytes } => self.batch_written(segment, bytes),
             Event::BatchFailed => self.batch_failed(),
             Event::MapVersionWritten { version } => self.map_version_written(version),
@@ -164,7 +164,7 @@
     }
 
     /// When [`Event::Tick`] is wanted; `None` if nothing waits.
-    pub fn next_wake(&self) -> Option<Time> {
+    pub fn next_wake_at(&self) -> Option<Time> {
         self.timers.first().map(|(at, _)| *at)
     }
 
@@ -180,7 +180,7 @@
     }
 
     /// Whether some partition has its only copy here while another store is being filled with it.
-    pub fn is_filling_a_second_copy(&self) -> bool {
+    pub fn is_filling_second_replica(&self) -> bool {
         self.map.partitions.iter().any(|held| held.in_sync == [self.disk] && !held.joining.is_empty())
     }
 
@@ -234,16 +234,16 @@
             Waiting::Map { .. } => false,
         };
         for waiting in self.take_waiting(waits) {
-            if let Waiting::Level { asker, request } = waiting {
-                self.asked(asker, request);
+            if let Waiting::Level { caller, request } = waiting {
+                self.asked(caller, request);
             }
         }
     }
 
     fn resume_transfers(&mut self) {
         for waiting in self.take_waiting(|waiting| matches!(waiting, Waiting::Map { .. })) {
-            if let Waiting::Map { asker, request } = waiting {
-                self.transfer(asker, request, false);
+            if let Waiting::Map { caller, request } = waiting {
+                self.transfer(caller, request, false);
             }
         }
     }
@@ -272,8 +272,8 @@
 
     fn waited(&mut self, number: u64) {
         match self.waiting.remove(&number) {
-            Some(Waiting::Level { asker, .. }) => self.answer_undecided(asker, Undecided::NotLevel),
-            Some(Waiting::Map { asker, .. }) => self.answer_transfer(asker, TransferReply::Failed),
+            Some(Waiting::Level { caller, .. }) => self.answer_undecided(caller, Undecided::NotLevel),
+            Some(Waiting::Map { caller, .. }) => self.answer_transfer(caller, TransferReply::Failed),
             None => {}
         }
     }
--- a/crates/sessions/src/table.rs
+++ b/crates/sessions/src/table.rs
@@ -116,7 +116,7 @@
     }
 
     /// The chain that ends with `turn`, of whatever program.
-    pub fn chain_of_any(&self, turn: &RequestId) -> Chain {
+    pub fn chain_in_any_program(&self, turn: &RequestId) -> Chain {
         match self.holder(turn) {
             Some(program) => self.chain(program, turn),
             None => Chain::Unknown,
@@ -124,7 +124,7 @@
     }
 
     /// Whether the program itself holds the turn.
-    pub fn holds_turn(&self, program: &ProgramId, turn: &RequestId) -> bool {
+    pub fn has_turn(&self, program: &ProgramId, turn: &RequestId) -> bool {
         self.own_turn(program, turn).is_some()
     }
 
@@ -149,7 +149,7 @@
     }
 
     /// The same of what is on disk: a record of which a newer version waits for the disk makes its range differ.
-    pub fn digests_on_disk(&self, ranges: u16, live_after_ms: u64) -> Vec<u64> {
+    pub fn durable_digests(&self, ranges: u16, live_after_ms: u64) -> Vec<u64> {
         let on_disk = |held: &Held| if held.durable == held.version { held.digest } else { !held.digest };
         self.sum_digests(ranges, live_after_ms, on_disk)
     }
@@ -246,5 +246,5 @@
 /// jumps later drops nothing.
 fn drop_after(record: &Record, moment: Moment) -> Time {
     let expires = Span::from_millis(record.expires_at_ms) + EXPIRY_SLACK;
-    moment.now + (expires - Span::from_millis(moment.time_of_day_ms))
+    moment.now + (expires - Span::from_millis(moment.unix_time_ms))
 }
--- a/crates/sessions/src/write.rs
+++ b/crates/sessions/src/write.rs
@@ -9,10 +9,10 @@
 use juniperwing_protocol::{DiskId, PartitionId};
 
 use crate::call::Purpose;
-use crate::counts::Undecided;
-use crate::event::{AskerId, Command};
+use crate::event::{CallerId, Command};
 use crate::journal::{StoredKey, Waiter};
 use crate::limits::{ANSWER_WITHIN, RETRY_PAUSE};
+use crate::statistics::Undecided;
 use crate::store::{Store, Timer};
 
 /// Names a write.
@@ -36,7 +36,7 @@
 /// An answer that waits for a write.
 #[derive(Clone, Debug)]
 pub(crate) struct WaitingAnswer {
-    pub(crate) asker: AskerId,
+    pub(crate) caller: CallerId,
     pub(crate) reply: SessionReply,
     /// When it is answered that it cannot be done now.
     pub(crate) overdue_at: Time,
@@ -57,7 +57,7 @@
 
     /// Writes records to all replicas of a partition that this store leads, then answers.
     pub(crate) fn write(
-        &mut self, partition: PartitionId, records: Vec<Record>, asker: AskerId, reply: SessionReply,
+        &mut self, partition: PartitionId, records: Vec<Record>, caller: CallerId, reply: SessionReply,
     ) {
         for record in &records {
             self.take(partition, record);
@@ -71,7 +71,7 @@
             durable: false,
             confirmed: BTreeSet::new(),
             under_way: BTreeSet::new(),
-            answer: Some(WaitingAnswer { asker, reply, overdue_at }),
+            answer: Some(WaitingAnswer { caller, reply, overdue_at }),
         };
         self.writes.insert(id, write);
         for replica in self.replicas(partition) {
@@ -137,14 +137,14 @@
             return;
         }
         // Fewer copies than required: it stays until a map with more of them, or another primary.
-        if needed.len() + 1 + self.lost_copies(write.partition) < self.limits.required_copies {
+        if needed.len() + 1 + self.lost_copies(write.partition) < self.limits.required_replicas {
             return;
         }
         let Some(write) = self.writes.remove(&id) else { return };
         self.check_copies(&write);
         if let Some(answer) = write.answer {
             self.timers.remove(&(answer.overdue_at, Timer::Overdue(id)));
-            self.commands.push(Command::Answer { asker: answer.asker, reply: answer.reply });
+            self.commands.push(Command::SendSessionReply { caller: answer.caller, reply: answer.reply });
         }
     }
 
@@ -157,7 +157,7 @@
         let has = |disk: &DiskId| *disk == self.disk || write.confirmed.contains(disk);
         // A joining replica that is level counts as a copy: the keepers may have put it in sync already.
         let copies = 1 + write.confirmed.len();
-        let enough = copies + self.lost_copies(partition) >= self.limits.required_copies;
+        let enough = copies + self.lost_copies(partition) >= self.limits.required_replicas;
         let on_all = in_sync.iter().all(has) && in_sync.contains(&self.disk);
         check(Invariant::AcknowledgedOnAllReplicas, on_all && enough && write.durable, || {
             let request = write.records.first().map(|record| &*record.request.0);
@@ -165,11 +165,11 @@
         });
     }
 
-    /// The asker is told that it cannot be done now; the write goes on.
+    /// The caller is told that it cannot be done now; the write goes on.
     pub(crate) fn write_overdue(&mut self, id: WriteId) {
         let answer = self.writes.get_mut(&id).and_then(|write| write.answer.take());
         if let Some(answer) = answer {
-            self.answer_undecided(answer.asker, Undecided::Overdue);
+            self.answer_undecided(answer.caller, Undecided::Overdue);
         }
     }
 
@@ -188,7 +188,7 @@
         for id in self.writes_of(partition) {
             if let Some(answer) = self.writes.remove(&id).and_then(|write| write.answer) {
                 self.timers.remove(&(answer.overdue_at, Timer::Overdue(id)));
-                self.refuse(answer.asker, partition);
+                self.refuse(answer.caller, partition);
             }
         }
     }
--- a/crates/sessions/tests/common/cluster.rs
+++ b/crates/sessions/tests/common/cluster.rs
@@ -8,7 +8,7 @@
 use juniperwing_protocol::subscription::{Assignment, StoreMap, StoreNode};
 use juniperwing_protocol::transfer::{TransferReply, TransferRequest};
 use juniperwing_protocol::{DiskId, EpochNumber};
-use juniperwing_sessions::{AskerId, Command, Event, TransferCallId};
+use juniperwing_sessions::{CallerId, Command, Event, TransferCallId};
 
 use super::Chance;
 use super::clients::Clients;
@@ -166,7 +166,7 @@
             let partition = self.map.partition_of(&kept.program.0).expect("a map");
             for node in &self.nodes {
                 let table = node.store.as_ref().and_then(|store| store.table(partition));
-                let held = table.is_some_and(|t| t.holds_turn(&kept.program, &kept.turn.request));
+                let held = table.is_some_and(|t| t.has_turn(&kept.program, &kept.turn.request));
                 assert!(held, "{} is missing at {}", kept.turn.request, node.number);
             }
         }
@@ -196,7 +196,7 @@
         match packet {
             Packet::Map { to, map } => {
                 if self.nodes[to].in_touch {
-                    self.handle(to, Event::Map(map));
+                    self.handle(to, Event::StoreMap(map));
                 } else if self.keepers.is_none() && self.nodes[to].store.is_some() {
                     self.packets.push(Packet::Map { to, map });
                     self.pass_time();
@@ -212,7 +212,7 @@
             Packet::Call { from, life, to, call, request } => self.call(from, life, to, call, request),
             Packet::Answer { to, life, call, answer } => {
                 if self.lives[to] == life {
-                    self.handle(to, Event::Answered { call, answer });
+                    self.handle(to, Event::CallCompleted { call, reply: answer });
                 }
             }
         }
@@ -227,7 +227,7 @@
             self.packets.push(Packet::Ask { to, operation: 0, request: request.clone() });
         }
         let asker = self.asker(Asker::Client(operation));
-        self.handle(to, Event::Asked { asker, request });
+        self.handle(to, Event::SessionRequest { caller: asker, request });
     }
 
     fn call(&mut self, from: usize, life: u64, to: usize, call: TransferCallId, request: TransferRequest) {
@@ -242,12 +242,12 @@
             return self.packets.push(Packet::Call { from, life: 0, to, call, request });
         }
         let asker = self.asker(Asker::Store { from, life, to, call });
-        self.handle(to, Event::Transfer { asker, request });
+        self.handle(to, Event::TransferRequest { caller: asker, request });
     }
 
-    fn asker(&mut self, asker: Asker) -> AskerId {
+    fn asker(&mut self, asker: Asker) -> CallerId {
         self.askers.push(asker);
-        AskerId(self.askers.len() as u64 - 1)
+        CallerId(self.askers.len() as u64 - 1)
     }
 
     fn handle(&mut self, to: usize, event: Event) {
@@ -258,9 +258,9 @@
     fn execute(&mut self, from: usize, commands: Vec<Command>) {
         for command in commands {
             match command {
-                Command::Answer { asker, reply } => self.reply(asker, reply),
-                Command::AnswerTransfer { asker, reply } => {
-                    if let Asker::Store { from, life, call, .. } = self.askers[asker.0 as usize].clone() {
+                Command::SendSessionReply { caller, reply } => self.reply(caller, reply),
+                Command::SendTransferReply { caller, reply } => {
+                    if let Asker::Store { from, life, call, .. } = self.askers[caller.0 as usize].clone() {
                         let answer = Some(reply);
                         self.packets.push(Packet::Answer { to: from, life, call, answer });
                     }
@@ -270,7 +270,7 @@
                     let life = self.lives[from];
                     self.packets.push(Packet::Call { from, life, to, call, request });
                 }
-                Command::Report
+                Command::ReportCaughtUp
                 | Command::WriteBatch { .. }
                 | Command::RemoveSegment { .. }
                 | Command::WriteMapVersion { .. } => {}
@@ -278,7 +278,7 @@
         }
     }
 
-    fn reply(&mut self, asker: AskerId, reply: SessionReply) {
+    fn reply(&mut self, asker: CallerId, reply: SessionReply) {
         if let Asker::Client(operation) = self.askers[asker.0 as usize].clone() {
             let lost = self.chance.percent(3);
             self.packets.push(Packet::Reply { operation, reply: (!lost).then_some(reply) });
@@ -297,7 +297,7 @@
             self.packets.push(Packet::Reply { operation, reply: None });
         }
         for number in 0..self.nodes.len() {
-            let wake = self.nodes[number].store.as_ref().and_then(|store| store.next_wake());
+            let wake = self.nodes[number].store.as_ref().and_then(|store| store.next_wake_at());
             if wake.is_some_and(|wake| wake <= self.now) {
                 self.handle(number, Event::Tick);
             }
--- a/crates/sessions/tests/common/losses.rs
+++ b/crates/sessions/tests/common/losses.rs
@@ -115,7 +115,7 @@
             let held = self.map.assignment(partition).expect("a partition");
             for node in self.nodes.iter().filter(|node| held.in_sync.contains(&node.disk)) {
                 let table = node.store.as_ref().and_then(|store| store.table(partition));
-                let holds = table.is_some_and(|t| t.holds_turn(&kept.program, &kept.turn.request));
+                let holds = table.is_some_and(|t| t.has_turn(&kept.program, &kept.turn.request));
                 assert!(holds, "{} is missing at {}", kept.turn.request, node.number);
             }
         }
--- a/crates/sessions/tests/common/node.rs
+++ b/crates/sessions/tests/common/node.rs
@@ -12,7 +12,7 @@
 
 /// Copies required: the loss of one store is borne.
 pub const REQUIRED: usize = 2;
-const LIMITS: Limits = Limits { required_copies: REQUIRED, memory_bytes: 1 << 30, disk_bytes: 1 << 30 };
+const LIMITS: Limits = Limits { required_replicas: REQUIRED, memory_bytes: 1 << 30, disk_bytes: 1 << 30 };
 const BATCH_FILE_BYTES: u64 = 100;
 
 pub struct Node {
@@ -67,12 +67,12 @@
 
     /// What the store reports to the keepers.
     pub fn caught_up(&self) -> Vec<CaughtUp> {
-        self.store.as_ref().map_or(Vec::new(), |store| store.caught_up())
+        self.store.as_ref().map_or(Vec::new(), |store| store.caught_up_replicas())
     }
 
     pub fn moment(&self, now: Time) -> Moment {
         let elapsed_ms = now.since(Time::default()).as_nanos() / 1_000_000;
-        Moment { now, time_of_day_ms: self.clock_ms + elapsed_ms }
+        Moment { now, unix_time_ms: self.clock_ms + elapsed_ms }
     }
 
     /// Clocks differ by up to three seconds and may step.
@@ -163,10 +163,10 @@
     pub fn start(&mut self, now: Time) -> Vec<Command> {
         let mut store = Store::new(self.disk, LIMITS);
         for (number, records) in &self.segments {
-            store.recover(self.moment(now), *number, BATCH_FILE_BYTES, records.clone());
+            store.recover_batch(self.moment(now), *number, BATCH_FILE_BYTES, records.clone());
         }
         store.recover_map_version(self.map_version);
-        let commands = store.recovered(self.moment(now));
+        let commands = store.finish_recovery(self.moment(now));
         self.store = Some(store);
         self.use_disk(commands)
     }
--- a/crates/sessions/tests/one_copy.rs
+++ b/crates/sessions/tests/one_copy.rs
@@ -8,13 +8,13 @@
 use juniperwing_protocol::subscription::{Assignment, StoreMap, StoreNode};
 use juniperwing_protocol::transfer::TransferReply;
 use juniperwing_protocol::{DiskId, EpochNumber, NodeName, PartitionId, ProgramId, RequestId};
-use juniperwing_sessions::{AskerId, Command, Event, Limits, Moment, Store, TransferCallId};
+use juniperwing_sessions::{CallerId, Command, Event, Limits, Moment, Store, TransferCallId};
 
 const PARTITION: PartitionId = PartitionId(0);
 const OWN: DiskId = DiskId(1);
 const OTHER: DiskId = DiskId(2);
-const LIMITS: Limits = Limits { required_copies: 2, memory_bytes: 1 << 20, disk_bytes: 1 << 20 };
-const NOW: Moment = Moment { now: Time::from_nanos(1), time_of_day_ms: 1_000 };
+const LIMITS: Limits = Limits { required_replicas: 2, memory_bytes: 1 << 20, disk_bytes: 1 << 20 };
+const NOW: Moment = Moment { now: Time::from_nanos(1), unix_time_ms: 1_000 };
 /// The digests of a replica that holds nothing.
 const EMPTY: [u64; 16] = [0; 16];
 
@@ -33,7 +33,7 @@
         lost_replicas: lost_copies,
     };
     let stores = vec![store(OWN), store(OTHER)];
-    Event::Map(Arc::new(StoreMap { version, stores, partitions: vec![assignment] }))
+    Event::StoreMap(Arc::new(StoreMap { version, stores, partitions: vec![assignment] }))
 }
 
 fn alone(version: u64) -> Event {
@@ -55,12 +55,12 @@
     };
     let request =
         SessionRequest { partition: PARTITION, epoch: EpochNumber(1), body: SessionCall::Begin(begin) };
-    Event::Asked { asker: AskerId(1), request }
+    Event::SessionRequest { caller: CallerId(1), request }
 }
 
-fn reply(commands: &[Command]) -> Option<&SessionReply> {
+fn session_reply_of(commands: &[Command]) -> Option<&SessionReply> {
     commands.iter().find_map(|command| match command {
-        Command::Answer { reply, .. } => Some(reply),
+        Command::SendSessionReply { reply, .. } => Some(reply),
         _ => None,
     })
 }
@@ -76,11 +76,11 @@
 /// Begins a turn and lets the own disk finish; returns the answer, if there is one.
 fn decide(store: &mut Store, request: &str, previous: Option<&str>) -> Option<SessionReply> {
     let commands = store.handle(NOW, begin(request, previous));
-    if let Some(reply) = reply(&commands) {
+    if let Some(reply) = session_reply_of(&commands) {
         return Some(reply.clone());
     }
     let commands = store.handle(NOW, Event::BatchWritten { segment: 1, bytes: 100 });
-    reply(&commands).cloned()
+    session_reply_of(&commands).cloned()
 }
 
 /// A store whose only companion is back and level, as the store has found out.
@@ -88,8 +88,8 @@
     let mut store = Store::new(OWN, LIMITS);
     store.handle(NOW, alone(2));
     let compare = call(&store.handle(NOW, joined(3)));
-    let answer = Some(TransferReply::Digests(EMPTY.to_vec()));
-    let commands = store.handle(NOW, Event::Answered { call: compare, answer });
+    let reply = Some(TransferReply::Digests(EMPTY.to_vec()));
+    let commands = store.handle(NOW, Event::CallCompleted { call: compare, reply });
     (store, commands)
 }
 
@@ -117,12 +117,12 @@
     // Guard: `lost_copies` in `finish_write`.
     let mut store = Store::new(OWN, LIMITS);
     let compare = call(&store.handle(NOW, map(1, &[OWN, OTHER], &[], 0)));
-    let answer = Some(TransferReply::Digests(EMPTY.to_vec()));
-    store.handle(NOW, Event::Answered { call: compare, answer });
+    let reply = Some(TransferReply::Digests(EMPTY.to_vec()));
+    store.handle(NOW, Event::CallCompleted { call: compare, reply });
     assert_eq!(decide(&mut store, "a", None), None);
-    assert_eq!(reply(&store.handle(NOW, map(2, &[OWN], &[], 0))), None);
+    assert_eq!(session_reply_of(&store.handle(NOW, map(2, &[OWN], &[], 0))), None);
     let commands = store.handle(NOW, alone(3));
-    assert_eq!(reply(&commands), Some(&SessionReply::TurnBegun { chain: Vec::new() }));
+    assert_eq!(session_reply_of(&commands), Some(&SessionReply::TurnBegun { chain: Vec::new() }));
 }
 
 #[test]
@@ -138,16 +138,16 @@
     // Guard: `caught_up` tells nothing of maps that are not on disk.
     let (mut store, commands) = level();
     assert_eq!(commands, [Command::WriteMapVersion { version: 3 }]);
-    assert_eq!(store.caught_up(), []);
-    assert_eq!(store.handle(NOW, Event::MapVersionWritten { version: 3 }), [Command::Report]);
-    assert_eq!(store.caught_up().len(), 1);
+    assert_eq!(store.caught_up_replicas(), []);
+    assert_eq!(store.handle(NOW, Event::MapVersionWritten { version: 3 }), [Command::ReportCaughtUp]);
+    assert_eq!(store.caught_up_replicas().len(), 1);
 }
 
 #[test]
 fn a_disk_that_refuses_the_version_is_asked_again() {
     let (mut store, _) = level();
     assert_eq!(store.handle(NOW, Event::MapVersionFailed), []);
-    let later = Moment { now: store.next_wake().expect("a timer"), ..NOW };
+    let later = Moment { now: store.next_wake_at().expect("a timer"), ..NOW };
     assert_eq!(store.handle(later, Event::Tick), [Command::WriteMapVersion { version: 3 }]);
 }
 
--- a/crates/sessions/tests/traces.rs
+++ b/crates/sessions/tests/traces.rs
@@ -10,12 +10,12 @@
 use juniperwing_protocol::subscription::{Assignment, StoreMap, StoreNode};
 use juniperwing_protocol::transfer::{Record, TransferReply, TransferRequest};
 use juniperwing_protocol::{DiskId, EpochNumber, NodeName, PartitionId, ProgramId, RequestId};
-use juniperwing_sessions::{AskerId, Command, Event, Limits, Moment, Store, TransferCallId};
+use juniperwing_sessions::{CallerId, Command, Event, Limits, Moment, Store, TransferCallId};
 
 const PARTITION: PartitionId = PartitionId(0);
 const OWN: DiskId = DiskId(1);
 const OTHER: DiskId = DiskId(2);
-const LIMITS: Limits = Limits { required_copies: 2, memory_bytes: 1 << 20, disk_bytes: 1 << 20 };
+const LIMITS: Limits = Limits { required_replicas: 2, memory_bytes: 1 << 20, disk_bytes: 1 << 20 };
 
 /// A store with a clock that the test moves and a disk that it lets finish.
 struct Trace {
@@ -49,7 +49,7 @@
 
     fn with(limits: Limits) -> (Self, Vec<Command>) {
         let mut trace = Trace { store: Store::new(OWN, limits), now: Time::from_nanos(1), segment: 0 };
-        let commands = trace.handle(Event::Map(map(1, 1, OWN)));
+        let commands = trace.handle(Event::StoreMap(map(1, 1, OWN)));
         (trace, commands)
     }
 
@@ -62,10 +62,7 @@
     }
 
     fn moment(&self) -> Moment {
-        Moment {
-            now: self.now,
-            time_of_day_ms: 1_000 + self.now.since(Time::default()).as_nanos() / 1_000_000,
-        }
+        Moment { now: self.now, unix_time_ms: 1_000 + self.now.since(Time::default()).as_nanos() / 1_000_000 }
     }
 
     fn handle(&mut self, event: Event) -> Vec<Command> {
@@ -75,11 +72,11 @@
 
     fn ask(&mut self, asker: u64, body: SessionCall) -> Vec<Command> {
         let request = SessionRequest { partition: PARTITION, epoch: EpochNumber(1), body };
-        self.handle(Event::Asked { asker: AskerId(asker), request })
+        self.handle(Event::SessionRequest { caller: CallerId(asker), request })
     }
 
     fn answer(&mut self, call: TransferCallId, answer: TransferReply) -> Vec<Command> {
-        self.handle(Event::Answered { call, answer: Some(answer) })
+        self.handle(Event::CallCompleted { call, reply: Some(answer) })
     }
 
     fn synced(&mut self) -> Vec<Command> {
@@ -115,7 +112,7 @@
 
 fn reply_of(commands: &[Command]) -> Option<SessionReply> {
     commands.iter().find_map(|command| match command {
-        Command::Answer { reply, .. } => Some(reply.clone()),
+        Command::SendSessionReply { reply, .. } => Some(reply.clone()),
         _ => None,
     })
 }
@@ -134,7 +131,7 @@
 
 fn transfer_reply_of(commands: &[Command]) -> Option<TransferReply> {
     commands.iter().find_map(|command| match command {
-        Command::AnswerTransfer { reply, .. } => Some(reply.clone()),
+        Command::SendTransferReply { reply, .. } => Some(reply.clone()),
         _ => None,
     })
 }
@@ -213,7 +210,7 @@
     let commands = trace.ask(1, begin("a", None, Some(100)));
     let (call, _) = call_of(&commands);
     trace.synced();
-    assert_eq!(reply_of(&trace.handle(Event::Answered { call, answer: None })), None);
+    assert_eq!(reply_of(&trace.handle(Event::CallCompleted { call, reply: None })), None);
     let again = trace.later(Span::from_millis(200));
     assert!(matches!(call_of(&again).1, TransferRequest::Write { .. }));
     assert_eq!(reply_of(&trace.later(Span::from_millis(2_000))), Some(SessionReply::Unavailable));
@@ -243,14 +240,14 @@
 #[test]
 fn a_reservation_that_an_old_primary_left_behind_does_not_admit() {
     let (mut trace, _) = Trace::new();
-    trace.handle(Event::Map(map(2, 2, OTHER)));
+    trace.handle(Event::StoreMap(map(2, 2, OTHER)));
     let reserved = Record { tokens: 40, is_committed: false, ..record("a") };
     let records = vec![reserved, Record { tokens: 40, ..record("b") }];
     let request = TransferRequest::Write { partition: PARTITION, epoch: EpochNumber(2), records };
-    trace.handle(Event::Transfer { asker: AskerId(1), request });
+    trace.handle(Event::TransferRequest { caller: CallerId(1), request });
     trace.synced();
-    let (call, _) = call_of(&trace.handle(Event::Map(map(3, 3, OWN))));
-    let level = trace.store.table(PARTITION).unwrap().digests(16, trace.moment().time_of_day_ms);
+    let (call, _) = call_of(&trace.handle(Event::StoreMap(map(3, 3, OWN))));
+    let level = trace.store.table(PARTITION).unwrap().digests(16, trace.moment().unix_time_ms);
     trace.answer(call, TransferReply::Digests(level));
     assert_eq!(trace.decide(2, begin("a", None, Some(79))), SessionReply::BudgetExhausted);
     assert_eq!(trace.decide(3, begin("a", None, Some(80))), BEGUN);
@@ -300,7 +297,7 @@
 fn a_denial_confirmed_in_an_epoch_that_is_over_is_not_given() {
     let mut trace = Trace::leading();
     let (call, _) = call_of(&trace.ask(1, begin("a", Some("nobody"), None)));
-    trace.handle(Event::Map(map(2, 2, OTHER)));
+    trace.handle(Event::StoreMap(map(2, 2, OTHER)));
     let answer = trace.answer(call, TransferReply::Written);
     assert_eq!(reply_of(&answer), Some(SessionReply::Unavailable));
 }
@@ -319,7 +316,7 @@
     assert!(matches!(request, TransferRequest::Write { ref records, .. } if records.len() == 1));
     let (digests, _) = call_of(&trace.answer(push, TransferReply::Written));
     let partition = trace.store.table(PARTITION).unwrap();
-    let level = partition.digests(16, trace.moment().time_of_day_ms);
+    let level = partition.digests(16, trace.moment().unix_time_ms);
     let commands = trace.answer(digests, TransferReply::Digests(level));
     // Now it is admitted: written, and not denied.
     assert!(matches!(call_of(&commands).1, TransferRequest::Write { .. }));
@@ -328,17 +325,18 @@
 #[test]
 fn a_replica_answers_when_the_disk_has_it_and_gathers_meanwhile() {
     let (mut trace, _) = Trace::new();
-    trace.handle(Event::Map(map(2, 2, OTHER)));
-    let first = trace.handle(Event::Transfer { asker: AskerId(1), request: write(2) });
+    trace.handle(Event::StoreMap(map(2, 2, OTHER)));
+    let first = trace.handle(Event::TransferRequest { caller: CallerId(1), request: write(2) });
     assert!(matches!(first[..], [Command::WriteBatch { .. }]));
     let mut second = write(2);
     if let TransferRequest::Write { records, .. } = &mut second {
         records[0].tokens = 9;
     }
-    assert_eq!(trace.handle(Event::Transfer { asker: AskerId(2), request: second.clone() }), []);
-    assert_eq!(trace.handle(Event::Transfer { asker: AskerId(3), request: second }), []);
+    assert_eq!(trace.handle(Event::TransferRequest { caller: CallerId(2), request: second.clone() }), []);
+    assert_eq!(trace.handle(Event::TransferRequest { caller: CallerId(3), request: second }), []);
     let commands = trace.synced();
-    let written = |asker| Command::AnswerTransfer { asker: AskerId(asker), reply: TransferReply::Written };
+    let written =
+        |asker| Command::SendTransferReply { caller: CallerId(asker), reply: TransferReply::Written };
     assert!(commands.contains(&written(1)) && !commands.contains(&written(2)));
     let commands = trace.synced();
     assert!(commands.contains(&written(2)) && commands.contains(&written(3)));
@@ -347,14 +345,14 @@
 #[test]
 fn a_replica_fences_an_old_primary_and_waits_for_the_map_of_a_new_one() {
     let (mut trace, _) = Trace::new();
-    trace.handle(Event::Map(map(2, 2, OTHER)));
-    let old = trace.handle(Event::Transfer { asker: AskerId(1), request: write(1) });
+    trace.handle(Event::StoreMap(map(2, 2, OTHER)));
+    let old = trace.handle(Event::TransferRequest { caller: CallerId(1), request: write(1) });
     assert_eq!(transfer_reply_of(&old), Some(TransferReply::Fenced { epoch: EpochNumber(2) }));
-    assert_eq!(trace.handle(Event::Transfer { asker: AskerId(2), request: write(3) }), []);
-    let known = trace.handle(Event::Map(map(3, 3, OTHER)));
+    assert_eq!(trace.handle(Event::TransferRequest { caller: CallerId(2), request: write(3) }), []);
+    let known = trace.handle(Event::StoreMap(map(3, 3, OTHER)));
     assert!(known.iter().any(|command| matches!(command, Command::WriteBatch { .. })));
     assert_eq!(
-        transfer_reply_of(&trace.handle(Event::Transfer { asker: AskerId(3), request: write(9) })),
+        transfer_reply_of(&trace.handle(Event::TransferRequest { caller: CallerId(3), request: write(9) })),
         None
     );
     let failed = trace.later(Span::from_millis(1_000));
@@ -364,8 +362,8 @@
 #[test]
 fn a_replica_whose_disk_fails_confirms_nothing() {
     let (mut trace, _) = Trace::new();
-    trace.handle(Event::Map(map(2, 2, OTHER)));
-    trace.handle(Event::Transfer { asker: AskerId(1), request: write(2) });
+    trace.handle(Event::StoreMap(map(2, 2, OTHER)));
+    trace.handle(Event::TransferRequest { caller: CallerId(1), request: write(2) });
     let failed = trace.handle(Event::BatchFailed);
     assert_eq!(transfer_reply_of(&failed), Some(TransferReply::Failed));
     // The record is written as soon as the disk takes it.
@@ -376,26 +374,26 @@
 #[test]
 fn digests_do_not_count_what_the_disk_lacks() {
     let (mut trace, _) = Trace::new();
-    trace.handle(Event::Map(map(2, 2, OTHER)));
+    trace.handle(Event::StoreMap(map(2, 2, OTHER)));
     let digests = TransferRequest::Digests {
         partition: PARTITION,
         epoch: EpochNumber(2),
         ranges: 16,
         live_after_ms: 0,
     };
-    trace.handle(Event::Transfer { asker: AskerId(1), request: write(2) });
+    trace.handle(Event::TransferRequest { caller: CallerId(1), request: write(2) });
     // Waits for the batch that is under way; another record comes before that ends.
-    assert_eq!(trace.handle(Event::Transfer { asker: AskerId(2), request: digests }), []);
+    assert_eq!(trace.handle(Event::TransferRequest { caller: CallerId(2), request: digests }), []);
     let request = TransferRequest::Write {
         partition: PARTITION,
         epoch: EpochNumber(2),
         records: vec![record("later")],
     };
-    trace.handle(Event::Transfer { asker: AskerId(3), request });
+    trace.handle(Event::TransferRequest { caller: CallerId(3), request });
     let commands = trace.synced();
     let in_memory = trace.store.table(PARTITION).unwrap().digests(16, 0);
     let told = commands.iter().find_map(|command| match command {
-        Command::AnswerTransfer { reply: TransferReply::Digests(digests), .. } => Some(digests.clone()),
+        Command::SendTransferReply { reply: TransferReply::Digests(digests), .. } => Some(digests.clone()),
         _ => None,
     });
     assert!(told.is_some_and(|told| told != in_memory));
@@ -413,11 +411,11 @@
 
 #[test]
 fn too_few_replicas_and_another_primary_decide_nothing() {
-    let (mut trace, commands) = Trace::with(Limits { required_copies: 3, ..LIMITS });
+    let (mut trace, commands) = Trace::with(Limits { required_replicas: 3, ..LIMITS });
     let (call, _) = call_of(&commands);
     trace.answer(call, TransferReply::Digests(vec![0; 16]));
     assert_eq!(trace.decide(1, begin("a", None, Some(9))), SessionReply::Unavailable);
-    trace.handle(Event::Map(map(2, 2, OTHER)));
+    trace.handle(Event::StoreMap(map(2, 2, OTHER)));
     let refused = SessionReply::NotPrimary { epoch: EpochNumber(2) };
     assert_eq!(trace.decide(2, begin("a", None, Some(9))), refused);
 }
@@ -434,13 +432,13 @@
         })
         .unwrap();
     let mut again = Store::new(OWN, LIMITS);
-    again.recover(trace.moment(), 4, 100, records.clone());
-    assert_eq!(again.recovered(trace.moment()), []);
-    assert!(again.table(PARTITION).unwrap().holds_turn(&ProgramId::from("p"), &RequestId::from("a")));
+    again.recover_batch(trace.moment(), 4, 100, records.clone());
+    assert_eq!(again.finish_recovery(trace.moment()), []);
+    assert!(again.table(PARTITION).unwrap().has_turn(&ProgramId::from("p"), &RequestId::from("a")));
     trace.now = trace.now + Span::from_millis(200_000);
     let mut late = Store::new(OWN, LIMITS);
-    late.recover(trace.moment(), 4, 100, records);
-    assert_eq!(late.recovered(trace.moment()), [Command::RemoveSegment { segment: 4 }]);
+    late.recover_batch(trace.moment(), 4, 100, records);
+    assert_eq!(late.finish_recovery(trace.moment()), [Command::RemoveSegment { segment: 4 }]);
     assert!(late.table(PARTITION).unwrap().is_empty());
 }
 
@@ -449,9 +447,9 @@
     let mut trace = Trace::leading();
     assert_eq!(trace.decide(1, keep("a", None)), SessionReply::TurnFinished);
     trace.now = trace.now + Span::from_millis(20_000);
-    let jumped = Moment { time_of_day_ms: 10_000_000_000, ..trace.moment() };
+    let jumped = Moment { unix_time_ms: 10_000_000_000, ..trace.moment() };
     trace.store.handle(jumped, Event::Tick);
-    assert!(trace.store.table(PARTITION).unwrap().holds_turn(&ProgramId::from("p"), &RequestId::from("a")));
+    assert!(trace.store.table(PARTITION).unwrap().has_turn(&ProgramId::from("p"), &RequestId::from("a")));
 }
 
 #[test]
