--- a/crates/node/tests/relay/turns.rs
+++ b/crates/node/tests/relay/turns.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::{Request, StatusCode};
 use http_body_util::Full;
-use juniperwing_node::relay::sessions::SessionFault;
+use juniperwing_node::relay::sessions::TurnError;
 use juniperwing_node::sessions_client::StoreFailureReason;
 use juniperwing_protocol::identity::RequestId;
 use tokio::sync::Notify;
@@ -113,10 +113,10 @@
     let endpoint = Endpoint::start("i-1", two_events).await;
     let bench = Bench::with(&[&endpoint]).await;
     let denials = [
-        (SessionFault::BudgetSpent, StatusCode::PAYMENT_REQUIRED),
-        (SessionFault::UnknownTurn, StatusCode::NOT_FOUND),
+        (TurnError::BudgetExhausted, StatusCode::PAYMENT_REQUIRED),
+        (TurnError::UnknownTurn, StatusCode::NOT_FOUND),
         (
-            SessionFault::Unavailable { trouble: StoreFailureReason::TimedOut.into() },
+            TurnError::Unavailable { trouble: StoreFailureReason::TimedOut.into() },
             StatusCode::SERVICE_UNAVAILABLE,
         ),
     ];
