--- a/crates/sessions/src/call.rs
+++ b/crates/sessions/src/call.rs
@@ -3,48 +3,50 @@
 use juniperwing_protocol::DiskId;
 use juniperwing_protocol::transfer::{TransferReply, TransferRequest};
 
+use crate::anti_entropy::SyncStep;
 use crate::event::{Command, TransferCallId};
-use crate::levelling::LevelStep;
-use crate::primary::RoundId;
+use crate::primary::EpochConfirmationId;
 use crate::store::Store;
 use crate::write::WriteId;
 
 /// What a call is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Purpose {
+pub(crate) enum CallPurpose {
     /// To copy a write to a replica.
     Write { write: WriteId, replica: DiskId },
     /// To confirm an epoch before something is denied.
-    Confirm { round: RoundId },
+    ConfirmEpochs { confirmation: EpochConfirmationId },
     /// To make a replica level.
-    Level(LevelStep),
+    Sync(SyncStep),
 }
 
 impl Store {
     /// Calls a store. One that the map does not name counts as one that does not answer.
-    pub(crate) fn call(&mut self, replica: DiskId, request: TransferRequest, purpose: Purpose) {
+    pub(crate) fn call_store(&mut self, replica: DiskId, request: TransferRequest, purpose: CallPurpose) {
         match self.map.store(replica).map(|store| store.address) {
             Some(to) => {
                 let call = TransferCallId(self.next_number());
                 self.calls.insert(call, purpose);
                 self.commands.push(Command::Call { call, to, request });
             }
-            None => self.ended(purpose, None),
+            None => self.complete_call(purpose, None),
         }
     }
 
     /// A call has ended.
-    pub(crate) fn answered(&mut self, call: TransferCallId, answer: Option<TransferReply>) {
+    pub(crate) fn handle_call_completed(&mut self, call: TransferCallId, answer: Option<TransferReply>) {
         if let Some(purpose) = self.calls.remove(&call) {
-            self.ended(purpose, answer);
+            self.complete_call(purpose, answer);
         }
     }
 
-    fn ended(&mut self, purpose: Purpose, answer: Option<TransferReply>) {
+    fn complete_call(&mut self, purpose: CallPurpose, answer: Option<TransferReply>) {
         match purpose {
-            Purpose::Write { write, replica } => self.write_answered(write, replica, answer),
-            Purpose::Confirm { round } => self.confirm_answered(round, answer),
-            Purpose::Level(step) => self.level_answered(step, answer),
+            CallPurpose::Write { write, replica } => self.handle_write_reply(write, replica, answer),
+            CallPurpose::ConfirmEpochs { confirmation } => {
+                self.handle_epoch_confirmation(confirmation, answer)
+            }
+            CallPurpose::Sync(step) => self.handle_sync_reply(step, answer),
         }
     }
 }
--- a/crates/sessions/src/lib.rs
+++ b/crates/sessions/src/lib.rs
@@ -6,21 +6,21 @@
 //! is handed a [`Moment`] and an [`Event`] and returns [`Command`]s; the process around it owns the sockets,
 //! the disk and the clocks.
 
+mod anti_entropy;
 mod batch;
 mod call;
 mod event;
-mod journal;
-mod ledger;
-mod levelling;
+mod group_commit;
 mod limits;
 mod map_version;
 mod merge;
 mod primary;
 mod program;
-mod replica;
+mod segment_usage;
 mod statistics;
 mod store;
 mod table;
+mod transfer;
 mod write;
 
 pub use batch::{StoredRecord, decode_batch, encode_batch};
--- a/crates/sessions/src/map_version.rs
+++ b/crates/sessions/src/map_version.rs
@@ -9,38 +9,38 @@
 /// The newest version on disk, and the one that is being written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct DurableMapVersion {
-    on_disk: u64,
-    under_way: Option<u64>,
+    durable: u64,
+    in_flight: Option<u64>,
 }
 
 impl DurableMapVersion {
     /// The version found on disk at the start.
     pub(crate) fn recover(&mut self, version: u64) {
-        self.on_disk = self.on_disk.max(version);
+        self.durable = self.durable.max(version);
     }
 
     /// The newest version on disk.
-    pub(crate) fn on_disk(&self) -> u64 {
-        self.on_disk
+    pub(crate) fn durable(&self) -> u64 {
+        self.durable
     }
 
     /// Asks for a version on disk; `true` if it is to be written now.
-    pub(crate) fn request(&mut self, version: u64) -> bool {
-        if self.on_disk >= version || self.under_way.is_some() {
+    pub(crate) fn start_write(&mut self, version: u64) -> bool {
+        if self.durable >= version || self.in_flight.is_some() {
             return false;
         }
-        self.under_way = Some(version);
+        self.in_flight = Some(version);
         true
     }
 
     /// The version is on disk.
-    pub(crate) fn succeed(&mut self, version: u64) {
-        self.under_way = None;
+    pub(crate) fn complete_write(&mut self, version: u64) {
+        self.in_flight = None;
         self.recover(version);
     }
 
     /// The disk has refused; the next report asks again.
-    pub(crate) fn fail(&mut self) {
-        self.under_way = None;
+    pub(crate) fn fail_write(&mut self) {
+        self.in_flight = None;
     }
 }
--- a/crates/sessions/src/merge.rs
+++ b/crates/sessions/src/merge.rs
@@ -8,12 +8,12 @@
 /// A settled record supersedes a reserved one; of two alike, the larger number of tokens counts. The later
 /// expiry counts. A turn stays.
 pub fn merge(record: &mut Record, other: &Record) -> bool {
-    let account = merge_account(record, other);
+    let account = merge_tokens(record, other);
     let turn = merge_turn(&mut record.turn, other.turn.as_ref());
     account || turn
 }
 
-fn merge_account(record: &mut Record, other: &Record) -> bool {
+fn merge_tokens(record: &mut Record, other: &Record) -> bool {
     let before = (record.is_committed, record.tokens, record.expires_at_ms);
     if other.is_committed && !record.is_committed {
         record.is_committed = true;
@@ -30,13 +30,13 @@
 /// the same one.
 fn merge_turn(held: &mut Option<Turn>, other: Option<&Turn>) -> bool {
     let Some(other) = other else { return false };
-    let replaces = held.as_ref().is_none_or(|held| order(held) < order(other));
+    let replaces = held.as_ref().is_none_or(|held| tie_break_key(held) < tie_break_key(other));
     if replaces {
         *held = Some(other.clone());
     }
     replaces
 }
 
-fn order(turn: &Turn) -> impl Ord + '_ {
+fn tie_break_key(turn: &Turn) -> impl Ord + '_ {
     (&turn.output, &turn.input, &turn.previous, turn.retention_ms, &turn.endpoint, &turn.request)
 }
--- a/crates/sessions/src/primary.rs
+++ b/crates/sessions/src/primary.rs
@@ -9,100 +9,104 @@
 use juniperwing_protocol::transfer::{Record, TransferReply, TransferRequest};
 use juniperwing_protocol::{DiskId, EpochNumber, PartitionId, RequestId};
 
-use crate::call::Purpose;
+use crate::call::CallPurpose;
 use crate::event::{CallerId, Command};
 use crate::limits::{
-    ANSWER_WITHIN, BUDGET_MEMORY_MS, KEPT_MEMORY_MS, MAX_RETENTION_MS, MAX_WAITING, MAX_WRITES,
-    RESERVED_MEMORY_MS,
+    BUDGET_RETENTION_MS, MAX_PENDING_WRITES, MAX_RETENTION_MS, MAX_WAITING_REQUESTS,
+    MIN_STORED_TURN_RETENTION_MS, REQUEST_TIMEOUT, RESERVATION_RETENTION_MS,
 };
-use crate::statistics::Undecided;
-use crate::store::{Store, Timer, Waiting};
+use crate::statistics::UnavailableReason;
+use crate::store::{Store, Timer, WaitingRequest};
 use crate::table::Chain;
 
 /// Names a round in which the other replicas confirm that this store still leads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(crate) struct RoundId(u64);
+pub(crate) struct EpochConfirmationId(u64);
 
 /// A round before a denial. An old primary whose epoch is over never gets it confirmed.
 #[derive(Clone, Debug)]
-pub(crate) struct Round {
+pub(crate) struct EpochConfirmation {
     caller: CallerId,
     request: SessionRequest,
     epochs: Vec<PartitionEpoch>,
-    outstanding: usize,
+    outstanding_replies: usize,
 }
 
 /// Whether the epochs by which a denial is given have been confirmed since the question came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Certainty {
-    Presumed,
+enum EpochCertainty {
+    Unconfirmed,
     Confirmed,
 }
 
 impl Store {
     /// A relay asks.
-    pub(crate) fn asked(&mut self, caller: CallerId, request: SessionRequest) {
-        self.decide(caller, request, Certainty::Presumed);
+    pub(crate) fn handle_session_request(&mut self, caller: CallerId, request: SessionRequest) {
+        self.decide(caller, request, EpochCertainty::Unconfirmed);
     }
 
-    fn decide(&mut self, caller: CallerId, request: SessionRequest, certainty: Certainty) {
+    fn decide(&mut self, caller: CallerId, request: SessionRequest, certainty: EpochCertainty) {
         if let SessionCall::Find { turn, partitions } = &request.body {
             let (turn, partitions) = (turn.clone(), partitions.clone());
-            return self.find(caller, request, &turn, partitions, certainty);
+            return self.handle_find(caller, request, &turn, partitions, certainty);
         }
         let partition = request.partition;
-        let leads = self.leads.get(&partition).is_some_and(|lead| lead.epoch >= request.epoch);
+        let leads = self.led_partitions.get(&partition).is_some_and(|lead| lead.epoch >= request.epoch);
         if !leads {
-            return self.refuse(caller, partition);
+            return self.send_not_primary(caller, partition);
         }
-        if !self.has_copies(partition) {
-            return self.answer_undecided(caller, Undecided::TooFewCopies);
+        if !self.has_required_replicas(partition) {
+            return self.send_unavailable(caller, UnavailableReason::TooFewReplicas);
         }
-        if self.writes.len() >= MAX_WRITES {
-            return self.answer_undecided(caller, Undecided::TooManyWrites);
+        if self.pending_writes.len() >= MAX_PENDING_WRITES {
+            return self.send_unavailable(caller, UnavailableReason::TooManyPendingWrites);
         }
         match &request.body {
             SessionCall::Finish(finish) => {
                 let finish = finish.clone();
-                self.finish(caller, partition, finish);
+                self.handle_finish(caller, partition, finish);
             }
             SessionCall::Begin(begin) if begin.budget.is_none() && begin.previous.is_none() => {
-                self.answer(caller, SessionReply::TurnBegun { chain: Vec::new() });
+                self.send_session_reply(caller, SessionReply::TurnBegun { chain: Vec::new() });
             }
-            SessionCall::Begin(_) if !self.is_levelled(partition) => self.wait_for_level(caller, request),
+            SessionCall::Begin(_) if !self.is_synchronized(partition) => self.wait_for_sync(caller, request),
             SessionCall::Begin(begin) => {
                 let begin = begin.clone();
-                self.begin(caller, request, &begin, certainty);
+                self.handle_begin(caller, request, &begin, certainty);
             }
             SessionCall::Find { .. } => {}
         }
     }
 
-    fn begin(&mut self, caller: CallerId, request: SessionRequest, begin: &BeginTurn, certainty: Certainty) {
-        if self.is_full() {
-            return self.answer_undecided(caller, Undecided::Full);
+    fn handle_begin(
+        &mut self, caller: CallerId, request: SessionRequest, begin: &BeginTurn, certainty: EpochCertainty,
+    ) {
+        if self.is_capacity_exhausted() {
+            return self.send_unavailable(caller, UnavailableReason::CapacityExhausted);
         }
         let partition = request.partition;
         let chain = match self.chain_for(partition, begin) {
             Chain::Found(chain) => chain,
-            Chain::Broken => return self.answer_undecided(caller, Undecided::BrokenChain),
+            Chain::Broken => return self.send_unavailable(caller, UnavailableReason::BrokenChain),
             Chain::Unknown => return self.deny(caller, request, SessionReply::UnknownTurn, certainty),
         };
-        let mut records = self.imports(partition, begin, &chain);
+        let mut records = self.imported_records(partition, begin, &chain);
         if let Some(budget) = begin.budget {
-            match self.admit(partition, begin, budget) {
+            match self.admit_turn(partition, begin, budget) {
                 Admission::Admitted(record) => records.push(*record),
-                Admission::Settled => return self.answer_undecided(caller, Undecided::AlreadySettled),
-                Admission::Spent => {
+                Admission::AlreadyCommitted => {
+                    return self.send_unavailable(caller, UnavailableReason::AlreadyCommitted);
+                }
+                Admission::BudgetExhausted => {
                     return self.deny(caller, request, SessionReply::BudgetExhausted, certainty);
                 }
             }
         }
         let reply = SessionReply::TurnBegun { chain };
         if records.is_empty() {
-            return self.answer(caller, reply);
+            return self.send_session_reply(caller, reply);
         }
-        self.write(partition, records, caller, reply);
+        self.start_write(partition, records, caller, reply);
         self.check_budget(partition, begin);
     }
 
@@ -112,7 +116,7 @@
             Some(table) => table.chain(&begin.program, previous),
             None => Chain::Unknown,
         };
-        if matches!(held, Chain::Found(_)) || !is_chain(&begin.imported, previous) {
+        if matches!(held, Chain::Found(_)) || !is_complete_chain(&begin.imported, previous) {
             return held;
         }
         Chain::Found(begin.imported.clone())
@@ -120,11 +124,11 @@
 
     /// Records of the turns of other programs that this one continues from: everything that a program needs is
     /// kept with it, for as long as it.
-    fn imports(&self, partition: PartitionId, begin: &BeginTurn, chain: &[Turn]) -> Vec<Record> {
+    fn imported_records(&self, partition: PartitionId, begin: &BeginTurn, chain: &[Turn]) -> Vec<Record> {
         let table = self.tables.get(&partition);
         let foreign =
             chain.iter().filter(|turn| !table.is_some_and(|t| t.has_turn(&begin.program, &turn.request)));
-        let expires_at_ms = self.moment.unix_time_ms.saturating_add(RESERVED_MEMORY_MS);
+        let expires_at_ms = self.moment.unix_time_ms.saturating_add(RESERVATION_RETENTION_MS);
         let record = |turn: &Turn| Record {
             program: begin.program.clone(),
             request: turn.request.clone(),
@@ -137,18 +141,18 @@
     }
 
     /// Counts a turn at its most, if the budget allows it.
-    fn admit(&self, partition: PartitionId, begin: &BeginTurn, budget: u64) -> Admission {
+    fn admit_turn(&self, partition: PartitionId, begin: &BeginTurn, budget: u64) -> Admission {
         let table = self.tables.get(&partition);
         let known = table.and_then(|table| table.record(&begin.program, &begin.request));
         if known.is_some_and(|record| record.is_committed) {
-            return Admission::Settled;
+            return Admission::AlreadyCommitted;
         }
         let reserved = known.map_or(0, |record| record.tokens);
         let spent = table.map_or(0, |table| table.tokens_except(&begin.program, &begin.request));
         let tokens = begin.max_tokens.max(reserved);
         // A reservation that is there already proves nothing: an old primary may have left it unacknowledged.
         if spent.saturating_add(tokens) > budget {
-            return Admission::Spent;
+            return Admission::BudgetExhausted;
         }
         Admission::Admitted(Box::new(Record {
             program: begin.program.clone(),
@@ -156,7 +160,7 @@
             tokens,
             is_committed: false,
             turn: None,
-            expires_at_ms: self.moment.unix_time_ms.saturating_add(RESERVED_MEMORY_MS),
+            expires_at_ms: self.moment.unix_time_ms.saturating_add(RESERVATION_RETENTION_MS),
         }))
     }
 
@@ -170,7 +174,7 @@
     }
 
     /// A turn is settled at no more than was reserved, and kept with one content.
-    fn check_settlement(&self, partition: PartitionId, finish: &FinishTurn) {
+    fn check_commit(&self, partition: PartitionId, finish: &FinishTurn) {
         let table = self.tables.get(&partition);
         let Some(known) = table.and_then(|table| table.record(&finish.program, &finish.request)) else {
             return;
@@ -185,14 +189,14 @@
         check(Invariant::StoredTurnIsImmutable, same, name);
     }
 
-    fn finish(&mut self, caller: CallerId, partition: PartitionId, finish: FinishTurn) {
+    fn handle_finish(&mut self, caller: CallerId, partition: PartitionId, finish: FinishTurn) {
         if finish.stored_turn.as_ref().is_some_and(|turn| turn.request != finish.request) {
-            return self.answer_undecided(caller, Undecided::WrongTurn);
+            return self.send_unavailable(caller, UnavailableReason::StoredTurnMismatch);
         }
-        self.check_settlement(partition, &finish);
+        self.check_commit(partition, &finish);
         let memory_ms = match &finish.stored_turn {
-            Some(turn) => turn.retention_ms.clamp(KEPT_MEMORY_MS, MAX_RETENTION_MS),
-            None => BUDGET_MEMORY_MS,
+            Some(turn) => turn.retention_ms.clamp(MIN_STORED_TURN_RETENTION_MS, MAX_RETENTION_MS),
+            None => BUDGET_RETENTION_MS,
         };
         let record = Record {
             program: finish.program,
@@ -202,125 +206,134 @@
             turn: finish.stored_turn,
             expires_at_ms: self.moment.unix_time_ms.saturating_add(memory_ms),
         };
-        self.write(partition, vec![record], caller, SessionReply::TurnFinished);
+        self.start_write(partition, vec![record], caller, SessionReply::TurnFinished);
     }
 
-    fn find(
+    fn handle_find(
         &mut self, caller: CallerId, request: SessionRequest, turn: &RequestId,
-        partitions: Vec<PartitionEpoch>, certainty: Certainty,
+        partitions: Vec<PartitionEpoch>, certainty: EpochCertainty,
     ) {
         // What is held is true, whoever leads the partition.
         let held = self.tables.values().map(|table| table.chain_in_any_program(turn));
         if let Some(Chain::Found(chain)) = held.into_iter().find(|chain| matches!(chain, Chain::Found(_))) {
-            return self.answer(caller, SessionReply::TurnFound { chain });
+            return self.send_session_reply(caller, SessionReply::TurnFound { chain });
         }
         for named in &partitions {
-            if self.leads.get(&named.partition).is_none_or(|lead| lead.epoch < named.epoch) {
-                return self.refuse(caller, named.partition);
+            if self.led_partitions.get(&named.partition).is_none_or(|lead| lead.epoch < named.epoch) {
+                return self.send_not_primary(caller, named.partition);
             }
-            if !self.has_copies(named.partition) {
-                return self.answer_undecided(caller, Undecided::TooFewCopies);
+            if !self.has_required_replicas(named.partition) {
+                return self.send_unavailable(caller, UnavailableReason::TooFewReplicas);
             }
-            if !self.is_levelled(named.partition) {
-                return self.answer_undecided(caller, Undecided::NotLevel);
+            if !self.is_synchronized(named.partition) {
+                return self.send_unavailable(caller, UnavailableReason::NotSynchronized);
             }
         }
-        self.deny_all(caller, request, partitions, SessionReply::UnknownTurn, certainty);
+        self.deny_in_partitions(caller, request, partitions, SessionReply::UnknownTurn, certainty);
     }
 
-    fn deny(&mut self, caller: CallerId, request: SessionRequest, reply: SessionReply, certainty: Certainty) {
+    fn deny(
+        &mut self, caller: CallerId, request: SessionRequest, reply: SessionReply, certainty: EpochCertainty,
+    ) {
         let partitions = vec![PartitionEpoch { partition: request.partition, epoch: request.epoch }];
-        self.deny_all(caller, request, partitions, reply, certainty);
+        self.deny_in_partitions(caller, request, partitions, reply, certainty);
     }
 
     /// Denies, if all other replicas have confirmed the epochs; else has them asked first.
-    fn deny_all(
+    fn deny_in_partitions(
         &mut self, caller: CallerId, request: SessionRequest, partitions: Vec<PartitionEpoch>,
-        reply: SessionReply, certainty: Certainty,
+        reply: SessionReply, certainty: EpochCertainty,
     ) {
-        if certainty == Certainty::Confirmed {
-            return self.answer(caller, reply);
+        if certainty == EpochCertainty::Confirmed {
+            return self.send_session_reply(caller, reply);
         }
         let mut asked: BTreeMap<DiskId, Vec<PartitionEpoch>> = BTreeMap::new();
         let mut epochs = Vec::new();
         for PartitionEpoch { partition, .. } in partitions {
-            let Some(epoch) = self.leads.get(&partition).map(|lead| lead.epoch) else { continue };
+            let Some(epoch) = self.led_partitions.get(&partition).map(|lead| lead.epoch) else { continue };
             epochs.push(PartitionEpoch { partition, epoch });
-            for replica in self.needed(partition) {
+            for replica in self.confirming_replicas(partition) {
                 asked.entry(replica).or_default().push(PartitionEpoch { partition, epoch });
             }
         }
         if asked.is_empty() {
-            return self.answer(caller, reply);
+            return self.send_session_reply(caller, reply);
         }
-        if self.rounds.len() >= MAX_WAITING {
-            return self.answer_undecided(caller, Undecided::TooManyWaiting);
+        if self.epoch_confirmations.len() >= MAX_WAITING_REQUESTS {
+            return self.send_unavailable(caller, UnavailableReason::TooManyWaitingRequests);
         }
-        let round = RoundId(self.next_number());
-        self.rounds.insert(round, Round { caller, request, epochs, outstanding: asked.len() });
+        let round = EpochConfirmationId(self.next_number());
+        self.epoch_confirmations
+            .insert(round, EpochConfirmation { caller, request, epochs, outstanding_replies: asked.len() });
         for (replica, partitions) in asked {
-            self.call(replica, TransferRequest::Confirm { partitions }, Purpose::Confirm { round });
+            self.call_store(
+                replica,
+                TransferRequest::Confirm { partitions },
+                CallPurpose::ConfirmEpochs { confirmation: round },
+            );
         }
     }
 
     /// A replica has confirmed the epochs of a round, or has not.
-    pub(crate) fn confirm_answered(&mut self, id: RoundId, answer: Option<TransferReply>) {
-        let Some(round) = self.rounds.get_mut(&id) else { return };
-        round.outstanding -= 1;
+    pub(crate) fn handle_epoch_confirmation(
+        &mut self, id: EpochConfirmationId, answer: Option<TransferReply>,
+    ) {
+        let Some(round) = self.epoch_confirmations.get_mut(&id) else { return };
+        round.outstanding_replies -= 1;
         let confirmed = answer == Some(TransferReply::Written);
-        if confirmed && round.outstanding > 0 {
+        if confirmed && round.outstanding_replies > 0 {
             return;
         }
-        let Some(round) = self.rounds.remove(&id) else { return };
-        if confirmed && round.epochs.iter().all(|named| self.leads_in(*named)) {
+        let Some(round) = self.epoch_confirmations.remove(&id) else { return };
+        if confirmed && round.epochs.iter().all(|named| self.is_primary_in(*named)) {
             // Decided anew: what was missing may have come meanwhile.
-            self.decide(round.caller, round.request, Certainty::Confirmed);
+            self.decide(round.caller, round.request, EpochCertainty::Confirmed);
         } else {
-            self.answer_undecided(round.caller, Undecided::NotConfirmed);
+            self.send_unavailable(round.caller, UnavailableReason::EpochNotConfirmed);
         }
     }
 
-    fn leads_in(&self, named: PartitionEpoch) -> bool {
-        self.leads.get(&named.partition).is_some_and(|lead| lead.epoch == named.epoch)
+    fn is_primary_in(&self, named: PartitionEpoch) -> bool {
+        self.led_partitions.get(&named.partition).is_some_and(|lead| lead.epoch == named.epoch)
     }
 
-    fn wait_for_level(&mut self, caller: CallerId, request: SessionRequest) {
-        if self.waiting.len() >= MAX_WAITING {
-            return self.answer_undecided(caller, Undecided::TooManyWaiting);
+    fn wait_for_sync(&mut self, caller: CallerId, request: SessionRequest) {
+        if self.waiting.len() >= MAX_WAITING_REQUESTS {
+            return self.send_unavailable(caller, UnavailableReason::TooManyWaitingRequests);
         }
         let number = self.next_number();
-        self.waiting.insert(number, Waiting::Level { caller, request });
-        self.timers.insert((self.moment.now + ANSWER_WITHIN, Timer::Waiting(number)));
+        self.waiting.insert(number, WaitingRequest::ForSync { caller, request });
+        self.timers.insert((self.moment.now + REQUEST_TIMEOUT, Timer::RequestTimeout(number)));
     }
 
     /// Whether the map names enough replicas for anything to be acknowledged: as many as required, but for those
     /// that the keepers know to be lost.
-    fn has_copies(&self, partition: PartitionId) -> bool {
+    fn has_required_replicas(&self, partition: PartitionId) -> bool {
         let in_sync = self.map.assignment(partition).map_or(0, |assignment| assignment.in_sync.len());
-        in_sync > 0 && in_sync + self.lost_copies(partition) >= self.limits.required_replicas
+        in_sync > 0 && in_sync + self.lost_replicas(partition) >= self.limits.required_replicas
     }
 
     /// How many of the required copies are on lost machines and not asked for.
-    pub(crate) fn lost_copies(&self, partition: PartitionId) -> usize {
+    pub(crate) fn lost_replicas(&self, partition: PartitionId) -> usize {
         self.map.assignment(partition).map_or(0, |assignment| usize::from(assignment.lost_replicas))
     }
 
     /// Whether memory or disk is used up to the point from which on nothing new is admitted.
-    fn is_full(&self) -> bool {
+    fn is_capacity_exhausted(&self) -> bool {
         let held: u64 = self.tables.values().map(|table| table.bytes()).sum();
         held > self.limits.memory_bytes
-            || self.ledger.bytes() > self.limits.disk_bytes
-            || self.journal.is_paused()
+            || self.segment_usage.bytes() > self.limits.disk_bytes
+            || self.group_commit.is_paused()
     }
 
-    pub(crate) fn answer(&mut self, caller: CallerId, reply: SessionReply) {
+    pub(crate) fn send_session_reply(&mut self, caller: CallerId, reply: SessionReply) {
         self.commands.push(Command::SendSessionReply { caller, reply });
     }
 
     /// Not the primary, or not known to be.
-    pub(crate) fn refuse(&mut self, caller: CallerId, partition: PartitionId) {
+    pub(crate) fn send_not_primary(&mut self, caller: CallerId, partition: PartitionId) {
         let epoch = self.map.assignment(partition).map_or(EpochNumber::default(), |held| held.epoch);
-        self.answer(caller, SessionReply::NotPrimary { epoch });
+        self.send_session_reply(caller, SessionReply::NotPrimary { epoch });
     }
 }
 
@@ -328,12 +341,12 @@
 enum Admission {
     Admitted(Box<Record>),
     /// It has run, or never will.
-    Settled,
-    Spent,
+    AlreadyCommitted,
+    BudgetExhausted,
 }
 
 /// Whether turns are a whole chain that ends with `last`.
-fn is_chain(turns: &[Turn], last: &RequestId) -> bool {
+fn is_complete_chain(turns: &[Turn], last: &RequestId) -> bool {
     let linked = turns.windows(2).all(|pair| pair[1].previous.as_ref() == Some(&pair[0].request));
     let whole = turns.first().is_some_and(|first| first.previous.is_none());
     linked && whole && turns.last().is_some_and(|turn| turn.request == *last)
--- a/crates/sessions/src/program.rs
+++ b/crates/sessions/src/program.rs
@@ -13,35 +13,35 @@
 
 /// A record with what is known of its copy on this store's disk.
 #[derive(Clone, Debug)]
-pub(crate) struct Held {
+pub(crate) struct RecordEntry {
     pub(crate) record: Record,
     /// Rises with every change of the record, and is never used twice in a table.
     pub(crate) version: u64,
     /// The version on disk; 0 for none.
-    pub(crate) durable: u64,
+    pub(crate) durable_version: u64,
     /// The segment that holds it, and the bytes that it takes there; `None` if it was never written.
-    pub(crate) place: Option<Place>,
+    pub(crate) position: Option<SegmentPosition>,
     pub(crate) digest: u64,
 }
 
 /// Where a record lies on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Place {
+pub(crate) struct SegmentPosition {
     pub(crate) segment: u64,
     pub(crate) bytes: u64,
 }
 
 /// All that is held of a program. It is forgotten as a whole.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Program {
-    pub(crate) records: BTreeMap<RequestId, Held>,
+pub(crate) struct ProgramRecords {
+    pub(crate) records: BTreeMap<RequestId, RecordEntry>,
     /// The latest expiry of its records.
     pub(crate) expires_at_ms: u64,
     /// The same on the steady clock, with slack.
-    pub(crate) drop_after: Time,
+    pub(crate) expires_at: Time,
 }
 
-impl Program {
+impl ProgramRecords {
     /// Tokens that count against the budget, those of `except` left out.
     pub(crate) fn tokens_except(&self, except: &RequestId) -> u64 {
         let others = self.records.iter().filter(|(request, _)| *request != except);
--- a/crates/sessions/src/statistics.rs
+++ b/crates/sessions/src/statistics.rs
@@ -9,62 +9,62 @@
 
 /// Why a question of a relay could not be decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Undecided {
+pub(crate) enum UnavailableReason {
     /// Fewer replicas are in sync than are required.
-    TooFewCopies,
+    TooFewReplicas,
     /// Too many writes are under way.
-    TooManyWrites,
+    TooManyPendingWrites,
     /// Too many questions wait.
-    TooManyWaiting,
+    TooManyWaitingRequests,
     /// Memory or disk is used up, or the disk refuses.
-    Full,
+    CapacityExhausted,
     /// A turn before the one that is continued is not held.
     BrokenChain,
     /// The turn has run, or never will.
-    AlreadySettled,
+    AlreadyCommitted,
     /// A replica is not level.
-    NotLevel,
+    NotSynchronized,
     /// The replicas have not confirmed the write in time.
-    Overdue,
+    ReplicationTimedOut,
     /// A replica has not confirmed the epoch.
-    NotConfirmed,
+    EpochNotConfirmed,
     /// What is to be kept is another turn than the one that ends.
-    WrongTurn,
+    StoredTurnMismatch,
 }
 
-impl Undecided {
-    const ALL: [Undecided; 10] = [
-        Undecided::TooFewCopies,
-        Undecided::TooManyWrites,
-        Undecided::TooManyWaiting,
-        Undecided::Full,
-        Undecided::BrokenChain,
-        Undecided::AlreadySettled,
-        Undecided::NotLevel,
-        Undecided::Overdue,
-        Undecided::NotConfirmed,
-        Undecided::WrongTurn,
+impl UnavailableReason {
+    const ALL: [UnavailableReason; 10] = [
+        UnavailableReason::TooFewReplicas,
+        UnavailableReason::TooManyPendingWrites,
+        UnavailableReason::TooManyWaitingRequests,
+        UnavailableReason::CapacityExhausted,
+        UnavailableReason::BrokenChain,
+        UnavailableReason::AlreadyCommitted,
+        UnavailableReason::NotSynchronized,
+        UnavailableReason::ReplicationTimedOut,
+        UnavailableReason::EpochNotConfirmed,
+        UnavailableReason::StoredTurnMismatch,
     ];
 
     fn name(self) -> &'static str {
         match self {
-            Undecided::TooFewCopies => "too few copies",
-            Undecided::TooManyWrites => "too many writes",
-            Undecided::TooManyWaiting => "too many waiting",
-            Undecided::Full => "full",
-            Undecided::BrokenChain => "broken chain",
-            Undecided::AlreadySettled => "already settled",
-            Undecided::NotLevel => "not level",
-            Undecided::Overdue => "overdue",
-            Undecided::NotConfirmed => "not confirmed",
-            Undecided::WrongTurn => "wrong turn",
+            UnavailableReason::TooFewReplicas => "too few copies",
+            UnavailableReason::TooManyPendingWrites => "too many writes",
+            UnavailableReason::TooManyWaitingRequests => "too many waiting",
+            UnavailableReason::CapacityExhausted => "full",
+            UnavailableReason::BrokenChain => "broken chain",
+            UnavailableReason::AlreadyCommitted => "already settled",
+            UnavailableReason::NotSynchronized => "not level",
+            UnavailableReason::ReplicationTimedOut => "overdue",
+            UnavailableReason::EpochNotConfirmed => "not confirmed",
+            UnavailableReason::StoredTurnMismatch => "wrong turn",
         }
     }
 }
 
 /// How often each reason came up.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct UndecidedCounts(BTreeMap<Undecided, u64>);
+pub(crate) struct UnavailableCounts(BTreeMap<UnavailableReason, u64>);
 
 /// Figures of a store at one moment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -90,25 +90,30 @@
 impl Store {
     /// Figures now.
     pub fn statistics(&self) -> StoreStatistics {
-        let led = || self.leads.keys().filter_map(|partition| self.tables.get(partition));
-        let unavailable = Undecided::ALL
-            .map(|reason| (reason.name(), self.undecided.0.get(&reason).copied().unwrap_or_default()));
+        let led = || self.led_partitions.keys().filter_map(|partition| self.tables.get(partition));
+        let unavailable = UnavailableReason::ALL.map(|reason| {
+            (reason.name(), self.unavailable_counts.0.get(&reason).copied().unwrap_or_default())
+        });
         StoreStatistics {
-            partitions_led: self.leads.len() as u64,
-            partitions_out_of_sync: self.leads.keys().filter(|held| !self.is_levelled(**held)).count() as u64,
+            partitions_led: self.led_partitions.len() as u64,
+            partitions_out_of_sync: self
+                .led_partitions
+                .keys()
+                .filter(|held| !self.is_synchronized(**held))
+                .count() as u64,
             records: self.tables.values().map(|table| table.records().count() as u64).sum(),
             record_bytes: self.tables.values().map(|table| table.bytes()).sum(),
-            disk_bytes: self.ledger.bytes(),
+            disk_bytes: self.segment_usage.bytes(),
             reservations: led().flat_map(|table| table.records()).filter(|held| !held.is_committed).count()
                 as u64,
-            pending_writes: self.writes.len() as u64,
+            pending_writes: self.pending_writes.len() as u64,
             unavailable_replies: unavailable.to_vec(),
         }
     }
 
     /// A question cannot be decided now.
-    pub(crate) fn answer_undecided(&mut self, caller: CallerId, reason: Undecided) {
-        *self.undecided.0.entry(reason).or_default() += 1;
-        self.answer(caller, SessionReply::Unavailable);
+    pub(crate) fn send_unavailable(&mut self, caller: CallerId, reason: UnavailableReason) {
+        *self.unavailable_counts.0.entry(reason).or_default() += 1;
+        self.send_session_reply(caller, SessionReply::Unavailable);
     }
 }
--- a/crates/sessions/src/store.rs
+++ b/crates/sessions/src/store.rs
@@ -10,17 +10,17 @@
 use juniperwing_protocol::transfer::{RecordKey, TransferReply, TransferRequest};
 use juniperwing_protocol::{DiskId, PartitionId};
 
+use crate::anti_entropy::LedPartition;
 use crate::batch::StoredRecord;
-use crate::call::Purpose;
+use crate::call::CallPurpose;
 use crate::event::{CallerId, Command, Event, Moment, TransferCallId};
-use crate::journal::{Journal, StoredKey, Written};
-use crate::ledger::Ledger;
-use crate::levelling::Lead;
-use crate::limits::{Limits, RETRY_PAUSE, SWEEP_PAUSE};
+use crate::group_commit::{BatchEntry, GroupCommit, StoredRecordKey};
+use crate::limits::{EXPIRY_SWEEP_INTERVAL, Limits, RETRY_DELAY};
 use crate::map_version::DurableMapVersion;
-use crate::primary::{Round, RoundId};
-use crate::program::{Place, record_bytes};
-use crate::statistics::{Undecided, UndecidedCounts};
+use crate::primary::{EpochConfirmation, EpochConfirmationId};
+use crate::program::{SegmentPosition, record_bytes};
+use crate::segment_usage::SegmentUsage;
+use crate::statistics::{UnavailableCounts, UnavailableReason};
 use crate::table::Table;
 use crate::write::{PendingWrite, WriteId};
 
@@ -28,28 +28,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
     /// A replica may be compared.
-    Level(PartitionId, DiskId),
+    SyncReplica(PartitionId, DiskId),
     /// A write may be sent again.
-    Resend(WriteId, DiskId),
+    ResendWrite(WriteId, DiskId),
     /// The caller of a write has waited for long enough.
-    Overdue(WriteId),
+    WriteTimeout(WriteId),
     /// A question has waited for long enough.
-    Waiting(u64),
+    RequestTimeout(u64),
     /// The keepers may be told again.
-    Report,
+    ReportInterval,
     /// The disk may be tried again.
-    Journal,
+    ResumeDisk,
     /// Expired programs are looked for.
-    Sweep,
+    ExpirySweep,
 }
 
 /// A question that waits.
 #[derive(Clone, Debug)]
-pub(crate) enum Waiting {
+pub(crate) enum WaitingRequest {
     /// Of a relay, until all replicas of the partition are level.
-    Level { caller: CallerId, request: SessionRequest },
+    ForSync { caller: CallerId, request: SessionRequest },
     /// Of a store, until the map names its epoch.
-    Map { caller: CallerId, request: TransferRequest },
+    ForMap { caller: CallerId, request: TransferRequest },
 }
 
 /// The state machine of a store. It does no I/O and reads no clock.
@@ -59,22 +59,22 @@
     pub(crate) limits: Limits,
     pub(crate) map: Arc<StoreMap>,
     pub(crate) tables: BTreeMap<PartitionId, Table>,
-    pub(crate) leads: BTreeMap<PartitionId, Lead>,
-    pub(crate) writes: BTreeMap<WriteId, PendingWrite>,
-    pub(crate) rounds: BTreeMap<RoundId, Round>,
-    pub(crate) calls: BTreeMap<TransferCallId, Purpose>,
-    pub(crate) waiting: BTreeMap<u64, Waiting>,
+    pub(crate) led_partitions: BTreeMap<PartitionId, LedPartition>,
+    pub(crate) pending_writes: BTreeMap<WriteId, PendingWrite>,
+    pub(crate) epoch_confirmations: BTreeMap<EpochConfirmationId, EpochConfirmation>,
+    pub(crate) calls: BTreeMap<TransferCallId, CallPurpose>,
+    pub(crate) waiting: BTreeMap<u64, WaitingRequest>,
     /// Joining replicas that wait until fewer are being filled.
-    pub(crate) to_fill: BTreeSet<(PartitionId, DiskId)>,
-    pub(crate) journal: Journal,
-    pub(crate) ledger: Ledger,
+    pub(crate) waiting_syncs: BTreeSet<(PartitionId, DiskId)>,
+    pub(crate) group_commit: GroupCommit,
+    pub(crate) segment_usage: SegmentUsage,
     pub(crate) timers: BTreeSet<(Time, Timer)>,
-    pub(crate) report_due: bool,
-    pub(crate) map_version: DurableMapVersion,
+    pub(crate) is_report_scheduled: bool,
+    pub(crate) durable_map_version: DurableMapVersion,
     pub(crate) moment: Moment,
     pub(crate) commands: Vec<Command>,
-    pub(crate) undecided: UndecidedCounts,
-    sweep_due: bool,
+    pub(crate) unavailable_counts: UnavailableCounts,
+    is_sweep_scheduled: bool,
     last_number: u64,
 }
 
@@ -86,21 +86,21 @@
             limits,
             map: Arc::default(),
             tables: BTreeMap::new(),
-            leads: BTreeMap::new(),
-            writes: BTreeMap::new(),
-            rounds: BTreeMap::new(),
+            led_partitions: BTreeMap::new(),
+            pending_writes: BTreeMap::new(),
+            epoch_confirmations: BTreeMap::new(),
             calls: BTreeMap::new(),
             waiting: BTreeMap::new(),
-            to_fill: BTreeSet::new(),
-            journal: Journal::default(),
-            ledger: Ledger::default(),
+            waiting_syncs: BTreeSet::new(),
+            group_commit: GroupCommit::default(),
+            segment_usage: SegmentUsage::default(),
             timers: BTreeSet::new(),
-            report_due: false,
-            map_version: DurableMapVersion::default(),
+            is_report_scheduled: false,
+            durable_map_version: DurableMapVersion::default(),
             moment: Moment::default(),
             commands: Vec::new(),
-            undecided: UndecidedCounts::default(),
-            sweep_due: false,
+            unavailable_counts: UnavailableCounts::default(),
+            is_sweep_scheduled: false,
             last_number: 0,
         }
     }
@@ -108,7 +108,7 @@
     /// Takes a batch that was found in a segment at the start; batches come in the order in which they were written.
     pub fn recover_batch(&mut self, moment: Moment, segment: u64, bytes: u64, records: Vec<StoredRecord>) {
         self.moment = moment;
-        self.ledger.add(segment, bytes);
+        self.segment_usage.add_batch(segment, bytes);
         for stored in records {
             self.recover_record(segment, stored);
         }
@@ -119,48 +119,50 @@
         let table = self.tables.entry(partition).or_default();
         let changed = table.merge(&record, self.moment);
         let key = RecordKey { program: record.program.clone(), request: record.request.clone() };
-        let Some(held) = table.held_mut(&key).filter(|_| changed) else { return };
-        let place = Place { segment, bytes: record_bytes(&held.record) };
+        let Some(held) = table.entry_mut(&key).filter(|_| changed) else { return };
+        let place = SegmentPosition { segment, bytes: record_bytes(&held.record) };
         let whole = held.record == record;
-        let before = held.place.replace(place);
-        held.durable = if whole { held.version } else { 0 };
-        self.ledger.place(place);
+        let before = held.position.replace(place);
+        held.durable_version = if whole { held.version } else { 0 };
+        self.segment_usage.add_record(place);
         if let Some(before) = before {
-            self.ledger.release(before);
+            self.segment_usage.remove_record(before);
         }
         if !whole {
-            self.journal.mark(StoredKey { partition, key });
+            self.group_commit.mark_dirty(StoredRecordKey { partition, key });
         }
     }
 
     /// Takes the map version that was found on disk at the start. Older maps count for nothing from now on.
     pub fn recover_map_version(&mut self, version: u64) {
-        self.map_version.recover(version);
+        self.durable_map_version.recover(version);
     }
 
     /// All batches have been taken: forgets what has expired, and returns what is to be done.
     pub fn finish_recovery(&mut self, moment: Moment) -> Vec<Command> {
         self.moment = moment;
-        self.sweep();
-        self.expect_sweep();
-        self.settle()
+        self.remove_expired();
+        self.schedule_sweep();
+        self.run_pending()
     }
 
     /// Handles an event; returns what is to be done.
     pub fn handle(&mut self, moment: Moment, event: Event) -> Vec<Command> {
         self.moment = moment;
         match event {
-            Event::StoreMap(map) => self.take_map(map),
-            Event::SessionRequest { caller, request } => self.asked(caller, request),
-            Event::TransferRequest { caller, request } => self.transfer(caller, request, false),
-            Event::CallCompleted { call, reply } => self.answered(call, reply),
-            Event::BatchWritten { segment, bytes } => self.batch_written(segment, bytes),
-            Event::BatchFailed => self.batch_failed(),
-            Event::MapVersionWritten { version } => self.map_version_written(version),
-            Event::MapVersionFailed => self.map_version.fail(),
+            Event::StoreMap(map) => self.handle_store_map(map),
+            Event::SessionRequest { caller, request } => self.handle_session_request(caller, request),
+            Event::TransferRequest { caller, request } => {
+                self.handle_transfer_request(caller, request, false)
+            }
+            Event::CallCompleted { call, reply } => self.handle_call_completed(call, reply),
+            Event::BatchWritten { segment, bytes } => self.handle_batch_written(segment, bytes),
+            Event::BatchFailed => self.handle_batch_failed(),
+            Event::MapVersionWritten { version } => self.handle_map_version_written(version),
+            Event::MapVersionFailed => self.durable_map_version.fail_write(),
             Event::Tick => {}
         }
-        self.settle()
+        self.run_pending()
     }
 
     /// When [`Event::Tick`] is wanted; `None` if nothing waits.
@@ -175,8 +177,11 @@
 
     /// Whether nobody waits for an answer and all is on disk.
     pub fn is_idle(&self) -> bool {
-        let answered = self.writes.values().all(|write| write.answer.is_none());
-        answered && self.rounds.is_empty() && self.waiting.is_empty() && self.journal.is_idle()
+        let answered = self.pending_writes.values().all(|write| write.pending_reply.is_none());
+        answered
+            && self.epoch_confirmations.is_empty()
+            && self.waiting.is_empty()
+            && self.group_commit.is_idle()
     }
 
     /// Whether some partition has its only copy here while another store is being filled with it.
@@ -190,15 +195,15 @@
     }
 
     /// Does what is due and starts a batch if there is something to write.
-    fn settle(&mut self) -> Vec<Command> {
+    fn run_pending(&mut self) -> Vec<Command> {
         self.run_timers();
-        self.fill_next();
+        self.start_waiting_syncs();
         self.start_batch();
         std::mem::take(&mut self.commands)
     }
 
-    fn take_map(&mut self, map: Arc<StoreMap>) {
-        if map.version <= self.map.version || map.version < self.map_version.on_disk() {
+    fn handle_store_map(&mut self, map: Arc<StoreMap>) {
+        if map.version <= self.map.version || map.version < self.durable_map_version.durable() {
             return;
         }
         let before = std::mem::replace(&mut self.map, map);
@@ -208,50 +213,50 @@
         let count = self.map.partitions.len().max(before.partitions.len()) as u16;
         for partition in (0..count).map(PartitionId) {
             if before.assignment(partition) != self.map.assignment(partition) {
-                self.reassigned(partition);
+                self.handle_reassignment(partition);
             }
         }
         self.resume_transfers();
     }
 
-    fn reassigned(&mut self, partition: PartitionId) {
+    fn handle_reassignment(&mut self, partition: PartitionId) {
         let leads = self.map.assignment(partition).is_some_and(|assignment| assignment.primary == self.disk);
         if leads {
-            self.lead(partition);
-            self.reconsider_writes(partition);
-        } else if self.leads.remove(&partition).is_some() {
+            self.update_led_partition(partition);
+            self.reevaluate_writes(partition);
+        } else if self.led_partitions.remove(&partition).is_some() {
             self.abandon_writes(partition);
         }
-        if !leads || self.is_levelled(partition) {
-            self.resume_waiting(partition);
+        if !leads || self.is_synchronized(partition) {
+            self.resume_requests(partition);
         }
     }
 
     /// Decides the questions that waited for a partition.
-    pub(crate) fn resume_waiting(&mut self, partition: PartitionId) {
-        let waits = |waiting: &Waiting| match waiting {
-            Waiting::Level { request, .. } => request.partition == partition,
-            Waiting::Map { .. } => false,
+    pub(crate) fn resume_requests(&mut self, partition: PartitionId) {
+        let waits = |waiting: &WaitingRequest| match waiting {
+            WaitingRequest::ForSync { request, .. } => request.partition == partition,
+            WaitingRequest::ForMap { .. } => false,
         };
         for waiting in self.take_waiting(waits) {
-            if let Waiting::Level { caller, request } = waiting {
-                self.asked(caller, request);
+            if let WaitingRequest::ForSync { caller, request } = waiting {
+                self.handle_session_request(caller, request);
             }
         }
     }
 
     fn resume_transfers(&mut self) {
-        for waiting in self.take_waiting(|waiting| matches!(waiting, Waiting::Map { .. })) {
-            if let Waiting::Map { caller, request } = waiting {
-                self.transfer(caller, request, false);
+        for waiting in self.take_waiting(|waiting| matches!(waiting, WaitingRequest::ForMap { .. })) {
+            if let WaitingRequest::ForMap { caller, request } = waiting {
+                self.handle_transfer_request(caller, request, false);
             }
         }
     }
 
-    fn take_waiting(&mut self, which: impl Fn(&Waiting) -> bool) -> Vec<Waiting> {
+    fn take_waiting(&mut self, which: impl Fn(&WaitingRequest) -> bool) -> Vec<WaitingRequest> {
         let (taken, left) = std::mem::take(&mut self.waiting).into_iter().partition(|(_, held)| which(held));
         self.waiting = left;
-        let taken: BTreeMap<u64, Waiting> = taken;
+        let taken: BTreeMap<u64, WaitingRequest> = taken;
         taken.into_values().collect()
     }
 
@@ -259,117 +264,121 @@
         while let Some((at, timer)) = self.timers.first().copied().filter(|(at, _)| *at <= self.moment.now) {
             self.timers.remove(&(at, timer));
             match timer {
-                Timer::Level(partition, replica) => self.start_levelling(partition, replica),
-                Timer::Resend(write, replica) => self.resend(write, replica),
-                Timer::Overdue(write) => self.write_overdue(write),
-                Timer::Waiting(number) => self.waited(number),
-                Timer::Report => self.report_again(),
-                Timer::Journal => self.journal.resume(),
-                Timer::Sweep => self.sweep_again(),
+                Timer::SyncReplica(partition, replica) => self.start_sync(partition, replica),
+                Timer::ResendWrite(write, replica) => self.resend_write(write, replica),
+                Timer::WriteTimeout(write) => self.write_timed_out(write),
+                Timer::RequestTimeout(number) => self.request_timed_out(number),
+                Timer::ReportInterval => self.report_interval_elapsed(),
+                Timer::ResumeDisk => self.group_commit.resume(),
+                Timer::ExpirySweep => self.sweep_interval_elapsed(),
             }
         }
     }
 
-    fn waited(&mut self, number: u64) {
+    fn request_timed_out(&mut self, number: u64) {
         match self.waiting.remove(&number) {
-            Some(Waiting::Level { caller, .. }) => self.answer_undecided(caller, Undecided::NotLevel),
-            Some(Waiting::Map { caller, .. }) => self.answer_transfer(caller, TransferReply::Failed),
+            Some(WaitingRequest::ForSync { caller, .. }) => {
+                self.send_unavailable(caller, UnavailableReason::NotSynchronized)
+            }
+            Some(WaitingRequest::ForMap { caller, .. }) => {
+                self.send_transfer_reply(caller, TransferReply::Failed)
+            }
             None => {}
         }
     }
 
     fn start_batch(&mut self) {
-        let Some(keys) = self.journal.take_dirty() else { return };
+        let Some(keys) = self.group_commit.take_next_batch() else { return };
         let mut records = Vec::with_capacity(keys.len());
         let mut written = Vec::with_capacity(keys.len());
         for key in keys {
-            let Some(held) = self.tables.get(&key.partition).and_then(|table| table.held(&key.key)) else {
+            let Some(held) = self.tables.get(&key.partition).and_then(|table| table.entry(&key.key)) else {
                 continue;
             };
             let bytes = record_bytes(&held.record);
             records.push(StoredRecord { partition: key.partition, record: held.record.clone() });
-            written.push(Written { key, version: held.version, bytes });
+            written.push(BatchEntry { key, version: held.version, bytes });
         }
-        self.journal.begin(written);
+        self.group_commit.start_batch(written);
         self.commands.push(Command::WriteBatch { records });
     }
 
-    fn batch_written(&mut self, segment: u64, bytes: u64) {
-        let running = self.journal.succeed();
-        self.ledger.add(segment, bytes);
-        for written in running.written {
-            self.record_written(segment, &written);
+    fn handle_batch_written(&mut self, segment: u64, bytes: u64) {
+        let running = self.group_commit.complete_batch();
+        self.segment_usage.add_batch(segment, bytes);
+        for written in running.entries {
+            self.mark_record_durable(segment, &written);
         }
-        self.remove_empty();
-        self.compact();
+        self.remove_unused_segments();
+        self.rewrite_sparse_segments();
         for waiter in running.waiters {
-            self.disk_done(waiter);
+            self.complete_waiter(waiter);
         }
     }
 
-    fn record_written(&mut self, segment: u64, written: &Written) {
+    fn mark_record_durable(&mut self, segment: u64, written: &BatchEntry) {
         let table = self.tables.get_mut(&written.key.partition);
-        let Some(held) = table.and_then(|table| table.held_mut(&written.key.key)) else { return };
-        let place = Place { segment, bytes: written.bytes };
-        held.durable = written.version;
-        let before = held.place.replace(place);
-        self.ledger.place(place);
+        let Some(held) = table.and_then(|table| table.entry_mut(&written.key.key)) else { return };
+        let place = SegmentPosition { segment, bytes: written.bytes };
+        held.durable_version = written.version;
+        let before = held.position.replace(place);
+        self.segment_usage.add_record(place);
         if let Some(before) = before {
-            self.ledger.release(before);
+            self.segment_usage.remove_record(before);
         }
     }
 
-    fn batch_failed(&mut self) {
-        let waiters = self.journal.fail();
-        self.timers.insert((self.moment.now + RETRY_PAUSE, Timer::Journal));
+    fn handle_batch_failed(&mut self) {
+        let waiters = self.group_commit.fail_batch();
+        self.timers.insert((self.moment.now + RETRY_DELAY, Timer::ResumeDisk));
         for waiter in waiters {
-            self.disk_failed(waiter);
+            self.fail_waiter(waiter);
         }
     }
 
     /// Has the survivors of segments that are mostly superseded written again; the segments go when that is done.
-    fn compact(&mut self) {
-        let chosen = self.ledger.worth_compacting();
+    fn rewrite_sparse_segments(&mut self) {
+        let chosen = self.segment_usage.segments_to_compact();
         if chosen.is_empty() {
             return;
         }
         for (partition, table) in &self.tables {
-            for key in table.keys_in(|segment| chosen.contains(&segment)) {
-                self.journal.mark(StoredKey { partition: *partition, key });
+            for key in table.keys_in_segments(|segment| chosen.contains(&segment)) {
+                self.group_commit.mark_dirty(StoredRecordKey { partition: *partition, key });
             }
         }
     }
 
     /// Has expired programs looked for after a pause, if anything is held.
-    pub(crate) fn expect_sweep(&mut self) {
-        if !self.sweep_due && self.tables.values().any(|table| !table.is_empty()) {
-            self.sweep_due = true;
-            self.timers.insert((self.moment.now + SWEEP_PAUSE, Timer::Sweep));
+    pub(crate) fn schedule_sweep(&mut self) {
+        if !self.is_sweep_scheduled && self.tables.values().any(|table| !table.is_empty()) {
+            self.is_sweep_scheduled = true;
+            self.timers.insert((self.moment.now + EXPIRY_SWEEP_INTERVAL, Timer::ExpirySweep));
         }
     }
 
-    fn sweep_again(&mut self) {
-        self.sweep_due = false;
-        self.sweep();
-        self.expect_sweep();
+    fn sweep_interval_elapsed(&mut self) {
+        self.is_sweep_scheduled = false;
+        self.remove_expired();
+        self.schedule_sweep();
     }
 
-    fn sweep(&mut self) {
+    fn remove_expired(&mut self) {
         for table in self.tables.values_mut() {
-            for place in table.sweep(self.moment) {
-                self.ledger.release(place);
+            for place in table.remove_expired(self.moment) {
+                self.segment_usage.remove_record(place);
             }
         }
-        self.remove_empty();
+        self.remove_unused_segments();
     }
 
     /// Has segments removed in which nothing counts. A batch that is being written may end up in any of them, so
     /// it is waited for.
-    fn remove_empty(&mut self) {
-        if self.journal.is_writing() {
+    fn remove_unused_segments(&mut self) {
+        if self.group_commit.is_batch_in_flight() {
             return;
         }
-        for segment in self.ledger.take_empty() {
+        for segment in self.segment_usage.take_unused_segments() {
             self.commands.push(Command::RemoveSegment { segment });
         }
     }
--- a/crates/sessions/src/table.rs
+++ b/crates/sessions/src/table.rs
@@ -9,9 +9,9 @@
 use juniperwing_protocol::{ProgramId, RequestId};
 
 use crate::event::Moment;
-use crate::limits::{EXPIRY_SLACK, MAX_CHAIN, PAGE_BYTES};
+use crate::limits::{EXPIRY_SLACK, MAX_CHAIN_TURNS, PAGE_TARGET_BYTES};
 use crate::merge::merge;
-use crate::program::{Held, Place, Program, range_of, record_bytes, record_digest};
+use crate::program::{ProgramRecords, RecordEntry, SegmentPosition, range_of, record_bytes, record_digest};
 
 /// What is known of a turn and those before it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -30,18 +30,18 @@
     /// The records.
     pub records: Vec<Record>,
     /// The last of them, if there may be more behind it.
-    pub next: Option<RecordKey>,
+    pub resume_after: Option<RecordKey>,
 }
 
 /// The records of one partition.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    programs: BTreeMap<ProgramId, Program>,
+    programs: BTreeMap<ProgramId, ProgramRecords>,
     /// Which programs hold which turns.
     turns: BTreeSet<(RequestId, ProgramId)>,
     bytes: u64,
     /// The last version given to a record.
-    version: u64,
+    last_version: u64,
 }
 
 impl Table {
@@ -57,22 +57,22 @@
                 }
                 held
             }
-            None => program.records.entry(record.request.clone()).or_insert(Held {
+            None => program.records.entry(record.request.clone()).or_insert(RecordEntry {
                 record: record.clone(),
                 version: 0,
-                durable: 0,
-                place: None,
+                durable_version: 0,
+                position: None,
                 digest: 0,
             }),
         };
-        self.version += 1;
-        held.version = self.version;
+        self.last_version += 1;
+        held.version = self.last_version;
         held.digest = record_digest(&held.record);
         self.bytes = self.bytes + record_bytes(&held.record) - before;
         if held.record.turn.is_some() {
             self.turns.insert((record.request.clone(), record.program.clone()));
         }
-        program.drop_after = program.drop_after.max(drop_after(record, moment));
+        program.expires_at = program.expires_at.max(expiry_time(record, moment));
         program.expires_at_ms =
             program.records.values().map(|held| held.record.expires_at_ms).max().unwrap_or(0);
         true
@@ -105,7 +105,8 @@
         let mut chain = Vec::new();
         let mut wanted = Some(turn);
         while let Some(request) = wanted {
-            let Some(turn) = self.turn(program, request).filter(|_| chain.len() < MAX_CHAIN) else {
+            let Some(turn) = self.find_turn(program, request).filter(|_| chain.len() < MAX_CHAIN_TURNS)
+            else {
                 return if chain.is_empty() { Chain::Unknown } else { Chain::Broken };
             };
             chain.push(turn.clone());
@@ -117,7 +118,7 @@
 
     /// The chain that ends with `turn`, of whatever program.
     pub fn chain_in_any_program(&self, turn: &RequestId) -> Chain {
-        match self.holder(turn) {
+        match self.program_with_turn(turn) {
             Some(program) => self.chain(program, turn),
             None => Chain::Unknown,
         }
@@ -125,18 +126,18 @@
 
     /// Whether the program itself holds the turn.
     pub fn has_turn(&self, program: &ProgramId, turn: &RequestId) -> bool {
-        self.own_turn(program, turn).is_some()
+        self.turn_of(program, turn).is_some()
     }
 
-    fn turn(&self, program: &ProgramId, turn: &RequestId) -> Option<&Turn> {
-        self.own_turn(program, turn).or_else(|| self.own_turn(self.holder(turn)?, turn))
+    fn find_turn(&self, program: &ProgramId, turn: &RequestId) -> Option<&Turn> {
+        self.turn_of(program, turn).or_else(|| self.turn_of(self.program_with_turn(turn)?, turn))
     }
 
-    fn own_turn(&self, program: &ProgramId, turn: &RequestId) -> Option<&Turn> {
+    fn turn_of(&self, program: &ProgramId, turn: &RequestId) -> Option<&Turn> {
         self.record(program, turn)?.turn.as_ref()
     }
 
-    fn holder(&self, turn: &RequestId) -> Option<&ProgramId> {
+    fn program_with_turn(&self, turn: &RequestId) -> Option<&ProgramId> {
         let from = (turn.clone(), ProgramId::from(""));
         let (request, program) = self.turns.range(from..).next()?;
         (request == turn).then_some(program)
@@ -150,11 +151,13 @@
 
     /// The same of what is on disk: a record of which a newer version waits for the disk makes its range differ.
     pub fn durable_digests(&self, ranges: u16, live_after_ms: u64) -> Vec<u64> {
-        let on_disk = |held: &Held| if held.durable == held.version { held.digest } else { !held.digest };
+        let on_disk = |held: &RecordEntry| {
+            if held.durable_version == held.version { held.digest } else { !held.digest }
+        };
         self.sum_digests(ranges, live_after_ms, on_disk)
     }
 
-    fn sum_digests(&self, ranges: u16, live_after_ms: u64, digest: impl Fn(&Held) -> u64) -> Vec<u64> {
+    fn sum_digests(&self, ranges: u16, live_after_ms: u64, digest: impl Fn(&RecordEntry) -> u64) -> Vec<u64> {
         let mut digests = vec![0_u64; usize::from(ranges.max(1))];
         for (name, program) in self.programs.iter().filter(|(_, p)| p.expires_at_ms > live_after_ms) {
             let range = usize::from(range_of(name, ranges));
@@ -181,8 +184,8 @@
             for (request, held) in program.records.range((start, Bound::Unbounded)) {
                 bytes += record_bytes(&held.record);
                 page.records.push(held.record.clone());
-                if bytes >= PAGE_BYTES {
-                    page.next = Some(RecordKey { program: name.clone(), request: request.clone() });
+                if bytes >= PAGE_TARGET_BYTES {
+                    page.resume_after = Some(RecordKey { program: name.clone(), request: request.clone() });
                     return page;
                 }
             }
@@ -200,20 +203,20 @@
         self.programs.is_empty()
     }
 
-    pub(crate) fn held(&self, key: &RecordKey) -> Option<&Held> {
+    pub(crate) fn entry(&self, key: &RecordKey) -> Option<&RecordEntry> {
         self.programs.get(&key.program)?.records.get(&key.request)
     }
 
-    pub(crate) fn held_mut(&mut self, key: &RecordKey) -> Option<&mut Held> {
+    pub(crate) fn entry_mut(&mut self, key: &RecordKey) -> Option<&mut RecordEntry> {
         self.programs.get_mut(&key.program)?.records.get_mut(&key.request)
     }
 
     /// The keys of the records that lie in segments that `chosen` picks.
-    pub(crate) fn keys_in(&self, chosen: impl Fn(u64) -> bool) -> Vec<RecordKey> {
+    pub(crate) fn keys_in_segments(&self, chosen: impl Fn(u64) -> bool) -> Vec<RecordKey> {
         let mut keys = Vec::new();
         for (name, program) in &self.programs {
             for (request, held) in &program.records {
-                if held.place.is_some_and(|place| chosen(place.segment)) {
+                if held.position.is_some_and(|place| chosen(place.segment)) {
                     keys.push(RecordKey { program: name.clone(), request: request.clone() });
                 }
             }
@@ -222,11 +225,11 @@
     }
 
     /// Forgets the programs that have expired; returns where their records lay on disk.
-    pub(crate) fn sweep(&mut self, moment: Moment) -> Vec<Place> {
+    pub(crate) fn remove_expired(&mut self, moment: Moment) -> Vec<SegmentPosition> {
         let expired: Vec<ProgramId> = self
             .programs
             .iter()
-            .filter(|(_, program)| program.drop_after <= moment.now)
+            .filter(|(_, program)| program.expires_at <= moment.now)
             .map(|(name, _)| name.clone())
             .collect();
         let mut places = Vec::new();
@@ -235,7 +238,7 @@
             for (request, held) in program.records {
                 self.bytes -= record_bytes(&held.record);
                 self.turns.remove(&(request, name.clone()));
-                places.extend(held.place);
+                places.extend(held.position);
             }
         }
         places
@@ -244,7 +247,7 @@
 
 /// When a record may go by the steady clock. The time of day is read once, when the record comes: a clock that
 /// jumps later drops nothing.
-fn drop_after(record: &Record, moment: Moment) -> Time {
+fn expiry_time(record: &Record, moment: Moment) -> Time {
     let expires = Span::from_millis(record.expires_at_ms) + EXPIRY_SLACK;
     moment.now + (expires - Span::from_millis(moment.unix_time_ms))
 }
--- a/crates/sessions/src/write.rs
+++ b/crates/sessions/src/write.rs
@@ -8,11 +8,11 @@
 use juniperwing_protocol::transfer::{Record, RecordKey, TransferReply, TransferRequest};
 use juniperwing_protocol::{DiskId, PartitionId};
 
-use crate::call::Purpose;
+use crate::call::CallPurpose;
 use crate::event::{CallerId, Command};
-use crate::journal::{StoredKey, Waiter};
-use crate::limits::{ANSWER_WITHIN, RETRY_PAUSE};
-use crate::statistics::Undecided;
+use crate::group_commit::{DurabilityWaiter, StoredRecordKey};
+use crate::limits::{REQUEST_TIMEOUT, RETRY_DELAY};
+use crate::statistics::UnavailableReason;
 use crate::store::{Store, Timer};
 
 /// Names a write.
@@ -27,184 +27,184 @@
     pub(crate) partition: PartitionId,
     pub(crate) records: Vec<Record>,
     /// On this store's own disk.
-    pub(crate) durable: bool,
-    pub(crate) confirmed: BTreeSet<DiskId>,
-    pub(crate) under_way: BTreeSet<DiskId>,
-    pub(crate) answer: Option<WaitingAnswer>,
+    pub(crate) is_durable: bool,
+    pub(crate) confirmed_by: BTreeSet<DiskId>,
+    pub(crate) in_flight_to: BTreeSet<DiskId>,
+    pub(crate) pending_reply: Option<PendingReply>,
 }
 
 /// An answer that waits for a write.
 #[derive(Clone, Debug)]
-pub(crate) struct WaitingAnswer {
+pub(crate) struct PendingReply {
     pub(crate) caller: CallerId,
     pub(crate) reply: SessionReply,
     /// When it is answered that it cannot be done now.
-    pub(crate) overdue_at: Time,
+    pub(crate) times_out_at: Time,
 }
 
 impl Store {
     /// Merges a record and has it written to the own disk.
-    pub(crate) fn take(&mut self, partition: PartitionId, record: &Record) {
+    pub(crate) fn merge_record(&mut self, partition: PartitionId, record: &Record) {
         let moment = self.moment;
         let table = self.tables.entry(partition).or_default();
         table.merge(record, moment);
         let key = RecordKey { program: record.program.clone(), request: record.request.clone() };
-        if table.held(&key).is_some_and(|held| held.durable < held.version) {
-            self.journal.mark(StoredKey { partition, key });
+        if table.entry(&key).is_some_and(|held| held.durable_version < held.version) {
+            self.group_commit.mark_dirty(StoredRecordKey { partition, key });
         }
-        self.expect_sweep();
+        self.schedule_sweep();
     }
 
     /// Writes records to all replicas of a partition that this store leads, then answers.
-    pub(crate) fn write(
+    pub(crate) fn start_write(
         &mut self, partition: PartitionId, records: Vec<Record>, caller: CallerId, reply: SessionReply,
     ) {
         for record in &records {
-            self.take(partition, record);
+            self.merge_record(partition, record);
         }
         let id = WriteId(self.next_number());
-        let overdue_at = self.moment.now + ANSWER_WITHIN;
-        self.timers.insert((overdue_at, Timer::Overdue(id)));
+        let overdue_at = self.moment.now + REQUEST_TIMEOUT;
+        self.timers.insert((overdue_at, Timer::WriteTimeout(id)));
         let write = PendingWrite {
             partition,
             records,
-            durable: false,
-            confirmed: BTreeSet::new(),
-            under_way: BTreeSet::new(),
-            answer: Some(WaitingAnswer { caller, reply, overdue_at }),
+            is_durable: false,
+            confirmed_by: BTreeSet::new(),
+            in_flight_to: BTreeSet::new(),
+            pending_reply: Some(PendingReply { caller, reply, times_out_at: overdue_at }),
         };
-        self.writes.insert(id, write);
-        for replica in self.replicas(partition) {
+        self.pending_writes.insert(id, write);
+        for replica in self.other_replicas(partition) {
             self.send_write(id, replica);
         }
-        if self.journal.wait(Waiter::Write(id)).is_some() {
-            self.write_durable(id);
+        if self.group_commit.wait(DurabilityWaiter::Write(id)).is_some() {
+            self.handle_write_durable(id);
         }
     }
 
     /// All other replicas of a partition, joining ones too.
-    fn replicas(&self, partition: PartitionId) -> Vec<DiskId> {
+    fn other_replicas(&self, partition: PartitionId) -> Vec<DiskId> {
         let Some(assignment) = self.map.assignment(partition) else { return Vec::new() };
         let all: BTreeSet<DiskId> = assignment.in_sync.iter().chain(&assignment.joining).copied().collect();
         all.into_iter().filter(|replica| *replica != self.disk).collect()
     }
 
     fn send_write(&mut self, id: WriteId, replica: DiskId) {
-        let Some(write) = self.writes.get_mut(&id) else { return };
-        if write.confirmed.contains(&replica) || !write.under_way.insert(replica) {
+        let Some(write) = self.pending_writes.get_mut(&id) else { return };
+        if write.confirmed_by.contains(&replica) || !write.in_flight_to.insert(replica) {
             return;
         }
         let partition = write.partition;
         let records = write.records.clone();
-        let Some(epoch) = self.leads.get(&partition).map(|lead| lead.epoch) else { return };
+        let Some(epoch) = self.led_partitions.get(&partition).map(|lead| lead.epoch) else { return };
         let request = TransferRequest::Write { partition, epoch, records };
-        self.call(replica, request, Purpose::Write { write: id, replica });
+        self.call_store(replica, request, CallPurpose::Write { write: id, replica });
     }
 
     /// A replica has answered a write, or has not.
-    pub(crate) fn write_answered(&mut self, id: WriteId, replica: DiskId, answer: Option<TransferReply>) {
-        let Some(write) = self.writes.get_mut(&id) else { return };
-        write.under_way.remove(&replica);
+    pub(crate) fn handle_write_reply(&mut self, id: WriteId, replica: DiskId, answer: Option<TransferReply>) {
+        let Some(write) = self.pending_writes.get_mut(&id) else { return };
+        write.in_flight_to.remove(&replica);
         if answer == Some(TransferReply::Written) {
-            write.confirmed.insert(replica);
-            return self.finish_write(id);
+            write.confirmed_by.insert(replica);
+            return self.complete_write_if_replicated(id);
         }
-        let at = self.moment.now + RETRY_PAUSE;
-        self.timers.insert((at, Timer::Resend(id, replica)));
+        let at = self.moment.now + RETRY_DELAY;
+        self.timers.insert((at, Timer::ResendWrite(id, replica)));
     }
 
     /// The pause after a failure is over.
-    pub(crate) fn resend(&mut self, id: WriteId, replica: DiskId) {
-        let Some(partition) = self.writes.get(&id).map(|write| write.partition) else { return };
+    pub(crate) fn resend_write(&mut self, id: WriteId, replica: DiskId) {
+        let Some(partition) = self.pending_writes.get(&id).map(|write| write.partition) else { return };
         // A joining replica that is not level yet gets it with the rest.
-        if self.needed(partition).contains(&replica) {
+        if self.confirming_replicas(partition).contains(&replica) {
             self.send_write(id, replica);
         }
     }
 
     /// A write is on the own disk.
-    pub(crate) fn write_durable(&mut self, id: WriteId) {
-        let Some(write) = self.writes.get_mut(&id) else { return };
-        write.durable = true;
-        self.finish_write(id);
+    pub(crate) fn handle_write_durable(&mut self, id: WriteId) {
+        let Some(write) = self.pending_writes.get_mut(&id) else { return };
+        write.is_durable = true;
+        self.complete_write_if_replicated(id);
     }
 
     /// Acknowledges the write if every replica that counts has it.
-    pub(crate) fn finish_write(&mut self, id: WriteId) {
-        let Some(write) = self.writes.get(&id).filter(|write| write.durable) else { return };
-        let needed = self.needed(write.partition);
-        if !needed.is_subset(&write.confirmed) {
+    pub(crate) fn complete_write_if_replicated(&mut self, id: WriteId) {
+        let Some(write) = self.pending_writes.get(&id).filter(|write| write.is_durable) else { return };
+        let needed = self.confirming_replicas(write.partition);
+        if !needed.is_subset(&write.confirmed_by) {
             return;
         }
         // Fewer copies than required: it stays until a map with more of them, or another primary.
-        if needed.len() + 1 + self.lost_copies(write.partition) < self.limits.required_replicas {
+        if needed.len() + 1 + self.lost_replicas(write.partition) < self.limits.required_replicas {
             return;
         }
-        let Some(write) = self.writes.remove(&id) else { return };
-        self.check_copies(&write);
-        if let Some(answer) = write.answer {
-            self.timers.remove(&(answer.overdue_at, Timer::Overdue(id)));
+        let Some(write) = self.pending_writes.remove(&id) else { return };
+        self.check_acknowledgement(&write);
+        if let Some(answer) = write.pending_reply {
+            self.timers.remove(&(answer.times_out_at, Timer::WriteTimeout(id)));
             self.commands.push(Command::SendSessionReply { caller: answer.caller, reply: answer.reply });
         }
     }
 
     /// What is acknowledged is on the disk of every in-sync replica of the map in force, on this store's own, and on
     /// as many as are required but for those known to be lost.
-    fn check_copies(&self, write: &PendingWrite) {
+    fn check_acknowledgement(&self, write: &PendingWrite) {
         let partition = write.partition;
         let assignment = self.map.assignment(partition);
         let in_sync = assignment.map(|assignment| assignment.in_sync.as_slice()).unwrap_or_default();
-        let has = |disk: &DiskId| *disk == self.disk || write.confirmed.contains(disk);
+        let has = |disk: &DiskId| *disk == self.disk || write.confirmed_by.contains(disk);
         // A joining replica that is level counts as a copy: the keepers may have put it in sync already.
-        let copies = 1 + write.confirmed.len();
-        let enough = copies + self.lost_copies(partition) >= self.limits.required_replicas;
+        let copies = 1 + write.confirmed_by.len();
+        let enough = copies + self.lost_replicas(partition) >= self.limits.required_replicas;
         let on_all = in_sync.iter().all(has) && in_sync.contains(&self.disk);
-        check(Invariant::AcknowledgedOnAllReplicas, on_all && enough && write.durable, || {
+        check(Invariant::AcknowledgedOnAllReplicas, on_all && enough && write.is_durable, || {
             let request = write.records.first().map(|record| &*record.request.0);
             format!("partition {}, request {request:?}, {copies} copies, in sync {in_sync:?}", partition.0)
         });
     }
 
     /// The caller is told that it cannot be done now; the write goes on.
-    pub(crate) fn write_overdue(&mut self, id: WriteId) {
-        let answer = self.writes.get_mut(&id).and_then(|write| write.answer.take());
+    pub(crate) fn write_timed_out(&mut self, id: WriteId) {
+        let answer = self.pending_writes.get_mut(&id).and_then(|write| write.pending_reply.take());
         if let Some(answer) = answer {
-            self.answer_undecided(answer.caller, Undecided::Overdue);
+            self.send_unavailable(answer.caller, UnavailableReason::ReplicationTimedOut);
         }
     }
 
     /// Another map: writes need other replicas, which may lack them.
-    pub(crate) fn reconsider_writes(&mut self, partition: PartitionId) {
-        for id in self.writes_of(partition) {
-            for replica in self.replicas(partition) {
+    pub(crate) fn reevaluate_writes(&mut self, partition: PartitionId) {
+        for id in self.writes_in_partition(partition) {
+            for replica in self.other_replicas(partition) {
                 self.send_write(id, replica);
             }
-            self.finish_write(id);
+            self.complete_write_if_replicated(id);
         }
     }
 
     /// This store leads the partition no more.
     pub(crate) fn abandon_writes(&mut self, partition: PartitionId) {
-        for id in self.writes_of(partition) {
-            if let Some(answer) = self.writes.remove(&id).and_then(|write| write.answer) {
-                self.timers.remove(&(answer.overdue_at, Timer::Overdue(id)));
-                self.refuse(answer.caller, partition);
+        for id in self.writes_in_partition(partition) {
+            if let Some(answer) = self.pending_writes.remove(&id).and_then(|write| write.pending_reply) {
+                self.timers.remove(&(answer.times_out_at, Timer::WriteTimeout(id)));
+                self.send_not_primary(answer.caller, partition);
             }
         }
     }
 
     /// A replica was found level, so it holds all writes under way.
-    pub(crate) fn confirm_writes(&mut self, partition: PartitionId, replica: DiskId) {
-        for id in self.writes_of(partition) {
-            if let Some(write) = self.writes.get_mut(&id) {
-                write.confirmed.insert(replica);
+    pub(crate) fn confirm_pending_writes(&mut self, partition: PartitionId, replica: DiskId) {
+        for id in self.writes_in_partition(partition) {
+            if let Some(write) = self.pending_writes.get_mut(&id) {
+                write.confirmed_by.insert(replica);
             }
-            self.finish_write(id);
+            self.complete_write_if_replicated(id);
         }
     }
 
-    fn writes_of(&self, partition: PartitionId) -> Vec<WriteId> {
-        let of_partition = self.writes.iter().filter(|(_, write)| write.partition == partition);
+    fn writes_in_partition(&self, partition: PartitionId) -> Vec<WriteId> {
+        let of_partition = self.pending_writes.iter().filter(|(_, write)| write.partition == partition);
         of_partition.map(|(id, _)| *id).collect()
     }
 }
