--- a/crates/sessions/src/lib.rs
+++ b/crates/sessions/src/lib.rs
@@ -6,27 +6,27 @@
 //! is handed a [`Moment`] and an [`Event`] and returns [`Command`]s; the process around it owns the sockets,
 //! the disk and the clocks.
 
+mod anti_entropy;
 mod batch;
 mod call;
-mod counts;
 mod event;
-mod journal;
-mod ledger;
-mod levelling;
+mod group_commit;
 mod limits;
 mod map_version;
 mod merge;
 mod primary;
 mod program;
-mod replica;
+mod segment_usage;
+mod statistics;
 mod store;
 mod table;
+mod transfer;
 mod write;
 
 pub use batch::{StoredRecord, decode_batch, encode_batch};
-pub use counts::Counts;
-pub use event::{AskerId, Command, Event, Moment, TransferCallId};
+pub use event::{CallerId, Command, Event, Moment, TransferCallId};
 pub use limits::Limits;
 pub use merge::merge;
+pub use statistics::StoreStatistics;
 pub use store::Store;
 pub use table::{Chain, Page, Table};
