--- a/crates/relay/src/config.rs
+++ b/crates/relay/src/config.rs
@@ -9,16 +9,16 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use crate::discovery::List;
+use crate::discovery::EndpointList;
 
 /// Descriptors that are neither clients' nor endpoints': the poller's, the log's, discovery's and the like.
-const RESERVED: usize = 32;
+const RESERVED_DESCRIPTORS: usize = 32;
 
 /// More than any one process uses, and fewer than the loop can number.
-const SOCKETS_MOST: usize = 1 << 18;
+const MAX_SOCKETS: usize = 1 << 18;
 
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     #[serde(default)]
     name: String,
     #[serde(default)]
@@ -30,7 +30,7 @@
     #[serde(default)]
     limits: Limits,
     #[serde(default)]
-    known: List,
+    known: EndpointList,
     settings: Written,
 }
 
@@ -50,8 +50,8 @@
 
 impl Limits {
     /// Client connections and endpoint connections at most.
-    pub fn shares(&self) -> (usize, usize) {
-        let shared = self.sockets.min(SOCKETS_MOST) - RESERVED;
+    pub fn connection_limits(&self) -> (usize, usize) {
+        let shared = self.sockets.min(MAX_SOCKETS) - RESERVED_DESCRIPTORS;
         (shared / 2, shared - shared / 2)
     }
 
@@ -62,16 +62,16 @@
 
 /// What a running process cannot change.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fixed {
+pub struct StaticConfig {
     pub name: String,
     pub listen: SocketAddr,
     pub seed: u64,
     pub limits: Limits,
 }
 
-impl Fixed {
+impl StaticConfig {
     /// The keys that differ in another.
-    pub fn differs(&self, other: &Fixed) -> Vec<&'static str> {
+    pub fn changed_keys(&self, other: &StaticConfig) -> Vec<&'static str> {
         let keys = [
             ("name", self.name != other.name),
             ("listen", self.listen != other.listen),
@@ -85,38 +85,38 @@
 pub struct Config {
     /// The file that this was read from.
     pub path: PathBuf,
-    pub fixed: Fixed,
-    pub discovery: SocketAddr,
+    pub static_config: StaticConfig,
+    pub discovery_address: SocketAddr,
     /// The folder that lasts; a check needs none.
-    pub state: Option<PathBuf>,
-    pub known: List,
+    pub state_directory: Option<PathBuf>,
+    pub initial_endpoints: EndpointList,
     pub settings: Settings,
 }
 
 /// Why a configuration cannot be used, for whoever wrote it.
 #[derive(Debug)]
-pub struct Invalid(String);
+pub struct ConfigError(String);
 
-impl fmt::Display for Invalid {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for Invalid {}
+impl std::error::Error for ConfigError {}
 
-fn invalid<T>(why: impl Into<String>) -> Result<T, Invalid> {
-    Err(Invalid(why.into()))
+fn invalid<T>(why: impl Into<String>) -> Result<T, ConfigError> {
+    Err(ConfigError(why.into()))
 }
 
-fn address(what: &str, text: &str) -> Result<SocketAddr, Invalid> {
+fn parse_address(what: &str, text: &str) -> Result<SocketAddr, ConfigError> {
     text.parse().or_else(|_| invalid(format!("{what} is no address with a port: {text:?}")))
 }
 
 impl Config {
     /// Reads the file that `given` or `ROUTER_CONFIG` names. What the file says goes before the environment: the
     /// file can be replaced while the process runs, and its environment cannot.
-    pub fn read(given: Option<PathBuf>) -> Result<Config, Invalid> {
+    pub fn read(given: Option<PathBuf>) -> Result<Config, ConfigError> {
         let env = |name: &str| std::env::var(name).ok().filter(|value| !value.is_empty());
         let Some(path) = given.or_else(|| env("ROUTER_CONFIG").map(PathBuf::from)) else {
             return invalid("no configuration: give --config FILE or set ROUTER_CONFIG");
@@ -124,7 +124,7 @@
         let text = std::fs::read(&path)
             .or_else(|e| invalid(format!("cannot read the configuration {}: {e}", path.display())))?;
         let mut parser = serde_json::Deserializer::from_slice(&text);
-        let file: File = serde_path_to_error::deserialize(&mut parser)
+        let file: ConfigFile = serde_path_to_error::deserialize(&mut parser)
             .map_err(|e| e.to_string())
             .and_then(|file| parser.end().map_err(|e| e.to_string()).map(|()| file))
             .or_else(|e| invalid(format!("{} is no valid configuration: {e}", path.display())))?;
@@ -132,8 +132,8 @@
         if let Some(state) = state.as_ref().filter(|state| !state.is_dir()) {
             return invalid(format!("ROUTER_STATE is no folder: {}", state.display()));
         }
-        if file.limits.sockets < 2 * RESERVED {
-            return invalid(format!("limits.sockets must be at least {}", 2 * RESERVED));
+        if file.limits.sockets < 2 * RESERVED_DESCRIPTORS {
+            return invalid(format!("limits.sockets must be at least {}", 2 * RESERVED_DESCRIPTORS));
         }
         if file.limits.disk_mb < 0.1 {
             return invalid("limits.disk_mb must be at least 0.1");
@@ -146,22 +146,25 @@
         settings.terms.fleet.list_on_request = true;
         Ok(Config {
             path,
-            fixed: Fixed {
+            static_config: StaticConfig {
                 name: or_env(file.name, "ROUTER_NAME").unwrap_or_default(),
-                listen: address("listen", &or_env(file.listen, "ROUTER_LISTEN").unwrap_or_default())?,
-                seed: seed(&file.seed),
+                listen: parse_address("listen", &or_env(file.listen, "ROUTER_LISTEN").unwrap_or_default())?,
+                seed: parse_seed(&file.seed),
                 limits: file.limits,
             },
-            discovery: address("discovery", &or_env(file.discovery, "ROUTER_DISCOVERY").unwrap_or_default())?,
-            state,
-            known: file.known,
+            discovery_address: parse_address(
+                "discovery",
+                &or_env(file.discovery, "ROUTER_DISCOVERY").unwrap_or_default(),
+            )?,
+            state_directory: state,
+            initial_endpoints: file.known,
             settings,
         })
     }
 }
 
 /// The seed as 64 bits: hexadecimal text, or a number.
-fn seed(written: &Value) -> u64 {
+fn parse_seed(written: &Value) -> u64 {
     let text = written.as_str().and_then(|text| u64::from_str_radix(text, 16).ok());
     text.or_else(|| written.as_u64()).unwrap_or(0)
 }
--- a/crates/relay/src/route.rs
+++ b/crates/relay/src/core_driver.rs
@@ -6,32 +6,32 @@
 use juniperwing::time::Time;
 use juniperwing_settings::Settings;
 
-pub struct Route {
+pub struct CoreDriver {
     core: Relay,
     events: Vec<Event>,
-    wake: Time,
+    wake_at: Time,
 }
 
-impl Route {
-    pub fn new(now: Time, seed: u64, settings: &Settings) -> Route {
+impl CoreDriver {
+    pub fn new(now: Time, seed: u64, settings: &Settings) -> CoreDriver {
         let core = Relay::new(now, seed, settings.terms.clone());
-        Route { core, events: Vec::new(), wake: now }
+        CoreDriver { core, events: Vec::new(), wake_at: now }
     }
 
     /// Notes what happened, for the next decision.
-    pub fn tell(&mut self, event: Event) {
+    pub fn enqueue(&mut self, event: Event) {
         self.events.push(event);
     }
 
     /// When the next decision is due.
-    pub fn due(&self) -> Time {
-        if self.events.is_empty() { self.wake } else { Time::default() }
+    pub fn next_decision_at(&self) -> Time {
+        if self.events.is_empty() { self.wake_at } else { Time::default() }
     }
 
     /// Has the core decide on all that happened.
     pub fn decide(&mut self, now: Time) -> Vec<Command> {
-        if self.wake <= now {
-            self.wake = Time::NEVER;
+        if self.wake_at <= now {
+            self.wake_at = Time::NEVER;
             self.events.push(Event::Woken);
         }
         if self.events.is_empty() {
@@ -40,7 +40,7 @@
         let commands = self.core.handle(now, std::mem::take(&mut self.events));
         for command in &commands {
             if let Command::Wake(after) = command {
-                self.wake = self.wake.min(now + *after);
+                self.wake_at = self.wake_at.min(now + *after);
             }
         }
         commands
--- a/crates/relay/src/discovery.rs
+++ b/crates/relay/src/discovery.rs
@@ -10,25 +10,25 @@
 use juniperwing_settings::Settings;
 use serde::Deserialize;
 
-use crate::event_loop::{Happening, Net, Role, Token};
+use crate::event_loop::{ConnectionEvent, Net, Role, Token};
 use crate::http;
 
 /// A watch that says nothing for so long is dead: it writes an empty line every 2 s while nothing changes.
-const SILENT: Span = Span::from_millis(3_000);
+const WATCH_TIMEOUT: Span = Span::from_millis(3_000);
 /// The longest chunk or line of a watch.
-const LINE_MOST: usize = 4 * 1024 * 1024;
+const MAX_CHUNK_BYTES: usize = 4 * 1024 * 1024;
 
 /// The list, or what changed in it, as discovery writes it.
 #[derive(Clone, Debug, Default, Deserialize)]
-pub struct List {
+pub struct EndpointList {
     seq: u64,
     #[serde(default)]
     whole: bool,
-    hosts: Option<Vec<Host>>,
+    hosts: Option<Vec<EndpointEntry>>,
 }
 
 #[derive(Clone, Debug, Deserialize)]
-struct Host {
+struct EndpointEntry {
     host: String,
     #[serde(default)]
     dial: String,
@@ -45,50 +45,50 @@
 
 /// Where an endpoint is, and how it may be called.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Place {
-    pub dial: SocketAddr,
+pub struct KnownEndpoint {
+    pub address: SocketAddr,
     /// As the core was told of it.
     entry: Entry,
 }
 
-impl Place {
+impl KnownEndpoint {
     pub fn zone(&self) -> Arc<str> {
         self.entry.zone.clone()
     }
 
     /// Most notifications in one call.
-    pub fn per_call(&self) -> usize {
+    pub fn max_notifications_per_call(&self) -> usize {
         self.entry.kind.per_call.max(1)
     }
 }
 
 /// What came of a list.
-pub struct Learnt {
-    pub news: News,
+pub struct ListChange {
+    pub update: News,
     /// Their idle connections are of no use any more.
-    pub left: Vec<EndpointId>,
+    pub withdrawn: Vec<EndpointId>,
     /// Their addresses cannot be read.
-    pub nowhere: Vec<EndpointId>,
+    pub without_address: Vec<EndpointId>,
 }
 
 struct Watch {
     token: Token,
     /// Whether the head of the answer has come.
-    begun: bool,
+    has_head: bool,
     /// Whether a list has come, or word that nothing has changed.
-    told: bool,
-    text: Vec<u8>,
+    has_message: bool,
+    buffer: Vec<u8>,
 }
 
 pub struct Discovery {
     pub address: SocketAddr,
-    seq: u64,
+    list_version: u64,
     watch: Option<Watch>,
     /// The core has asked for a watch.
-    wanted: bool,
+    is_watch_requested: bool,
     /// A watch has told something, so that what is held is no longer an earlier process's.
-    spoken: bool,
-    places: BTreeMap<EndpointId, Place>,
+    has_received_message: bool,
+    endpoints: BTreeMap<EndpointId, KnownEndpoint>,
     /// Destinations that have endpoints on the list, and when one that has none any more may be forgotten.
     destinations: BTreeMap<DestinationId, Time>,
 }
@@ -97,33 +97,33 @@
     pub fn new(address: SocketAddr) -> Discovery {
         Discovery {
             address,
-            seq: 0,
+            list_version: 0,
             watch: None,
-            wanted: false,
-            spoken: false,
-            places: BTreeMap::new(),
+            is_watch_requested: false,
+            has_received_message: false,
+            endpoints: BTreeMap::new(),
             destinations: BTreeMap::new(),
         }
     }
 
     /// Whether a destination has endpoints, or had some so lately that they may be about to be replaced.
-    pub fn knows(&self, destination: DestinationId) -> bool {
+    pub fn is_known_destination(&self, destination: DestinationId) -> bool {
         self.destinations.contains_key(&destination)
     }
 
     /// Whether the list is as discovery tells it now.
     pub fn is_current(&self) -> bool {
-        self.watch.as_ref().is_some_and(|watch| watch.told)
+        self.watch.as_ref().is_some_and(|watch| watch.has_message)
     }
 
-    pub fn place(&self, endpoint: &EndpointId) -> Option<&Place> {
-        self.places.get(endpoint)
+    pub fn endpoint(&self, endpoint: &EndpointId) -> Option<&KnownEndpoint> {
+        self.endpoints.get(endpoint)
     }
 
     /// Takes in a list.
-    pub fn learn(&mut self, list: List, settings: &Settings, now: Time) -> Learnt {
-        self.seq = list.seq;
-        let before = if list.whole { std::mem::take(&mut self.places) } else { self.places.clone() };
+    pub fn apply_list(&mut self, list: EndpointList, settings: &Settings, now: Time) -> ListChange {
+        self.list_version = list.seq;
+        let before = if list.whole { std::mem::take(&mut self.endpoints) } else { self.endpoints.clone() };
         let hosts = list.hosts.unwrap_or_default();
         let (mut entries, mut nowhere) = (Vec::with_capacity(hosts.len()), Vec::new());
         for host in hosts {
@@ -142,87 +142,92 @@
                 },
                 rate: host.share,
             };
-            self.places.remove(&entry.endpoint);
+            self.endpoints.remove(&entry.endpoint);
             if dial.is_none() && host.health != "gone" {
                 nowhere.push(entry.endpoint.clone());
             }
             if let Some(dial) = dial.filter(|_| entry.readiness != Readiness::Deleted) {
-                self.places.insert(entry.endpoint.clone(), Place { dial, entry: entry.clone() });
+                self.endpoints
+                    .insert(entry.endpoint.clone(), KnownEndpoint { address: dial, entry: entry.clone() });
             }
             entries.push(entry);
         }
-        let has_left = |id: &EndpointId, old: &Place| {
-            self.places.get(id).is_none_or(|now| {
-                let moved = now.dial != old.dial || now.entry.destination != old.entry.destination;
+        let has_left = |id: &EndpointId, old: &KnownEndpoint| {
+            self.endpoints.get(id).is_none_or(|now| {
+                let moved = now.address != old.address || now.entry.destination != old.entry.destination;
                 moved || now.entry.readiness != Readiness::Serving
             })
         };
         let left = before.iter().filter(|(id, old)| has_left(id, old)).map(|(id, _)| id.clone()).collect();
         let forget = now + settings.longest_ttl();
         self.destinations.extend(before.values().map(|place| (place.entry.destination, forget)));
-        self.destinations.extend(self.places.values().map(|place| (place.entry.destination, Time::NEVER)));
+        self.destinations.extend(self.endpoints.values().map(|place| (place.entry.destination, Time::NEVER)));
         self.destinations.retain(|_, until| *until > now);
         let news = if list.whole { News::Whole(entries) } else { News::Changes(entries) };
-        Learnt { news, left, nowhere }
+        ListChange { update: news, withdrawn: left, without_address: nowhere }
     }
 
     /// The kinds of the endpoints on the list.
     pub fn kinds(&self) -> impl Iterator<Item = &str> {
-        self.places.values().map(|place| place.entry.kind.name.as_str())
+        self.endpoints.values().map(|place| place.entry.kind.name.as_str())
     }
 
     /// Reads the kinds on the list anew, by other settings. Gives the news of it for the core.
-    pub fn reread(&mut self, settings: &Settings) -> News {
-        for place in self.places.values_mut() {
+    pub fn apply_settings(&mut self, settings: &Settings) -> News {
+        for place in self.endpoints.values_mut() {
             place.entry.kind = settings.kind(&place.entry.kind.name);
         }
-        let entries = self.places.values().map(|place| place.entry.clone()).collect();
-        if self.spoken { News::Changes(entries) } else { News::Held(entries) }
+        let entries = self.endpoints.values().map(|place| place.entry.clone()).collect();
+        if self.has_received_message { News::Changes(entries) } else { News::Held(entries) }
     }
 
     /// Opens a watch, in place of one that is open. Says whether that could be begun.
     pub fn subscribe(&mut self, net: &mut Net, now: Time) -> bool {
-        self.wanted = true;
+        self.is_watch_requested = true;
         if let Some(old) = self.watch.take() {
             net.close(old.token);
         }
         let Ok(token) = net.open(self.address, Role::Watch) else { return false };
-        let target = format!("GET /v1/endpoints?stream=1&index={} HTTP/1.1", self.seq);
-        net.write(token, &http::message(&target, &[("Host", &self.address.to_string())], b""));
-        net.due(token, now + SILENT);
-        self.watch = Some(Watch { token, begun: false, told: false, text: Vec::new() });
+        let target = format!("GET /v1/endpoints?stream=1&index={} HTTP/1.1", self.list_version);
+        net.write(token, &http::encode_message(&target, &[("Host", &self.address.to_string())], b""));
+        net.set_deadline(token, now + WATCH_TIMEOUT);
+        self.watch = Some(Watch { token, has_head: false, has_message: false, buffer: Vec::new() });
         true
     }
 
     /// Discovery is at another address from now on. A watch that the core wants goes there at once, from the version
     /// held. Says whether it could be begun.
-    pub fn moves(&mut self, net: &mut Net, to: SocketAddr, now: Time) -> bool {
+    pub fn change_address(&mut self, net: &mut Net, to: SocketAddr, now: Time) -> bool {
         self.address = to;
-        !self.wanted || self.subscribe(net, now)
+        !self.is_watch_requested || self.subscribe(net, now)
     }
 
     /// Reads what a watch brings: news in order, and then that it broke, if it did.
-    pub fn happened(&mut self, net: &mut Net, token: Token, what: Happening, now: Time) -> Brought {
-        let mut brought = Brought::default();
+    pub fn handle_connection_event(
+        &mut self, net: &mut Net, token: Token, what: ConnectionEvent, now: Time,
+    ) -> WatchMessages {
+        let mut brought = WatchMessages::default();
         let Some(watch) = self.watch.as_mut().filter(|watch| watch.token == token) else { return brought };
         match what {
-            Happening::Up => return brought,
-            Happening::Due => brought.broken = Some("silent"),
-            Happening::Ended if !net.connected(token) => brought.broken = Some("cannot be reached"),
+            ConnectionEvent::Connected => return brought,
+            ConnectionEvent::DeadlineReached => brought.failure = Some("silent"),
+            ConnectionEvent::PeerClosed if !net.is_connected(token) => {
+                brought.failure = Some("cannot be reached")
+            }
             _ => {
-                let begun = watch.begun;
+                let begun = watch.has_head;
                 brought = watch.read(net);
-                self.spoken |= brought.heard;
+                self.has_received_message |= brought.has_message;
                 // Guards against one that keeps itself alive by pieces of lines, and tells nothing.
-                if brought.heard || watch.begun != begun {
-                    net.due(token, now + SILENT);
+                if brought.has_message || watch.has_head != begun {
+                    net.set_deadline(token, now + WATCH_TIMEOUT);
                 }
-                if what == Happening::Ended && brought.broken.is_none() {
-                    brought.broken = Some("ended");
+                if what == ConnectionEvent::PeerClosed && brought.failure.is_none() {
+                    brought.failure = Some("ended");
                 }
             }
         }
-        if brought.broken.is_some() {
+        if brought.failure.is_some() {
             self.watch = None;
             net.close(token);
         }
@@ -232,38 +237,38 @@
 
 /// What a watch brought.
 #[derive(Default)]
-pub struct Brought {
-    pub lists: Vec<List>,
+pub struct WatchMessages {
+    pub lists: Vec<EndpointList>,
     /// A list, or word that nothing has changed.
-    pub heard: bool,
+    pub has_message: bool,
     /// Why there will be no more.
-    pub broken: Option<&'static str>,
+    pub failure: Option<&'static str>,
 }
 
 impl Watch {
-    fn read(&mut self, net: &mut Net) -> Brought {
-        let mut brought = Brought::default();
-        brought.broken = self.take(net, &mut brought).err();
-        self.told |= brought.heard;
+    fn read(&mut self, net: &mut Net) -> WatchMessages {
+        let mut brought = WatchMessages::default();
+        brought.failure = self.read_chunks(net, &mut brought).err();
+        self.has_message |= brought.has_message;
         brought
     }
 
-    fn take(&mut self, net: &mut Net, brought: &mut Brought) -> Result<(), &'static str> {
+    fn read_chunks(&mut self, net: &mut Net, brought: &mut WatchMessages) -> Result<(), &'static str> {
         let Some(input) = net.input(self.token) else { return Err("closed") };
-        if !self.begun {
-            match http::response_head(input) {
+        if !self.has_head {
+            match http::parse_response_head(input) {
                 Ok(None) => return Ok(()),
-                Ok(Some(head)) if head.status == 200 => drop(input.drain(..head.start)),
+                Ok(Some(head)) if head.status == 200 => drop(input.drain(..head.body_start)),
                 Ok(Some(_)) => return Err("refused"),
                 Err(_) => return Err("unreadable"),
             }
-            self.begun = true;
+            self.has_head = true;
         }
         let (mut at, mut end) = (0, None);
         loop {
-            match http::chunk(&input[at..], LINE_MOST) {
+            match http::parse_chunk(&input[at..], MAX_CHUNK_BYTES) {
                 Ok(Some((data, next))) => {
-                    self.text.extend_from_slice(&input[at..][data.clone()]);
+                    self.buffer.extend_from_slice(&input[at..][data.clone()]);
                     at += next;
                     if data.is_empty() {
                         end = Some("ended");
@@ -279,28 +284,28 @@
         }
         input.drain(..at);
         // What came before an end, or before what cannot be read, still counts.
-        let read = self.lists(brought);
-        let long = if self.text.len() > LINE_MOST { Err("too long") } else { Ok(()) };
+        let read = self.parse_lists(brought);
+        let long = if self.buffer.len() > MAX_CHUNK_BYTES { Err("too long") } else { Ok(()) };
         read.and(long).and(end.map_or(Ok(()), Err))
     }
 
     /// Takes the lists that are whole out of the text. Each may stand on one line or on several.
-    fn lists(&mut self, brought: &mut Brought) -> Result<(), &'static str> {
+    fn parse_lists(&mut self, brought: &mut WatchMessages) -> Result<(), &'static str> {
         loop {
-            let blank = self.text.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
-            brought.heard |= self.text.drain(..blank).any(|byte| byte == b'\n');
-            if self.text.is_empty() {
+            let blank = self.buffer.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
+            brought.has_message |= self.buffer.drain(..blank).any(|byte| byte == b'\n');
+            if self.buffer.is_empty() {
                 return Ok(());
             }
-            let mut values = serde_json::Deserializer::from_slice(&self.text).into_iter();
+            let mut values = serde_json::Deserializer::from_slice(&self.buffer).into_iter();
             match values.next() {
                 // Guards against one that would empty the list held: it says that it is whole, and names nothing.
-                Some(Ok(List { whole: true, hosts: None, .. })) => return Err("unreadable"),
+                Some(Ok(EndpointList { whole: true, hosts: None, .. })) => return Err("unreadable"),
                 Some(Ok(list)) => {
                     brought.lists.push(list);
-                    brought.heard = true;
+                    brought.has_message = true;
                     let length = values.byte_offset();
-                    self.text.drain(..length);
+                    self.buffer.drain(..length);
                 }
                 Some(Err(e)) if !e.is_eof() => return Err("unreadable"),
                 _ => return Ok(()),
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/endpoint_response.rs
@@ -10,70 +10,70 @@
 
 /// How a push ended, and whether nothing more is owed for its notification.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Fate {
+pub struct PushResult {
     pub status: Status,
-    pub over: bool,
+    pub is_final: bool,
 }
 
-impl Fate {
-    pub const fn of(status: Status) -> Fate {
-        Fate { status, over: matches!(status, Status::Delivered) }
+impl PushResult {
+    pub const fn from_status(status: Status) -> PushResult {
+        PushResult { status, is_final: matches!(status, Status::Delivered) }
     }
 }
 
 #[derive(Deserialize)]
-struct Line {
+struct BatchItemResult {
     id: String,
     state: String,
 }
 
 /// The fates of the notifications with these ids, pushed in one call.
-pub fn fates(response: &Response, ids: &[&str], many: bool) -> Vec<Fate> {
+pub fn push_results(response: &Response, ids: &[&str], many: bool) -> Vec<PushResult> {
     let all = match response.status {
-        200 if many => return each(response, ids),
-        200 => Fate::of(Status::Delivered),
-        429 | 503 if response.header("Slots-Taken") == Some("1") => Fate::of(Status::Skipped),
+        200 if many => return batch_results(response, ids),
+        200 => PushResult::from_status(Status::Delivered),
+        429 | 503 if response.header("Slots-Taken") == Some("1") => PushResult::from_status(Status::Skipped),
         // Not even its connection is kept: there are too many.
-        503 if !response.keep => Fate::of(Status::Crowded),
-        429 | 503 => Fate::of(Status::Busy),
+        503 if !response.is_keep_alive => PushResult::from_status(Status::Crowded),
+        429 | 503 => PushResult::from_status(Status::Busy),
         // All pushes are used up: not sent, its end is still owed.
-        504 => Fate::of(Status::Skipped),
-        410 => Fate { status: Status::Skipped, over: true },
-        _ if unreadable(response) => Fate::of(Status::Skipped),
-        _ => Fate::of(Status::Error),
+        504 => PushResult::from_status(Status::Skipped),
+        410 => PushResult { status: Status::Skipped, is_final: true },
+        _ if is_rejected_as_malformed(response) => PushResult::from_status(Status::Skipped),
+        _ => PushResult::from_status(Status::Error),
     };
     vec![all; ids.len()]
 }
 
 /// Whether the endpoint could not read the call, so that none of it ran.
-pub fn unreadable(response: &Response) -> bool {
+pub fn is_rejected_as_malformed(response: &Response) -> bool {
     matches!(response.status, 400 | 413)
 }
 
-fn each(response: &Response, ids: &[&str]) -> Vec<Fate> {
-    let lines: Vec<Line> = serde_json::from_slice(&response.body).unwrap_or_default();
+fn batch_results(response: &Response, ids: &[&str]) -> Vec<PushResult> {
+    let lines: Vec<BatchItemResult> = serde_json::from_slice(&response.body).unwrap_or_default();
     let fate = |id: &&str| {
         let state = lines.iter().find(|line| line.id == *id).map(|line| line.state.as_str());
         match state {
-            Some("delivered") => Fate::of(Status::Delivered),
-            Some("refused") => Fate::of(Status::Busy),
-            Some("over") => Fate { status: Status::Skipped, over: true },
-            Some("spent") => Fate::of(Status::Skipped),
+            Some("delivered") => PushResult::from_status(Status::Delivered),
+            Some("refused") => PushResult::from_status(Status::Busy),
+            Some("over") => PushResult { status: Status::Skipped, is_final: true },
+            Some("spent") => PushResult::from_status(Status::Skipped),
             // Failed, or not accounted for: it may have run.
-            _ => Fate::of(Status::Error),
+            _ => PushResult::from_status(Status::Error),
         }
     };
     ids.iter().map(fate).collect()
 }
 
 /// How long the endpoint said to wait, by the head of its answer.
-pub fn wait(headers: &Headers) -> Option<Span> {
+pub fn retry_after(headers: &Headers) -> Option<Span> {
     let secs = headers.get("Retry-After")?.parse().ok().filter(|secs: &f64| secs.is_finite())?;
     Some(Span::from_secs_f64(secs)).filter(|wait| *wait > Span::ZERO)
 }
 
 /// What the endpoint told of its limit.
-pub fn limit(response: &Response, settings: &Settings) -> Option<LimitReport> {
+pub fn limit_report(response: &Response, settings: &Settings) -> Option<LimitReport> {
     let fields = response.header("Server-Load")?.strip_prefix("TEXT")?;
     let value = |name: &str| {
         let mut pairs = fields.split(',').filter_map(|pair| pair.trim().split_once('='));
@@ -93,7 +93,7 @@
 
     fn read(text: &str) -> Response {
         let text = text.replace('\n', "\r\n");
-        http::response(text.as_bytes(), true).expect("readable").expect("whole").0
+        http::parse_response(text.as_bytes(), true).expect("readable").expect("whole").0
     }
 
     #[test]
@@ -115,9 +115,9 @@
             ("200 OK\n", true),
         ] {
             let response = read(&format!("HTTP/1.1 {head}Content-Length: 0\n\n"));
-            let fate = fates(&response, &["1"], many)[0];
-            let wait = wait(&response.headers).map(|wait| wait.as_nanos() / 1_000_000);
-            trace += &format!("{many:<5} {:?} over {} wait {wait:?}\n", fate.status, fate.over);
+            let fate = push_results(&response, &["1"], many)[0];
+            let wait = retry_after(&response.headers).map(|wait| wait.as_nanos() / 1_000_000);
+            trace += &format!("{many:<5} {:?} over {} wait {wait:?}\n", fate.status, fate.is_final);
         }
         expect![[r#"
             false Delivered over true wait None
@@ -148,10 +148,10 @@
         let mut ids = states.to_vec();
         ids.push("missing");
         let mut trace = String::new();
-        for (id, fate) in ids.iter().zip(fates(&response, &ids, true)) {
-            trace += &format!("{id:<9} {:?} over {}\n", fate.status, fate.over);
+        for (id, fate) in ids.iter().zip(push_results(&response, &ids, true)) {
+            trace += &format!("{id:<9} {:?} over {}\n", fate.status, fate.is_final);
         }
-        trace += &format!("wait {:?}", wait(&response.headers).map(Span::as_secs_f64));
+        trace += &format!("wait {:?}", retry_after(&response.headers).map(Span::as_secs_f64));
         expect![[r#"
             delivered Delivered over true
             failed    Error over false
--- a/crates/relay/src/event_loop.rs
+++ b/crates/relay/src/event_loop.rs
@@ -15,41 +15,41 @@
 use socket2::{Domain, Protocol, Socket, Type};
 
 /// Most bytes read from one socket in a turn, so that one busy peer does not keep others waiting.
-const READ_MOST: usize = 64 * 1024;
+const MAX_READ_BYTES_PER_TURN: usize = 64 * 1024;
 /// Bytes that may wait to be taken from one connection's input; no more are read. A client's request with all its
 /// frames is shorter, and so is a line of discovery's.
-const CLIENT_INPUT_MOST: usize = 160 * 1024;
-const INPUT_MOST: usize = 8 * 1024 * 1024;
+const MAX_CLIENT_INPUT_BYTES: usize = 160 * 1024;
+const MAX_INPUT_BYTES: usize = 8 * 1024 * 1024;
 /// After a connection could not be accepted for want of anything, the next is not tried for so long.
-const ACCEPT_PAUSE: Span = Span::from_millis(100);
+const ACCEPT_RETRY_INTERVAL: Span = Span::from_millis(100);
 /// How long a connection closed by us may go on sending what nobody reads, before it is cut.
-const LINGER: Span = Span::from_millis(1_000);
+const LINGER_TIMEOUT: Span = Span::from_millis(1_000);
 /// Connections waiting to be accepted.
-const BACKLOG: i32 = 1_024;
+const LISTEN_BACKLOG: i32 = 1_024;
 
-const LISTENER: usize = usize::MAX - 1;
-const STOP: usize = usize::MAX - 2;
-const RELOAD: usize = usize::MAX - 3;
+const LISTENER_KEY: usize = usize::MAX - 1;
+const STOP_KEY: usize = usize::MAX - 2;
+const RELOAD_KEY: usize = usize::MAX - 3;
 /// A token is a place in the table and the count of its uses, so that news of a socket long closed reaches
 /// nobody.
-const PLACE_BITS: u32 = 20;
+const SLOT_BITS: u32 = 20;
 
 /// Unix time that never steps: read from the system once, then advanced by the monotonic clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
-    unix: u64,
+    unix_nanos_at_start: u64,
 }
 
 impl Clock {
     pub fn new() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), unix: u64::try_from(unix.as_nanos()).unwrap_or(0) }
+        Clock { start: Instant::now(), unix_nanos_at_start: u64::try_from(unix.as_nanos()).unwrap_or(0) }
     }
 
     pub fn now(&self) -> Time {
         let since = u64::try_from(self.start.elapsed().as_nanos()).unwrap_or(u64::MAX);
-        Time::from_nanos(self.unix.saturating_add(since))
+        Time::from_nanos(self.unix_nanos_at_start.saturating_add(since))
     }
 }
 
@@ -58,8 +58,8 @@
 pub struct Token(usize);
 
 impl Token {
-    fn place(self) -> usize {
-        self.0 & ((1 << PLACE_BITS) - 1)
+    fn slot(self) -> usize {
+        self.0 & ((1 << SLOT_BITS) - 1)
     }
 }
 
@@ -73,27 +73,27 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Happening {
+pub enum ConnectionEvent {
     /// A client has connected.
     Accepted,
     /// The connection that we opened is up.
-    Up,
+    Connected,
     /// There are new bytes in the input, or it is to be looked at again.
-    Data,
+    Readable,
     /// The peer has ended or broken the connection; it is still to be closed.
-    Ended,
+    PeerClosed,
     /// The time given by [`Net::due`] has come.
-    Due,
+    DeadlineReached,
 }
 
 /// What a turn brings.
 #[derive(Debug, Default)]
 pub struct Turn {
-    pub happenings: Vec<(Token, Role, Happening)>,
+    pub connection_events: Vec<(Token, Role, ConnectionEvent)>,
     /// A signal to stop has come.
-    pub stop: bool,
+    pub is_stop_requested: bool,
     /// A signal to read the configuration anew has come.
-    pub reload: bool,
+    pub is_reload_requested: bool,
 }
 
 /// Signals come as bytes: those to stop, and those to read the configuration anew.
@@ -102,17 +102,17 @@
     pub reload: UnixStream,
 }
 
-struct Conn {
+struct Connection {
     socket: Socket,
     role: Role,
-    connected: bool,
-    ended: bool,
+    is_connected: bool,
+    is_peer_closed: bool,
     /// Closed by its owner: only what is queued goes out.
-    leaving: bool,
+    is_closing: bool,
     input: Vec<u8>,
     output: VecDeque<u8>,
     interest: (bool, bool),
-    due: Time,
+    deadline: Time,
 }
 
 pub struct Net {
@@ -120,17 +120,17 @@
     poller: Poller,
     events: Events,
     listener: Option<TcpListener>,
-    listening: bool,
+    is_accepting: bool,
     signals: Signals,
-    conns: Vec<(usize, Option<Conn>)>,
-    free: Vec<usize>,
-    dues: BTreeSet<(Time, Token)>,
+    slots: Vec<(usize, Option<Connection>)>,
+    free_slots: Vec<usize>,
+    deadlines: BTreeSet<(Time, Token)>,
     unflushed: BTreeSet<Token>,
-    again: Vec<(Token, Role, Happening)>,
-    clients: usize,
-    clients_most: usize,
+    deferred_events: Vec<(Token, Role, ConnectionEvent)>,
+    client_count: usize,
+    max_clients: usize,
     /// When clients are accepted again that could not be.
-    accept_at: Time,
+    accept_retry_at: Time,
 }
 
 impl Net {
@@ -139,12 +139,12 @@
         let socket = Socket::new(Domain::for_address(listen), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_reuse_address(true)?;
         socket.bind(&listen.into())?;
-        socket.listen(BACKLOG)?;
+        socket.listen(LISTEN_BACKLOG)?;
         socket.set_nonblocking(true)?;
         let listener = TcpListener::from(socket);
         let poller = Poller::new()?;
-        register(&poller, &listener, Event::readable(LISTENER))?;
-        for (stream, key) in [(&signals.stop, STOP), (&signals.reload, RELOAD)] {
+        register(&poller, &listener, Event::readable(LISTENER_KEY))?;
+        for (stream, key) in [(&signals.stop, STOP_KEY), (&signals.reload, RELOAD_KEY)] {
             stream.set_nonblocking(true)?;
             register(&poller, stream, Event::readable(key))?;
         }
@@ -153,16 +153,16 @@
             poller,
             events: Events::new(),
             listener: Some(listener),
-            listening: true,
+            is_accepting: true,
             signals,
-            conns: Vec::new(),
-            free: Vec::new(),
-            dues: BTreeSet::new(),
+            slots: Vec::new(),
+            free_slots: Vec::new(),
+            deadlines: BTreeSet::new(),
             unflushed: BTreeSet::new(),
-            again: Vec::new(),
-            clients: 0,
-            clients_most,
-            accept_at: Time::NEVER,
+            deferred_events: Vec::new(),
+            client_count: 0,
+            max_clients: clients_most,
+            accept_retry_at: Time::NEVER,
         })
     }
 
@@ -171,11 +171,12 @@
     }
 
     /// Waits for the next happenings, no longer than `until`, and gathers all that there are.
-    pub fn wait(&mut self, until: Time) -> Turn {
-        let until = self.dues.first().map_or(until, |due| due.0.min(until)).min(self.accept_at);
+    pub fn poll(&mut self, until: Time) -> Turn {
+        let until = self.deadlines.first().map_or(until, |due| due.0.min(until)).min(self.accept_retry_at);
         let mut left = Duration::from_nanos(until.since(self.clock.now()).as_nanos());
-        let mut turn = Turn { happenings: std::mem::take(&mut self.again), ..Turn::default() };
-        if !turn.happenings.is_empty() {
+        let mut turn =
+            Turn { connection_events: std::mem::take(&mut self.deferred_events), ..Turn::default() };
+        if !turn.connection_events.is_empty() {
             left = Duration::ZERO;
         }
         self.events.clear();
@@ -184,22 +185,24 @@
         let events: Vec<Event> = self.events.iter().collect();
         for event in events {
             match event.key {
-                LISTENER => self.accept(&mut turn),
-                STOP => turn.stop |= signalled(&self.signals.stop),
-                RELOAD => turn.reload |= signalled(&self.signals.reload),
-                key => self.ready(Token(key), &mut turn),
+                LISTENER_KEY => self.accept(&mut turn),
+                STOP_KEY => turn.is_stop_requested |= drain_signals(&self.signals.stop),
+                RELOAD_KEY => turn.is_reload_requested |= drain_signals(&self.signals.reload),
+                key => self.handle_readiness(Token(key), &mut turn),
             }
         }
         let now = self.clock.now();
-        if self.accept_at <= now {
-            self.accept_at = Time::NEVER;
-            self.listen(true);
+        if self.accept_retry_at <= now {
+            self.accept_retry_at = Time::NEVER;
+            self.set_accepting(true);
         }
-        while let Some((_, token)) = self.dues.first().copied().filter(|due| due.0 <= now) {
-            self.due(token, Time::NEVER);
-            match self.conn(token).map(|conn| (conn.leaving, conn.role)) {
+        while let Some((_, token)) = self.deadlines.first().copied().filter(|due| due.0 <= now) {
+            self.set_deadline(token, Time::NEVER);
+            match self.connection(token).map(|conn| (conn.is_closing, conn.role)) {
                 Some((true, _)) => self.close(token),
-                Some((false, role)) => turn.happenings.push((token, role, Happening::Due)),
+                Some((false, role)) => {
+                    turn.connection_events.push((token, role, ConnectionEvent::DeadlineReached))
+                }
                 None => {}
             }
         }
@@ -207,15 +210,15 @@
     }
 
     fn accept(&mut self, turn: &mut Turn) {
-        while self.clients < self.clients_most {
+        while self.client_count < self.max_clients {
             let Some(listener) = &self.listener else { return };
             let stream = match listener.accept() {
                 Ok((stream, _)) => stream,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(_) => {
                     // Guards against a want of descriptors or memory: it would be told of the same client for ever.
-                    self.accept_at = self.clock.now() + ACCEPT_PAUSE;
-                    return self.listen(false);
+                    self.accept_retry_at = self.clock.now() + ACCEPT_RETRY_INTERVAL;
+                    return self.set_accepting(false);
                 }
             };
             let socket = Socket::from(stream);
@@ -225,18 +228,18 @@
             // Without it answers still arrive, only later.
             let _ = socket.set_tcp_nodelay(true);
             if let Ok(token) = self.insert(socket, Role::Client, true) {
-                turn.happenings.push((token, Role::Client, Happening::Accepted));
+                turn.connection_events.push((token, Role::Client, ConnectionEvent::Accepted));
             }
         }
         // Guards against more clients than there are descriptors: the rest wait unaccepted.
-        self.listen(false);
+        self.set_accepting(false);
     }
 
-    fn listen(&mut self, wanted: bool) {
-        if let Some(listener) = self.listener.as_ref().filter(|_| self.listening != wanted) {
-            let interest = if wanted { Event::readable(LISTENER) } else { Event::none(LISTENER) };
+    fn set_accepting(&mut self, wanted: bool) {
+        if let Some(listener) = self.listener.as_ref().filter(|_| self.is_accepting != wanted) {
+            let interest = if wanted { Event::readable(LISTENER_KEY) } else { Event::none(LISTENER_KEY) };
             let done = self.poller.modify_with_mode(listener, interest, PollMode::Level);
-            self.listening = if done.is_ok() { wanted } else { self.listening };
+            self.is_accepting = if done.is_ok() { wanted } else { self.is_accepting };
         }
     }
 
@@ -244,7 +247,7 @@
     pub fn stop_listening(&mut self) {
         let mut last = Turn::default();
         self.accept(&mut last);
-        self.again.extend(last.happenings);
+        self.deferred_events.extend(last.connection_events);
         if let Some(listener) = self.listener.take() {
             // The listener is closed with it, whatever the poller says.
             let _ = self.poller.delete(&listener);
@@ -265,65 +268,65 @@
     }
 
     fn insert(&mut self, socket: Socket, role: Role, connected: bool) -> io::Result<Token> {
-        let place = self.free.pop().unwrap_or_else(|| {
-            self.conns.push((0, None));
-            self.conns.len() - 1
+        let place = self.free_slots.pop().unwrap_or_else(|| {
+            self.slots.push((0, None));
+            self.slots.len() - 1
         });
-        let token = Token(self.conns[place].0 << PLACE_BITS | place);
+        let token = Token(self.slots[place].0 << SLOT_BITS | place);
         let interest = (true, !connected);
-        if let Err(e) = register(&self.poller, &socket, event(token, interest)) {
-            self.free.push(place);
+        if let Err(e) = register(&self.poller, &socket, poller_event(token, interest)) {
+            self.free_slots.push(place);
             return Err(e);
         }
-        self.clients += usize::from(role == Role::Client);
+        self.client_count += usize::from(role == Role::Client);
         let (input, output) = (Vec::new(), VecDeque::new());
-        let conn = Conn {
+        let conn = Connection {
             socket,
             role,
-            connected,
-            ended: false,
-            leaving: false,
+            is_connected: connected,
+            is_peer_closed: false,
+            is_closing: false,
             input,
             output,
             interest,
-            due: Time::NEVER,
+            deadline: Time::NEVER,
         };
-        self.conns[place].1 = Some(conn);
+        self.slots[place].1 = Some(conn);
         Ok(token)
     }
 
-    fn conn(&mut self, token: Token) -> Option<&mut Conn> {
-        find(&mut self.conns, token)
+    fn connection(&mut self, token: Token) -> Option<&mut Connection> {
+        find_connection(&mut self.slots, token)
     }
 
-    fn ready(&mut self, token: Token, turn: &mut Turn) {
-        let Some(conn) = self.conn(token) else { return };
+    fn handle_readiness(&mut self, token: Token, turn: &mut Turn) {
+        let Some(conn) = self.connection(token) else { return };
         let role = conn.role;
-        if !conn.connected {
+        if !conn.is_connected {
             match conn.socket.take_error() {
-                Ok(None) if conn.socket.peer_addr().is_ok() => conn.connected = true,
+                Ok(None) if conn.socket.peer_addr().is_ok() => conn.is_connected = true,
                 Ok(None) => return,
                 _ => {
-                    conn.ended = true;
-                    self.watch_for(token, (false, false));
-                    turn.happenings.push((token, role, Happening::Ended));
+                    conn.is_peer_closed = true;
+                    self.set_interest(token, (false, false));
+                    turn.connection_events.push((token, role, ConnectionEvent::PeerClosed));
                     return;
                 }
             }
-            self.watch_for(token, (true, false));
-            turn.happenings.push((token, role, Happening::Up));
+            self.set_interest(token, (true, false));
+            turn.connection_events.push((token, role, ConnectionEvent::Connected));
         }
         self.unflushed.insert(token);
-        let Some(conn) = self.conn(token).filter(|conn| !conn.ended) else { return };
+        let Some(conn) = self.connection(token).filter(|conn| !conn.is_peer_closed) else { return };
         let (before, mut read, mut ended) = (conn.input.len(), 0, false);
         let mut piece = [0; 16 * 1024];
-        let most = if role == Role::Client { CLIENT_INPUT_MOST } else { INPUT_MOST };
-        while read < READ_MOST && conn.input.len() < most {
+        let most = if role == Role::Client { MAX_CLIENT_INPUT_BYTES } else { MAX_INPUT_BYTES };
+        while read < MAX_READ_BYTES_PER_TURN && conn.input.len() < most {
             match conn.socket.read(&mut piece) {
                 Ok(0) => ended = true,
                 Ok(count) => {
                     read += count;
-                    if !conn.leaving {
+                    if !conn.is_closing {
                         conn.input.extend_from_slice(&piece[..count]);
                     }
                     continue;
@@ -334,36 +337,37 @@
             break;
         }
         if conn.input.len() > before {
-            turn.happenings.push((token, role, Happening::Data));
+            turn.connection_events.push((token, role, ConnectionEvent::Readable));
         }
         if ended {
-            conn.ended = true;
-            if conn.leaving {
+            conn.is_peer_closed = true;
+            if conn.is_closing {
                 return self.close(token);
             }
             let writes = conn.interest.1;
-            self.watch_for(token, (false, writes));
-            turn.happenings.push((token, role, Happening::Ended));
+            self.set_interest(token, (false, writes));
+            turn.connection_events.push((token, role, ConnectionEvent::PeerClosed));
         }
     }
 
-    fn watch_for(&mut self, token: Token, interest: (bool, bool)) {
-        let Some(conn) = find(&mut self.conns, token).filter(|conn| conn.interest != interest) else {
+    fn set_interest(&mut self, token: Token, interest: (bool, bool)) {
+        let Some(conn) = find_connection(&mut self.slots, token).filter(|conn| conn.interest != interest)
+        else {
             return;
         };
         conn.interest = interest;
         // A socket that cannot be watched is found out by its due time.
-        let _ = self.poller.modify_with_mode(&conn.socket, event(token, interest), PollMode::Level);
+        let _ = self.poller.modify_with_mode(&conn.socket, poller_event(token, interest), PollMode::Level);
     }
 
     /// What has come in and was not taken yet.
     pub fn input(&mut self, token: Token) -> Option<&mut Vec<u8>> {
-        self.conn(token).map(|conn| &mut conn.input)
+        self.connection(token).map(|conn| &mut conn.input)
     }
 
     /// Queues bytes; they go out with the next [`Net::flush`], once the connection is up.
     pub fn write(&mut self, token: Token, bytes: &[u8]) {
-        if let Some(conn) = self.conn(token) {
+        if let Some(conn) = self.connection(token) {
             conn.output.extend(bytes);
             self.unflushed.insert(token);
         }
@@ -372,7 +376,7 @@
     /// Hands all that is queued to the system, as far as it takes it.
     pub fn flush(&mut self) {
         for token in std::mem::take(&mut self.unflushed) {
-            let Some(conn) = self.conn(token).filter(|conn| conn.connected) else { continue };
+            let Some(conn) = self.connection(token).filter(|conn| conn.is_connected) else { continue };
             let mut broken = false;
             while !conn.output.is_empty() && !broken {
                 let (first, _) = conn.output.as_slices();
@@ -383,83 +387,83 @@
                     Err(_) => broken = true,
                 }
             }
-            let (blocked, leaving, role) = (!conn.output.is_empty(), conn.leaving, conn.role);
+            let (blocked, leaving, role) = (!conn.output.is_empty(), conn.is_closing, conn.role);
             let reads = conn.interest.0;
-            if broken && leaving || leaving && !blocked && conn.ended {
+            if broken && leaving || leaving && !blocked && conn.is_peer_closed {
                 self.close(token);
             } else if broken {
-                if !std::mem::replace(&mut conn.ended, true) {
-                    self.again.push((token, role, Happening::Ended));
+                if !std::mem::replace(&mut conn.is_peer_closed, true) {
+                    self.deferred_events.push((token, role, ConnectionEvent::PeerClosed));
                 }
-                self.watch_for(token, (false, false));
+                self.set_interest(token, (false, false));
             } else {
                 if leaving && !blocked {
                     // The peer may have gone already.
                     let _ = conn.socket.shutdown(Shutdown::Write);
                 }
-                self.watch_for(token, (reads, blocked));
+                self.set_interest(token, (reads, blocked));
             }
         }
     }
 
     /// Whether the connection is up.
-    pub fn connected(&mut self, token: Token) -> bool {
-        self.conn(token).is_some_and(|conn| conn.connected)
+    pub fn is_connected(&mut self, token: Token) -> bool {
+        self.connection(token).is_some_and(|conn| conn.is_connected)
     }
 
     /// How many of the bytes queued have not been handed to the system.
-    pub fn unsent(&mut self, token: Token) -> usize {
-        self.conn(token).map_or(0, |conn| conn.output.len())
+    pub fn unsent_bytes(&mut self, token: Token) -> usize {
+        self.connection(token).map_or(0, |conn| conn.output.len())
     }
 
     /// Whether there are bytes, or an end, that have not been read, here or at the system.
     pub fn has_unread(&mut self, token: Token) -> bool {
-        let Some(conn) = self.conn(token) else { return false };
+        let Some(conn) = self.connection(token) else { return false };
         let nothing = |e: io::Error| e.kind() == ErrorKind::WouldBlock;
         !conn.input.is_empty() || !conn.socket.peek(&mut [MaybeUninit::uninit()]).is_err_and(nothing)
     }
 
     /// Whether the peer has ended its sending.
-    pub fn ended(&mut self, token: Token) -> bool {
-        self.conn(token).is_none_or(|conn| conn.ended)
+    pub fn is_peer_closed(&mut self, token: Token) -> bool {
+        self.connection(token).is_none_or(|conn| conn.is_peer_closed)
     }
 
     /// Sets when the connection is due, in place of an earlier time.
-    pub fn due(&mut self, token: Token, at: Time) {
-        let Some(conn) = self.conn(token) else { return };
-        let before = std::mem::replace(&mut conn.due, at);
-        self.dues.remove(&(before, token));
+    pub fn set_deadline(&mut self, token: Token, at: Time) {
+        let Some(conn) = self.connection(token) else { return };
+        let before = std::mem::replace(&mut conn.deadline, at);
+        self.deadlines.remove(&(before, token));
         if at < Time::NEVER {
-            self.dues.insert((at, token));
+            self.deadlines.insert((at, token));
         }
     }
 
     /// Whether the time of a connection that was found due has not been set anew since.
-    pub fn is_overdue(&mut self, token: Token) -> bool {
-        self.conn(token).is_some_and(|conn| conn.due == Time::NEVER)
+    pub fn has_no_deadline(&mut self, token: Token) -> bool {
+        self.connection(token).is_some_and(|conn| conn.deadline == Time::NEVER)
     }
 
     /// Has the input looked at again in the next turn.
-    pub fn again(&mut self, token: Token) {
-        if let Some(role) = self.conn(token).map(|conn| conn.role) {
-            self.again.push((token, role, Happening::Data));
+    pub fn read_again(&mut self, token: Token) {
+        if let Some(role) = self.connection(token).map(|conn| conn.role) {
+            self.deferred_events.push((token, role, ConnectionEvent::Readable));
         }
     }
 
     /// Closes a connection once what is queued has gone out; what still comes in is read and dropped for a
     /// while, or the peer's system would throw away the answer unread.
-    pub fn leave(&mut self, token: Token) {
-        let until = self.clock.now() + LINGER;
-        let Some(conn) = self.conn(token) else { return };
-        conn.leaving = true;
+    pub fn close_after_flush(&mut self, token: Token) {
+        let until = self.clock.now() + LINGER_TIMEOUT;
+        let Some(conn) = self.connection(token) else { return };
+        conn.is_closing = true;
         conn.input = Vec::new();
         self.unflushed.insert(token);
-        self.due(token, until);
+        self.set_deadline(token, until);
     }
 
     /// Ends our sending on a connection; what its peer still sends is read.
-    pub fn stop_sending(&mut self, token: Token) {
-        if let Some(conn) = self.conn(token) {
+    pub fn shutdown_write(&mut self, token: Token) {
+        if let Some(conn) = self.connection(token) {
             conn.output.clear();
             // The peer may have gone already.
             let _ = conn.socket.shutdown(Shutdown::Write);
@@ -468,40 +472,40 @@
 
     /// Closes a connection at once: the one place where sockets are given back.
     pub fn close(&mut self, token: Token) {
-        let Some(due) = self.conn(token).map(|conn| conn.due) else { return };
-        self.dues.remove(&(due, token));
+        let Some(due) = self.connection(token).map(|conn| conn.deadline) else { return };
+        self.deadlines.remove(&(due, token));
         self.unflushed.remove(&token);
-        let place = token.place();
-        let Some(conn) = self.conns[place].1.take() else { return };
+        let place = token.slot();
+        let Some(conn) = self.slots[place].1.take() else { return };
         // Closing the socket takes it from the poller in any case.
         let _ = self.poller.delete(&conn.socket);
-        self.conns[place].0 += 1;
-        self.free.push(place);
+        self.slots[place].0 += 1;
+        self.free_slots.push(place);
         if conn.role == Role::Client {
-            self.clients -= 1;
-            self.listen(true);
+            self.client_count -= 1;
+            self.set_accepting(true);
         }
     }
 
     /// Client connections that are open, and the most there may be.
     pub fn clients(&self) -> (usize, usize) {
-        (self.clients, self.clients_most)
+        (self.client_count, self.max_clients)
     }
 }
 
-fn find(conns: &mut [(usize, Option<Conn>)], token: Token) -> Option<&mut Conn> {
-    let slot = conns.get_mut(token.place())?;
-    if slot.0 == token.0 >> PLACE_BITS { slot.1.as_mut() } else { None }
+fn find_connection(conns: &mut [(usize, Option<Connection>)], token: Token) -> Option<&mut Connection> {
+    let slot = conns.get_mut(token.slot())?;
+    if slot.0 == token.0 >> SLOT_BITS { slot.1.as_mut() } else { None }
 }
 
-fn signalled(mut stream: &UnixStream) -> bool {
+fn drain_signals(mut stream: &UnixStream) -> bool {
     matches!(stream.read(&mut [0; 64]), Ok(count) if count > 0)
 }
 
 /// A connection is under way.
 const EINPROGRESS: i32 = 115;
 
-fn event(token: Token, (reads, writes): (bool, bool)) -> Event {
+fn poller_event(token: Token, (reads, writes): (bool, bool)) -> Event {
     Event::new(token.0, reads, writes)
 }
 
--- a/crates/relay/src/main.rs
+++ b/crates/relay/src/main.rs
@@ -1,18 +1,18 @@
 //! juniperwing on sockets: reads the command line, starts the log and the signals, and serves. It must never
 //! touch a notification.
 
-mod admit;
-mod book;
+mod admission;
+mod client_connections;
 mod config;
+mod core_driver;
 mod discovery;
+mod endpoint_response;
 mod event_loop;
 mod http;
-mod relay;
-mod route;
-mod send;
-mod serve;
-mod store;
-mod take_in;
+mod journal;
+mod notices;
+mod server;
+mod upstream;
 
 use std::ffi::OsString;
 use std::os::unix::net::UnixStream;
@@ -59,38 +59,38 @@
 ROUTER_DISCOVERY where the configuration does not.
 ";
 
-enum Order {
+enum Command {
     Serve,
     CheckConfig,
     Version,
     Help,
 }
 
-struct Args {
-    order: Order,
+struct Arguments {
+    command: Command,
     config: Option<PathBuf>,
-    level: Level,
+    log_level: Level,
 }
 
 fn main() -> ExitCode {
     let words: Vec<String> =
         std::env::args_os().skip(1).map(|word| word.to_string_lossy().into_owned()).collect();
-    if let Some(code) = serving_tier(&words) {
+    if let Some(code) = run_tier_command(&words) {
         return code;
     }
-    let args = match arguments(std::env::args_os().skip(1).collect()) {
+    let args = match parse_arguments(std::env::args_os().skip(1).collect()) {
         Ok(args) => args,
         Err(e) => {
             eprintln!("juniperwing: {e}\nTry 'juniperwing help'.");
             return ExitCode::from(2);
         }
     };
-    match args.order {
-        Order::Version => println!("juniperwing {}", env!("CARGO_PKG_VERSION")),
-        Order::Help => print!("{USAGE}"),
-        Order::CheckConfig | Order::Serve => {
+    match args.command {
+        Command::Version => println!("juniperwing {}", env!("CARGO_PKG_VERSION")),
+        Command::Help => print!("{USAGE}"),
+        Command::CheckConfig | Command::Serve => {
             // First, so that a signal that comes while the configuration is read is heeded once it was.
-            let signals = signals();
+            let signals = register_signals();
             let config = match Config::read(args.config) {
                 Ok(config) => config,
                 Err(e) => {
@@ -98,20 +98,20 @@
                     return ExitCode::from(2);
                 }
             };
-            if matches!(args.order, Order::Serve) {
-                let Some(state) = config.state.clone() else {
+            if matches!(args.command, Command::Serve) {
+                let Some(state) = config.state_directory.clone() else {
                     eprintln!("juniperwing: no folder that lasts: set ROUTER_STATE");
                     return ExitCode::from(2);
                 };
-                return serve(config, &state, signals, args.level);
+                return serve(config, &state, signals, args.log_level);
             }
-            let state = config.state.as_ref().map(|state| format!(" in {}", state.display()));
+            let state = config.state_directory.as_ref().map(|state| format!(" in {}", state.display()));
             println!(
                 "{} listens on {}, asks {}, keeps up to {} bytes{}\n{}",
-                config.fixed.name,
-                config.fixed.listen,
-                config.discovery,
-                config.fixed.limits.disk_bytes(),
+                config.static_config.name,
+                config.static_config.listen,
+                config.discovery_address,
+                config.static_config.limits.disk_bytes(),
                 state.unwrap_or_default(),
                 config.settings,
             );
@@ -121,7 +121,7 @@
 }
 
 /// Runs a command of the serving tier, if the first word is one.
-fn serving_tier(words: &[String]) -> Option<ExitCode> {
+fn run_tier_command(words: &[String]) -> Option<ExitCode> {
     let (command, arguments) = words.split_first()?;
     if let Some(role) = Role::of(command) {
         return Some(juniperwing_node::command::run(role, arguments));
@@ -134,27 +134,27 @@
     }
 }
 
-fn arguments(given: Vec<OsString>) -> Result<Args, lexopt::Error> {
+fn parse_arguments(given: Vec<OsString>) -> Result<Arguments, lexopt::Error> {
     let named = std::env::var("JUNIPERWING_LOG").ok().filter(|level| !level.is_empty());
-    let mut args = Args { order: Order::Serve, config: None, level: Level::Info };
+    let mut args = Arguments { command: Command::Serve, config: None, log_level: Level::Info };
     if let Some(named) = named {
-        args.level = level(&named)?;
+        args.log_level = parse_log_level(&named)?;
     }
     let mut parser = lexopt::Parser::from_args(given);
     let mut ordered = false;
     while let Some(arg) = parser.next()? {
         match arg {
-            Short('h') | Long("help") => args.order = Order::Help,
-            Short('V') | Long("version") => args.order = Order::Version,
+            Short('h') | Long("help") => args.command = Command::Help,
+            Short('V') | Long("version") => args.command = Command::Version,
             Long("config") => args.config = Some(parser.value()?.into()),
-            Long("log-level") => args.level = level(&parser.value()?.string()?)?,
+            Long("log-level") => args.log_level = parse_log_level(&parser.value()?.string()?)?,
             Value(word) if !ordered => {
                 ordered = true;
-                args.order = match word.to_str() {
-                    Some("serve") => Order::Serve,
-                    Some("check-config") => Order::CheckConfig,
-                    Some("version") => Order::Version,
-                    Some("help") => Order::Help,
+                args.command = match word.to_str() {
+                    Some("serve") => Command::Serve,
+                    Some("check-config") => Command::CheckConfig,
+                    Some("version") => Command::Version,
+                    Some("help") => Command::Help,
                     _ => return Err(format!("unknown command {word:?}").into()),
                 };
             }
@@ -164,13 +164,13 @@
     Ok(args)
 }
 
-fn level(name: &str) -> Result<Level, lexopt::Error> {
+fn parse_log_level(name: &str) -> Result<Level, lexopt::Error> {
     name.parse().map_err(|()| format!("unknown log level {name:?}").into())
 }
 
 fn serve(config: Config, state: &Path, signals: std::io::Result<Signals>, level: Level) -> ExitCode {
     let (log, guard) = juniperwing_log::background(std::io::stderr(), level, o!());
-    let served = signals.and_then(|signals| serve::serve(config, state, signals, log.clone()));
+    let served = signals.and_then(|signals| server::serve(config, state, signals, log.clone()));
     let code = match served {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
@@ -183,7 +183,7 @@
 }
 
 /// A stream for each kind of signal, with a byte for each that has come.
-fn signals() -> std::io::Result<Signals> {
+fn register_signals() -> std::io::Result<Signals> {
     use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
     let (stop, stops) = UnixStream::pair()?;
     let (reload, reloads) = UnixStream::pair()?;
--- a/crates/relay/tests/journal.rs
+++ b/crates/relay/tests/journal.rs
@@ -12,14 +12,16 @@
 
 // The relay is a binary without a library, so its journal is compiled into the test.
 #[allow(dead_code, missing_docs)]
-#[path = "../src/store.rs"]
-mod store;
+#[path = "../src/journal.rs"]
+mod journal;
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
+use journal::{
+    AcceptedNotification, Attributes, Guarantee, History, Journal, RecordedEffect, UndeliveredEnd,
+};
 use juniperwing::time::Time;
-use store::{End, History, Promise, Repeat, Store, Taken, Words};
 
 /// A folder of this size is never compacted here.
 const ROOM: u64 = 1_000_000;
@@ -46,98 +48,113 @@
     folder
 }
 
-fn taken(topic: &str, id: &str, promise: Promise) -> Taken {
-    let words = Words {
+fn taken(topic: &str, id: &str, promise: Guarantee) -> AcceptedNotification {
+    let words = Attributes {
         id: id.to_owned(),
         topic: topic.to_owned(),
         account: (topic == "safe").then(|| "a".to_owned()),
-        key: promise.ordered.then(|| format!("key-of-{id}")),
+        key: promise.is_ordered.then(|| format!("key-of-{id}")),
         idempotency_key: (topic == "mark").then(|| format!("i-{id}")),
         destination: 7,
     };
-    Taken { words, valid_until: VALID_UNTIL, history: History::default(), kept: Some(promise) }
+    AcceptedNotification {
+        attributes: words,
+        valid_until_ns: VALID_UNTIL,
+        history: History::default(),
+        guarantee: Some(promise),
+    }
 }
 
-fn safe(id: &str) -> Taken {
-    taken("safe", id, Promise { effect: Repeat::Runs, ordered: false })
+fn safe(id: &str) -> AcceptedNotification {
+    taken("safe", id, Guarantee { effect: RecordedEffect::Repeatable, is_ordered: false })
 }
 
-fn mark(id: &str, all: bool) -> Taken {
-    taken("mark", id, Promise { effect: Repeat::Dropped { all, window: CENTURY }, ordered: false })
+fn mark(id: &str, all: bool) -> AcceptedNotification {
+    taken(
+        "mark",
+        id,
+        Guarantee {
+            effect: RecordedEffect::Collapsible { is_group_all: all, window_ns: CENTURY },
+            is_ordered: false,
+        },
+    )
 }
 
-fn once(id: &str) -> Taken {
-    taken("once", id, Promise { effect: Repeat::Never, ordered: true })
+fn once(id: &str) -> AcceptedNotification {
+    taken("once", id, Guarantee { effect: RecordedEffect::OnceOnly, is_ordered: true })
 }
 
 fn body(id: &str) -> Vec<u8> {
     format!("body of {id}\n").into_bytes()
 }
 
-fn take(store: &mut Store, taken: &Taken) -> u64 {
-    let promise = taken.kept.expect("a promise");
-    let until = Time::from_nanos(taken.valid_until);
-    store.take(taken.words.clone(), until, promise, body(&taken.words.id))
+fn take(store: &mut Journal, taken: &AcceptedNotification) -> u64 {
+    let promise = taken.guarantee.expect("a promise");
+    let until = Time::from_nanos(taken.valid_until_ns);
+    store.accept(taken.attributes.clone(), until, promise, body(&taken.attributes.id))
 }
 
 /// Takes a notification on for every state that one may be in, and brings it there.
-fn write_every_record(store: &mut Store) {
+fn write_every_record(store: &mut Journal) {
     let then = Time::from_nanos(THEN);
     let later = Time::from_nanos(THEN + MINUTE);
     take(store, &safe("waiting"));
     let n = take(store, &mark("out", true));
-    store.pushed(n, then, "z");
+    store.record_push(n, then, "z");
     let n = take(store, &mark("out-in-zone", false));
-    store.pushed(n, then, "z");
+    store.record_push(n, then, "z");
     let n = take(store, &once("out-once"));
-    store.pushed(n, then, "z");
+    store.record_push(n, then, "z");
     let n = take(store, &safe("returned"));
-    store.pushed(n, then, "z");
-    store.returned(n, true, Some(later));
+    store.record_push(n, then, "z");
+    store.record_push_ended(n, true, Some(later));
     let n = take(store, &once("never-ran"));
-    store.pushed(n, then, "z");
-    store.returned(n, false, None);
+    store.record_push(n, then, "z");
+    store.record_push_ended(n, false, None);
     let n = take(store, &once("given-up"));
-    store.ended(n, End::GivenUp);
+    store.record_end(n, UndeliveredEnd::GivenUp);
     let n = take(store, &safe("handed-back"));
-    store.ended(n, End::HandedBack(1_500));
+    store.record_end(n, UndeliveredEnd::ReturnedToClient(1_500));
     let n = take(store, &safe("over"));
-    store.over(n);
+    store.close(n);
 }
 
 /// What is live after [`write_every_record`]: with number and body.
-fn live() -> Vec<(u64, Taken, Vec<u8>)> {
+fn live() -> Vec<(u64, AcceptedNotification, Vec<u8>)> {
     let out = || Some((THEN, "z".to_owned()));
-    let with = |mut taken: Taken, history: History| {
+    let with = |mut taken: AcceptedNotification, history: History| {
         taken.history = history;
         taken
     };
     let none = History::default;
-    let is_out = || History { pushes: 1, out: out(), ..none() };
+    let is_out = || History { push_count: 1, in_flight: out(), ..none() };
     let ended = |end| History { end: Some(end), ..none() };
-    let returned = History { pushes: 1, ran: out(), doubt: Some(THEN + MINUTE), ..none() };
+    let returned =
+        History { push_count: 1, first_may_have_run: out(), may_run_since_ns: Some(THEN + MINUTE), ..none() };
     let all = [
         safe("waiting"),
         with(mark("out", true), is_out()),
         with(mark("out-in-zone", false), is_out()),
         with(once("out-once"), is_out()),
         with(safe("returned"), returned),
-        with(once("never-ran"), History { pushes: 1, ..none() }),
-        with(once("given-up"), ended(End::GivenUp)),
-        with(safe("handed-back"), ended(End::HandedBack(1_500))),
+        with(once("never-ran"), History { push_count: 1, ..none() }),
+        with(once("given-up"), ended(UndeliveredEnd::GivenUp)),
+        with(safe("handed-back"), ended(UndeliveredEnd::ReturnedToClient(1_500))),
     ];
-    let kept = |taken: &Taken| if taken.history.end.is_some() { Vec::new() } else { body(&taken.words.id) };
+    let kept = |taken: &AcceptedNotification| {
+        if taken.history.end.is_some() { Vec::new() } else { body(&taken.attributes.id) }
+    };
     (1..).zip(all).map(|(n, taken)| (n, taken.clone(), kept(&taken))).collect()
 }
 
-fn held(store: &Store) -> Vec<(u64, Taken, Vec<u8>)> {
-    store.live().map(|(n, kept)| (n, kept.taken.clone(), kept.body.clone())).collect()
+fn held(store: &Journal) -> Vec<(u64, AcceptedNotification, Vec<u8>)> {
+    store.live().map(|(n, kept)| (n, kept.notification.clone(), kept.body.clone())).collect()
 }
 
 /// Has a journal written in a folder of that size, and compares it with the committed one, written and read.
 fn check(name: &str, most: u64) {
     let folder = folder(name);
-    let (mut store, _) = Store::open(&folder, most).expect("a new journal");
+    let (mut store, _) = Journal::open(&folder, most).expect("a new journal");
     write_every_record(&mut store);
     store.flush().expect("room");
     let written = fs::read(folder.join("log")).expect("a journal");
@@ -151,7 +168,7 @@
     assert!(written == committed, "lengths or checksums differ");
 
     fs::write(folder.join("log"), &committed).expect("room");
-    let (store, torn) = Store::open(&folder, ROOM).expect("the committed journal");
+    let (store, torn) = Journal::open(&folder, ROOM).expect("the committed journal");
     assert_eq!((held(&store), torn), (live(), 0));
     fs::remove_dir_all(folder).expect("a folder of ours");
 }
