--- a/crates/relay/src/admission.rs
+++ b/crates/relay/src/admission.rs
@@ -49,7 +49,7 @@
         }
         let most = settings.terms.allowance.held;
         // Guards against a folder that fills up, and a hold larger than the settings allow.
-        if !store.has_capacity_for(handed_in.body.len()) || most > 0 && store.len() >= most {
+        if !store.has_capacity_for(handed_in.body.len()) || most > 0 && store.live_count() >= most {
             return Err(SubmissionResponse::Unavailable);
         }
         Ok(topic)
--- a/crates/relay/src/client_connections.rs
+++ b/crates/relay/src/client_connections.rs
@@ -150,8 +150,8 @@
                     }
                     return None;
                 }
-                Err(unreadable) => {
-                    self.reject(net, token, unreadable.0);
+                Err(error) => {
+                    self.reject(net, token, error.status);
                     return None;
                 }
             };
--- a/crates/relay/src/config.rs
+++ b/crates/relay/src/config.rs
@@ -1,22 +1,49 @@
-//! Reads what a relay is told when it starts: the environment and the JSON file it names. It must never start
-//! anything, or hold a value that decides over notifications; those are in the settings, for the core.
+//! Reads the configuration at the start and on a reload: the environment and the JSON file that it names.
+//!
+//! Values that decide over notifications are in the settings, which are the core's.
 
-use std::fmt;
+use std::io;
 use std::net::SocketAddr;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 
 use juniperwing_settings::{Settings, Written};
 use serde::Deserialize;
 use serde_json::Value;
+use snafu::{OptionExt, ResultExt, Snafu, ensure};
 
 use crate::discovery::EndpointList;
 
 /// Descriptors that are neither clients' nor endpoints': the poller's, the log's, discovery's and the like.
 const RESERVED_DESCRIPTORS: usize = 32;
-
-/// More than any one process uses, and fewer than the loop can number.
+/// More than any one process uses, and fewer than the event loop can number.
 const MAX_SOCKETS: usize = 1 << 18;
+/// The least that `limits.disk_mb` may be, in megabytes.
+const MIN_DISK_MB: f64 = 0.1;
+
+/// The configuration cannot be used.
+#[derive(Debug, Snafu)]
+pub enum ConfigError {
+    #[snafu(display("no configuration: give --config FILE or set ROUTER_CONFIG"))]
+    NoFile,
+    #[snafu(display("cannot read the configuration {}: {source}", path.display()))]
+    Unreadable { path: PathBuf, source: io::Error },
+    #[snafu(display("{} is no valid configuration: {source}", path.display()))]
+    Malformed { path: PathBuf, source: serde_path_to_error::Error<serde_json::Error> },
+    #[snafu(display("{} is no valid configuration: {source}", path.display()))]
+    TrailingText { path: PathBuf, source: serde_json::Error },
+    #[snafu(display("ROUTER_STATE is no folder: {}", path.display()))]
+    NoStateDirectory { path: PathBuf },
+    #[snafu(display("limits.sockets must be at least {min_sockets}"))]
+    TooFewSockets { min_sockets: usize },
+    #[snafu(display("limits.disk_mb must be at least {MIN_DISK_MB}"))]
+    TooLittleDisk,
+    #[snafu(display("{key} is no address with a port: {text:?}"))]
+    InvalidAddress { key: &'static str, text: String },
+    #[snafu(display("{reason}"))]
+    InvalidSettings { reason: String },
+}
 
+/// The configuration file as it is written.
 #[derive(Deserialize)]
 struct ConfigFile {
     #[serde(default)]
@@ -34,11 +61,13 @@
     settings: Written,
 }
 
-/// What the machine gives.
+/// What the process may use of its machine.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(default)]
 pub struct Limits {
+    /// File descriptors.
     pub sockets: usize,
+    /// Size of the state directory, in megabytes.
     pub disk_mb: f64,
 }
 
@@ -48,19 +77,34 @@
     }
 }
 
+/// How many connections may be open at once.
+#[derive(Clone, Copy, Debug)]
+pub struct ConnectionLimits {
+    pub max_clients: usize,
+    pub max_upstream: usize,
+}
+
 impl Limits {
-    /// Client connections and endpoint connections at most.
-    pub fn connection_limits(&self) -> (usize, usize) {
-        let shared = self.sockets.min(MAX_SOCKETS) - RESERVED_DESCRIPTORS;
-        (shared / 2, shared - shared / 2)
+    /// The connections that the sockets allow: half for clients, half for endpoints.
+    pub fn connection_limits(&self) -> ConnectionLimits {
+        let available = self.sockets.min(MAX_SOCKETS) - RESERVED_DESCRIPTORS;
+        let max_clients = available / 2;
+        ConnectionLimits { max_clients, max_upstream: available - max_clients }
     }
 
     pub fn disk_bytes(&self) -> u64 {
         (self.disk_mb * 1e6) as u64
     }
+
+    fn check(&self) -> Result<(), ConfigError> {
+        let min_sockets = 2 * RESERVED_DESCRIPTORS;
+        ensure!(self.sockets >= min_sockets, TooFewSocketsSnafu { min_sockets });
+        ensure!(self.disk_mb >= MIN_DISK_MB, TooLittleDiskSnafu);
+        Ok(())
+    }
 }
 
-/// What a running process cannot change.
+/// The part of the configuration that a running process cannot change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StaticConfig {
     pub name: String,
@@ -70,7 +114,7 @@
 }
 
 impl StaticConfig {
-    /// The keys that differ in another.
+    /// The keys whose values differ in `other`.
     pub fn changed_keys(&self, other: &StaticConfig) -> Vec<&'static str> {
         let keys = [
             ("name", self.name != other.name),
@@ -78,7 +122,7 @@
             ("seed", self.seed != other.seed),
             ("limits", self.limits != other.limits),
         ];
-        keys.into_iter().filter(|key| key.1).map(|key| key.0).collect()
+        keys.into_iter().filter(|(_, is_changed)| *is_changed).map(|(key, _)| key).collect()
     }
 }
 
@@ -87,84 +131,67 @@
     pub path: PathBuf,
     pub static_config: StaticConfig,
     pub discovery_address: SocketAddr,
-    /// The folder that lasts; a check needs none.
+    /// Where the journal is; not needed to check a configuration.
     pub state_directory: Option<PathBuf>,
+    /// The endpoint list as an earlier process knew it.
     pub initial_endpoints: EndpointList,
     pub settings: Settings,
 }
 
-/// Why a configuration cannot be used, for whoever wrote it.
-#[derive(Debug)]
-pub struct ConfigError(String);
-
-impl fmt::Display for ConfigError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.0)
-    }
-}
-
-impl std::error::Error for ConfigError {}
-
-fn invalid<T>(why: impl Into<String>) -> Result<T, ConfigError> {
-    Err(ConfigError(why.into()))
-}
-
-fn parse_address(what: &str, text: &str) -> Result<SocketAddr, ConfigError> {
-    text.parse().or_else(|_| invalid(format!("{what} is no address with a port: {text:?}")))
-}
-
 impl Config {
-    /// Reads the file that `given` or `ROUTER_CONFIG` names. What the file says goes before the environment: the
-    /// file can be replaced while the process runs, and its environment cannot.
-    pub fn read(given: Option<PathBuf>) -> Result<Config, ConfigError> {
-        let env = |name: &str| std::env::var(name).ok().filter(|value| !value.is_empty());
-        let Some(path) = given.or_else(|| env("ROUTER_CONFIG").map(PathBuf::from)) else {
-            return invalid("no configuration: give --config FILE or set ROUTER_CONFIG");
-        };
-        let text = std::fs::read(&path)
-            .or_else(|e| invalid(format!("cannot read the configuration {}: {e}", path.display())))?;
-        let mut parser = serde_json::Deserializer::from_slice(&text);
-        let file: ConfigFile = serde_path_to_error::deserialize(&mut parser)
-            .map_err(|e| e.to_string())
-            .and_then(|file| parser.end().map_err(|e| e.to_string()).map(|()| file))
-            .or_else(|e| invalid(format!("{} is no valid configuration: {e}", path.display())))?;
-        let state = env("ROUTER_STATE").map(PathBuf::from);
-        if let Some(state) = state.as_ref().filter(|state| !state.is_dir()) {
-            return invalid(format!("ROUTER_STATE is no folder: {}", state.display()));
-        }
-        if file.limits.sockets < 2 * RESERVED_DESCRIPTORS {
-            return invalid(format!("limits.sockets must be at least {}", 2 * RESERVED_DESCRIPTORS));
+    /// Reads the file at `path` or, without one, at `ROUTER_CONFIG`. The file takes precedence over the environment,
+    /// since it can be replaced while the process runs.
+    pub fn read(path: Option<PathBuf>) -> Result<Config, ConfigError> {
+        let path = path.or_else(|| variable("ROUTER_CONFIG").map(PathBuf::from)).context(NoFileSnafu)?;
+        let file = read_file(&path)?;
+        let state_directory = variable("ROUTER_STATE").map(PathBuf::from);
+        if let Some(path) = state_directory.as_ref().filter(|path| !path.is_dir()) {
+            return NoStateDirectorySnafu { path }.fail();
         }
-        if file.limits.disk_mb < 0.1 {
-            return invalid("limits.disk_mb must be at least 0.1");
-        }
-        let or_env =
-            |written: String, name: &str| Some(written).filter(|w| !w.is_empty()).or_else(|| env(name));
-        file.settings.check().or_else(invalid)?;
+        file.limits.check()?;
+        file.settings.check().map_err(|error| ConfigError::InvalidSettings { reason: error.to_string() })?;
         let mut settings = Settings::from(&file.settings);
-        // On sockets news comes by a watch alone, and somebody has to open it, pushed or not.
+        // The list arrives by a watch alone, which the core has to open, whether or not the list counts as pushed.
         settings.terms.fleet.list_on_request = true;
         Ok(Config {
             path,
             static_config: StaticConfig {
-                name: or_env(file.name, "ROUTER_NAME").unwrap_or_default(),
-                listen: parse_address("listen", &or_env(file.listen, "ROUTER_LISTEN").unwrap_or_default())?,
+                name: or_variable(file.name, "ROUTER_NAME"),
+                listen: parse_address("listen", or_variable(file.listen, "ROUTER_LISTEN"))?,
                 seed: parse_seed(&file.seed),
                 limits: file.limits,
             },
-            discovery_address: parse_address(
-                "discovery",
-                &or_env(file.discovery, "ROUTER_DISCOVERY").unwrap_or_default(),
-            )?,
-            state_directory: state,
+            discovery_address: parse_address("discovery", or_variable(file.discovery, "ROUTER_DISCOVERY"))?,
+            state_directory,
             initial_endpoints: file.known,
             settings,
         })
     }
 }
 
-/// The seed as 64 bits: hexadecimal text, or a number.
-fn parse_seed(written: &Value) -> u64 {
-    let text = written.as_str().and_then(|text| u64::from_str_radix(text, 16).ok());
-    text.or_else(|| written.as_u64()).unwrap_or(0)
+fn read_file(path: &Path) -> Result<ConfigFile, ConfigError> {
+    let text = std::fs::read(path).context(UnreadableSnafu { path })?;
+    let mut parser = serde_json::Deserializer::from_slice(&text);
+    let file = serde_path_to_error::deserialize(&mut parser).context(MalformedSnafu { path })?;
+    parser.end().context(TrailingTextSnafu { path })?;
+    Ok(file)
+}
+
+/// An environment variable; an empty one counts as not set.
+fn variable(name: &str) -> Option<String> {
+    std::env::var(name).ok().filter(|value| !value.is_empty())
+}
+
+fn or_variable(value: String, name: &str) -> String {
+    if value.is_empty() { variable(name).unwrap_or_default() } else { value }
+}
+
+fn parse_address(key: &'static str, text: String) -> Result<SocketAddr, ConfigError> {
+    text.parse().ok().context(InvalidAddressSnafu { key, text })
+}
+
+/// The seed as 64 bits: hexadecimal text, or a number; 0 if it is neither.
+fn parse_seed(value: &Value) -> u64 {
+    let text = value.as_str().and_then(|text| u64::from_str_radix(text, 16).ok());
+    text.or_else(|| value.as_u64()).unwrap_or(0)
 }
--- /dev/null
+++ b/crates/relay/src/journal/record.rs
@@ -0,0 +1,173 @@
+//! What the journal keeps of a notification, and the records on disk that say so.
+//!
+//! The names on disk are those of the first release, kept by `serde(rename)`. All times are Unix time in nanoseconds.
+
+use juniperwing::interface::{Effect, Group, TopicType};
+use juniperwing::time::Span;
+use serde::ser::SerializeTuple;
+use serde::{Deserialize, Serialize, Serializer};
+
+/// A push whose first byte may have gone out. On disk it is a pair.
+#[derive(Clone, Debug, PartialEq, Deserialize)]
+#[serde(from = "(u64, String)")]
+pub struct SentPush {
+    /// When it was sent.
+    pub sent_at_ns: u64,
+    /// The zone of its endpoint.
+    pub zone: String,
+}
+
+impl From<(u64, String)> for SentPush {
+    fn from((sent_at_ns, zone): (u64, String)) -> SentPush {
+        SentPush { sent_at_ns, zone }
+    }
+}
+
+impl Serialize for SentPush {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        let mut pair = serializer.serialize_tuple(2)?;
+        pair.serialize_element(&self.sent_at_ns)?;
+        pair.serialize_element(&self.zone)?;
+        pair.end()
+    }
+}
+
+/// How a notification ended that was not delivered.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum UndeliveredEnd {
+    /// It may have run; nothing is promised about its effect.
+    GivenUp,
+    /// It has not run, and its client may submit it again after so many milliseconds; 0 if no delay is advised.
+    #[serde(rename = "HandedBack")]
+    ReturnedToClient(u64),
+}
+
+/// What has been done with a notification.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct History {
+    /// How many pushes may have sent a byte.
+    #[serde(rename = "pushes")]
+    pub push_count: u32,
+    /// The push that has not ended.
+    #[serde(rename = "out")]
+    pub in_flight: Option<SentPush>,
+    /// The first push that may have run.
+    #[serde(rename = "ran")]
+    pub first_may_have_run: Option<SentPush>,
+    /// When a push last ended that may still be running.
+    #[serde(rename = "doubt")]
+    pub may_run_since_ns: Option<u64>,
+    /// Its end, until its client has acknowledged the notice of it.
+    pub end: Option<UndeliveredEnd>,
+}
+
+/// What a client says of a notification beside its body.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Attributes {
+    /// The id, as the client gave it.
+    pub id: String,
+    /// The name of the topic type.
+    pub topic: String,
+    /// The name of the account.
+    pub account: Option<String>,
+    /// The ordering key.
+    pub key: Option<String>,
+    /// Handed to the endpoint, which recognises a repeat by it.
+    pub idempotency_key: Option<String>,
+    /// The number of the destination.
+    pub destination: u64,
+}
+
+/// A notification that was accepted.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct AcceptedNotification {
+    /// What its client says of it.
+    #[serde(rename = "words")]
+    pub attributes: Attributes,
+    /// It may be delivered until then.
+    #[serde(rename = "valid_until")]
+    pub valid_until_ns: u64,
+    /// What has been done with it.
+    pub history: History,
+    /// What was promised when it was accepted; `None` in a journal of a release before guarantees.
+    #[serde(default, rename = "kept")]
+    pub guarantee: Option<Guarantee>,
+}
+
+/// What holds for a notification whatever the settings become after it was accepted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Guarantee {
+    /// What a second run would do.
+    pub effect: RecordedEffect,
+    /// Whether it is delivered in the order of its key.
+    #[serde(rename = "ordered")]
+    pub is_ordered: bool,
+}
+
+/// The core's [`Effect`] as it is written to disk.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum RecordedEffect {
+    /// It may run again.
+    #[serde(rename = "Runs")]
+    Repeatable,
+    /// A repeat is dropped.
+    #[serde(rename = "Dropped")]
+    Collapsible {
+        /// Whether all endpoints drop a repeat, and not only those of the first push's zone.
+        #[serde(rename = "all")]
+        is_group_all: bool,
+        /// For how long they do, in nanoseconds.
+        #[serde(rename = "window")]
+        window_ns: u64,
+    },
+    /// It must not run again.
+    #[serde(rename = "Never")]
+    OnceOnly,
+}
+
+impl From<&TopicType> for Guarantee {
+    fn from(topic: &TopicType) -> Guarantee {
+        let effect = match topic.effect {
+            Effect::Repeatable => RecordedEffect::Repeatable,
+            Effect::Collapsible { group, window } => RecordedEffect::Collapsible {
+                is_group_all: group == Group::All,
+                window_ns: window.as_nanos(),
+            },
+            Effect::OnceOnly => RecordedEffect::OnceOnly,
+        };
+        Guarantee { effect, is_ordered: topic.ordered }
+    }
+}
+
+impl Guarantee {
+    /// The topic type as it is now, but for what was guaranteed.
+    pub fn apply_to(self, topic: &TopicType) -> TopicType {
+        let effect = match self.effect {
+            RecordedEffect::Repeatable => Effect::Repeatable,
+            RecordedEffect::Collapsible { is_group_all, window_ns } => {
+                let group = if is_group_all { Group::All } else { Group::Zone };
+                Effect::Collapsible { group, window: Span::from_nanos(window_ns) }
+            }
+            RecordedEffect::OnceOnly => Effect::OnceOnly,
+        };
+        TopicType { effect, ordered: self.is_ordered, ..topic.clone() }
+    }
+}
+
+/// A record of the journal; the first field is the notification's number.
+#[derive(Serialize, Deserialize)]
+pub(super) enum Record {
+    /// A notification with all that has been done with it.
+    #[serde(rename = "Taken")]
+    Accepted(u64, Box<AcceptedNotification>),
+    /// A push is about to be sent, at this time and to this zone; written in the turn in which its first byte may go out.
+    Pushed(u64, u64, String),
+    /// A push ended: whether it may have run, and since when it may still be running.
+    #[serde(rename = "Returned")]
+    PushEnded(u64, bool, Option<u64>),
+    /// It ended undelivered.
+    Ended(u64, UndeliveredEnd),
+    /// Nothing more is owed.
+    #[serde(rename = "Over")]
+    Closed(u64),
+}
--- /dev/null
+++ b/crates/relay/src/lib.rs
@@ -0,0 +1,22 @@
+//! The notification relay as a process: accepts notifications over HTTP, has the core decide, and pushes them.
+//!
+//! One thread runs an event loop. Each turn gathers what happened on the sockets, hands it to the core as events, carries
+//! out the core's commands, writes the journal, and only then lets bytes out. The modules follow a notification:
+//! [client connections](client_connections), [admission], the [core driver](core_driver), [upstream] calls,
+//! [endpoint responses](endpoint_response) and [notices]; [server] connects them.
+
+mod admission;
+mod client_connections;
+mod command_line;
+mod config;
+mod core_driver;
+mod discovery;
+pub mod endpoint_response;
+mod event_loop;
+pub mod http;
+pub mod journal;
+mod notices;
+mod server;
+mod upstream;
+
+pub use command_line::run;
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -4,6 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
+use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
@@ -12,6 +13,7 @@
 };
 use juniperwing::time::{Span, Time};
 use slog::{Logger, debug, info, o, warn};
+use snafu::{ResultExt, Snafu};
 
 use crate::admission::Admission;
 use crate::client_connections::{ClientConnections, Submission, SubmissionResponse};
@@ -19,7 +21,7 @@
 use crate::core_driver::CoreDriver;
 use crate::discovery::{Discovery, EndpointList, ListChange};
 use crate::event_loop::{Clock, ConnectionEvent, Net, Role, Signals, Token};
-use crate::journal::{AcceptedNotification, Guarantee, Journal, UndeliveredEnd};
+use crate::journal::{AcceptedNotification, Guarantee, Journal, OpenedJournal, UndeliveredEnd};
 use crate::notices::NoticeSender;
 use crate::upstream::{CallOutcome, PushRequest, Upstream};
 
@@ -77,18 +79,32 @@
     given_up: usize,
 }
 
-/// Serves, over the folder that lasts, until a signal to stop comes and the stop that it asks for is done.
-pub fn serve(config: Config, state: &Path, signals: Signals, log: Logger) -> io::Result<()> {
+/// The relay cannot start or cannot go on.
+#[derive(Debug, Snafu)]
+#[snafu(visibility(pub(crate)))]
+pub enum ServeError {
+    #[snafu(display("{source}"))]
+    RegisterSignals { source: io::Error },
+    #[snafu(display("cannot listen on {address}: {source}"))]
+    Listen { address: SocketAddr, source: io::Error },
+    #[snafu(display("cannot open the log in {}: {source}", directory.display()))]
+    OpenJournal { directory: PathBuf, source: io::Error },
+    #[snafu(display("{source}"))]
+    WriteJournal { source: io::Error },
+}
+
+/// Serves, with the journal in `state`, until a stop is requested and done.
+pub fn serve(config: Config, state: &Path, signals: Signals, log: Logger) -> Result<(), ServeError> {
     let clock = Clock::new();
-    let (clients, endpoints) = config.static_config.limits.connection_limits();
-    // First the address, so that no two processes share a folder.
-    let net = Net::new(clock, config.static_config.listen, signals, clients).map_err(|e| {
-        io::Error::new(e.kind(), format!("cannot listen on {}: {e}", config.static_config.listen))
-    })?;
-    let (store, torn) = Journal::open(state, config.static_config.limits.disk_bytes())
-        .map_err(|e| io::Error::new(e.kind(), format!("cannot open the log in {}: {e}", state.display())))?;
-    if torn > 0 {
-        warn!(log, "a torn tail of the log was cut off"; "bytes" => torn);
+    let limits = config.static_config.limits.connection_limits();
+    let address = config.static_config.listen;
+    // The address first, so that no two processes share a directory.
+    let net = Net::new(clock, address, signals, limits.max_clients).context(ListenSnafu { address })?;
+    let OpenedJournal { journal, torn_bytes } =
+        Journal::open(state, config.static_config.limits.disk_bytes())
+            .context(OpenJournalSnafu { directory: state })?;
+    if torn_bytes > 0 {
+        warn!(log, "a torn tail of the log was cut off"; "bytes" => torn_bytes);
     }
     let settings = config.settings;
     let mut chain = Server {
@@ -98,9 +114,9 @@
         client_connections: ClientConnections::default(),
         admission: Admission::default(),
         core: CoreDriver::new(clock.now(), config.static_config.seed, &settings),
-        upstream: Upstream::new(settings.connections, endpoints),
+        upstream: Upstream::new(settings.connections, limits.max_upstream),
         notices: NoticeSender::new(config.discovery_address),
-        journal: store,
+        journal,
         unanswered: BTreeMap::new(),
         recovered: Recovered::default(),
         settings,
@@ -110,7 +126,7 @@
     chain.load_initial_endpoints(config.initial_endpoints, clock.now());
     chain.recover_notifications(clock.now());
     let listen = chain.net.local_addr().unwrap_or(chain.static_config.listen).to_string();
-    let (owed, untried) = (chain.journal.len(), chain.recovered.pending.len());
+    let (owed, untried) = (chain.journal.live_count(), chain.recovered.pending.len());
     let heard = chain.journal.live().filter(|(_, kept)| kept.notification.history.end.is_some()).count();
     info!(chain.log, "serving"; "listen" => listen, "owed" => owed, "untried" => untried,
         "tried" => owed - untried - heard);
@@ -118,7 +134,7 @@
 }
 
 impl Server {
-    fn run(&mut self, clock: Clock) -> io::Result<()> {
+    fn run(&mut self, clock: Clock) -> Result<(), ServeError> {
         let mut stop: Option<(Time, ShutdownPhase)> = None;
         loop {
             let until =
@@ -143,10 +159,10 @@
                 self.journal.record_push(ntf.0, now, &zone);
                 self.count_recovered(ntf, now);
             }
-            self.journal.flush()?;
+            self.journal.flush().context(WriteJournalSnafu)?;
             self.net.flush();
             if turn.is_stop_requested && stop.is_none() {
-                info!(self.log, "stopping"; "owed" => self.journal.len(), "calls" => self.upstream.calls_in_flight());
+                info!(self.log, "stopping"; "owed" => self.journal.live_count(), "calls" => self.upstream.calls_in_flight());
                 self.client_connections.is_stopping = true;
                 stop = Some((now, ShutdownPhase::Serving));
             }
@@ -169,7 +185,7 @@
                         || due =>
                 {
                     self.net.flush();
-                    info!(self.log, "stopped"; "owed" => self.journal.len(), "calls" => self.upstream.calls_in_flight());
+                    info!(self.log, "stopped"; "owed" => self.journal.live_count(), "calls" => self.upstream.calls_in_flight());
                     return Ok(());
                 }
                 _ => {}
@@ -220,7 +236,7 @@
             let ran = history.first_may_have_run.as_ref().or(history.in_flight.as_ref());
             let past = Past {
                 pushes: history.push_count,
-                ran: ran.map(|(at, zone)| (Time::from_nanos(*at), Arc::from(zone.as_str()))),
+                ran: ran.map(|push| (Time::from_nanos(push.sent_at_ns), Arc::from(push.zone.as_str()))),
                 doubt: if history.in_flight.is_some() {
                     Some(now)
                 } else {
