--- a/crates/relay/tests/endpoint_response.rs
+++ b/crates/relay/tests/endpoint_response.rs
@@ -39,7 +39,7 @@
         false Busy over false wait Some(750)
         false Busy over false wait None
         false Busy over false wait None
-        false Crowded over false wait None
+        false ConnectionLimitReached over false wait None
         false Skipped over false wait None
         false Skipped over false wait None
         false Skipped over true wait None
