--- a/crates/replication/src/acceptor.rs
+++ b/crates/replication/src/acceptor.rs
@@ -1,64 +1,13 @@
-//! What a witness stores, and the arithmetic of epochs: numbers and majorities.
+//! What a voter has promised and accepted.
 
-use juniperwing_protocol::replication::{Epoch, Voter};
-use juniperwing_protocol::{DiskId, EpochNumber};
+use juniperwing_protocol::EpochNumber;
+use juniperwing_protocol::replication::Epoch;
 
-/// The low bits of an epoch's number come from its proposer's disk, so that no two keepers propose different
-/// epochs under one number.
-const PROPOSER_BITS: u32 = 32;
-
-/// The round of the epoch that founds the tier.
-const BOOTSTRAP_TERM: u64 = 1;
-
-/// What a keeper has promised and accepted. It is on disk before any answer that rests on it.
+/// The state of an acceptor (Paxos). It is on disk before any reply that depends on it is sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AcceptorState {
-    /// Nothing below this number is accepted.
+    /// No epoch below this number is accepted. Never decreases.
     pub promised: EpochNumber,
-    /// The highest epoch accepted; number 0 if there is none.
+    /// The highest epoch accepted; its number is 0 if there is none. Not above `promised`.
     pub accepted: Epoch,
 }
-
-/// The part of a number that tells its proposer from all others.
-pub(crate) fn proposer_id(disk: DiskId) -> u64 {
-    disk.0 & ((1 << PROPOSER_BITS) - 1)
-}
-
-/// The lowest number above `seen` that `disk` may propose.
-pub(crate) fn next_epoch_number(seen: EpochNumber, disk: DiskId) -> EpochNumber {
-    let term = (seen.0 >> PROPOSER_BITS) + 1;
-    EpochNumber((term.min(u64::from(u32::MAX)) << PROPOSER_BITS) | proposer_id(disk))
-}
-
-/// Whether the number is that of an epoch that follows no other.
-pub(crate) fn is_bootstrap(number: EpochNumber) -> bool {
-    number.0 >> PROPOSER_BITS == BOOTSTRAP_TERM
-}
-
-/// All that decide on what follows `epoch`, each once.
-pub(crate) fn electorate(epoch: &Epoch) -> Vec<Voter> {
-    let mut electorate = epoch.voters.clone();
-    for voter in &epoch.previous_voters {
-        if !electorate.iter().any(|other| other == voter) {
-            electorate.push(voter.clone());
-        }
-    }
-    electorate
-}
-
-/// The voter with that disk.
-pub(crate) fn find_voter(epoch: &Epoch, disk: DiskId) -> Option<&Voter> {
-    epoch.voters.iter().find(|voter| voter.disk == disk)
-}
-
-/// Whether two epochs of one number are one. Whether it is known to be chosen may differ.
-pub(crate) fn is_same_epoch(one: &Epoch, other: &Epoch) -> bool {
-    let is_equal = one.primary == other.primary && one.in_sync == other.in_sync && one.voters == other.voters;
-    one.number != other.number || is_equal
-}
-
-/// Whether `epoch` says more than `than`: a higher number, or the same one and now known to be chosen.
-pub(crate) fn is_newer(epoch: &Epoch, than: &Epoch) -> bool {
-    let is_committed = epoch.previous_voters.is_empty() && !than.previous_voters.is_empty();
-    epoch.number > than.number || (epoch.number == than.number && is_committed)
-}
--- a/crates/replication/src/error.rs
+++ b/crates/replication/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a proposal, a read or a decoding failed.
+//! Errors of proposals, reads and decoding.
 
 use snafu::Snafu;
 
@@ -6,19 +6,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(module)]
 pub enum ProposeError {
-    /// This keeper is not primary; the change is not in force and will not be.
+    /// This keeper is not primary; the change has not taken effect and will not.
     #[snafu(display("not the primary"))]
     NotPrimary,
-    /// The state is no longer the one that the change was computed on; it will not be in force.
+    /// The state has changed since the version that the change was computed on; it will not take effect.
     #[snafu(display("computed on another version"))]
     Conflict,
-    /// Too many proposals wait; this one was not taken.
+    /// Too many proposals are pending; this one was rejected.
     #[snafu(display("too many proposals wait"))]
     Busy,
-    /// It waited too long and was not begun; it will not be in force.
+    /// It was pending for too long and has not been started; it will not take effect.
     #[snafu(display("too few copies can be kept now"))]
     Unavailable,
-    /// It was begun and may come into force or not.
+    /// It has been started and may or may not take effect.
     #[snafu(display("begun, the outcome is not known"))]
     Unknown,
 }
@@ -30,18 +30,18 @@
     /// This keeper is not primary.
     #[snafu(display("not the primary"))]
     NotPrimary,
-    /// Too many reads wait; this one was not taken.
+    /// Too many reads are pending; this one was rejected.
     #[snafu(display("too many reads wait"))]
     Busy,
-    /// No majority answered in time.
+    /// No majority replied in time.
     #[snafu(display("no majority of voters answered in time"))]
     Unavailable,
 }
 
-/// Bytes that are not a state or a change.
+/// The bytes are not a state or a change.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("not a replicated state or change: {reason}"))]
 pub struct MalformedState {
-    /// What the decoder says.
+    /// The message of the decoder.
     pub reason: String,
 }
--- a/crates/replication/src/interface.rs
+++ b/crates/replication/src/interface.rs
@@ -1,4 +1,4 @@
-//! What goes into a replica and what comes out.
+//! The events that a replica handles and the commands that it returns.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,18 +14,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PersistToken(pub u64);
 
-/// Pairs [`Command::Proposed`] with its [`Event::Propose`]; the caller's choice.
+/// Pairs [`Command::Proposed`] with its [`Event::Propose`]; chosen by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProposeToken(pub u64);
 
-/// Pairs [`Command::ReadDone`] with its [`Event::Read`]; the caller's choice.
+/// Pairs [`Command::ReadDone`] with its [`Event::Read`]; chosen by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReadToken(pub u64);
 
-/// All that a keeper has on disk, in one file that is replaced whole.
+/// Everything that a keeper has on disk, in one file that is replaced as a unit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// What it promised and accepted.
+    /// The promise and the accepted epoch.
     pub acceptor: AcceptorState,
     /// The version of the state.
     pub version: Version,
@@ -33,68 +33,70 @@
     pub state: Arc<Vec<u8>>,
 }
 
-/// What happened.
+/// An input of a replica.
 #[derive(Clone, Debug)]
 pub enum Event<S: ReplicatedState> {
-    /// A message came in.
+    /// A message has arrived.
     Message(ReplicationMessage),
-    /// The record is on disk, synced, and so is its name.
+    /// The record is on disk: the file and its directory entry are synced.
     Persisted(PersistToken),
-    /// The record could not be written. It is handed out again later; a primary steps down.
+    /// The record could not be written. It is returned again later; a primary steps down.
     PersistFailed(PersistToken),
-    /// The time of the last [`Command::WakeAt`] has come. Harmless at any other time.
+    /// The time of the last [`Command::WakeAt`] has come. Has no effect at any other time.
     Tick,
-    /// A change to be made by the primary.
+    /// A change to be replicated by the primary.
     Propose {
-        /// Comes back with the outcome.
+        /// Identifies the outcome.
         token: ProposeToken,
         /// The version that it was computed on (see [`crate::Replica::latest`]).
         base: Version,
         /// The change.
         change: S::Change,
     },
-    /// Asks whether this keeper is primary and its committed state the newest.
+    /// Requests a confirmation that this keeper is primary and its committed state is the newest.
     Read {
-        /// Comes back with the outcome.
+        /// Identifies the outcome.
         token: ReadToken,
     },
-    /// The process is about to end: a primary hands over, and seeks the office no more.
+    /// The process is about to end: a primary transfers its leadership, and the keeper takes part in no
+    /// further election.
     PrepareShutdown,
-    /// Where other keepers may listen, beside the seeds of the start; replaces those given before.
+    /// Addresses where other keepers may listen, besides the seeds; replaces those given before.
     ContactsChanged(Vec<SocketAddr>),
 }
 
-/// What to do, in this order.
+/// An output of a replica. Commands are carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Send a message; it may be lost.
     Send {
-        /// Where to.
+        /// The address of the receiver.
         to: SocketAddr,
         /// The message.
         message: ReplicationMessage,
     },
-    /// Write the record and answer with [`Event::Persisted`]. At most one is outstanding.
+    /// Write the record and reply with [`Event::Persisted`] or [`Event::PersistFailed`]. At most one is
+    /// outstanding.
     Persist {
-        /// To be given back.
+        /// Identifies the reply.
         token: PersistToken,
         /// The record.
         record: Record,
     },
-    /// Hand in [`Event::Tick`] at this time. Replaces an earlier one.
+    /// Pass in [`Event::Tick`] at this time. Replaces an earlier one.
     WakeAt(Time),
     /// The committed state is now of this version (see [`crate::Replica::committed`]).
     Committed(Version),
-    /// A proposal's outcome: the version that it made.
+    /// A proposal has completed, with the version that it produced.
     ProposeCompleted {
-        /// Which.
+        /// Identifies the request.
         token: ProposeToken,
         /// The outcome.
         outcome: Result<Version, ProposeError>,
     },
-    /// A read's outcome: if confirmed, the committed state of this moment may be given out as an answer to it.
+    /// A read has completed: if confirmed, the committed state of this moment may be returned for it.
     ReadCompleted {
-        /// Which.
+        /// Identifies the request.
         token: ReadToken,
         /// The outcome.
         outcome: Result<(), ReadError>,
@@ -103,17 +105,17 @@
     RoleChanged(Role),
 }
 
-/// What a keeper is at present.
+/// The role of a keeper.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// No voter, and asks to be let in.
+    /// No voter; requests to join.
     Joining,
     /// A voter that follows a primary or waits for one.
     Backup,
-    /// Seeks to become primary.
+    /// Requests pre-votes or has an election in progress.
     Candidate,
-    /// Chosen as primary; the in-sync replicas do not all hold its state yet, and nothing may be shown.
+    /// Chosen as primary; the in-sync replicas do not all have its state yet, so it serves nothing.
     Recovering,
-    /// Primary: takes changes and reads.
+    /// Primary: serves proposals and reads.
     Primary,
 }
--- a/crates/replication/src/leadership.rs
+++ b/crates/replication/src/leadership.rs
@@ -1,4 +1,4 @@
-//! What a primary keeps while it is in office; survives its own changes of epoch.
+//! The state of a primary. It survives changes of the epoch that the primary makes itself.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,35 +6,36 @@
 use juniperwing_protocol::DiskId;
 use juniperwing_protocol::replication::{Epoch, Version, Voter};
 
-use crate::catch_up::{RecentChanges, StateTransfer};
 use crate::interface::{ProposeToken, ReadToken};
+use crate::recent_changes::RecentChanges;
+use crate::state_transfer::StateTransfer;
 
-/// The most proposals that wait.
+/// The number of proposals that may be pending.
 pub(crate) const MAX_PENDING_PROPOSALS: usize = 64;
 
-/// The most reads that wait.
+/// The number of reads that may be pending.
 pub(crate) const MAX_PENDING_READS: usize = 1024;
 
 /// What the primary knows of another keeper.
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
-    /// Who it is.
+    /// Its identity and address.
     pub(crate) voter: Voter,
-    /// When it last answered.
+    /// When it last replied.
     pub(crate) last_reply_at: Time,
-    /// The version that it has on disk, as it said in this epoch.
+    /// The version that it has on disk, as acknowledged in this epoch.
     pub(crate) durable_version: Option<Version>,
     /// Since when it has lacked the primary's version.
     pub(crate) behind_since: Option<Time>,
-    /// Since when it has been out of sync and lacked each newest version.
+    /// Since when it has been out of the in-sync set and has lacked each newest version.
     pub(crate) out_of_sync_since: Option<Time>,
-    /// What was last sent to it.
+    /// The changes or the snapshot in flight to it.
     pub(crate) transfer: Option<StateTransfer>,
     /// The newest round of heartbeats that it answered in this epoch.
     pub(crate) acknowledged_round: u64,
-    /// Until when it asks to be let in.
+    /// Until when its last request to join is valid.
     pub(crate) join_requested_until: Time,
-    /// Until when it counts as about to end.
+    /// Until when its last request to leave is valid.
     pub(crate) leave_requested_until: Time,
 }
 
@@ -53,24 +54,35 @@
             leave_requested_until: Time::default(),
         }
     }
+
+    /// Whether it has requested to leave.
+    pub(crate) fn is_leaving(&self, now: Time) -> bool {
+        now < self.leave_requested_until
+    }
+
+    /// Whether it has requested to join.
+    pub(crate) fn is_joining(&self, now: Time) -> bool {
+        now < self.join_requested_until
+    }
 }
 
-/// A change that was written and is not committed yet.
+/// A change that has been written and is not committed yet.
 #[derive(Clone, Debug)]
 pub(crate) struct InFlightWrite {
-    /// The proposal, unless its outcome was told already.
+    /// The proposal; `None` once its outcome has been reported.
     pub(crate) token: Option<ProposeToken>,
     /// When it was proposed.
     pub(crate) proposed_at: Time,
-    /// The version that it makes.
+    /// The version that it produces.
     pub(crate) version: Version,
 }
 
-/// A change that waits for its turn.
+/// A change that is queued.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingProposal<C> {
     pub(crate) token: ProposeToken,
     pub(crate) proposed_at: Time,
+    /// The version that the change was computed on.
     pub(crate) base: Version,
     pub(crate) change: C,
 }
@@ -80,38 +92,39 @@
 pub(crate) struct PendingRead {
     pub(crate) token: ReadToken,
     pub(crate) requested_at: Time,
+    /// The first round that began after the read.
     pub(crate) required_round: u64,
 }
 
-/// A primary's book.
+/// The state of a primary.
 #[derive(Clone, Debug)]
 pub(crate) struct Leadership<C> {
-    /// The other voters, and those that ask to be let in.
+    /// The other voters, and the keepers that request to join.
     pub(crate) peers: BTreeMap<DiskId, Peer>,
-    /// Whether all in-sync replicas hold the state, in this epoch.
+    /// Whether all in-sync replicas have acknowledged the state in this epoch.
     pub(crate) is_synchronized: bool,
-    /// Whether `synced` was ever reached in this office.
+    /// Whether `is_synchronized` has been true since this keeper became primary.
     pub(crate) has_served: bool,
     /// The newest round of heartbeats.
     pub(crate) heartbeat_round: u64,
     /// When the next heartbeat is due.
     pub(crate) heartbeat_at: Time,
-    /// When an epoch above a number that some voter promised is to be sought.
+    /// When an election for an epoch above a number that some voter promised is due.
     pub(crate) new_epoch_at: Option<Time>,
-    /// Whether it hands over.
+    /// Whether the leadership is to be transferred before a shutdown.
     pub(crate) is_handing_over: bool,
-    /// The change that is being written.
+    /// The change that is being replicated.
     pub(crate) in_flight_write: Option<InFlightWrite>,
-    /// The newest changes made in this office.
+    /// The newest changes written since this keeper became primary.
     pub(crate) recent_changes: RecentChanges,
-    /// The changes that wait.
+    /// The proposals that wait, oldest first.
     pub(crate) pending_proposals: VecDeque<PendingProposal<C>>,
     /// The reads that wait, oldest first.
     pub(crate) pending_reads: VecDeque<PendingRead>,
 }
 
 impl<C> Leadership<C> {
-    /// An empty book.
+    /// The state of a primary that has done nothing yet.
     pub(crate) fn new(now: Time) -> Self {
         Leadership {
             peers: BTreeMap::new(),
@@ -128,12 +141,12 @@
         }
     }
 
-    /// Starts on a new epoch: what was confirmed in an older one counts no more.
-    pub(crate) fn enter_epoch(&mut self, now: Time, me: DiskId, epoch: &Epoch) {
+    /// Starts a new epoch: what was acknowledged in an older one does not count any more.
+    pub(crate) fn enter_epoch(&mut self, now: Time, local_disk: DiskId, epoch: &Epoch) {
         self.is_synchronized = false;
         self.new_epoch_at = None;
         self.heartbeat_at = now;
-        for voter in epoch.voters.iter().filter(|voter| voter.disk != me) {
+        for voter in epoch.voters.iter().filter(|voter| voter.disk != local_disk) {
             let peer = self.peers.entry(voter.disk).or_insert_with(|| Peer::new(now, voter.clone()));
             peer.voter = voter.clone();
         }
@@ -149,11 +162,10 @@
         }
     }
 
-    /// Drops keepers that are no voters and ask no more. One that leaves has yet to hear that it may.
+    /// Removes keepers that are no voters and do not request to join. One that leaves is kept until it can
+    /// have been notified of the epoch without it.
     pub(crate) fn remove_former_peers(&mut self, now: Time, epoch: &Epoch) {
         let is_voter = |disk: &DiskId| epoch.voters.iter().any(|voter| voter.disk == *disk);
-        self.peers.retain(|disk, peer| {
-            is_voter(disk) || now < peer.join_requested_until || now < peer.leave_requested_until
-        });
+        self.peers.retain(|disk, peer| is_voter(disk) || peer.is_joining(now) || peer.is_leaving(now));
     }
 }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,40 +1,40 @@
 //! Primary-backup replication with witnesses that store only epochs.
 //!
 //! A [`Replica`] is a pure state machine: it takes the time and an [`Event`] and returns [`Command`]s. It
-//! reads no clock, draws no randomness but from the seed it is handed, and does no I/O.
+//! reads no clock, draws no randomness except from the seed it is given, and does no I/O.
 //!
 //! Two layers:
 //!
 //! 1. **Epochs.** An epoch names the primary, the in-sync replicas and the voters. The next one is chosen by
-//!    promise and accept of a majority of the present voters (and of the new ones, where they differ). Only a
-//!    member of the highest epoch's in-sync set can become primary, so it holds all that was acknowledged.
-//!    Its own promise fences the old primary, whose writes need its confirmation.
+//!    promise and accept (Paxos) of a majority of the present voters (and of the new ones, where they
+//!    differ). Only a member of the highest epoch's in-sync set can become primary, so it has all
+//!    acknowledged changes. Its own promise fences the old primary, whose writes need its acknowledgement.
 //! 2. **State.** The primary writes one change at a time to all in-sync replicas and acknowledges it when
-//!    each has it on disk and there are at least [`Settings::required_copies`] of them. There is no log:
+//!    each has it on disk and there are at least [`Settings::min_in_sync_replicas`] of them. There is no log:
 //!    a replica that lags is sent the changes it lacks, or the whole state.
 //!
-//! A primary that takes office first brings all in-sync replicas to its own version, which completes whatever
-//! was written and not acknowledged, and shows nothing until that is done. A process that starts again is
-//! never primary of an epoch of its former life.
+//! A new primary first brings all in-sync replicas to its own version, which completes whatever had been
+//! written and not acknowledged, and serves nothing until that is done. A process that has restarted is never
+//! primary of an epoch of its former incarnation.
 //!
-//! Reads rest on no clock and no lease: a read is confirmed by a round of heartbeats that began after it and
-//! that a majority of voters answered. A process that was frozen in between gets no false answer by it.
+//! Reads depend on no clock and no lease: a read is confirmed by a round of heartbeats that began after it
+//! and that a majority of voters answered. So a process that was frozen in between returns no stale state.
 
 mod acceptor;
-mod bootstrap;
-mod catch_up;
 mod election;
+mod epoch;
 mod error;
-mod follower;
 mod interface;
 mod jitter;
 mod leadership;
 mod membership;
 mod persistence;
-mod primary;
+mod pre_vote;
+mod recent_changes;
 mod replica;
 mod settings;
 mod state;
+mod state_transfer;
 
 pub use acceptor::AcceptorState;
 pub use error::{MalformedState, ProposeError, ReadError};
--- a/crates/replication/src/membership.rs
+++ b/crates/replication/src/membership.rs
@@ -1,23 +1,32 @@
-//! Who is to vote and to be in sync next: what a primary would change about its epoch.
+//! The voters and in-sync replicas that a primary wants for its next epoch.
 
 use juniperwing_clock::Time;
 use juniperwing_protocol::DiskId;
 use juniperwing_protocol::replication::{Epoch, Version, Voter};
 
-use crate::acceptor::proposer_id;
-use crate::leadership::{Leadership, Peer};
-use crate::replica::Replica;
+use crate::epoch::proposer_id;
+use crate::leadership::Peer;
 use crate::settings::{MAX_VOTERS, Settings};
-use crate::state::ReplicatedState;
 
-/// The voters and in-sync replicas that the primary wants.
+/// The voters and in-sync replicas of a new epoch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct EpochPlan {
     pub(crate) voters: Vec<Voter>,
     pub(crate) in_sync: Vec<DiskId>,
 }
 
-/// Adds replicas of `from` that are voters until there are `required` of them, if so many can be had.
+impl EpochPlan {
+    /// Whether it differs from `epoch`. The order of the in-sync replicas does not count.
+    pub(crate) fn differs_from(&self, epoch: &Epoch) -> bool {
+        let mut planned = self.in_sync.clone();
+        let mut present = epoch.in_sync.clone();
+        planned.sort_unstable();
+        present.sort_unstable();
+        self.voters != epoch.voters || planned != present
+    }
+}
+
+/// Adds replicas of `from` that are voters until there are `required` of them, as far as possible.
 pub(crate) fn fill_in_sync(in_sync: &mut Vec<DiskId>, from: &[DiskId], voters: &[Voter], required: usize) {
     for disk in from {
         let is_voter = voters.iter().any(|voter| voter.disk == *disk);
@@ -27,59 +36,75 @@
     }
 }
 
-/// What a plan is made from.
-struct EpochPlanner<'a> {
-    now: Time,
-    settings: &'a Settings,
-    epoch: &'a Epoch,
-    peers: Vec<&'a Peer>,
+/// What an epoch plan depends on.
+pub(crate) struct EpochPlanner<'a> {
+    pub(crate) now: Time,
+    pub(crate) settings: &'a Settings,
+    /// The present epoch.
+    pub(crate) epoch: &'a Epoch,
+    pub(crate) peers: Vec<&'a Peer>,
     /// The primary's own version.
-    latest: Version,
+    pub(crate) latest: Version,
     /// The newest committed version, if no newer one can be committed in this epoch without the primary.
-    committed: Option<Version>,
+    pub(crate) committed: Option<Version>,
 }
 
 impl EpochPlanner<'_> {
+    /// The plan; equal to the present epoch if nothing is to be changed or too few replicas would be in sync.
+    pub(crate) fn plan(&self) -> EpochPlan {
+        let mut voters = self.epoch.voters.clone();
+        self.admit_voters(&mut voters);
+        self.drop_surplus_voters(&mut voters);
+        let in_sync = self.in_sync(&voters);
+        let min_in_sync = self.settings.min_in_sync_replicas.min(self.epoch.in_sync.len());
+        if in_sync.len() < min_in_sync {
+            return EpochPlan { voters: self.epoch.voters.clone(), in_sync: self.epoch.in_sync.clone() };
+        }
+        EpochPlan { voters, in_sync }
+    }
+
     fn peer(&self, disk: DiskId) -> Option<&Peer> {
         self.peers.iter().find(|peer| peer.voter.disk == disk).copied()
     }
 
-    /// Whether a keeper holds all that was acknowledged.
+    /// Whether a keeper responds and has all acknowledged changes on disk.
     fn is_up_to_date(&self, peer: &Peer) -> bool {
         let is_responsive = self.now.since(peer.last_reply_at) < self.settings.timings.ack_timeout;
-        let is_current = peer.durable_version == Some(self.latest)
-            || (peer.durable_version.is_some() && peer.durable_version == self.committed);
-        is_responsive && is_current
+        let has_latest = peer.durable_version == Some(self.latest);
+        let has_committed = peer.durable_version.is_some() && peer.durable_version == self.committed;
+        is_responsive && (has_latest || has_committed)
     }
 
-    /// Whether an in-sync replica holds writes up.
+    /// Whether an in-sync replica delays writes.
     fn is_slow(&self, disk: DiskId) -> bool {
-        let limit = self.settings.timings.ack_timeout;
+        let ack_timeout = self.settings.timings.ack_timeout;
         let Some(peer) = self.peer(disk) else { return false };
-        let is_silent = self.now.since(peer.last_reply_at) > limit;
-        let is_leaving = self.now < peer.leave_requested_until;
-        is_leaving || is_silent || peer.behind_since.is_some_and(|since| self.now.since(since) > limit)
+        let has_timed_out = |since: Time| self.now.since(since) > ack_timeout;
+        peer.is_leaving(self.now)
+            || has_timed_out(peer.last_reply_at)
+            || peer.behind_since.is_some_and(has_timed_out)
     }
 
-    /// Whether a voter is gone, or about to go.
+    /// Whether a voter has timed out, or has requested to leave.
     fn is_leaving_or_silent(&self, disk: DiskId) -> bool {
-        let voter_timeout = self.settings.timings.voter_timeout;
         let Some(peer) = self.peer(disk) else { return false };
-        self.now < peer.leave_requested_until || self.now.since(peer.last_reply_at) >= voter_timeout
+        peer.is_leaving(self.now) || self.now.since(peer.last_reply_at) >= self.settings.timings.voter_timeout
     }
 
-    /// Whether `voter` asks to be let in, and may be.
+    /// Whether a keeper requests to join and may become a voter.
     fn is_admissible(&self, peer: &Peer, voters: &[Voter]) -> bool {
-        let is_requesting = self.now < peer.join_requested_until && !voters.contains(&peer.voter);
+        let is_joining = peer.is_joining(self.now) && !voters.contains(&peer.voter);
         let proposer = proposer_id(peer.voter.disk);
         let mut others = voters.iter().filter(|voter| voter.disk != peer.voter.disk);
-        is_requesting && self.is_up_to_date(peer) && others.all(|voter| proposer_id(voter.disk) != proposer)
+        let has_unique_id = others.all(|voter| proposer_id(voter.disk) != proposer);
+        is_joining && self.is_up_to_date(peer) && has_unique_id
     }
 
-    /// The voter whose place `newcomer` takes: its former self, or one that leaves or is silent.
+    /// The index of the voter that `newcomer` replaces: an earlier incarnation of it, or one that leaves or
+    /// has timed out.
     fn find_replaced_voter(&self, newcomer: &Voter, voters: &[Voter]) -> Option<usize> {
-        let me = self.epoch.primary;
-        let others = || voters.iter().enumerate().filter(move |(_, voter)| voter.disk != me);
+        let primary = self.epoch.primary;
+        let others = || voters.iter().enumerate().filter(move |(_, voter)| voter.disk != primary);
         let same_disk = others().find(|(_, voter)| voter.disk == newcomer.disk);
         let same_machine =
             || others().find(|(_, voter)| voter.node == newcomer.node || voter.address == newcomer.address);
@@ -100,8 +125,8 @@
         }
     }
 
-    /// Voters that leave or are silent go, down to the least that are kept. An odd number stays: an even one bears
-    /// no more losses than one fewer.
+    /// Drops voters that leave or have timed out, down to the minimum. An odd number is kept: an even one
+    /// tolerates no more losses than one voter fewer.
     fn drop_surplus_voters(&self, voters: &mut Vec<Voter>) {
         let min_voters = self.settings.min_voters();
         let leaving = voters.iter().filter(|voter| self.is_leaving_or_silent(voter.disk)).count();
@@ -115,62 +140,25 @@
         }
     }
 
+    /// The primary, the in-sync replicas that stay, and those that have caught up; filled up to the required
+    /// number with present in-sync replicas, responsive ones first.
     fn in_sync(&self, voters: &[Voter]) -> Vec<DiskId> {
-        let me = self.epoch.primary;
+        let primary = self.epoch.primary;
         let required = self.settings.min_in_sync_replicas;
         let is_voter = |disk: &DiskId| voters.iter().any(|voter| voter.disk == *disk);
-        let mut in_sync = vec![me];
-        let retained = self.epoch.in_sync.iter().filter(|disk| **disk != me && is_voter(disk));
+        let is_up_to_date = |disk: DiskId| self.peer(disk).is_some_and(|peer| self.is_up_to_date(peer));
+        let mut in_sync = vec![primary];
+        let retained = self.epoch.in_sync.iter().filter(|disk| **disk != primary && is_voter(disk));
         in_sync.extend(retained.filter(|disk| !self.is_slow(**disk)));
         for voter in voters {
-            let up_to_date = self.peer(voter.disk).is_some_and(|peer| self.is_up_to_date(peer));
-            if up_to_date && !in_sync.contains(&voter.disk) && !self.is_slow(voter.disk) {
+            if is_up_to_date(voter.disk) && !in_sync.contains(&voter.disk) && !self.is_slow(voter.disk) {
                 in_sync.push(voter.disk);
             }
         }
-        let is_responsive = |disk: &&DiskId| self.peer(**disk).is_some_and(|peer| self.is_up_to_date(peer));
-        let present: Vec<DiskId> = self.epoch.in_sync.iter().filter(is_responsive).copied().collect();
-        fill_in_sync(&mut in_sync, &present, voters, required);
+        let responsive = self.epoch.in_sync.iter().copied().filter(|disk| is_up_to_date(*disk));
+        let responsive: Vec<DiskId> = responsive.collect();
+        fill_in_sync(&mut in_sync, &responsive, voters, required);
         fill_in_sync(&mut in_sync, &self.epoch.in_sync, voters, required);
         in_sync
     }
-
-    fn plan(&self) -> EpochPlan {
-        let mut voters = self.epoch.voters.clone();
-        self.admit_voters(&mut voters);
-        self.drop_surplus_voters(&mut voters);
-        let in_sync = self.in_sync(&voters);
-        let min_voters = self.settings.min_in_sync_replicas.min(self.epoch.in_sync.len());
-        if in_sync.len() < min_voters {
-            return EpochPlan { voters: self.epoch.voters.clone(), in_sync: self.epoch.in_sync.clone() };
-        }
-        EpochPlan { voters, in_sync }
-    }
-}
-
-impl<S: ReplicatedState> Replica<S> {
-    /// What the primary would have the next epoch be.
-    pub(crate) fn plan(&self, now: Time, leadership: &Leadership<S::Change>) -> EpochPlan {
-        let committed = self.committed.as_ref().filter(|_| leadership.is_synchronized);
-        let planner = EpochPlanner {
-            now,
-            settings: &self.settings,
-            epoch: &self.acceptor.accepted,
-            peers: leadership.peers.values().collect(),
-            latest: self.latest.version,
-            committed: committed.map(|committed| committed.version),
-        };
-        planner.plan()
-    }
-
-    /// Whether `plan` differs from the present epoch.
-    pub(crate) fn differs_from_epoch(&self, plan: &EpochPlan) -> bool {
-        let epoch = &self.acceptor.accepted;
-        let same_voters = plan.voters == epoch.voters;
-        let mut planned = plan.in_sync.clone();
-        let mut present = epoch.in_sync.clone();
-        planned.sort_unstable();
-        present.sort_unstable();
-        !same_voters || planned != present
-    }
 }
--- a/crates/replication/src/persistence.rs
+++ b/crates/replication/src/persistence.rs
@@ -1,4 +1,4 @@
-//! Keeps track of what is on disk, and holds answers back until what they rest on is there.
+//! Tracks what is on disk, and defers actions until what they depend on is there.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -9,19 +9,21 @@
 
 use crate::interface::PersistToken;
 
-/// The most answers that wait for the disk; their senders ask again for those beyond.
+/// The number of actions that may be deferred. Beyond it they are dropped: their peers send the requests
+/// again.
 const MAX_DEFERRED_ACTIONS: usize = 256;
 
-/// Before a failed write is tried again.
+/// Delay before a failed write is tried again.
 const WRITE_RETRY_INTERVAL: Span = Span::from_millis(200);
 
-/// A write that takes so long counts as failed: whatever needs this keeper's disk is better done by another one.
+/// A write that takes longer counts as failed: whatever needs this keeper's disk is better done by another
+/// one.
 const WRITE_STALL_TIMEOUT: Span = Span::from_millis(1_500);
 
-/// What is to be done once the disk holds what it rests on.
+/// What is to be done once everything it depends on is on disk.
 #[derive(Clone, Debug)]
 pub(crate) enum DeferredAction {
-    /// Send an answer.
+    /// Send a message.
     Send(SocketAddr, ReplicationBody),
     /// Count this keeper's own promise.
     CountOwnPromise(EpochNumber),
@@ -29,23 +31,31 @@
     CountOwnAccept(EpochNumber),
 }
 
+/// The write in progress.
 #[derive(Clone, Copy, Debug)]
 struct PendingWrite {
+    /// The generation that is on disk when it has succeeded.
     generation: u64,
+    /// The version of the state in it.
     version: Version,
     started_at: Time,
 }
 
-/// One record is written at a time; all changes made meanwhile go into the next.
+/// What is on disk. One record is written at a time; all changes made meanwhile are part of the next one.
+///
+/// Each change of what belongs on disk starts a new generation.
 #[derive(Clone, Debug)]
 pub(crate) struct Persistence {
     latest_generation: u64,
+    /// At most `latest_generation`.
     durable_generation: u64,
     durable_version: Version,
     pending_write: Option<PendingWrite>,
+    /// When a failed write is tried again; `None` if the last one succeeded.
     retry_at: Option<Time>,
-    /// Whether the write under way has taken for too long.
+    /// Whether the write in progress has exceeded the stall time-out.
     is_stalled: bool,
+    /// Each action with the generation that it waits for, in order.
     deferred: VecDeque<(u64, DeferredAction)>,
 }
 
@@ -68,28 +78,28 @@
         self.latest_generation += 1;
     }
 
-    /// The version of the state that is on disk for sure.
+    /// The version of the state that is known to be on disk.
     pub(crate) fn durable_version(&self) -> Version {
         self.durable_version
     }
 
-    /// Whether the disk holds all that belongs there.
+    /// Whether everything that belongs on disk is there.
     pub(crate) fn is_up_to_date(&self) -> bool {
         self.durable_generation == self.latest_generation
     }
 
-    /// Whether the last write failed, or the one under way has taken for too long.
+    /// Whether the last write failed, or the one in progress has stalled.
     pub(crate) fn is_failing(&self) -> bool {
         self.retry_at.is_some() || self.is_stalled
     }
 
-    /// When the write under way will have taken for too long.
+    /// When the write in progress will count as stalled.
     pub(crate) fn stall_deadline(&self) -> Time {
         let write = self.pending_write.filter(|_| !self.is_stalled);
         write.map_or(Time::NEVER, |write| write.started_at + WRITE_STALL_TIMEOUT)
     }
 
-    /// Takes in how late it is. `true` if the write under way has just become one that takes too long.
+    /// `true` if the write in progress has stalled since the last call.
     pub(crate) fn detect_stall(&mut self, now: Time) -> bool {
         let has_stalled = now >= self.stall_deadline();
         self.is_stalled |= has_stalled;
@@ -101,41 +111,36 @@
         self.retry_at.filter(|_| self.pending_write.is_none()).unwrap_or(Time::NEVER)
     }
 
-    /// Holds `deferred` back until all changes up to now are on disk.
-    pub(crate) fn defer(&mut self, deferred: DeferredAction) {
+    /// Defers an action until all changes up to now are on disk.
+    pub(crate) fn defer(&mut self, action: DeferredAction) {
         if self.deferred.len() < MAX_DEFERRED_ACTIONS {
-            self.deferred.push_back((self.latest_generation, deferred));
+            self.deferred.push_back((self.latest_generation, action));
         }
     }
 
-    /// What rests on nothing that is missing on disk.
+    /// Removes and returns the next action whose generation is on disk.
     pub(crate) fn next_released(&mut self) -> Option<DeferredAction> {
         let (generation, _) = self.deferred.front()?;
         if *generation > self.durable_generation {
             return None;
         }
-        self.deferred.pop_front().map(|(_, deferred)| deferred)
+        self.deferred.pop_front().map(|(_, action)| action)
     }
 
-    /// Begins to write if there is something to write and nothing is being written.
+    /// Starts a write of a record with `version` if there is something to write and no write is in progress.
     pub(crate) fn start_write(&mut self, now: Time, version: Version) -> Option<PersistToken> {
         let is_waiting_for_retry = self.retry_at.is_some_and(|at| now < at);
-        if is_waiting_for_retry
-            || self.pending_write.is_some()
-            || self.latest_generation == self.durable_generation
-        {
+        if is_waiting_for_retry || self.pending_write.is_some() || self.is_up_to_date() {
             return None;
         }
-        self.pending_write =
-            Some(PendingWrite { generation: self.latest_generation, version, started_at: now });
-        Some(PersistToken(self.latest_generation))
+        let generation = self.latest_generation;
+        self.pending_write = Some(PendingWrite { generation, version, started_at: now });
+        Some(PersistToken(generation))
     }
 
     /// The record of `token` is on disk.
     pub(crate) fn complete_write(&mut self, token: PersistToken) {
-        let Some(write) = self.pending_write.take_if(|write| write.generation == token.0) else {
-            return;
-        };
+        let Some(write) = self.pending_write.take_if(|write| write.generation == token.0) else { return };
         self.durable_generation = write.generation;
         self.durable_version = write.version;
         self.retry_at = None;
--- /dev/null
+++ b/crates/replication/src/replica/backup.rs
@@ -0,0 +1,145 @@
+//! The backup's side: heartbeats, writes and snapshots of the primary.
+
+use std::net::SocketAddr;
+
+use juniperwing_clock::Time;
+use juniperwing_invariants::{Invariant, check};
+use juniperwing_protocol::EpochNumber;
+use juniperwing_protocol::replication::{Epoch, NumberedChange, ReplicationBody, Version};
+
+use super::{Replica, Stage};
+use crate::interface::Command;
+use crate::state::{ReplicatedState, Versioned};
+
+impl<S: ReplicatedState> Replica<S> {
+    /// Starts a pre-vote when the election time-out has passed; requests to join where that is needed.
+    pub(super) fn advance_following(&mut self, now: Time) {
+        if now >= self.join_retry_at && self.must_request_join(now) {
+            self.join_retry_at = now + self.settings.timings.join_interval;
+            self.request_join();
+            self.offer_bootstrap(now);
+        }
+        self.bootstrap(now);
+        if now >= self.election_at && matches!(self.stage, Stage::Following) {
+            self.election_at = now + self.draw_election_timeout();
+            if self.is_eligible() {
+                self.start_pre_vote(now);
+            }
+        }
+    }
+
+    /// Follows the primary of an epoch that is not below the promise, and replies with the durable version.
+    pub(super) fn handle_heartbeat(
+        &mut self, now: Time, to: SocketAddr, epoch: Epoch, committed: Version, round: u64,
+    ) {
+        let number = epoch.number;
+        if self.reject_below_promise(to, number) {
+            return;
+        }
+        if number > self.acceptor.accepted.number {
+            self.become_follower(now);
+            self.accept_epoch(epoch);
+        } else {
+            self.commit_epoch();
+        }
+        self.stage = Stage::Following;
+        self.last_primary_contact_at = Some(now);
+        self.election_attempts = 0;
+        self.election_at = now + self.draw_election_timeout();
+        if committed == self.latest.version {
+            self.publish_latest();
+        }
+        let version = Some(self.latest.version).filter(|_| self.persistence.is_up_to_date());
+        self.send(to, ReplicationBody::HeartbeatReply { epoch: number, round, version });
+        if version.is_none() {
+            self.acknowledge_when_durable(to, number);
+        }
+        if self.is_shutting_down {
+            self.send(to, ReplicationBody::Leave);
+        }
+    }
+
+    /// Whether a write or snapshot of that epoch may be applied; a sender of an older epoch is rejected.
+    fn accepts_write_from(&mut self, now: Time, to: SocketAddr, epoch: EpochNumber) -> bool {
+        if self.reject_below_promise(to, epoch) {
+            return false;
+        }
+        let is_accepted = epoch == self.acceptor.promised && epoch == self.acceptor.accepted.number;
+        if is_accepted {
+            self.last_primary_contact_at = Some(now);
+        }
+        is_accepted
+    }
+
+    /// Applies a write. One that does not fit is acknowledged with the version that this replica has, and the
+    /// primary sends what is missing.
+    pub(super) fn handle_write(
+        &mut self, now: Time, to: SocketAddr, epoch: EpochNumber, base: Version, version: Version,
+        change: &[u8],
+    ) {
+        if !self.accepts_write_from(now, to, epoch) {
+            return;
+        }
+        if base == self.latest.version {
+            let Ok(change) = S::decode_change(change) else { return };
+            // The primary starts a write only when its base is committed.
+            self.publish_latest();
+            self.latest = self.latest.with_change(version, &change);
+            self.persistence.mark_dirty();
+        }
+        self.acknowledge_when_durable(to, epoch);
+    }
+
+    /// Applies several changes that this replica lacks. They are acknowledged like a write.
+    pub(super) fn handle_changes(
+        &mut self, now: Time, to: SocketAddr, epoch: EpochNumber, base: Version, changes: &[NumberedChange],
+    ) {
+        if !self.accepts_write_from(now, to, epoch) {
+            return;
+        }
+        if base == self.latest.version {
+            let Ok(latest) = self.latest.with_changes(changes) else { return };
+            // The primary started to write the first change only when its base was committed.
+            self.publish_latest();
+            self.latest = latest;
+            self.persistence.mark_dirty();
+        }
+        self.acknowledge_when_durable(to, epoch);
+    }
+
+    /// Replaces the state, unless the snapshot is older than what this epoch has already written here.
+    pub(super) fn handle_snapshot(
+        &mut self, now: Time, to: SocketAddr, epoch: EpochNumber, version: Version, state: Vec<u8>,
+    ) {
+        if !self.accepts_write_from(now, to, epoch) {
+            return;
+        }
+        let present = self.latest.version;
+        let is_late = present.epoch == epoch && version <= present;
+        if version != present && !is_late {
+            let Ok(latest) = Versioned::decode(version, state) else { return };
+            self.latest = latest;
+            self.persistence.mark_dirty();
+        }
+        self.acknowledge_when_durable(to, epoch);
+    }
+
+    /// Acknowledges the latest version once it is on disk.
+    fn acknowledge_when_durable(&mut self, to: SocketAddr, epoch: EpochNumber) {
+        let version = self.latest.version;
+        self.send_when_durable(to, ReplicationBody::WriteAck { epoch, version });
+    }
+
+    /// Marks the latest state as committed.
+    pub(super) fn publish_latest(&mut self) {
+        let version = self.latest.version;
+        let published = self.committed.as_ref().map(|committed| committed.version);
+        if published != Some(version) {
+            check(Invariant::CommittedVersionNeverDecreases, published < Some(version), || {
+                format!("disk {}, {version:?} after {published:?}", self.local_disk().0)
+            });
+            self.committed = Some(self.latest.clone());
+            self.command(Command::Committed(version));
+        }
+    }
+}
--- a/crates/replication/src/bootstrap.rs
+++ b/crates/replication/src/replica/bootstrap.rs
@@ -1,28 +1,31 @@
-//! The very first epoch: the seeds tell the founder who they are, and all of them must accept it.
+//! The very first epoch: the seeds name themselves to the coordinator, and all of them must accept it.
+//!
+//! The bootstrap coordinator is the seed with the lowest address.
 
 use juniperwing_clock::Time;
 use juniperwing_protocol::EpochNumber;
 use juniperwing_protocol::replication::{Epoch, ReplicationBody, Voter};
 
-use crate::acceptor::next_epoch_number;
+use super::{Replica, Stage};
 use crate::election::Election;
+use crate::epoch::next_epoch_number;
 use crate::persistence::DeferredAction;
-use crate::replica::{Replica, Stage};
 use crate::state::ReplicatedState;
 
 impl<S: ReplicatedState> Replica<S> {
-    /// Whether this keeper has part in the founding: it is a seed of the first start, and knows no epoch.
+    /// Whether this keeper takes part in the bootstrap: it is a seed of the first start, and knows no epoch.
     fn can_bootstrap(&self) -> bool {
         let is_seed = self.settings.seeds.contains(&self.settings.local_voter.address);
         self.settings.bootstrap && is_seed && self.known_epoch.number == EpochNumber::default()
     }
 
+    /// Whether this keeper proposes the first epoch: of the seeds it has the lowest address.
     fn is_bootstrap_coordinator(&self) -> bool {
         self.settings.seeds.iter().min() == Some(&self.settings.local_voter.address)
     }
 
-    /// Tells the founder who this seed is.
-    pub(crate) fn offer_bootstrap(&mut self, now: Time) {
+    /// Names this seed to the bootstrap coordinator.
+    pub(super) fn offer_bootstrap(&mut self, now: Time) {
         if !self.can_bootstrap() {
             return;
         }
@@ -30,21 +33,21 @@
         if self.is_bootstrap_coordinator() {
             self.handle_bootstrap_offer(voter);
             self.bootstrap(now);
-        } else if let Some(founder) = self.settings.seeds.iter().min().copied() {
-            self.send(founder, ReplicationBody::Bootstrap { voter });
+        } else if let Some(coordinator) = self.settings.seeds.iter().min().copied() {
+            self.send(coordinator, ReplicationBody::Bootstrap { voter });
         }
     }
 
-    /// A seed says who it is.
-    pub(crate) fn handle_bootstrap_offer(&mut self, voter: Voter) {
-        let expected = self.settings.seeds.contains(&voter.address);
-        if self.can_bootstrap() && self.is_bootstrap_coordinator() && expected {
+    /// Records a seed that takes part in the bootstrap.
+    pub(super) fn handle_bootstrap_offer(&mut self, voter: Voter) {
+        let is_seed = self.settings.seeds.contains(&voter.address);
+        if self.can_bootstrap() && self.is_bootstrap_coordinator() && is_seed {
             self.bootstrap_offers.insert(voter.address, voter);
         }
     }
 
     /// Proposes the first epoch once all seeds are known.
-    pub(crate) fn bootstrap(&mut self, now: Time) {
+    pub(super) fn bootstrap(&mut self, now: Time) {
         if !self.can_bootstrap() || self.acceptor.promised != EpochNumber::default() {
             return;
         }
--- a/crates/replication/src/settings.rs
+++ b/crates/replication/src/settings.rs
@@ -5,63 +5,65 @@
 use juniperwing_clock::Span;
 use juniperwing_protocol::replication::Voter;
 
-/// The most voters that an epoch has.
+/// The maximum number of voters in an epoch.
 pub const MAX_VOTERS: usize = 9;
 
-/// What a replica is told when it starts.
+/// Settings of a replica; fixed for one incarnation of the process.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// This keeper.
     pub local_voter: Voter,
-    /// Addresses where keepers may be found, in any order; at the first start those of the founding keepers.
+    /// Addresses of other keepers, in any order; at the first start those of the keepers that bootstrap the
+    /// tier.
     pub seeds: Vec<SocketAddr>,
     /// Whether this is the first start of the whole tier, on empty disks.
     pub bootstrap: bool,
-    /// On how many disks a write must be before it is acknowledged, this keeper's included; at least 1.
+    /// The number of disks that must have a write before it is acknowledged, this keeper's included; at least
+    /// 1.
     pub min_in_sync_replicas: usize,
-    /// Spans of time.
+    /// Intervals and time-outs.
     pub timings: Timings,
 }
 
 impl Settings {
-    /// The fewest voters that are kept, even if some are silent: as many as founded the tier or are needed for
-    /// the copies.
+    /// The number of voters that is kept even if some have timed out: as many as bootstrapped the tier or are
+    /// needed for the required in-sync replicas.
     pub(crate) fn min_voters(&self) -> usize {
         self.seeds.len().max(2 * self.min_in_sync_replicas - 1)
     }
 
-    /// Whether one of `voters` may go and as many losses can be borne as before.
+    /// Whether one of `voters` may be dropped and as many losses are tolerated as before.
     pub(crate) fn can_drop_one_of(&self, voters: usize) -> bool {
         voters > self.min_voters() && voters.is_multiple_of(2)
     }
 }
 
-/// The spans that a replica goes by.
+/// Intervals and time-outs of a replica.
 #[derive(Clone, Copy, Debug)]
 pub struct Timings {
-    /// Between two heartbeats of the primary.
+    /// Interval between two heartbeats of the primary.
     pub heartbeat_interval: Span,
-    /// Without a heartbeat for so long, the first of the backups seeks to become primary; without a majority of
-    /// answers for so long, a primary steps down.
+    /// The first backup starts a pre-vote after this time without a heartbeat; a primary steps down after
+    /// this time without replies of a majority.
     pub election_timeout: Span,
-    /// How much longer than the one before it each further backup waits.
+    /// How much longer than the previous one each further backup waits.
     pub election_stagger: Span,
-    /// A backup that confirms nothing for so long leaves the in-sync set.
+    /// A backup that acknowledges nothing for this time leaves the in-sync set.
     pub ack_timeout: Span,
-    /// A voter that answers nothing for so long may be replaced by a keeper that asks to be let in.
+    /// A voter that replies nothing for this time may be replaced by a keeper that requests to join.
     pub voter_timeout: Span,
-    /// Between two requests to be let in.
+    /// Interval between two requests to join.
     pub join_interval: Span,
-    /// How long a canvass, and an election, may take before it is given up.
+    /// A pre-vote fails after this time, an election after twice this time.
     pub attempt_timeout: Span,
-    /// How long a candidate with a majority waits for the remaining in-sync replicas.
+    /// How long a candidate with a quorum waits for the promises of the other in-sync replicas.
     pub straggler_wait: Span,
-    /// Before a promise or acceptance is asked for again.
+    /// Delay before a request for a promise or acceptance is sent again.
     pub resend_interval: Span,
-    /// The longest that a proposal or a read waits.
+    /// The longest time that a proposal or a read may be pending.
     pub request_timeout: Span,
-    /// Bytes in a millisecond on the slowest link that a whole state must get over: what is on its way for
-    /// longer than that takes counts as lost.
+    /// Bytes per millisecond on the slowest link that a whole state must be sent over: what has been in
+    /// flight for longer than that takes counts as lost.
     pub min_link_bytes_per_ms: f64,
 }
 
--- a/crates/replication/src/state.rs
+++ b/crates/replication/src/state.rs
@@ -1,4 +1,4 @@
-//! What is replicated.
+//! The replicated state and its versions.
 
 use std::sync::Arc;
 
@@ -8,28 +8,28 @@
 
 /// A state that is replicated by changes.
 ///
-/// `apply` must depend on nothing but the state and the change: every replica applies the same changes.
+/// [`ReplicatedState::apply`] must be deterministic: every replica applies the same changes.
 pub trait ReplicatedState: Clone {
-    /// One write.
+    /// A change of the state.
     type Change: Clone;
 
-    /// Makes the change.
+    /// Applies a change.
     fn apply(&mut self, change: &Self::Change);
 
-    /// The state as bytes, for the disk and for replicas that lag.
+    /// Encodes the state, for the disk and for replicas that lag.
     fn encode(&self) -> Vec<u8>;
 
-    /// The state that `bytes` hold.
+    /// Decodes a state.
     ///
     /// # Errors
     ///
     /// If the bytes do not follow the encoding.
     fn decode(bytes: &[u8]) -> Result<Self, MalformedState>;
 
-    /// A change as bytes.
+    /// Encodes a change.
     fn encode_change(change: &Self::Change) -> Vec<u8>;
 
-    /// The change that `bytes` hold.
+    /// Decodes a change.
     ///
     /// # Errors
     ///
@@ -44,12 +44,12 @@
     pub version: Version,
     /// The state.
     pub state: Arc<S>,
-    /// The state as bytes.
+    /// The encoding of `state`.
     pub encoded: Arc<Vec<u8>>,
 }
 
 impl<S: ReplicatedState> Versioned<S> {
-    /// Gives `state` a version and encodes it.
+    /// Encodes `state` and gives it a version.
     pub(crate) fn new(version: Version, state: S) -> Self {
         let encoded = Arc::new(state.encode());
         Versioned { version, state: Arc::new(state), encoded }
@@ -61,14 +61,14 @@
         Ok(Versioned { version, state, encoded: Arc::new(bytes) })
     }
 
-    /// This state with `change` made.
+    /// This state with `change` applied.
     pub(crate) fn with_change(&self, version: Version, change: &S::Change) -> Self {
         let mut state = (*self.state).clone();
         state.apply(change);
         Versioned::new(version, state)
     }
 
-    /// This state with all the changes made.
+    /// This state with all of `changes` applied.
     pub(crate) fn with_changes(&self, changes: &[NumberedChange]) -> Result<Self, MalformedState> {
         let mut state = (*self.state).clone();
         let mut version = self.version;
