--- a/crates/node/src/command.rs
+++ b/crates/node/src/command.rs
@@ -5,54 +5,17 @@
 use std::time::Duration;
 
 use getopts::Options;
-use slog::{Level, Logger, error};
+use slog::{Level, error};
 
 use crate::log::{flush, install_fault_logging, logger};
+use crate::process::Process;
+use crate::role::Role;
 use crate::settings::{Settings, SettingsError};
 use crate::signals::Signals;
 
 /// How long a write to the disk that is under way may hold up the end.
 const DISK_SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A role that a process may have.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Role {
-    /// Carries the traffic between clients and endpoints.
-    Relay,
-    /// Keeps the configuration, the endpoints and the store map.
-    Keeper,
-    /// Keeps turns and budgets.
-    Store,
-}
-
-impl Role {
-    /// The role of this name.
-    pub fn from_name(name: &str) -> Option<Role> {
-        [Role::Relay, Role::Keeper, Role::Store].into_iter().find(|role| role.name() == name)
-    }
-
-    /// Its name, as on the command line.
-    pub fn name(self) -> &'static str {
-        match self {
-            Role::Relay => "relay",
-            Role::Keeper => "keeper",
-            Role::Store => "store",
-        }
-    }
-}
-
-/// What a role is started with.
-pub struct Process {
-    /// The settings.
-    pub settings: Settings,
-    /// Where they came from, to read them again; `None` if the environment names the file.
-    pub settings_file: Option<PathBuf>,
-    /// The log.
-    pub log: Logger,
-    /// The platform's signals.
-    pub signals: Signals,
-}
-
 /// Runs a role with the arguments behind its name, until it ends.
 pub fn run(role: Role, arguments: &[String]) -> ExitCode {
     let mut options = Options::new();
--- a/crates/node/src/local.rs
+++ b/crates/node/src/local.rs
@@ -15,7 +15,7 @@
 use snafu::{ResultExt, Snafu, ensure};
 use tokio::sync::mpsc::{Sender, channel};
 
-use crate::command::Role;
+use crate::role::Role;
 use crate::signals::{ShutdownOrReload, Signals};
 
 /// A role that ends by itself sooner than this after its first start has settings that cannot be used.
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -46,12 +46,12 @@
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep, timeout, timeout_at};
 
 use crate::clock::random;
-use crate::command::Process;
 use crate::gossip::{Gossip, LocalProcess};
 use crate::host::with_address;
 use crate::link::{Link, LinkPool, ReplySender, Service};
 use crate::metrics::MetricSource;
 use crate::panics::spawn_essential;
+use crate::process::Process;
 use crate::sessions_client::SessionsClient;
 use crate::settings::{Port, Settings};
 use crate::signals::ShutdownOrReload;
--- a/crates/node/src/settings/describe.rs
+++ b/crates/node/src/settings/describe.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use super::{Port, Settings};
-use crate::command::Role;
+use crate::role::Role;
 
 impl Settings {
     /// The keys that a role needs and that are not given.
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -22,12 +22,12 @@
 
 use self::core::{Core, Handle};
 use self::disk::{Disk, Opened};
-use crate::command::Process;
 use crate::gossip::{Gossip, LocalProcess};
 use crate::host::{Listener, run_disk_work};
 use crate::link::serve;
 use crate::metrics::{self, MetricSource};
 use crate::panics::spawn_essential;
+use crate::process::Process;
 use crate::settings::{Port, Settings};
 use crate::signals::ShutdownOrReload;
 use crate::subscriber::Subscriber;
--- a/crates/relay/src/main.rs
+++ b/crates/relay/src/main.rs
@@ -19,7 +19,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use juniperwing_node::command::Role;
+use juniperwing_node::role::Role;
 use lexopt::prelude::*;
 use slog::{Level, error, o};
 
--- a/crates/soak/src/fault/node.rs
+++ b/crates/soak/src/fault/node.rs
@@ -6,8 +6,9 @@
 use std::sync::Arc;
 use std::thread;
 
-use juniperwing_node::command::{Role, run as run_role};
+use juniperwing_node::command::run as run_role;
 use juniperwing_node::host::simulate;
+use juniperwing_node::role::Role;
 use juniperwing_node::settings::Settings;
 
 use super::host::FaultyHost;
--- a/crates/soak/src/load.rs
+++ b/crates/soak/src/load.rs
@@ -11,7 +11,7 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-use juniperwing_node::command::Role;
+use juniperwing_node::role::Role;
 use juniperwing_node::sync::lock;
 use tokio::task::JoinSet;
 
--- a/crates/soak/src/load/platform.rs
+++ b/crates/soak/src/load/platform.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use juniperwing_node::command::Role;
+use juniperwing_node::role::Role;
 use tokio::time::{Instant, sleep, sleep_until};
 
 use crate::http::{ask, request};
--- a/crates/soak/src/load/probe.rs
+++ b/crates/soak/src/load/probe.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use juniperwing_node::command::Role;
+use juniperwing_node::role::Role;
 use tokio::time::sleep;
 
 use super::Shared;
--- a/crates/soak/src/network.rs
+++ b/crates/soak/src/network.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
 
-use juniperwing_node::command::Role;
+use juniperwing_node::role::Role;
 
 /// The ports of the tier; the same on all machines.
 pub const FRONTEND_PORT: u16 = 8_149;
--- a/crates/soak/src/play.rs
+++ b/crates/soak/src/play.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use juniperwing_node::command::Role;
+use juniperwing_node::role::Role;
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use juniperwing_node::command::Role;
+use juniperwing_node::role::Role;
 
 use crate::history::Millis;
 use crate::troubles::{Direction, Machine, Misbehaviour, SettingsFile, TroubleKind};
--- a/crates/soak/src/tier.rs
+++ b/crates/soak/src/tier.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use juniperwing_node::command::Role;
+use juniperwing_node::role::Role;
 use juniperwing_node::sync::lock;
 use rustix::process::{Pid, Signal, kill_process};
 use tokio::process::{Child, ChildStdin, Command};
--- a/crates/soak/src/told_settings.rs
+++ b/crates/soak/src/told_settings.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use juniperwing_node::command::Role;
+use juniperwing_node::role::Role;
 
 use crate::network::{CONTROL_PORT, FRONTEND_PORT, METRICS_PORT, Network, READINESS_PORT, TIER_PORTS};
 use crate::schedule::KEEPERS;
--- a/crates/soak/src/troubles.rs
+++ b/crates/soak/src/troubles.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use juniperwing_node::command::Role;
+use juniperwing_node::role::Role;
 
 /// A machine of the tier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/soak/tests/log.rs
+++ b/crates/soak/tests/log.rs
@@ -5,7 +5,7 @@
 use std::process::Stdio;
 use std::time::Duration;
 
-use juniperwing_node::command::Role;
+use juniperwing_node::role::Role;
 use juniperwing_soak::http::{Head, ask, request};
 use juniperwing_soak::network::{FRONTEND_PORT, Network, READINESS_PORT};
 use tokio::process::Command;
--- a/crates/soak/tests/short.rs
+++ b/crates/soak/tests/short.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::sync::{Condvar, Mutex, PoisonError};
 
-use juniperwing_node::command::Role;
+use juniperwing_node::role::Role;
 use juniperwing_node::sync::lock;
 use juniperwing_soak::play::{Options, Report, play};
 use juniperwing_soak::schedule::{Flavor, Schedule, Trouble};
