--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -1,4 +1,4 @@
-//! Digests of the table: members are placed by a hash of their name, and each range of hashes has a checksum.
+//! Digests of the table: each range of the hashes of member names has a checksum.
 
 use std::hash::Hasher;
 
@@ -7,13 +7,13 @@
 
 use crate::member::{MemberId, Record, Role};
 
-/// The number of ranges that have a checksum of their own.
+/// The number of ranges of hashes, each with a checksum.
 pub const BUCKET_COUNT: usize = 64;
 
 const BUCKET_SHIFT: u32 = u64::BITS - BUCKET_COUNT.trailing_zeros();
 
-/// The checksums of a table. Only live members count, with their incarnation and life: what is dead is passed
-/// on to those who still hold it as live, and to nobody else, so that it can be forgotten.
+/// The checksums of a table. Only live members count, with their incarnation and run id: a death is sent only to
+/// members that still regard the dead member as live, so that it can be forgotten.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Buckets(Vec<[u8; 4]>);
 
@@ -24,7 +24,7 @@
 }
 
 impl Buckets {
-    /// Adds `record` to its range, or takes it out again.
+    /// Adds `record` to the checksum of its range, or removes it again.
     pub fn toggle(&mut self, record: &Record) {
         let hash = hash_of(&record.member.id);
         let sum = checksum(hash, record);
@@ -32,12 +32,12 @@
         *bucket = (u32::from_le_bytes(*bucket) ^ sum).to_le_bytes();
     }
 
-    /// Whether there are as many checksums as there are ranges.
+    /// Whether there is exactly one checksum per range.
     pub fn is_well_formed(&self) -> bool {
         self.0.len() == BUCKET_COUNT
     }
 
-    /// The ranges in which `other` differs. Both are well formed.
+    /// The ranges whose checksums differ from those of `other`. Both must be well formed.
     pub fn differing(&self, other: &Buckets) -> Vec<HashRange> {
         let pairs = self.0.iter().zip(&other.0).enumerate();
         pairs
@@ -47,12 +47,12 @@
     }
 }
 
-/// A range of hashes, both ends included.
+/// A range of hashes, both bounds included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HashRange {
-    /// The lowest.
+    /// The lowest hash.
     pub first: u64,
-    /// The highest.
+    /// The highest hash.
     pub last: u64,
 }
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// Where a member is placed.
+/// The hash of a member's name and role.
 pub fn hash_of(id: &MemberId) -> u64 {
     let role = match id.role {
         Role::Relay => 0,
@@ -83,7 +83,7 @@
     mix_bits(hasher.finish()) as u32
 }
 
-/// Spreads the last bytes over all bits; names often differ only in their last character.
+/// Distributes the last bytes over all bits; names often differ in their last character only.
 fn mix_bits(hash: u64) -> u64 {
     let mixed = (hash ^ (hash >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
     mixed ^ (mixed >> 32)
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -1,14 +1,14 @@
-//! The updates that are to be passed on, and how often each has been.
+//! Dissemination: the queue of updates to be piggybacked, and how often each was sent.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::member::MemberId;
 
-/// How many times `log2(n + 1)` each update is sent.
+/// Each update is sent this many times `log2(n + 1)`, among `n` members.
 const RETRANSMIT_MULTIPLIER: u32 = 3;
 
-/// How often an update is sent among `members` members.
+/// The number of transmissions of an update among `members` members.
 pub fn max_transmissions(members: usize) -> u32 {
     let log2_rounded_up = usize::BITS - members.leading_zeros();
     RETRANSMIT_MULTIPLIER * log2_rounded_up.max(1)
@@ -20,8 +20,8 @@
     newest_first: Reverse<u64>,
 }
 
-/// Members of whom there is news, the least sent first. What the news is stands in the table, so there is at
-/// most one update for each member, and it is never out of date.
+/// Members with an update, the least transmitted first, then the newest. The update itself is the member's record in
+/// the table, so there is at most one per member, and it is never out of date.
 #[derive(Clone, Debug, Default)]
 pub struct Dissemination {
     priorities: BTreeMap<MemberId, Priority>,
@@ -30,7 +30,7 @@
 }
 
 impl Dissemination {
-    /// There is news of `id`; it is sent as often as any new update.
+    /// Queues an update of `id`, with its count of transmissions at zero.
     pub fn enqueue(&mut self, id: &MemberId) {
         self.remove(id);
         self.last_update_number += 1;
@@ -40,14 +40,14 @@
         );
     }
 
-    /// The news of `id` is not passed on any more.
+    /// Removes the update of `id`.
     pub fn remove(&mut self, id: &MemberId) {
         if let Some(rank) = self.priorities.remove(id) {
             self.queue.remove(&(rank, id.clone()));
         }
     }
 
-    /// The news of `id` was sent once more; after `limit` times it is dropped.
+    /// Counts a transmission of the update of `id`; after `limit` transmissions it is removed.
     pub fn record_transmission(&mut self, id: &MemberId, limit: u32) {
         let Some(mut rank) = self.priorities.get(id).cloned() else { return };
         self.remove(id);
@@ -57,12 +57,12 @@
         }
     }
 
-    /// The members of whom there is news, in the order in which it is to be sent.
+    /// The members with an update, in the order of transmission.
     pub fn iter(&self) -> impl Iterator<Item = &MemberId> {
         self.queue.iter().map(|(_, id)| id)
     }
 
-    /// Whether there is no news.
+    /// Whether there are no updates.
     pub fn is_empty(&self) -> bool {
         self.queue.is_empty()
     }
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -7,55 +7,55 @@
 use crate::member::{Member, Status};
 use crate::wire::DecodeError;
 
-/// What happens to a member.
+/// An input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
-    /// A datagram has come. Hand in all that wait in the socket before a tick, so that no answer counts as
-    /// missing that is already there.
+    /// A datagram was received. Pass all datagrams that wait in the socket before a tick, so that no ack counts as
+    /// missing that has already arrived.
     Datagram {
-        /// Its sender's address.
+        /// The address of the sender.
         from: SocketAddr,
-        /// Its bytes.
+        /// The encoded datagram.
         bytes: &'a [u8],
     },
-    /// The time of the last [`Command::WakeAt`] has come. Earlier ticks do no harm.
+    /// The time of the last [`Command::WakeAt`] has come. Earlier ticks are harmless.
     Tick,
-    /// The process is about to end. The others are told; nothing but pings is answered from then on.
+    /// The process is about to terminate. Other members are notified; from then on only pings are replied to.
     Leave,
-    /// Other seeds, from settings that have changed.
+    /// The addresses of the seeds have changed.
     SeedsChanged(Vec<SocketAddr>),
 }
 
-/// What is to be done, in this order.
+/// An output of the state machine. Commands are to be executed in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Send a datagram; it may be lost.
     Send {
-        /// Where to.
+        /// The receiver.
         to: SocketAddr,
-        /// Its bytes, at most [`MAX_DATAGRAM_BYTES`](crate::MAX_DATAGRAM_BYTES).
+        /// The encoded datagram, at most [`MAX_DATAGRAM_BYTES`](crate::MAX_DATAGRAM_BYTES).
         bytes: Vec<u8>,
     },
-    /// A member's status, life or address is another than before. Never reported of the member itself.
+    /// The status, run id or address of a member has changed. Never reported for the local member.
     Changed {
         /// The member.
         member: Member,
-        /// Its status from now on.
+        /// The new status.
         status: Status,
     },
-    /// Hand in [`Event::Tick`] at this time; replaces the time given before.
+    /// Pass [`Event::Tick`] at this time; it replaces the time of earlier commands.
     WakeAt(Time),
-    /// A datagram was not understood and has been dropped.
+    /// A datagram could not be decoded and was dropped.
     Rejected {
-        /// Its sender's address.
+        /// The address of the sender.
         from: SocketAddr,
-        /// What is wrong with it.
+        /// Why it could not be decoded.
         reason: DecodeError,
     },
-    /// Another process lives under the name of this one (a replaced machine that woke up, say). It has insisted, and
-    /// is contradicted no more while it is held to be alive. Reported once for each of its lives.
+    /// Another process uses the name of the local member (for instance a replaced machine that resumed). It keeps
+    /// refuting this member's records, so it is not refuted any more while it is alive. Reported once per run id.
     Conflict {
-        /// What the other process tells of itself.
+        /// The other process, as described by its own record.
         duplicate: Member,
     },
 }
--- a/crates/membership/src/failure_detection.rs
+++ b/crates/membership/src/failure_detection.rs
@@ -17,13 +17,13 @@
         now >= self.prober.next_probe_at
     }
 
-    /// When probing has something to do next.
+    /// When the next probe starts or the present one needs indirect probes.
     pub(crate) fn next_probe_event_at(&self) -> Time {
         let time_out = self.prober.probe.as_ref().and_then(|probe| probe.times_out_at);
         self.prober.next_probe_at.min(time_out.unwrap_or(Time::NEVER))
     }
 
-    /// Asks others to help if the probe has had no answer in time.
+    /// Sends ping-reqs if the probe in flight was not acked in time.
     pub(crate) fn request_indirect_probes_if_due(&mut self, now: Time) {
         let Some(probe) = &mut self.prober.probe else { return };
         if probe.times_out_at.is_none_or(|time| time > now) {
@@ -39,22 +39,22 @@
         }
     }
 
-    /// Suspects the target of a probe that has had no answer at all.
+    /// Suspects the target of a probe that was acked neither directly nor indirectly.
     pub(crate) fn suspect_unresponsive_target(&mut self, now: Time) {
         let Some(probe) = self.prober.probe.take() else { return };
         let id = &probe.target.member.id;
-        let Some(held) = self.table.get(id).cloned() else { return };
-        // Whatever else is held by now is news from after the ping.
-        if held != probe.target || held.status != Status::Alive {
+        let Some(known) = self.table.get(id).cloned() else { return };
+        // Another record was received after the ping.
+        if known != probe.target || known.status != Status::Alive {
             return;
         }
-        let suspect = Record { status: Status::Suspect, ..held.clone() };
+        let suspect = Record { status: Status::Suspect, ..known.clone() };
         self.dissemination.enqueue(id);
         self.prober.suspects.push_back(id.clone());
-        self.store_record(now, suspect, Some(&held));
+        self.store_record(now, suspect, Some(&known));
     }
 
-    /// Pings the next member of the round, and some of those that are suspected.
+    /// Pings the next member of the round, and some suspects.
     pub(crate) fn start_probe(&mut self, now: Time) {
         let interval = jitter(&mut self.rng, self.timings.probe_interval, PROBE_JITTER);
         self.prober.next_probe_at = now + interval;
@@ -66,16 +66,16 @@
         self.prober.probe = Some(Probe { target, sequence, times_out_at: time_out });
     }
 
-    /// The pings carry the suspicion, and the answers the refutation.
+    /// Pings suspects again: the pings carry the suspicion, and the acks the refutation.
     fn ping_suspects(&mut self) {
-        let waiting = self.prober.suspects.len();
-        let mut pinged = 0;
-        for _ in 0..waiting {
+        let suspect_count = self.prober.suspects.len();
+        let mut ping_count = 0;
+        for _ in 0..suspect_count {
             let Some(id) = self.prober.suspects.pop_front() else { return };
-            let held = self.table.get(&id).filter(|held| held.status == Status::Suspect);
-            let Some(address) = held.map(|held| held.member.gossip_address) else { continue };
-            if pinged < MAX_REPEATED_PINGS {
-                pinged += 1;
+            let known = self.table.get(&id).filter(|known| known.status == Status::Suspect);
+            let Some(address) = known.map(|known| known.member.gossip_address) else { continue };
+            if ping_count < MAX_REPEATED_PINGS {
+                ping_count += 1;
                 let sequence = self.prober.next_sequence();
                 self.send_to(address, &id, &Message::Ping { sequence });
             }
@@ -118,8 +118,8 @@
             }
             let index = self.rng.index(self.prober.round.len());
             let Some(id) = self.prober.round.get(index) else { break };
-            let taken = picked.iter().any(|record| record.member.id == *id);
-            if taken || except == Some(id) {
+            let is_picked = picked.iter().any(|record| record.member.id == *id);
+            if is_picked || except == Some(id) {
                 continue;
             }
             picked.extend(self.table.get_live(id).cloned());
@@ -127,7 +127,7 @@
         picked
     }
 
-    /// Sends datagrams for nothing but updates, while there are any.
+    /// Sends datagrams that carry nothing but updates, while there are any.
     pub(crate) fn send_gossip(&mut self) {
         for record in self.pick_random_live(self.timings.gossip_fanout, None) {
             if self.dissemination.is_empty() {
@@ -139,31 +139,31 @@
 
     pub(crate) fn handle_ack(&mut self, sequence: Sequence, sender: &MemberId) {
         self.complete_probe(sequence, sender);
-        let mut relayed = self.prober.indirect_probes_in_flight.iter();
-        let found = relayed.position(|relayed| relayed.sequence == sequence && relayed.target == *sender);
+        let mut indirect_probes = self.prober.indirect_probes_in_flight.iter();
+        let found = indirect_probes.position(|probe| probe.sequence == sequence && probe.target == *sender);
         let Some(IndirectProbe { target, origin, origin_sequence, .. }) =
             found.and_then(|index| self.prober.indirect_probes_in_flight.remove(index))
         else {
             return;
         };
-        let answer = Message::IndirectAck { sequence: origin_sequence, target };
-        let news_of_target = self.table.get(sender).cloned();
-        self.send(origin, &answer, Vec::from_iter(news_of_target));
+        let ack = Message::IndirectAck { sequence: origin_sequence, target };
+        let target_record = self.table.get(sender).cloned();
+        self.send(origin, &ack, Vec::from_iter(target_record));
     }
 
     pub(crate) fn handle_indirect_ack(&mut self, sequence: Sequence, target: &MemberId) {
         self.complete_probe(sequence, target);
     }
 
-    /// An answer counts only if it comes from the target: addresses are reused.
+    /// Completes the probe in flight. An ack counts only if it comes from the target: addresses are reused.
     fn complete_probe(&mut self, sequence: Sequence, id: &MemberId) {
-        let settles = |probe: &Probe| probe.sequence == sequence && probe.target.member.id == *id;
-        if self.prober.probe.as_ref().is_some_and(settles) {
+        let is_acked = |probe: &Probe| probe.sequence == sequence && probe.target.member.id == *id;
+        if self.prober.probe.as_ref().is_some_and(is_acked) {
             self.prober.probe = None;
         }
     }
 
-    /// Pings `target` for another member, and remembers whom the answer is for.
+    /// Pings `target` on behalf of `origin`, which is sent the ack.
     pub(crate) fn handle_ping_request(
         &mut self, origin: SocketAddr, origin_sequence: Sequence, target: MemberId, address: SocketAddr,
     ) {
--- a/crates/membership/src/jitter.rs
+++ b/crates/membership/src/jitter.rs
@@ -1,4 +1,4 @@
-//! Spans that vary at random, so that members don't act in step.
+//! Random jitter of intervals, so that members do not act in step.
 
 use juniperwing_clock::Span;
 use juniperwing_random::Rng;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,24 +1,24 @@
 //! SWIM membership: which processes of the serving tier are alive, and where they listen.
 //!
-//! [`Membership`] is a pure state machine. It is handed the time, datagrams and ticks, and returns datagrams to
-//! send, changes to report and the time of its next wake-up. It opens no socket, reads no clock and draws rng
-//! only from the seed it was given.
+//! [`Membership`] is a state machine without I/O. It takes the time, datagrams and ticks, and returns datagrams to
+//! send, changes to report and the time of its next wake-up. It opens no socket, reads no clock, and its random
+//! numbers depend on the given seed alone.
 //!
-//! - **Failure detection.** Once a probe interval one member is pinged, in a shuffled round. Without an answer a
-//!   few others are asked to ping it; without any, it is suspected. It is declared dead when it has not refuted
-//!   the suspicion within a time that grows with the logarithm of the number of members.
-//! - **Precedence.** What is said about a member is ordered by incarnation, life and status ([`Record`]); a
-//!   member alone raises its incarnation. A restarted process has another life and raises its incarnation above
-//!   what the others still hold of the life before.
-//! - **Dissemination.** Updates ride on probes and answers, and on a few extra datagrams while there are any;
+//! - **Failure detection.** Once per probe interval one member is pinged, in a shuffled round. Without an ack, a few
+//!   others are asked to ping it (ping-req); without any ack, it is suspected. It is declared dead if it has not
+//!   refuted the suspicion within a time that grows with the logarithm of the number of members.
+//! - **Precedence.** Records of a member are ordered by incarnation, run id and status ([`Record`]); only the member
+//!   itself raises its incarnation. A restarted process has another run id and raises its incarnation above that of
+//!   the records of its previous run.
+//! - **Dissemination.** Updates are piggybacked on pings and acks, and on a few extra datagrams while there are any;
 //!   each is sent about `3 * log2(n + 1)` times.
-//! - **Reconciliation.** Members compare digests of their tables now and then and exchange what differs, in
-//!   bounded pages. Seeds and dead members are contacted now and then, so a partition heals.
+//! - **Reconciliation.** Members periodically compare digests of their tables and exchange what differs, in bounded
+//!   pages. Seeds and dead members are contacted periodically, so that a partition heals.
 //!
 //! # Cost
 //!
-//! At rest a member sends one ping and one answer per probe interval and one digest per sync interval, whatever
-//! the number of members: with 760 of them (700 relays and 60 others), the datagrams per second and the bytes of
+//! At rest a member sends one ping and one ack per probe interval and one digest per sync interval, whatever the
+//! number of members: with 760 of them (700 relays and 60 others), the datagrams per second and the bytes of
 //! each are those of a tier of 20. The table takes one entry per member (at most [`MAX_MEMBERS`]). While there are
 //! updates, up to `gossip_fanout` more datagrams per probe interval are sent, of at most
 //! [`MAX_DATAGRAM_BYTES`] each.
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,4 +1,4 @@
-//! Members, and the order of what is said about one.
+//! Members, their records, and the precedence of records.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,87 +6,87 @@
 use juniperwing_protocol::{DiskId, NodeName};
 use serde::{Deserialize, Serialize};
 
-/// What a process does in the tier.
+/// The role of a process in the tier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Role {
-    /// Takes requests of clients and passes them on to endpoints.
+    /// Forwards requests of clients to endpoints.
     Relay,
-    /// Holds configuration and discovery.
+    /// Replicates the configuration and the registry of endpoints.
     Keeper,
-    /// Keeps turns and budgets of programs.
+    /// Stores turns and budgets of programs.
     Store,
 }
 
-/// Names a member. A machine may run several roles, each of which is a member.
+/// The name of a member. A machine may run several roles, each of which is a member.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId {
     /// The machine.
     pub node: NodeName,
-    /// The role that the process has on it.
+    /// The role of the process.
     pub role: Role,
 }
 
-/// One run of a process, drawn when it starts. A restarted process has another life than the one before; a
-/// process that was frozen has the same.
+/// Identifies one run of a process; a random number drawn at its start. A restarted process has a new run id, a process
+/// that was paused keeps its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RunId(pub u64);
 
-/// Counts how often a member has contradicted what was said of it. Only the member raises it.
+/// SWIM's incarnation number: raised by a member, and by nobody else, to refute a record of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
-/// What a member tells of itself. It stays the same during a life.
+/// The description of a member. It does not change during a run of its process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name.
+    /// The name of the member.
     pub id: MemberId,
-    /// This run of its process.
+    /// The run of its process.
     pub run_id: RunId,
-    /// Its zone.
+    /// The zone of its machine.
     pub zone: Arc<str>,
-    /// Where it takes datagrams of the membership protocol (UDP).
+    /// UDP address for datagrams of the membership protocol.
     pub gossip_address: SocketAddr,
-    /// Where it takes the tier's own messages (TCP).
+    /// TCP address for messages between processes of the tier.
     pub address: SocketAddr,
-    /// Its data directory, if it has one.
+    /// The identity of its data directory, if it has one.
     pub disk: Option<DiskId>,
 }
 
-/// What is held to be the state of a member. Of two statements of one incarnation and life, the later status
-/// in this list is the stronger.
+/// The state of a member. Of two records with the same incarnation and run id, the one with the later status in this
+/// list takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Status {
-    /// It answers.
+    /// It replies to pings.
     Alive,
-    /// It did not answer somebody, and may still refute that.
+    /// It did not reply to some member, and may still refute the suspicion.
     Suspect,
     /// It did not refute the suspicion in time.
     Dead,
-    /// It said that it leaves.
+    /// It announced that it leaves.
     Left,
 }
 
 impl Status {
-    /// Whether the member counts as there: alive, or suspect and not yet given up.
+    /// Whether the member is alive or suspect.
     pub fn is_live(self) -> bool {
         matches!(self, Status::Alive | Status::Suspect)
     }
 }
 
-/// A statement about a member.
+/// A record of a member's state, as exchanged between members.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Whom it is about.
+    /// The member.
     pub member: Member,
-    /// The member's incarnation that it is about.
+    /// The incarnation of the member to which the status applies.
     pub incarnation: Incarnation,
-    /// What is said.
+    /// The status of the member.
     pub status: Status,
 }
 
 impl Record {
-    /// Whether this replaces `other`, a statement about the same member. The order is total, so that all who
-    /// have heard the same statements, in whatever order, hold the same one.
+    /// Whether this record replaces `other`, a record of the same member. The order is total, so members that have
+    /// received the same records, in whatever order, agree.
     pub fn supersedes(&self, other: &Record) -> bool {
         self.precedence() > other.precedence()
     }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -12,14 +12,22 @@
 use crate::table::Table;
 use crate::wire::Message;
 
-/// How many members are told directly that this one leaves.
+/// Number of members that are notified directly when this one leaves.
 const LEAVE_FANOUT: usize = 8;
 
-/// One member's view of all.
+/// Another process that uses the name of the local member.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct DuplicateProcess {
+    pub(crate) run_id: RunId,
+    /// How often a record of it was seen that superseded the local one.
+    pub(crate) sightings: u32,
+}
+
+/// The state machine of one member, with its view of all members.
 #[derive(Debug)]
 pub struct Membership {
     pub(crate) local_id: MemberId,
-    /// What it says of itself; also in the table.
+    /// The local member's own record; it is also in the table.
     pub(crate) local_record: Record,
     pub(crate) timings: Timings,
     pub(crate) table: Table,
@@ -30,17 +38,16 @@
     pub(crate) commands: Vec<Command>,
     pub(crate) wake_at: Time,
     pub(crate) has_left: bool,
-    /// Another life under the own name, and how often it was contradicted.
-    pub(crate) duplicate: Option<(RunId, u32)>,
+    /// A process with another run id under the local name.
+    pub(crate) duplicate: Option<DuplicateProcess>,
 }
 
 impl Membership {
-    /// A member that starts at `now`. It is first to be handed a tick, at once; `seed` decides all that is left
-    /// to chance.
+    /// A member that starts at `now`. The first event must be a tick, at once; `seed` determines all random choices.
     ///
     /// # Errors
     ///
-    /// If the settings cannot be used.
+    /// If the settings are invalid.
     pub fn new(now: Time, settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let Settings { local_member, seeds, timings } = settings;
@@ -48,12 +55,13 @@
         let mut table = Table::default();
         let prober = Prober::new(now, &timings, &mut rng);
         let reconciler = Reconciler::new(now, seeds, local_member.gossip_address, &timings, &mut rng);
-        let id = local_member.id.clone();
-        let own = Record { member: local_member, incarnation: Incarnation(0), status: Status::Alive };
-        table.insert(own.clone(), None);
+        let local_id = local_member.id.clone();
+        let local_record =
+            Record { member: local_member, incarnation: Incarnation(0), status: Status::Alive };
+        table.insert(local_record.clone(), None);
         Ok(Membership {
-            local_id: id,
-            local_record: own,
+            local_id,
+            local_record,
             timings,
             table,
             dissemination: Dissemination::default(),
@@ -67,7 +75,7 @@
         })
     }
 
-    /// Takes in an event.
+    /// Handles an event and returns the resulting commands.
     pub fn handle(&mut self, now: Time, event: Event<'_>) -> Vec<Command> {
         let is_tick = matches!(event, Event::Tick);
         if !self.has_left {
@@ -88,17 +96,17 @@
         std::mem::take(&mut self.commands)
     }
 
-    /// All members that are known, this one included, and what is held of each.
+    /// All known members with their status, the local one included.
     pub fn members(&self) -> impl Iterator<Item = (&Member, Status)> {
         self.table.records().map(|record| (&record.member, record.status))
     }
 
-    /// How many members are alive or suspect, this one included.
+    /// The number of members that are alive or suspect, the local one included.
     pub fn live_count(&self) -> usize {
         self.table.live_count()
     }
 
-    /// How many updates are still to be passed on.
+    /// The number of updates still being disseminated.
     pub fn pending_updates(&self) -> usize {
         self.dissemination.iter().count()
     }
@@ -115,21 +123,21 @@
         self.contact_unreached_if_due(now);
     }
 
-    /// A process that stood still (frozen, or without processor) has heard nothing meanwhile, and must not hold
-    /// that against the others.
+    /// A process that was paused (frozen, or without processor time) has received nothing meanwhile, and must not
+    /// count that against other members.
     fn detect_pause(&mut self, now: Time) {
-        let late = now.since(self.wake_at);
-        if late <= self.timings.probe_interval {
+        let delay = now.since(self.wake_at);
+        if delay <= self.timings.probe_interval {
             return;
         }
-        self.table.extend_suspicions(late);
+        self.table.extend_suspicions(delay);
         self.prober.handle_pause(now);
         self.wake_at = now;
     }
 
-    fn schedule_wake_up(&mut self, always: bool) {
+    fn schedule_wake_up(&mut self, is_unconditional: bool) {
         let next = self.next_probe_event_at().min(self.next_contact_at());
-        if always || next != self.wake_at {
+        if is_unconditional || next != self.wake_at {
             self.wake_at = next;
             self.commands.push(Command::WakeAt(next));
         }
--- a/crates/membership/src/message_handlers.rs
+++ b/crates/membership/src/message_handlers.rs
@@ -29,16 +29,16 @@
             self.apply_record(now, sender, UpdateSource::Subject);
             return;
         }
-        let said = sender.clone();
+        let claimed = sender.clone();
         self.apply_record(now, sender, UpdateSource::Subject);
-        let ground = match message {
+        let source = match message {
             Message::Page { .. } | Message::PageReply | Message::Correction => UpdateSource::TableSync,
             _ => UpdateSource::Gossip,
         };
         for record in &records {
-            self.apply_record(now, record.clone(), ground);
+            self.apply_record(now, record.clone(), source);
         }
-        self.correct_sender(from, &said, &message);
+        self.correct_sender(from, &claimed, &message);
         self.handle_message(from, sender_id, message, &records);
     }
 
@@ -63,15 +63,15 @@
         }
     }
 
-    /// Tells a sender what is held of it, if that is more than it knows itself: that it is suspected or dead, or
-    /// what was said of its life before.
-    fn correct_sender(&mut self, to: SocketAddr, said: &Record, message: &Message) {
+    /// Sends a sender the known record of it if that supersedes its own: that it is suspected or dead, or a record
+    /// of its previous run.
+    fn correct_sender(&mut self, to: SocketAddr, claimed: &Record, message: &Message) {
         if *message == Message::Correction {
             return;
         }
-        let held = self.table.get(&said.member.id).filter(|held| held.supersedes(said)).cloned();
-        if let Some(held) = held {
-            self.send(to, &Message::Correction, vec![held]);
+        let known = self.table.get(&claimed.member.id).filter(|known| known.supersedes(claimed)).cloned();
+        if let Some(known) = known {
+            self.send(to, &Message::Correction, vec![known]);
         }
     }
 }
--- a/crates/membership/src/prober.rs
+++ b/crates/membership/src/prober.rs
@@ -12,29 +12,29 @@
 use crate::wire::Sequence;
 use juniperwing_random::Rng;
 
-/// How far the interval between probes varies, so that members do not probe in step.
+/// Fraction by which the probe interval varies, so that members do not probe in step.
 pub(crate) const PROBE_JITTER: f64 = 0.1;
 
-/// The most probes for others of which an answer is passed on.
+/// Maximum number of probes made for other members whose acks are awaited.
 pub(crate) const MAX_INDIRECT_PROBES_IN_FLIGHT: usize = 64;
 
-/// The most suspects that are pinged again in one probe interval.
+/// Maximum number of suspects that are pinged again in one probe interval.
 pub(crate) const MAX_REPEATED_PINGS: usize = 2;
 
-/// How many picks are tried for each member that is wanted, as some turn out to be of no use.
+/// Attempts to pick a random member, per member that is wanted: picks may be repeated or not live.
 pub(crate) const MAX_PICK_ATTEMPTS: usize = 4;
 
-/// The probe that is under way.
+/// The probe in flight.
 #[derive(Clone, Debug)]
 pub(crate) struct Probe {
-    /// What was held of the target when it was pinged.
+    /// The record of the target at the time of the ping.
     pub(crate) target: Record,
     pub(crate) sequence: Sequence,
-    /// When others are asked to help; `None` once they have been.
+    /// When indirect probes are requested; `None` once they have been.
     pub(crate) times_out_at: Option<Time>,
 }
 
-/// A probe for another member.
+/// A ping sent on behalf of another member, the origin of a ping-req.
 #[derive(Clone, Debug)]
 pub(crate) struct IndirectProbe {
     pub(crate) sequence: Sequence,
@@ -49,17 +49,18 @@
     pub(crate) probe_interval: Span,
     pub(crate) next_probe_at: Time,
     pub(crate) probe: Option<Probe>,
-    /// The round of probes: members in random order, some of which may be gone by the time they are reached.
+    /// The probe round: members in random order. Some may not be live any more when their turn comes.
     pub(crate) round: Vec<MemberId>,
+    /// Index in the round of the next target.
     pub(crate) position: usize,
     pub(crate) last_sequence: u32,
     pub(crate) indirect_probes_in_flight: VecDeque<IndirectProbe>,
-    /// Members that this one has suspected first hand; they are pinged again until that is settled.
+    /// Members that this one suspected itself; they are pinged again until they refute it or are declared dead.
     pub(crate) suspects: VecDeque<MemberId>,
 }
 
 impl Prober {
-    /// Nothing is under way; the first probe comes within an interval.
+    /// A prober without a probe in flight; the first probe starts within one interval.
     pub fn new(now: Time, timings: &Timings, rng: &mut Rng) -> Self {
         let half = timings.probe_interval.mul_f64(0.5);
         Prober {
@@ -74,17 +75,17 @@
         }
     }
 
-    /// Puts a member at a random place in the rest of the round.
+    /// Inserts a member at a random position of the remaining round.
     pub fn insert_target(&mut self, id: &MemberId, rng: &mut Rng) {
         if self.round.len() >= 2 * MAX_MEMBERS {
             return;
         }
-        let rest = self.round.len() - self.position;
-        let place = self.position + rng.index(rest + 1);
-        self.round.insert(place, id.clone());
+        let remaining = self.round.len() - self.position;
+        let index = self.position + rng.index(remaining + 1);
+        self.round.insert(index, id.clone());
     }
 
-    /// What was under way is void after a standstill.
+    /// Discards the probe in flight after a pause of the process.
     pub fn handle_pause(&mut self, now: Time) {
         self.probe = None;
         self.next_probe_at = now + self.probe_interval;
--- a/crates/membership/src/reconciler.rs
+++ b/crates/membership/src/reconciler.rs
@@ -9,39 +9,41 @@
 use crate::settings::{MAX_SEEDS, Timings};
 use juniperwing_random::Rng;
 
-/// The most pages that answer one digest.
+/// Maximum number of pages sent in reply to one digest.
 pub(crate) const MAX_PAGES_PER_DIGEST: usize = 16;
 
-/// The most pages and answers sent in one probe interval, but for one per datagram that asks for some.
+/// Maximum number of pages and page replies per probe interval, beyond the one that every request is granted.
 pub(crate) const MAX_PAGES_PER_INTERVAL: usize = 64;
 
-/// How far the waits before seeds are asked again vary: many machines start at the same moment.
+/// Fraction by which the interval between contacts of seeds varies: many machines start at the same moment.
 pub(crate) const CONTACT_JITTER: f64 = 0.5;
 
-/// How far the interval between comparisons varies.
+/// Fraction by which the interval between comparisons varies.
 pub(crate) const SYNC_JITTER: f64 = 0.2;
 
-/// The state of comparison.
+/// The state of reconciliation.
 #[derive(Clone, Debug)]
 pub(crate) struct Reconciler {
     pub(crate) seeds: Vec<SocketAddr>,
     pub(crate) next_sync_at: Time,
-    /// From the last comparison to the next: short after one that brought unknown members, then longer.
+    /// Interval to the next comparison: short after one that found unknown members, then doubled up to the maximum.
     pub(crate) current_sync_interval: Span,
-    /// With whom to compare next, if that is not left to chance.
+    /// The member to compare with next; `None` for a random one.
     pub(crate) preferred_peer: Option<MemberId>,
     pub(crate) next_contact_at: Time,
     pub(crate) contact_interval: Span,
+    /// Whether this member still learns what the others have known for long, which it need not disseminate.
     pub(crate) is_catching_up: bool,
+    /// Pages and page replies that may still be sent in this probe interval.
     pub(crate) remaining_pages: usize,
 }
 
 impl Reconciler {
-    /// Seeds are asked at the first tick. `own` is left out of them.
+    /// Seeds are contacted at the first tick; the address `local` is excluded.
     pub fn new(
-        now: Time, mut seeds: Vec<SocketAddr>, own: SocketAddr, timings: &Timings, rng: &mut Rng,
+        now: Time, mut seeds: Vec<SocketAddr>, local: SocketAddr, timings: &Timings, rng: &mut Rng,
     ) -> Self {
-        seeds.retain(|seed| *seed != own);
+        seeds.retain(|seed| *seed != local);
         Reconciler {
             seeds,
             next_sync_at: now + jitter(rng, timings.probe_interval, SYNC_JITTER),
@@ -54,25 +56,25 @@
         }
     }
 
-    /// Takes other seeds and asks them at the next tick.
-    pub fn set_seeds(&mut self, now: Time, mut seeds: Vec<SocketAddr>, own: SocketAddr) {
-        seeds.retain(|seed| *seed != own);
+    /// Replaces the seeds and contacts them at the next tick; the address `local` is excluded.
+    pub fn set_seeds(&mut self, now: Time, mut seeds: Vec<SocketAddr>, local: SocketAddr) {
+        seeds.retain(|seed| *seed != local);
         seeds.truncate(MAX_SEEDS);
         self.seeds = seeds;
         self.next_contact_at = now;
     }
 
-    /// Whether this member still takes in what the others have long known, so that it is no news to them.
+    /// Whether this member still learns what the others have known for long, which it need not disseminate.
     pub fn is_catching_up(&self) -> bool {
         self.is_catching_up
     }
 
-    /// A member that was not known or not there has sent a datagram; their tables may differ in much.
+    /// Handles a datagram of a member that was unknown or not live: its table may differ in many members.
     pub fn handle_new_sender(&mut self, id: &MemberId) {
         self.schedule_sync_with(id.clone());
     }
 
-    /// A comparison has brought a member that was not known or not there; others may well follow.
+    /// Handles a comparison that found an unknown or not live member: there may be more of them.
     pub fn handle_new_member(&mut self, now: Time, timings: &Timings) {
         self.current_sync_interval = timings.probe_interval;
         self.next_sync_at = self.next_sync_at.min(now + timings.probe_interval);
--- a/crates/membership/src/reconciliation.rs
+++ b/crates/membership/src/reconciliation.rs
@@ -12,13 +12,13 @@
 use crate::wire::{DatagramBuilder, MAX_DATAGRAM_BYTES, Message};
 
 impl Membership {
-    /// When seeds are to be asked again, if that cannot wait for the next probe.
+    /// When seeds are contacted next, if that cannot wait for the next probe.
     pub(crate) fn next_contact_at(&self) -> Time {
-        let lonely = self.table.live_count() <= 1 && !self.reconciler.seeds.is_empty();
-        if lonely { self.reconciler.next_contact_at } else { Time::NEVER }
+        let is_alone = self.table.live_count() <= 1 && !self.reconciler.seeds.is_empty();
+        if is_alone { self.reconciler.next_contact_at } else { Time::NEVER }
     }
 
-    /// Compares tables with another member if it is time.
+    /// Compares tables with another member if a comparison is due.
     pub(crate) fn sync_if_due(&mut self, now: Time) {
         self.reconciler.remaining_pages = MAX_PAGES_PER_INTERVAL;
         if now < self.reconciler.next_sync_at {
@@ -29,7 +29,7 @@
         self.reconciler.current_sync_interval = (wait + wait).min(self.timings.sync_interval);
         let partner = self.reconciler.preferred_peer.take();
         if partner.is_none() && wait >= self.timings.sync_interval {
-            // It has had long enough for that.
+            // It has had enough time to catch up.
             self.reconciler.is_catching_up = false;
         }
         let record = partner.and_then(|id| self.table.get_live(&id).cloned());
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Contacts seeds that are not known as live members, and one dead member, if it is time.
+    /// Contacts seeds that are not live members, and one dead member, if that is due.
     pub(crate) fn contact_unreached_if_due(&mut self, now: Time) {
         if now < self.reconciler.next_contact_at {
             return;
@@ -78,13 +78,13 @@
         self.send(to, &Message::Digest { buckets }, Vec::new());
     }
 
-    /// With the record of its death, so that it can refute that at once if it lives.
+    /// Sends a digest with the record of the member's death, so that it can refute that at once if it is alive.
     fn send_digest_to_dead(&mut self, dead: &Record) {
         let buckets = self.table.buckets().clone();
         self.send(dead.member.gossip_address, &Message::Digest { buckets }, vec![dead.clone()]);
     }
 
-    /// Answers a digest with pages of the ranges that differ, beginning at a random one.
+    /// Replies to a digest with pages of the ranges that differ, beginning at a random one.
     pub(crate) fn handle_digest(&mut self, from: SocketAddr, buckets: &Buckets) {
         let mut ranges = self.table.buckets().differing(buckets);
         if ranges.is_empty() {
@@ -104,37 +104,37 @@
         }
     }
 
-    /// How many pages may be sent now; always one, as that is no more than was received.
+    /// The number of pages that may be sent now; at least one, as that is no more than was received.
     fn allowed_pages(&self) -> usize {
         MAX_PAGES_PER_DIGEST.min(self.reconciler.remaining_pages).max(1)
     }
 
-    /// The live members of `range`, in pages that fit into a datagram each.
+    /// The live members of `range`, in pages of one datagram each.
     fn pages_in(&self, range: HashRange) -> Vec<Page> {
         let widest = Message::Page { range: HashRange { first: u64::MAX, last: u64::MAX }, has_more: true };
         let mut pages = Vec::new();
         let mut first = range.first;
         let mut last = range.first;
         let mut records: Vec<Record> = Vec::new();
-        let mut filled = DatagramBuilder::new(&self.local_record, &widest);
-        for (place, record) in self.table.range(range) {
+        let mut datagram = DatagramBuilder::new(&self.local_record, &widest);
+        for (hash, record) in self.table.range(range) {
             if !record.status.is_live() {
                 continue;
             }
-            if !filled.push(record) {
+            if !datagram.push(record) {
                 pages.push(Page { range: HashRange { first, last }, records: std::mem::take(&mut records) });
                 first = last.saturating_add(1);
-                filled = DatagramBuilder::new(&self.local_record, &widest);
-                filled.push(record);
+                datagram = DatagramBuilder::new(&self.local_record, &widest);
+                datagram.push(record);
             }
-            last = place;
+            last = hash;
             records.push(record.clone());
         }
         pages.push(Page { range: HashRange { first, last: range.last }, records });
         pages
     }
 
-    /// Answers a page with what its sender lacks.
+    /// Replies to a page with the records that its sender lacks.
     pub(crate) fn handle_page(
         &mut self, from: SocketAddr, sender: MemberId, range: HashRange, more: bool, listed: &[Record],
     ) {
@@ -144,37 +144,37 @@
             self.reconciler.is_catching_up = false;
         }
         let mut lacking = Vec::new();
-        for (_, held) in self.table.range(range) {
-            let theirs = listed.iter().find(|record| record.member.id == held.member.id);
-            let lacks = theirs.map_or(held.status.is_live(), |theirs| held.supersedes(theirs));
-            if lacks {
-                lacking.push(held.clone());
+        for (_, known) in self.table.range(range) {
+            let theirs = listed.iter().find(|record| record.member.id == known.member.id);
+            let is_lacking = theirs.map_or(known.status.is_live(), |theirs| known.supersedes(theirs));
+            if is_lacking {
+                lacking.push(known.clone());
             }
         }
         self.send_records(from, &Message::PageReply, &lacking);
     }
 
-    /// Corrects an answer where this member knows better.
+    /// Replies to a page reply with the records that supersede those in it.
     pub(crate) fn handle_page_reply(&mut self, from: SocketAddr, records: &[Record]) {
-        let mut better = Vec::new();
+        let mut superseding = Vec::new();
         for record in records {
-            let held = self.table.get(&record.member.id);
-            better.extend(held.filter(|held| held.supersedes(record)).cloned());
+            let known = self.table.get(&record.member.id);
+            superseding.extend(known.filter(|known| known.supersedes(record)).cloned());
         }
-        self.send_records(from, &Message::Correction, &better);
+        self.send_records(from, &Message::Correction, &superseding);
     }
 
-    /// Sends records in as many datagrams as are needed and allowed.
+    /// Sends records in as many datagrams as needed, up to the allowed number.
     fn send_records(&mut self, to: SocketAddr, message: &Message, records: &[Record]) {
         let mut allowed = self.allowed_pages();
         let mut rest = records;
         while !rest.is_empty() && allowed > 0 {
-            let mut filled = DatagramBuilder::new(&self.local_record, message);
-            let count = rest.iter().take_while(|record| filled.push(record)).count();
-            debug_assert!(count > 0 && filled.len() <= MAX_DATAGRAM_BYTES);
-            let (now, later) = rest.split_at(count.max(1));
-            self.send_bare(to, message, now);
-            rest = later;
+            let mut datagram = DatagramBuilder::new(&self.local_record, message);
+            let count = rest.iter().take_while(|record| datagram.push(record)).count();
+            debug_assert!(count > 0 && datagram.len() <= MAX_DATAGRAM_BYTES);
+            let (chunk, remaining) = rest.split_at(count.max(1));
+            self.send_bare(to, message, chunk);
+            rest = remaining;
             allowed -= 1;
             self.reconciler.remaining_pages = self.reconciler.remaining_pages.saturating_sub(1);
         }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a member is told at its start.
+//! Settings of a member, and their validation.
 
 use std::net::SocketAddr;
 
@@ -8,46 +8,46 @@
 use crate::member::Member;
 use crate::wire::MAX_TEXT_BYTES;
 
-/// The most seeds that are asked.
+/// Maximum number of seeds.
 pub const MAX_SEEDS: usize = 16;
 
-/// The most members that are asked to probe another.
+/// Maximum number of members that are asked for an indirect probe.
 const MAX_INDIRECT_PROBES: usize = 16;
 
-/// The most extra datagrams per probe interval.
+/// Maximum number of extra datagrams per probe interval.
 const MAX_GOSSIP_FANOUT: usize = 16;
 
-/// What a member is told at its start.
+/// Settings of a member.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Itself.
+    /// The local member.
     pub local_member: Member,
-    /// Where datagrams of the first members go (their `gossip` address). Its own may be among them.
+    /// Gossip addresses of the members to contact first. The local one may be among them.
     pub seeds: Vec<SocketAddr>,
-    /// How often and how long.
+    /// Intervals and time-outs.
     pub timings: Timings,
 }
 
-/// How often and how long. The defaults suit a network with a few milliseconds between members.
+/// Intervals and time-outs of the protocol. The defaults suit a network with a latency of a few milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Timings {
-    /// From one probe to the next.
+    /// Interval between probes.
     pub probe_interval: Span,
-    /// How long a direct probe may take before others are asked to help; below `probe_interval`.
+    /// Time-out of a direct probe, after which indirect probes are requested; less than `probe_interval`.
     pub probe_timeout: Span,
-    /// How many others are asked to help.
+    /// Number of members that are asked for an indirect probe.
     pub indirect_probes: usize,
-    /// A suspicion lasts this many probe intervals for ten members, twice as many for a hundred.
+    /// Duration of a suspicion in probe intervals among ten members; twice as long among a hundred.
     pub suspicion_multiplier: f64,
-    /// How many datagrams are sent per probe interval for nothing but updates, while there are any.
+    /// Number of datagrams per probe interval that carry nothing but updates, while there are any.
     pub gossip_fanout: usize,
-    /// From one comparison of digests with a random member to the next.
+    /// Maximum interval between comparisons of digests with a random member.
     pub sync_interval: Span,
-    /// The wait before seeds are asked a second time; it doubles up to `reconnect_interval`.
+    /// Delay before seeds are contacted a second time; it doubles up to `reconnect_interval`.
     pub join_interval: Span,
-    /// From one try to reach seeds and dead members to the next.
+    /// Maximum interval between attempts to contact seeds and dead members.
     pub reconnect_interval: Span,
-    /// How long a dead or departed member is remembered.
+    /// How long a dead or departed member is retained in the table.
     pub dead_member_retention: Span,
 }
 
@@ -68,46 +68,46 @@
 }
 
 impl Timings {
-    /// How long a suspicion lasts among `members` members.
+    /// Duration of a suspicion among `members` members.
     pub fn suspicion_timeout(&self, members: usize) -> Span {
         let scale = ((members + 1) as f64).log10().max(1.0);
         self.probe_interval.mul_f64(self.suspicion_multiplier * scale)
     }
 }
 
-/// Why settings cannot be used.
+/// Why settings are invalid.
 #[derive(Debug, Snafu)]
 pub enum SettingsError {
     /// A name is empty or too long for a datagram.
     #[snafu(display("{field} has {bytes} bytes; 1 to {MAX_TEXT_BYTES} are allowed"))]
     InvalidNameLength {
-        /// Which name.
+        /// The name of the setting.
         field: &'static str,
-        /// Its length.
+        /// The length of the name, in bytes.
         bytes: usize,
     },
-    /// A figure is outside of what is allowed.
+    /// A value is out of range.
     #[snafu(display("{field} must be {allowed}"))]
     OutOfRange {
-        /// Which figure.
+        /// The name of the setting.
         field: &'static str,
-        /// What is allowed.
+        /// The allowed range.
         allowed: &'static str,
     },
-    /// Too many seeds.
+    /// There are more than [`MAX_SEEDS`] seeds.
     #[snafu(display("{count} seeds; {MAX_SEEDS} at most"))]
     TooManySeeds {
-        /// How many there are.
+        /// The number of seeds.
         count: usize,
     },
 }
 
 impl Settings {
-    /// Checks all of it.
+    /// Validates the settings.
     ///
     /// # Errors
     ///
-    /// The first finding.
+    /// The first invalid setting.
     pub fn check(&self) -> Result<(), SettingsError> {
         check_text("node", &self.local_member.id.node.0)?;
         check_text("zone", &self.local_member.zone)?;
@@ -120,23 +120,26 @@
     fn check(&self) -> Result<(), SettingsError> {
         let spans = [
             ("probe_interval", self.probe_interval),
-            ("probe_time_out", self.probe_timeout),
+            ("probe_timeout", self.probe_timeout),
             ("sync_interval", self.sync_interval),
             ("join_interval", self.join_interval),
             ("reconnect_interval", self.reconnect_interval),
-            ("forget_after", self.dead_member_retention),
+            ("dead_member_retention", self.dead_member_retention),
         ];
         for (field, span) in spans {
             ensure!(span > Span::ZERO, OutOfRangeSnafu { field, allowed: "more than 0" });
         }
-        let in_time = self.probe_timeout < self.probe_interval;
-        ensure!(in_time, OutOfRangeSnafu { field: "probe_time_out", allowed: "below probe_interval" });
+        let is_below_interval = self.probe_timeout < self.probe_interval;
+        ensure!(
+            is_below_interval,
+            OutOfRangeSnafu { field: "probe_timeout", allowed: "below probe_interval" }
+        );
         let multiplier = self.suspicion_multiplier;
-        let in_range = (1.0..=1000.0).contains(&multiplier);
-        ensure!(in_range, OutOfRangeSnafu { field: "suspicion_multiplier", allowed: "1 to 1000" });
-        let helpers = self.indirect_probes;
+        let is_in_range = (1.0..=1000.0).contains(&multiplier);
+        ensure!(is_in_range, OutOfRangeSnafu { field: "suspicion_multiplier", allowed: "1 to 1000" });
+        let indirect_probes = self.indirect_probes;
         ensure!(
-            helpers <= MAX_INDIRECT_PROBES,
+            indirect_probes <= MAX_INDIRECT_PROBES,
             OutOfRangeSnafu { field: "indirect_probes", allowed: "at most 16" }
         );
         let fanout = self.gossip_fanout;
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -1,4 +1,4 @@
-//! The members that are known, what is held of each, and when that is to be looked at again.
+//! The table of members: the newest record of each, with the time-outs of suspicions and of dead members.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,10 +7,10 @@
 use crate::digest::{self, Buckets, HashRange};
 use crate::member::{MemberId, Record, Status};
 
-/// The most members that are held, dead ones included; further ones are not taken in.
+/// Maximum number of members, dead ones included; further ones are ignored.
 pub const MAX_MEMBERS: usize = 4_096;
 
-/// A member's place in the table. Sorted by hash, so that ranges can be listed.
+/// The key of a member in the table. Sorted by hash, so that ranges of hashes can be listed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Key {
     hash: u64,
@@ -26,11 +26,11 @@
 #[derive(Clone, Debug)]
 struct Entry {
     record: Record,
-    /// When a suspicion or the memory of a dead member ends.
+    /// When a suspicion times out or a dead member is removed.
     expiry: Option<Time>,
 }
 
-/// The members that are known.
+/// The known members.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     entries: BTreeMap<Key, Entry>,
@@ -40,22 +40,22 @@
 }
 
 impl Table {
-    /// What is held of `id`.
+    /// The record of `id`.
     pub fn get(&self, id: &MemberId) -> Option<&Record> {
         self.entries.get(&Key::of(id)).map(|entry| &entry.record)
     }
 
-    /// What is held of `id`, if it is live.
+    /// The record of `id`, if it is live.
     pub fn get_live(&self, id: &MemberId) -> Option<&Record> {
         self.get(id).filter(|record| record.status.is_live())
     }
 
-    /// Whether another member can be taken in.
+    /// Whether another member can be inserted.
     pub fn has_capacity(&self) -> bool {
         self.entries.len() < MAX_MEMBERS
     }
 
-    /// How many members are live.
+    /// The number of live members.
     pub fn live_count(&self) -> usize {
         self.live_count
     }
@@ -70,7 +70,7 @@
         self.entries.values().map(|entry| &entry.record)
     }
 
-    /// The records of a range.
+    /// The records of a range of hashes, each with its hash.
     pub fn range(&self, range: HashRange) -> impl Iterator<Item = (u64, &Record)> {
         let lowest = MemberId { node: "".into(), role: crate::member::Role::Relay };
         let from = Key { hash: range.first, id: lowest };
@@ -80,7 +80,7 @@
             .map(|(key, entry)| (key.hash, &entry.record))
     }
 
-    /// Holds `record` from now on, until `expiry` if that is given.
+    /// Inserts or replaces a record, which expires at `expiry` if that is given.
     pub fn insert(&mut self, record: Record, expiry: Option<Time>) {
         let key = Key::of(&record.member.id);
         self.remove_entry(&key);
@@ -94,12 +94,12 @@
         self.entries.insert(key, Entry { record, expiry });
     }
 
-    /// Forgets `id`.
+    /// Removes the record of `id`.
     pub fn remove(&mut self, id: &MemberId) {
         self.remove_entry(&Key::of(id));
     }
 
-    /// Takes the next record whose time has come by `now`; it stays in the table without a time.
+    /// The next record that has expired by `now`; it stays in the table, without an expiry.
     pub fn pop_expired(&mut self, now: Time) -> Option<Record> {
         let (time, _) = self.expiries.first()?;
         if *time > now {
@@ -111,7 +111,7 @@
         Some(entry.record.clone())
     }
 
-    /// Lets every suspicion last longer by `span`.
+    /// Extends every suspicion by `span`.
     pub fn extend_suspicions(&mut self, span: Span) {
         for (key, entry) in &mut self.entries {
             let Some(time) = entry.expiry else { continue };
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,5 +1,7 @@
-//! Datagrams and their encoding: a version byte, then with `postcard` the sender's own record, the message,
-//! and records up to the end.
+//! Datagrams and their encoding.
+//!
+//! A datagram consists of a version byte and, encoded by `postcard`, the sender's own record, the message, and records
+//! up to the end. The order of fields and variants is part of the format.
 
 use std::net::SocketAddr;
 
@@ -9,119 +11,119 @@
 use crate::digest::{Buckets, HashRange};
 use crate::member::{Incarnation, MemberId, Record};
 
-/// The largest datagram, in bytes; it fits into one packet of any usual link.
+/// Maximum size of a datagram, in bytes; it fits into one packet of any usual link.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 
-/// The longest node or zone name, in bytes.
+/// Maximum length of the name of a node or zone, in bytes.
 pub const MAX_TEXT_BYTES: usize = 64;
 
-/// The highest incarnation that is accepted, so that a damaged one cannot use up all that can follow.
+/// The highest incarnation that is accepted, so that a corrupt one cannot exhaust the range.
 pub const MAX_INCARNATION: Incarnation = Incarnation(1 << 48);
 
-/// The first byte of every datagram.
+/// Version of the encoding; the first byte of every datagram.
 pub const WIRE_VERSION: u8 = 1;
 
-/// Pairs an answer with its ping.
+/// Associates an ack with its ping.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sequence(pub u32);
 
-/// What a datagram is for. The records behind it are updates, unless stated otherwise.
+/// The message of a datagram. The records that follow it are updates, unless stated otherwise.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks for an [`Message::Ack`].
+    /// Requests a [`Message::Ack`].
     Ping {
-        /// Comes back in the answer.
+        /// Returned in the ack.
         sequence: Sequence,
     },
-    /// Answers [`Message::Ping`].
+    /// Reply to [`Message::Ping`].
     Ack {
-        /// That of the ping.
+        /// The sequence of the ping.
         sequence: Sequence,
     },
-    /// Asks the receiver to ping another member.
+    /// SWIM's ping-req: asks the receiver to ping another member.
     PingRequest {
-        /// Comes back in the answer.
+        /// Returned in the ack.
         sequence: Sequence,
-        /// Whom to ping.
+        /// The member to ping.
         target: MemberId,
-        /// Where it is.
+        /// The address of the target.
         address: SocketAddr,
     },
-    /// Answers [`Message::PingRequest`] once the target has answered.
+    /// Reply to [`Message::PingRequest`] once the target has sent an ack.
     IndirectAck {
-        /// That of the request.
+        /// The sequence of the request.
         sequence: Sequence,
-        /// Who has answered.
+        /// The member that sent the ack.
         target: MemberId,
     },
-    /// Nothing but updates.
+    /// Carries nothing but updates.
     Gossip,
-    /// The checksums of the sender's table; asks for a [`Message::Page`] for each range that differs.
+    /// The checksums of the sender's table; requests a [`Message::Page`] for each range that differs.
     Digest {
         /// The checksums.
         buckets: Buckets,
     },
-    /// All live members in a range; asks for an [`Message::Answer`] with what they lack.
+    /// All live members in a range; requests a [`Message::PageReply`] with the records that the sender lacks.
     Page {
         /// The range.
         range: HashRange,
         /// Whether the tables differ in other ranges for which no page was sent.
         has_more: bool,
     },
-    /// What the sender of a page did not know; asks for a [`Message::Correction`] where it knows better.
+    /// Records that the sender of a page lacks; requests a [`Message::Correction`] for those that it can supersede.
     PageReply,
-    /// Records that supersede what the receiver has said. Not answered.
+    /// Records that supersede those sent by the receiver. Never replied to.
     Correction,
 }
 
 /// A decoded datagram.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Datagram {
-    /// The sender, as it knows itself.
+    /// The sender's own record.
     pub sender: Record,
-    /// What it is for.
+    /// The message.
     pub message: Message,
-    /// What comes with it.
+    /// The records that follow the message.
     pub records: Vec<Record>,
 }
 
-/// Why bytes are not a datagram.
+/// Why a datagram cannot be decoded.
 #[derive(Clone, Debug, Snafu, PartialEq)]
 pub enum DecodeError {
-    /// Nothing at all.
+    /// The datagram is empty.
     #[snafu(display("an empty datagram"))]
     Empty,
-    /// More bytes than a datagram may have.
+    /// The datagram exceeds [`MAX_DATAGRAM_BYTES`].
     #[snafu(display("a datagram of {bytes} bytes; {MAX_DATAGRAM_BYTES} at most"))]
     TooLarge {
-        /// How many there are.
+        /// The size of the datagram.
         bytes: usize,
     },
-    /// Another version of the encoding.
+    /// The datagram has another version of the encoding.
     #[snafu(display("version {version} of the encoding; {WIRE_VERSION} is spoken here"))]
     UnsupportedVersion {
-        /// Which one.
+        /// The version of the datagram.
         version: u8,
     },
     /// The bytes do not follow the encoding.
     #[snafu(display("not a datagram: {source}"))]
     Malformed {
-        /// What the decoder says.
+        /// The error of the decoder.
         source: postcard::Error,
     },
-    /// A name is empty or too long.
+    /// A name is empty or exceeds [`MAX_TEXT_BYTES`].
     #[snafu(display("a name of {bytes} bytes; 1 to {MAX_TEXT_BYTES} are allowed"))]
     InvalidNameLength {
-        /// Its length.
+        /// The length of the name.
         bytes: usize,
     },
-    /// An incarnation above [`MAX_INCARNATION`].
+    /// An incarnation exceeds [`MAX_INCARNATION`].
     #[snafu(display("incarnation {} is not plausible", incarnation.0))]
     ImplausibleIncarnation {
-        /// Which one.
+        /// The incarnation.
         incarnation: Incarnation,
     },
-    /// A digest with another number of ranges.
+    /// A digest has another number of ranges.
     #[snafu(display("a digest with another number of ranges"))]
     InvalidDigest,
 }
@@ -139,11 +141,11 @@
 }
 
 impl Datagram {
-    /// Reads a datagram.
+    /// Decodes a datagram.
     ///
     /// # Errors
     ///
-    /// If the bytes are not one.
+    /// If the bytes are not a valid datagram of this version.
     pub fn decode(bytes: &[u8]) -> Result<Datagram, DecodeError> {
         ensure!(bytes.len() <= MAX_DATAGRAM_BYTES, TooLargeSnafu { bytes: bytes.len() });
         let (&version, body) = bytes.split_first().ok_or(DecodeError::Empty)?;
@@ -189,8 +191,7 @@
     Ok(())
 }
 
-/// The bytes of a datagram with the records that fit, in their order; those after the first that does not fit
-/// are left out.
+/// Encodes a datagram with the records that fit, in order; those after the first that does not fit are omitted.
 pub fn encode(sender: &Record, message: &Message, records: &[Record]) -> Vec<u8> {
     let mut outgoing = DatagramBuilder::new(sender, message);
     for record in records {
@@ -201,16 +202,16 @@
     outgoing.into_bytes()
 }
 
-/// A datagram that is being filled.
+/// An encoded datagram to which records are appended.
 pub struct DatagramBuilder(Vec<u8>);
 
 impl DatagramBuilder {
-    /// Starts with what every datagram has.
+    /// A datagram without records.
     pub fn new(sender: &Record, message: &Message) -> Self {
         DatagramBuilder(append(vec![WIRE_VERSION], &HeaderView { sender, message }))
     }
 
-    /// Adds `record`; `false` if it does not fit.
+    /// Appends `record`; returns `false` if it does not fit.
     pub fn push(&mut self, record: &Record) -> bool {
         let before = self.0.len();
         self.0 = append(std::mem::take(&mut self.0), record);
@@ -221,18 +222,18 @@
         fits
     }
 
-    /// How many bytes there are.
+    /// The size so far, in bytes.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// The finished datagram.
+    /// The encoded datagram.
     pub fn into_bytes(self) -> Vec<u8> {
         self.0
     }
 }
 
-/// Writing plain data of known lengths into a growing buffer does not fail.
+/// Appends a value. Serializing plain data of known lengths into a growing buffer does not fail.
 fn append<T: Serialize>(buffer: Vec<u8>, value: &T) -> Vec<u8> {
     postcard::to_extend(value, buffer).unwrap_or_default()
 }
--- a/crates/membership/tests/datagrams.rs
+++ b/crates/membership/tests/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams that members did not expect.
+//! Encoding of datagrams, and the handling of invalid and unexpected ones.
 
 mod virtual_network;
 
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn what_is_written_is_read() {
+fn a_datagram_survives_encoding_and_decoding() {
     let records: Vec<Record> = (0..5).map(|number| record(&format!("edge-{number}"))).collect();
     let message = Message::Ping { sequence: Sequence(9) };
     let bytes = encode(&record("me"), &message, &records);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn records_that_do_not_fit_are_left_out() {
+fn records_that_do_not_fit_are_omitted() {
     let records: Vec<Record> = (0..100).map(|number| record(&format!("edge-{number}"))).collect();
     let bytes = encode(&record("me"), &Message::Gossip, &records);
     assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
@@ -47,34 +47,34 @@
 }
 
 #[test]
-fn bad_datagrams_are_refused_with_the_reason() {
-    let good = encode(&record("me"), &Message::Gossip, &[]);
+fn invalid_datagrams_are_rejected_with_the_reason() {
+    let valid = encode(&record("me"), &Message::Gossip, &[]);
     assert_eq!(Datagram::decode(&[]), Err(DecodeError::Empty));
     let long = vec![WIRE_VERSION; MAX_DATAGRAM_BYTES + 1];
     assert_eq!(Datagram::decode(&long), Err(DecodeError::TooLarge { bytes: long.len() }));
-    let mut other = good.clone();
+    let mut other = valid.clone();
     other[0] = 9;
     assert_eq!(Datagram::decode(&other), Err(DecodeError::UnsupportedVersion { version: 9 }));
-    let cut = Datagram::decode(&good[..good.len() - 1]);
-    assert!(matches!(cut, Err(DecodeError::Malformed { .. })));
+    let truncated = Datagram::decode(&valid[..valid.len() - 1]);
+    assert!(matches!(truncated, Err(DecodeError::Malformed { .. })));
     let nameless = encode(&record(""), &Message::Gossip, &[]);
     assert_eq!(Datagram::decode(&nameless), Err(DecodeError::InvalidNameLength { bytes: 0 }));
-    let mut far = record("me");
-    far.incarnation = Incarnation(MAX_INCARNATION.0 + 1);
-    let implausible = encode(&far, &Message::Gossip, &[]);
+    let mut implausible_record = record("me");
+    implausible_record.incarnation = Incarnation(MAX_INCARNATION.0 + 1);
+    let implausible = encode(&implausible_record, &Message::Gossip, &[]);
     assert!(matches!(Datagram::decode(&implausible), Err(DecodeError::ImplausibleIncarnation { .. })));
 }
 
 #[test]
-fn a_bad_datagram_is_reported_and_changes_nothing() {
+fn an_invalid_datagram_is_reported_and_changes_nothing() {
     let mut network = Network::settled(3, 1);
     network.inject(0, "10.9.9.9:1".parse().unwrap(), b"hello");
-    assert_eq!(network.machines[0].refused, 1);
-    assert!(network.converged());
+    assert_eq!(network.machines[0].rejected, 1);
+    assert!(network.has_converged());
 }
 
 #[test]
-fn unusable_settings_are_refused() {
+fn invalid_settings_are_rejected() {
     let now = Time::default();
     let nameless = Membership::new(now, settings(""), 1);
     assert!(matches!(nameless, Err(SettingsError::InvalidNameLength { field: "node", bytes: 0 })));
@@ -99,8 +99,8 @@
     assert_eq!(membership.members().count(), MAX_MEMBERS);
 }
 
-/// A member answers a datagram with a bounded number of datagrams, whatever the datagram.
-fn answers(membership: &mut Membership, bytes: &[u8]) -> usize {
+/// Delivers a datagram and returns the number of datagrams sent in reply.
+fn reply_count(membership: &mut Membership, bytes: &[u8]) -> usize {
     let from = "10.0.0.2:1".parse().unwrap();
     let commands = membership.handle(Time::default(), Event::Datagram { from, bytes });
     commands.iter().filter(|command| matches!(command, Command::Send { .. })).count()
@@ -109,10 +109,10 @@
 fn any_record() -> impl Strategy<Value = Record> {
     let status =
         prop_oneof![Just(Status::Alive), Just(Status::Suspect), Just(Status::Dead), Just(Status::Left)];
-    (0..4u8, 0..4u64, 0..3u64, status).prop_map(|(name, incarnation, life, status)| {
+    (0..4u8, 0..4u64, 0..3u64, status).prop_map(|(name, incarnation, run_id, status)| {
         let mut record = record(&format!("m-{name}"));
         record.incarnation = Incarnation(incarnation);
-        record.member.run_id = RunId(life);
+        record.member.run_id = RunId(run_id);
         record.status = status;
         record
     })
@@ -120,43 +120,43 @@
 
 proptest! {
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..1300)) {
+    fn any_bytes_are_decoded_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..1300)) {
         let _ = Datagram::decode(&bytes);
     }
 
     #[test]
-    fn damaged_datagrams_are_taken_or_refused(
+    fn corrupt_datagrams_are_handled_or_rejected(
         records in prop::collection::vec(any_record(), 0..10),
-        damage in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..4),
+        corruptions in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..4),
     ) {
         let mut bytes = encode(&record("other"), &Message::PageReply, &records);
-        for (index, byte) in damage {
-            let place = index.index(bytes.len());
-            bytes[place] = byte;
+        for (index, byte) in corruptions {
+            let position = index.index(bytes.len());
+            bytes[position] = byte;
         }
         let mut membership = Membership::new(Time::default(), settings("m-0"), 1).unwrap();
-        prop_assert!(answers(&mut membership, &bytes) <= 20);
+        prop_assert!(reply_count(&mut membership, &bytes) <= 20);
     }
 
     #[test]
-    fn the_order_in_which_rumors_come_does_not_matter(
+    fn the_order_of_updates_does_not_matter(
         records in prop::collection::vec(any_record(), 1..12),
         seed in any::<u64>(),
     ) {
-        // An unknown member's death is not taken in, so all are known first.
+        // The death of an unknown member is ignored, so all members are made known first.
         let mut oldest: Vec<Record> = (0..4).map(|name| record(&format!("m-{name}"))).collect();
         for first in &mut oldest {
             first.incarnation = Incarnation(0);
             first.member.run_id = RunId(0);
         }
-        let mut mixed = records.clone();
-        let step = 1 + seed as usize % mixed.len();
-        mixed.rotate_left(step % records.len());
-        mixed.reverse();
-        let views = [records, mixed].map(|records| {
+        let mut reordered = records.clone();
+        let step = 1 + seed as usize % reordered.len();
+        reordered.rotate_left(step % records.len());
+        reordered.reverse();
+        let views = [records, reordered].map(|records| {
             let mut membership = Membership::new(Time::default(), settings("me"), 1).unwrap();
-            answers(&mut membership, &encode(&record("other"), &Message::Gossip, &oldest));
-            answers(&mut membership, &encode(&record("other"), &Message::Gossip, &records));
+            reply_count(&mut membership, &encode(&record("other"), &Message::Gossip, &oldest));
+            reply_count(&mut membership, &encode(&record("other"), &Message::Gossip, &records));
             let mut view: Vec<(Member, Status)> =
                 membership.members().map(|(member, status)| (member.clone(), status)).collect();
             view.sort_by(|(one, _), (other, _)| one.id.cmp(&other.id));
--- a/crates/membership/tests/probes.rs
+++ b/crates/membership/tests/probes.rs
@@ -1,4 +1,4 @@
-//! One member by hand: whom it pings, whose answers count, and what it tells those who are out of date.
+//! One member, driven step by step: which members it pings, whose acks count, and which corrections it sends.
 
 use std::net::SocketAddr;
 
@@ -28,11 +28,11 @@
     let me = record("me", "10.0.0.1:7380").member;
     let settings = Settings { local_member: me, seeds: Vec::new(), timings: Timings::default() };
     let mut membership = Membership::new(Time::default(), settings, 1).unwrap();
-    take(&mut membership, Time::default(), &record("target", TARGET), &Message::Gossip);
+    deliver(&mut membership, Time::default(), &record("target", TARGET), &Message::Gossip);
     membership
 }
 
-fn take(membership: &mut Membership, now: Time, sender: &Record, message: &Message) -> Vec<Datagram> {
+fn deliver(membership: &mut Membership, now: Time, sender: &Record, message: &Message) -> Vec<Datagram> {
     let bytes = encode(sender, message, &[]);
     let from = sender.member.gossip_address;
     datagrams(membership.handle(now, Event::Datagram { from, bytes: &bytes }))
@@ -53,7 +53,11 @@
     })
 }
 
-/// Ticks every 50 ms until a ping is sent; gives its number.
+/// Ticks every 50 ms until a ping is sent, and returns its sequence.
+///
+/// # Panics
+///
+/// If no ping is sent within a second.
 fn tick_to_ping(membership: &mut Membership, now: &mut Time) -> Sequence {
     for _ in 0..20 {
         *now = *now + Span::from_millis(50);
@@ -70,25 +74,25 @@
 }
 
 #[test]
-fn an_answer_counts_only_from_the_target() {
+fn an_ack_counts_only_from_the_target() {
     for (name, expected) in [("target", Status::Alive), ("other", Status::Suspect)] {
         let (mut membership, mut now) = (pair(), Time::default());
         let sequence = tick_to_ping(&mut membership, &mut now);
-        take(&mut membership, now, &record(name, TARGET), &Message::Ack { sequence });
+        deliver(&mut membership, now, &record(name, TARGET), &Message::Ack { sequence });
         tick_to_ping(&mut membership, &mut now);
-        assert_eq!(status(&membership), expected, "after an answer of {name}");
+        assert_eq!(status(&membership), expected, "after an ack of {name}");
     }
 }
 
 #[test]
 fn a_suspect_is_pinged_again_with_the_suspicion() {
     let (mut membership, mut now) = (pair(), Time::default());
-    // Another member, so that the round alone does not lead back to the suspect each time.
+    // More members, so that the round alone does not return to the suspect each time.
     tick_to_ping(&mut membership, &mut now);
     for name in ["one", "two", "three", "four"] {
-        take(&mut membership, now, &record(name, "10.0.0.9:7380"), &Message::Gossip);
+        deliver(&mut membership, now, &record(name, "10.0.0.9:7380"), &Message::Gossip);
     }
-    let mut told = 0;
+    let mut ping_count = 0;
     for _ in 0..60 {
         now = now + Span::from_millis(50);
         let sent = datagrams(membership.handle(now, Event::Tick));
@@ -96,36 +100,37 @@
             |record: &Record| &*record.member.id.node.0 == "target" && record.status == Status::Suspect;
         let pings = sent.iter().filter(|datagram| matches!(datagram.message, Message::Ping { .. }));
         let first = pings.filter(|datagram| datagram.records.first().is_some_and(suspicion));
-        told += first.count();
+        ping_count += first.count();
     }
-    // Two and a half seconds of suspicion; the round alone leads to each of the five once in that time.
-    assert!(told >= 4, "{told} pings");
+    // Two and a half seconds of suspicion; the round alone reaches each of the five once in that time.
+    assert!(ping_count >= 4, "{ping_count} pings");
 }
 
 #[test]
-fn one_that_is_out_of_date_about_itself_is_told_once() {
+fn a_member_with_an_outdated_record_of_itself_is_corrected_once() {
     let mut membership = pair();
-    let mut reborn = record("target", TARGET);
-    reborn.member.run_id = RunId(99);
-    reborn.incarnation = Incarnation(0);
-    let sent = take(&mut membership, Time::default(), &reborn, &Message::Gossip);
+    let mut restarted = record("target", TARGET);
+    restarted.member.run_id = RunId(99);
+    restarted.incarnation = Incarnation(0);
+    let sent = deliver(&mut membership, Time::default(), &restarted, &Message::Gossip);
     assert_eq!(sent.len(), 1);
     assert_eq!(sent[0].message, Message::Correction);
     assert_eq!(sent[0].records, [record("target", TARGET)]);
-    let echo = take(&mut membership, Time::default(), &reborn, &Message::Correction);
-    assert!(echo.is_empty(), "a correction is not answered by one");
+    let reply = deliver(&mut membership, Time::default(), &restarted, &Message::Correction);
+    assert!(reply.is_empty(), "a correction is not replied to by another one");
 }
 
 #[test]
-fn a_new_life_rises_above_the_one_before() {
+fn a_restarted_member_raises_its_incarnation_above_that_of_its_previous_run() {
     let mut membership = pair();
-    let mut before = record("me", "10.0.0.5:7380");
-    before.member.run_id = RunId(1);
-    let bytes = encode(&record("target", TARGET), &Message::Correction, &[before]);
+    let mut previous_run = record("me", "10.0.0.5:7380");
+    previous_run.member.run_id = RunId(1);
+    let bytes = encode(&record("target", TARGET), &Message::Correction, &[previous_run]);
     let from = TARGET.parse().unwrap();
     membership.handle(Time::default(), Event::Datagram { from, bytes: &bytes });
     let sequence = Sequence(1);
-    let sent = take(&mut membership, Time::default(), &record("target", TARGET), &Message::Ping { sequence });
+    let sent =
+        deliver(&mut membership, Time::default(), &record("target", TARGET), &Message::Ping { sequence });
     assert_eq!(sent[0].sender.incarnation, Incarnation(4));
     assert_eq!(sent[0].sender.member.run_id, RunId(7));
 }
--- a/crates/membership/tests/virtual_network/mod.rs
+++ b/crates/membership/tests/virtual_network/mod.rs
@@ -1,6 +1,6 @@
-//! Members on a network in virtual time: loss, delay, one-way cuts, freezes, kills and restarts.
+//! A simulated network of members in virtual time: loss, latency, one-way partitions, pauses, kills and restarts.
 
-// Each test file uses a part of this.
+// Each test file uses only some of these items.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -12,65 +12,65 @@
     Status, Timings, encode,
 };
 
-/// A datagram or a tick that is to come.
+/// A datagram or a tick that is scheduled.
 #[derive(Debug)]
-enum Arrival {
+enum ScheduledEvent {
     Datagram { from: SocketAddr, to: SocketAddr, bytes: Vec<u8> },
-    Wake { machine: usize, run: u64 },
+    WakeUp { machine: usize, run: u64 },
 }
 
-/// A process and what happens to it.
+/// A machine with its process.
 pub struct Machine {
     /// The member, while the process runs.
     pub membership: Option<Membership>,
-    /// What it is told of itself at its next start.
+    /// The local member, as passed to the process at its start.
     pub me: Member,
-    /// Whether it stands still; datagrams wait.
-    pub frozen: bool,
+    /// Whether it is paused; datagrams queue in its socket.
+    pub is_paused: bool,
     /// Deaths that it has reported.
     pub deaths: Vec<MemberId>,
     /// All changes that it has reported.
     pub changes: Vec<(Member, Status)>,
-    /// Datagrams refused.
-    pub refused: usize,
-    /// Processes under its own name that it has reported.
+    /// Number of datagrams rejected.
+    pub rejected: usize,
+    /// Other processes under its name that it has reported.
     pub conflicts: Vec<Member>,
     socket: VecDeque<(SocketAddr, Vec<u8>)>,
     wake_at: Time,
     run: u64,
 }
 
-/// What went over the network.
+/// Counters of the network's traffic.
 #[derive(Clone, Debug, Default)]
 pub struct Traffic {
-    /// Datagrams sent.
+    /// Number of datagrams sent.
     pub datagrams: u64,
-    /// Bytes sent.
+    /// Number of bytes sent.
     pub bytes: u64,
-    /// The largest datagram.
-    pub largest: usize,
-    /// Ticks.
-    pub wakes: u64,
+    /// Size of the largest_datagram datagram, in bytes.
+    pub largest_datagram: usize,
+    /// Number of ticks.
+    pub wake_ups: u64,
 }
 
 /// The network and all machines.
 pub struct Network {
     /// The machines, by number.
     pub machines: Vec<Machine>,
-    /// The time.
+    /// The virtual time.
     pub now: Time,
-    /// The share of datagrams that are lost.
+    /// The fraction of datagrams that are lost.
     pub loss: f64,
-    /// What was sent since this was last cleared.
+    /// Traffic since this was last reset.
     pub traffic: Traffic,
-    /// Pairs of machines between which nothing passes, from the first to the second.
-    pub cuts: BTreeSet<(usize, usize)>,
+    /// Pairs of machines between which no datagram passes, from the first to the second.
+    pub blocked_links: BTreeSet<(usize, usize)>,
     seeds: Vec<SocketAddr>,
     timings: Timings,
-    queue: BTreeMap<(Time, u64), Arrival>,
-    owners: BTreeMap<SocketAddr, usize>,
-    serial: u64,
-    chance: u64,
+    queue: BTreeMap<(Time, u64), ScheduledEvent>,
+    machines_by_address: BTreeMap<SocketAddr, usize>,
+    last_event_number: u64,
+    random_state: u64,
 }
 
 /// A time after the start of the network.
@@ -100,30 +100,30 @@
 }
 
 impl Network {
-    /// So many machines, not started, of which the first three are seeds.
+    /// `count` machines that are not started. The first three are seeds.
     pub fn new(count: usize, seed: u64) -> Self {
         let mut network = Network {
             machines: Vec::new(),
             now: Time::from_nanos(1_000_000_000_000),
             loss: 0.0,
             traffic: Traffic::default(),
-            cuts: BTreeSet::new(),
+            blocked_links: BTreeSet::new(),
             seeds: (0..3.min(count)).map(address).collect(),
             timings: Timings::default(),
             queue: BTreeMap::new(),
-            owners: BTreeMap::new(),
-            serial: 0,
-            chance: seed,
+            machines_by_address: BTreeMap::new(),
+            last_event_number: 0,
+            random_state: seed,
         };
         for number in 0..count {
-            network.owners.insert(address(number), number);
+            network.machines_by_address.insert(address(number), number);
             network.machines.push(Machine {
                 membership: None,
                 me: member(number),
-                frozen: false,
+                is_paused: false,
                 deaths: Vec::new(),
                 changes: Vec::new(),
-                refused: 0,
+                rejected: 0,
                 conflicts: Vec::new(),
                 socket: VecDeque::new(),
                 wake_at: Time::NEVER,
@@ -133,7 +133,7 @@
         network
     }
 
-    /// As many machines, started within 0.3 s, and 20 s later.
+    /// `count` machines, started within 0.3 s, after 20 s.
     pub fn settled(count: usize, seed: u64) -> Self {
         let mut network = Network::new(count, seed);
         network.start_all();
@@ -141,8 +141,8 @@
         network
     }
 
-    /// As many machines, all of which know each other from the start, so that nothing is news.
-    pub fn acquainted(count: usize, seed: u64) -> Self {
+    /// `count` machines, all of which know each other from the start, so that there are no updates.
+    pub fn with_known_members(count: usize, seed: u64) -> Self {
         let mut network = Network::new(count, seed);
         for machine in 0..count {
             network.start(machine);
@@ -163,10 +163,10 @@
         network
     }
 
-    /// Starts all, at random times within 0.3 s.
+    /// Starts all machines, at random times within 0.3 s.
     pub fn start_all(&mut self) {
         let mut starts: Vec<(u64, usize)> =
-            (0..self.machines.len()).map(|machine| (self.draw() % 300, machine)).collect();
+            (0..self.machines.len()).map(|machine| (self.next_random() % 300, machine)).collect();
         starts.sort_unstable();
         let begin = self.now;
         for (millis, machine) in starts {
@@ -175,44 +175,44 @@
         }
     }
 
-    /// Starts a machine's process, with a new life.
+    /// Starts the process of a machine, with a new run id.
     pub fn start(&mut self, machine: usize) {
-        let seed = self.draw();
+        let seed = self.next_random();
         let me = &mut self.machines[machine].me;
         me.run_id = RunId(seed);
         let settings =
             Settings { local_member: me.clone(), seeds: self.seeds.clone(), timings: self.timings };
-        self.owners.insert(me.gossip_address, machine);
-        let place = &mut self.machines[machine];
-        place.membership = Some(Membership::new(self.now, settings, seed).unwrap());
-        place.run += 1;
-        place.socket.clear();
-        place.wake_at = self.now;
-        self.schedule_wake(machine);
+        self.machines_by_address.insert(me.gossip_address, machine);
+        let process = &mut self.machines[machine];
+        process.membership = Some(Membership::new(self.now, settings, seed).unwrap());
+        process.run += 1;
+        process.socket.clear();
+        process.wake_at = self.now;
+        self.schedule_wake_up(machine);
     }
 
-    /// Ends a machine's process without notice.
+    /// Kills the process of a machine.
     pub fn kill(&mut self, machine: usize) {
         self.machines[machine].membership = None;
-        self.machines[machine].frozen = false;
+        self.machines[machine].is_paused = false;
     }
 
-    /// Gives a machine that is not running another address.
+    /// Moves a machine that is not running to another address.
     pub fn move_to(&mut self, machine: usize, number: usize) {
         let me = &mut self.machines[machine].me;
-        self.owners.remove(&me.gossip_address);
+        self.machines_by_address.remove(&me.gossip_address);
         me.gossip_address = address(number);
         me.address = address(number);
     }
 
-    /// Lets a machine stand still.
-    pub fn freeze(&mut self, machine: usize) {
-        self.machines[machine].frozen = true;
+    /// Pauses a machine.
+    pub fn pause(&mut self, machine: usize) {
+        self.machines[machine].is_paused = true;
     }
 
-    /// Lets a machine run again: first its timers, then what waits in its socket (the worse order).
-    pub fn thaw(&mut self, machine: usize) {
-        self.machines[machine].frozen = false;
+    /// Resumes a machine: first its timers, then the datagrams in its socket (the worse order).
+    pub fn resume(&mut self, machine: usize) {
+        self.machines[machine].is_paused = false;
         if self.machines[machine].wake_at <= self.now {
             self.tick(machine);
         }
@@ -221,79 +221,83 @@
         }
     }
 
-    /// Cuts all pairs between the two groups, in both directions.
-    pub fn cut(&mut self, one: &[usize], other: &[usize]) {
+    /// Partitions two groups of machines from each other, in both directions.
+    pub fn partition(&mut self, one: &[usize], other: &[usize]) {
         for &a in one {
             for &b in other {
-                self.cuts.insert((a, b));
-                self.cuts.insert((b, a));
+                self.blocked_links.insert((a, b));
+                self.blocked_links.insert((b, a));
             }
         }
     }
 
-    /// Lets a machine leave, and ends its process.
+    /// Lets a member leave, and terminates its process.
     pub fn leave(&mut self, machine: usize) {
         let now = self.now;
         let commands = self.membership(machine).handle(now, Event::Leave);
-        self.carry_out(machine, commands);
+        self.execute(machine, commands);
         self.kill(machine);
     }
 
-    /// Hands bytes to a machine as if they came from `from`.
+    /// Delivers bytes to a machine as if they were sent by `from`.
     pub fn inject(&mut self, machine: usize, from: SocketAddr, bytes: &[u8]) {
         self.deliver(machine, from, bytes);
     }
 
-    /// Runs for `span`.
+    /// Advances virtual time by `span`.
     pub fn run(&mut self, span: Span) {
         self.run_until(self.now + span);
     }
 
-    /// Runs until `done`, looking every 100 ms; gives the time that took, or panics after `limit`.
-    pub fn run_until_true(&mut self, limit: Span, what: &str, done: impl Fn(&Network) -> bool) -> Span {
+    /// Runs until `is_done`, checked every 100 ms, and returns the time that took.
+    ///
+    /// # Panics
+    ///
+    /// After `limit`.
+    pub fn run_until_true(&mut self, limit: Span, what: &str, is_done: impl Fn(&Network) -> bool) -> Span {
         let begin = self.now;
-        while !done(self) {
+        while !is_done(self) {
             assert!(self.now.since(begin) < limit, "not within {} s: {what}", limit.as_secs_f64());
             self.run(Span::from_millis(100));
         }
         self.now.since(begin)
     }
 
-    /// Whether every running machine holds `status` of `machine`.
-    pub fn all_hold(&self, machine: usize, status: Status) -> bool {
+    /// Whether every running member regards `machine` as `status`.
+    pub fn all_view_as(&self, machine: usize, status: Status) -> bool {
         self.running().all(|observer| self.view(observer, machine) == Some(status))
     }
 
-    /// Whether every running machine holds every running one as alive at its present life and address, and no
+    /// Whether every running member regards every running one as alive, with its present run id and address, and no
     /// other as live.
-    pub fn converged(&self) -> bool {
+    pub fn has_converged(&self) -> bool {
         let expected: BTreeMap<&MemberId, &Member> =
             self.running().map(|machine| &self.machines[machine].me).map(|me| (&me.id, me)).collect();
         self.running().all(|machine| {
             let membership = self.machines[machine].membership.as_ref().unwrap();
             let live = membership.members().filter(|(_, status)| status.is_live());
             let mut count = 0;
-            let right = live.into_iter().all(|(member, status)| {
+            let is_expected = live.into_iter().all(|(member, status)| {
                 count += 1;
                 status == Status::Alive && expected.get(&member.id) == Some(&member)
             });
-            right && count == expected.len()
+            is_expected && count == expected.len()
         })
     }
 
-    /// What `observer` holds of `machine`.
+    /// The status of `machine` in the view of `observer`.
     pub fn view(&self, observer: usize, machine: usize) -> Option<Status> {
         let id = &self.machines[machine].me.id;
         let membership = self.machines[observer].membership.as_ref()?;
         membership.members().find(|(member, _)| member.id == *id).map(|(_, status)| status)
     }
 
-    /// The machines whose process runs.
+    /// The machines with a running process.
     pub fn running(&self) -> impl Iterator<Item = usize> {
         (0..self.machines.len()).filter(|&machine| self.machines[machine].membership.is_some())
     }
 
-    /// All deaths reported by anyone, since the last time.
+    /// Removes and returns all deaths reported by any member.
     pub fn take_deaths(&mut self) -> Vec<MemberId> {
         self.machines.iter_mut().flat_map(|machine| std::mem::take(&mut machine.deaths)).collect()
     }
@@ -308,30 +312,30 @@
             if time > end {
                 break;
             }
-            let (_, arrival) = self.queue.pop_first().unwrap();
+            let (_, event) = self.queue.pop_first().unwrap();
             self.now = time;
-            self.arrive(arrival);
+            self.execute_event(event);
         }
         self.now = end;
     }
 
-    fn arrive(&mut self, arrival: Arrival) {
-        match arrival {
-            Arrival::Wake { machine, run } => {
-                let place = &self.machines[machine];
-                let due = place.run == run && place.wake_at == self.now && !place.frozen;
-                if due && place.membership.is_some() {
+    fn execute_event(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::WakeUp { machine, run } => {
+                let process = &self.machines[machine];
+                let is_due = process.run == run && process.wake_at == self.now && !process.is_paused;
+                if is_due && process.membership.is_some() {
                     self.tick(machine);
                 }
             }
-            Arrival::Datagram { from, to, bytes } => {
-                let Some(&machine) = self.owners.get(&to) else { return };
-                let place = &mut self.machines[machine];
-                if place.membership.is_none() {
+            ScheduledEvent::Datagram { from, to, bytes } => {
+                let Some(&machine) = self.machines_by_address.get(&to) else { return };
+                let process = &mut self.machines[machine];
+                if process.membership.is_none() {
                     return;
                 }
-                if place.frozen {
-                    place.socket.push_back((from, bytes));
+                if process.is_paused {
+                    process.socket.push_back((from, bytes));
                     return;
                 }
                 self.deliver(machine, from, &bytes);
@@ -340,34 +344,34 @@
     }
 
     fn tick(&mut self, machine: usize) {
-        self.traffic.wakes += 1;
+        self.traffic.wake_ups += 1;
         let now = self.now;
         let commands = self.membership(machine).handle(now, Event::Tick);
-        self.carry_out(machine, commands);
+        self.execute(machine, commands);
     }
 
     fn deliver(&mut self, machine: usize, from: SocketAddr, bytes: &[u8]) {
         let now = self.now;
         let commands = self.membership(machine).handle(now, Event::Datagram { from, bytes });
-        self.carry_out(machine, commands);
+        self.execute(machine, commands);
     }
 
-    fn carry_out(&mut self, machine: usize, commands: Vec<Command>) {
+    fn execute(&mut self, machine: usize, commands: Vec<Command>) {
         for command in commands {
             match command {
                 Command::Send { to, bytes } => self.send(machine, to, bytes),
                 Command::Changed { member, status } => {
-                    let place = &mut self.machines[machine];
+                    let process = &mut self.machines[machine];
                     if status == Status::Dead {
-                        place.deaths.push(member.id.clone());
+                        process.deaths.push(member.id.clone());
                     }
-                    place.changes.push((member, status));
+                    process.changes.push((member, status));
                 }
                 Command::WakeAt(time) => {
                     self.machines[machine].wake_at = time;
-                    self.schedule_wake(machine);
+                    self.schedule_wake_up(machine);
                 }
-                Command::Rejected { .. } => self.machines[machine].refused += 1,
+                Command::Rejected { .. } => self.machines[machine].rejected += 1,
                 Command::Conflict { duplicate } => self.machines[machine].conflicts.push(duplicate),
             }
         }
@@ -376,32 +380,35 @@
     fn send(&mut self, machine: usize, to: SocketAddr, bytes: Vec<u8>) {
         self.traffic.datagrams += 1;
         self.traffic.bytes += bytes.len() as u64;
-        self.traffic.largest = self.traffic.largest.max(bytes.len());
+        self.traffic.largest_datagram = self.traffic.largest_datagram.max(bytes.len());
         let from = self.machines[machine].me.gossip_address;
-        let cut = self.owners.get(&to).is_some_and(|&target| self.cuts.contains(&(machine, target)));
-        let lost = (self.draw() % 1_000_000) as f64 / 1e6 < self.loss;
-        if cut || lost {
+        let is_blocked = self
+            .machines_by_address
+            .get(&to)
+            .is_some_and(|&target| self.blocked_links.contains(&(machine, target)));
+        let is_lost = (self.next_random() % 1_000_000) as f64 / 1e6 < self.loss;
+        if is_blocked || is_lost {
             return;
         }
-        let delay = Span::from_nanos(1_000_000 + self.draw() % 4_000_000);
-        self.enqueue(self.now + delay, Arrival::Datagram { from, to, bytes });
+        let delay = Span::from_nanos(1_000_000 + self.next_random() % 4_000_000);
+        self.enqueue(self.now + delay, ScheduledEvent::Datagram { from, to, bytes });
     }
 
-    fn schedule_wake(&mut self, machine: usize) {
+    fn schedule_wake_up(&mut self, machine: usize) {
         let Machine { wake_at, run, .. } = self.machines[machine];
         let time = wake_at.max(self.now);
         self.machines[machine].wake_at = time;
-        self.enqueue(time, Arrival::Wake { machine, run });
+        self.enqueue(time, ScheduledEvent::WakeUp { machine, run });
     }
 
-    fn enqueue(&mut self, time: Time, arrival: Arrival) {
-        self.serial += 1;
-        self.queue.insert((time, self.serial), arrival);
+    fn enqueue(&mut self, time: Time, event: ScheduledEvent) {
+        self.last_event_number += 1;
+        self.queue.insert((time, self.last_event_number), event);
     }
 
-    fn draw(&mut self) -> u64 {
-        self.chance = self.chance.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mixed = (self.chance ^ (self.chance >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    fn next_random(&mut self) -> u64 {
+        self.random_state = self.random_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mixed = (self.random_state ^ (self.random_state >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         mixed ^ (mixed >> 31)
     }
