--- a/crates/sessions/src/batch.rs
+++ b/crates/sessions/src/batch.rs
@@ -13,16 +13,16 @@
     pub record: Record,
 }
 
-/// The bytes of a batch.
+/// Encodes a batch for the disk.
 ///
 /// # Errors
 ///
-/// If the encoder refuses; it does not for records.
+/// If the encoder fails; it does not for records.
 pub fn encode_batch(records: &[StoredRecord]) -> Result<Vec<u8>, postcard::Error> {
     postcard::to_stdvec(records)
 }
 
-/// The records of a batch.
+/// Decodes the records of a batch.
 ///
 /// # Errors
 ///
--- a/crates/sessions/src/call.rs
+++ b/crates/sessions/src/call.rs
@@ -1,27 +1,27 @@
-//! Calls to other stores, and what they are for.
+//! Calls to other stores.
 
 use juniperwing_protocol::DiskId;
 use juniperwing_protocol::transfer::{TransferReply, TransferRequest};
 
 use crate::anti_entropy::SyncStep;
+use crate::epoch_confirmation::EpochConfirmationId;
 use crate::event::{Command, TransferCallId};
-use crate::primary::EpochConfirmationId;
 use crate::store::Store;
 use crate::write::WriteId;
 
-/// What a call is for.
+/// What a call is made for; decides where its reply goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallPurpose {
-    /// To copy a write to a replica.
+    /// Copies a write to a replica.
     Write { write: WriteId, replica: DiskId },
-    /// To confirm an epoch before something is denied.
+    /// Has a replica confirm epochs before a request is denied.
     ConfirmEpochs { confirmation: EpochConfirmationId },
-    /// To make a replica level.
+    /// Synchronizes a replica.
     Sync(SyncStep),
 }
 
 impl Store {
-    /// Calls a store. One that the map does not name counts as one that does not answer.
+    /// Calls a store. A call to one that the map does not name ends at once without a reply.
     pub(crate) fn call_store(&mut self, replica: DiskId, request: TransferRequest, purpose: CallPurpose) {
         match self.map.store(replica).map(|store| store.address) {
             Some(to) => {
@@ -33,20 +33,20 @@
         }
     }
 
-    /// A call has ended.
-    pub(crate) fn handle_call_completed(&mut self, call: TransferCallId, answer: Option<TransferReply>) {
+    /// Handles the end of a call; `None` if there was no reply.
+    pub(crate) fn handle_call_completed(&mut self, call: TransferCallId, reply: Option<TransferReply>) {
         if let Some(purpose) = self.calls.remove(&call) {
-            self.complete_call(purpose, answer);
+            self.complete_call(purpose, reply);
         }
     }
 
-    fn complete_call(&mut self, purpose: CallPurpose, answer: Option<TransferReply>) {
+    fn complete_call(&mut self, purpose: CallPurpose, reply: Option<TransferReply>) {
         match purpose {
-            CallPurpose::Write { write, replica } => self.handle_write_reply(write, replica, answer),
+            CallPurpose::Write { write, replica } => self.handle_write_reply(write, replica, reply),
             CallPurpose::ConfirmEpochs { confirmation } => {
-                self.handle_epoch_confirmation(confirmation, answer)
+                self.handle_epoch_confirmation(confirmation, reply);
             }
-            CallPurpose::Sync(step) => self.handle_sync_reply(step, answer),
+            CallPurpose::Sync(step) => self.handle_sync_reply(step, reply),
         }
     }
 }
--- /dev/null
+++ b/crates/sessions/src/commit.rs
@@ -0,0 +1,49 @@
+//! The end of a turn: its reservation is replaced by the tokens used, and its contents are stored.
+
+use juniperwing_invariants::{Invariant, check};
+use juniperwing_protocol::PartitionId;
+use juniperwing_protocol::session::{FinishTurn, SessionReply};
+use juniperwing_protocol::transfer::Record;
+
+use crate::event::CallerId;
+use crate::limits::{BUDGET_RETENTION_MS, MAX_RETENTION_MS, MIN_STORED_TURN_RETENTION_MS};
+use crate::statistics::UnavailableReason;
+use crate::store::Store;
+
+impl Store {
+    pub(crate) fn handle_finish(&mut self, caller: CallerId, partition: PartitionId, finish: FinishTurn) {
+        if finish.stored_turn.as_ref().is_some_and(|turn| turn.request != finish.request) {
+            return self.send_unavailable(caller, UnavailableReason::StoredTurnMismatch);
+        }
+        self.check_commit(partition, &finish);
+        let retention_ms = match &finish.stored_turn {
+            Some(turn) => turn.retention_ms.clamp(MIN_STORED_TURN_RETENTION_MS, MAX_RETENTION_MS),
+            None => BUDGET_RETENTION_MS,
+        };
+        let record = Record {
+            program: finish.program,
+            request: finish.request,
+            tokens: finish.tokens,
+            is_committed: true,
+            turn: finish.stored_turn,
+            expires_at_ms: self.moment.unix_time_ms.saturating_add(retention_ms),
+        };
+        self.start_write(partition, vec![record], caller, SessionReply::TurnFinished);
+    }
+
+    /// Checks that a turn is committed at no more tokens than were reserved, and stored with one content.
+    fn check_commit(&self, partition: PartitionId, finish: &FinishTurn) {
+        let table = self.tables.get(&partition);
+        let Some(known) = table.and_then(|table| table.record(&finish.program, &finish.request)) else {
+            return;
+        };
+        let describe = || format!("program {}, request {}", finish.program.0, finish.request.0);
+        let is_within_reservation = known.is_committed || finish.tokens <= known.tokens;
+        check(Invariant::CommitWithinReservation, is_within_reservation, describe);
+        let is_unchanged = match (&known.turn, &finish.stored_turn) {
+            (Some(known), Some(stored)) => known.output == stored.output && known.input == stored.input,
+            _ => true,
+        };
+        check(Invariant::StoredTurnIsImmutable, is_unchanged, describe);
+    }
+}
--- a/crates/sessions/src/event.rs
+++ b/crates/sessions/src/event.rs
@@ -1,4 +1,4 @@
-//! What reaches a store, and what it wants done.
+//! The events that a store handles and the commands that it returns.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,57 +10,57 @@
 
 use crate::batch::StoredRecord;
 
-/// When something happens.
+/// The time of an event, on both clocks.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Moment {
-    /// The steady clock.
+    /// The monotonic clock.
     pub now: Time,
-    /// The time of day in milliseconds; it may jump, and differs between machines.
+    /// The wall clock in milliseconds since the Unix epoch; it may jump, and differs between machines.
     pub unix_time_ms: u64,
 }
 
-/// Names one who waits for an answer; chosen by the process around the store.
+/// Identifies a caller that waits for a reply; chosen by the process around the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallerId(pub u64);
 
-/// Names a call to another store; chosen by the store.
+/// Identifies a call to another store; chosen by the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TransferCallId(pub u64);
 
-/// What reaches a store.
+/// An input of a store.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A keeper told a map; it may be older than the one held.
+    /// A keeper published a map; it may be older than the present one.
     StoreMap(Arc<StoreMap>),
-    /// A relay asks.
+    /// A relay sent a request.
     SessionRequest {
-        /// Who waits.
+        /// Who waits for the reply.
         caller: CallerId,
-        /// The question.
+        /// The request.
         request: SessionRequest,
     },
-    /// Another store asks.
+    /// Another store sent a request.
     TransferRequest {
-        /// Who waits.
+        /// Who waits for the reply.
         caller: CallerId,
-        /// The question.
+        /// The request.
         request: TransferRequest,
     },
-    /// A call has ended.
+    /// A call to another store has ended.
     CallCompleted {
         /// The call.
         call: TransferCallId,
-        /// The answer; `None` if the link broke or no answer came in time.
+        /// The reply; `None` if the connection was lost or the call timed out.
         reply: Option<TransferReply>,
     },
-    /// The batch under way is on disk.
+    /// The batch in flight is on disk.
     BatchWritten {
-        /// The segment that it lies in.
+        /// The segment that it was written to.
         segment: u64,
         /// The size of the batch on disk.
         bytes: u64,
     },
-    /// The batch under way could not be written.
+    /// The batch in flight could not be written.
     BatchFailed,
     /// The map version is on disk.
     MapVersionWritten {
@@ -73,49 +73,49 @@
     Tick,
 }
 
-/// What a store wants done.
+/// An output of a store, to be carried out by the process around it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Answer a relay.
+    /// Reply to a relay.
     SendSessionReply {
-        /// Who waits.
+        /// Who waits for it.
         caller: CallerId,
-        /// The answer.
+        /// The reply.
         reply: SessionReply,
     },
-    /// Answer a store.
+    /// Reply to a store.
     SendTransferReply {
-        /// Who waits.
+        /// Who waits for it.
         caller: CallerId,
-        /// The answer.
+        /// The reply.
         reply: TransferReply,
     },
-    /// Call a store, once; tell the end by [`Event::Answered`].
+    /// Call a store, once; report the end by [`Event::CallCompleted`].
     Call {
-        /// Names the call.
+        /// Identifies the call.
         call: TransferCallId,
-        /// The store.
+        /// The address of the store.
         to: SocketAddr,
-        /// The question.
+        /// The request.
         request: TransferRequest,
     },
-    /// Write a batch and sync it; tell the end by [`Event::BatchWritten`] or [`Event::BatchFailed`]. There is
-    /// one at a time.
+    /// Write a batch and sync it; report the end by [`Event::BatchWritten`] or [`Event::BatchFailed`]. There is one in
+    /// flight at a time.
     WriteBatch {
         /// Its records.
         records: Vec<StoredRecord>,
     },
-    /// Remove a segment that nothing needs.
+    /// Remove a segment that holds no live record.
     RemoveSegment {
         /// Its number.
         segment: u64,
     },
-    /// Write the map version and sync it; tell the end by [`Event::MapVersionWritten`] or
-    /// [`Event::MapVersionFailed`]. There is one at a time.
+    /// Write the map version and sync it; report the end by [`Event::MapVersionWritten`] or
+    /// [`Event::MapVersionFailed`]. There is one in flight at a time.
     WriteMapVersion {
         /// The version.
         version: u64,
     },
-    /// Tell the keepers what [`crate::Store::caught_up_replicas`] returns.
+    /// Report [`crate::Store::caught_up_replicas`] to the keepers.
     ReportCaughtUp,
 }
--- a/crates/sessions/src/group_commit.rs
+++ b/crates/sessions/src/group_commit.rs
@@ -1,4 +1,4 @@
-//! Group commit: all records that have changed go into one batch; while it is written the next one gathers.
+//! Group commit: all records that have changed go into one batch; while it is written, the next one is collected.
 
 use std::collections::BTreeSet;
 
@@ -8,25 +8,25 @@
 use crate::event::CallerId;
 use crate::write::WriteId;
 
-/// Names a record in the store.
+/// Identifies a record in the store.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct StoredRecordKey {
     pub(crate) partition: PartitionId,
     pub(crate) key: RecordKey,
 }
 
-/// Who waits for the disk.
+/// What waits until records are on disk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum DurabilityWaiter {
-    /// A write of this store's own.
+    /// A write that this store makes as a primary.
     Write(WriteId),
     /// A primary that has sent records.
     Replica(CallerId),
-    /// A primary that wants digests of what is on disk.
+    /// A primary that has requested digests of the records on disk.
     Digests { caller: CallerId, partition: PartitionId, ranges: u16, live_after_ms: u64 },
 }
 
-/// A record as it was put into the batch under way.
+/// A record as it was put into the batch in flight.
 #[derive(Clone, Debug)]
 pub(crate) struct BatchEntry {
     pub(crate) key: StoredRecordKey,
@@ -34,75 +34,75 @@
     pub(crate) bytes: u64,
 }
 
-/// The batch under way.
+/// The batch that is being written.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct InFlightBatch {
     pub(crate) entries: Vec<BatchEntry>,
     pub(crate) waiters: Vec<DurabilityWaiter>,
 }
 
-/// What waits for the disk.
+/// The records and waiters of the batch in flight and of the next one.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct GroupCommit {
     dirty_keys: BTreeSet<StoredRecordKey>,
     next_batch_waiters: Vec<DurabilityWaiter>,
     in_flight: Option<InFlightBatch>,
-    /// Whether the last batch failed and the pause before the next has not passed.
+    /// Whether the last batch failed and the delay before the next one has not passed.
     is_paused: bool,
 }
 
 impl GroupCommit {
-    /// A record has changed, or must be written again.
+    /// Has a record written with the next batch: it has changed, or its segment is to be removed.
     pub(crate) fn mark_dirty(&mut self, key: StoredRecordKey) {
         self.dirty_keys.insert(key);
     }
 
-    /// Waits until everything marked so far is on disk; gives the waiter back if it is already.
+    /// Waits until everything marked so far is on disk; returns the waiter if it is already.
     pub(crate) fn wait(&mut self, waiter: DurabilityWaiter) -> Option<DurabilityWaiter> {
         if !self.dirty_keys.is_empty() {
             self.next_batch_waiters.push(waiter);
             return None;
         }
         match &mut self.in_flight {
-            Some(running) => {
-                running.waiters.push(waiter);
+            Some(batch) => {
+                batch.waiters.push(waiter);
                 None
             }
             None => Some(waiter),
         }
     }
 
-    /// The keys of the next batch, if one is due and none is under way.
+    /// The keys of the next batch; `None` if there is nothing to write, a batch is in flight, or the disk is paused.
     pub(crate) fn take_next_batch(&mut self) -> Option<BTreeSet<StoredRecordKey>> {
-        let due = self.in_flight.is_none() && !self.is_paused && !self.dirty_keys.is_empty();
-        due.then(|| std::mem::take(&mut self.dirty_keys))
+        let is_ready = self.in_flight.is_none() && !self.is_paused && !self.dirty_keys.is_empty();
+        is_ready.then(|| std::mem::take(&mut self.dirty_keys))
     }
 
-    /// The batch of the keys taken is under way.
-    pub(crate) fn start_batch(&mut self, written: Vec<BatchEntry>) {
+    /// Puts the batch of the keys taken in flight.
+    pub(crate) fn start_batch(&mut self, entries: Vec<BatchEntry>) {
         let waiters = std::mem::take(&mut self.next_batch_waiters);
-        self.in_flight = Some(InFlightBatch { entries: written, waiters });
+        self.in_flight = Some(InFlightBatch { entries, waiters });
     }
 
-    /// The batch under way has ended well.
+    /// Returns the batch in flight, which is on disk.
     pub(crate) fn complete_batch(&mut self) -> InFlightBatch {
         self.in_flight.take().unwrap_or_default()
     }
 
-    /// The batch under way has failed: its records wait for the next one, after a pause. Returns who waited.
+    /// Puts the records of the batch in flight, which has failed, into the next one, and pauses. Returns its waiters.
     pub(crate) fn fail_batch(&mut self) -> Vec<DurabilityWaiter> {
-        let Some(running) = self.in_flight.take() else { return Vec::new() };
-        self.dirty_keys.extend(running.entries.into_iter().map(|written| written.key));
+        let Some(batch) = self.in_flight.take() else { return Vec::new() };
+        self.dirty_keys.extend(batch.entries.into_iter().map(|entry| entry.key));
         self.is_paused = true;
-        running.waiters
+        batch.waiters
     }
 
-    /// The pause is over.
+    /// Ends the pause after a failure.
     pub(crate) fn resume(&mut self) {
         self.is_paused = false;
     }
 
-    /// Whether the disk refused the last batch.
+    /// Whether the last batch failed a short while ago.
     pub(crate) fn is_paused(&self) -> bool {
         self.is_paused
     }
@@ -112,7 +112,7 @@
         self.in_flight.is_some()
     }
 
-    /// Whether nothing is written and nothing waits to be.
+    /// Whether everything is on disk.
     pub(crate) fn is_idle(&self) -> bool {
         self.in_flight.is_none() && self.dirty_keys.is_empty()
     }
--- a/crates/sessions/src/lib.rs
+++ b/crates/sessions/src/lib.rs
@@ -1,32 +1,46 @@
-//! What a store does, as a state machine without I/O.
+//! The replicated state machine of a store, without I/O: stored turns and budgets of agent programs.
 //!
-//! A [`Store`] holds the records of partitions. Records only merge upward, so replicas can be levelled by
-//! union. The primary of a partition admits turns and settles them; every write is on the disks of all
-//! in-sync replicas before it is acknowledged, under the epoch that the keepers gave the partition. The store
-//! is handed a [`Moment`] and an [`Event`] and returns [`Command`]s; the process around it owns the sockets,
-//! the disk and the clocks.
+//! A [`Store`] holds the records of partitions. Records only merge upward, so replicas are synchronized by union. The
+//! primary of a partition admits turns and commits them; every write is on the disks of all in-sync replicas before it
+//! is acknowledged, under the epoch that the keepers gave the partition. The store is given a [`Moment`] and an
+//! [`Event`] and returns [`Command`]s; the process around it owns the sockets, the disk and the clocks.
 
+mod admission;
 mod anti_entropy;
 mod batch;
 mod call;
+mod caught_up;
+mod chain;
+mod commit;
+mod comparison;
+mod digest;
+mod epoch_confirmation;
 mod event;
 mod group_commit;
 mod limits;
+mod lookup;
 mod map_version;
 mod merge;
+mod persistence;
 mod primary;
 mod program;
+mod recovery;
 mod segment_usage;
 mod statistics;
 mod store;
+mod store_map;
 mod table;
+mod timers;
 mod transfer;
+mod waiting_requests;
 mod write;
 
 pub use batch::{StoredRecord, decode_batch, encode_batch};
+pub use chain::Chain;
+pub use comparison::Page;
 pub use event::{CallerId, Command, Event, Moment, TransferCallId};
 pub use limits::Limits;
 pub use merge::merge;
 pub use statistics::StoreStatistics;
 pub use store::Store;
-pub use table::{Chain, Page, Table};
+pub use table::Table;
--- a/crates/sessions/src/merge.rs
+++ b/crates/sessions/src/merge.rs
@@ -1,16 +1,16 @@
-//! How two records of one try merge: idempotent, in any order, in any grouping.
+//! The merge of two records of one request: idempotent, commutative and associative.
 
 use juniperwing_protocol::session::Turn;
 use juniperwing_protocol::transfer::Record;
 
-/// Merges `other` into `record`; `true` if that changed it.
+/// Merges `other` into `record`; returns whether that changed `record`.
 ///
-/// A settled record supersedes a reserved one; of two alike, the larger number of tokens counts. The later
-/// expiry counts. A turn stays.
+/// A committed record supersedes a reservation; of two alike, the larger number of tokens counts. The later expiry
+/// counts. A stored turn is never removed.
 pub fn merge(record: &mut Record, other: &Record) -> bool {
-    let account = merge_tokens(record, other);
-    let turn = merge_turn(&mut record.turn, other.turn.as_ref());
-    account || turn
+    let tokens_changed = merge_tokens(record, other);
+    let turn_changed = merge_turn(&mut record.turn, other.turn.as_ref());
+    tokens_changed || turn_changed
 }
 
 fn merge_tokens(record: &mut Record, other: &Record) -> bool {
@@ -21,18 +21,18 @@
     } else if other.is_committed == record.is_committed {
         record.tokens = record.tokens.max(other.tokens);
     }
-    // Never earlier: a replica that lacks the newer record must not take the program for live for longer.
+    // Never earlier: a replica that lacks the newer record must not retain the program for longer than others.
     record.expires_at_ms = record.expires_at_ms.max(other.expires_at_ms);
     before != (record.is_committed, record.tokens, record.expires_at_ms)
 }
 
-/// One try runs once, so there is one turn of it. Should there be two all the same, every replica must choose
-/// the same one.
-fn merge_turn(held: &mut Option<Turn>, other: Option<&Turn>) -> bool {
+/// A request runs once, so there is one turn of it. Should there be two all the same, every replica must choose the
+/// same one.
+fn merge_turn(turn: &mut Option<Turn>, other: Option<&Turn>) -> bool {
     let Some(other) = other else { return false };
-    let replaces = held.as_ref().is_none_or(|held| tie_break_key(held) < tie_break_key(other));
+    let replaces = turn.as_ref().is_none_or(|turn| tie_break_key(turn) < tie_break_key(other));
     if replaces {
-        *held = Some(other.clone());
+        *turn = Some(other.clone());
     }
     replaces
 }
--- a/crates/sessions/src/segment_usage.rs
+++ b/crates/sessions/src/segment_usage.rs
@@ -1,4 +1,4 @@
-//! What still counts in each segment on disk. Several batches may lie in one segment.
+//! How much of each segment on disk is live. Several batches may be in one segment.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,9 +9,9 @@
 struct SegmentCounters {
     /// The size of the segment.
     bytes: u64,
-    /// Bytes of records that no later batch holds.
+    /// Bytes of live records, which are those that no later batch holds.
     live_bytes: u64,
-    /// The number of these records.
+    /// The number of live records.
     live_records: u64,
 }
 
@@ -19,64 +19,65 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SegmentUsage {
     segments: BTreeMap<u64, SegmentCounters>,
+    /// The sum over all segments.
     bytes: u64,
 }
 
 impl SegmentUsage {
-    /// A batch in this segment was written or found.
+    /// Adds a batch that was written to a segment or found in it.
     pub(crate) fn add_batch(&mut self, segment: u64, bytes: u64) {
         self.segments.entry(segment).or_default().bytes += bytes;
         self.bytes += bytes;
     }
 
-    /// A record's newest version lies here.
-    pub(crate) fn add_record(&mut self, place: SegmentPosition) {
-        if let Some(account) = self.segments.get_mut(&place.segment) {
-            account.live_records += 1;
-            account.live_bytes += place.bytes;
+    /// Adds a live record.
+    pub(crate) fn add_record(&mut self, position: SegmentPosition) {
+        if let Some(counters) = self.segments.get_mut(&position.segment) {
+            counters.live_records += 1;
+            counters.live_bytes += position.bytes;
         }
     }
 
-    /// What lies here counts no more.
-    pub(crate) fn remove_record(&mut self, place: SegmentPosition) {
-        if let Some(account) = self.segments.get_mut(&place.segment) {
-            account.live_records = account.live_records.saturating_sub(1);
-            account.live_bytes = account.live_bytes.saturating_sub(place.bytes);
+    /// Removes a record that is live no more: superseded or expired.
+    pub(crate) fn remove_record(&mut self, position: SegmentPosition) {
+        if let Some(counters) = self.segments.get_mut(&position.segment) {
+            counters.live_records = counters.live_records.saturating_sub(1);
+            counters.live_bytes = counters.live_bytes.saturating_sub(position.bytes);
         }
     }
 
-    /// Takes out the segments in which nothing counts; they are to be removed.
+    /// Drops the segments without live records and returns their numbers; their files are to be removed.
     pub(crate) fn take_unused_segments(&mut self) -> Vec<u64> {
-        let empty: Vec<u64> = self
+        let unused: Vec<u64> = self
             .segments
             .iter()
-            .filter(|(_, account)| account.live_records == 0)
+            .filter(|(_, counters)| counters.live_records == 0)
             .map(|(segment, _)| *segment)
             .collect();
-        for segment in &empty {
-            self.bytes -= self.segments.remove(segment).map_or(0, |account| account.bytes);
+        for segment in &unused {
+            self.bytes -= self.segments.remove(segment).map_or(0, |counters| counters.bytes);
         }
-        empty
+        unused
     }
 
-    /// The segments whose records are worth writing again: the oldest of many small ones, or else one of which
-    /// less than half counts. Empty if there are none.
+    /// The segments whose live records are to be rewritten: the oldest of many small ones, or else one of which less
+    /// than half is live. Empty if there are none.
     pub(crate) fn segments_to_compact(&self) -> BTreeSet<u64> {
-        // Survivors may be written into the newest segment, which would never get rid of them.
+        // Live records may be rewritten into the newest segment, which would never get rid of them.
         let Some(newest) = self.segments.keys().next_back() else { return BTreeSet::new() };
         let small: Vec<(u64, u64)> = self
             .segments
             .range(..newest)
-            .filter(|(_, account)| account.live_bytes < SMALL_SEGMENT_BYTES)
-            .map(|(segment, account)| (*segment, account.live_bytes))
+            .filter(|(_, counters)| counters.live_bytes < SMALL_SEGMENT_BYTES)
+            .map(|(segment, counters)| (*segment, counters.live_bytes))
             .collect();
         if small.len() >= MAX_SMALL_SEGMENTS {
             return oldest_within_limit(&small);
         }
-        let wasteful = self.segments.range(..newest).find(|(_, account)| {
-            account.bytes >= SMALL_SEGMENT_BYTES && account.live_bytes.saturating_mul(2) < account.bytes
+        let sparse = self.segments.range(..newest).find(|(_, counters)| {
+            counters.bytes >= SMALL_SEGMENT_BYTES && counters.live_bytes.saturating_mul(2) < counters.bytes
         });
-        wasteful.map(|(segment, _)| *segment).into_iter().collect()
+        sparse.map(|(segment, _)| *segment).into_iter().collect()
     }
 
     /// Bytes of all segments.
@@ -85,11 +86,12 @@
     }
 }
 
+/// The first of these segments, given with their live bytes, that one compaction may rewrite.
 fn oldest_within_limit(small: &[(u64, u64)]) -> BTreeSet<u64> {
     let mut bytes = 0;
-    let within = small.iter().take_while(|(_, live)| {
-        bytes += live;
+    let within_limit = small.iter().take_while(|(_, live_bytes)| {
+        bytes += live_bytes;
         bytes <= MAX_COMPACTION_BYTES
     });
-    within.map(|(segment, _)| *segment).collect()
+    within_limit.map(|(segment, _)| *segment).collect()
 }
--- a/crates/sessions/src/table.rs
+++ b/crates/sessions/src/table.rs
@@ -1,204 +1,85 @@
 //! The records of one partition.
 
 use std::collections::{BTreeMap, BTreeSet};
-use std::ops::Bound;
 
 use juniperwing_clock::{Span, Time};
-use juniperwing_protocol::session::Turn;
 use juniperwing_protocol::transfer::{Record, RecordKey};
 use juniperwing_protocol::{ProgramId, RequestId};
 
+use crate::digest::record_digest;
 use crate::event::Moment;
-use crate::limits::{EXPIRY_SLACK, MAX_CHAIN_TURNS, PAGE_TARGET_BYTES};
+use crate::limits::EXPIRY_SLACK;
 use crate::merge::merge;
-use crate::program::{ProgramRecords, RecordEntry, SegmentPosition, range_of, record_bytes, record_digest};
-
-/// What is known of a turn and those before it.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Chain {
-    /// The turns, oldest first.
-    Found(Vec<Turn>),
-    /// The turn is not held.
-    Unknown,
-    /// The turn is held, but one before it is not.
-    Broken,
-}
-
-/// Some of the records of a partition, in the order of their keys.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Page {
-    /// The records.
-    pub records: Vec<Record>,
-    /// The last of them, if there may be more behind it.
-    pub resume_after: Option<RecordKey>,
-}
+use crate::program::{ProgramRecords, RecordEntry, SegmentPosition, record_bytes};
 
-/// The records of one partition.
+/// The records of one partition, by program and request.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    programs: BTreeMap<ProgramId, ProgramRecords>,
-    /// Which programs hold which turns.
-    turns: BTreeSet<(RequestId, ProgramId)>,
+    pub(crate) programs: BTreeMap<ProgramId, ProgramRecords>,
+    /// The stored turns with the programs that have them.
+    pub(crate) turns: BTreeSet<(RequestId, ProgramId)>,
+    /// The sum of [`record_bytes`] over all records.
     bytes: u64,
-    /// The last version given to a record.
+    /// The last version given to a record; never decreases.
     last_version: u64,
 }
 
 impl Table {
-    /// Merges a record; `true` if what is held has changed.
+    /// Merges a record; returns whether that changed the table.
     pub fn merge(&mut self, record: &Record, moment: Moment) -> bool {
         let program = self.programs.entry(record.program.clone()).or_default();
-        let held = program.records.get_mut(&record.request);
-        let before = held.as_ref().map_or(0, |held| record_bytes(&held.record));
-        let held = match held {
-            Some(held) => {
-                if !merge(&mut held.record, record) {
+        let entry = program.records.get_mut(&record.request);
+        let bytes_before = entry.as_ref().map_or(0, |entry| record_bytes(&entry.record));
+        let entry = match entry {
+            Some(entry) => {
+                if !merge(&mut entry.record, record) {
                     return false;
                 }
-                held
+                entry
             }
-            None => program.records.entry(record.request.clone()).or_insert(RecordEntry {
-                record: record.clone(),
-                version: 0,
-                durable_version: 0,
-                position: None,
-                digest: 0,
-            }),
+            None => program.records.entry(record.request.clone()).or_insert(RecordEntry::new(record.clone())),
         };
         self.last_version += 1;
-        held.version = self.last_version;
-        held.digest = record_digest(&held.record);
-        self.bytes = self.bytes + record_bytes(&held.record) - before;
-        if held.record.turn.is_some() {
+        entry.version = self.last_version;
+        entry.digest = record_digest(&entry.record);
+        self.bytes = self.bytes + record_bytes(&entry.record) - bytes_before;
+        if entry.record.turn.is_some() {
             self.turns.insert((record.request.clone(), record.program.clone()));
         }
         program.expires_at = program.expires_at.max(expiry_time(record, moment));
         program.expires_at_ms =
-            program.records.values().map(|held| held.record.expires_at_ms).max().unwrap_or(0);
+            program.records.values().map(|entry| entry.record.expires_at_ms).max().unwrap_or(0);
         true
     }
 
-    /// The record of a try.
+    /// The record of a request.
     pub fn record(&self, program: &ProgramId, request: &RequestId) -> Option<&Record> {
         Some(&self.programs.get(program)?.records.get(request)?.record)
     }
 
     /// All records.
     pub(crate) fn records(&self) -> impl Iterator<Item = &Record> {
-        let held = self.programs.values().flat_map(|program| program.records.values());
-        held.map(|held| &held.record)
+        let entries = self.programs.values().flat_map(|program| program.records.values());
+        entries.map(|entry| &entry.record)
     }
 
     /// The records of a program.
     pub(crate) fn records_of(&self, program: &ProgramId) -> impl Iterator<Item = &Record> {
-        let held = self.programs.get(program).into_iter().flat_map(|program| program.records.values());
-        held.map(|held| &held.record)
+        let entries = self.programs.get(program).into_iter().flat_map(|program| program.records.values());
+        entries.map(|entry| &entry.record)
     }
 
-    /// Tokens of a program that count against its budget, those of the try `except` left out.
+    /// Tokens of a program that count against its budget, without those of the request `except`.
     pub fn tokens_except(&self, program: &ProgramId, except: &RequestId) -> u64 {
-        self.programs.get(program).map_or(0, |held| held.tokens_except(except))
-    }
-
-    /// The chain that ends with `turn`, as `program` sees it: its own turns first, then those of others.
-    pub fn chain(&self, program: &ProgramId, turn: &RequestId) -> Chain {
-        let mut chain = Vec::new();
-        let mut wanted = Some(turn);
-        while let Some(request) = wanted {
-            let Some(turn) = self.find_turn(program, request).filter(|_| chain.len() < MAX_CHAIN_TURNS)
-            else {
-                return if chain.is_empty() { Chain::Unknown } else { Chain::Broken };
-            };
-            chain.push(turn.clone());
-            wanted = turn.previous.as_ref();
-        }
-        chain.reverse();
-        Chain::Found(chain)
-    }
-
-    /// The chain that ends with `turn`, of whatever program.
-    pub fn chain_in_any_program(&self, turn: &RequestId) -> Chain {
-        match self.program_with_turn(turn) {
-            Some(program) => self.chain(program, turn),
-            None => Chain::Unknown,
-        }
-    }
-
-    /// Whether the program itself holds the turn.
-    pub fn has_turn(&self, program: &ProgramId, turn: &RequestId) -> bool {
-        self.turn_of(program, turn).is_some()
-    }
-
-    fn find_turn(&self, program: &ProgramId, turn: &RequestId) -> Option<&Turn> {
-        self.turn_of(program, turn).or_else(|| self.turn_of(self.program_with_turn(turn)?, turn))
-    }
-
-    fn turn_of(&self, program: &ProgramId, turn: &RequestId) -> Option<&Turn> {
-        self.record(program, turn)?.turn.as_ref()
-    }
-
-    fn program_with_turn(&self, turn: &RequestId) -> Option<&ProgramId> {
-        let from = (turn.clone(), ProgramId::from(""));
-        let (request, program) = self.turns.range(from..).next()?;
-        (request == turn).then_some(program)
-    }
-
-    /// The digests of `ranges` equal ranges of the hashes of programs, without programs that may be forgotten
-    /// by `live_after_ms`.
-    pub fn digests(&self, ranges: u16, live_after_ms: u64) -> Vec<u64> {
-        self.sum_digests(ranges, live_after_ms, |held| held.digest)
-    }
-
-    /// The same of what is on disk: a record of which a newer version waits for the disk makes its range differ.
-    pub fn durable_digests(&self, ranges: u16, live_after_ms: u64) -> Vec<u64> {
-        let on_disk = |held: &RecordEntry| {
-            if held.durable_version == held.version { held.digest } else { !held.digest }
-        };
-        self.sum_digests(ranges, live_after_ms, on_disk)
-    }
-
-    fn sum_digests(&self, ranges: u16, live_after_ms: u64, digest: impl Fn(&RecordEntry) -> u64) -> Vec<u64> {
-        let mut digests = vec![0_u64; usize::from(ranges.max(1))];
-        for (name, program) in self.programs.iter().filter(|(_, p)| p.expires_at_ms > live_after_ms) {
-            let range = usize::from(range_of(name, ranges));
-            for held in program.records.values() {
-                digests[range] = digests[range].wrapping_add(digest(held));
-            }
-        }
-        digests
-    }
-
-    /// The next page of the records of the `wanted` ranges.
-    pub fn page(&self, ranges: u16, wanted: &[u16], live_after_ms: u64, after: Option<&RecordKey>) -> Page {
-        let mut page = Page::default();
-        let mut bytes = 0;
-        let start = after.map_or(Bound::Unbounded, |key| Bound::Included(key.program.clone()));
-        for (name, program) in self.programs.range((start, Bound::Unbounded)) {
-            if program.expires_at_ms <= live_after_ms || !wanted.contains(&range_of(name, ranges)) {
-                continue;
-            }
-            let start = match after {
-                Some(key) if key.program == *name => Bound::Excluded(key.request.clone()),
-                _ => Bound::Unbounded,
-            };
-            for (request, held) in program.records.range((start, Bound::Unbounded)) {
-                bytes += record_bytes(&held.record);
-                page.records.push(held.record.clone());
-                if bytes >= PAGE_TARGET_BYTES {
-                    page.resume_after = Some(RecordKey { program: name.clone(), request: request.clone() });
-                    return page;
-                }
-            }
-        }
-        page
+        self.programs.get(program).map_or(0, |records| records.tokens_except(except))
     }
 
-    /// Bytes held, roughly.
+    /// The approximate size of all records in bytes.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
 
-    /// Whether nothing is held.
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.programs.is_empty()
     }
@@ -211,42 +92,42 @@
         self.programs.get_mut(&key.program)?.records.get_mut(&key.request)
     }
 
-    /// The keys of the records that lie in segments that `chosen` picks.
-    pub(crate) fn keys_in_segments(&self, chosen: impl Fn(u64) -> bool) -> Vec<RecordKey> {
+    /// The keys of the records in segments that `is_selected` accepts.
+    pub(crate) fn keys_in_segments(&self, is_selected: impl Fn(u64) -> bool) -> Vec<RecordKey> {
         let mut keys = Vec::new();
-        for (name, program) in &self.programs {
-            for (request, held) in &program.records {
-                if held.position.is_some_and(|place| chosen(place.segment)) {
-                    keys.push(RecordKey { program: name.clone(), request: request.clone() });
+        for (program, records) in &self.programs {
+            for (request, entry) in &records.records {
+                if entry.position.is_some_and(|position| is_selected(position.segment)) {
+                    keys.push(RecordKey { program: program.clone(), request: request.clone() });
                 }
             }
         }
         keys
     }
 
-    /// Forgets the programs that have expired; returns where their records lay on disk.
+    /// Removes the programs that have expired; returns the positions of their records on disk.
     pub(crate) fn remove_expired(&mut self, moment: Moment) -> Vec<SegmentPosition> {
         let expired: Vec<ProgramId> = self
             .programs
             .iter()
-            .filter(|(_, program)| program.expires_at <= moment.now)
-            .map(|(name, _)| name.clone())
+            .filter(|(_, records)| records.expires_at <= moment.now)
+            .map(|(program, _)| program.clone())
             .collect();
-        let mut places = Vec::new();
-        for name in expired {
-            let Some(program) = self.programs.remove(&name) else { continue };
-            for (request, held) in program.records {
-                self.bytes -= record_bytes(&held.record);
-                self.turns.remove(&(request, name.clone()));
-                places.extend(held.position);
+        let mut positions = Vec::new();
+        for program in expired {
+            let Some(records) = self.programs.remove(&program) else { continue };
+            for (request, entry) in records.records {
+                self.bytes -= record_bytes(&entry.record);
+                self.turns.remove(&(request, program.clone()));
+                positions.extend(entry.position);
             }
         }
-        places
+        positions
     }
 }
 
-/// When a record may go by the steady clock. The time of day is read once, when the record comes: a clock that
-/// jumps later drops nothing.
+/// When a record expires by the monotonic clock. The wall clock is read once, when the record comes, so that a clock
+/// that jumps later drops nothing.
 fn expiry_time(record: &Record, moment: Moment) -> Time {
     let expires = Span::from_millis(record.expires_at_ms) + EXPIRY_SLACK;
     moment.now + (expires - Span::from_millis(moment.unix_time_ms))
--- a/crates/sessions/src/transfer.rs
+++ b/crates/sessions/src/transfer.rs
@@ -1,40 +1,37 @@
-//! What a replica does for the primaries of its partitions.
-
-use std::collections::BTreeSet;
+//! Transfer requests of other stores: what a replica does for the primaries of its partitions.
 
+use juniperwing_protocol::EpochNumber;
 use juniperwing_protocol::session::PartitionEpoch;
 use juniperwing_protocol::transfer::{TransferReply, TransferRequest};
-use juniperwing_protocol::{DiskId, EpochNumber, PartitionId};
 
 use crate::event::{CallerId, Command};
 use crate::group_commit::DurabilityWaiter;
-use crate::limits::{MAP_WAIT_TIMEOUT, MAX_WAITING_REQUESTS};
-use crate::store::{Store, Timer, WaitingRequest};
+use crate::limits::MAP_WAIT_TIMEOUT;
+use crate::store::Store;
+use crate::waiting_requests::WaitingRequest;
 
-/// Whether a primary's epoch is the one that this store goes by.
+/// How a primary's epoch relates to the epoch of this store's map.
 enum EpochCheck {
     Current,
-    /// The epoch is over: who asks is primary no more.
+    /// The epoch is over: the sender is primary no more. This is the newer epoch.
     Fenced(EpochNumber),
-    /// The epoch is not known yet.
+    /// The epoch is not in the map yet.
     Unknown,
 }
 
 impl Store {
-    /// Another store asks; `waited` if it has waited for the map already.
+    /// Handles another store's request; `has_waited` if it has waited for a map already.
     pub(crate) fn handle_transfer_request(
-        &mut self, caller: CallerId, request: TransferRequest, waited: bool,
+        &mut self, caller: CallerId, request: TransferRequest, has_waited: bool,
     ) {
         match self.check_request_epoch(&request) {
             EpochCheck::Current => self.execute_transfer(caller, request),
             EpochCheck::Fenced(epoch) => self.send_transfer_reply(caller, TransferReply::Fenced { epoch }),
-            EpochCheck::Unknown if waited || self.waiting.len() >= MAX_WAITING_REQUESTS => {
+            EpochCheck::Unknown if has_waited || self.has_max_waiting_requests() => {
                 self.send_transfer_reply(caller, TransferReply::Failed);
             }
             EpochCheck::Unknown => {
-                let number = self.next_number();
-                self.waiting.insert(number, WaitingRequest::ForMap { caller, request });
-                self.timers.insert((self.moment.now + MAP_WAIT_TIMEOUT, Timer::RequestTimeout(number)));
+                self.add_waiting_request(WaitingRequest::ForMap { caller, request }, MAP_WAIT_TIMEOUT);
             }
         }
     }
@@ -51,22 +48,22 @@
     }
 
     fn check_epochs(&self, partitions: &[PartitionEpoch]) -> EpochCheck {
-        let mut all = EpochCheck::Current;
-        for named in partitions {
-            match self.check_epoch(*named) {
+        let mut result = EpochCheck::Current;
+        for expected in partitions {
+            match self.check_epoch(*expected) {
                 EpochCheck::Current => {}
-                EpochCheck::Unknown => all = EpochCheck::Unknown,
+                EpochCheck::Unknown => result = EpochCheck::Unknown,
                 fenced => return fenced,
             }
         }
-        all
+        result
     }
 
-    fn check_epoch(&self, named: PartitionEpoch) -> EpochCheck {
-        let known = self.map.assignment(named.partition).map(|assignment| assignment.epoch);
+    fn check_epoch(&self, sent: PartitionEpoch) -> EpochCheck {
+        let known = self.map.assignment(sent.partition).map(|assignment| assignment.epoch);
         match known {
-            Some(known) if named.epoch == known => EpochCheck::Current,
-            Some(known) if named.epoch < known => EpochCheck::Fenced(known),
+            Some(known) if sent.epoch == known => EpochCheck::Current,
+            Some(known) if sent.epoch < known => EpochCheck::Fenced(known),
             _ => EpochCheck::Unknown,
         }
     }
@@ -81,12 +78,8 @@
                 self.wait_until_durable(DurabilityWaiter::Replica(caller));
             }
             TransferRequest::Digests { partition, ranges, live_after_ms, .. } => {
-                self.wait_until_durable(DurabilityWaiter::Digests {
-                    caller,
-                    partition,
-                    ranges,
-                    live_after_ms,
-                });
+                let waiter = DurabilityWaiter::Digests { caller, partition, ranges, live_after_ms };
+                self.wait_until_durable(waiter);
             }
             TransferRequest::Records { partition, ranges, requested, live_after_ms, after, .. } => {
                 let table = self.tables.entry(partition).or_default();
@@ -97,28 +90,20 @@
         }
     }
 
-    fn wait_until_durable(&mut self, waiter: DurabilityWaiter) {
-        if self.group_commit.is_paused() {
-            self.fail_waiter(waiter);
-        } else if let Some(waiter) = self.group_commit.wait(waiter) {
-            self.complete_waiter(waiter);
-        }
-    }
-
     /// What a waiter waited for is on disk.
     pub(crate) fn complete_waiter(&mut self, waiter: DurabilityWaiter) {
         match waiter {
             DurabilityWaiter::Write(id) => self.handle_write_durable(id),
             DurabilityWaiter::Replica(caller) => self.send_transfer_reply(caller, TransferReply::Written),
             DurabilityWaiter::Digests { caller, partition, ranges, live_after_ms } => {
-                let digests =
-                    self.tables.entry(partition).or_default().durable_digests(ranges, live_after_ms);
+                let table = self.tables.entry(partition).or_default();
+                let digests = table.durable_digests(ranges, live_after_ms);
                 self.send_transfer_reply(caller, TransferReply::Digests(digests));
             }
         }
     }
 
-    /// The disk has refused what a waiter waited for. Own writes wait for the next batch.
+    /// What a waiter waited for could not be written. A write of this store's own waits for the next batch.
     pub(crate) fn fail_waiter(&mut self, waiter: DurabilityWaiter) {
         match waiter {
             DurabilityWaiter::Write(id) => {
@@ -135,17 +120,4 @@
     pub(crate) fn send_transfer_reply(&mut self, caller: CallerId, reply: TransferReply) {
         self.commands.push(Command::SendTransferReply { caller, reply });
     }
-
-    /// The replicas whose confirmation every write of a partition needs: those in sync, and joining ones that
-    /// were found level, since the keepers may have put them in sync already.
-    pub(crate) fn confirming_replicas(&self, partition: PartitionId) -> BTreeSet<DiskId> {
-        let Some(assignment) = self.map.assignment(partition) else { return Default::default() };
-        let level =
-            self.led_partitions.get(&partition).into_iter().flat_map(|lead| lead.synchronized_replicas());
-        let joined = level.filter(|replica| assignment.joining.contains(replica));
-        let mut needed: BTreeSet<DiskId> = assignment.in_sync.iter().copied().collect();
-        needed.extend(joined);
-        needed.remove(&self.disk);
-        needed
-    }
 }
--- a/crates/sessions/src/write.rs
+++ b/crates/sessions/src/write.rs
@@ -1,4 +1,4 @@
-//! Writes of a primary: on the disks of all replicas that count before they are acknowledged.
+//! Writes of a primary: acknowledged when they are on the disks of all confirming replicas.
 
 use std::collections::BTreeSet;
 
@@ -13,49 +13,50 @@
 use crate::group_commit::{DurabilityWaiter, StoredRecordKey};
 use crate::limits::{REQUEST_TIMEOUT, RETRY_DELAY};
 use crate::statistics::UnavailableReason;
-use crate::store::{Store, Timer};
+use crate::store::Store;
+use crate::timers::Timer;
 
-/// Names a write.
+/// Identifies a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct WriteId(pub(crate) u64);
 
-/// A write that some replica has not confirmed. It is sent again until every replica that counts has
-/// confirmed it or this store leads the partition no more, also when nobody waits for it any longer: later
-/// turns may build on it.
+/// A write that some replica has not confirmed. It is sent again until every confirming replica has confirmed it or
+/// this store leads the partition no more, also when nobody waits for it any longer: later turns may build on it.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingWrite {
     pub(crate) partition: PartitionId,
     pub(crate) records: Vec<Record>,
-    /// On this store's own disk.
+    /// Whether it is on this store's own disk.
     pub(crate) is_durable: bool,
     pub(crate) confirmed_by: BTreeSet<DiskId>,
     pub(crate) in_flight_to: BTreeSet<DiskId>,
+    /// `None` when the caller got its reply.
     pub(crate) pending_reply: Option<PendingReply>,
 }
 
-/// An answer that waits for a write.
+/// A reply that waits for a write.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingReply {
     pub(crate) caller: CallerId,
     pub(crate) reply: SessionReply,
-    /// When it is answered that it cannot be done now.
+    /// When the reply becomes that the store is unavailable.
     pub(crate) times_out_at: Time,
 }
 
 impl Store {
-    /// Merges a record and has it written to the own disk.
+    /// Merges a record and has it written to this store's disk if that changed it.
     pub(crate) fn merge_record(&mut self, partition: PartitionId, record: &Record) {
         let moment = self.moment;
         let table = self.tables.entry(partition).or_default();
         table.merge(record, moment);
         let key = RecordKey { program: record.program.clone(), request: record.request.clone() };
-        if table.entry(&key).is_some_and(|held| held.durable_version < held.version) {
+        if table.entry(&key).is_some_and(|entry| entry.durable_version < entry.version) {
             self.group_commit.mark_dirty(StoredRecordKey { partition, key });
         }
         self.schedule_sweep();
     }
 
-    /// Writes records to all replicas of a partition that this store leads, then answers.
+    /// Writes records to all replicas of a partition that this store leads, then replies.
     pub(crate) fn start_write(
         &mut self, partition: PartitionId, records: Vec<Record>, caller: CallerId, reply: SessionReply,
     ) {
@@ -63,15 +64,15 @@
             self.merge_record(partition, record);
         }
         let id = WriteId(self.next_number());
-        let overdue_at = self.moment.now + REQUEST_TIMEOUT;
-        self.timers.insert((overdue_at, Timer::WriteTimeout(id)));
+        let times_out_at = self.moment.now + REQUEST_TIMEOUT;
+        self.timers.insert((times_out_at, Timer::WriteTimeout(id)));
         let write = PendingWrite {
             partition,
             records,
             is_durable: false,
             confirmed_by: BTreeSet::new(),
             in_flight_to: BTreeSet::new(),
-            pending_reply: Some(PendingReply { caller, reply, times_out_at: overdue_at }),
+            pending_reply: Some(PendingReply { caller, reply, times_out_at }),
         };
         self.pending_writes.insert(id, write);
         for replica in self.other_replicas(partition) {
@@ -82,13 +83,26 @@
         }
     }
 
-    /// All other replicas of a partition, joining ones too.
+    /// All other replicas of a partition, in sync or joining.
     fn other_replicas(&self, partition: PartitionId) -> Vec<DiskId> {
         let Some(assignment) = self.map.assignment(partition) else { return Vec::new() };
         let all: BTreeSet<DiskId> = assignment.in_sync.iter().chain(&assignment.joining).copied().collect();
         all.into_iter().filter(|replica| *replica != self.disk).collect()
     }
 
+    /// The other replicas whose confirmation every write of a partition needs: those in sync, and joining ones that
+    /// are synchronized, since the keepers may have put them in sync already.
+    pub(crate) fn confirming_replicas(&self, partition: PartitionId) -> BTreeSet<DiskId> {
+        let Some(assignment) = self.map.assignment(partition) else { return BTreeSet::new() };
+        let led = self.led_partitions.get(&partition);
+        let synchronized = led.into_iter().flat_map(|led| led.synchronized_replicas());
+        let joined = synchronized.filter(|replica| assignment.joining.contains(replica));
+        let mut confirming: BTreeSet<DiskId> = assignment.in_sync.iter().copied().collect();
+        confirming.extend(joined);
+        confirming.remove(&self.disk);
+        confirming
+    }
+
     fn send_write(&mut self, id: WriteId, replica: DiskId) {
         let Some(write) = self.pending_writes.get_mut(&id) else { return };
         if write.confirmed_by.contains(&replica) || !write.in_flight_to.insert(replica) {
@@ -96,115 +110,118 @@
         }
         let partition = write.partition;
         let records = write.records.clone();
-        let Some(epoch) = self.led_partitions.get(&partition).map(|lead| lead.epoch) else { return };
+        let Some(epoch) = self.led_partitions.get(&partition).map(|led| led.epoch) else { return };
         let request = TransferRequest::Write { partition, epoch, records };
         self.call_store(replica, request, CallPurpose::Write { write: id, replica });
     }
 
-    /// A replica has answered a write, or has not.
-    pub(crate) fn handle_write_reply(&mut self, id: WriteId, replica: DiskId, answer: Option<TransferReply>) {
+    /// Handles a replica's reply to a write; `None` if there was none.
+    pub(crate) fn handle_write_reply(&mut self, id: WriteId, replica: DiskId, reply: Option<TransferReply>) {
         let Some(write) = self.pending_writes.get_mut(&id) else { return };
         write.in_flight_to.remove(&replica);
-        if answer == Some(TransferReply::Written) {
+        if reply == Some(TransferReply::Written) {
             write.confirmed_by.insert(replica);
-            return self.complete_write_if_replicated(id);
+            return self.acknowledge_if_replicated(id);
         }
         let at = self.moment.now + RETRY_DELAY;
         self.timers.insert((at, Timer::ResendWrite(id, replica)));
     }
 
-    /// The pause after a failure is over.
+    /// Sends a write again after the delay that follows a failure.
     pub(crate) fn resend_write(&mut self, id: WriteId, replica: DiskId) {
         let Some(partition) = self.pending_writes.get(&id).map(|write| write.partition) else { return };
-        // A joining replica that is not level yet gets it with the rest.
+        // A joining replica that is not synchronized yet gets it with the other records.
         if self.confirming_replicas(partition).contains(&replica) {
             self.send_write(id, replica);
         }
     }
 
-    /// A write is on the own disk.
+    /// A write is on this store's disk.
     pub(crate) fn handle_write_durable(&mut self, id: WriteId) {
         let Some(write) = self.pending_writes.get_mut(&id) else { return };
         write.is_durable = true;
-        self.complete_write_if_replicated(id);
+        self.acknowledge_if_replicated(id);
     }
 
-    /// Acknowledges the write if every replica that counts has it.
-    pub(crate) fn complete_write_if_replicated(&mut self, id: WriteId) {
+    /// Acknowledges a write if it is on this store's disk and every confirming replica has it.
+    fn acknowledge_if_replicated(&mut self, id: WriteId) {
         let Some(write) = self.pending_writes.get(&id).filter(|write| write.is_durable) else { return };
-        let needed = self.confirming_replicas(write.partition);
-        if !needed.is_subset(&write.confirmed_by) {
+        let confirming = self.confirming_replicas(write.partition);
+        if !confirming.is_subset(&write.confirmed_by) {
             return;
         }
-        // Fewer copies than required: it stays until a map with more of them, or another primary.
-        if needed.len() + 1 + self.lost_replicas(write.partition) < self.limits.required_replicas {
+        // Too few replicas: it stays pending until a map names more of them, or another primary.
+        if confirming.len() + 1 + self.lost_replicas(write.partition) < self.limits.required_replicas {
             return;
         }
         let Some(write) = self.pending_writes.remove(&id) else { return };
-        self.check_acknowledgement(&write);
-        if let Some(answer) = write.pending_reply {
-            self.timers.remove(&(answer.times_out_at, Timer::WriteTimeout(id)));
-            self.commands.push(Command::SendSessionReply { caller: answer.caller, reply: answer.reply });
+        self.check_replication(&write);
+        if let Some(PendingReply { caller, reply, times_out_at }) = write.pending_reply {
+            self.timers.remove(&(times_out_at, Timer::WriteTimeout(id)));
+            self.commands.push(Command::SendSessionReply { caller, reply });
         }
     }
 
-    /// What is acknowledged is on the disk of every in-sync replica of the map in force, on this store's own, and on
-    /// as many as are required but for those known to be lost.
-    fn check_acknowledgement(&self, write: &PendingWrite) {
+    /// Checks that what is acknowledged is on the disk of every in-sync replica of the present map, on this store's
+    /// own, and on as many as are required but for those known to be lost.
+    fn check_replication(&self, write: &PendingWrite) {
         let partition = write.partition;
         let assignment = self.map.assignment(partition);
         let in_sync = assignment.map(|assignment| assignment.in_sync.as_slice()).unwrap_or_default();
-        let has = |disk: &DiskId| *disk == self.disk || write.confirmed_by.contains(disk);
-        // A joining replica that is level counts as a copy: the keepers may have put it in sync already.
+        let has_write = |disk: &DiskId| *disk == self.disk || write.confirmed_by.contains(disk);
+        // A joining replica that is synchronized counts too: the keepers may have put it in sync already.
         let copies = 1 + write.confirmed_by.len();
-        let enough = copies + self.lost_replicas(partition) >= self.limits.required_replicas;
-        let on_all = in_sync.iter().all(has) && in_sync.contains(&self.disk);
-        check(Invariant::AcknowledgedOnAllReplicas, on_all && enough && write.is_durable, || {
+        let is_enough = copies + self.lost_replicas(partition) >= self.limits.required_replicas;
+        let is_on_all = in_sync.iter().all(has_write) && in_sync.contains(&self.disk);
+        check(Invariant::AcknowledgedOnAllReplicas, is_on_all && is_enough && write.is_durable, || {
             let request = write.records.first().map(|record| &*record.request.0);
             format!("partition {}, request {request:?}, {copies} copies, in sync {in_sync:?}", partition.0)
         });
     }
 
-    /// The caller is told that it cannot be done now; the write goes on.
+    /// Replies that the store is unavailable; the write stays pending.
     pub(crate) fn write_timed_out(&mut self, id: WriteId) {
-        let answer = self.pending_writes.get_mut(&id).and_then(|write| write.pending_reply.take());
-        if let Some(answer) = answer {
-            self.send_unavailable(answer.caller, UnavailableReason::ReplicationTimedOut);
+        let pending_reply = self.pending_writes.get_mut(&id).and_then(|write| write.pending_reply.take());
+        if let Some(PendingReply { caller, .. }) = pending_reply {
+            self.send_unavailable(caller, UnavailableReason::ReplicationTimedOut);
         }
     }
 
-    /// Another map: writes need other replicas, which may lack them.
+    /// The map has changed: writes need other replicas, which may lack them.
     pub(crate) fn reevaluate_writes(&mut self, partition: PartitionId) {
         for id in self.writes_in_partition(partition) {
             for replica in self.other_replicas(partition) {
                 self.send_write(id, replica);
             }
-            self.complete_write_if_replicated(id);
+            self.acknowledge_if_replicated(id);
         }
     }
 
-    /// This store leads the partition no more.
+    /// Drops the writes of a partition that this store leads no more.
     pub(crate) fn abandon_writes(&mut self, partition: PartitionId) {
         for id in self.writes_in_partition(partition) {
-            if let Some(answer) = self.pending_writes.remove(&id).and_then(|write| write.pending_reply) {
-                self.timers.remove(&(answer.times_out_at, Timer::WriteTimeout(id)));
-                self.send_not_primary(answer.caller, partition);
+            let write = self.pending_writes.remove(&id);
+            if let Some(PendingReply { caller, times_out_at, .. }) =
+                write.and_then(|write| write.pending_reply)
+            {
+                self.timers.remove(&(times_out_at, Timer::WriteTimeout(id)));
+                self.send_not_primary(caller, partition);
             }
         }
     }
 
-    /// A replica was found level, so it holds all writes under way.
+    /// A replica has been synchronized, so it holds all pending writes of the partition.
     pub(crate) fn confirm_pending_writes(&mut self, partition: PartitionId, replica: DiskId) {
         for id in self.writes_in_partition(partition) {
             if let Some(write) = self.pending_writes.get_mut(&id) {
                 write.confirmed_by.insert(replica);
             }
-            self.complete_write_if_replicated(id);
+            self.acknowledge_if_replicated(id);
         }
     }
 
     fn writes_in_partition(&self, partition: PartitionId) -> Vec<WriteId> {
-        let of_partition = self.pending_writes.iter().filter(|(_, write)| write.partition == partition);
-        of_partition.map(|(id, _)| *id).collect()
+        let writes = self.pending_writes.iter().filter(|(_, write)| write.partition == partition);
+        writes.map(|(id, _)| *id).collect()
     }
 }
