--- a/crates/balancing/benches/choice.rs
+++ b/crates/balancing/benches/choice.rs
@@ -34,9 +34,9 @@
         excluded: Vec::new(),
         prompt: (1..=3).map(|id| PromptSection { id, tokens: 1_000 }).collect(),
         new_prompt_fraction: 0.2,
-        hint: None,
+        previous_endpoint: None,
         program: Some(ProgramId::from("p")),
-        time_out: Span::from_millis(5_000),
+        attempt_timeout: Span::from_millis(5_000),
     }
 }
 
@@ -49,7 +49,7 @@
                 let ask = turn();
                 let destination = ask.destination.clone();
                 if let Admission::Granted(id) = balancer.admit(NOW, black_box(ask), Span::ZERO) {
-                    balancer.end(NOW, &destination, &id, CallOutcome::Succeeded);
+                    balancer.end_call(NOW, &destination, &id, CallOutcome::Succeeded);
                 }
             });
         });
--- /dev/null
+++ b/crates/balancing/src/decaying_mean.rs
@@ -0,0 +1,30 @@
+//! A mean in which older samples lose weight.
+
+/// The number of samples that a mean represents: beyond it each new sample has the weight of one in so many, and a
+/// sample that is as many samples old has little more than a third of that.
+const WINDOW_SAMPLES: f64 = 64.0;
+
+/// A mean in which older samples lose weight. It starts with one sample of zero, so that the first real one does not
+/// count for all.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct DecayingMean {
+    samples: f64,
+    mean: f64,
+}
+
+impl Default for DecayingMean {
+    fn default() -> Self {
+        DecayingMean { samples: 1.0, mean: 0.0 }
+    }
+}
+
+impl DecayingMean {
+    pub(crate) fn add(&mut self, value: f64) {
+        self.samples = (self.samples + 1.0).min(WINDOW_SAMPLES);
+        self.mean += (value - self.mean) / self.samples;
+    }
+
+    pub(crate) fn get(&self) -> f64 {
+        self.mean
+    }
+}
--- a/crates/balancing/src/latency.rs
+++ b/crates/balancing/src/latency.rs
@@ -1,4 +1,4 @@
-//! How long tries of each destination last: the restart timer of the data plane.
+//! The time-outs of attempts, from the latencies of each destination: the restart timer of the data plane.
 
 use std::collections::HashMap;
 
@@ -7,42 +7,43 @@
 
 use crate::placement_request::Destination;
 
-/// The latencies of all destinations.
+/// The latency models of all destinations.
 #[derive(Debug, Default)]
 pub struct LatencyModels {
     models: HashMap<Destination, LatencyModel>,
 }
 
 impl LatencyModels {
-    /// Takes in how long a try lasted; censored if it was abandoned before its end.
-    pub fn record(&mut self, now: Time, destination: &Destination, lasted: Span, censored: bool) {
+    /// Records the duration of an attempt; censored if the attempt was abandoned before its end.
+    pub fn record(&mut self, now: Time, destination: &Destination, duration: Span, is_censored: bool) {
         match self.models.get_mut(destination) {
-            Some(model) => model.record(now, lasted, censored),
+            Some(model) => model.record(now, duration, is_censored),
             None => {
                 let model = self.models.entry(destination.clone()).or_default();
-                model.record(now, lasted, censored);
+                model.record(now, duration, is_censored);
             }
         }
     }
 
-    /// How long the next try may last, with `left` until the deadline and `tries_left` endpoints that may still
-    /// be sent to, this one included.
-    pub fn time_out(&self, destination: &Destination, left: Span, tries_left: u32) -> Span {
-        self.models.get(destination).map_or(left, |model| model.time_out(left, tries_left))
+    /// The time-out of the next attempt, with `remaining` until the deadline and `attempts_left` endpoints to which
+    /// the request may still be sent, this one included.
+    pub fn attempt_timeout(&self, destination: &Destination, remaining: Span, attempts_left: u32) -> Span {
+        self.models.get(destination).map_or(remaining, |model| model.time_out(remaining, attempts_left))
     }
 
-    /// The cutoff: whether the time left is no shorter than the fitted median.
-    pub fn has_time_for_attempt(&self, destination: &Destination, left: Span) -> bool {
-        left > Span::ZERO && self.models.get(destination).is_none_or(|model| model.worth_trying(left))
+    /// The cutoff: whether the remaining time is at least the fitted median.
+    pub fn has_time_for_attempt(&self, destination: &Destination, remaining: Span) -> bool {
+        remaining > Span::ZERO
+            && self.models.get(destination).is_none_or(|model| model.worth_trying(remaining))
     }
 
-    /// The fitted median; zero until enough calls are seen.
+    /// The fitted median; zero until there are enough samples.
     pub fn median(&self, destination: &Destination) -> Span {
         self.models.get(destination).map_or(Span::ZERO, LatencyModel::median)
     }
 
-    /// Forgets the destinations that are not wanted any more.
-    pub fn retain(&mut self, wanted: impl Fn(&Destination) -> bool) {
-        self.models.retain(|destination, _| wanted(destination));
+    /// Removes the models of destinations for which `exists` is false.
+    pub fn retain(&mut self, exists: impl Fn(&Destination) -> bool) {
+        self.models.retain(|destination, _| exists(destination));
     }
 }
--- a/crates/balancing/src/placement_request.rs
+++ b/crates/balancing/src/placement_request.rs
@@ -1,4 +1,4 @@
-//! What is asked of a balancer, and what it answers.
+//! What a balancer is asked for, and what it replies.
 
 use std::sync::Arc;
 
@@ -7,7 +7,8 @@
 
 use crate::prompt::PromptSection;
 
-/// Requests that are alike: those of one route that go to one service. LatencyModels and slot time are kept of each.
+/// A class of similar requests: those of one route that go to one service. Latencies and slot times are measured for
+/// each.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Destination {
     /// The service.
@@ -24,71 +25,71 @@
     }
 }
 
-/// A request that wants an endpoint.
+/// A request that needs an endpoint.
 #[derive(Clone, Debug)]
 pub struct PlacementRequest {
-    /// Where it belongs.
+    /// The class of the request.
     pub destination: Destination,
-    /// The rank of its route, 0 first.
+    /// The priority of the route; 0 is the most urgent.
     pub priority: u32,
-    /// Endpoints that have had it already.
+    /// Endpoints that have had the request already.
     pub excluded: Vec<InstanceId>,
-    /// The parts of its prompt in order; empty for plain requests.
+    /// The sections of the prompt in order; empty for plain requests.
     pub prompt: Vec<PromptSection>,
-    /// The share of the prompt that no turn before held, as far as it is known; 1 for a first turn.
+    /// The fraction of the prompt that was in no earlier turn, as far as is known; 1 for a first turn.
     pub new_prompt_fraction: f64,
-    /// The endpoint that ran the turn before.
-    pub hint: Option<InstanceId>,
-    /// The program that it belongs to.
+    /// The endpoint that ran the previous turn, according to the stores.
+    pub previous_endpoint: Option<InstanceId>,
+    /// The program to which the request belongs.
     pub program: Option<ProgramId>,
-    /// What it costs if the endpoint gives no good answer: the time-out of the try.
-    pub time_out: Span,
+    /// The time-out of the attempt, which is what it costs if the endpoint fails.
+    pub attempt_timeout: Span,
 }
 
-/// A place in the queue.
+/// Identifies a queued request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// The answer to an [`PlacementRequest`].
+/// The reply to a [`PlacementRequest`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It may be sent to this endpoint now; a slot is taken.
+    /// The request may be sent to this endpoint now; a slot is occupied.
     Granted(InstanceId),
-    /// All endpoints are full: it waits for a [`Grant`].
+    /// All endpoints are full: the request waits for a [`Grant`].
     Queued(Ticket),
-    /// It does not go.
+    /// The request cannot be placed.
     Rejected(RejectionReason),
 }
 
-/// Why a request does not go.
+/// Why a request cannot be placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionReason {
     /// No endpoint is ready that has not had the request already.
     NoEndpoint,
-    /// Too many wait already.
+    /// Too many requests are queued.
     QueueFull,
 }
 
-/// A waiting request may go: a slot at the endpoint is taken for it.
+/// A queued request may be sent: a slot at the endpoint is occupied for it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// Whose turn it is.
+    /// The queued request.
     pub ticket: Ticket,
-    /// Where it belongs.
+    /// The class of the request.
     pub destination: Destination,
-    /// The endpoint; `None` if there is no endpoint left for it.
+    /// The endpoint; `None` if none is left that could serve the request.
     pub endpoint: Option<InstanceId>,
 }
 
 /// What is known of a ready endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointInfo {
-    /// Its life.
+    /// The incarnation of the endpoint.
     pub id: InstanceId,
-    /// Its service.
+    /// The service.
     pub service: ServiceName,
-    /// Its zone.
+    /// The zone.
     pub zone: Arc<str>,
-    /// Requests that it works on at a time.
+    /// Requests that the endpoint runs at a time.
     pub capacity: u32,
 }
--- a/crates/balancing/src/queue.rs
+++ b/crates/balancing/src/queue.rs
@@ -1,4 +1,4 @@
-//! Requests of one service that wait for a slot.
+//! The requests for one service that wait for a slot.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,10 +7,10 @@
 
 use crate::placement_request::{Destination, PlacementRequest, Ticket};
 
-/// A call that lasts longer than this and its usual time counts as stuck: no more slot time adds up.
-const STUCK_AFTER: Span = Span::from_millis(1_000);
+/// A call that takes longer than its expected duration and this counts as stuck: its slot time does not grow any more.
+const STUCK_CALL_ALLOWANCE: Span = Span::from_millis(1_000);
 
-/// The waiting requests, by rank and destination, and the slot time of the destinations.
+/// The queued requests by priority and destination, and the slot times of the destinations.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
     slot_times: SlotTimes<Destination>,
@@ -23,52 +23,55 @@
         self.length
     }
 
-    pub(crate) fn push(&mut self, ticket: Ticket, ask: PlacementRequest) {
-        let rank = self.waiting.entry(ask.priority).or_default();
-        rank.entry(ask.destination.clone()).or_default().push_back((ticket, ask));
+    pub(crate) fn push(&mut self, ticket: Ticket, request: PlacementRequest) {
+        let by_destination = self.waiting.entry(request.priority).or_default();
+        by_destination.entry(request.destination.clone()).or_default().push_back((ticket, request));
         self.length += 1;
     }
 
-    /// Takes a request out; `None` if it does not wait.
+    /// Removes a request; `None` if it is not queued.
     pub(crate) fn remove(&mut self, ticket: Ticket) -> Option<PlacementRequest> {
-        let mut found = None;
-        for rank in self.waiting.values_mut() {
-            for line in rank.values_mut() {
-                if let Some(place) = line.iter().position(|(held, _)| *held == ticket) {
-                    found = line.remove(place).map(|(_, ask)| ask);
+        let mut removed = None;
+        for by_destination in self.waiting.values_mut() {
+            for requests in by_destination.values_mut() {
+                if let Some(index) = requests.iter().position(|(queued, _)| *queued == ticket) {
+                    removed = requests.remove(index).map(|(_, request)| request);
                 }
             }
-            rank.retain(|_, line| !line.is_empty());
+            by_destination.retain(|_, requests| !requests.is_empty());
         }
-        self.waiting.retain(|_, rank| !rank.is_empty());
-        self.length -= usize::from(found.is_some());
-        found
+        self.waiting.retain(|_, by_destination| !by_destination.is_empty());
+        self.length -= usize::from(removed.is_some());
+        removed
     }
 
-    /// Requests in the order in which a freed slot goes to them: the most urgent rank first, within it the
-    /// destination with the least recent slot time, within it the first that came. One of each destination.
-    pub(crate) fn order(&self, now: Time) -> Vec<(Ticket, &PlacementRequest)> {
-        let mut heads = Vec::new();
-        for rank in self.waiting.values() {
-            let mut destinations: Vec<_> = rank.iter().collect();
-            destinations.sort_by_key(|(key, _)| (self.slot_times.spent(now, key, STUCK_AFTER), *key));
-            let first = destinations.into_iter().filter_map(|(_, line)| line.front());
-            heads.extend(first.map(|(ticket, ask)| (*ticket, ask)));
+    /// The first request of each destination, in the order in which they get free slots: the most urgent priority
+    /// first, within it the destination with the least recent slot time.
+    pub(crate) fn next_by_destination(&self, now: Time) -> Vec<(Ticket, &PlacementRequest)> {
+        let mut next = Vec::new();
+        for by_destination in self.waiting.values() {
+            let mut destinations: Vec<_> = by_destination.iter().collect();
+            destinations
+                .sort_by_key(|(key, _)| (self.slot_times.spent(now, key, STUCK_CALL_ALLOWANCE), *key));
+            let first = destinations.into_iter().filter_map(|(_, requests)| requests.front());
+            next.extend(first.map(|(ticket, request)| (*ticket, request)));
         }
-        heads
+        next
     }
 
-    /// All that wait.
-    pub(crate) fn all(&self) -> impl Iterator<Item = (Ticket, &PlacementRequest)> {
-        let lines = self.waiting.values().flat_map(BTreeMap::values);
-        lines.flatten().map(|(ticket, ask)| (*ticket, ask))
+    /// All queued requests.
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (Ticket, &PlacementRequest)> {
+        let requests = self.waiting.values().flat_map(BTreeMap::values);
+        requests.flatten().map(|(ticket, request)| (*ticket, request))
     }
 
-    pub(crate) fn begin(&mut self, now: Time, destination: &Destination, usual: Span) {
-        self.slot_times.begin(now, destination.clone(), usual);
+    /// Records the start of a call, whose slot time counts for its destination.
+    pub(crate) fn begin_call(&mut self, now: Time, destination: &Destination, expected_duration: Span) {
+        self.slot_times.begin(now, destination.clone(), expected_duration);
     }
 
-    pub(crate) fn end(&mut self, now: Time, destination: &Destination) {
+    /// Records the end of a call.
+    pub(crate) fn end_call(&mut self, now: Time, destination: &Destination) {
         self.slot_times.end(now, destination);
     }
 }
--- a/crates/balancing/src/service_time.rs
+++ b/crates/balancing/src/service_time.rs
@@ -1,107 +1,87 @@
-//! What calls to the endpoints of a service take, measured on the calls of this relay.
+//! How long calls to the endpoints of a service take, measured on the calls of this relay.
 
 use juniperwing_clock::Span;
 
-/// Samples that a mean goes by: from then on each new one counts for this share, and a sample that is as many older
-/// counts for little more than a third of it.
-const WINDOW: f64 = 64.0;
-/// What a call is taken to last before the first one has ended. Any figure above zero gives the same order of endpoints
-/// then, for load is all that is known.
-const UNMEASURED: Span = Span::from_millis(100);
+use crate::decaying_mean::DecayingMean;
 
-/// A mean in which older samples fade. It begins with one sample of zero, so that the first real one does not stand for
-/// all others.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct AgedMean {
-    weight: f64,
-    mean: f64,
-}
-
-impl Default for AgedMean {
-    fn default() -> Self {
-        AgedMean { weight: 1.0, mean: 0.0 }
-    }
-}
-
-impl AgedMean {
-    pub(crate) fn add(&mut self, value: f64) {
-        self.weight = (self.weight + 1.0).min(WINDOW);
-        self.mean += (value - self.mean) / self.weight;
-    }
-
-    pub(crate) fn get(&self) -> f64 {
-        self.mean
-    }
-}
+/// The duration of a call that is assumed before the first one has ended. Any figure above zero gives the same order of
+/// endpoints then, because their load is all that is known.
+const ASSUMED_CALL_DURATION: Span = Span::from_millis(100);
 
-/// The time that a service's calls take.
+/// Measures the times of a service's calls: how long a call occupies its slot, and, by a linear regression of the time
+/// to the first event over the tokens that are not in the prefix cache, how long the prefill of a token takes.
 #[derive(Debug, Default)]
 pub(crate) struct ServiceTime {
-    /// Seconds that a call holds its slot.
-    held: AgedMean,
-    unread: AgedMean,
-    to_first_event: AgedMean,
-    unread_squared: AgedMean,
-    product: AgedMean,
+    /// Seconds for which a call occupies its slot.
+    slot_secs: DecayingMean,
+    /// Tokens of a prompt that are not in the prefix cache.
+    uncached_tokens: DecayingMean,
+    first_event_secs: DecayingMean,
+    uncached_tokens_squared: DecayingMean,
+    /// Uncached tokens times seconds to the first event.
+    product: DecayingMean,
 }
 
 impl ServiceTime {
-    /// A call has held its slot for so long.
-    pub(crate) fn record_held(&mut self, held: Span) {
-        self.held.add(held.as_secs_f64());
+    /// Records for how long a call occupied its slot.
+    pub(crate) fn record_slot_time(&mut self, slot_time: Span) {
+        self.slot_secs.add(slot_time.as_secs_f64());
     }
 
-    /// A call with so many tokens of its prompt to be read began to answer after so long.
-    pub(crate) fn record_first_event(&mut self, unread_tokens: f64, lasted: Span) {
-        self.unread.add(unread_tokens);
-        self.to_first_event.add(lasted.as_secs_f64());
-        self.unread_squared.add(unread_tokens * unread_tokens);
-        self.product.add(unread_tokens * lasted.as_secs_f64());
+    /// Records the time to the first event of a call, and the tokens of its prompt that were not in the prefix cache.
+    pub(crate) fn record_first_event(&mut self, uncached_tokens: f64, elapsed: Span) {
+        self.uncached_tokens.add(uncached_tokens);
+        self.first_event_secs.add(elapsed.as_secs_f64());
+        self.uncached_tokens_squared.add(uncached_tokens * uncached_tokens);
+        self.product.add(uncached_tokens * elapsed.as_secs_f64());
     }
 
-    /// What is expected of the next call, with or without a prompt, at endpoints of so many slots.
-    pub(crate) fn expected(&self, has_prompt: bool, slots: f64) -> ExpectedTime {
-        let held = if self.held.get() > 0.0 { self.held.get() } else { UNMEASURED.as_secs_f64() };
-        let per_token = self.reading_secs_per_token();
-        let reading = per_token * self.unread.get();
-        let per_call = if has_prompt && reading > 0.0 { reading } else { held / slots.max(1.0) };
-        ExpectedTime { held, per_token, per_call }
+    /// What is expected of the next call, with or without a prompt, at endpoints of `slots` slots on average.
+    pub(crate) fn expect(&self, has_prompt: bool, slots: f64) -> ExpectedTime {
+        let measured = self.slot_secs.get();
+        let slot_secs = if measured > 0.0 { measured } else { ASSUMED_CALL_DURATION.as_secs_f64() };
+        let prefill_secs_per_token = self.prefill_secs_per_token();
+        let prefill_secs = prefill_secs_per_token * self.uncached_tokens.get();
+        let has_prefill = has_prompt && prefill_secs > 0.0;
+        let delay_per_call = if has_prefill { prefill_secs } else { slot_secs / slots.max(1.0) };
+        ExpectedTime { slot_secs, prefill_secs_per_token, delay_per_call }
     }
 
-    /// Seconds by which each unread token delays the first event: the slope of a line through what was seen. It lies
-    /// between nothing and all of the time. Zero before there are samples that differ.
-    fn reading_secs_per_token(&self) -> f64 {
-        let (unread, lasted) = (self.unread.get(), self.to_first_event.get());
-        let variance = self.unread_squared.get() - unread * unread;
-        if unread <= 0.0 || variance <= 0.0 {
+    /// Seconds by which each uncached token delays the first event: the slope of the regression line. It is bounded by
+    /// zero and by the whole time, and zero as long as all samples are alike.
+    fn prefill_secs_per_token(&self) -> f64 {
+        let (tokens, secs) = (self.uncached_tokens.get(), self.first_event_secs.get());
+        let variance = self.uncached_tokens_squared.get() - tokens * tokens;
+        if tokens <= 0.0 || variance <= 0.0 {
             return 0.0;
         }
-        let covariance = self.product.get() - unread * lasted;
-        (covariance / variance).clamp(0.0, lasted / unread)
+        let covariance = self.product.get() - tokens * secs;
+        (covariance / variance).clamp(0.0, secs / tokens)
     }
 }
 
-/// The time that calls of a service take, in seconds.
+/// The expected times of a service's calls, in seconds.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ExpectedTime {
-    /// That a call holds its slot.
-    held: f64,
-    /// That reading one token of a prompt takes.
-    per_token: f64,
-    /// By which a call at an endpoint delays each other call there: the endpoint reads its prompt between the tokens of
-    /// the others; calls without prompts share the endpoint's speed.
-    pub(crate) per_call: f64,
+    /// For which a call occupies its slot.
+    slot_secs: f64,
+    /// That the prefill of a token takes.
+    prefill_secs_per_token: f64,
+    /// By which a call at an endpoint delays each other call there: the prefill of its prompt comes between the decode
+    /// steps of the others; calls without prompts share the endpoint's speed.
+    pub(crate) delay_per_call: f64,
 }
 
 impl ExpectedTime {
-    /// By how much one more call at an endpoint makes calls longer, itself included: it shares the endpoint with `load`
-    /// others and waits while they hold all `slots`; and its `unread` tokens are read while it and as many as are usually
-    /// there, `usual_load`, wait. What an endpoint reads it reads for longer than a load that was told holds.
-    pub(crate) fn added_secs(&self, load: f64, slots: u32, unread: f64, usual_load: f64) -> f64 {
+    /// The seconds by which one more call at an endpoint makes calls longer, itself included. The call shares the
+    /// endpoint with `load` others and waits while they occupy all `slots`; and while its `uncached_tokens` are
+    /// prefilled, it and as many calls as usual, `usual_load`, wait. The usual load is taken there, not the present
+    /// one, because what is prefilled serves for longer than a reported load is valid.
+    pub(crate) fn added_secs(&self, load: f64, slots: u32, uncached_tokens: f64, usual_load: f64) -> f64 {
         let slots = f64::from(slots);
-        let sharing = self.per_call * load;
-        let waiting = self.held * (load + 1.0 - slots).max(0.0) / slots;
-        let reading = self.per_token * unread * (1.0 + usual_load);
-        sharing + waiting + reading
+        let sharing = self.delay_per_call * load;
+        let waiting = self.slot_secs * (load + 1.0 - slots).max(0.0) / slots;
+        let prefill = self.prefill_secs_per_token * uncached_tokens * (1.0 + usual_load);
+        sharing + waiting + prefill
     }
 }
--- /dev/null
+++ b/crates/balancing/src/shared_sections.rs
@@ -0,0 +1,69 @@
+//! Estimates which sections of prompts other relays send as well.
+
+use std::collections::HashMap;
+
+use juniperwing_protocol::identity::ProgramId;
+
+use crate::prefix_cache::CacheableSection;
+use crate::prompt::PromptSection;
+
+/// The number of sections that are remembered.
+const MAX_SECTIONS: usize = 2_048;
+
+/// How many programs have sent each section through this relay lately.
+#[derive(Debug, Default)]
+pub(crate) struct SharedSections {
+    senders: HashMap<u64, Senders>,
+}
+
+#[derive(Debug)]
+struct Senders {
+    /// The last program that sent the section.
+    last: ProgramId,
+    /// How often the program changed.
+    changes: u32,
+}
+
+impl SharedSections {
+    /// Records that a program has sent a prompt.
+    pub(crate) fn record(&mut self, program: &ProgramId, prompt: &[PromptSection]) {
+        for section in prompt {
+            match self.senders.get_mut(&section.id) {
+                Some(senders) if senders.last == *program => {}
+                Some(senders) => {
+                    senders.last = program.clone();
+                    senders.changes = senders.changes.saturating_add(1);
+                }
+                None => {
+                    self.senders.insert(section.id, Senders { last: program.clone(), changes: 0 });
+                }
+            }
+        }
+        self.bound();
+    }
+
+    /// Forgets sections of a single program if there are too many sections, then all.
+    fn bound(&mut self) {
+        if self.senders.len() > MAX_SECTIONS {
+            self.senders.retain(|_, senders| senders.changes > 0);
+        }
+        if self.senders.len() > MAX_SECTIONS {
+            self.senders.clear();
+        }
+    }
+
+    /// The sections of a prompt, each with the probability that an endpoint has cached it for other relays. They send a
+    /// shared section as often as this relay does, in proportion to their calls: `others_per_own_call` is the number of
+    /// their calls that one endpoint gets for each call of this relay, to whichever endpoint. A section that only one
+    /// program has sent belongs to that program alone.
+    pub(crate) fn cacheable(
+        &self, prompt: &[PromptSection], others_per_own_call: f64,
+    ) -> Vec<CacheableSection> {
+        let cacheable = |section: &PromptSection| {
+            let changes = self.senders.get(&section.id).map_or(0, |senders| senders.changes);
+            let cached_for_others = 1.0 - (-f64::from(changes) * others_per_own_call).exp();
+            CacheableSection { section: *section, cached_for_others }
+        };
+        prompt.iter().map(cacheable).collect()
+    }
+}
--- a/crates/balancing/tests/balancing.rs
+++ b/crates/balancing/tests/balancing.rs
@@ -42,9 +42,9 @@
 #[test]
 fn a_told_load_counts_and_fades() {
     let mut balancer = balancer(&[("far", "b", 4), ("near", "a", 4)]);
-    balancer.tell(at(0), &"near".into(), ServerLoad { running: 4, waiting: 1, slots: 4 });
+    balancer.record_load(at(0), &"near".into(), ServerLoad { running: 4, waiting: 1, slots: 4 });
     assert_eq!(goes_to(&mut balancer, at(1), ask("/", 0)), "far".into());
-    balancer.end(at(2), &destination("/"), &"far".into(), CallOutcome::Succeeded);
+    balancer.end_call(at(2), &destination("/"), &"far".into(), CallOutcome::Succeeded);
     assert_eq!(goes_to(&mut balancer, at(5_000), ask("/", 0)), "near".into());
 }
 
@@ -52,7 +52,7 @@
 fn an_endpoint_that_failed_is_set_aside_and_used_where_there_is_no_other() {
     let mut balancer = balancer(&[("far", "b", 4), ("near", "a", 4)]);
     let near = goes_to(&mut balancer, at(0), ask("/", 0));
-    balancer.end(at(1), &destination("/"), &near, CallOutcome::Failed);
+    balancer.end_call(at(1), &destination("/"), &near, CallOutcome::Failed);
     assert_eq!(goes_to(&mut balancer, at(2), ask("/", 0)), "far".into());
     balancer.remove(&"far".into());
     assert_eq!(goes_to(&mut balancer, at(3), ask("/", 0)), near);
@@ -75,11 +75,11 @@
     let Admission::Queued(busy) = balancer.admit(at(1), ask("/busy/", 1), USUAL) else { panic!() };
     let Admission::Queued(idle) = balancer.admit(at(2), ask("/idle/", 1), USUAL) else { panic!() };
     let Admission::Queued(urgent) = balancer.admit(at(3), ask("/urgent/", 0), USUAL) else { panic!() };
-    assert!(balancer.release(at(4), &"s".into()).is_empty());
+    assert!(balancer.grant_slots(at(4), &"s".into()).is_empty());
     let mut order = Vec::new();
     for step in 0..3 {
-        balancer.end(at(10 + step), &destination("/busy/"), &taken[0], CallOutcome::Succeeded);
-        order.extend(balancer.release(at(10 + step), &"s".into()).into_iter().map(|grant| grant.ticket));
+        balancer.end_call(at(10 + step), &destination("/busy/"), &taken[0], CallOutcome::Succeeded);
+        order.extend(balancer.grant_slots(at(10 + step), &"s".into()).into_iter().map(|grant| grant.ticket));
     }
     assert_eq!(order, [urgent, idle, busy]);
 }
@@ -101,7 +101,7 @@
     fill(&mut balancer, "/");
     assert!(matches!(balancer.admit(at(0), ask("/", 0), USUAL), Admission::Queued(_)));
     balancer.remove(&"one".into());
-    let grants = balancer.release(at(1), &"s".into());
+    let grants = balancer.grant_slots(at(1), &"s".into());
     assert_eq!((grants.len(), grants[0].endpoint.clone()), (1, None));
 }
 
@@ -112,17 +112,17 @@
     let mut balancer = balancer(&endpoints);
     let turn = |program: &str, prompt: &str| PlacementRequest {
         program: Some(ProgramId::from(program)),
-        prompt: PromptSection::list(prompt),
+        prompt: PromptSection::parse_list(prompt),
         ..ask("/", 0)
     };
     // Reading is measured to be quick: a prompt of this length costs less than a line.
-    balancer.answered(&turn("z", "ee:100000"), &"i-0".into(), USUAL);
+    balancer.record_first_response(&turn("z", "ee:100000"), &"i-0".into(), USUAL);
     let first = goes_to(&mut balancer, at(0), turn("p", "aa:100,bb:50"));
-    balancer.answered(&turn("p", "aa:100,bb:50"), &first, USUAL);
-    balancer.end(at(1), &destination("/"), &first, CallOutcome::Succeeded);
+    balancer.record_first_response(&turn("p", "aa:100,bb:50"), &first, USUAL);
+    balancer.end_call(at(1), &destination("/"), &first, CallOutcome::Succeeded);
     assert_eq!(goes_to(&mut balancer, at(1), turn("p", "aa:100,bb:50,cc:20")), first);
     let loaded = ServerLoad { running: 10, waiting: 0, slots: 10 };
-    balancer.tell(at(2), &first, loaded);
+    balancer.record_load(at(2), &first, loaded);
     assert_ne!(goes_to(&mut balancer, at(3), turn("p", "aa:100,bb:50,cc:20")), first);
 }
 
@@ -131,12 +131,16 @@
     let mut balancer = balancer(&[("one", "a", 10), ("two", "a", 10), ("three", "a", 10)]);
     let turn = |prompt: &str| PlacementRequest {
         program: Some(ProgramId::from("p")),
-        prompt: PromptSection::list(prompt),
+        prompt: PromptSection::parse_list(prompt),
         ..ask("/", 0)
     };
-    balancer.answered(&turn("ee:1000"), &"two".into(), USUAL);
+    balancer.record_first_response(&turn("ee:1000"), &"two".into(), USUAL);
     let hint = goes_to(&mut balancer, at(0), ask("/", 0));
-    let hinted = PlacementRequest { hint: Some(hint.clone()), new_prompt_fraction: 0.1, ..turn("dd:5000") };
+    let hinted = PlacementRequest {
+        previous_endpoint: Some(hint.clone()),
+        new_prompt_fraction: 0.1,
+        ..turn("dd:5000")
+    };
     assert_eq!(goes_to(&mut balancer, at(4), hinted), hint);
 }
 
@@ -144,13 +148,13 @@
 fn the_restart_timer_warms_up_restarts_and_cuts_off() {
     let mut latencies = LatencyModels::default();
     let left = Span::from_millis(1_000);
-    assert_eq!(latencies.time_out(&destination("/"), left, 3), left);
+    assert_eq!(latencies.attempt_timeout(&destination("/"), left, 3), left);
     assert!(latencies.has_time_for_attempt(&destination("/"), Span::from_millis(1)));
     for step in 0..10 {
         latencies.record(at(step), &destination("/"), Span::from_millis(50), false);
     }
-    assert!(latencies.time_out(&destination("/"), left, 3) < left);
-    assert_eq!(latencies.time_out(&destination("/"), left, 1), left);
+    assert!(latencies.attempt_timeout(&destination("/"), left, 3) < left);
+    assert_eq!(latencies.attempt_timeout(&destination("/"), left, 1), left);
     assert!(!latencies.has_time_for_attempt(&destination("/"), Span::from_millis(20)));
     assert!(latencies.has_time_for_attempt(&destination("/"), Span::from_millis(200)));
     latencies.retain(|_| false);
@@ -159,10 +163,10 @@
 
 #[test]
 fn parts_and_loads_are_read_or_passed_over() {
-    assert_eq!(PromptSection::list("5c1e07a2:800,91:41").len(), 2);
-    assert_eq!(PromptSection::list("5c:8,rubbish,7:7").len(), 1);
-    assert_eq!(ServerLoad::read("3,0,8"), Some(ServerLoad { running: 3, waiting: 0, slots: 8 }));
-    assert_eq!(ServerLoad::read("3,0"), None);
+    assert_eq!(PromptSection::parse_list("5c1e07a2:800,91:41").len(), 2);
+    assert_eq!(PromptSection::parse_list("5c:8,rubbish,7:7").len(), 1);
+    assert_eq!(ServerLoad::parse("3,0,8"), Some(ServerLoad { running: 3, waiting: 0, slots: 8 }));
+    assert_eq!(ServerLoad::parse("3,0"), None);
 }
 
 proptest! {
@@ -181,9 +185,9 @@
                     Admission::Rejected(_) => {}
                 }
             } else if let Some(id) = open.pop() {
-                balancer.end(now, &destination("/"), &id, CallOutcome::Succeeded);
+                balancer.end_call(now, &destination("/"), &id, CallOutcome::Succeeded);
             }
-            for grant in balancer.release(now, &"s".into()) {
+            for grant in balancer.grant_slots(now, &"s".into()) {
                 waiting -= 1;
                 open.extend(grant.endpoint);
             }
@@ -206,7 +210,7 @@
             let grey = id == InstanceId::from("grey");
             to_grey += u32::from(grey);
             let fails = grey && to_grey % 2 == 1;
-            balancer.end(now, &destination("/"), &id, if fails { bad } else { CallOutcome::Succeeded });
+            balancer.end_call(now, &destination("/"), &id, if fails { bad } else { CallOutcome::Succeeded });
         }
         assert!(to_grey < 10, "{bad:?}: {to_grey} of 40 calls");
     }
@@ -216,8 +220,8 @@
 fn an_endpoint_that_failed_is_tried_again_after_a_while() {
     let mut balancer = balancer(&[("near", "a", 4), ("far", "b", 4)]);
     let first = goes_to(&mut balancer, at(0), ask("/", 0));
-    balancer.end(at(0), &destination("/"), &first, CallOutcome::ServerError);
+    balancer.end_call(at(0), &destination("/"), &first, CallOutcome::ServerError);
     assert_eq!(goes_to(&mut balancer, at(100), ask("/", 0)), "far".into());
-    balancer.end(at(100), &destination("/"), &"far".into(), CallOutcome::Succeeded);
+    balancer.end_call(at(100), &destination("/"), &"far".into(), CallOutcome::Succeeded);
     assert_eq!(goes_to(&mut balancer, at(10_000), ask("/", 0)), first);
 }
--- a/crates/balancing/tests/common/mod.rs
+++ b/crates/balancing/tests/common/mod.rs
@@ -41,9 +41,9 @@
         excluded: Vec::new(),
         prompt: Vec::new(),
         new_prompt_fraction: 1.0,
-        hint: None,
+        previous_endpoint: None,
         program: None,
-        time_out: Span::from_millis(1_000),
+        attempt_timeout: Span::from_millis(1_000),
     }
 }
 
--- a/crates/balancing/tests/placement.rs
+++ b/crates/balancing/tests/placement.rs
@@ -34,8 +34,8 @@
         let ask = turn("measured", &[(u64::from(tokens), tokens)]);
         let endpoint = goes_to(balancer, at(0), ask.clone());
         let lasted = Span::from_nanos(u64::from(tokens) * micros_per_token * 1_000);
-        balancer.answered(&ask, &endpoint, lasted);
-        balancer.end(at(300), &destination("/"), &endpoint, CallOutcome::Succeeded);
+        balancer.record_first_response(&ask, &endpoint, lasted);
+        balancer.end_call(at(300), &destination("/"), &endpoint, CallOutcome::Succeeded);
     }
 }
 
@@ -45,9 +45,9 @@
     measured(&mut balancer, 26);
     let first = turn("p", &[(1, 100), (2, history)]);
     let endpoint = goes_to(&mut balancer, at(400), first.clone());
-    balancer.answered(&first, &endpoint, Span::from_millis(u64::from(history) * 26 / 1_000));
-    balancer.end(at(700), &destination("/"), &endpoint, CallOutcome::Succeeded);
-    balancer.tell(at(800), &endpoint, ServerLoad { running: load, waiting: 0, slots: SLOTS });
+    balancer.record_first_response(&first, &endpoint, Span::from_millis(u64::from(history) * 26 / 1_000));
+    balancer.end_call(at(700), &destination("/"), &endpoint, CallOutcome::Succeeded);
+    balancer.record_load(at(800), &endpoint, ServerLoad { running: load, waiting: 0, slots: SLOTS });
     goes_to(&mut balancer, at(801), turn("p", &[(1, 100), (2, history + 50)])) == endpoint
 }
 
@@ -61,12 +61,12 @@
     ) {
         let mut balancer = balancer(8, 3);
         for (step, (number, running, waiting, slots)) in loads.into_iter().enumerate() {
-            balancer.tell(at(step as u64), &id(number), ServerLoad { running, waiting, slots });
+            balancer.record_load(at(step as u64), &id(number), ServerLoad { running, waiting, slots });
         }
         removed.iter().for_each(|number| balancer.remove(&id(*number)));
         let excluded: Vec<_> = excluded.into_iter().map(id).collect();
         for ask in [turn("p", &[(1, tokens), (2, 10)]), ask("/", 0)] {
-            let ask = PlacementRequest { excluded: excluded.clone(), hint: Some(id(0)), ..ask };
+            let ask = PlacementRequest { excluded: excluded.clone(), previous_endpoint: Some(id(0)), ..ask };
             if let Admission::Granted(endpoint) = balancer.admit(at(100), ask, USUAL) {
                 prop_assert!(balancer.is_ready(&endpoint));
                 prop_assert!(!excluded.contains(&endpoint));
@@ -80,13 +80,13 @@
         let mut balancer = balancer(endpoints, seed);
         if told {
             let load = ServerLoad { running: 3, waiting: 0, slots: SLOTS };
-            (0..endpoints).for_each(|number| balancer.tell(at(0), &id(number), load));
+            (0..endpoints).for_each(|number| balancer.record_load(at(0), &id(number), load));
         }
         let mut counts = BTreeMap::new();
         for number in 0..endpoints * rounds {
             let now = at(10_000 + 50 * number as u64);
             let endpoint = goes_to(&mut balancer, now, turn(&format!("p-{number}"), &[(1, 500)]));
-            balancer.end(now + Span::from_millis(40), &destination("/"), &endpoint, CallOutcome::Succeeded);
+            balancer.end_call(now + Span::from_millis(40), &destination("/"), &endpoint, CallOutcome::Succeeded);
             *counts.entry(endpoint).or_insert(0) += 1;
         }
         prop_assert!(counts.len() == endpoints && counts.values().all(|count| *count == rounds), "{counts:?}");
@@ -96,8 +96,8 @@
     #[test]
     fn loads_that_lie_leave_a_choice(running in any::<u32>(), waiting in any::<u32>(), slots in any::<u32>(), new_prompt_fraction in any::<f64>()) {
         let mut balancer = balancer(3, 1);
-        balancer.tell(at(0), &id(0), ServerLoad { running, waiting, slots });
-        let ask = PlacementRequest { new_prompt_fraction, hint: Some(id(0)), ..turn("p", &[(1, u32::MAX), (2, u32::MAX)]) };
+        balancer.record_load(at(0), &id(0), ServerLoad { running, waiting, slots });
+        let ask = PlacementRequest { new_prompt_fraction, previous_endpoint: Some(id(0)), ..turn("p", &[(1, u32::MAX), (2, u32::MAX)]) };
         prop_assert!(matches!(balancer.admit(at(1), ask, USUAL), Admission::Granted(_)));
     }
 
@@ -128,9 +128,9 @@
         let ask = turn(&format!("p-{number}"), &[(1, 2_560), (100 + number, 300)]);
         let now = at(1_000 + 200 * number);
         let endpoint = goes_to(&mut balancer, now, ask.clone());
-        balancer.tell(now, &endpoint, ServerLoad { running: 4, waiting: 0, slots: SLOTS });
-        balancer.answered(&ask, &endpoint, Span::from_millis(74));
-        balancer.end(now + Span::from_millis(150), &destination("/"), &endpoint, CallOutcome::Succeeded);
+        balancer.record_load(now, &endpoint, ServerLoad { running: 4, waiting: 0, slots: SLOTS });
+        balancer.record_first_response(&ask, &endpoint, Span::from_millis(74));
+        balancer.end_call(now + Span::from_millis(150), &destination("/"), &endpoint, CallOutcome::Succeeded);
         *endpoints.entry(endpoint).or_insert(0) += 1;
     }
     assert!(endpoints.len() >= 15, "{endpoints:?}");
--- a/crates/node/src/relay/attempt.rs
+++ b/crates/node/src/relay/attempt.rs
@@ -1,108 +1,96 @@
-//! One try of a request at one endpoint.
+//! One attempt of a request at one endpoint.
 
 use std::collections::VecDeque;
 
 use bytes::Bytes;
 use http::header::{CONTENT_ENCODING, CONTENT_LENGTH, TRANSFER_ENCODING};
-use http::{HeaderMap, Method, Request, StatusCode, Version, response};
+use http::{Method, Request, StatusCode, Version, response};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use juniperwing_balancing::ServerLoad;
 use juniperwing_protocol::headers;
 
-use super::RelayState;
 use super::attempt_outcome::{AttemptFailure, FailureCause};
 use super::dispatcher::Slot;
-use super::exchange::{Exchange, has_other_transfer_coding, header_text};
+use super::exchange::Exchange;
+use super::http_headers::{has_other_transfer_coding, header_text};
 use super::memory::MemoryReservation;
+use super::state::RelayState;
 use super::upstream::Connection;
 use crate::clock::duration;
 
-/// The largest answer that is read whole before it is passed on.
-pub const MAX_BUFFERED_RESPONSE_BYTES: usize = 16 << 20;
+/// The size of the largest response that is read completely before it is forwarded, in bytes.
+const MAX_BUFFERED_RESPONSE_BYTES: usize = 16 << 20;
 
-/// An endpoint's answer whose head is sound, with its body still to come.
-pub struct Answer {
+/// An endpoint's response with a valid head, whose body is still to be read.
+pub struct EndpointResponse {
     /// The head.
     pub parts: response::Parts,
     /// The body.
     pub body: Incoming,
-    /// The connection that it comes over.
+    /// The connection on which the response arrives.
     pub connection: Connection,
     /// Whether only the end of the connection ends the body. A reset is an error, not an end.
     pub ends_with_connection: bool,
 }
 
-/// A connection to the endpoint of a slot: one that is kept, or a new one.
+/// Connects to the endpoint of a slot, on an idle connection if there is one.
 ///
 /// # Errors
 ///
-/// If none comes up in time; nothing was sent.
+/// If no connection is established in time; nothing was sent.
 pub async fn connect(
-    core: &RelayState, exchange: &Exchange, slot: &Slot,
+    state: &RelayState, exchange: &Exchange, slot: &Slot,
 ) -> Result<Connection, AttemptFailure> {
-    let kept = core.pool.take(slot.endpoint());
-    if let Some(connection) = kept {
+    if let Some(connection) = state.pool.take_idle(slot.endpoint()) {
         return Ok(connection);
     }
-    let address = core.world.snapshot().address(slot.endpoint());
-    let address = address.ok_or(AttemptFailure::not_sent(FailureCause::EndpointLeft))?;
-    core.metrics.connections.add();
-    let connection = core.pool.connect(address, duration(exchange.left())).await;
+    let address = state.cluster.snapshot().address(slot.endpoint());
+    let address = address.ok_or(AttemptFailure::not_sent(FailureCause::EndpointRemoved))?;
+    state.metrics.connects.increment();
+    let connection = state.pool.connect(address, duration(exchange.remaining_time())).await;
     connection.ok_or_else(|| {
-        core.metrics.connections_failed.add();
-        core.pool.forget(slot.endpoint());
-        AttemptFailure::not_sent(FailureCause::NoConnection)
+        state.metrics.connect_failures.increment();
+        state.pool.close_idle(slot.endpoint());
+        AttemptFailure::not_sent(FailureCause::ConnectFailed)
     })
 }
 
-/// Sends the request and waits for the head of its answer.
+/// Sends the request and waits for the head of the response.
 ///
 /// # Errors
 ///
-/// What is known of the try if there is no sound answer.
+/// If there is no valid response, with what is known of the execution.
 pub async fn send(
-    core: &RelayState, exchange: &Exchange, slot: &Slot, mut connection: Connection,
-) -> Result<Answer, AttemptFailure> {
+    state: &RelayState, exchange: &Exchange, slot: &Slot, mut connection: Connection,
+) -> Result<EndpointResponse, AttemptFailure> {
     loop {
-        // Endpoints may have left while the connection came up.
-        if !core.dispatcher.is_ready(slot.endpoint()) {
-            return Err(AttemptFailure::not_sent(FailureCause::EndpointLeft));
+        // The endpoint may have been removed while the connection was established.
+        if !state.dispatcher.is_ready(slot.endpoint()) {
+            return Err(AttemptFailure::not_sent(FailureCause::EndpointRemoved));
         }
-        exchange.trace.sending(exchange.is_retryable());
-        match connection.sender.try_send_request(request(exchange, slot)).await {
-            Ok(answer) => {
-                let (parts, body) = answer.into_parts();
-                check_head(core, exchange, slot, &parts, &connection)?;
-                return Ok(accept(exchange, parts, body, connection));
+        exchange.trace.check_may_send(exchange.is_retryable());
+        match connection.sender.try_send_request(endpoint_request(exchange, slot)).await {
+            Ok(response) => {
+                let (parts, body) = response.into_parts();
+                check_response_head(state, exchange, slot, &parts, &connection)?;
+                return Ok(normalize_framing(exchange, parts, body, connection));
             }
             Err(mut error) => {
                 if error.take_message().is_none() {
-                    return Err(AttemptFailure::may_have_run(FailureCause::Broken));
+                    return Err(AttemptFailure::may_have_run(FailureCause::ConnectionBroken));
                 }
-                if !connection.used {
-                    return Err(AttemptFailure::not_sent(FailureCause::NoConnection));
+                if !connection.was_used {
+                    return Err(AttemptFailure::not_sent(FailureCause::ConnectFailed));
                 }
-                // The endpoint closed the connection before a byte was written: another one will do.
-                connection = connect(core, exchange, slot).await?;
+                // The endpoint closed the idle connection before a byte was written: another one can be used.
+                connection = connect(state, exchange, slot).await?;
             }
         }
     }
 }
 
-/// An answer as it is passed on: framed anew, so that what the endpoint told of its framing must not stay.
-fn accept(exchange: &Exchange, mut parts: response::Parts, body: Incoming, connection: Connection) -> Answer {
-    let ends_with_connection = !is_delimited(exchange, &parts);
-    // The client's side of an HTTP/1.0 answer would end with the connection too, also if it breaks off.
-    parts.version = Version::HTTP_11;
-    if parts.headers.contains_key(TRANSFER_ENCODING) {
-        // The chunks count: another length would split the answer in two for the client.
-        parts.headers.remove(CONTENT_LENGTH);
-    }
-    Answer { parts, body, connection, ends_with_connection }
-}
-
-fn request(exchange: &Exchange, slot: &Slot) -> Request<Full<Bytes>> {
+fn endpoint_request(exchange: &Exchange, slot: &Slot) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(exchange.body.clone()));
     *request.method_mut() = exchange.method.clone();
     *request.uri_mut() = exchange.uri.clone();
@@ -110,31 +98,45 @@
     request
 }
 
-/// Whether the head is one that may be passed on.
-fn check_head(
-    core: &RelayState, exchange: &Exchange, slot: &Slot, parts: &response::Parts, connection: &Connection,
+/// Prepares a response to be forwarded with framing of the relay's own: headers about the endpoint's must not remain.
+fn normalize_framing(
+    exchange: &Exchange, mut parts: response::Parts, body: Incoming, connection: Connection,
+) -> EndpointResponse {
+    let ends_with_connection = !is_delimited(exchange, &parts);
+    // In HTTP/1.0 the client's response would end with the connection too, even if it is aborted.
+    parts.version = Version::HTTP_11;
+    if parts.headers.contains_key(TRANSFER_ENCODING) {
+        // The chunks count: a different length would split the response in two for the client.
+        parts.headers.remove(CONTENT_LENGTH);
+    }
+    EndpointResponse { parts, body, connection, ends_with_connection }
+}
+
+/// Checks that the head belongs to the request and may be forwarded.
+fn check_response_head(
+    state: &RelayState, exchange: &Exchange, slot: &Slot, parts: &response::Parts, connection: &Connection,
 ) -> Result<(), AttemptFailure> {
-    let declined = parts.headers.contains_key(headers::NOT_EXECUTED);
-    let misdirected = parts.status == StatusCode::MISDIRECTED_REQUEST;
+    let is_declined = parts.headers.contains_key(headers::NOT_EXECUTED);
+    let is_misdirected = parts.status == StatusCode::MISDIRECTED_REQUEST;
     let mut ids = parts.headers.get_all(headers::REQUEST_ID).iter().peekable();
-    let own = match ids.peek() {
-        Some(_) => ids.all(|id| *id == exchange.request),
-        // Nothing of another request can come first on a new connection.
-        None => !connection.used && (declined || misdirected),
+    let matches_request = match ids.peek() {
+        Some(_) => ids.all(|id| *id == exchange.request_id_header),
+        // On a new connection there is no other request to which a refusal without an id could belong.
+        None => !connection.was_used && (is_declined || is_misdirected),
     };
-    if !own {
+    if !matches_request {
         return Err(AttemptFailure::may_have_run(FailureCause::WrongRequest));
     }
-    if let Some(load) = ServerLoad::read(header_text(&parts.headers, headers::SERVER_LOAD)) {
-        core.dispatcher.tell(slot.endpoint(), load);
+    if let Some(load) = ServerLoad::parse(header_text(&parts.headers, headers::SERVER_LOAD)) {
+        state.dispatcher.record_load(slot.endpoint(), load);
     }
-    if misdirected {
-        if expects_other(parts, slot) {
-            core.world.misdirected(slot.endpoint());
+    if is_misdirected {
+        if is_from_other_instance(parts, slot) {
+            state.cluster.handle_misdirected(slot.endpoint());
         }
         return Err(AttemptFailure::declined(FailureCause::Misdirected));
     }
-    if declined {
+    if is_declined {
         return Err(AttemptFailure::declined(FailureCause::Declined));
     }
     if !is_valid_response(parts) {
@@ -143,61 +145,50 @@
     Ok(())
 }
 
-/// Whether another instance answered at the address.
-fn expects_other(parts: &response::Parts, slot: &Slot) -> bool {
+fn is_from_other_instance(parts: &response::Parts, slot: &Slot) -> bool {
     header_text(&parts.headers, headers::INSTANCE_ID) != &*slot.endpoint().0
 }
 
-/// Whether an answer may be passed on. A success counts only with the endpoint's stamp and as plain bytes.
+/// Whether a response may be forwarded. A success has to have the endpoint's signature and no content coding.
 fn is_valid_response(parts: &response::Parts) -> bool {
-    // No upgrade is ever asked for: 101 is no answer.
+    // No upgrade is ever requested: 101 is not a valid response.
     if parts.status.is_informational() || has_other_transfer_coding(&parts.headers) {
         return false;
     }
-    let stamped = parts.headers.contains_key(headers::SERVER_SIGNATURE);
-    let plain = !parts.headers.contains_key(CONTENT_ENCODING);
-    !parts.status.is_success() || stamped && plain
+    let is_signed = parts.headers.contains_key(headers::SERVER_SIGNATURE);
+    let is_plain = !parts.headers.contains_key(CONTENT_ENCODING);
+    !parts.status.is_success() || is_signed && is_plain
 }
 
-/// Whether the end of the body is told otherwise than by the end of the connection.
+/// Whether the body ends otherwise than with the connection.
 fn is_delimited(exchange: &Exchange, parts: &response::Parts) -> bool {
-    let bodiless = exchange.method == Method::HEAD
+    let has_no_body = exchange.method == Method::HEAD
         || matches!(parts.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
-    let framed = parts.headers.contains_key(TRANSFER_ENCODING) || parts.headers.contains_key(CONTENT_LENGTH);
-    bodiless || framed
+    let is_framed =
+        parts.headers.contains_key(TRANSFER_ENCODING) || parts.headers.contains_key(CONTENT_LENGTH);
+    has_no_body || is_framed
 }
 
-/// Reads a body to its end; `held` is the room that it takes.
+/// Reads a body to its end, and reserves the memory that it takes.
 ///
 /// # Errors
 ///
-/// If it ends early, or is too large to be held, alone or with all others.
+/// If the body ends early, or is too large, alone or together with all others.
 pub async fn read_complete_body(
-    body: &mut Incoming, held: &mut MemoryReservation,
+    body: &mut Incoming, memory: &mut MemoryReservation,
 ) -> Result<VecDeque<Bytes>, AttemptFailure> {
-    let (mut pieces, mut length) = (VecDeque::new(), 0);
+    let (mut chunks, mut length) = (VecDeque::new(), 0);
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| AttemptFailure::may_have_run(FailureCause::InvalidResponse))?;
-        let Ok(data) = frame.into_data() else { continue };
-        length += data.len();
+        let Ok(chunk) = frame.into_data() else { continue };
+        length += chunk.len();
         if length > MAX_BUFFERED_RESPONSE_BYTES {
             return Err(AttemptFailure::may_have_run(FailureCause::InvalidResponse));
         }
-        if !held.grow(data.len()) {
+        if !memory.grow(chunk.len()) {
             return Err(AttemptFailure::may_have_run(FailureCause::NoCapacity));
         }
-        pieces.push_back(data);
-    }
-    Ok(pieces)
-}
-
-/// The seconds for which the endpoint keeps the connection; 0 if it closes it.
-pub fn keep_alive(headers: &HeaderMap) -> Option<u64> {
-    let connection = header_text(headers, "connection");
-    if connection.split(',').any(|option| option.trim().eq_ignore_ascii_case("close")) {
-        return Some(0);
+        chunks.push_back(chunk);
     }
-    let told = header_text(headers, "keep-alive");
-    let timeout = told.split(',').find_map(|option| option.trim().strip_prefix("timeout="));
-    timeout.unwrap_or(told).trim().parse().ok()
+    Ok(chunks)
 }
--- a/crates/node/src/relay/attempt_outcome.rs
+++ b/crates/node/src/relay/attempt_outcome.rs
@@ -1,193 +1,99 @@
-//! What is known of tries, and which answers may follow from it.
+//! What is known of an attempt that brought no response.
 
-use http::{HeaderName, HeaderValue, Response, StatusCode, header};
 use juniperwing_balancing::CallOutcome;
-use juniperwing_clock::Span;
 
-use super::body::RelayBody;
-
-/// What is known of one try. Ordered: of several tries the highest counts.
+/// Whether a request was executed, as far as an attempt shows. Ordered: of several attempts the greatest counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ExecutionStatus {
-    /// No byte of it was written.
+    /// No byte of the request was written.
     NotSent,
-    /// The endpoint has declared that it did not run it.
+    /// The endpoint has declared that it did not execute the request.
     DeclaredNotExecuted,
-    /// It was sent, and the endpoint has not declared that it did not run it.
+    /// The request was sent, and the endpoint has not declared that it did not execute it.
     MayHaveRun,
 }
 
-/// Why a try is no answer.
+/// Why an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureCause {
-    /// No connection came up in time.
-    NoConnection,
-    /// The endpoint has left meanwhile.
-    EndpointLeft,
-    /// The endpoint is full, or declined for another reason.
+    /// No connection was established in time.
+    ConnectFailed,
+    /// The endpoint was removed in the meantime.
+    EndpointRemoved,
+    /// The endpoint is overloaded, or declined for another reason.
     Declined,
-    /// Another instance has the address.
+    /// Another instance has the endpoint's address.
     Misdirected,
     /// The connection broke.
-    Broken,
-    /// The answer belongs to another request.
+    ConnectionBroken,
+    /// The response belongs to another request.
     WrongRequest,
-    /// The answer is not the endpoint's whole, plain, stamped one.
+    /// The response is incomplete, encoded, not signed or malformed.
     InvalidResponse,
-    /// The endpoint answered that it failed.
-    EndpointError,
-    /// No answer within the time-out.
+    /// The endpoint responded with a server error.
+    ServerError,
+    /// No response within the time-out of the attempt.
     TimedOut,
-    /// The relay has no room for the answer.
+    /// The relay has no memory for the response.
     NoCapacity,
 }
 
 impl FailureCause {
-    /// Its name in logs.
+    /// The name in logs.
     pub fn name(self) -> &'static str {
         match self {
-            FailureCause::NoConnection => "no connection",
-            FailureCause::EndpointLeft => "endpoint left",
+            FailureCause::ConnectFailed => "connect failed",
+            FailureCause::EndpointRemoved => "endpoint removed",
             FailureCause::Declined => "declined",
             FailureCause::Misdirected => "misdirected",
-            FailureCause::Broken => "broken",
-            FailureCause::WrongRequest => "answer of another request",
-            FailureCause::InvalidResponse => "unsound answer",
-            FailureCause::EndpointError => "endpoint error",
-            FailureCause::TimedOut => "silent",
-            FailureCause::NoCapacity => "no room for the answer",
+            FailureCause::ConnectionBroken => "connection broken",
+            FailureCause::WrongRequest => "response of another request",
+            FailureCause::InvalidResponse => "invalid response",
+            FailureCause::ServerError => "server error",
+            FailureCause::TimedOut => "timed out",
+            FailureCause::NoCapacity => "no memory for the response",
         }
     }
 
-    /// What it says of the endpoint.
-    pub fn ending(self) -> CallOutcome {
+    /// What the failure says about the endpoint.
+    pub fn call_outcome(self) -> CallOutcome {
         match self {
             FailureCause::Declined => CallOutcome::Overloaded,
             FailureCause::TimedOut => CallOutcome::TimedOut,
-            FailureCause::EndpointLeft | FailureCause::Misdirected | FailureCause::NoCapacity => {
+            FailureCause::EndpointRemoved | FailureCause::Misdirected | FailureCause::NoCapacity => {
                 CallOutcome::Cancelled
             }
-            FailureCause::NoConnection
-            | FailureCause::Broken
+            FailureCause::ConnectFailed
+            | FailureCause::ConnectionBroken
             | FailureCause::WrongRequest
             | FailureCause::InvalidResponse
-            | FailureCause::EndpointError => CallOutcome::Failed,
+            | FailureCause::ServerError => CallOutcome::Failed,
         }
     }
 }
 
-/// A try that gave no answer.
+/// An attempt that brought no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptFailure {
-    /// What is known of it.
-    pub fate: ExecutionStatus,
-    /// Why.
+    /// Whether the request was executed, as far as is known.
+    pub execution: ExecutionStatus,
+    /// Why the attempt failed.
     pub cause: FailureCause,
 }
 
 impl AttemptFailure {
-    /// A try of which no byte was written.
+    /// An attempt of which no byte was written.
     pub fn not_sent(cause: FailureCause) -> AttemptFailure {
-        AttemptFailure { fate: ExecutionStatus::NotSent, cause }
+        AttemptFailure { execution: ExecutionStatus::NotSent, cause }
     }
 
-    /// A try that the endpoint declined.
+    /// An attempt that the endpoint declared not executed.
     pub fn declined(cause: FailureCause) -> AttemptFailure {
-        AttemptFailure { fate: ExecutionStatus::DeclaredNotExecuted, cause }
+        AttemptFailure { execution: ExecutionStatus::DeclaredNotExecuted, cause }
     }
 
-    /// A try that may have run.
+    /// An attempt that may have been executed.
     pub fn may_have_run(cause: FailureCause) -> AttemptFailure {
-        AttemptFailure { fate: ExecutionStatus::MayHaveRun, cause }
-    }
-}
-
-/// Why the relay gives a request up.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rejection {
-    /// Too little time is left.
-    DeadlineTooClose,
-    /// It has been sent to as many endpoints as it may.
-    RetriesExhausted,
-    /// No endpoint is ready.
-    NoEndpoint,
-    /// Endpoints and queue are full.
-    Full,
-    /// The connection to the only endpoint that may run it broke.
-    Broken,
-    /// Turns and budgets cannot be reached.
-    StoresUnreachable,
-    /// The relay has no configuration yet.
-    NotConfigured,
-    /// No route is known, and all keepers are lost: a newer configuration may have one.
-    KeepersUnreachable,
-    /// The relay has no room.
-    NoCapacity,
-    /// The process ends.
-    ShuttingDown,
-}
-
-impl Rejection {
-    /// Its name in logs.
-    pub fn name(self) -> &'static str {
-        match self {
-            Rejection::DeadlineTooClose => "too late",
-            Rejection::RetriesExhausted => "no tries left",
-            Rejection::NoEndpoint => "no endpoint",
-            Rejection::Full => "full",
-            Rejection::Broken => "broken",
-            Rejection::StoresUnreachable => "no sessions",
-            Rejection::NotConfigured => "not configured",
-            Rejection::KeepersUnreachable => "out of touch",
-            Rejection::NoCapacity => "no room",
-            Rejection::ShuttingDown => "the relay ends",
-        }
+        AttemptFailure { execution: ExecutionStatus::MayHaveRun, cause }
     }
-
-    /// When the client should come back if the request has not run.
-    fn retry_after(self) -> Span {
-        let millis = match self {
-            Rejection::DeadlineTooClose
-            | Rejection::Broken
-            | Rejection::RetriesExhausted
-            | Rejection::ShuttingDown => 50,
-            Rejection::Full => 150,
-            Rejection::StoresUnreachable => 200,
-            Rejection::NoEndpoint | Rejection::NoCapacity => 300,
-            Rejection::NotConfigured | Rejection::KeepersUnreachable => 500,
-        };
-        Span::from_millis(millis)
-    }
-
-    /// The final answer: a promise that nothing has run only where that is known.
-    pub fn answer(self, fate: ExecutionStatus) -> Response<RelayBody> {
-        match (fate, self) {
-            (ExecutionStatus::MayHaveRun, Rejection::DeadlineTooClose) => plain(StatusCode::GATEWAY_TIMEOUT),
-            (ExecutionStatus::MayHaveRun, _) => plain(StatusCode::BAD_GATEWAY),
-            (ExecutionStatus::NotSent | ExecutionStatus::DeclaredNotExecuted, _) => self.refusal(),
-        }
-    }
-
-    fn refusal(self) -> Response<RelayBody> {
-        let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE);
-        let seconds = format!("{:.3}", self.retry_after().as_secs_f64());
-        if let Ok(value) = HeaderValue::from_str(&seconds) {
-            answer.headers_mut().insert(header::RETRY_AFTER, value);
-        }
-        answer
-    }
-}
-
-/// An answer of the relay's own.
-pub fn plain(status: StatusCode) -> Response<RelayBody> {
-    let mut answer = Response::new(RelayBody::text(status.canonical_reason().unwrap_or("")));
-    *answer.status_mut() = status;
-    let kind = HeaderValue::from_static("text/plain");
-    answer.headers_mut().insert(header::CONTENT_TYPE, kind);
-    answer
-}
-
-/// A name from the list of header names.
-pub(crate) fn header_name(name: &'static str) -> HeaderName {
-    HeaderName::from_static(name)
 }
--- a/crates/node/src/relay/dispatcher.rs
+++ b/crates/node/src/relay/dispatcher.rs
@@ -18,40 +18,40 @@
 use crate::panics::critical;
 use crate::sync::lock;
 
-/// What endpoints tell ages without an event: those that wait look again this often.
-const RELEASE_POLL_INTERVAL: Span = Span::from_millis(50);
+/// Reported loads age without an event: queued requests look for free slots this often.
+const GRANT_POLL_INTERVAL: Span = Span::from_millis(50);
 
-/// Why there is no slot.
+/// Why a request gets no slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SlotError {
     /// No endpoint is ready that has not had the request already.
     NoEndpoint,
-    /// All are full, and it has waited long enough, or too many wait.
-    Full,
+    /// All endpoints are full, and the request has waited for too long, or too many requests wait.
+    Overloaded,
 }
 
 #[derive(Debug)]
 struct State {
     balancer: Balancer,
     latencies: LatencyModels,
-    waiting: HashMap<Ticket, oneshot::Sender<Option<Slot>>>,
+    /// The queued requests; `None` is sent if no endpoint is left.
+    waiters: HashMap<Ticket, oneshot::Sender<Option<Slot>>>,
 }
 
-/// Gives out slots at endpoints.
+/// Assigns slots at endpoints to requests.
 #[derive(Debug)]
 pub struct Dispatcher {
     state: Mutex<State>,
-    /// Slots that are taken.
-    taken: AtomicUsize,
+    occupied_slots: AtomicUsize,
 }
 
-/// A slot taken at an endpoint. Dropped without an ending, it counts as abandoned.
+/// A slot that is occupied at an endpoint. Dropped without an outcome, the call counts as cancelled.
 #[derive(Debug)]
 pub struct Slot {
     dispatcher: Arc<Dispatcher>,
     destination: Destination,
     endpoint: InstanceId,
-    ended: bool,
+    is_released: bool,
 }
 
 impl Slot {
@@ -60,157 +60,159 @@
         &self.endpoint
     }
 
-    /// Gives the slot back.
-    pub fn end(mut self, ending: CallOutcome) {
-        self.give_back(ending);
+    /// Releases the slot with the outcome of its call.
+    pub fn release(mut self, outcome: CallOutcome) {
+        self.release_once(outcome);
     }
 
-    fn give_back(&mut self, ending: CallOutcome) {
-        if !std::mem::replace(&mut self.ended, true) {
-            self.dispatcher.taken.fetch_sub(1, Ordering::Relaxed);
-            self.dispatcher.end(&self.destination, &self.endpoint, ending);
+    fn release_once(&mut self, outcome: CallOutcome) {
+        if !std::mem::replace(&mut self.is_released, true) {
+            self.dispatcher.occupied_slots.fetch_sub(1, Ordering::Relaxed);
+            self.dispatcher.end_call(&self.destination, &self.endpoint, outcome);
         }
     }
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        self.give_back(CallOutcome::Cancelled);
+        self.release_once(CallOutcome::Cancelled);
     }
 }
 
 impl Dispatcher {
     /// A dispatcher over a balancer.
     pub fn new(balancer: Balancer) -> Arc<Self> {
-        let state = State { balancer, latencies: LatencyModels::default(), waiting: HashMap::new() };
-        Arc::new(Dispatcher { state: Mutex::new(state), taken: AtomicUsize::new(0) })
+        let state = State { balancer, latencies: LatencyModels::default(), waiters: HashMap::new() };
+        Arc::new(Dispatcher { state: Mutex::new(state), occupied_slots: AtomicUsize::new(0) })
     }
 
-    /// Takes a slot for a request, waiting for one up to `patience`.
+    /// Acquires a slot for a request, waiting for up to `max_wait`.
     ///
     /// # Errors
     ///
-    /// If there is none in that time, or none will be.
-    pub async fn slot(self: &Arc<Self>, ask: PlacementRequest, patience: Span) -> Result<Slot, SlotError> {
-        let destination = ask.destination.clone();
-        let (ticket, mut receiver) = match self.admit(ask)? {
+    /// If there is no slot in that time, or there will be none.
+    pub async fn acquire_slot(
+        self: &Arc<Self>, request: PlacementRequest, max_wait: Span,
+    ) -> Result<Slot, SlotError> {
+        let service = request.destination.service.clone();
+        let (ticket, mut receiver) = match self.admit(request)? {
             Admitted::Slot(slot) => return Ok(slot),
-            Admitted::Waiting(ticket, receiver) => (ticket, receiver),
+            Admitted::Queued(ticket, receiver) => (ticket, receiver),
         };
-        let _waiting = Waiting { dispatcher: self, service: &destination.service, ticket };
-        let until = now() + patience;
+        let _queued = QueuedRequest { dispatcher: self, service: &service, ticket };
+        let until = now() + max_wait;
         loop {
-            match timeout(self.next_look(&destination.service, until), &mut receiver).await {
+            match timeout(self.time_to_next_poll(&service, until), &mut receiver).await {
                 Ok(Ok(Some(slot))) => return Ok(slot),
                 Ok(Ok(None) | Err(_)) => return Err(SlotError::NoEndpoint),
-                Err(_) if now() >= until => return Err(SlotError::Full),
-                Err(_) => self.release(&destination.service),
+                Err(_) if now() >= until => return Err(SlotError::Overloaded),
+                Err(_) => self.grant_slots(&service),
             }
         }
     }
 
-    fn admit(self: &Arc<Self>, ask: PlacementRequest) -> Result<Admitted, SlotError> {
-        let destination = ask.destination.clone();
+    fn admit(self: &Arc<Self>, request: PlacementRequest) -> Result<Admitted, SlotError> {
+        let destination = request.destination.clone();
         let mut state = self.lock();
-        let usual = state.latencies.median(&destination);
-        match critical(|| state.balancer.admit(now(), ask, usual)) {
+        let expected_duration = state.latencies.median(&destination);
+        match critical(|| state.balancer.admit(now(), request, expected_duration)) {
             Admission::Granted(endpoint) => {
                 drop(state);
-                Ok(Admitted::Slot(self.slot_at(destination, endpoint)))
+                Ok(Admitted::Slot(self.occupy_slot(destination, endpoint)))
             }
             Admission::Queued(ticket) => {
                 let (sender, receiver) = oneshot::channel();
-                state.waiting.insert(ticket, sender);
+                state.waiters.insert(ticket, sender);
                 drop(state);
-                self.release(&destination.service);
-                Ok(Admitted::Waiting(ticket, receiver))
+                self.grant_slots(&destination.service);
+                Ok(Admitted::Queued(ticket, receiver))
             }
             Admission::Rejected(RejectionReason::NoEndpoint) => Err(SlotError::NoEndpoint),
-            Admission::Rejected(RejectionReason::QueueFull) => Err(SlotError::Full),
+            Admission::Rejected(RejectionReason::QueueFull) => Err(SlotError::Overloaded),
         }
     }
 
-    fn slot_at(self: &Arc<Self>, destination: Destination, endpoint: InstanceId) -> Slot {
-        self.taken.fetch_add(1, Ordering::Relaxed);
-        Slot { dispatcher: Arc::clone(self), destination, endpoint, ended: false }
+    fn occupy_slot(self: &Arc<Self>, destination: Destination, endpoint: InstanceId) -> Slot {
+        self.occupied_slots.fetch_add(1, Ordering::Relaxed);
+        Slot { dispatcher: Arc::clone(self), destination, endpoint, is_released: false }
     }
 
-    /// Slots that are taken now.
-    pub fn taken(&self) -> usize {
-        self.taken.load(Ordering::Relaxed)
+    /// The number of slots that are occupied now.
+    pub fn occupied_slots(&self) -> usize {
+        self.occupied_slots.load(Ordering::Relaxed)
     }
 
-    fn next_look(&self, service: &ServiceName, until: Time) -> Duration {
+    fn time_to_next_poll(&self, service: &ServiceName, until: Time) -> Duration {
         let now = now();
         let state = self.lock();
-        let look = state.balancer.next_release(now, service).unwrap_or(Time::NEVER);
-        duration(look.min(now + RELEASE_POLL_INTERVAL).min(until).since(now))
+        let backoff_end = state.balancer.next_backoff_end(now, service).unwrap_or(Time::NEVER);
+        duration(backoff_end.min(now + GRANT_POLL_INTERVAL).min(until).since(now))
     }
 
-    /// Hands free slots of a service to those that wait.
-    fn release(self: &Arc<Self>, service: &ServiceName) {
-        let given: Vec<_> = critical(|| {
+    /// Grants free slots of a service to queued requests.
+    fn grant_slots(self: &Arc<Self>, service: &ServiceName) {
+        let granted: Vec<_> = critical(|| {
             let mut state = self.lock();
-            let grants = state.balancer.release(now(), service);
-            grants.into_iter().map(|grant| (state.waiting.remove(&grant.ticket), grant)).collect()
+            let grants = state.balancer.grant_slots(now(), service);
+            grants.into_iter().map(|grant| (state.waiters.remove(&grant.ticket), grant)).collect()
         });
-        for (waiter, Grant { endpoint, destination, .. }) in given {
-            let slot = endpoint.map(|endpoint| self.slot_at(destination, endpoint));
-            // A waiter that is gone drops the slot, which gives it back.
+        for (waiter, Grant { endpoint, destination, .. }) in granted {
+            let slot = endpoint.map(|endpoint| self.occupy_slot(destination, endpoint));
+            // A request that does not wait any more drops the slot, which releases it.
             let _ = waiter.map(|waiter| waiter.send(slot));
         }
     }
 
-    fn end(self: &Arc<Self>, destination: &Destination, endpoint: &InstanceId, ending: CallOutcome) {
-        critical(|| self.lock().balancer.end(now(), destination, endpoint, ending));
-        self.release(&destination.service);
+    fn end_call(self: &Arc<Self>, destination: &Destination, endpoint: &InstanceId, outcome: CallOutcome) {
+        critical(|| self.lock().balancer.end_call(now(), destination, endpoint, outcome));
+        self.grant_slots(&destination.service);
     }
 
-    /// An endpoint is ready.
+    /// Adds an endpoint that is ready, or changes it.
     pub fn insert(self: &Arc<Self>, info: &EndpointInfo) {
         self.lock().balancer.insert(info);
-        self.release(&info.service);
+        self.grant_slots(&info.service);
     }
 
-    /// An endpoint takes no more requests.
+    /// Removes an endpoint, which gets no more requests.
     pub fn remove(self: &Arc<Self>, endpoint: &InstanceId, service: &ServiceName) {
         self.lock().balancer.remove(endpoint);
-        self.release(service);
+        self.grant_slots(service);
     }
 
-    /// Whether an endpoint takes requests.
+    /// Whether an endpoint is ready for requests.
     pub fn is_ready(&self, endpoint: &InstanceId) -> bool {
         self.lock().balancer.is_ready(endpoint)
     }
 
-    /// An endpoint has told its load.
-    pub fn tell(&self, endpoint: &InstanceId, load: ServerLoad) {
-        self.lock().balancer.tell(now(), endpoint, load);
+    /// Records the load that an endpoint has reported.
+    pub fn record_load(&self, endpoint: &InstanceId, load: ServerLoad) {
+        self.lock().balancer.record_load(now(), endpoint, load);
     }
 
-    /// An endpoint began to answer a call, so long after it was sent.
-    pub fn answered(&self, ask: &PlacementRequest, endpoint: &InstanceId, lasted: Span) {
-        critical(|| self.lock().balancer.answered(ask, endpoint, lasted));
+    /// Records that an endpoint began to respond, `elapsed` after the request was sent.
+    pub fn record_first_response(&self, request: &PlacementRequest, endpoint: &InstanceId, elapsed: Span) {
+        critical(|| self.lock().balancer.record_first_response(request, endpoint, elapsed));
     }
 
-    /// Takes in how long a try lasted.
-    pub fn record(&self, destination: &Destination, lasted: Span, censored: bool) {
-        self.lock().latencies.record(now(), destination, lasted, censored);
+    /// Records the duration of an attempt; censored if the attempt was abandoned at its time-out.
+    pub fn record_latency(&self, destination: &Destination, duration: Span, is_censored: bool) {
+        self.lock().latencies.record(now(), destination, duration, is_censored);
     }
 
-    /// How long the next try may last.
-    pub fn time_out(&self, destination: &Destination, left: Span, tries_left: u32) -> Span {
-        self.lock().latencies.time_out(destination, left, tries_left)
+    /// The time-out of the next attempt.
+    pub fn attempt_timeout(&self, destination: &Destination, remaining: Span, attempts_left: u32) -> Span {
+        self.lock().latencies.attempt_timeout(destination, remaining, attempts_left)
     }
 
-    /// Whether a try is worth making with so much time left.
-    pub fn has_time_for_attempt(&self, destination: &Destination, left: Span) -> bool {
-        self.lock().latencies.has_time_for_attempt(destination, left)
+    /// Whether the remaining time suffices for an attempt.
+    pub fn has_time_for_attempt(&self, destination: &Destination, remaining: Span) -> bool {
+        self.lock().latencies.has_time_for_attempt(destination, remaining)
     }
 
-    /// Forgets latencies of destinations that are no more.
-    pub fn retain(&self, wanted: impl Fn(&Destination) -> bool) {
-        self.lock().latencies.retain(wanted);
+    /// Removes the latencies of destinations that do not exist any more.
+    pub fn retain_destinations(&self, exists: impl Fn(&Destination) -> bool) {
+        self.lock().latencies.retain(exists);
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -220,20 +222,20 @@
 
 enum Admitted {
     Slot(Slot),
-    Waiting(Ticket, oneshot::Receiver<Option<Slot>>),
+    Queued(Ticket, oneshot::Receiver<Option<Slot>>),
 }
 
-/// Takes a request out of the queue when it does not wait any more, for whatever reason.
-struct Waiting<'a> {
+/// Removes a request from the queue when dropped, which is a no-op after a grant.
+struct QueuedRequest<'a> {
     dispatcher: &'a Dispatcher,
     service: &'a ServiceName,
     ticket: Ticket,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for QueuedRequest<'_> {
     fn drop(&mut self) {
         let mut state = self.dispatcher.lock();
         state.balancer.cancel(self.service, self.ticket);
-        state.waiting.remove(&self.ticket);
+        state.waiters.remove(&self.ticket);
     }
 }
--- a/crates/node/src/relay/events.rs
+++ b/crates/node/src/relay/events.rs
@@ -1,9 +1,9 @@
-//! Takes a stream of server-sent events apart, as its bytes come.
+//! Splits a stream of server-sent events into events, independently of how its bytes arrive.
 
 use bytes::{Bytes, BytesMut};
 use snafu::Snafu;
 
-/// The largest event.
+/// The greatest size of an event, in bytes.
 pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// An event is larger than [`MAX_EVENT_BYTES`].
@@ -11,14 +11,14 @@
 #[snafu(display("an event of more than {MAX_EVENT_BYTES} bytes"))]
 pub struct EventTooLarge;
 
-/// A whole event.
+/// A complete event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Its bytes as they came, the empty line at its end included.
+    /// The bytes as they arrived, including the empty line at the end.
     pub raw: Bytes,
-    /// Its id.
+    /// The value of the last `id` line.
     pub id: Option<Bytes>,
-    /// The content of its `data` lines with a line feed between them; `None` if it has none.
+    /// The values of the `data` lines, joined by line feeds; `None` if there are none.
     pub data: Option<Bytes>,
 }
 
@@ -26,49 +26,49 @@
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
-    /// How far the buffer has been searched: the start of the line that is not whole yet.
+    /// The start of the line that is still incomplete; the buffer before it has been searched.
     line_start: usize,
 }
 
 impl EventSplitter {
-    /// Takes in bytes and gives back the events that are whole now.
+    /// Appends bytes and returns the events that are complete now.
     ///
     /// # Errors
     ///
-    /// If an event grows too large; the splitter is of no use then.
+    /// If an event grows too large; the splitter cannot be used any more then.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Event>, EventTooLarge> {
         let searched = self.buffer.len();
         self.buffer.extend_from_slice(bytes);
         let mut events = Vec::new();
         let mut position = searched;
-        while let Some(found) = self.buffer.get(position..).and_then(find_line_feed) {
-            let line_end = position + found;
+        while let Some(offset) = self.buffer.get(position..).and_then(find_line_feed) {
+            let line_end = position + offset;
             let line = without_carriage_return(&self.buffer[self.line_start..line_end]);
             let ends_event = line.is_empty();
             position = line_end + 1;
             self.line_start = position;
             if ends_event {
                 let raw = self.buffer.split_to(position).freeze();
-                events.push(Event::read(raw));
+                events.push(Event::parse(raw));
                 (position, self.line_start) = (0, 0);
             }
         }
         if self.buffer.len() > MAX_EVENT_BYTES { EventTooLargeSnafu.fail() } else { Ok(events) }
     }
 
-    /// The bytes of an event that is not whole.
-    pub fn rest(&mut self) -> Bytes {
+    /// Removes and returns the bytes of the incomplete event at the end.
+    pub fn take_remainder(&mut self) -> Bytes {
         self.line_start = 0;
         self.buffer.split().freeze()
     }
 }
 
 impl Event {
-    fn read(raw: Bytes) -> Event {
+    fn parse(raw: Bytes) -> Event {
         let (mut id, mut data) = (None, Vec::new());
         for line in raw.split(|byte| *byte == b'\n').map(without_carriage_return) {
-            let (field, value) = field_of(line);
-            match field {
+            let (name, value) = split_field(line);
+            match name {
                 b"id" => id = Some(raw.slice_ref(value)),
                 b"data" => data.push(value),
                 _ => {}
@@ -83,8 +83,8 @@
     }
 }
 
-/// The name and value of a line; one space behind the colon belongs to neither.
-fn field_of(line: &[u8]) -> (&[u8], &[u8]) {
+/// The name and the value of a line. One space after the colon belongs to neither.
+fn split_field(line: &[u8]) -> (&[u8], &[u8]) {
     match line.iter().position(|byte| *byte == b':') {
         None => (line, &[]),
         Some(colon) => {
--- a/crates/node/src/relay/forward.rs
+++ b/crates/node/src/relay/forward.rs
@@ -1,4 +1,4 @@
-//! Passes a request on: chooses endpoints, restarts slow tries, and gives up as the design says.
+//! Forwards a request: makes attempts at endpoints, retries slow and failed ones, and rejects what cannot succeed.
 
 use std::sync::Arc;
 
@@ -8,181 +8,198 @@
 use juniperwing_protocol::identity::InstanceId;
 use tokio::time::timeout;
 
-use super::RelayState;
-use super::attempt::{self, Answer, keep_alive};
-use super::attempt_outcome::{AttemptFailure, ExecutionStatus, FailureCause, Rejection};
+use super::attempt::{self, EndpointResponse};
+use super::attempt_outcome::{AttemptFailure, ExecutionStatus, FailureCause};
 use super::body::RelayBody;
 use super::dispatcher::{Slot, SlotError};
-use super::exchange::{Exchange, remove_hop_by_hop};
-use super::frontend::reject;
+use super::event_source::StartedStream;
+use super::exchange::Exchange;
+use super::http_headers::{keep_alive_secs, remove_hop_by_hop};
+use super::rejection::Rejection;
+use super::responses::reject;
 use super::retries::RetryState;
-use super::stream::{self, LiveStream};
+use super::state::RelayState;
+use super::stream;
 use super::trace::{AttemptEnd, Outcome};
 use super::turn::OpenTurn;
 use crate::clock::{duration, now};
 
-/// Passes a request on and gives back the final answer.
+/// Forwards a request and returns the final response.
 pub async fn forward(
-    core: &Arc<RelayState>, exchange: Exchange, turn: Option<OpenTurn>,
+    state: &Arc<RelayState>, exchange: Exchange, turn: Option<OpenTurn>,
 ) -> Response<RelayBody> {
-    let mut tries = RetryState::new(Arc::clone(&exchange.trace));
+    let mut retries = RetryState::new(Arc::clone(&exchange.trace));
     loop {
-        match run_attempt(core, &exchange, &mut tries).await {
-            Ok(Reply::Whole(answer)) => {
-                core.metrics.answered.add();
-                exchange.trace.ended(Outcome::Answered(answer.status()));
-                return answer;
+        match run_attempt(state, &exchange, &mut retries).await {
+            Ok(AttemptSuccess::Complete(response)) => {
+                state.metrics.forwarded.increment();
+                exchange.trace.finish(Outcome::Forwarded(response.status()));
+                return response;
             }
-            Ok(Reply::Live(live)) => {
-                core.metrics.answered.add();
-                return stream::pass_on(core, exchange, turn, *live, tries);
+            Ok(AttemptSuccess::Streaming(started, slot)) => {
+                state.metrics.forwarded.increment();
+                return stream::forward_stream(state, exchange, turn, *started, slot, retries);
             }
-            Err(Ended::Again) => core.metrics.resends.add(),
-            Err(Ended::Rejection(why)) => return final_answer(core, tries, why),
+            Err(NextStep::Retry) => state.metrics.retries.increment(),
+            Err(NextStep::Reject(rejection)) => return final_response(state, retries, rejection),
         }
     }
 }
 
-/// What a try brought.
-enum Reply {
-    /// An answer, read to its end.
-    Whole(Response<RelayBody>),
-    /// A stream whose first event has come.
-    Live(Box<LiveStream>),
+/// What an endpoint has sent by the end of the time-out.
+enum EndpointReply {
+    /// A complete response.
+    Complete(Response<RelayBody>),
+    /// A stream whose first events have arrived.
+    Streaming(Box<StartedStream>),
 }
 
-/// How a try without an answer ended.
-enum Ended {
-    /// There may be another.
-    Again,
-    /// There is none.
-    Rejection(Rejection),
+/// A response that is forwarded.
+enum AttemptSuccess {
+    /// A complete response.
+    Complete(Response<RelayBody>),
+    /// A stream, with the slot that it occupies.
+    Streaming(Box<StartedStream>, Slot),
 }
 
-fn final_answer(core: &RelayState, tries: RetryState, why: Rejection) -> Response<RelayBody> {
-    let fate = tries.fate();
-    if let Some(failed) = tries.failed {
-        core.metrics.answered.add();
-        tries.trace.ended(Outcome::Answered(failed.status()));
-        return failed;
+/// What follows an attempt without a response to forward.
+enum NextStep {
+    /// Another attempt, if one is possible.
+    Retry,
+    /// None.
+    Reject(Rejection),
+}
+
+/// The response of an endpoint that failed, if there is one; otherwise a rejection.
+fn final_response(state: &RelayState, retries: RetryState, rejection: Rejection) -> Response<RelayBody> {
+    let execution = retries.execution();
+    if let Some(response) = retries.error_response {
+        state.metrics.forwarded.increment();
+        retries.trace.finish(Outcome::Forwarded(response.status()));
+        return response;
     }
-    reject(core, &tries.trace, why, fate)
+    reject(state, &retries.trace, rejection, execution)
 }
 
 async fn run_attempt(
-    core: &Arc<RelayState>, exchange: &Exchange, tries: &mut RetryState,
-) -> Result<Reply, Ended> {
-    let slot = take_slot(core, exchange, tries).await?;
+    state: &Arc<RelayState>, exchange: &Exchange, retries: &mut RetryState,
+) -> Result<AttemptSuccess, NextStep> {
+    let slot = acquire_slot(state, exchange, retries).await?;
     let endpoint = slot.endpoint().clone();
-    exchange.trace.attempt_began(&endpoint);
-    let connection = match attempt::connect(core, exchange, &slot).await {
+    exchange.trace.start_attempt(&endpoint);
+    let connection = match attempt::connect(state, exchange, &slot).await {
         Ok(connection) => connection,
-        Err(failure) => return Err(after_failure(core, exchange, tries, slot, failure)),
+        Err(failure) => return Err(handle_failure(state, exchange, retries, slot, failure)),
     };
-    let may_last = time_out(core, exchange, tries);
-    let begun = now();
+    let attempt_timeout = attempt_timeout(state, exchange, retries);
+    let started_at = now();
     let run = async {
-        let answer = attempt::send(core, exchange, &slot, connection).await?;
-        read_reply(core, exchange, &endpoint, answer).await
+        let response = attempt::send(state, exchange, &slot, connection).await?;
+        read_response(state, exchange, &endpoint, response).await
     };
-    match timeout(duration(may_last), run).await {
-        Ok(Ok(Reply::Whole(answer))) => after_answer(core, exchange, tries, slot, begun, answer),
-        Ok(Ok(Reply::Live(mut live))) => {
-            let lasted = now().since(begun);
-            core.dispatcher.record(&exchange.destination, lasted, false);
-            core.dispatcher.answered(&exchange.ask(Vec::new(), may_last), &endpoint, lasted);
-            live.slot = Some(slot);
-            Ok(Reply::Live(live))
+    match timeout(duration(attempt_timeout), run).await {
+        Ok(Ok(EndpointReply::Complete(response))) => {
+            handle_complete_response(state, exchange, retries, slot, started_at, response)
+        }
+        Ok(Ok(EndpointReply::Streaming(started))) => {
+            let elapsed = now().since(started_at);
+            state.dispatcher.record_latency(&exchange.destination, elapsed, false);
+            let request = exchange.placement_request(Vec::new(), attempt_timeout);
+            state.dispatcher.record_first_response(&request, &endpoint, elapsed);
+            Ok(AttemptSuccess::Streaming(started, slot))
         }
-        Ok(Err(failure)) => Err(after_failure(core, exchange, tries, slot, failure)),
+        Ok(Err(failure)) => Err(handle_failure(state, exchange, retries, slot, failure)),
         Err(_) => {
-            core.dispatcher.record(&exchange.destination, now().since(begun), true);
-            Err(after_failure(
-                core,
-                exchange,
-                tries,
-                slot,
-                AttemptFailure::may_have_run(FailureCause::TimedOut),
-            ))
+            state.dispatcher.record_latency(&exchange.destination, now().since(started_at), true);
+            let failure = AttemptFailure::may_have_run(FailureCause::TimedOut);
+            Err(handle_failure(state, exchange, retries, slot, failure))
         }
     }
 }
 
-/// Passes an answer on, or keeps it back while another endpoint may do better.
-fn after_answer(
-    core: &RelayState, exchange: &Exchange, tries: &mut RetryState, slot: Slot, begun: Time,
-    answer: Response<RelayBody>,
-) -> Result<Reply, Ended> {
-    if !answer.status().is_server_error() {
-        core.dispatcher.record(&exchange.destination, now().since(begun), false);
-        slot.end(CallOutcome::Succeeded);
-        exchange.trace.attempt_ended(AttemptEnd::Answered);
-        return Ok(Reply::Whole(answer));
+/// Forwards a response, or keeps it while another endpoint may do better.
+fn handle_complete_response(
+    state: &RelayState, exchange: &Exchange, retries: &mut RetryState, slot: Slot, started_at: Time,
+    response: Response<RelayBody>,
+) -> Result<AttemptSuccess, NextStep> {
+    if !response.status().is_server_error() {
+        state.dispatcher.record_latency(&exchange.destination, now().since(started_at), false);
+        slot.release(CallOutcome::Succeeded);
+        exchange.trace.end_attempt(AttemptEnd::Completed);
+        return Ok(AttemptSuccess::Complete(response));
     }
-    if exchange.is_retryable() && tries.left(exchange) > 1 {
-        tries.failed = Some(answer);
-        let failure = AttemptFailure::may_have_run(FailureCause::EndpointError);
-        return Err(after_failure(core, exchange, tries, slot, failure));
+    if exchange.is_retryable() && retries.attempts_left(exchange) > 1 {
+        retries.error_response = Some(response);
+        let failure = AttemptFailure::may_have_run(FailureCause::ServerError);
+        return Err(handle_failure(state, exchange, retries, slot, failure));
     }
-    // Errors come fast: an endpoint that gives them must not look free and sound.
-    slot.end(CallOutcome::ServerError);
-    exchange.trace.attempt_ended(AttemptEnd::Failed(FailureCause::EndpointError));
-    Ok(Reply::Whole(answer))
+    // Errors come fast: an endpoint that returns them must not look idle and healthy.
+    slot.release(CallOutcome::ServerError);
+    exchange.trace.end_attempt(AttemptEnd::Failed(FailureCause::ServerError));
+    Ok(AttemptSuccess::Complete(response))
 }
 
-/// A slot for the next try, if one is worth making.
-async fn take_slot(
-    core: &Arc<RelayState>, exchange: &Exchange, tries: &mut RetryState,
-) -> Result<Slot, Ended> {
-    if tries.left(exchange) == 0 {
-        return Err(Ended::Rejection(Rejection::RetriesExhausted));
+/// Acquires a slot for the next attempt, if one can still succeed.
+async fn acquire_slot(
+    state: &Arc<RelayState>, exchange: &Exchange, retries: &mut RetryState,
+) -> Result<Slot, NextStep> {
+    if retries.attempts_left(exchange) == 0 {
+        return Err(NextStep::Reject(Rejection::RetriesExhausted));
     }
-    let has_time_for_attempt =
-        || core.dispatcher.has_time_for_attempt(&exchange.destination, exchange.left());
-    if !has_time_for_attempt() {
-        return Err(Ended::Rejection(Rejection::DeadlineTooClose));
+    let has_time = || state.dispatcher.has_time_for_attempt(&exchange.destination, exchange.remaining_time());
+    if !has_time() {
+        return Err(NextStep::Reject(Rejection::DeadlineTooClose));
     }
-    let ask = exchange.ask(tries.excluded.clone(), time_out(core, exchange, tries));
-    let slot = core.dispatcher.slot(ask, exchange.patience()).await;
-    let slot = slot.map_err(|why| match why {
-        SlotError::NoEndpoint => Ended::Rejection(Rejection::NoEndpoint),
-        SlotError::Full => Ended::Rejection(Rejection::Full),
+    let attempt_timeout = attempt_timeout(state, exchange, retries);
+    let request = exchange.placement_request(retries.excluded.clone(), attempt_timeout);
+    let slot = state.dispatcher.acquire_slot(request, exchange.max_queue_wait()).await;
+    let slot = slot.map_err(|error| match error {
+        SlotError::NoEndpoint => NextStep::Reject(Rejection::NoEndpoint),
+        SlotError::Overloaded => NextStep::Reject(Rejection::Overloaded),
     })?;
-    // The wait for the slot has taken its time.
-    if has_time_for_attempt() { Ok(slot) } else { Err(Ended::Rejection(Rejection::DeadlineTooClose)) }
+    // The wait for the slot took time.
+    if has_time() { Ok(slot) } else { Err(NextStep::Reject(Rejection::DeadlineTooClose)) }
 }
 
-/// How long a try may last: the restart timer's interval, or all the time left where there is no second try.
-fn time_out(core: &RelayState, exchange: &Exchange, tries: &RetryState) -> Span {
-    let left = exchange.left();
-    let tries_left = if exchange.is_retryable() { tries.left(exchange) } else { 1 };
-    core.dispatcher.time_out(&exchange.destination, left, tries_left)
+/// How long an attempt may last: the interval of the restart timer, or all the remaining time if there is no second
+/// attempt.
+fn attempt_timeout(state: &RelayState, exchange: &Exchange, retries: &RetryState) -> Span {
+    let remaining = exchange.remaining_time();
+    let attempts_left = if exchange.is_retryable() { retries.attempts_left(exchange) } else { 1 };
+    state.dispatcher.attempt_timeout(&exchange.destination, remaining, attempts_left)
 }
 
-fn after_failure(
-    core: &RelayState, exchange: &Exchange, tries: &mut RetryState, slot: Slot, failure: AttemptFailure,
-) -> Ended {
-    tries.note(core, slot.endpoint().clone(), failure);
-    slot.end(failure.cause.ending());
-    if failure.fate == ExecutionStatus::MayHaveRun && !exchange.is_retryable() {
-        let silent = failure.cause == FailureCause::TimedOut;
-        return Ended::Rejection(if silent { Rejection::DeadlineTooClose } else { Rejection::Broken });
+fn handle_failure(
+    state: &RelayState, exchange: &Exchange, retries: &mut RetryState, slot: Slot, failure: AttemptFailure,
+) -> NextStep {
+    retries.record_failure(&state.metrics, slot.endpoint().clone(), failure);
+    slot.release(failure.cause.call_outcome());
+    if failure.execution == ExecutionStatus::MayHaveRun && !exchange.is_retryable() {
+        let has_timed_out = failure.cause == FailureCause::TimedOut;
+        return NextStep::Reject(if has_timed_out {
+            Rejection::DeadlineTooClose
+        } else {
+            Rejection::ConnectionBroken
+        });
     }
-    Ended::Again
+    NextStep::Retry
 }
 
-/// Reads an answer to its end, or, where it is a stream, to its first event.
-async fn read_reply(
-    core: &RelayState, exchange: &Exchange, endpoint: &InstanceId, answer: Answer,
-) -> Result<Reply, AttemptFailure> {
-    if exchange.route.route_type.is_streaming() && answer.parts.status.is_success() {
-        return stream::first_event(answer).await.map(|live| Reply::Live(Box::new(live)));
+/// Reads a response to its end, or, if it is a stream, to its first events.
+async fn read_response(
+    state: &RelayState, exchange: &Exchange, endpoint: &InstanceId, response: EndpointResponse,
+) -> Result<EndpointReply, AttemptFailure> {
+    if exchange.route.route_type.is_streaming() && response.parts.status.is_success() {
+        let started = StartedStream::read(response).await?;
+        return Ok(EndpointReply::Streaming(Box::new(started)));
     }
-    let Answer { mut parts, mut body, connection, .. } = answer;
-    let kept_for = keep_alive(&parts.headers);
-    let mut held = core.memory.take(0).ok_or(AttemptFailure::may_have_run(FailureCause::NoCapacity))?;
-    let pieces = attempt::read_complete_body(&mut body, &mut held).await?;
-    core.pool.give_back(endpoint, connection, kept_for);
+    let EndpointResponse { mut parts, mut body, connection, .. } = response;
+    let keep_alive_secs = keep_alive_secs(&parts.headers);
+    let memory = state.memory.reserve(0);
+    let mut memory = memory.ok_or(AttemptFailure::may_have_run(FailureCause::NoCapacity))?;
+    let chunks = attempt::read_complete_body(&mut body, &mut memory).await?;
+    state.pool.put_idle(endpoint, connection, keep_alive_secs);
     remove_hop_by_hop(&mut parts.headers);
-    Ok(Reply::Whole(Response::from_parts(parts, RelayBody::whole_held(pieces, held))))
+    let body = RelayBody::complete_with_memory(chunks, memory);
+    Ok(EndpointReply::Complete(Response::from_parts(parts, body)))
 }
--- a/crates/node/src/relay/memory.rs
+++ b/crates/node/src/relay/memory.rs
@@ -1,51 +1,52 @@
-//! How many bytes requests may hold together.
+//! The memory that the bodies of requests and responses may take together.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// A bound on bytes held at the same time.
+/// A limit on the bytes that are reserved at the same time.
 #[derive(Debug)]
 pub struct MemoryBudget {
-    held: AtomicUsize,
-    most: usize,
+    reserved_bytes: AtomicUsize,
+    max_bytes: usize,
 }
 
-/// Bytes that are held until this is dropped.
+/// Bytes of a [`MemoryBudget`], reserved until this is dropped.
 #[derive(Debug)]
 pub struct MemoryReservation {
-    memory: Arc<MemoryBudget>,
+    budget: Arc<MemoryBudget>,
     bytes: usize,
 }
 
 impl MemoryBudget {
-    /// Room for so many bytes.
-    pub fn new(most: usize) -> Arc<Self> {
-        Arc::new(MemoryBudget { held: AtomicUsize::new(0), most })
+    /// A budget of `max_bytes`.
+    pub fn new(max_bytes: usize) -> Arc<Self> {
+        Arc::new(MemoryBudget { reserved_bytes: AtomicUsize::new(0), max_bytes })
     }
 
-    /// Bytes held now.
-    pub fn held(&self) -> usize {
-        self.held.load(Ordering::Relaxed)
+    /// The bytes that are reserved now.
+    pub fn reserved_bytes(&self) -> usize {
+        self.reserved_bytes.load(Ordering::Relaxed)
     }
 
-    /// Takes room; `None` if there is too little.
-    pub fn take(self: &Arc<Self>, bytes: usize) -> Option<MemoryReservation> {
-        let mut held = MemoryReservation { memory: Arc::clone(self), bytes: 0 };
-        held.grow(bytes).then_some(held)
+    /// Reserves bytes; `None` if too few are left.
+    pub fn reserve(self: &Arc<Self>, bytes: usize) -> Option<MemoryReservation> {
+        let mut reservation = MemoryReservation { budget: Arc::clone(self), bytes: 0 };
+        reservation.grow(bytes).then_some(reservation)
     }
 }
 
 impl MemoryReservation {
-    /// Takes more room; `false` if there is too little.
+    /// Reserves more bytes; `false` if the budget is exceeded by them. They are reserved all the same, until this
+    /// is dropped.
     pub fn grow(&mut self, bytes: usize) -> bool {
-        let before = self.memory.held.fetch_add(bytes, Ordering::Relaxed);
+        let before = self.budget.reserved_bytes.fetch_add(bytes, Ordering::Relaxed);
         self.bytes += bytes;
-        before + bytes <= self.memory.most
+        before + bytes <= self.budget.max_bytes
     }
 }
 
 impl Drop for MemoryReservation {
     fn drop(&mut self) {
-        self.memory.held.fetch_sub(self.bytes, Ordering::Relaxed);
+        self.budget.reserved_bytes.fetch_sub(self.bytes, Ordering::Relaxed);
     }
 }
--- a/crates/node/src/relay/metrics.rs
+++ b/crates/node/src/relay/metrics.rs
@@ -1,22 +1,19 @@
-//! Counters of a relay, logged as one line when they have changed.
+//! The counters of a relay.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use slog::{KV, Logger, Record, Serializer, info};
 
-use super::attempt_outcome::Rejection;
+use super::rejection::Rejection;
 use crate::metrics::Figure;
 
-/// How often counters are logged.
-pub const LOG_INTERVAL: std::time::Duration = std::time::Duration::from_secs(10);
-
-/// A number that only rises.
+/// A number that only increases.
 #[derive(Debug, Default)]
 pub struct Counter(AtomicU64);
 
 impl Counter {
-    /// One more.
-    pub fn add(&self) {
+    /// Adds one.
+    pub fn increment(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
 
@@ -26,94 +23,96 @@
     }
 }
 
-/// The counters.
+/// The counters of a relay. [`Metrics::entries`] maps them to the names that operators read.
 #[derive(Debug, Default)]
 pub struct Metrics {
-    /// Requests read.
+    /// Requests whose head was read.
     pub requests: Counter,
-    /// Answers of endpoints passed on.
-    pub answered: Counter,
-    /// Tries beyond the first of a request.
-    pub resends: Counter,
-    /// Tries given up at their time-out.
-    pub abandoned: Counter,
-    /// Tries that endpoints declined.
+    /// Responses of endpoints that were forwarded.
+    pub forwarded: Counter,
+    /// Attempts beyond the first of a request.
+    pub retries: Counter,
+    /// Attempts abandoned at their time-out.
+    pub timed_out: Counter,
+    /// Attempts that endpoints declined.
     pub declined: Counter,
-    /// Tries that broke.
-    pub broken: Counter,
-    /// Answers that were not passed on because they were not sound.
-    pub unsound: Counter,
-    /// Connections to endpoints opened.
-    pub connections: Counter,
-    /// Connections to endpoints that did not come up.
-    pub connections_failed: Counter,
-    /// Streams taken up at another endpoint.
-    pub resumed: Counter,
-    /// Streams broken off.
-    pub broken_off: Counter,
-    /// Refused: no route.
+    /// Attempts whose connection broke or whose response was a server error.
+    pub failed: Counter,
+    /// Responses that were not forwarded because they were invalid.
+    pub invalid_responses: Counter,
+    /// Connections to endpoints that were started.
+    pub connects: Counter,
+    /// Connections to endpoints that could not be established.
+    pub connect_failures: Counter,
+    /// Streams resumed at another endpoint.
+    pub resumed_streams: Counter,
+    /// Streams that were aborted.
+    pub aborted_streams: Counter,
+    /// Requests refused for lack of a route.
     pub no_route: Counter,
-    /// Refused: budget spent, or turn unknown.
-    pub turns_denied: Counter,
-    /// Given up: too little time.
-    pub too_late: Counter,
-    /// Given up: no endpoint.
+    /// Turns refused because the budget is exhausted or the previous turn is unknown.
+    pub refused_turns: Counter,
+    /// Requests rejected because too little time was left.
+    pub deadline_too_close: Counter,
+    /// Requests rejected because no endpoint was ready.
     pub no_endpoint: Counter,
-    /// Given up: full.
-    pub full: Counter,
-    /// Given up: stores not reached.
-    pub no_sessions: Counter,
-    /// Given up: no room for connections or bodies.
-    pub no_room: Counter,
-    /// Given up: no configuration yet, or all keepers lost.
-    pub out_of_touch: Counter,
-    /// Given up: for other reasons.
-    pub other: Counter,
+    /// Requests rejected because endpoints and queue were full.
+    pub overloaded: Counter,
+    /// Requests rejected because the stores were unreachable.
+    pub stores_unreachable: Counter,
+    /// Requests rejected for lack of connections or memory.
+    pub no_capacity: Counter,
+    /// Requests rejected because there was no configuration, or all keepers were unreachable.
+    pub keepers_unreachable: Counter,
+    /// Requests rejected for other reasons.
+    pub other_rejections: Counter,
 }
 
 impl Metrics {
-    /// Counts a request that is given up.
-    pub fn reject(&self, why: Rejection) {
-        match why {
-            Rejection::DeadlineTooClose => self.too_late.add(),
-            Rejection::NoEndpoint => self.no_endpoint.add(),
-            Rejection::Full => self.full.add(),
-            Rejection::StoresUnreachable => self.no_sessions.add(),
-            Rejection::NoCapacity => self.no_room.add(),
-            Rejection::NotConfigured | Rejection::KeepersUnreachable => self.out_of_touch.add(),
-            Rejection::RetriesExhausted | Rejection::Broken | Rejection::ShuttingDown => self.other.add(),
+    /// Counts a rejected request.
+    pub fn count_rejection(&self, rejection: Rejection) {
+        match rejection {
+            Rejection::DeadlineTooClose => self.deadline_too_close.increment(),
+            Rejection::NoEndpoint => self.no_endpoint.increment(),
+            Rejection::Overloaded => self.overloaded.increment(),
+            Rejection::StoresUnreachable => self.stores_unreachable.increment(),
+            Rejection::NoCapacity => self.no_capacity.increment(),
+            Rejection::NotConfigured | Rejection::KeepersUnreachable => self.keepers_unreachable.increment(),
+            Rejection::RetriesExhausted | Rejection::ConnectionBroken | Rejection::ShuttingDown => {
+                self.other_rejections.increment();
+            }
         }
     }
 
-    /// All of them, by name.
-    fn all(&self) -> [(&'static str, &'static str, &Counter); 20] {
+    /// All counters, each with its name and its help text in the metrics and in the log.
+    fn entries(&self) -> [(&'static str, &'static str, &Counter); 20] {
         [
             ("requests", "Requests read", &self.requests),
-            ("answered", "Answers of endpoints passed on", &self.answered),
-            ("resends", "Tries beyond the first of a request", &self.resends),
-            ("abandoned", "Tries given up at their time-out", &self.abandoned),
+            ("answered", "Answers of endpoints passed on", &self.forwarded),
+            ("resends", "Tries beyond the first of a request", &self.retries),
+            ("abandoned", "Tries given up at their time-out", &self.timed_out),
             ("declined", "Tries that endpoints declined", &self.declined),
-            ("broken", "Tries that broke", &self.broken),
-            ("unsound", "Answers that were not sound", &self.unsound),
-            ("connections", "Connections to endpoints opened", &self.connections),
-            ("connections_failed", "Connections that did not come up", &self.connections_failed),
-            ("resumed", "Streams taken up at another endpoint", &self.resumed),
-            ("broken_off", "Streams broken off", &self.broken_off),
+            ("broken", "Tries that broke", &self.failed),
+            ("unsound", "Answers that were not sound", &self.invalid_responses),
+            ("connections", "Connections to endpoints opened", &self.connects),
+            ("connections_failed", "Connections that did not come up", &self.connect_failures),
+            ("resumed", "Streams taken up at another endpoint", &self.resumed_streams),
+            ("broken_off", "Streams broken off", &self.aborted_streams),
             ("no_route", "Requests refused: no route", &self.no_route),
-            ("turns_denied", "Turns refused: budget spent, or turn unknown", &self.turns_denied),
-            ("too_late", "Requests given up: too little time", &self.too_late),
+            ("turns_denied", "Turns refused: budget spent, or turn unknown", &self.refused_turns),
+            ("too_late", "Requests given up: too little time", &self.deadline_too_close),
             ("no_endpoint", "Requests given up: no endpoint", &self.no_endpoint),
-            ("full", "Requests given up: full", &self.full),
-            ("no_sessions", "Requests given up: stores not reached", &self.no_sessions),
-            ("no_room", "Requests given up: no room for connections or bodies", &self.no_room),
-            ("out_of_touch", "Requests given up: keepers not reached", &self.out_of_touch),
-            ("other", "Requests given up: for other reasons", &self.other),
+            ("full", "Requests given up: full", &self.overloaded),
+            ("no_sessions", "Requests given up: stores not reached", &self.stores_unreachable),
+            ("no_room", "Requests given up: no room for connections or bodies", &self.no_capacity),
+            ("out_of_touch", "Requests given up: keepers not reached", &self.keepers_unreachable),
+            ("other", "Requests given up: for other reasons", &self.other_rejections),
         ]
     }
 
-    /// The counters as figures.
+    /// The counters for the metrics endpoint.
     pub fn figures(&self) -> Vec<Figure> {
-        self.all()
+        self.entries()
             .into_iter()
             .map(|(name, help, counter)| Figure::counter(name, help, counter.get()))
             .collect()
@@ -127,6 +126,7 @@
 
 impl KV for Metrics {
     fn serialize(&self, _: &Record, serializer: &mut dyn Serializer) -> slog::Result {
-        self.all().into_iter().try_for_each(|(name, _, counter)| serializer.emit_u64(name, counter.get()))
+        let mut entries = self.entries().into_iter();
+        entries.try_for_each(|(name, _, counter)| serializer.emit_u64(name, counter.get()))
     }
 }
--- /dev/null
+++ b/crates/node/src/relay/request_reader.rs
@@ -0,0 +1,158 @@
+//! Checks the head of a client's request, reads its body, and makes an [`Exchange`] of both.
+
+use std::sync::Arc;
+
+use bytes::Bytes;
+use http::header::{CONTENT_LENGTH, EXPECT, HOST};
+use http::{HeaderMap, Request, StatusCode, Uri, request};
+use http_body_util::BodyExt;
+use hyper::body::Incoming;
+use juniperwing_balancing::{Destination, PromptSection};
+use juniperwing_clock::Time;
+use juniperwing_configuration::{Limits, Route};
+use juniperwing_protocol::headers;
+use juniperwing_protocol::identity::ProgramId;
+use tokio::time::timeout;
+
+use super::exchange::Exchange;
+use super::http_headers::{has_other_transfer_coding, header_number, header_text, remove_hop_by_hop};
+use super::memory::{MemoryBudget, MemoryReservation};
+use super::rejection::Rejection;
+use super::trace::RequestTrace;
+use super::turn::TurnRejection;
+use crate::clock::{duration, now, random};
+
+/// The bytes that a header line takes beside name and value: the separator and the line's end.
+const HEADER_LINE_OVERHEAD_BYTES: usize = 4;
+
+/// Why a request is not forwarded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RequestError {
+    /// For good, with this status.
+    Refused(StatusCode),
+    /// For now.
+    Rejected(Rejection),
+}
+
+impl From<TurnRejection> for RequestError {
+    fn from(rejection: TurnRejection) -> Self {
+        match rejection {
+            TurnRejection::Final(status) => RequestError::Refused(status),
+            TurnRejection::Temporary(rejection) => RequestError::Rejected(rejection),
+        }
+    }
+}
+
+/// Checks the head of a request.
+///
+/// # Errors
+///
+/// If the head or the announced body is too large, or endpoints might read the request differently.
+pub fn check_head(request: &Request<Incoming>, limits: &Limits) -> Result<(), RequestError> {
+    let lines = request.headers().iter();
+    let head_bytes: usize =
+        lines.map(|(name, value)| name.as_str().len() + value.len() + HEADER_LINE_OVERHEAD_BYTES).sum();
+    if head_bytes as u64 > limits.max_header_bytes {
+        return Err(RequestError::Refused(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE));
+    }
+    if header_number(request.headers(), CONTENT_LENGTH.as_str()) > Some(limits.max_body_bytes) {
+        return Err(RequestError::Refused(StatusCode::PAYLOAD_TOO_LARGE));
+    }
+    check_unambiguous(request.headers())
+}
+
+/// Checks that endpoints can read the request only as it is read here.
+fn check_unambiguous(headers: &HeaderMap) -> Result<(), RequestError> {
+    let count = |name: &str| headers.get_all(name).iter().count();
+    if count(headers::REQUEST_ID) != 1 || count(HOST.as_str()) > 1 || has_other_transfer_coding(headers) {
+        return Err(RequestError::Refused(StatusCode::BAD_REQUEST));
+    }
+    Ok(())
+}
+
+/// Reads the complete body, and reserves the memory that it takes.
+///
+/// # Errors
+///
+/// If the body is too large, breaks off, or does not arrive by the deadline.
+pub async fn read_body(
+    memory: &Arc<MemoryBudget>, mut body: Incoming, limits: &Limits, deadline: Time,
+) -> Result<(Bytes, MemoryReservation), RequestError> {
+    let mut memory = memory.reserve(0).ok_or(RequestError::Rejected(Rejection::NoCapacity))?;
+    let read = read_chunks(&mut body, &mut memory, limits);
+    let in_time = timeout(duration(deadline.since(now())), read).await;
+    let mut chunks = in_time.map_err(|_| RequestError::Refused(StatusCode::REQUEST_TIMEOUT))??;
+    let body = match chunks.len() {
+        0 => Bytes::new(),
+        1 => chunks.swap_remove(0),
+        _ => Bytes::from(chunks.concat()),
+    };
+    Ok((body, memory))
+}
+
+async fn read_chunks(
+    body: &mut Incoming, memory: &mut MemoryReservation, limits: &Limits,
+) -> Result<Vec<Bytes>, RequestError> {
+    let (mut chunks, mut length) = (Vec::new(), 0);
+    while let Some(frame) = body.frame().await {
+        let frame = frame.map_err(|_| RequestError::Refused(StatusCode::BAD_REQUEST))?;
+        let Ok(chunk) = frame.into_data() else { continue };
+        length += chunk.len();
+        if length as u64 > limits.max_body_bytes {
+            return Err(RequestError::Refused(StatusCode::PAYLOAD_TOO_LARGE));
+        }
+        if !memory.grow(chunk.len()) {
+            return Err(RequestError::Rejected(Rejection::NoCapacity));
+        }
+        chunks.push(chunk);
+    }
+    Ok(chunks)
+}
+
+/// The exchange for a request that has been read.
+///
+/// # Errors
+///
+/// If the request has no id, or a target that cannot be forwarded.
+pub fn exchange(
+    route: Arc<Route>, parts: request::Parts, body: Bytes, deadline: Time, trace: &Arc<RequestTrace>,
+    memory: MemoryReservation,
+) -> Result<Exchange, RequestError> {
+    let bad_request = || RequestError::Refused(StatusCode::BAD_REQUEST);
+    let mut headers = parts.headers;
+    let request_id_header = headers.get(headers::REQUEST_ID).cloned().ok_or_else(bad_request)?;
+    remove_hop_by_hop(&mut headers);
+    // The body is sent again as a whole: the HTTP library sets its length.
+    headers.remove(CONTENT_LENGTH);
+    headers.remove(EXPECT);
+    let program = Some(header_text(&headers, headers::PROGRAM)).filter(|program| !program.is_empty());
+    let destination = Destination {
+        service: route.service_for(random()).clone(),
+        host: route.hostname.clone(),
+        prefix: route.path_prefix.clone(),
+    };
+    Ok(Exchange {
+        destination,
+        method: parts.method,
+        uri: origin_form(&parts.uri).ok_or_else(bad_request)?,
+        request_id_header,
+        prompt: PromptSection::parse_list(header_text(&headers, headers::PROMPT_PREFIX)),
+        program: program.map(ProgramId::from),
+        previous_endpoint: None,
+        new_prompt_fraction: 1.0,
+        headers,
+        body,
+        deadline,
+        route,
+        trace: Arc::clone(trace),
+        memory,
+    })
+}
+
+/// A request target without its authority.
+fn origin_form(uri: &Uri) -> Option<Uri> {
+    if uri.authority().is_none() {
+        return Some(uri.clone());
+    }
+    Uri::builder().path_and_query(uri.path_and_query()?.clone()).build().ok()
+}
--- a/crates/node/src/relay/retries.rs
+++ b/crates/node/src/relay/retries.rs
@@ -1,68 +1,76 @@
-//! The tries of one request: which endpoints have had it, and what is known of them.
+//! The attempts of one request: which endpoints have had it, and what is known of its execution.
 
 use std::sync::Arc;
 
 use http::Response;
 use juniperwing_protocol::identity::InstanceId;
 
-use super::RelayState;
 use super::attempt_outcome::{AttemptFailure, ExecutionStatus, FailureCause};
 use super::body::RelayBody;
 use super::exchange::Exchange;
+use super::metrics::Metrics;
 use super::trace::{AttemptEnd, RequestTrace};
 
-/// RetryState of which nothing was sent, beyond those that the route allows.
+/// The number of attempts of which nothing was sent that are made beyond those of the route.
 const MAX_UNSENT_ATTEMPTS: u32 = 4;
 
-/// The tries of one request.
+/// The attempts of one request so far.
 pub struct RetryState {
-    /// Endpoints that are not asked again.
+    /// Endpoints that do not get the request again.
     pub excluded: Vec<InstanceId>,
-    /// Endpoints that it was sent to.
-    pub sent: u32,
-    unsent: u32,
-    fate: Option<ExecutionStatus>,
-    /// The answer of an endpoint that failed, where others might not.
-    pub failed: Option<Response<RelayBody>>,
-    /// What becomes of the request.
+    /// The response of an endpoint that failed, kept for the case that no other one does better.
+    pub error_response: Option<Response<RelayBody>>,
+    /// Records what happens to the request.
     pub trace: Arc<RequestTrace>,
+    sent: u32,
+    unsent: u32,
+    execution: ExecutionStatus,
 }
 
 impl RetryState {
-    /// No try yet.
+    /// The state before the first attempt.
     pub fn new(trace: Arc<RequestTrace>) -> RetryState {
-        RetryState { excluded: Vec::new(), sent: 0, unsent: 0, fate: None, failed: None, trace }
+        RetryState {
+            excluded: Vec::new(),
+            error_response: None,
+            trace,
+            sent: 0,
+            unsent: 0,
+            execution: ExecutionStatus::NotSent,
+        }
     }
 
-    /// Endpoints that it may still be sent to.
-    pub fn left(&self, exchange: &Exchange) -> u32 {
+    /// The number of endpoints to which the request may still be sent.
+    pub fn attempts_left(&self, exchange: &Exchange) -> u32 {
         let may_send = exchange.route.max_retries.saturating_sub(self.sent);
         if self.unsent < MAX_UNSENT_ATTEMPTS { may_send } else { 0 }
     }
 
-    /// Takes in a try that gave no answer.
-    pub fn note(&mut self, core: &RelayState, endpoint: InstanceId, failure: AttemptFailure) {
-        self.trace.attempt_ended(AttemptEnd::Failed(failure.cause));
+    /// Records an attempt that brought no response.
+    pub fn record_failure(&mut self, metrics: &Metrics, endpoint: InstanceId, failure: AttemptFailure) {
+        self.trace.end_attempt(AttemptEnd::Failed(failure.cause));
         self.excluded.push(endpoint);
-        self.fate = self.fate.max(Some(failure.fate));
-        match failure.fate {
+        self.execution = self.execution.max(failure.execution);
+        match failure.execution {
             ExecutionStatus::NotSent => self.unsent += 1,
             ExecutionStatus::DeclaredNotExecuted | ExecutionStatus::MayHaveRun => self.sent += 1,
         }
-        if failure.fate == ExecutionStatus::MayHaveRun {
-            self.trace.may_have_run();
+        if failure.execution == ExecutionStatus::MayHaveRun {
+            self.trace.record_may_have_run();
         }
         match failure.cause {
-            FailureCause::Declined | FailureCause::Misdirected => core.metrics.declined.add(),
-            FailureCause::WrongRequest | FailureCause::InvalidResponse => core.metrics.unsound.add(),
-            FailureCause::TimedOut => core.metrics.abandoned.add(),
-            FailureCause::Broken | FailureCause::EndpointError => core.metrics.broken.add(),
-            FailureCause::NoConnection | FailureCause::EndpointLeft | FailureCause::NoCapacity => {}
+            FailureCause::Declined | FailureCause::Misdirected => metrics.declined.increment(),
+            FailureCause::WrongRequest | FailureCause::InvalidResponse => {
+                metrics.invalid_responses.increment();
+            }
+            FailureCause::TimedOut => metrics.timed_out.increment(),
+            FailureCause::ConnectionBroken | FailureCause::ServerError => metrics.failed.increment(),
+            FailureCause::ConnectFailed | FailureCause::EndpointRemoved | FailureCause::NoCapacity => {}
         }
     }
 
-    /// The most that may have become of the request.
-    pub fn fate(&self) -> ExecutionStatus {
-        self.fate.unwrap_or(ExecutionStatus::NotSent)
+    /// Whether the request was executed, as far as its attempts show.
+    pub fn execution(&self) -> ExecutionStatus {
+        self.execution
     }
 }
--- a/crates/node/src/relay/sessions.rs
+++ b/crates/node/src/relay/sessions.rs
@@ -1,4 +1,4 @@
-//! What a relay wants of the stores: budgets reserved, turns fetched and kept.
+//! What a relay needs of the stores: budgets are reserved, and turns are fetched and stored.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -12,86 +12,85 @@
 /// Why a turn cannot be begun or finished.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum TurnError {
-    /// The budget is spent: the turn must not run.
-    #[snafu(display("the budget is spent"))]
+    /// The budget is exhausted: the turn must not run.
+    #[snafu(display("the budget is exhausted"))]
     BudgetExhausted,
-    /// The turn that it continues from is certainly not kept.
-    #[snafu(display("the turn before is not known"))]
+    /// The previous turn is certainly not stored.
+    #[snafu(display("the previous turn is unknown"))]
     UnknownTurn,
-    /// It cannot be done now.
-    #[snafu(display("the stores cannot do it now: {trouble}"))]
+    /// The stores cannot decide now.
+    #[snafu(display("the stores are unavailable: {cause}"))]
     Unavailable {
         /// Why, as far as is known.
-        trouble: StoreTrouble,
+        cause: StoreTrouble,
     },
 }
 
-/// A call to the stores.
+/// The result of a call to the stores.
 pub type SessionCall<T> = Pin<Box<dyn Future<Output = Result<T, TurnError>> + Send>>;
 
-/// The stores, as a relay uses them.
-pub trait Sessions: Send + Sync + 'static {
-    /// Reserves the most that a turn may generate, and fetches the turns before it, oldest first.
-    fn begin(&self, turn: BeginTurn, within: Duration) -> SessionCall<Vec<Turn>>;
+/// The stores as a relay uses them.
+pub trait SessionStore: Send + Sync + 'static {
+    /// Reserves the most tokens that a turn may generate, and fetches the previous turns, oldest first.
+    fn begin_turn(&self, turn: BeginTurn, max_wait: Duration) -> SessionCall<Vec<Turn>>;
 
-    /// Settles a turn, and keeps it where asked, before the answer's end is passed on.
-    fn finish(&self, turn: FinishTurn, within: Duration) -> SessionCall<()>;
+    /// Commits the tokens of a turn and stores the turn where requested.
+    fn finish_turn(&self, turn: FinishTurn, max_wait: Duration) -> SessionCall<()>;
 
-    /// Settles a turn in the background; tried again for a while.
-    fn finish_later(&self, turn: FinishTurn);
+    /// Commits the tokens of a turn in the background, with retries for a limited time.
+    fn finish_turn_in_background(&self, turn: FinishTurn);
 
-    /// Waits until no turn is being settled in the background.
-    fn settled(&self) -> Pin<Box<dyn Future<Output = ()> + Send>> {
+    /// Waits until no turn is being committed in the background.
+    fn background_commits_done(&self) -> Pin<Box<dyn Future<Output = ()> + Send>> {
         Box::pin(std::future::ready(()))
     }
 
-    /// Turns that are being settled in the background.
-    fn settling(&self) -> usize {
+    /// The number of turns that are being committed in the background.
+    fn background_commits(&self) -> usize {
         0
     }
 
-    /// Turns that could not be settled in the background: they count at their most.
-    fn settlements_lost(&self) -> u64 {
+    /// The number of turns that could not be committed in the background: their reservations count in full.
+    fn lost_commits(&self) -> u64 {
         0
     }
 }
 
-/// The stores behind their client.
-impl Sessions for SessionsClient {
-    fn begin(&self, turn: BeginTurn, within: Duration) -> SessionCall<Vec<Turn>> {
+impl SessionStore for SessionsClient {
+    fn begin_turn(&self, turn: BeginTurn, max_wait: Duration) -> SessionCall<Vec<Turn>> {
         let client = self.clone();
         Box::pin(async move {
-            let begun = client.begin(turn, within).await.map_err(|error| match error {
+            let begun = client.begin(turn, max_wait).await.map_err(|error| match error {
                 SessionError::BudgetSpent => TurnError::BudgetExhausted,
                 SessionError::UnknownTurn => TurnError::UnknownTurn,
-                SessionError::Unavailable { trouble } => TurnError::Unavailable { trouble },
+                SessionError::Unavailable { trouble } => TurnError::Unavailable { cause: trouble },
             })?;
             Ok(begun.chain)
         })
     }
 
-    fn finish(&self, turn: FinishTurn, within: Duration) -> SessionCall<()> {
+    fn finish_turn(&self, turn: FinishTurn, max_wait: Duration) -> SessionCall<()> {
         let client = self.clone();
         Box::pin(async move {
-            let finished = client.finish(turn, within).await;
-            finished.map_err(|NotSettled { trouble }| TurnError::Unavailable { trouble })
+            let finished = client.finish(turn, max_wait).await;
+            finished.map_err(|NotSettled { trouble }| TurnError::Unavailable { cause: trouble })
         })
     }
 
-    fn finish_later(&self, turn: FinishTurn) {
-        SessionsClient::finish_later(self, turn);
+    fn finish_turn_in_background(&self, turn: FinishTurn) {
+        self.finish_later(turn);
     }
 
-    fn settled(&self) -> Pin<Box<dyn Future<Output = ()> + Send>> {
+    fn background_commits_done(&self) -> Pin<Box<dyn Future<Output = ()> + Send>> {
         let client = self.clone();
         Box::pin(async move { client.settled().await })
     }
 
-    fn settling(&self) -> usize {
-        SessionsClient::settling(self)
+    fn background_commits(&self) -> usize {
+        self.settling()
     }
 
-    fn settlements_lost(&self) -> u64 {
-        SessionsClient::settlements_lost(self)
+    fn lost_commits(&self) -> u64 {
+        self.settlements_lost()
     }
 }
--- a/crates/node/src/relay/stream.rs
+++ b/crates/node/src/relay/stream.rs
@@ -1,320 +1,243 @@
-//! Streams: events are passed on whole as they come; one that breaks off is taken up elsewhere where it may be.
+//! Forwards a stream: complete events are sent as they arrive, and a stream that breaks is resumed at another endpoint
+//! if its route allows that.
 
 use std::sync::Arc;
 
 use bytes::{Bytes, BytesMut};
 use futures_util::stream::unfold;
 use http::header::CONTENT_LENGTH;
-use http::{HeaderValue, Response, StatusCode, response};
-use http_body_util::BodyExt;
-use hyper::body::Incoming;
+use http::{HeaderValue, Response, StatusCode};
 use juniperwing_balancing::CallOutcome;
 use juniperwing_invariants::{Invariant, check};
 use juniperwing_protocol::headers;
 use tokio::time::{Instant, timeout_at};
 
-use super::RelayState;
-use super::attempt::{self, Answer, keep_alive};
-use super::attempt_outcome::{AttemptFailure, FailureCause, header_name};
-use super::body::{RelayBody, StreamError};
+use super::attempt::{self, EndpointResponse};
+use super::attempt_outcome::AttemptFailure;
+use super::body::RelayBody;
 use super::dispatcher::Slot;
-use super::events::{Event, EventSplitter};
-use super::exchange::{Exchange, remove_hop_by_hop};
+use super::event_source::{EventSource, SourceItem, StartedStream};
+use super::events::Event;
+use super::exchange::Exchange;
+use super::http_headers::{header_name, remove_hop_by_hop};
 use super::retries::RetryState;
+use super::state::RelayState;
+use super::stream_error::StreamError;
 use super::trace::{AttemptEnd, Outcome};
 use super::turn::OpenTurn;
-use super::upstream::Connection;
 use crate::clock::{duration, now};
 
-/// A stream at an endpoint, of which the head and the first events have come.
-pub struct LiveStream {
-    parts: response::Parts,
-    source: Source,
-    first: Vec<Event>,
-    /// The slot that it takes.
-    pub slot: Option<Slot>,
-}
-
-/// Where events come from.
-struct Source {
-    /// `None` once it has ended.
-    body: Option<Incoming>,
-    connection: Option<Connection>,
-    keep_alive: Option<u64>,
-    /// Whether only the end of the connection ends the stream.
-    ends_with_connection: bool,
-    splitter: EventSplitter,
-}
-
-/// What a source gives next.
-enum Next {
-    Events(Vec<Event>),
-    /// Its proper end, with the bytes behind the last whole event.
-    End(Bytes),
-}
-
-impl Source {
-    fn new(answer: Answer) -> (response::Parts, Source) {
-        let source = Source {
-            body: Some(answer.body),
-            connection: Some(answer.connection),
-            keep_alive: keep_alive(&answer.parts.headers),
-            ends_with_connection: answer.ends_with_connection,
-            splitter: EventSplitter::default(),
-        };
-        (answer.parts, source)
-    }
-
-    /// Waits for whole events.
-    async fn next(&mut self) -> Result<Next, AttemptFailure> {
-        let broken = AttemptFailure::may_have_run(FailureCause::Broken);
-        loop {
-            let Some(body) = &mut self.body else { return Ok(Next::End(Bytes::new())) };
-            match body.frame().await {
-                None => {
-                    self.body = None;
-                    let rest = self.splitter.rest();
-                    // A connection that ends within an event was broken off.
-                    let whole = rest.is_empty() || !self.ends_with_connection;
-                    return if whole { Ok(Next::End(rest)) } else { Err(broken) };
-                }
-                Some(Err(_)) => return Err(broken),
-                Some(Ok(frame)) => {
-                    let Some(data) = frame.data_ref() else { continue };
-                    let events = self.splitter.push(data);
-                    let events =
-                        events.map_err(|_| AttemptFailure::may_have_run(FailureCause::InvalidResponse))?;
-                    if !events.is_empty() {
-                        return Ok(Next::Events(events));
-                    }
-                }
-            }
-        }
-    }
-}
-
-/// Reads a stream up to its first events.
-///
-/// # Errors
-///
-/// If it breaks off before.
-pub async fn first_event(answer: Answer) -> Result<LiveStream, AttemptFailure> {
-    let (parts, mut source) = Source::new(answer);
-    let first = match source.next().await? {
-        Next::Events(events) => events,
-        Next::End(rest) if rest.is_empty() => Vec::new(),
-        Next::End(rest) => vec![Event { raw: rest, id: None, data: None }],
-    };
-    Ok(LiveStream { parts, source, first, slot: None })
-}
-
-/// The answer to the client: the head of the stream and its events.
-pub fn pass_on(
-    core: &Arc<RelayState>, exchange: Exchange, turn: Option<OpenTurn>, live: LiveStream, tries: RetryState,
+/// The response to the client: the head of the stream and its events.
+pub fn forward_stream(
+    state: &Arc<RelayState>, exchange: Exchange, turn: Option<OpenTurn>, started: StartedStream, slot: Slot,
+    retries: RetryState,
 ) -> Response<RelayBody> {
-    let LiveStream { mut parts, source, first, slot } = live;
+    let StartedStream { mut parts, source, first_events } = started;
     remove_hop_by_hop(&mut parts.headers);
-    // Another endpoint may go on with it: its length is not known.
+    // Another endpoint may resume the stream: its length is not known.
     parts.headers.remove(CONTENT_LENGTH);
-    let status = parts.status;
-    let left = duration(exchange.deadline.since(now()));
-    let last_id = exchange.last_event_id();
+    let remaining = duration(exchange.deadline.since(now()));
+    let last_event_id = exchange.last_event_id();
     let stream = ForwardedStream {
-        core: Arc::clone(core),
+        state: Arc::clone(state),
         exchange,
         turn,
-        tries,
+        retries,
         source,
-        slot,
-        status,
-        first: Some(first),
-        last_id,
-        resumed_behind: None,
-        until: Instant::now() + left,
-        ended: false,
+        slot: Some(slot),
+        status: parts.status,
+        first_events: Some(first_events),
+        last_event_id,
+        resumed_after: None,
+        deadline: Instant::now() + remaining,
+        has_ended: false,
     };
-    let pieces = unfold(stream, async |mut stream| {
-        let piece = stream.next().await?;
-        Some((piece, stream))
+    let chunks = unfold(stream, async |mut stream| {
+        let chunk = stream.next().await?;
+        Some((chunk, stream))
     });
-    Response::from_parts(parts, RelayBody::pieces(Box::pin(pieces)))
+    Response::from_parts(parts, RelayBody::streaming(Box::pin(chunks)))
 }
 
 /// A stream on its way to the client.
 struct ForwardedStream {
-    core: Arc<RelayState>,
+    state: Arc<RelayState>,
     exchange: Exchange,
+    /// The turn, until it is stored or the stream is aborted.
     turn: Option<OpenTurn>,
-    tries: RetryState,
-    source: Source,
+    retries: RetryState,
+    source: EventSource,
+    /// The slot at the current endpoint.
     slot: Option<Slot>,
     status: StatusCode,
-    first: Option<Vec<Event>>,
-    /// The id of the last event that the client has: passed on, or named by it.
-    last_id: Option<Bytes>,
-    /// The same when the stream was last taken up elsewhere, as a number.
-    resumed_behind: Option<u64>,
-    until: Instant,
-    ended: bool,
+    /// Events that arrived before the response was ready.
+    first_events: Option<Vec<Event>>,
+    /// The id of the last event that the client has: one that was sent, or that the client named itself.
+    last_event_id: Option<Bytes>,
+    /// `last_event_id` as a number when the stream was last resumed.
+    resumed_after: Option<u64>,
+    deadline: Instant,
+    has_ended: bool,
 }
 
 impl ForwardedStream {
-    /// The next bytes for the client; `None` at the end.
+    /// The next chunk for the client; `None` at the end.
     async fn next(&mut self) -> Option<Result<Bytes, StreamError>> {
-        if self.ended {
+        if self.has_ended {
             return None;
         }
-        let next = self.next_bytes().await;
-        self.ended = !matches!(next, Ok(Some(_)));
+        let next = self.next_chunk().await;
+        self.has_ended = !matches!(next, Ok(Some(_)));
         match next {
             Ok(Some(_)) => {}
-            Ok(None) => self.exchange.trace.ended(Outcome::Answered(self.status)),
-            Err(why) => self.abort(why),
+            Ok(None) => self.exchange.trace.finish(Outcome::Forwarded(self.status)),
+            Err(error) => self.abort(error),
         }
         next.transpose()
     }
 
-    fn abort(&mut self, why: StreamError) {
-        self.core.metrics.broken_off.add();
-        self.exchange.trace.ended(Outcome::StreamError(why));
-        self.source.connection = None;
+    fn abort(&mut self, error: StreamError) {
+        self.state.metrics.aborted_streams.increment();
+        self.exchange.trace.finish(Outcome::Aborted(error));
+        self.source.close();
         self.slot = None;
         self.turn = None;
     }
 
-    async fn next_bytes(&mut self) -> Result<Option<Bytes>, StreamError> {
+    async fn next_chunk(&mut self) -> Result<Option<Bytes>, StreamError> {
         loop {
-            if let Some(first) = self.first.take()
-                && let Some(bytes) = self.take_in(first)?
+            if let Some(events) = self.first_events.take()
+                && let Some(chunk) = self.handle_events(events)?
             {
-                return Ok(Some(bytes));
+                return Ok(Some(chunk));
             }
-            match timeout_at(self.until, self.source.next()).await {
-                Err(_) => return Err(StreamError::Deadline),
-                Ok(Ok(Next::Events(events))) => {
-                    if let Some(bytes) = self.take_in(events)? {
-                        return Ok(Some(bytes));
+            match timeout_at(self.deadline, self.source.next()).await {
+                Err(_) => return Err(StreamError::DeadlineExceeded),
+                Ok(Ok(SourceItem::Events(events))) => {
+                    if let Some(chunk) = self.handle_events(events)? {
+                        return Ok(Some(chunk));
                     }
                 }
-                Ok(Ok(Next::End(rest))) if rest.is_empty() => return self.complete().await.map(|()| None),
-                Ok(Ok(Next::End(rest))) => return Ok(Some(rest)),
+                Ok(Ok(SourceItem::End(remainder))) if remainder.is_empty() => {
+                    return self.complete().await.map(|()| None);
+                }
+                Ok(Ok(SourceItem::End(remainder))) => return Ok(Some(remainder)),
                 Ok(Err(failure)) => self.resume(failure).await?,
             }
         }
     }
 
-    /// The bytes of events that the client does not have yet.
-    fn take_in(&mut self, events: Vec<Event>) -> Result<Option<Bytes>, StreamError> {
-        let mut fresh: Vec<Event> = events.into_iter().filter(|event| !self.is_known(event)).collect();
-        for event in &fresh {
-            self.check_rises(event);
-            let kept = self.turn.as_mut().map_or(0, |turn| turn.record_event(event));
-            if !self.exchange.held.grow(kept) {
+    /// Records events, and returns the bytes of those that the client does not have yet.
+    fn handle_events(&mut self, events: Vec<Event>) -> Result<Option<Bytes>, StreamError> {
+        let mut new_events: Vec<Event> =
+            events.into_iter().filter(|event| !self.is_duplicate(event)).collect();
+        for event in &new_events {
+            self.check_id_increases(event);
+            let retained_bytes = self.turn.as_mut().map_or(0, |turn| turn.record_event(event));
+            if !self.exchange.memory.grow(retained_bytes) {
                 return Err(StreamError::NoCapacity);
             }
             if event.id.is_some() {
-                self.last_id.clone_from(&event.id);
+                self.last_event_id.clone_from(&event.id);
             }
         }
-        Ok(match fresh.len() {
+        Ok(match new_events.len() {
             0 => None,
-            1 => fresh.pop().map(|event| event.raw),
+            1 => new_events.pop().map(|event| event.raw),
             _ => {
-                let mut all = BytesMut::new();
-                fresh.iter().for_each(|event| all.extend_from_slice(&event.raw));
-                Some(all.freeze())
+                let mut joined = BytesMut::new();
+                new_events.iter().for_each(|event| joined.extend_from_slice(&event.raw));
+                Some(joined.freeze())
             }
         })
     }
 
-    /// What another endpoint goes on with lies behind what the client had when it was asked.
-    fn check_rises(&self, event: &Event) {
-        let rises = match (self.resumed_behind, number(&event.id)) {
-            (Some(behind), Some(id)) => id > behind,
+    /// Checks that a resumed stream continues after the event that the client had when it was resumed.
+    fn check_id_increases(&self, event: &Event) {
+        let increases = match (self.resumed_after, event_number(&event.id)) {
+            (Some(resumed_after), Some(id)) => id > resumed_after,
             _ => true,
         };
-        check(Invariant::EventIdsIncrease, rises, || {
+        check(Invariant::EventIdsIncrease, increases, || {
             format!("request {}, event {:?}", self.exchange.trace.request_id(), event.id)
         });
     }
 
-    /// Whether a resumed stream repeats an event. Ids rise.
-    fn is_known(&self, event: &Event) -> bool {
-        match (number(&self.last_id), number(&event.id)) {
+    /// Whether a resumed stream repeats an event. Ids increase.
+    fn is_duplicate(&self, event: &Event) -> bool {
+        match (event_number(&self.last_event_id), event_number(&event.id)) {
             (Some(last), Some(id)) => id <= last,
             _ => false,
         }
     }
 
-    /// Takes the stream up at another endpoint, behind the last event passed on.
-    async fn resume(&mut self, failure: AttemptFailure) -> Result<(), StreamError> {
-        let mut failure = failure;
+    /// Resumes the stream at another endpoint, after the last event that the client has.
+    async fn resume(&mut self, mut failure: AttemptFailure) -> Result<(), StreamError> {
         loop {
-            self.source.connection = None;
-            let Some(slot) = self.slot.take() else { return Err(StreamError::Endpoint) };
-            self.tries.note(&self.core, slot.endpoint().clone(), failure);
-            slot.end(failure.cause.ending());
+            self.source.close();
+            let Some(slot) = self.slot.take() else { return Err(StreamError::EndpointFailed) };
+            self.retries.record_failure(&self.state.metrics, slot.endpoint().clone(), failure);
+            slot.release(failure.cause.call_outcome());
             self.prepare_resumption()?;
-            let ask = self.exchange.ask(self.tries.excluded.clone(), self.exchange.left());
-            let patience = self.exchange.patience();
-            let slot = self.core.dispatcher.slot(ask, patience).await.map_err(|_| StreamError::Endpoint)?;
-            self.exchange.trace.attempt_began(slot.endpoint());
-            let answer = timeout_at(self.until, open(&self.core, &self.exchange, &slot)).await;
+            let excluded = self.retries.excluded.clone();
+            let request = self.exchange.placement_request(excluded, self.exchange.remaining_time());
+            let max_wait = self.exchange.max_queue_wait();
+            let slot = self.state.dispatcher.acquire_slot(request, max_wait).await;
+            let slot = slot.map_err(|_| StreamError::EndpointFailed)?;
+            self.exchange.trace.start_attempt(slot.endpoint());
+            let response = timeout_at(self.deadline, reopen(&self.state, &self.exchange, &slot)).await;
             self.slot = Some(slot);
-            match answer {
-                Err(_) => return Err(StreamError::Deadline),
-                Ok(Err(again)) => failure = again,
-                Ok(Ok(answer)) if answer.parts.status.is_success() => {
-                    self.source = Source::new(answer).1;
-                    self.core.metrics.resumed.add();
+            match response {
+                Err(_) => return Err(StreamError::DeadlineExceeded),
+                Ok(Err(next_failure)) => failure = next_failure,
+                Ok(Ok(response)) if response.parts.status.is_success() => {
+                    self.source = EventSource::new(response).1;
+                    self.state.metrics.resumed_streams.increment();
                     return Ok(());
                 }
-                Ok(Ok(_)) => return Err(StreamError::Endpoint),
+                Ok(Ok(_)) => return Err(StreamError::EndpointFailed),
             }
         }
     }
 
-    /// Whether it may be resumed, and from where.
+    /// Has the request ask for the events after the last one that the client has, if the stream may be resumed.
     fn prepare_resumption(&mut self) -> Result<(), StreamError> {
-        let last_id = self.last_id.as_ref().and_then(|id| HeaderValue::from_bytes(id).ok());
-        let may_resume = self.exchange.is_retryable() && self.tries.left(&self.exchange) > 0;
-        match last_id.filter(|_| may_resume) {
-            None => Err(StreamError::Endpoint),
+        let last_event_id = self.last_event_id.as_ref().and_then(|id| HeaderValue::from_bytes(id).ok());
+        let may_resume = self.exchange.is_retryable() && self.retries.attempts_left(&self.exchange) > 0;
+        match last_event_id.filter(|_| may_resume) {
+            None => Err(StreamError::EndpointFailed),
             Some(id) => {
-                self.resumed_behind = number(&self.last_id);
+                self.resumed_after = event_number(&self.last_event_id);
                 self.exchange.headers.insert(header_name(headers::LAST_EVENT_ID), id);
                 Ok(())
             }
         }
     }
 
-    /// The stream has come to its end: a kept turn is on disk before the client learns of it.
+    /// Handles the end of the stream: a turn is stored before the client learns of the end.
     async fn complete(&mut self) -> Result<(), StreamError> {
         let Some(slot) = self.slot.take() else { return Ok(()) };
         let endpoint = slot.endpoint().clone();
-        slot.end(CallOutcome::Succeeded);
-        self.exchange.trace.attempt_ended(AttemptEnd::Answered);
-        if let Some(connection) = self.source.connection.take() {
-            self.core.pool.give_back(&endpoint, connection, self.source.keep_alive);
-        }
-        match self.turn.take() {
-            Some(turn) => {
-                let left = self.exchange.deadline.since(now());
-                let kept = turn.complete(&endpoint, left).await;
-                kept.inspect_err(|fault| self.exchange.note_stores(*fault))
-                    .map_err(|_| StreamError::TurnNotStored)
-            }
-            None => Ok(()),
-        }
+        slot.release(CallOutcome::Succeeded);
+        self.exchange.trace.end_attempt(AttemptEnd::Completed);
+        self.source.return_connection(&self.state.pool, &endpoint);
+        let Some(turn) = self.turn.take() else { return Ok(()) };
+        let remaining = self.exchange.deadline.since(now());
+        let stored = turn.store(&endpoint, remaining).await;
+        stored
+            .inspect_err(|error| self.exchange.record_turn_error(*error))
+            .map_err(|_| StreamError::TurnNotStored)
     }
 }
 
-/// The number of an event.
-fn number(id: &Option<Bytes>) -> Option<u64> {
+/// The id of an event as a number, if it is one.
+fn event_number(id: &Option<Bytes>) -> Option<u64> {
     std::str::from_utf8(id.as_ref()?).ok()?.trim().parse().ok()
 }
 
-async fn open(core: &RelayState, exchange: &Exchange, slot: &Slot) -> Result<Answer, AttemptFailure> {
-    let connection = attempt::connect(core, exchange, slot).await?;
-    attempt::send(core, exchange, slot, connection).await
+async fn reopen(
+    state: &RelayState, exchange: &Exchange, slot: &Slot,
+) -> Result<EndpointResponse, AttemptFailure> {
+    let connection = attempt::connect(state, exchange, slot).await?;
+    attempt::send(state, exchange, slot, connection).await
 }
--- a/crates/node/src/relay/turn.rs
+++ b/crates/node/src/relay/turn.rs
@@ -1,4 +1,4 @@
-//! Turns of agent programs: budgets are reserved before a turn runs, and turns are kept where the route says so.
+//! Turns of agent programs: tokens are reserved before a turn runs, and turns are stored where the route says so.
 
 use std::sync::Arc;
 
@@ -10,129 +10,132 @@
 use juniperwing_protocol::identity::{InstanceId, ProgramId, RequestId};
 use juniperwing_protocol::session::{BeginTurn, FinishTurn, Turn};
 
-use super::RelayState;
-use super::attempt_outcome::Rejection;
 use super::events::Event;
-use super::exchange::{Exchange, header_number, header_text};
-use super::sessions::{Sessions, TurnError};
+use super::exchange::Exchange;
+use super::http_headers::{header_number, header_text};
+use super::rejection::Rejection;
+use super::sessions::{SessionStore, TurnError};
 use crate::clock::duration;
 
-/// The end of an answer is held back for so long at the most while its turn is being kept.
+/// The longest that the end of a response is delayed while its turn is stored.
 const STORE_TIMEOUT: Span = Span::from_millis(1_000);
-/// Time to keep a turn whose answer ends just before its deadline.
+/// The time beyond its deadline that a response may take while its turn is stored.
 const STORE_ALLOWANCE_PAST_DEADLINE: Span = Span::from_millis(100);
-/// The share of the time left that the stores may take to begin a turn.
+/// The fraction of the remaining time that the stores may take to begin a turn.
 const BEGIN_TIMEOUT_FRACTION: f64 = 0.5;
 
 /// Why a turn does not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TurnRejection {
-    /// With this status: it is a final answer.
+    /// For good, with this status.
     Final(StatusCode),
     /// For now.
-    Rejection(Rejection),
+    Temporary(Rejection),
 }
 
 impl From<TurnError> for TurnRejection {
-    fn from(fault: TurnError) -> Self {
-        match fault {
+    fn from(error: TurnError) -> Self {
+        match error {
             TurnError::BudgetExhausted => TurnRejection::Final(StatusCode::PAYMENT_REQUIRED),
             TurnError::UnknownTurn => TurnRejection::Final(StatusCode::NOT_FOUND),
-            TurnError::Unavailable { .. } => TurnRejection::Rejection(Rejection::StoresUnreachable),
+            TurnError::Unavailable { .. } => TurnRejection::Temporary(Rejection::StoresUnreachable),
         }
     }
 }
 
-/// A turn that has been begun. Dropped before its end, it is settled at what was handed out.
+/// A turn that has begun. Dropped before its end, it is committed with the tokens that were sent to the client.
 pub struct OpenTurn {
-    sessions: Arc<dyn Sessions>,
+    sessions: Arc<dyn SessionStore>,
     program: ProgramId,
     request: RequestId,
     previous: Option<RequestId>,
     input: Bytes,
-    /// Tokens in an event.
-    stride: u64,
-    /// The most that it may generate; `None` if the client does not say.
-    most: Option<u64>,
-    /// For how long it is kept, where it is.
+    tokens_per_event: u64,
+    /// The most tokens that the turn may generate; `None` if the client does not say.
+    max_tokens: Option<u64>,
+    /// For how long the turn is stored; `None` if it is not.
     retention: Option<Span>,
-    delivered_tokens: u64,
+    /// The tokens sent to the client.
+    sent_tokens: u64,
+    /// The text sent to the client, if the turn is to be stored.
     output: Vec<u8>,
-    /// Whether the stores hold a reservation that must be settled.
-    reserved: bool,
+    /// Whether the stores may have a reservation that must be committed.
+    has_reservation: bool,
 }
 
 impl OpenTurn {
-    /// Begins the turn that a request is, if it is one that the stores must know of. The bodies of the turns
-    /// before are put before its own.
+    /// Begins the turn of a request, if the stores have to know of it; `None` if they do not. The bodies of the
+    /// earlier turns are put before the request's own.
     ///
     /// # Errors
     ///
-    /// If it must not run, or not now.
+    /// If the turn must not run, or not now.
     pub async fn begin(
-        core: &RelayState, exchange: &mut Exchange, table: &RouteTable,
+        sessions: &Arc<dyn SessionStore>, exchange: &mut Exchange, table: &RouteTable,
     ) -> Result<Option<OpenTurn>, TurnRejection> {
-        let kept = exchange.route.stores_turns;
+        let is_stored = exchange.route.stores_turns;
         let budget = budget(exchange)?;
-        if !exchange.route.route_type.is_streaming() || (budget.is_none() && !kept) {
+        if !exchange.route.route_type.is_streaming() || (budget.is_none() && !is_stored) {
             return Ok(None);
         }
-        let mut turn = OpenTurn::new(core, exchange, table, budget);
-        let begin = BeginTurn {
-            program: turn.program.clone(),
-            request: turn.request.clone(),
-            previous: turn.previous.clone(),
-            budget,
-            max_tokens: turn.most.or(budget).unwrap_or(0),
-            imported: Vec::new(),
-        };
-        let within = exchange.left().mul_f64(BEGIN_TIMEOUT_FRACTION);
-        let chain = match core.sessions.begin(begin, duration(within)).await {
-            Ok(chain) => chain,
-            Err(fault) => {
-                // Where the answer is certain there is no reservation.
-                turn.reserved &= matches!(fault, TurnError::Unavailable { .. });
-                exchange.note_stores(fault);
-                return Err(fault.into());
-            }
-        };
-        if kept {
-            exchange.hint = chain.last().and_then(|turn| turn.endpoint.clone()).map(InstanceId);
-            let input = exchange.body.len();
-            exchange.body = body_of(&chain, &exchange.body);
-            // A prompt has about as many tokens for each byte everywhere.
-            exchange.new_prompt_fraction = input as f64 / exchange.body.len().max(1) as f64;
+        let mut turn = OpenTurn::new(sessions, exchange, table, budget);
+        let earlier_turns = turn.reserve(exchange, budget).await?;
+        if is_stored {
+            prepend_turns(exchange, &earlier_turns);
         }
         Ok(Some(turn))
     }
 
-    fn new(core: &RelayState, exchange: &Exchange, table: &RouteTable, budget: Option<u64>) -> OpenTurn {
+    fn new(
+        sessions: &Arc<dyn SessionStore>, exchange: &Exchange, table: &RouteTable, budget: Option<u64>,
+    ) -> OpenTurn {
         let request = exchange.request_id();
         let program = exchange.program.clone().unwrap_or_else(|| ProgramId(request.0.clone()));
         let service = table.service(&exchange.destination.service);
-        let stride =
-            service.and_then(|service| service.engine.as_ref()).map_or(1, |engine| engine.tokens_per_event);
-        let kept = exchange.route.stores_turns;
+        let engine = service.and_then(|service| service.engine.as_ref());
+        let is_stored = exchange.route.stores_turns;
         let previous = Some(header_text(&exchange.headers, headers::PREVIOUS)).filter(|id| !id.is_empty());
         OpenTurn {
-            sessions: Arc::clone(&core.sessions),
+            sessions: Arc::clone(sessions),
             program,
             request,
-            previous: previous.filter(|_| kept).map(RequestId::from),
+            previous: previous.filter(|_| is_stored).map(RequestId::from),
             input: exchange.body.clone(),
-            stride: u64::from(stride),
-            most: most_tokens(exchange),
-            retention: kept.then_some(exchange.route.retention),
-            delivered_tokens: 0,
+            tokens_per_event: u64::from(engine.map_or(1, |engine| engine.tokens_per_event)),
+            max_tokens: max_tokens(exchange),
+            retention: is_stored.then_some(exchange.route.retention),
+            sent_tokens: 0,
             output: Vec::new(),
-            reserved: budget.is_some(),
+            has_reservation: budget.is_some(),
         }
     }
 
-    /// An event is passed on to the client. Returns how many bytes are kept of it.
+    /// Has the stores reserve tokens, and returns the earlier turns, oldest first.
+    async fn reserve(
+        &mut self, exchange: &Exchange, budget: Option<u64>,
+    ) -> Result<Vec<Turn>, TurnRejection> {
+        let begin = BeginTurn {
+            program: self.program.clone(),
+            request: self.request.clone(),
+            previous: self.previous.clone(),
+            budget,
+            max_tokens: self.max_tokens.or(budget).unwrap_or(0),
+            imported: Vec::new(),
+        };
+        let max_wait = exchange.remaining_time().mul_f64(BEGIN_TIMEOUT_FRACTION);
+        let begun = self.sessions.begin_turn(begin, duration(max_wait)).await;
+        begun.map_err(|error| {
+            // If the stores have decided, there is no reservation.
+            self.has_reservation &= matches!(error, TurnError::Unavailable { .. });
+            exchange.record_turn_error(error);
+            error.into()
+        })
+    }
+
+    /// Records an event that is sent to the client. Returns how many bytes of it are retained.
     pub fn record_event(&mut self, event: &Event) -> usize {
         let Some(data) = &event.data else { return 0 };
-        self.delivered_tokens = self.delivered_tokens.saturating_add(self.stride);
+        self.sent_tokens = self.sent_tokens.saturating_add(self.tokens_per_event);
         if self.retention.is_none() {
             return 0;
         }
@@ -141,13 +144,13 @@
         data.len() + 1
     }
 
-    /// The answer has come to its end at an endpoint, with `left` until its deadline: the turn is kept before that
-    /// end is passed on.
+    /// Handles the end of the stream of an endpoint, with `remaining` until the deadline: the turn is stored, if its
+    /// route says so, before the end is sent to the client.
     ///
     /// # Errors
     ///
-    /// If it could not be kept in time: the answer must not look complete.
-    pub async fn complete(mut self, endpoint: &InstanceId, left: Span) -> Result<(), TurnError> {
+    /// If the turn could not be stored in time: the response must not look complete.
+    pub async fn store(mut self, endpoint: &InstanceId, remaining: Span) -> Result<(), TurnError> {
         let Some(retention) = self.retention else { return Ok(()) };
         let turn = Turn {
             request: self.request.clone(),
@@ -157,27 +160,29 @@
             retention_ms: retention.as_nanos() / 1_000_000,
             endpoint: Some(endpoint.0.clone()),
         };
-        let finish = FinishTurn { stored_turn: Some(turn), ..self.settled() };
-        let within = STORE_TIMEOUT.min(left + STORE_ALLOWANCE_PAST_DEADLINE);
-        self.sessions.finish(finish, duration(within)).await?;
-        self.reserved = false;
+        let finish = FinishTurn { stored_turn: Some(turn), ..self.commit_message() };
+        let max_wait = STORE_TIMEOUT.min(remaining + STORE_ALLOWANCE_PAST_DEADLINE);
+        self.sessions.finish_turn(finish, duration(max_wait)).await?;
+        self.has_reservation = false;
         Ok(())
     }
 
-    fn settled(&self) -> FinishTurn {
-        let tokens = self.most.map_or(self.delivered_tokens, |most| self.delivered_tokens.min(most));
+    /// The message that replaces the reservation by the tokens sent.
+    fn commit_message(&self) -> FinishTurn {
+        let tokens = self.max_tokens.map_or(self.sent_tokens, |max| self.sent_tokens.min(max));
         FinishTurn { program: self.program.clone(), request: self.request.clone(), tokens, stored_turn: None }
     }
 }
 
 impl Drop for OpenTurn {
     fn drop(&mut self) {
-        if self.reserved {
-            self.sessions.finish_later(self.settled());
+        if self.has_reservation {
+            self.sessions.finish_turn_in_background(self.commit_message());
         }
     }
 }
 
+/// The token budget of the program, if the client gives one.
 fn budget(exchange: &Exchange) -> Result<Option<u64>, TurnRejection> {
     if !exchange.headers.contains_key(headers::BUDGET) {
         return Ok(None);
@@ -187,19 +192,29 @@
 }
 
 /// The second number of `X-Token-Count`.
-fn most_tokens(exchange: &Exchange) -> Option<u64> {
-    let (_, most) = header_text(&exchange.headers, headers::TOKEN_COUNT).split_once(',')?;
-    most.trim().parse().ok()
+fn max_tokens(exchange: &Exchange) -> Option<u64> {
+    let (_, max_tokens) = header_text(&exchange.headers, headers::TOKEN_COUNT).split_once(',')?;
+    max_tokens.trim().parse().ok()
+}
+
+/// Puts the earlier turns before the request's body, and records what the balancer needs to know of them.
+fn prepend_turns(exchange: &mut Exchange, earlier_turns: &[Turn]) {
+    let last = earlier_turns.last();
+    exchange.previous_endpoint = last.and_then(|turn| turn.endpoint.clone()).map(InstanceId);
+    let new_bytes = exchange.body.len();
+    exchange.body = with_history(earlier_turns, &exchange.body);
+    // A byte of a prompt stands for about the same number of tokens everywhere.
+    exchange.new_prompt_fraction = new_bytes as f64 / exchange.body.len().max(1) as f64;
 }
 
-/// For each turn its input and its output, then the new input.
-fn body_of(chain: &[Turn], input: &Bytes) -> Bytes {
-    if chain.is_empty() {
+/// The input and the output of each earlier turn, then the new input.
+fn with_history(earlier_turns: &[Turn], input: &Bytes) -> Bytes {
+    if earlier_turns.is_empty() {
         return input.clone();
     }
-    let before: usize = chain.iter().map(|turn| turn.input.len() + turn.output.len()).sum();
-    let mut body = BytesMut::with_capacity(before + input.len());
-    for turn in chain {
+    let history_bytes: usize = earlier_turns.iter().map(|turn| turn.input.len() + turn.output.len()).sum();
+    let mut body = BytesMut::with_capacity(history_bytes + input.len());
+    for turn in earlier_turns {
         body.put_slice(&turn.input);
         body.put_slice(&turn.output);
     }
--- a/crates/node/src/relay/upstream.rs
+++ b/crates/node/src/relay/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints: one request at a time on each, kept for reuse while they are sound.
+//! Connections to endpoints: one request at a time on each, kept for reuse while they are usable.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,141 +20,145 @@
 use crate::panics::isolated;
 use crate::sync::lock;
 
-/// A connection that has not come up by then is given up.
-pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// For how long an idle connection is kept where the endpoint does not say.
-const DEFAULT_IDLE_TIMEOUT: Span = Span::from_millis(4_000);
-/// An idle connection is given up this long before the endpoint does.
+/// The longest that establishing a connection may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// How long an idle connection is kept at most, and where the endpoint does not say.
+const MAX_IDLE_TIME: Span = Span::from_millis(4_000);
+/// How long before the endpoint's own idle time-out a connection is closed.
 const IDLE_TIMEOUT_MARGIN: Span = Span::from_millis(700);
-/// Idle connections kept to one endpoint.
+/// The number of idle connections that are kept to one endpoint.
 const MAX_IDLE_PER_ENDPOINT: usize = 32;
-/// The read buffer of a connection, in bytes.
+/// The size of a connection's read buffer, in bytes.
 const READ_BUFFER_BYTES: usize = 64 << 10;
 
-/// Ends the task of a connection, and with it the connection, when it is dropped.
+/// The task that drives a connection. Aborted when dropped, which closes the connection.
 #[derive(Debug)]
-struct Driver(JoinHandle<()>);
+struct ConnectionTask(JoinHandle<()>);
 
-impl Drop for Driver {
+impl Drop for ConnectionTask {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
+/// Counts as one open connection until it is dropped.
 #[derive(Debug)]
-struct Open(Arc<AtomicUsize>);
+struct ConnectionPermit(Arc<AtomicUsize>);
 
-impl Drop for Open {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// A connection to an endpoint. It closes when it is dropped.
+/// A connection to an endpoint. It is closed when dropped.
 #[derive(Debug)]
 pub struct Connection {
     /// Sends requests.
     pub sender: SendRequest<Full<Bytes>>,
-    /// Whether a request has gone over it before.
-    pub used: bool,
-    _driver: Driver,
-    _open: Open,
+    /// Whether a request has been sent on it before.
+    pub was_used: bool,
+    _task: ConnectionTask,
+    _permit: ConnectionPermit,
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     connection: Connection,
-    until: Time,
+    expires_at: Time,
 }
 
 /// All connections of a relay to endpoints.
 #[derive(Debug)]
 pub struct ConnectionPool {
-    idle: Mutex<HashMap<InstanceId, Vec<Idle>>>,
-    open: Arc<AtomicUsize>,
-    most: usize,
+    idle: Mutex<HashMap<InstanceId, Vec<IdleConnection>>>,
+    open_connections: Arc<AtomicUsize>,
+    max_connections: usize,
 }
 
 impl ConnectionPool {
-    /// A pool of at most `most` connections.
-    pub fn new(most: usize) -> Self {
-        ConnectionPool { idle: Mutex::default(), open: Arc::default(), most }
+    /// A pool of at most `max_connections`, idle ones included.
+    pub fn new(max_connections: usize) -> Self {
+        ConnectionPool { idle: Mutex::default(), open_connections: Arc::default(), max_connections }
     }
 
-    /// An idle connection to an endpoint that may be used again.
-    pub fn take(&self, endpoint: &InstanceId) -> Option<Connection> {
+    /// Removes a usable idle connection to an endpoint from the pool.
+    pub fn take_idle(&self, endpoint: &InstanceId) -> Option<Connection> {
         let now = now();
         let mut idle = self.lock();
         let connections = idle.get_mut(endpoint)?;
-        connections.retain(|idle| idle.until > now && !idle.connection.sender.is_closed());
-        let place = connections.iter().rposition(|idle| idle.connection.sender.is_ready())?;
-        Some(connections.swap_remove(place).connection)
+        connections.retain(|idle| idle.expires_at > now && !idle.connection.sender.is_closed());
+        let index = connections.iter().rposition(|idle| idle.connection.sender.is_ready())?;
+        Some(connections.swap_remove(index).connection)
     }
 
-    /// Opens a connection; `None` if it does not come up in time, or there are too many.
-    pub async fn connect(&self, address: SocketAddr, within: Duration) -> Option<Connection> {
-        if self.open.load(Ordering::Relaxed) >= self.most {
-            self.drop_idle();
-        }
-        if self.open.fetch_add(1, Ordering::Relaxed) >= self.most {
-            self.open.fetch_sub(1, Ordering::Relaxed);
-            return None;
-        }
-        let open = Open(Arc::clone(&self.open));
-        let stream = timeout(within.min(CONNECT_TIMEOUT), TcpStream::connect(address)).await.ok()?.ok()?;
+    /// Establishes a connection; `None` if that takes longer than `max_wait`, fails, or there are too many.
+    pub async fn connect(&self, address: SocketAddr, max_wait: Duration) -> Option<Connection> {
+        let permit = self.acquire_permit()?;
+        let stream = timeout(max_wait.min(CONNECT_TIMEOUT), TcpStream::connect(address)).await.ok()?.ok()?;
         stream.set_nodelay(true).ok()?;
         let mut builder = http1::Builder::new();
         builder.max_buf_size(READ_BUFFER_BYTES);
         let (sender, driver) = builder.handshake(TokioIo::new(stream)).await.ok()?;
-        let driver = tokio::spawn(isolated(async move {
-            // Its errors reach the request that is under way.
+        let task = tokio::spawn(isolated(async move {
+            // Its errors reach the request that is in flight.
             let _ = driver.await;
         }));
-        Some(Connection { sender, used: false, _driver: Driver(driver), _open: open })
+        Some(Connection { sender, was_used: false, _task: ConnectionTask(task), _permit: permit })
+    }
+
+    /// Counts one more connection, closing idle ones if there are too many; `None` if there still are.
+    fn acquire_permit(&self) -> Option<ConnectionPermit> {
+        if self.open_connections.load(Ordering::Relaxed) >= self.max_connections {
+            self.lock().clear();
+        }
+        if self.open_connections.fetch_add(1, Ordering::Relaxed) >= self.max_connections {
+            self.open_connections.fetch_sub(1, Ordering::Relaxed);
+            return None;
+        }
+        Some(ConnectionPermit(Arc::clone(&self.open_connections)))
     }
 
-    /// Keeps a connection whose answer has been read whole. `keep_alive` is what the endpoint told, in seconds.
-    pub fn give_back(&self, endpoint: &InstanceId, mut connection: Connection, keep_alive: Option<u64>) {
-        connection.used = true;
-        let told =
-            keep_alive.map(|seconds| Span::from_millis(seconds.saturating_mul(1_000)) - IDLE_TIMEOUT_MARGIN);
-        let keep = told.map_or(DEFAULT_IDLE_TIMEOUT, |told| told.min(DEFAULT_IDLE_TIMEOUT));
-        // Not ready: the endpoint answered before it had read the request. Its rest must not hold up another.
-        if keep == Span::ZERO || connection.sender.is_closed() || !connection.sender.is_ready() {
+    /// Keeps a connection whose response has been read completely. `keep_alive_secs` is what the endpoint's
+    /// `Keep-Alive` header says.
+    pub fn put_idle(&self, endpoint: &InstanceId, mut connection: Connection, keep_alive_secs: Option<u64>) {
+        connection.was_used = true;
+        let allowed = keep_alive_secs
+            .map(|seconds| Span::from_millis(seconds.saturating_mul(1_000)) - IDLE_TIMEOUT_MARGIN);
+        let idle_time = allowed.map_or(MAX_IDLE_TIME, |allowed| allowed.min(MAX_IDLE_TIME));
+        // Not ready: the endpoint responded before it had read the request, whose rest must not delay another.
+        if idle_time == Span::ZERO || connection.sender.is_closed() || !connection.sender.is_ready() {
             return;
         }
         let mut idle = self.lock();
         let connections = idle.entry(endpoint.clone()).or_default();
         if connections.len() < MAX_IDLE_PER_ENDPOINT {
-            connections.push(Idle { connection, until: now() + keep });
+            connections.push(IdleConnection { connection, expires_at: now() + idle_time });
         }
     }
 
-    /// Closes idle connections whose time is over, and those to endpoints that take no more requests.
+    /// Closes idle connections that have expired, and those to endpoints that are not ready.
     pub fn sweep(&self, is_ready: impl Fn(&InstanceId) -> bool) {
         let now = now();
         let mut idle = self.lock();
         idle.retain(|endpoint, connections| {
-            connections.retain(|idle| idle.until > now && !idle.connection.sender.is_closed());
+            connections.retain(|idle| idle.expires_at > now && !idle.connection.sender.is_closed());
             !connections.is_empty() && is_ready(endpoint)
         });
     }
 
-    /// Closes the idle connections to an endpoint that takes no new ones: a request on them could not be taken back.
-    pub fn forget(&self, endpoint: &InstanceId) {
+    /// Closes the idle connections to an endpoint that accepts no new ones: a request sent on them could not be
+    /// recalled.
+    pub fn close_idle(&self, endpoint: &InstanceId) {
         self.lock().remove(endpoint);
     }
 
-    /// Whether connections are kept.
+    /// Whether there are idle connections.
     pub fn has_idle(&self) -> bool {
         !self.lock().is_empty()
     }
 
-    fn drop_idle(&self) {
-        self.lock().clear();
-    }
-
-    fn lock(&self) -> MutexGuard<'_, HashMap<InstanceId, Vec<Idle>>> {
+    fn lock(&self) -> MutexGuard<'_, HashMap<InstanceId, Vec<IdleConnection>>> {
         lock(&self.idle)
     }
 }
--- a/crates/node/tests/relay/client_left.rs
+++ b/crates/node/tests/relay/client_left.rs
@@ -30,7 +30,7 @@
 /// Waits until the relay serves so many connections of clients.
 async fn connections(bench: &Bench, wanted: usize) {
     soon(async {
-        while bench.core.connections.count() != wanted {
+        while bench.state.connections.count() != wanted {
             tokio::task::yield_now().await;
         }
     })
@@ -40,7 +40,7 @@
 /// Waits until the relay has read so many requests.
 async fn requests(bench: &Bench, wanted: u64) {
     soon(async {
-        while bench.core.metrics.requests.get() != wanted {
+        while bench.state.metrics.requests.get() != wanted {
             tokio::task::yield_now().await;
         }
     })
--- a/crates/node/tests/relay/deadlines.rs
+++ b/crates/node/tests/relay/deadlines.rs
@@ -132,7 +132,7 @@
     assert!(begun.elapsed() < ENDED_BY);
     soon(endpoint.left.notified()).await;
     assert_eq!(
-        bench.core.metrics.broken_off.get(),
+        bench.state.metrics.aborted_streams.get(),
         1,
         "the stream ended itself, before its connection was cut"
     );
--- a/crates/node/tests/relay/early.rs
+++ b/crates/node/tests/relay/early.rs
@@ -78,7 +78,7 @@
     let body = "x".repeat(LONG_BODY_BYTES);
     let answer = read(bench.send(request("POST", &format!("/n/{id}"), &id, &body)).await).await;
     assert_eq!(answer.status, StatusCode::OK);
-    assert!(!bench.core.pool.has_idle());
+    assert!(!bench.state.pool.has_idle());
 }
 
 #[tokio::test]
--- a/crates/node/tests/relay/events.rs
+++ b/crates/node/tests/relay/events.rs
@@ -1,6 +1,6 @@
 //! Server-sent events are taken apart alike however their bytes are cut.
 
-use juniperwing_node::relay::events::{Event, EventSplitter, MAX_EVENT_BYTES};
+use juniperwing_node::relay::{Event, EventSplitter, MAX_EVENT_BYTES};
 use proptest::prelude::*;
 
 fn split(text: &[u8], cuts: &[usize]) -> (Vec<Event>, Vec<u8>) {
@@ -11,7 +11,7 @@
         events.extend(splitter.push(&text[from..cut]).unwrap());
         from = cut;
     }
-    (events, splitter.rest().to_vec())
+    (events, splitter.take_remainder().to_vec())
 }
 
 #[test]
--- a/crates/node/tests/relay/handed_back.rs
+++ b/crates/node/tests/relay/handed_back.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use http::Request;
 use http_body_util::{BodyExt, Full};
-use juniperwing_node::relay::upstream::{Connection, ConnectionPool};
+use juniperwing_node::relay::{Connection, ConnectionPool};
 use tokio::sync::oneshot;
 
 use crate::support::soon;
--- a/crates/node/tests/relay/lifecycle.rs
+++ b/crates/node/tests/relay/lifecycle.rs
@@ -47,10 +47,10 @@
     let endpoint = Endpoint::start("i-1", |request| ok(request, "")).await;
     let bench = Bench::with(&[&endpoint]).await;
     assert_eq!(bench.get("/nowhere").await.status, StatusCode::NOT_FOUND);
-    bench.world.connected(false);
+    bench.cluster.connected(false);
     assert_eq!(bench.get("/nowhere").await.status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(bench.get("/i/x").await.status, StatusCode::OK);
-    bench.world.connected(true);
+    bench.cluster.connected(true);
     assert_eq!(bench.get("/nowhere").await.status, StatusCode::NOT_FOUND);
 }
 
--- a/crates/node/tests/relay/planned_work.rs
+++ b/crates/node/tests/relay/planned_work.rs
@@ -105,14 +105,14 @@
     asked.push(ask("GET", "/i/x", "for-a-slot".into()));
     asked.push(ask("POST", "/k/x", "for-the-stores".into()));
     soon(async {
-        while bench.core.metrics.requests.get() < TAKEN as u64 + 2 {
+        while bench.state.metrics.requests.get() < TAKEN as u64 + 2 {
             tokio::task::yield_now().await;
         }
     })
     .await;
     bench.stop();
     soon(async {
-        while bench.core.is_ready() {
+        while bench.state.is_ready() {
             tokio::task::yield_now().await;
         }
     })
@@ -196,7 +196,7 @@
     let begun = Instant::now();
     bench.stop();
     soon(async {
-        while bench.core.is_ready() {
+        while bench.state.is_ready() {
             tokio::task::yield_now().await;
         }
     })
--- a/crates/node/tests/relay/streams.rs
+++ b/crates/node/tests/relay/streams.rs
@@ -165,13 +165,13 @@
     let sent = with_headers(request("POST", "/k/x", "t1", &body), &[("program", "p1")]);
     let mut stream = bench.send(sent).await.into_body();
     next_piece(&mut stream).await.unwrap().unwrap();
-    let held = bench.core.memory.held();
+    let held = bench.state.memory.reserved_bytes();
     assert!(held >= body.len() + "first\n".len(), "{held} bytes are held");
     go_on.notify_one();
     assert!(next_piece(&mut stream).await.is_none());
     drop(stream);
     soon(async {
-        while bench.core.memory.held() > 0 {
+        while bench.state.memory.reserved_bytes() > 0 {
             tokio::task::yield_now().await;
         }
     })
--- a/crates/node/tests/relay/support.rs
+++ b/crates/node/tests/relay/support.rs
@@ -14,9 +14,7 @@
 use hyper_util::rt::TokioIo;
 use juniperwing_balancing::Destination;
 use juniperwing_clock::Span;
-use juniperwing_node::relay::sessions::{SessionCall, Sessions, TurnError};
-use juniperwing_node::relay::snapshot::ClusterView;
-use juniperwing_node::relay::{Relay, RelayState};
+use juniperwing_node::relay::{ClusterView, Relay, RelayState, SessionCall, SessionStore, TurnError};
 use juniperwing_node::sessions_client::StoreFault;
 use juniperwing_node::settings::Settings;
 use juniperwing_node::subscriber::Sink;
@@ -62,8 +60,8 @@
     pub told: Notify,
 }
 
-impl Sessions for Stores {
-    fn begin(&self, turn: BeginTurn, _: Duration) -> SessionCall<Vec<Turn>> {
+impl SessionStore for Stores {
+    fn begin_turn(&self, turn: BeginTurn, _: Duration) -> SessionCall<Vec<Turn>> {
         self.begun.lock().unwrap().push(turn);
         let answer = self.chain.lock().unwrap().clone().unwrap_or(Ok(Vec::new()));
         let hold = self.hold_begin.lock().unwrap().clone();
@@ -75,8 +73,8 @@
         })
     }
 
-    fn finish(&self, turn: FinishTurn, within: Duration) -> SessionCall<()> {
-        self.finish_within.lock().unwrap().push(within);
+    fn finish_turn(&self, turn: FinishTurn, max_wait: Duration) -> SessionCall<()> {
+        self.finish_within.lock().unwrap().push(max_wait);
         self.finished.lock().unwrap().push(turn);
         self.told.notify_one();
         let hold = self.hold.lock().unwrap().clone();
@@ -85,11 +83,11 @@
             if let Some(hold) = hold {
                 hold.notified().await;
             }
-            if fails { Err(TurnError::Unavailable { trouble: StoreFault::NoAnswer.into() }) } else { Ok(()) }
+            if fails { Err(TurnError::Unavailable { cause: StoreFault::NoAnswer.into() }) } else { Ok(()) }
         })
     }
 
-    fn settled(&self) -> Pin<Box<dyn Future<Output = ()> + Send>> {
+    fn background_commits_done(&self) -> Pin<Box<dyn Future<Output = ()> + Send>> {
         let hold = self.hold_settled.lock().unwrap().clone();
         Box::pin(async move {
             if let Some(hold) = hold {
@@ -98,7 +96,7 @@
         })
     }
 
-    fn finish_later(&self, turn: FinishTurn) {
+    fn finish_turn_in_background(&self, turn: FinishTurn) {
         self.later.lock().unwrap().push(turn);
         self.told.notify_one();
     }
@@ -130,8 +128,8 @@
 pub struct Bench {
     pub frontend: SocketAddr,
     pub readiness: SocketAddr,
-    pub world: Arc<ClusterView>,
-    pub core: Arc<RelayState>,
+    pub cluster: Arc<ClusterView>,
+    pub state: Arc<RelayState>,
     pub stores: Arc<Stores>,
     log: Lines,
     stop: Mutex<Option<oneshot::Sender<()>>>,
@@ -171,13 +169,14 @@
         let stores = Arc::new(Stores::default());
         let lines = Lines::default();
         let log = Logger::root(Mutex::new(Json::default(lines.clone())).ignore_res(), o!());
-        let relay = Relay::open(settings, log, |_| Arc::clone(&stores) as Arc<dyn Sessions>).await.unwrap();
+        let relay =
+            Relay::open(settings, log, |_| Arc::clone(&stores) as Arc<dyn SessionStore>).await.unwrap();
         let (stop, stopped) = oneshot::channel();
         Bench {
             frontend: relay.frontend_address().unwrap(),
             readiness: relay.readiness_address().unwrap(),
-            world: relay.world(),
-            core: relay.core(),
+            cluster: relay.cluster(),
+            state: relay.state(),
             stores,
             log: lines,
             stop: Mutex::new(Some(stop)),
@@ -199,7 +198,7 @@
 
     pub fn configure(&self, sequence: u64, body: &str) {
         let version = Version { epoch: EpochNumber(1), sequence };
-        self.world.apply(Update::Configuration { version, body: body.as_bytes().into() });
+        self.cluster.apply(Update::Configuration { version, body: body.as_bytes().into() });
     }
 
     pub fn configure_all(&self, sequence: u64) {
@@ -208,13 +207,13 @@
 
     pub fn stores_known(&self) {
         let partitions = vec![Assignment::default()];
-        self.world.apply(Update::Stores(Arc::new(StoreMap { version: 1, stores: Vec::new(), partitions })));
+        self.cluster.apply(Update::Stores(Arc::new(StoreMap { version: 1, stores: Vec::new(), partitions })));
     }
 
     pub fn tell(&self, whole: bool, instances: Vec<Instance>) {
         let update =
             InstancesUpdate { revision: 1, is_snapshot: whole, is_registry_complete: whole, instances };
-        self.world.apply(Update::Instances(update));
+        self.cluster.apply(Update::Instances(update));
     }
 
     /// The platform wants an end.
@@ -227,7 +226,7 @@
         let destination =
             Destination { service: "s".into(), host: "h.example".into(), prefix: prefix.into() };
         for _ in 0..8 {
-            self.core.dispatcher.record(&destination, lasted, false);
+            self.state.dispatcher.record_latency(&destination, lasted, false);
         }
     }
 
--- a/crates/node/tests/relay/trace.rs
+++ b/crates/node/tests/relay/trace.rs
@@ -1,7 +1,7 @@
 //! What became of a request is told by the log alone, from its id on.
 
 use http::StatusCode;
-use juniperwing_node::relay::sessions::TurnError;
+use juniperwing_node::relay::TurnError;
 use juniperwing_node::sessions_client::StoreFault;
 use juniperwing_node::subscriber::Sink;
 use juniperwing_protocol::registry::InstanceState;
@@ -16,7 +16,7 @@
     script: fn(&Received) -> Vec<Step>,
     status: StatusCode,
     outcome: &'static str,
-    why: &'static str,
+    reason: &'static str,
     /// How the last try ended.
     attempt: &'static str,
 }
@@ -60,57 +60,57 @@
             path: "/n/x",
             script: |_| vec![Step::Reset],
             status: bad_gateway,
-            outcome: "given up",
-            why: "broken",
-            attempt: "broken",
+            outcome: "rejected",
+            reason: "connection broken",
+            attempt: "connection broken",
         },
         Case {
             path: "/n/x",
             script: of_another_request,
             status: bad_gateway,
-            outcome: "given up",
-            why: "broken",
-            attempt: "answer of another request",
+            outcome: "rejected",
+            reason: "connection broken",
+            attempt: "response of another request",
         },
         Case {
             path: "/n/x",
             script: without_stamp,
             status: bad_gateway,
-            outcome: "given up",
-            why: "broken",
-            attempt: "unsound answer",
+            outcome: "rejected",
+            reason: "connection broken",
+            attempt: "invalid response",
         },
         Case {
             path: "/n/x",
             script: declined,
             status: unavailable,
-            outcome: "given up",
-            why: "no endpoint",
+            outcome: "rejected",
+            reason: "no endpoint",
             attempt: "declined",
         },
         Case {
             path: "/n/x",
             script: misdirected,
             status: unavailable,
-            outcome: "given up",
-            why: "no endpoint",
+            outcome: "rejected",
+            reason: "no endpoint",
             attempt: "misdirected",
         },
         Case {
             path: "/n/x",
             script: own_error,
             status: StatusCode::INTERNAL_SERVER_ERROR,
-            outcome: "answered",
-            why: "",
-            attempt: "endpoint error",
+            outcome: "forwarded",
+            reason: "",
+            attempt: "server error",
         },
         Case {
             path: "/n/x",
             script: |_| vec![Step::Hang],
             status: StatusCode::GATEWAY_TIMEOUT,
-            outcome: "given up",
-            why: "too late",
-            attempt: "silent",
+            outcome: "rejected",
+            reason: "deadline too close",
+            attempt: "timed out",
         },
     ];
     for (number, case) in cases.into_iter().enumerate() {
@@ -121,7 +121,11 @@
         let answer = read(bench.send(sent).await).await;
         assert_eq!(answer.status, case.status, "{id}");
         let line = bench.logged(&id).await;
-        assert_eq!((&line["outcome"], &line["why"]), (&case.outcome.into(), &case.why.into()), "{line}");
+        assert_eq!(
+            (&line["outcome"], &line["reason"]),
+            (&case.outcome.into(), &case.reason.into()),
+            "{line}"
+        );
         assert_eq!(line["status"], case.status.as_u16());
         assert!(attempts(&line).starts_with("i-1@") && attempts(&line).ends_with(case.attempt), "{line}");
         assert_eq!((&line["route"], &line["generation"]), (&"n".into(), &1.into()));
@@ -135,22 +139,22 @@
     let ask = async |id: &str, path: &str| {
         let answer = read(bench.send(request("POST", path, id, "x")).await).await;
         let line = bench.logged(id).await;
-        (answer.status.as_u16(), line["outcome"].clone(), line["why"].clone(), line["stores"].clone())
+        (answer.status.as_u16(), line["outcome"].clone(), line["reason"].clone(), line["stores"].clone())
     };
-    assert_eq!(ask("a", "/n/x").await, (503, "given up".into(), "not configured".into(), "".into()));
+    assert_eq!(ask("a", "/n/x").await, (503, "rejected".into(), "not configured".into(), "".into()));
     bench.configure_all(1);
     bench.stores_known();
-    assert_eq!(ask("b", "/n/x").await, (503, "given up".into(), "no endpoint".into(), "".into()));
+    assert_eq!(ask("b", "/n/x").await, (503, "rejected".into(), "no endpoint".into(), "".into()));
     bench.tell(true, vec![instance(&endpoint, InstanceState::Ready, 1)]);
     assert_eq!(ask("c", "/nowhere").await, (404, "refused".into(), "".into(), "".into()));
-    bench.world.connected(false);
-    assert_eq!(ask("d", "/nowhere").await, (503, "given up".into(), "out of touch".into(), "".into()));
-    let fault = TurnError::Unavailable { trouble: StoreFault::NotPrimary.into() };
+    bench.cluster.connected(false);
+    assert_eq!(ask("d", "/nowhere").await, (503, "rejected".into(), "keepers unreachable".into(), "".into()));
+    let fault = TurnError::Unavailable { cause: StoreFault::NotPrimary.into() };
     *bench.stores.chain.lock().unwrap() = Some(Err(fault));
     let turn = with_headers(request("POST", "/k/x", "f", "x"), &[("program", "p"), ("budget", "9")]);
     assert_eq!(read(bench.send(turn).await).await.status.as_u16(), 503);
     let line = bench.logged("f").await;
-    assert_eq!((&line["why"], &line["stores"]), (&"no sessions".into(), &"not primary".into()));
+    assert_eq!((&line["reason"], &line["stores"]), (&"stores unreachable".into(), &"not primary".into()));
 }
 
 #[tokio::test]
@@ -163,8 +167,8 @@
     let answer = read(bench.send(request("POST", "/e/x", "broken", "")).await).await;
     assert_eq!(answer.body, None);
     let line = bench.logged("broken").await;
-    assert_eq!((&line["outcome"], &line["why"]), (&"broken off".into(), &"endpoint broke off".into()));
-    assert!(attempts(&line).ends_with("=broken"), "{line}");
+    assert_eq!((&line["outcome"], &line["reason"]), (&"aborted".into(), &"endpoint failed".into()));
+    assert!(attempts(&line).ends_with("=connection broken"), "{line}");
 
     let silent = Endpoint::start("i-1", |received| {
         vec![stream_head(received, "s"), chunk("id: 1\ndata: a\n\n"), Step::Hang]
@@ -176,6 +180,6 @@
     next_piece(&mut body).await.unwrap().unwrap();
     drop((body, client));
     let line = bench.logged("left").await;
-    assert_eq!((&line["outcome"], &line["why"]), (&"left".into(), &"the client left".into()));
-    assert!(attempts(&line).ends_with("=under way"), "{line}");
+    assert_eq!((&line["outcome"], &line["reason"]), (&"client disconnected".into(), &"".into()));
+    assert!(attempts(&line).ends_with("=in flight"), "{line}");
 }
--- a/crates/node/tests/relay/turns.rs
+++ b/crates/node/tests/relay/turns.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::{Request, StatusCode};
 use http_body_util::Full;
-use juniperwing_node::relay::sessions::TurnError;
+use juniperwing_node::relay::TurnError;
 use juniperwing_node::sessions_client::StoreFault;
 use juniperwing_protocol::identity::RequestId;
 use tokio::sync::Notify;
@@ -115,7 +115,7 @@
     let denials = [
         (TurnError::BudgetExhausted, StatusCode::PAYMENT_REQUIRED),
         (TurnError::UnknownTurn, StatusCode::NOT_FOUND),
-        (TurnError::Unavailable { trouble: StoreFault::NoAnswer.into() }, StatusCode::SERVICE_UNAVAILABLE),
+        (TurnError::Unavailable { cause: StoreFault::NoAnswer.into() }, StatusCode::SERVICE_UNAVAILABLE),
     ];
     for (fault, status) in denials {
         *bench.stores.chain.lock().unwrap() = Some(Err(fault));
--- a/crates/node/tests/relay/unary.rs
+++ b/crates/node/tests/relay/unary.rs
@@ -341,11 +341,11 @@
 async fn kept_connections_go_when_their_endpoint_takes_no_new_ones() {
     let endpoint = Endpoint::start("i-1", |request| ok(request, "")).await;
     let bench = Bench::empty().await;
-    let (pool, id) = (&bench.core.pool, "i-1".into());
+    let (pool, id) = (&bench.state.pool, "i-1".into());
     let mut connection = pool.connect(endpoint.address, Duration::from_secs(1)).await.unwrap();
     connection.sender.ready().await.unwrap();
-    pool.give_back(&id, connection, None);
+    pool.put_idle(&id, connection, None);
     assert!(pool.has_idle());
-    pool.forget(&id);
-    assert!(pool.take(&id).is_none());
+    pool.close_idle(&id);
+    assert!(pool.take_idle(&id).is_none());
 }
