--- a/crates/node/src/keeper.rs
+++ b/crates/node/src/keeper.rs
@@ -239,11 +239,11 @@
         address: settings.own_address(Port::Keeper),
     };
     let settings = juniperwing_replication::Settings {
-        me: me.clone(),
+        local_voter: me.clone(),
         seeds: settings.seed_keepers(),
         // Who has lost a disk does not found the tier once more.
         bootstrap: settings.bootstrap && loss.is_none(),
-        required_copies: settings.required_copies(),
+        min_in_sync_replicas: settings.required_copies(),
         timings: Timings::default(),
     };
     let initial = ControlState::default();
@@ -260,7 +260,10 @@
         let now = clock::now();
         let heartbeat = Span::from_millis(settings.heartbeat_ms);
         let times = settings.control_times();
-        let registry = Registry::new(now, RegistrySettings { heartbeat, max_instances: MAX_INSTANCES });
+        let registry = Registry::new(
+            now,
+            RegistrySettings { heartbeat_interval: heartbeat, max_instances: MAX_INSTANCES },
+        );
         let state = State {
             consensus,
             contact: Contact::new(times.contact_window),
@@ -324,7 +327,7 @@
         let state = self.lock();
         let now = clock::now();
         let voters = state.consensus.replica.voters().iter();
-        let heard = voters.filter(|voter| state.contact.is_heard(now, voter.disk));
+        let heard = voters.filter(|voter| state.contact.has_recent_message(now, voter.disk));
         heard.filter(|voter| voter.disk != self.me.disk).map(|voter| voter.address).collect()
     }
 
@@ -357,12 +360,12 @@
     /// A keeper that is told to end runs on until others hold all that was acknowledged and decide without it, or
     /// its grace is nearly over: whether it ever comes back is not known.
     async fn hand_over(self: &Arc<Self>, grace: Duration) {
-        self.replica_event(Event::StepDown);
+        self.replica_event(Event::PrepareShutdown);
         let until = Instant::now() + grace.saturating_sub(BEFORE_GRACE_ENDS);
-        while !self.lock().consensus.replica.may_end() && Instant::now() < until {
+        while !self.lock().consensus.replica.can_shut_down() && Instant::now() < until {
             sleep(END_CHECK).await;
         }
-        info!(self.log, "handed over"; "may_end" => self.lock().consensus.replica.may_end());
+        info!(self.log, "handed over"; "may_end" => self.lock().consensus.replica.can_shut_down());
     }
 
     /// Tells subscribers and keepers of changes; all that came in one turn go together.
@@ -386,7 +389,7 @@
 
     async fn plan_changes(self: Arc<Self>) {
         loop {
-            let next_loss = self.lock().tracker.next_loss();
+            let next_loss = self.lock().tracker.next_loss_at();
             let pause = clock::duration(next_loss.since(clock::now()));
             // Whichever comes first: news of the stores, or the time at which one counts as lost.
             let _ = timeout(pause, self.wake_planner.notified()).await;
@@ -426,7 +429,7 @@
     fn set_exchange_keepers(&self, state: &mut State) {
         let voters = state.consensus.replica.voters().iter();
         let others: Vec<Voter> = voters.filter(|voter| voter.disk != self.me.disk).cloned().collect();
-        state.exchange.set_keepers(&others);
+        state.exchange.set_peers(&others);
     }
 
     fn log_committed(&self) {
@@ -437,10 +440,10 @@
             state.logged_configuration = version;
             info!(self.log, "configuration"; "generation" => committed.generation());
         }
-        if committed.stores.version != state.logged_stores {
-            state.logged_stores = committed.stores.version;
+        if committed.store_map.version != state.logged_stores {
+            state.logged_stores = committed.store_map.version;
             info!(self.log, "store map";
-                "version" => committed.stores.version, "stores" => committed.stores.stores.len());
+                "version" => committed.store_map.version, "stores" => committed.store_map.stores.len());
         }
     }
 }
