--- a/crates/soak/src/fault/node.rs
+++ b/crates/soak/src/fault/node.rs
@@ -6,8 +6,9 @@
 use std::sync::Arc;
 use std::thread;
 
-use juniperwing_node::command::{Role, run as run_role};
-use juniperwing_node::host::enter;
+use juniperwing_node::command::run as run_role;
+use juniperwing_node::host::simulate;
+use juniperwing_node::role::Role;
 use juniperwing_node::settings::Settings;
 
 use super::host::FaultyHost;
@@ -23,7 +24,7 @@
         eprintln!("juniperwing-soak node: ROLE RULES SETTINGS");
         return ExitCode::from(2);
     };
-    let Some(role) = Role::of(role) else {
+    let Some(role) = Role::from_name(role) else {
         eprintln!("juniperwing-soak node: no role {role:?}");
         return ExitCode::from(2);
     };
@@ -33,7 +34,7 @@
         // The role tells what is wrong with its settings.
         return run_role(role, &["--settings".to_owned(), settings.clone()]);
     };
-    let _machine = enter(Arc::new(FaultyHost::new(address, rules)));
+    let _machine = simulate(Arc::new(FaultyHost::new(address, rules)));
     run_role(role, &["--settings".to_owned(), settings.clone()])
 }
 
