--- a/crates/relay/src/config.rs
+++ b/crates/relay/src/config.rs
@@ -149,7 +149,9 @@
             return NoStateDirectorySnafu { path }.fail();
         }
         file.limits.check()?;
-        file.settings.check().map_err(|error| ConfigError::InvalidSettings { reason: error.to_string() })?;
+        file.settings
+            .validate()
+            .map_err(|error| ConfigError::InvalidSettings { reason: error.to_string() })?;
         let mut settings = Settings::from(&file.settings);
         // The list arrives by a watch alone, which the core has to open, whether or not the list counts as pushed.
         settings.relay_config.fleet.is_list_on_request = true;
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -203,8 +203,8 @@
             Err(e) => return warn!(self.log, "the new configuration cannot be used"; "why" => e.to_string()),
         };
         let held = self.journal.live().map(|(_, kept)| kept.notification.attributes.topic.as_str());
-        if let Some(why) = self.settings.bars(&config.settings, held, self.discovery.kinds()) {
-            return warn!(self.log, "the new configuration cannot be used"; "why" => why);
+        if let Err(error) = self.settings.check_replacement(&config.settings, held, self.discovery.kinds()) {
+            return warn!(self.log, "the new configuration cannot be used"; "why" => error.to_string());
         }
         let fixed = self.static_config.changed_keys(&config.static_config);
         if !fixed.is_empty() {
