--- /dev/null
+++ b/crates/adapter/src/error.rs
@@ -0,0 +1,33 @@
+//! Errors of the adapter. Each ends the program; its text follows the number of the line.
+
+use std::io;
+use std::str::Utf8Error;
+
+use snafu::Snafu;
+
+/// Why a line of the input has no reply.
+#[derive(Debug, Snafu)]
+#[snafu(visibility(pub(crate)))]
+pub(crate) enum AdapterError {
+    /// The input cannot be read.
+    #[snafu(display("{source}"))]
+    Input { source: io::Error },
+    /// The line is not UTF-8.
+    #[snafu(display("{source}"))]
+    NotUtf8 { source: Utf8Error },
+    /// The line is not a batch.
+    #[snafu(display("not a batch: {source}"))]
+    NotABatch { source: serde_json::Error },
+    /// An event does not have the form of its kind.
+    #[snafu(display("malformed {kind}: {source}"))]
+    Malformed { kind: String, source: serde_json::Error },
+    /// An update of the endpoint list refers to a bank without entries.
+    #[snafu(display("Endpoints names a bank with no Inventory"))]
+    UnknownBank,
+    /// A notification has a topic type that the settings lack.
+    #[snafu(display("Accept names no known class: {name:?}"))]
+    UnknownTopicType { name: String },
+    /// The reply cannot be serialised.
+    #[snafu(display("no reply can be written: {source}"))]
+    Reply { source: serde_json::Error },
+}
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -1,4 +1,5 @@
-//! The wire's messages, as serde reads them.
+//! The wire's messages, as serde reads and writes them. Types have the wire's names, which errors quote; fields and
+//! variants have the field's names, with the wire's beside them.
 
 use std::borrow::Cow;
 
@@ -6,120 +7,183 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, value::RawValue};
 
+/// A line of the input: what happened up to now.
 #[derive(Deserialize)]
-pub struct Batch<'a> {
-    pub now: u64,
-    #[serde(borrow)]
-    pub happened: Vec<&'a RawValue>,
+pub(crate) struct Batch<'a> {
+    #[serde(rename = "now")]
+    pub(crate) now_ns: u64,
+    #[serde(borrow, rename = "happened")]
+    pub(crate) events: Vec<&'a RawValue>,
 }
 
-/// The part of an event that tells what it is and whose.
+/// The part of an event that says what it is and which relay it concerns.
 #[derive(Deserialize)]
-pub struct Head<'a> {
-    #[serde(borrow)]
-    pub m: Cow<'a, str>,
+pub(crate) struct Head<'a> {
+    #[serde(borrow, rename = "m")]
+    pub(crate) kind: Cow<'a, str>,
     #[serde(borrow, default)]
-    pub relay: Cow<'a, str>,
+    pub(crate) relay: Cow<'a, str>,
 }
 
+/// A relay starts.
 #[derive(Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub struct Spawn {
-    #[serde(default)]
-    pub prng: Value,
-    #[serde(default)]
-    pub boot_info: RawSettings,
+pub(crate) struct Spawn {
+    #[serde(default, rename = "prng")]
+    seed: Value,
+    #[serde(default, rename = "boot-info")]
+    pub(crate) settings: RawSettings,
+}
+
+impl Spawn {
+    /// The seed as 64 bits, whichever integer the wire has; zero if it has none.
+    pub(crate) fn seed(&self) -> u64 {
+        self.seed.as_u64().or_else(|| self.seed.as_i64().map(i64::cast_unsigned)).unwrap_or(0)
+    }
 }
 
+/// The entries of a bank.
 #[derive(Deserialize)]
-pub struct Inventory {
-    pub bank: usize,
+pub(crate) struct Inventory {
+    pub(crate) bank: usize,
     #[serde(default)]
-    pub records: Vec<Record>,
+    pub(crate) records: Vec<Record>,
 }
 
+/// An entry of the endpoint list.
 #[derive(Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub struct Record {
-    pub endpoint: String,
-    #[serde(default)]
-    pub region_part: String,
-    #[serde(default)]
-    pub model: String,
-    pub cell: u64,
-    #[serde(default)]
-    pub readiness: String,
-    #[serde(default)]
-    pub nominal: f64,
+pub(crate) struct Record {
+    pub(crate) endpoint: String,
+    #[serde(default, rename = "region-part")]
+    pub(crate) zone: String,
+    #[serde(default, rename = "model")]
+    pub(crate) kind_name: String,
+    #[serde(rename = "cell")]
+    pub(crate) destination: u64,
+    #[serde(default)]
+    pub(crate) readiness: String,
+    #[serde(default, rename = "nominal")]
+    pub(crate) rate_per_second: f64,
 }
 
+/// An update of the endpoint list, whose entries are those of a bank.
 #[derive(Deserialize)]
-pub struct Endpoints {
+pub(crate) struct Endpoints {
     #[serde(default)]
-    pub bank: usize,
-    pub kind: String,
+    pub(crate) bank: usize,
+    #[serde(rename = "kind")]
+    pub(crate) update_kind: String,
 }
 
+/// A notification was accepted.
 #[derive(Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub struct Accept {
-    pub ticket: u64,
-    pub bound_for: u64,
-    #[serde(default)]
-    pub org: Value,
-    pub object: Option<String>,
-    pub valid_until: u64,
-    #[serde(default)]
-    pub cls: String,
+pub(crate) struct Accept {
+    #[serde(rename = "ticket")]
+    pub(crate) notification: u64,
+    #[serde(rename = "bound-for")]
+    pub(crate) destination: u64,
+    #[serde(default, rename = "org")]
+    pub(crate) account: Value,
+    #[serde(rename = "object")]
+    pub(crate) key: Option<String>,
+    #[serde(rename = "valid-until")]
+    pub(crate) valid_until_ns: u64,
+    #[serde(default, rename = "cls")]
+    pub(crate) topic_type: String,
 }
 
+/// A push ended.
 #[derive(Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub struct Answer {
-    pub ticket: u64,
-    #[serde(default)]
-    pub go: u32,
-    pub endpoint: String,
-    pub status: String,
-    #[serde(default)]
-    pub spent: u64,
-    #[serde(default)]
-    pub settled: bool,
-    #[serde(default)]
-    pub detail: u64,
-    #[serde(default)]
-    pub server_stats: Vec<f64>,
+pub(crate) struct Answer {
+    #[serde(rename = "ticket")]
+    pub(crate) notification: u64,
+    #[serde(default, rename = "go")]
+    pub(crate) push_index: u32,
+    pub(crate) endpoint: String,
+    pub(crate) status: String,
+    #[serde(default, rename = "spent")]
+    pub(crate) elapsed_ns: u64,
+    #[serde(default, rename = "settled")]
+    pub(crate) has_final_answer: bool,
+    #[serde(default, rename = "detail")]
+    pub(crate) retry_after_ms: u64,
+    #[serde(default, rename = "server-stats")]
+    pub(crate) load_report: Vec<f64>,
 }
 
+/// A probe ended.
 #[derive(Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub struct HealthResult {
-    pub endpoint: String,
-    pub status: String,
-    #[serde(default)]
-    pub server_stats: Vec<f64>,
+pub(crate) struct HealthResult {
+    pub(crate) endpoint: String,
+    pub(crate) status: String,
+    #[serde(default, rename = "server-stats")]
+    pub(crate) load_report: Vec<f64>,
 }
 
+/// A notification was withdrawn.
 #[derive(Deserialize)]
-pub struct Withdrawn {
-    pub ticket: u64,
+pub(crate) struct Withdrawn {
+    #[serde(rename = "ticket")]
+    pub(crate) notification: u64,
 }
 
+/// A line of the output: the commands that follow from a batch.
 #[derive(Serialize)]
-pub struct Reply<'a> {
-    pub cmds: Vec<Cmd<'a>>,
+pub(crate) struct Reply<'a> {
+    pub(crate) cmds: Vec<Cmd<'a>>,
 }
 
+/// A command.
 #[derive(Serialize)]
-#[serde(tag = "m", rename_all_fields = "kebab-case")]
-pub enum Cmd<'a> {
-    Transmit { relay: &'a str, ticket: u64, endpoint: &'a str, give_up_after: u64 },
-    AbortAttempt { relay: &'a str, ticket: u64, go: u32 },
-    Bounce { relay: &'a str, ticket: u64, retry_in: u64 },
-    Fail { relay: &'a str, ticket: u64 },
-    NotifyMe { relay: &'a str, wait: u64, label: &'a str },
-    Listen { relay: &'a str, active: bool },
-    DropConns { relay: &'a str, endpoint: &'a str },
-    SayLog { relay: &'a str, line: &'a str },
-    SoundOut { relay: &'a str, endpoint: &'a str },
+#[serde(tag = "m")]
+pub(crate) enum Cmd<'a> {
+    #[serde(rename = "Transmit")]
+    Push {
+        relay: &'a str,
+        #[serde(rename = "ticket")]
+        notification: u64,
+        endpoint: &'a str,
+        #[serde(rename = "give-up-after")]
+        timeout_ns: u64,
+    },
+    #[serde(rename = "AbortAttempt")]
+    Cancel {
+        relay: &'a str,
+        #[serde(rename = "ticket")]
+        notification: u64,
+        #[serde(rename = "go")]
+        push_index: u32,
+    },
+    #[serde(rename = "Bounce")]
+    Throttle {
+        relay: &'a str,
+        #[serde(rename = "ticket")]
+        notification: u64,
+        #[serde(rename = "retry-in")]
+        retry_after_ns: u64,
+    },
+    #[serde(rename = "Fail")]
+    Expire {
+        relay: &'a str,
+        #[serde(rename = "ticket")]
+        notification: u64,
+    },
+    #[serde(rename = "NotifyMe")]
+    WakeAfter {
+        relay: &'a str,
+        #[serde(rename = "wait")]
+        delay_ns: u64,
+        label: &'a str,
+    },
+    #[serde(rename = "Listen")]
+    SubscribeToEndpointList {
+        relay: &'a str,
+        #[serde(rename = "active")]
+        is_active: bool,
+    },
+    #[serde(rename = "DropConns")]
+    CloseIdleConnections { relay: &'a str, endpoint: &'a str },
+    #[serde(rename = "SayLog")]
+    Log { relay: &'a str, line: &'a str },
+    #[serde(rename = "SoundOut")]
+    Probe { relay: &'a str, endpoint: &'a str },
 }
--- a/crates/adapter/tests/command_line.rs
+++ b/crates/adapter/tests/command_line.rs
@@ -15,13 +15,44 @@
 }
 
 #[test]
-fn the_end_of_the_input_ends_it() {
+fn the_end_of_the_input_ends_the_program() {
     assert_eq!(run(""), (Some(0), String::new(), String::new()));
 }
 
 #[test]
-fn what_is_no_batch_is_told_with_its_line() {
-    let (code, out, told) = run("word\n");
-    assert_eq!((code, out), (Some(1), String::new()));
-    assert!(told.starts_with("juniperwing-adapter: line 1: not a batch: "), "{told}");
+fn a_line_that_is_not_a_batch_is_reported_with_its_number() {
+    let (code, output, error) = run("word\n");
+    assert_eq!((code, output), (Some(1), String::new()));
+    assert!(error.starts_with("juniperwing-adapter: line 1: not a batch: "), "{error}");
+}
+
+/// The events of one batch that the adapter rejects, and its error.
+const REJECTED_EVENTS: [(&str, &str); 8] = [
+    ("3", "malformed an event: invalid type: integer `3`, expected struct Head at line 1 column 1"),
+    (r#"{"relay":"r"}"#, "malformed an event: missing field `m` at line 1 column 13"),
+    (
+        r#"{"m":"Spawn","relay":"s","boot-info":{"ceilings":3}}"#,
+        "malformed Spawn: invalid type: integer `3`, expected struct Ceilings at line 1 column 50",
+    ),
+    (
+        r#"{"m":"Accept","relay":"r","ticket":1}"#,
+        "malformed Accept: missing field `bound-for` at line 1 column 37",
+    ),
+    (
+        r#"{"m":"Accept","relay":"r","ticket":1,"bound-for":1,"valid-until":3,"cls":"zz"}"#,
+        r#"Accept names no known class: "zz""#,
+    ),
+    (r#"{"m":"Endpoints","relay":"r","kind":"whole","bank":7}"#, "Endpoints names a bank with no Inventory"),
+    (r#"{"m":"Withdrawn","relay":"r"}"#, "malformed Withdrawn: missing field `ticket` at line 1 column 29"),
+    (r#"{"m":"Inventory"}"#, "malformed Inventory: missing field `bank` at line 1 column 17"),
+];
+
+#[test]
+fn a_rejected_event_is_reported_with_its_line_and_cause() {
+    for (event, expected) in REJECTED_EVENTS {
+        let batch = format!(r#"{{"now":0,"happened":[{{"m":"Spawn","relay":"r"}},{event}]}}"#);
+        let (code, output, error) = run(&format!("{{\"now\":0,\"happened\":[]}}\n{batch}\n"));
+        assert_eq!((code, output.as_str()), (Some(1), "{\"cmds\":[]}\n"), "{event}");
+        assert_eq!(error, format!("juniperwing-adapter: line 2: {expected}\n"));
+    }
 }
--- a/crates/adapter/tests/golden.rs
+++ b/crates/adapter/tests/golden.rs
@@ -1,14 +1,14 @@
 //! The adapter's JSON lines, byte for byte: batches of events of every kind, and the replies to them.
 //!
-//! The wire is another's: it stays as it is whatever becomes of names in the source. Replies also change with the
-//! core's decisions; then they are renewed, and the difference must show no other key and no other word. Run
+//! The wire belongs to others: it stays as it is when names in the source change. Replies also change with the core's
+//! decisions; then they are regenerated, and the difference must show no other key and no other word. Run
 //!
 //! ```text
 //! UPDATE_GOLDEN=1 cargo test -p juniperwing-adapter --test golden
 //! ```
 //!
-//! `golden/input.jsonl` is what the test plays, and is not renewed. The core gives no command to probe, so `SoundOut`
-//! is in no reply.
+//! `golden/input.jsonl` is the input of the test, and is not regenerated. The core gives no command to probe, so
+//! `SoundOut` is in no reply.
 
 use std::collections::BTreeSet;
 use std::fs::{self, File};
@@ -17,11 +17,11 @@
 
 use serde_json::Value;
 
-fn golden(name: &str) -> PathBuf {
+fn golden_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
 
-/// The kinds of messages in the field `list` of all lines.
+/// The kinds of messages in the field `list` of all lines of JSON.
 fn kinds(lines: &str, list: &str) -> BTreeSet<String> {
     let lines = lines.lines().map(|line| serde_json::from_str::<Value>(line).expect("a line of JSON"));
     let messages = lines.flat_map(|line| line[list].as_array().expect("a list").clone());
@@ -32,9 +32,9 @@
     kinds.iter().map(|kind| (*kind).to_owned()).collect()
 }
 
-/// Checks that the committed files hold every kind of message.
+/// Checks that the committed files contain every kind of message.
 fn check_coverage() {
-    let read = |name| fs::read_to_string(golden(name)).expect("a committed file");
+    let read = |name| fs::read_to_string(golden_path(name)).expect("a committed file");
     let events =
         ["Accept", "Answer", "Endpoints", "HealthResult", "Inventory", "Kill", "Ring", "Spawn", "Withdrawn"];
     assert_eq!(kinds(&read("input.jsonl"), "happened"), set(&events));
@@ -44,17 +44,17 @@
 }
 
 #[test]
-fn replies_to_every_kind_of_event_are_as_committed() {
+fn replies_to_every_kind_of_event_equal_the_committed_ones() {
     let output = Command::new(env!("CARGO_BIN_EXE_juniperwing-adapter"))
-        .stdin(Stdio::from(File::open(golden("input.jsonl")).expect("the input")))
+        .stdin(Stdio::from(File::open(golden_path("input.jsonl")).expect("the input")))
         .output()
         .expect("the adapter runs");
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let replies = String::from_utf8(output.stdout).expect("text");
     if std::env::var_os("UPDATE_GOLDEN").is_some() {
-        fs::write(golden("output.jsonl"), &replies).expect("room");
+        fs::write(golden_path("output.jsonl"), &replies).expect("the replies are written");
     }
-    let committed = fs::read_to_string(golden("output.jsonl")).expect("the committed replies");
+    let committed = fs::read_to_string(golden_path("output.jsonl")).expect("the committed replies");
     for (number, (reply, committed)) in replies.lines().zip(committed.lines()).enumerate() {
         assert_eq!(reply, committed, "line {}", number + 1);
     }
--- a/crates/settings/src/raw.rs
+++ b/crates/settings/src/raw.rs
@@ -1,11 +1,11 @@
-//! Settings as they are written. Their keys are those of the operators' pages.
+//! Settings as they are written. Their keys are those of the operators' pages; `expecting` keeps the texts of errors.
 
 use serde::Deserialize;
 
 /// Settings as they are written. Unknown keys are ignored; absent ones are zero, empty or false. Times are in
 /// nanoseconds.
 #[derive(Deserialize, Default)]
-#[serde(rename_all = "kebab-case", default)]
+#[serde(rename_all = "kebab-case", default, expecting = "struct Written")]
 pub struct RawSettings {
     pub(crate) accounts: Vec<RawAccount>,
     #[serde(rename = "balancers")]
@@ -30,14 +30,14 @@
 
 /// Prices.
 #[derive(Deserialize, Default)]
-#[serde(rename_all = "kebab-case", default)]
+#[serde(rename_all = "kebab-case", default, expecting = "struct Costs")]
 pub(crate) struct RawCosts {
     pub(crate) cross_zone: f64,
 }
 
 /// An account.
 #[derive(Deserialize, Default)]
-#[serde(rename_all = "kebab-case", default)]
+#[serde(rename_all = "kebab-case", default, expecting = "struct WrittenAccount")]
 pub(crate) struct RawAccount {
     pub(crate) name: String,
     #[serde(rename = "quota-per-s")]
@@ -46,7 +46,7 @@
 
 /// What a relay may use.
 #[derive(Deserialize, Default)]
-#[serde(rename_all = "kebab-case", default)]
+#[serde(rename_all = "kebab-case", default, expecting = "struct Ceilings")]
 pub(crate) struct RawLimits {
     #[serde(rename = "max-attempts")]
     pub(crate) max_pushes: u32,
@@ -70,7 +70,7 @@
 
 /// A topic type.
 #[derive(Deserialize, Default)]
-#[serde(rename_all = "kebab-case", default)]
+#[serde(rename_all = "kebab-case", default, expecting = "struct Class")]
 pub(crate) struct RawTopicType {
     pub(crate) name: String,
     #[serde(rename = "aim")]
@@ -92,7 +92,7 @@
 
 /// What is known of the kinds of destinations, in the order of [`RawSettings::kinds`], and the slots.
 #[derive(Deserialize, Default)]
-#[serde(rename_all = "kebab-case", default)]
+#[serde(rename_all = "kebab-case", default, expecting = "struct FamilyInfo")]
 pub(crate) struct RawKindInfo {
     #[serde(rename = "per-call")]
     pub(crate) max_notifications_per_call: Vec<usize>,
@@ -103,7 +103,7 @@
 
 /// The quantities in the rules of the service.
 #[derive(Deserialize, Default)]
-#[serde(rename_all = "kebab-case", default)]
+#[serde(rename_all = "kebab-case", default, expecting = "struct Rules")]
 pub(crate) struct RawRules {
     #[serde(rename = "ask-every")]
     pub(crate) list_refresh_interval_ns: u64,
@@ -121,7 +121,7 @@
 
 /// The fields of a load report, in order.
 #[derive(Deserialize, Default)]
-#[serde(default)]
+#[serde(default, expecting = "struct LoadReport")]
 pub(crate) struct RawLoadReport {
     pub(crate) fields: Vec<String>,
 }
