--- a/src/rules/destination_limiter.rs
+++ b/src/rules/destination_limiter.rs
@@ -197,8 +197,8 @@
         self.shrink_window(WINDOW_REFUSAL_FACTOR);
     }
 
-    /// Backs off after a refusal; `growth` multiplies the count of refusals in a row. A relay with little traffic cannot
-    /// tell a limit from an outage, after which all relays count: it calls ever more rarely.
+    /// Backs off after a refusal; `growth` multiplies the count of refusals in a row. A relay with little traffic
+    /// cannot tell a limit from an outage, after which all relays count: it calls ever more rarely.
     fn back_off(&mut self, status: CallStatus, growth: i32, outbox: &mut Outbox) {
         let first = MIN_BACKOFF.max(self.time_for_calls(MIN_BACKOFF_CALLS));
         let longest = match status {
--- a/tests/rules/calls.rs
+++ b/tests/rules/calls.rs
@@ -43,7 +43,7 @@
     "#]]);
 }
 
-/// A call ends with the first TTL in it, so only those go together whom that leaves enough: their own time-out,
+/// A call ends with the first TTL in it, so only those join for whom that leaves enough: their own timeout,
 /// or what nine in ten calls last (here 900 ms).
 #[test]
 fn a_call_ends_with_its_first_ttl_and_leaves_each_push_enough_time() {
--- a/tests/rules/effects.rs
+++ b/tests/rules/effects.rs
@@ -72,7 +72,8 @@
     "#]]);
 }
 
-/// On sockets a notice takes time: a client that receives the final answer late must not see the next of the key before it.
+/// On sockets a notice takes time: a client that receives the final answer late must not see the next of the key
+/// before it.
 #[test]
 fn the_next_of_a_key_waits_for_the_acknowledgement_of_the_one_before() {
     let mut relay = RelayHarness::new(4, 1, ONE_ENDPOINT);
--- a/tests/rules/limits.rs
+++ b/tests/rules/limits.rs
@@ -110,7 +110,7 @@
 /// destination that rejects all are no rarer than those of one that has accepted as much a second for longer.
 #[test]
 fn a_relay_that_has_just_started_calls_a_rejecting_destination_as_often_as_one_that_has_long_run() {
-    let tries = |before: u64| {
+    let calls_after = |before: u64| {
         let mut relay = RelayHarness::with_config(config(100, 4), 1, ONE_ENDPOINT);
         let (mut next, mut refused) = (1, 0);
         for second in 0..before + 24 {
@@ -125,7 +125,7 @@
         }
         refused
     };
-    expect!["10 12"].assert_eq(&format!("{} {}", tries(2), tries(40)));
+    expect!["10 12"].assert_eq(&format!("{} {}", calls_after(2), calls_after(40)));
 }
 
 #[test]
@@ -144,7 +144,8 @@
 }
 
 /// A rate is listed and answers report none: what is rejected is above the limit, no sign of an outage, and if
-/// a wait is reported sets a pacing interval that grows with each and shrinks with deliveries. The end of a short wait is no recovery.
+/// a wait is reported sets a pacing interval that grows with each and shrinks with deliveries. The end of a
+/// short wait is no recovery.
 #[test]
 fn a_listed_rate_replaces_a_reported_limit() {
     let mut relay = RelayHarness::with_listed_rate(50, 20.0, ONE_ENDPOINT);
--- a/tests/rules/list.rs
+++ b/tests/rules/list.rs
@@ -27,8 +27,8 @@
     "#]]);
 }
 
-/// Where the relay is bound by it at once, each moment without a watch may miss a drain; else an unreachable list is requested
-/// ever more rarely, until an update arrives. Whatever the refresh interval is, the first delay is short, and not zero.
+/// Where the relay is bound by it at once, each moment without a watch may miss a drain; else an unreachable list is
+/// requested ever more rarely, until an update arrives. Whatever the refresh interval is, the first delay is short, and not zero.
 #[test]
 fn an_unreachable_list_is_requested_soon_where_it_is_pushed_and_ever_later_where_it_is_not() {
     let mut trace = String::new();
--- a/tests/rules/restarts.rs
+++ b/tests/rules/restarts.rs
@@ -32,7 +32,8 @@
     "#]]);
 }
 
-/// What an earlier process never pushed has waited longest: it goes before what was accepted since, past its latency target too.
+/// What an earlier process never pushed has waited longest: it goes before what was accepted since, past its
+/// latency target too.
 #[test]
 fn recovered_notifications_that_were_never_pushed_go_first() {
     let mut relay = RelayHarness::new(1, 1, ONE_ENDPOINT);
@@ -112,8 +113,8 @@
     "#]]);
 }
 
-/// Another configuration: fewer slots than calls in flight only mean no new ones; accepted notifications keep their semantics;
-/// waits stay; the way back is the same step.
+/// Another configuration: fewer slots than calls in flight only mean no new ones; accepted notifications keep
+/// their semantics; waits stay; the way back is the same step.
 #[test]
 fn a_configuration_change_takes_effect_in_a_running_relay_and_can_be_reverted() {
     let mut relay = RelayHarness::new(3, 1, &[("a", "z"), ("b", "y")]);
@@ -149,7 +150,8 @@
     "#]]);
 }
 
-/// Listed rates are enforced as soon as the configuration says so, and no longer once it does not: the list itself has not changed.
+/// Listed rates are enforced as soon as the configuration says so, and no longer once it does not: the
+/// list itself has not changed.
 #[test]
 fn listed_rates_come_and_go_with_the_configuration() {
     let mut relay = RelayHarness::new(8, 1, ONE_ENDPOINT);
