--- a/crates/replication/tests/catch_up.rs
+++ b/crates/replication/tests/catch_up.rs
@@ -1,70 +1,78 @@
-//! A keeper that was away catches up while changes come faster than the whole state is carried.
+//! A keeper that was down catches up while changes are made faster than the whole state is transmitted.
 
 mod common;
 
-use common::World;
+use common::Simulation;
 use juniperwing_clock::Span;
 
 /// Slow enough that the whole state takes as long as several changes.
-const BYTES_PER_MS: u64 = 5;
+const LINK_BYTES_PER_MS: u64 = 5;
 
-/// Two keepers have made `changes` changes while the third was away, over slow links.
-fn without_one(seed: u64, changes: usize) -> (World, usize) {
-    let mut world = World::new(seed, 3, 2);
-    world.timings.min_link_bytes_per_ms = BYTES_PER_MS as f64;
-    world.expect_whole(Span::from_millis(3_000), "the start");
-    let primary = world.primary().expect("a primary");
+/// Two keepers have made `changes` changes while the third was down; the links are slow.
+fn run_without_one_keeper(seed: u64, changes: usize) -> (Simulation, usize) {
+    let mut simulation = Simulation::new(seed, 3, 2);
+    simulation.timings.min_link_bytes_per_ms = LINK_BYTES_PER_MS as f64;
+    simulation.expect_fully_replicated(Span::from_millis(3_000), "the start");
+    let primary = simulation.primary().expect("a primary");
     let absent = (primary + 1) % 3;
-    world.kill(absent);
-    let made = world.run_until(Span::from_millis(120_000), |world| world.judge.acknowledged() >= changes);
-    assert!(made, "{}", world.picture());
-    world.link_bytes_per_ms = Some(BYTES_PER_MS);
-    (world, absent)
+    simulation.kill(absent);
+    let is_done = simulation.run_until(Span::from_millis(120_000), |simulation| {
+        simulation.checker.acknowledged_count() >= changes
+    });
+    assert!(is_done, "{}", simulation.describe());
+    simulation.link_bytes_per_ms = Some(LINK_BYTES_PER_MS);
+    (simulation, absent)
 }
 
 /// How long the absent keeper takes to be in sync, in milliseconds, and the bytes sent meanwhile.
-fn catch_up(world: &mut World, absent: usize) -> (u64, u64) {
-    let begun = world.now;
-    let bytes = world.bytes_sent;
-    world.start_after(absent, Span::from_millis(1));
-    world.expect_whole(Span::from_millis(20_000), "the return of a keeper");
-    (world.now.since(begun).as_nanos() / 1_000_000, world.bytes_sent - bytes)
+fn catch_up(simulation: &mut Simulation, absent: usize) -> (u64, u64) {
+    let started_at = simulation.now;
+    let bytes_before = simulation.bytes_sent;
+    simulation.start_after(absent, Span::from_millis(1));
+    simulation.expect_fully_replicated(Span::from_millis(20_000), "the return of a keeper");
+    (simulation.now.since(started_at).as_nanos() / 1_000_000, simulation.bytes_sent - bytes_before)
 }
 
-/// Fails without the changes that are kept (snapshots alone never reach a version that moves on), and if what is
-/// on its way counts as lost before a slow link can have carried it.
+/// Fails without retained changes (snapshots alone never reach the newest version), and if what is in flight
+/// counts as lost before a slow link can have transmitted it.
 #[test]
-fn a_keeper_that_was_away_for_hundreds_of_changes_is_not_outrun() {
-    for (changes, most_ms) in [(1, 2_000), (100, 2_000), (300, 2_500), (500, 3_000)] {
+fn restarted_keeper_catches_up_after_hundreds_of_changes() {
+    for (changes, max_ms) in [(1, 2_000), (100, 2_000), (300, 2_500), (500, 3_000)] {
         for seed in 0..10 {
-            let (mut world, absent) = without_one(seed, changes);
-            let (ms, bytes) = catch_up(&mut world, absent);
-            assert!(ms <= most_ms, "{changes} changes, seed {seed}: {ms} ms, {bytes} bytes");
+            let (mut simulation, absent) = run_without_one_keeper(seed, changes);
+            let (ms, bytes) = catch_up(&mut simulation, absent);
+            assert!(ms <= max_ms, "{changes} changes, seed {seed}: {ms} ms, {bytes} bytes");
         }
     }
 }
 
-/// Fails without the changes that are kept: snapshots alone came to five times the state.
+/// Fails without retained changes: snapshots alone amounted to five times the state.
 #[test]
-fn a_keeper_that_lost_its_disk_is_sent_the_state_about_once() {
+fn keeper_with_an_empty_disk_is_sent_the_state_about_once() {
     for seed in 0..10 {
-        let (mut world, absent) = without_one(seed, 300);
-        world.wipe(absent);
-        let state = 8 * world.judge.acknowledged() as u64;
-        let (ms, bytes) = catch_up(&mut world, absent);
+        let (mut simulation, absent) = run_without_one_keeper(seed, 300);
+        simulation.replace_disk(absent);
+        let state_bytes = 8 * simulation.checker.acknowledged_count() as u64;
+        let (ms, bytes) = catch_up(&mut simulation, absent);
         assert!(ms <= 4_000, "seed {seed}: {ms} ms");
-        assert!(bytes <= 2 * state, "seed {seed}: {bytes} bytes for a state of {state}");
+        assert!(bytes <= 2 * state_bytes, "seed {seed}: {bytes} bytes for a state of {state_bytes}");
     }
 }
 
-/// As long as it lacks anything, it never serves. Fails without the changes that are kept: it never lacks nothing.
+/// Fails without retained changes: it never catches up.
 #[test]
-fn a_keeper_that_catches_up_does_not_lead_before() {
+fn keeper_does_not_become_primary_before_it_has_caught_up() {
     for seed in 0..10 {
-        let (mut world, absent) = without_one(seed, 300);
-        world.start_after(absent, Span::from_millis(1));
-        let whole_or_leads = |world: &World| world.is_whole() || world.primary() == Some(absent);
-        assert!(world.run_until(Span::from_millis(20_000), whole_or_leads), "{}", world.picture());
-        assert!(world.primary() != Some(absent), "{}", world.picture());
+        let (mut simulation, absent) = run_without_one_keeper(seed, 300);
+        simulation.start_after(absent, Span::from_millis(1));
+        let is_replicated_or_primary = |simulation: &Simulation| {
+            simulation.is_fully_replicated() || simulation.primary() == Some(absent)
+        };
+        assert!(
+            simulation.run_until(Span::from_millis(20_000), is_replicated_or_primary),
+            "{}",
+            simulation.describe()
+        );
+        assert!(simulation.primary() != Some(absent), "{}", simulation.describe());
     }
 }
--- a/crates/replication/tests/guards.rs
+++ b/crates/replication/tests/guards.rs
@@ -1,9 +1,9 @@
-//! Guards that a random play seldom needs, each against the messages that need it.
+//! Guards that random faults seldom need, each against the messages that need it.
 
 mod common;
 
-use common::address;
 use common::log::Log;
+use common::network::address;
 use juniperwing_clock::Time;
 use juniperwing_protocol::replication::{Epoch, ReplicationBody, ReplicationMessage, Version, Voter};
 use juniperwing_protocol::{DiskId, EpochNumber};
@@ -16,19 +16,19 @@
     Voter { disk: DiskId(number), node: node.as_str().into(), address: address(number as usize) }
 }
 
-fn number(round: u64) -> EpochNumber {
-    EpochNumber((round << 32) | 2)
+fn number(term: u64) -> EpochNumber {
+    EpochNumber((term << 32) | 2)
 }
 
-/// An epoch of keepers 1, 2 and 3 whose primary is 2.
-fn epoch(round: u64) -> Epoch {
+/// The epoch of term `term` whose voters are keepers 1, 2 and 3 and whose primary is 2.
+fn epoch(term: u64) -> Epoch {
     let voters = vec![voter(1), voter(2), voter(3)];
     let in_sync = vec![DiskId(2), DiskId(1), DiskId(3)];
-    Epoch { number: number(round), primary: DiskId(2), in_sync, voters, previous_voters: Vec::new() }
+    Epoch { number: number(term), primary: DiskId(2), in_sync, voters, previous_voters: Vec::new() }
 }
 
-fn version(round: u64, sequence: u64) -> Version {
-    Version { epoch: number(round), sequence }
+fn version(term: u64, sequence: u64) -> Version {
+    Version { epoch: number(term), sequence }
 }
 
 fn log(length: u64) -> Log {
@@ -38,11 +38,11 @@
 struct Keeper {
     replica: Replica<Log>,
     now: Time,
-    writing: Option<PersistToken>,
+    pending_write: Option<PersistToken>,
 }
 
 impl Keeper {
-    /// Keeper 1, which has accepted `accepted` and holds seven entries of round 1.
+    /// Keeper 1, which has accepted `accepted` and has seven entries of term 1 on disk.
     fn new(accepted: Epoch) -> Keeper {
         let settings = Settings {
             local_voter: voter(1),
@@ -55,267 +55,271 @@
         let record = Record { acceptor: ballot, version: version(1, 7), state: log(7).encode().into() };
         let now = Time::from_nanos(1);
         let replica = Replica::new(now, settings, Some(record), Log::default(), 1).expect("a state");
-        Keeper { replica, now, writing: None }
+        Keeper { replica, now, pending_write: None }
     }
 
-    fn hand(&mut self, event: Event<Log>) -> Vec<ReplicationBody> {
-        let mut said = Vec::new();
+    fn handle_event(&mut self, event: Event<Log>) -> Vec<ReplicationBody> {
+        let mut sent = Vec::new();
         for command in self.replica.handle(self.now, event) {
             match command {
-                Command::Send { message, .. } => said.push(message.body),
-                Command::Persist { token, .. } => self.writing = Some(token),
+                Command::Send { message, .. } => sent.push(message.body),
+                Command::Persist { token, .. } => self.pending_write = Some(token),
                 _ => {}
             }
         }
-        said
+        sent
     }
 
-    fn hear(&mut self, from: u64, body: ReplicationBody) -> Vec<ReplicationBody> {
+    fn receive(&mut self, from: u64, body: ReplicationBody) -> Vec<ReplicationBody> {
         let message = ReplicationMessage { from: DiskId(from), address: voter(from).address, body };
-        self.hand(Event::Message(message))
+        self.handle_event(Event::Message(message))
     }
 
-    fn sync(&mut self) -> Vec<ReplicationBody> {
-        let mut said = Vec::new();
-        while let Some(token) = self.writing.take() {
-            said.extend(self.hand(Event::Persisted(token)));
+    fn complete_writes(&mut self) -> Vec<ReplicationBody> {
+        let mut sent = Vec::new();
+        while let Some(token) = self.pending_write.take() {
+            sent.extend(self.handle_event(Event::Persisted(token)));
         }
-        said
+        sent
     }
 
-    /// Elected by all three keepers, in the epoch that is returned.
+    /// Has itself elected by all three keepers; returns the number of the epoch.
     fn become_primary(&mut self) -> EpochNumber {
         let number = self.become_candidate();
-        self.sync();
-        self.promise(2, number, epoch(1));
-        self.promise(3, number, epoch(1));
-        self.sync();
-        self.hear(2, ReplicationBody::Accepted { number });
+        self.complete_writes();
+        self.receive_promise(2, number, epoch(1));
+        self.receive_promise(3, number, epoch(1));
+        self.complete_writes();
+        self.receive(2, ReplicationBody::Accepted { number });
         number
     }
 
-    /// Lets time pass until it seeks office and has been let through; its number.
+    /// Lets the election time-out pass and grants the pre-vote; returns the number of the election.
     fn become_candidate(&mut self) -> EpochNumber {
         self.now = Time::from_nanos(10_000_000_000);
-        let said = self.hand(Event::Tick);
-        let canvass = said.iter().find_map(|body| match body {
+        let sent = self.handle_event(Event::Tick);
+        let pre_vote = sent.iter().find_map(|body| match body {
             ReplicationBody::PreVote { number } => Some(*number),
             _ => None,
         });
-        let number = canvass.expect("a canvass");
+        let number = pre_vote.expect("a pre-vote");
         let epoch = self.replica.epoch().clone();
         for from in 2..=5 {
             let granted = ReplicationBody::PreVoteReply { number, granted: true, epoch: epoch.clone() };
-            self.hear(from, granted);
+            self.receive(from, granted);
         }
         number
     }
 
-    fn promise(&mut self, from: u64, number: EpochNumber, accepted: Epoch) -> Vec<ReplicationBody> {
-        self.hear(from, ReplicationBody::Promise { number, accepted, version: version(1, 7) })
+    fn receive_promise(&mut self, from: u64, number: EpochNumber, accepted: Epoch) -> Vec<ReplicationBody> {
+        self.receive(from, ReplicationBody::Promise { number, accepted, version: version(1, 7) })
     }
 }
 
-fn heartbeat(round: u64) -> ReplicationBody {
-    ReplicationBody::Heartbeat { epoch: epoch(round), committed: Version::default(), round: 1 }
+fn heartbeat(term: u64) -> ReplicationBody {
+    ReplicationBody::Heartbeat { epoch: epoch(term), committed: Version::default(), round: 1 }
 }
 
-fn proposal(said: &[ReplicationBody]) -> Option<&Epoch> {
-    said.iter().find_map(|body| match body {
+fn proposed_epoch(sent: &[ReplicationBody]) -> Option<&Epoch> {
+    sent.iter().find_map(|body| match body {
         ReplicationBody::Accept { epoch } => Some(epoch),
         _ => None,
     })
 }
 
-fn confirms(said: &[ReplicationBody]) -> bool {
-    said.iter().any(|body| matches!(body, ReplicationBody::WriteAck { .. }))
+fn acknowledges_write(sent: &[ReplicationBody]) -> bool {
+    sent.iter().any(|body| matches!(body, ReplicationBody::WriteAck { .. }))
 }
 
 #[test]
-fn who_promised_a_higher_number_takes_no_write_of_the_old_primary() {
+fn write_of_the_old_primary_is_rejected_after_a_higher_promise() {
     let mut keeper = Keeper::new(epoch(1));
-    keeper.hear(2, heartbeat(1));
-    keeper.sync();
-    keeper.hear(3, ReplicationBody::Prepare { number: number(2) });
+    keeper.receive(2, heartbeat(1));
+    keeper.complete_writes();
+    keeper.receive(3, ReplicationBody::Prepare { number: number(2) });
     let change = Log::encode_change(&8);
     let write =
         ReplicationBody::Write { epoch: number(1), base: version(1, 7), version: version(1, 8), change };
-    let mut said = keeper.hear(2, write);
-    said.extend(keeper.sync());
-    assert!(!confirms(&said), "{said:?}");
-    assert!(said.contains(&ReplicationBody::Rejected { promised: number(2) }));
+    let mut sent = keeper.receive(2, write);
+    sent.extend(keeper.complete_writes());
+    assert!(!acknowledges_write(&sent), "{sent:?}");
+    assert!(sent.contains(&ReplicationBody::Rejected { promised: number(2) }));
     assert_eq!(keeper.replica.latest().version, version(1, 7));
 }
 
 #[test]
-fn a_write_of_an_epoch_that_was_not_accepted_is_not_taken() {
+fn write_of_an_epoch_that_was_not_accepted_is_ignored() {
     let mut keeper = Keeper::new(epoch(1));
     let change = Log::encode_change(&8);
     let write =
         ReplicationBody::Write { epoch: number(2), base: version(1, 7), version: version(2, 8), change };
-    let mut said = keeper.hear(2, write);
-    said.extend(keeper.sync());
-    assert!(!confirms(&said), "{said:?}");
+    let mut sent = keeper.receive(2, write);
+    sent.extend(keeper.complete_writes());
+    assert!(!acknowledges_write(&sent), "{sent:?}");
 }
 
 #[test]
-fn a_version_that_is_being_replaced_on_disk_is_not_claimed() {
+fn version_that_is_not_durable_is_not_acknowledged() {
     let mut keeper = Keeper::new(epoch(1));
-    keeper.hear(2, heartbeat(2));
-    keeper.sync();
+    keeper.receive(2, heartbeat(2));
+    keeper.complete_writes();
     let state = log(6).encode();
-    keeper.hear(2, ReplicationBody::Snapshot { epoch: number(2), version: version(1, 6), state });
-    let said = keeper.hear(2, heartbeat(3));
-    let claims = said
+    keeper.receive(2, ReplicationBody::Snapshot { epoch: number(2), version: version(1, 6), state });
+    let sent = keeper.receive(2, heartbeat(3));
+    let acknowledges = sent
         .iter()
         .any(|body| matches!(body, ReplicationBody::HeartbeatReply { version, .. } if version.is_some()));
-    assert!(!claims, "{said:?}");
+    assert!(!acknowledges, "{sent:?}");
 }
 
 #[test]
-fn a_snapshot_that_comes_late_undoes_no_write_of_its_epoch() {
+fn late_snapshot_reverts_no_write_of_its_epoch() {
     let mut keeper = Keeper::new(epoch(2));
-    keeper.hear(2, heartbeat(2));
+    keeper.receive(2, heartbeat(2));
     let change = Log::encode_change(&8);
     let write =
         ReplicationBody::Write { epoch: number(2), base: version(1, 7), version: version(2, 8), change };
-    keeper.hear(2, write);
+    keeper.receive(2, write);
     let state = log(7).encode();
-    keeper.hear(2, ReplicationBody::Snapshot { epoch: number(2), version: version(1, 7), state });
+    keeper.receive(2, ReplicationBody::Snapshot { epoch: number(2), version: version(1, 7), state });
     assert_eq!(keeper.replica.latest().version, version(2, 8));
 }
 
 #[test]
-fn a_candidate_proposes_nothing_before_its_own_promise_is_on_disk() {
+fn candidate_proposes_only_after_its_own_promise_is_durable() {
     let mut keeper = Keeper::new(epoch(1));
     let number = keeper.become_candidate();
-    let mut said = keeper.promise(2, number, epoch(1));
-    said.extend(keeper.promise(3, number, epoch(1)));
+    let mut sent = keeper.receive_promise(2, number, epoch(1));
+    sent.extend(keeper.receive_promise(3, number, epoch(1)));
     keeper.now = Time::from_nanos(10_300_000_000);
-    said.extend(keeper.hand(Event::Tick));
-    assert_eq!(proposal(&said), None);
-    let said = keeper.sync();
-    assert!(proposal(&said).is_some_and(|epoch| epoch.number == number));
+    sent.extend(keeper.handle_event(Event::Tick));
+    assert_eq!(proposed_epoch(&sent), None);
+    let sent = keeper.complete_writes();
+    assert!(proposed_epoch(&sent).is_some_and(|epoch| epoch.number == number));
 }
 
 #[test]
-fn what_follows_an_unsettled_epoch_needs_the_voters_before_it_and_keeps_its_own() {
-    let mut unsettled = epoch(1);
-    unsettled.previous_voters = vec![voter(1), voter(4), voter(5)];
-    let mut keeper = Keeper::new(unsettled.clone());
+fn successor_of_an_uncommitted_epoch_needs_the_previous_voters_and_keeps_the_voters() {
+    let mut uncommitted = epoch(1);
+    uncommitted.previous_voters = vec![voter(1), voter(4), voter(5)];
+    let mut keeper = Keeper::new(uncommitted.clone());
     let number = keeper.become_candidate();
-    let mut said = keeper.sync();
-    said.extend(keeper.promise(2, number, unsettled.clone()));
-    said.extend(keeper.promise(3, number, unsettled.clone()));
+    let mut sent = keeper.complete_writes();
+    sent.extend(keeper.receive_promise(2, number, uncommitted.clone()));
+    sent.extend(keeper.receive_promise(3, number, uncommitted.clone()));
     keeper.now = Time::from_nanos(10_300_000_000);
-    said.extend(keeper.hand(Event::Tick));
-    assert_eq!(proposal(&said), None);
-    keeper.promise(4, number, unsettled.clone());
+    sent.extend(keeper.handle_event(Event::Tick));
+    assert_eq!(proposed_epoch(&sent), None);
+    keeper.receive_promise(4, number, uncommitted.clone());
     keeper.now = Time::from_nanos(10_500_000_000);
-    let said = keeper.hand(Event::Tick);
-    let epoch = proposal(&said).expect("a proposal");
-    assert_eq!(epoch.voters, unsettled.voters);
-    assert_eq!(epoch.previous_voters, unsettled.previous_voters);
+    let sent = keeper.handle_event(Event::Tick);
+    let epoch = proposed_epoch(&sent).expect("a proposal");
+    assert_eq!(epoch.voters, uncommitted.voters);
+    assert_eq!(epoch.previous_voters, uncommitted.previous_voters);
 }
 
 #[test]
-fn a_candidate_outside_the_in_sync_set_of_a_higher_epoch_gives_up() {
+fn candidate_out_of_sync_in_a_higher_epoch_abandons_the_election() {
     let mut keeper = Keeper::new(epoch(1));
     let number = keeper.become_candidate();
-    keeper.sync();
+    keeper.complete_writes();
     let mut higher = epoch(2);
     higher.in_sync = vec![DiskId(2), DiskId(3)];
-    let mut said = keeper.promise(2, number, higher);
-    said.extend(keeper.promise(3, number, epoch(1)));
+    let mut sent = keeper.receive_promise(2, number, higher);
+    sent.extend(keeper.receive_promise(3, number, epoch(1)));
     keeper.now = Time::from_nanos(10_300_000_000);
-    said.extend(keeper.hand(Event::Tick));
-    assert_eq!(proposal(&said), None);
+    sent.extend(keeper.handle_event(Event::Tick));
+    assert_eq!(proposed_epoch(&sent), None);
 }
 
 #[test]
-fn bytes_that_are_no_state_are_not_taken() {
+fn malformed_snapshot_is_ignored() {
     let mut keeper = Keeper::new(epoch(1));
-    keeper.hear(2, heartbeat(2));
-    keeper.sync();
+    keeper.receive(2, heartbeat(2));
+    keeper.complete_writes();
     let state = vec![1, 2, 3];
-    keeper.hear(2, ReplicationBody::Snapshot { epoch: number(2), version: version(2, 8), state });
+    keeper.receive(2, ReplicationBody::Snapshot { epoch: number(2), version: version(2, 8), state });
     assert_eq!(keeper.replica.latest().version, version(1, 7));
 }
 
 #[test]
-fn a_change_of_voters_needs_the_voters_before_it() {
+fn change_of_voters_needs_the_previous_voters() {
     let mut keeper = Keeper::new(epoch(1));
     let first = keeper.become_primary();
     assert!(keeper.replica.is_primary());
 
     let newcomer = Voter { node: voter(3).node, ..voter(4) };
-    keeper.hear(4, ReplicationBody::Join { voter: newcomer.clone() });
-    let said = keeper.hear(4, ReplicationBody::WriteAck { epoch: first, version: version(1, 7) });
-    let second = said.iter().find_map(|body| match body {
+    keeper.receive(4, ReplicationBody::Join { voter: newcomer.clone() });
+    let sent = keeper.receive(4, ReplicationBody::WriteAck { epoch: first, version: version(1, 7) });
+    let second = sent.iter().find_map(|body| match body {
         ReplicationBody::Prepare { number } => Some(*number),
         _ => None,
     });
     let second = second.expect("an election");
-    let settled = keeper.replica.epoch().clone();
-    let mut said = keeper.sync();
-    said.extend(keeper.promise(2, second, settled.clone()));
-    said.extend(keeper.promise(3, second, settled));
-    let epoch = proposal(&said).expect("a proposal");
+    let committed = keeper.replica.epoch().clone();
+    let mut sent = keeper.complete_writes();
+    sent.extend(keeper.receive_promise(2, second, committed.clone()));
+    sent.extend(keeper.receive_promise(3, second, committed));
+    let epoch = proposed_epoch(&sent).expect("a proposal");
     assert_eq!(epoch.voters, vec![voter(1), voter(2), newcomer]);
     assert_eq!(epoch.previous_voters, vec![voter(1), voter(2), voter(3)]);
 }
 
-// Guard: `primary.rs`, `advance_primary`, `is_over`. Without it, the primary would change the higher epoch as if it
-// were its own, and take office with a state that lacks what was acknowledged there.
+// Guard: `replica/primary.rs`, `advance_primary`, `is_superseded`. Without it, the primary would change the
+// higher epoch as if it were its own, with a state that lacks what was acknowledged there.
 #[test]
-fn a_primary_that_hears_of_a_higher_epoch_late_leaves_office() {
+fn primary_steps_down_on_a_late_reply_with_a_higher_epoch() {
     let mut keeper = Keeper::new(epoch(1));
     let first = keeper.become_primary();
     assert!(!keeper.replica.epoch().voters.is_empty() && keeper.replica.epoch().number == first);
     let mut higher = epoch(9);
     higher.in_sync = vec![DiskId(2), DiskId(3)];
     let late = ReplicationBody::PreVoteReply { number: first, granted: true, epoch: higher.clone() };
-    keeper.hear(3, late);
-    // A newcomer that holds its state would make it change its epoch.
+    keeper.receive(3, late);
+    // A newcomer with its state would make it change its epoch.
     let newcomer = Voter { node: voter(3).node, ..voter(4) };
-    let mut said = keeper.hear(4, ReplicationBody::Join { voter: newcomer });
-    said.extend(keeper.hear(4, ReplicationBody::WriteAck { epoch: first, version: version(1, 7) }));
-    said.extend(keeper.sync());
-    assert!(!said.iter().any(|body| matches!(body, ReplicationBody::Prepare { .. })), "{said:?}");
+    let mut sent = keeper.receive(4, ReplicationBody::Join { voter: newcomer });
+    sent.extend(keeper.receive(4, ReplicationBody::WriteAck { epoch: first, version: version(1, 7) }));
+    sent.extend(keeper.complete_writes());
+    assert!(!sent.iter().any(|body| matches!(body, ReplicationBody::Prepare { .. })), "{sent:?}");
     assert!(!keeper.replica.is_primary());
     assert_eq!(keeper.replica.epoch(), &higher);
 }
 
-// Guard: `follower.rs`, `must_ask`, `retires`: one that ends does not ask to be let in again.
+// Guard: `replica/join.rs`, `must_request_join`, `is_shutting_down`: a keeper that shuts down does not
+// request to join.
 #[test]
-fn a_keeper_that_ends_asks_for_no_vote() {
-    let mut without = epoch(2);
-    without.voters.retain(|other| other.disk != DiskId(1));
-    without.in_sync.retain(|disk| *disk != DiskId(1));
+fn keeper_that_shuts_down_sends_no_join_request() {
+    let mut epoch_without_it = epoch(2);
+    epoch_without_it.voters.retain(|other| other.disk != DiskId(1));
+    epoch_without_it.in_sync.retain(|disk| *disk != DiskId(1));
     let mut keeper = Keeper::new(epoch(1));
-    let said = keeper.hand(Event::PrepareShutdown);
-    assert!(said.contains(&ReplicationBody::Leave));
+    let sent = keeper.handle_event(Event::PrepareShutdown);
+    assert!(sent.contains(&ReplicationBody::Leave));
     assert!(!keeper.replica.can_shut_down());
-    keeper.hear(2, ReplicationBody::Heartbeat { epoch: without, committed: version(1, 7), round: 1 });
+    keeper.receive(
+        2,
+        ReplicationBody::Heartbeat { epoch: epoch_without_it, committed: version(1, 7), round: 1 },
+    );
     assert!(keeper.replica.can_shut_down());
     keeper.now = Time::from_nanos(20_000_000_000);
-    let said = keeper.hand(Event::Tick);
-    assert!(!said.iter().any(|body| matches!(body, ReplicationBody::Join { .. })), "{said:?}");
+    let sent = keeper.handle_event(Event::Tick);
+    assert!(!sent.iter().any(|body| matches!(body, ReplicationBody::Join { .. })), "{sent:?}");
 }
 
-// Guard: `replica.rs`, `may_end`, `may_drop_one_of`: one of four voters is waited for until its vote is gone, even
-// if its copy counts no more.
+// Guard: `replica/handover.rs`, `can_shut_down`, `can_drop_one_of`: one of four voters waits until it is no
+// voter, even if it is not in sync any more.
 #[test]
-fn a_keeper_whose_vote_counts_in_vain_waits_until_it_is_gone() {
+fn keeper_with_a_surplus_vote_shuts_down_only_after_its_removal() {
     let mut four = epoch(2);
     four.voters.push(voter(4));
     four.in_sync.retain(|disk| *disk != DiskId(1));
     let mut keeper = Keeper::new(four);
-    keeper.hand(Event::PrepareShutdown);
+    keeper.handle_event(Event::PrepareShutdown);
     assert!(!keeper.replica.can_shut_down());
     let mut three = epoch(3);
     three.voters = vec![voter(2), voter(3), voter(4)];
     three.in_sync = vec![DiskId(2), DiskId(3)];
-    keeper.hear(2, ReplicationBody::Heartbeat { epoch: three, committed: version(1, 7), round: 1 });
+    keeper.receive(2, ReplicationBody::Heartbeat { epoch: three, committed: version(1, 7), round: 1 });
     assert!(keeper.replica.can_shut_down());
 }
--- a/crates/replication/tests/exploration.rs
+++ b/crates/replication/tests/model_check.rs
@@ -1,5 +1,5 @@
-//! Explores every order of events of a small tier: three keepers, two writes, one lost disk, messages that are
-//! lost, late and duplicated at will. Each guard that is taken out must break a property.
+//! Explores every order of events of a small tier: three keepers, two writes, one lost disk, messages that
+//! are lost, late and duplicated at will. Each guard that is taken out must break a property.
 //!
 //! What is too large for every build stands in `docs/control-voters.md`, with its number of states.
 
@@ -37,7 +37,8 @@
 /// A keeper has lost its disk, its successor is let in, and then anybody seeks an epoch.
 const LOST_DISK: Rules = Rules { elections: 2, lost: Some(2), ..ADMISSION };
 
-/// The primary has lost its disk: a backup takes over, lets the successor in, and then anybody seeks an epoch.
+/// The primary has lost its disk: a backup takes over, lets the successor in, and then anybody seeks an
+/// epoch.
 const LOST_PRIMARY: Rules =
     Rules { elections: 3, writes: 1, lost: Some(0), admits_first: false, ..ADMISSION };
 
@@ -69,67 +70,67 @@
 }
 
 #[test]
-fn two_changes_of_epoch_lose_no_write() {
+fn two_epoch_changes_lose_no_write() {
     explore(WRITES, &["all writes are acknowledged"]);
 }
 
 #[test]
-fn a_read_sees_all_that_was_acknowledged_before() {
+fn read_reflects_all_writes_acknowledged_before() {
     explore(READS, &["all writes are acknowledged", "a read is confirmed after a take-over"]);
 }
 
 #[test]
-fn a_successor_is_let_in_between_two_writes() {
+fn replacement_joins_between_two_writes() {
     explore(ADMISSION, &["all writes are acknowledged"]);
 }
 
 #[test]
-fn the_successor_of_a_wiped_keeper_makes_no_majority_that_forgets() {
+fn replacement_of_a_wiped_keeper_forms_no_majority_without_acknowledged_writes() {
     explore(LOST_DISK, &["a newcomer leads", "all writes are acknowledged"]);
 }
 
 #[test]
-fn the_successor_of_a_wiped_primary_makes_no_majority_that_forgets() {
+fn replacement_of_a_wiped_primary_forms_no_majority_without_acknowledged_writes() {
     explore(LOST_PRIMARY, &["a newcomer leads"]);
 }
 
 #[test]
-fn an_epoch_below_the_promise_must_not_be_accepted() {
+fn accepting_an_epoch_below_the_promise_is_unsafe() {
     expect_caught(WRITES, Mutation::AcceptsBelowPromise);
 }
 
 #[test]
-fn a_keeper_out_of_sync_must_not_take_over() {
+fn electing_a_keeper_out_of_sync_is_unsafe() {
     expect_caught(WRITES, Mutation::TakesOverOutOfSync);
 }
 
 #[test]
-fn a_keeper_is_not_in_sync_because_it_promised() {
+fn counting_promises_as_in_sync_is_unsafe() {
     expect_caught(WRITES, Mutation::CountsAllAsInSync);
 }
 
 #[test]
-fn an_in_sync_replica_must_not_be_missing_from_an_acknowledgement() {
+fn acknowledging_before_all_in_sync_replicas_is_unsafe() {
     expect_caught(WRITES, Mutation::AcknowledgesBeforeAllInSync);
 }
 
 #[test]
-fn a_candidate_must_follow_the_highest_epoch_accepted() {
+fn ignoring_accepted_epochs_is_unsafe() {
     expect_caught(WRITES, Mutation::IgnoresAcceptedEpochs);
 }
 
 #[test]
-fn a_primary_must_not_change_an_epoch_that_is_over() {
+fn changing_a_superseded_epoch_is_unsafe() {
     expect_caught(WRITES, Mutation::ChangesAnEpochThatIsOver);
 }
 
 #[test]
-fn a_wiped_keeper_must_not_keep_its_vote() {
+fn keeping_the_vote_of_a_wiped_keeper_is_unsafe() {
     expect_caught(WRITES, Mutation::WipedKeepsItsVote);
 }
 
 #[test]
-fn voters_must_not_change_without_the_previous_ones() {
+fn changing_voters_without_the_previous_voters_is_unsafe() {
     expect_caught(
         Rules { lost: None, writes: 1, ..LOST_DISK },
         Mutation::ChangesVotersWithoutThePreviousOnes,
@@ -137,11 +138,11 @@
 }
 
 #[test]
-fn a_newcomer_without_the_state_must_not_be_in_sync() {
+fn admitting_a_voter_without_the_state_is_unsafe() {
     expect_caught(LOST_DISK, Mutation::AdmitsWithoutState);
 }
 
 #[test]
-fn a_read_must_not_be_confirmed_alone() {
+fn confirming_a_read_without_a_majority_is_unsafe() {
     expect_caught(READS, Mutation::ConfirmsReadsAlone);
 }
--- a/crates/replication/tests/stalled_disk.rs
+++ b/crates/replication/tests/stalled_disk.rs
@@ -1,52 +1,53 @@
-//! A disk that answers nothing: it neither fails nor ends, and whoever waits for it must not hold up the others.
+//! A stalled disk: its writes neither fail nor complete, and a keeper that waits for it must not delay the
+//! others.
 
 mod common;
 
-use common::{WHOLE, three_keepers};
+use common::{MAX_FULL_REPLICATION_TIME, start_three_keepers};
 use juniperwing_clock::Span;
 
-/// How soon changes are acknowledged again after a disk has begun to answer nothing.
-const BORNE: Span = Span::from_millis(3_500);
+/// How soon changes are acknowledged again after a disk has stalled.
+const MAX_FAILOVER_TIME: Span = Span::from_millis(3_500);
 const SEEDS: u64 = 20;
 
 #[test]
-fn a_primary_whose_disk_answers_nothing_is_succeeded() {
+fn primary_with_a_stalled_disk_is_replaced() {
     for seed in 0..SEEDS {
-        let (mut world, primary) = three_keepers(seed);
-        world.stall_disk(primary);
-        world.run(Span::from_millis(20));
-        world.expect_progress(BORNE, "a disk that answers nothing");
-        let successor = world.primary().expect("a primary");
+        let (mut simulation, primary) = start_three_keepers(seed);
+        simulation.stall_disk(primary);
+        simulation.run_for(Span::from_millis(20));
+        simulation.expect_progress(MAX_FAILOVER_TIME, "a stalled disk");
+        let successor = simulation.primary().expect("a primary");
         assert_ne!(successor, primary, "seed {seed}");
-        world.run(Span::from_millis(5_000));
-        world.release_disk(primary);
-        world.expect_whole(WHOLE, "the disk answers again");
+        simulation.run_for(Span::from_millis(5_000));
+        simulation.release_disk(primary);
+        simulation.expect_fully_replicated(MAX_FULL_REPLICATION_TIME, "the end of the stall");
     }
 }
 
 #[test]
-fn a_backup_whose_disk_answers_nothing_holds_up_nobody() {
+fn backup_with_a_stalled_disk_does_not_delay_writes() {
     for seed in 0..SEEDS {
-        let (mut world, primary) = three_keepers(seed);
+        let (mut simulation, primary) = start_three_keepers(seed);
         let backup = (primary + 1) % 3;
-        world.stall_disk(backup);
+        simulation.stall_disk(backup);
         for _ in 0..5 {
-            world.expect_progress(Span::from_millis(1_500), "a disk of a backup that answers nothing");
+            simulation.expect_progress(Span::from_millis(1_500), "a stalled disk of a backup");
         }
-        assert_eq!(world.primary(), Some(primary), "seed {seed}");
-        world.release_disk(backup);
-        world.expect_whole(WHOLE, "the disk answers again");
+        assert_eq!(simulation.primary(), Some(primary), "seed {seed}");
+        simulation.release_disk(backup);
+        simulation.expect_fully_replicated(MAX_FULL_REPLICATION_TIME, "the end of the stall");
     }
 }
 
 #[test]
-fn a_disk_that_is_slow_for_a_moment_costs_no_office() {
+fn short_disk_stall_does_not_replace_the_primary() {
     for seed in 0..SEEDS {
-        let (mut world, primary) = three_keepers(seed);
-        world.stall_disk(primary);
-        world.run(Span::from_millis(800));
-        world.release_disk(primary);
-        world.expect_progress(Span::from_millis(1_000), "a disk that was slow for a moment");
-        assert_eq!(world.primary(), Some(primary), "seed {seed}");
+        let (mut simulation, primary) = start_three_keepers(seed);
+        simulation.stall_disk(primary);
+        simulation.run_for(Span::from_millis(800));
+        simulation.release_disk(primary);
+        simulation.expect_progress(Span::from_millis(1_000), "a short stall of a disk");
+        assert_eq!(simulation.primary(), Some(primary), "seed {seed}");
     }
 }
