--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -1,4 +1,4 @@
-//! The members that are known, what is held of each, and when that is to be looked at again.
+//! The table of members: the newest record of each, with the time-outs of suspicions and of dead members.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,57 +7,57 @@
 use crate::digest::{self, Buckets, HashRange};
 use crate::member::{MemberId, Record, Status};
 
-/// The most members that are held, dead ones included; further ones are not taken in.
+/// Maximum number of members, dead ones included; further ones are ignored.
 pub const MAX_MEMBERS: usize = 4_096;
 
-/// A member's place in the table. Sorted by hash, so that ranges can be listed.
+/// The key of a member in the table. Sorted by hash, so that ranges of hashes can be listed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Key {
-    place: u64,
+    hash: u64,
     id: MemberId,
 }
 
 impl Key {
     fn of(id: &MemberId) -> Self {
-        Key { place: digest::place(id), id: id.clone() }
+        Key { hash: digest::hash_of(id), id: id.clone() }
     }
 }
 
 #[derive(Clone, Debug)]
 struct Entry {
     record: Record,
-    /// When a suspicion or the memory of a dead member ends.
+    /// When a suspicion times out or a dead member is removed.
     expiry: Option<Time>,
 }
 
-/// The members that are known.
+/// The known members.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     entries: BTreeMap<Key, Entry>,
     expiries: BTreeSet<(Time, Key)>,
     buckets: Buckets,
-    live: usize,
+    live_count: usize,
 }
 
 impl Table {
-    /// What is held of `id`.
+    /// The record of `id`.
     pub fn get(&self, id: &MemberId) -> Option<&Record> {
         self.entries.get(&Key::of(id)).map(|entry| &entry.record)
     }
 
-    /// What is held of `id`, if it is live.
+    /// The record of `id`, if it is live.
     pub fn get_live(&self, id: &MemberId) -> Option<&Record> {
         self.get(id).filter(|record| record.status.is_live())
     }
 
-    /// Whether another member can be taken in.
-    pub fn has_room(&self) -> bool {
+    /// Whether another member can be inserted.
+    pub fn has_capacity(&self) -> bool {
         self.entries.len() < MAX_MEMBERS
     }
 
-    /// How many members are live.
-    pub fn live(&self) -> usize {
-        self.live
+    /// The number of live members.
+    pub fn live_count(&self) -> usize {
+        self.live_count
     }
 
     /// The checksums of the live members.
@@ -70,23 +70,23 @@
         self.entries.values().map(|entry| &entry.record)
     }
 
-    /// The records of a range.
+    /// The records of a range of hashes, each with its hash.
     pub fn range(&self, range: HashRange) -> impl Iterator<Item = (u64, &Record)> {
         let lowest = MemberId { node: "".into(), role: crate::member::Role::Relay };
-        let from = Key { place: range.first, id: lowest };
+        let from = Key { hash: range.first, id: lowest };
         self.entries
             .range(from..)
-            .take_while(move |(key, _)| key.place <= range.last)
-            .map(|(key, entry)| (key.place, &entry.record))
+            .take_while(move |(key, _)| key.hash <= range.last)
+            .map(|(key, entry)| (key.hash, &entry.record))
     }
 
-    /// Holds `record` from now on, until `expiry` if that is given.
-    pub fn put(&mut self, record: Record, expiry: Option<Time>) {
+    /// Inserts or replaces a record, which expires at `expiry` if that is given.
+    pub fn insert(&mut self, record: Record, expiry: Option<Time>) {
         let key = Key::of(&record.member.id);
-        self.take_out(&key);
+        self.remove_entry(&key);
         if record.status.is_live() {
             self.buckets.toggle(&record);
-            self.live += 1;
+            self.live_count += 1;
         }
         if let Some(time) = expiry {
             self.expiries.insert((time, key.clone()));
@@ -94,13 +94,13 @@
         self.entries.insert(key, Entry { record, expiry });
     }
 
-    /// Forgets `id`.
+    /// Removes the record of `id`.
     pub fn remove(&mut self, id: &MemberId) {
-        self.take_out(&Key::of(id));
+        self.remove_entry(&Key::of(id));
     }
 
-    /// Takes the next record whose time has come by `now`; it stays in the table without a time.
-    pub fn expire(&mut self, now: Time) -> Option<Record> {
+    /// The next record that has expired by `now`; it stays in the table, without an expiry.
+    pub fn pop_expired(&mut self, now: Time) -> Option<Record> {
         let (time, _) = self.expiries.first()?;
         if *time > now {
             return None;
@@ -111,8 +111,8 @@
         Some(entry.record.clone())
     }
 
-    /// Lets every suspicion last longer by `span`.
-    pub fn prolong_suspicions(&mut self, span: Span) {
+    /// Extends every suspicion by `span`.
+    pub fn extend_suspicions(&mut self, span: Span) {
         for (key, entry) in &mut self.entries {
             let Some(time) = entry.expiry else { continue };
             if entry.record.status != Status::Suspect {
@@ -124,11 +124,11 @@
         }
     }
 
-    fn take_out(&mut self, key: &Key) {
+    fn remove_entry(&mut self, key: &Key) {
         let Some(entry) = self.entries.remove(key) else { return };
         if entry.record.status.is_live() {
             self.buckets.toggle(&entry.record);
-            self.live -= 1;
+            self.live_count -= 1;
         }
         if let Some(time) = entry.expiry {
             self.expiries.remove(&(time, key.clone()));
