--- a/crates/replication/tests/epoch_model/properties.rs
+++ b/crates/replication/tests/epoch_model/properties.rs
@@ -1,93 +1,103 @@
-//! What must always hold, and what must be reached for that to mean anything.
+//! Properties that must always hold, and states that must be reached for that to mean anything.
 
 use stateright::Property;
 
 use super::rules::Rules;
-use super::state::{Epoch, IDENTITIES, Keeper, NEWCOMER, Stage, Tier};
+use super::state::{EpochNumber, Keeper, MEMBER_COUNT, ModelState, NEWCOMER, Stage};
 
-/// The keepers that are primary of a chosen epoch whose in-sync replicas hold the state.
-fn serving(tier: &Tier) -> impl Iterator<Item = (u8, &Keeper)> {
-    let is_serving =
-        |keeper: &Keeper| keeper.stage == Stage::Primary && keeper.office.is_some_and(|office| office.synced);
-    (0..IDENTITIES).map(|member| (member, tier.keeper(member))).filter(move |(_, keeper)| is_serving(keeper))
+/// The keepers that are primary of a chosen epoch whose in-sync replicas have the state.
+fn serving_primaries(state: &ModelState) -> impl Iterator<Item = (u8, &Keeper)> {
+    let is_serving = |keeper: &Keeper| {
+        keeper.stage == Stage::Primary
+            && keeper.leadership.is_some_and(|leadership| leadership.is_synchronized)
+    };
+    (0..MEMBER_COUNT)
+        .map(|member| (member, state.keeper(member)))
+        .filter(move |(_, keeper)| is_serving(keeper))
 }
 
-/// Whether `keeper` holds all that was acknowledged in epochs up to `epoch`.
-fn holds_acknowledged(tier: &Tier, keeper: &Keeper, epoch: &Epoch) -> bool {
-    let acknowledged = tier.history.acknowledged.iter().zip(1_u8..);
-    let mut due = acknowledged.filter(|(at, _)| at.is_some_and(|at| at <= epoch.number));
-    due.all(|(_, write)| keeper.log.contains(write))
+/// Whether `keeper` has all writes that were acknowledged in epochs with an `included` number.
+fn has_acknowledged_writes(
+    state: &ModelState, keeper: &Keeper, included: impl Fn(EpochNumber) -> bool,
+) -> bool {
+    let acknowledged = state.history.acknowledged.iter().zip(1_u8..);
+    let mut required = acknowledged.filter(|(number, _)| number.is_some_and(&included));
+    required.all(|(_, write)| keeper.log.contains(write))
 }
 
-fn one_primary_an_epoch(_: &Rules, tier: &Tier) -> bool {
-    let mut numbers: Vec<_> = serving(tier).map(|(_, keeper)| keeper.accepted.number).collect();
+fn each_epoch_has_one_primary(_: &Rules, state: &ModelState) -> bool {
+    let mut numbers: Vec<_> = serving_primaries(state).map(|(_, keeper)| keeper.accepted.number).collect();
     let count = numbers.len();
     numbers.sort_unstable();
     numbers.dedup();
-    numbers.len() == count && serving(tier).all(|(member, keeper)| keeper.accepted.number.proposer == member)
+    numbers.len() == count
+        && serving_primaries(state).all(|(member, keeper)| keeper.accepted.number.proposer == member)
 }
 
-fn one_epoch_a_number(_: &Rules, tier: &Tier) -> bool {
-    !tier.history.number_used_twice
+fn epoch_numbers_are_unique(_: &Rules, state: &ModelState) -> bool {
+    !state.history.has_duplicate_number
 }
 
-fn primaries_hold_all(_: &Rules, tier: &Tier) -> bool {
-    serving(tier).all(|(_, keeper)| holds_acknowledged(tier, keeper, &keeper.accepted))
+fn primaries_have_acknowledged_writes(_: &Rules, state: &ModelState) -> bool {
+    serving_primaries(state)
+        .all(|(_, keeper)| has_acknowledged_writes(state, keeper, |number| number <= keeper.accepted.number))
 }
 
-fn one_history(_: &Rules, tier: &Tier) -> bool {
-    !tier.history.diverged
+fn committed_writes_do_not_diverge(_: &Rules, state: &ModelState) -> bool {
+    !state.history.has_diverged
 }
 
-fn reads_are_new(_: &Rules, tier: &Tier) -> bool {
-    !tier.history.read_too_old
+fn reads_are_not_stale(_: &Rules, state: &ModelState) -> bool {
+    !state.history.has_stale_read
 }
 
-/// The in-sync replicas of the newest chosen epoch hold all that was acknowledged before it: whichever of them
-/// is left can take over.
-fn in_sync_hold_all(_: &Rules, tier: &Tier) -> bool {
-    let newest = tier.history.chosen;
-    newest.in_sync.iter().filter(|member| tier.keeper(*member).is_up).all(|member| {
-        let keeper = tier.keeper(member);
-        let acknowledged = tier.history.acknowledged.iter().zip(1_u8..);
-        let mut due = acknowledged.filter(|(at, _)| at.is_some_and(|at| at < newest.number));
-        due.all(|(_, write)| keeper.log.contains(write))
-    })
+/// The in-sync replicas of the newest chosen epoch have all writes that were acknowledged before it: any of
+/// them can become primary.
+fn in_sync_replicas_have_acknowledged_writes(_: &Rules, state: &ModelState) -> bool {
+    let newest = state.history.newest_chosen;
+    newest
+        .in_sync
+        .iter()
+        .filter(|member| state.keeper(*member).is_up)
+        .all(|member| has_acknowledged_writes(state, state.keeper(member), |number| number < newest.number))
 }
 
-fn a_newcomer_leads_on_what_was_acknowledged(_: &Rules, tier: &Tier) -> bool {
-    let acknowledged = tier.history.acknowledged.iter().any(Option::is_some);
-    acknowledged && serving(tier).any(|(member, _)| member == NEWCOMER)
+fn newcomer_is_primary_after_an_acknowledgement(_: &Rules, state: &ModelState) -> bool {
+    let acknowledged = state.history.acknowledged.iter().any(Option::is_some);
+    acknowledged && serving_primaries(state).any(|(member, _)| member == NEWCOMER)
 }
 
-fn all_writes_are_acknowledged(_: &Rules, tier: &Tier) -> bool {
-    tier.history.acknowledged.iter().all(Option::is_some)
+fn all_writes_are_acknowledged(_: &Rules, state: &ModelState) -> bool {
+    state.history.acknowledged.iter().all(Option::is_some)
 }
 
-fn a_read_is_confirmed_after_a_take_over(_: &Rules, tier: &Tier) -> bool {
-    tier.history.read_confirmed && serving(tier).any(|(member, _)| member != 0)
+fn read_is_confirmed_after_a_change_of_primary(_: &Rules, state: &ModelState) -> bool {
+    state.history.has_confirmed_read && serving_primaries(state).any(|(member, _)| member != 0)
 }
 
-/// Names of the properties that must never be broken.
+/// Names of the properties that must never be violated.
 pub const SAFETY: [&str; 6] = [
-    "one primary an epoch",
-    "one epoch a number",
-    "a serving primary holds all that was acknowledged",
-    "one history of committed writes",
-    "a confirmed read sees all that was acknowledged before it",
-    "the in-sync replicas of the newest epoch hold all that was acknowledged",
+    "each epoch has one primary",
+    "epoch numbers are unique",
+    "a serving primary has all acknowledged writes",
+    "committed writes do not diverge",
+    "a confirmed read reflects all writes acknowledged before it",
+    "the in-sync replicas of the newest epoch have all acknowledged writes",
 ];
 
 pub fn all() -> Vec<Property<Rules>> {
     vec![
-        Property::always(SAFETY[0], one_primary_an_epoch),
-        Property::always(SAFETY[1], one_epoch_a_number),
-        Property::always(SAFETY[2], primaries_hold_all),
-        Property::always(SAFETY[3], one_history),
-        Property::always(SAFETY[4], reads_are_new),
-        Property::always(SAFETY[5], in_sync_hold_all),
-        Property::sometimes("a newcomer leads", a_newcomer_leads_on_what_was_acknowledged),
+        Property::always(SAFETY[0], each_epoch_has_one_primary),
+        Property::always(SAFETY[1], epoch_numbers_are_unique),
+        Property::always(SAFETY[2], primaries_have_acknowledged_writes),
+        Property::always(SAFETY[3], committed_writes_do_not_diverge),
+        Property::always(SAFETY[4], reads_are_not_stale),
+        Property::always(SAFETY[5], in_sync_replicas_have_acknowledged_writes),
+        Property::sometimes("a newcomer is primary", newcomer_is_primary_after_an_acknowledgement),
         Property::sometimes("all writes are acknowledged", all_writes_are_acknowledged),
-        Property::sometimes("a read is confirmed after a take-over", a_read_is_confirmed_after_a_take_over),
+        Property::sometimes(
+            "a read is confirmed after a change of primary",
+            read_is_confirmed_after_a_change_of_primary,
+        ),
     ]
 }
--- a/crates/replication/tests/epoch_model/state.rs
+++ b/crates/replication/tests/epoch_model/state.rs
@@ -1,115 +1,53 @@
-//! The state that the exploration tells apart.
+//! The states of the model: keepers, messages in flight, and the history that the properties are about.
 
-use std::fmt;
+use super::member_set::MemberSet;
 
-/// How many identities there are: three keepers, and the one that the wiped keeper comes back with.
-pub const IDENTITIES: u8 = 4;
+/// The number of identities: three keepers, and the one with which the wiped keeper returns.
+pub const MEMBER_COUNT: u8 = 4;
 
 /// The identity of a keeper that lost its disk, after its return.
 pub const NEWCOMER: u8 = 3;
 
-/// The most writes.
+/// The largest number of writes.
 pub const MAX_WRITES: usize = 2;
 
-/// A set of keepers, as bits.
-#[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Members(pub u8);
-
-impl Members {
-    pub fn of(members: &[u8]) -> Members {
-        members.iter().fold(Members::default(), |set, member| set.with(*member))
-    }
-
-    pub fn has(self, member: u8) -> bool {
-        self.0 & (1 << member) != 0
-    }
-
-    pub fn with(self, member: u8) -> Members {
-        Members(self.0 | (1 << member))
-    }
-
-    pub fn without(self, member: u8) -> Members {
-        Members(self.0 & !(1 << member))
-    }
-
-    pub fn and(self, other: Members) -> Members {
-        Members(self.0 & other.0)
-    }
-
-    pub fn or(self, other: Members) -> Members {
-        Members(self.0 | other.0)
-    }
-
-    pub fn count(self) -> u32 {
-        self.0.count_ones()
-    }
-
-    pub fn is_empty(self) -> bool {
-        self.0 == 0
-    }
-
-    pub fn contains_all(self, other: Members) -> bool {
-        self.and(other) == other
-    }
-
-    pub fn iter(self) -> impl Iterator<Item = u8> {
-        (0..IDENTITIES).filter(move |member| self.has(*member))
-    }
-
-    /// All subsets of this set.
-    pub fn subsets(self) -> impl Iterator<Item = Members> {
-        (0..=self.0).map(Members).filter(move |subset| self.contains_all(*subset))
-    }
-
-    /// Whether more than half of this set is in `present`.
-    pub fn is_majority(self, present: Members) -> bool {
-        2 * self.and(present).count() > self.count()
-    }
-}
-
-impl fmt::Debug for Members {
-    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.debug_set().entries(self.iter()).finish()
-    }
-}
-
-/// The number of an epoch: a round, then who proposes.
+/// The number of an epoch: its term, then its proposer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Number {
-    pub round: u8,
+pub struct EpochNumber {
+    pub term: u8,
     pub proposer: u8,
 }
 
 /// An epoch; its proposer is its primary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Epoch {
-    pub number: Number,
-    pub in_sync: Members,
-    pub voters: Members,
-    pub previous_voters: Members,
+    pub number: EpochNumber,
+    pub in_sync: MemberSet,
+    pub voters: MemberSet,
+    pub previous_voters: MemberSet,
 }
 
 impl Epoch {
     /// Whether `present` may decide on what follows this epoch.
-    pub fn is_quorum(&self, present: Members) -> bool {
-        let before = self.previous_voters;
-        self.voters.is_majority(present) && (before.is_empty() || before.is_majority(present))
+    pub fn is_quorum(&self, present: MemberSet) -> bool {
+        let previous = self.previous_voters;
+        self.voters.is_majority(present) && (previous.is_empty() || previous.is_majority(present))
     }
 
     /// All that decide on what follows this epoch.
-    pub fn deciders(&self) -> Members {
+    pub fn electorate(&self) -> MemberSet {
         self.voters.or(self.previous_voters)
     }
 
-    /// Whether this epoch says more than `than`.
-    pub fn is_news(&self, than: &Epoch) -> bool {
-        let settles = self.previous_voters.is_empty() && !than.previous_voters.is_empty();
-        self.number > than.number || (self.number == than.number && settles)
+    /// Whether this epoch is newer than `than`.
+    pub fn is_newer(&self, than: &Epoch) -> bool {
+        let is_committed_now = self.previous_voters.is_empty() && !than.previous_voters.is_empty();
+        self.number > than.number || (self.number == than.number && is_committed_now)
     }
 
     /// This epoch, known to be chosen.
-    pub fn settled(self) -> Epoch {
-        Epoch { previous_voters: Members::default(), ..self }
+    pub fn committed(self) -> Epoch {
+        Epoch { previous_voters: MemberSet::default(), ..self }
     }
 }
 
@@ -117,7 +55,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Log {
     /// The epoch of the newest write.
-    pub epoch: Number,
+    pub epoch: EpochNumber,
     /// The writes, from 1; 0 for none.
     pub writes: [u8; MAX_WRITES],
 }
@@ -132,61 +70,61 @@
     }
 
     /// This log with one more write, made in `epoch`.
-    pub fn with(mut self, epoch: Number, write: u8) -> Log {
-        let place = self.len();
-        self.writes[place] = write;
+    pub fn appended(mut self, epoch: EpochNumber, write: u8) -> Log {
+        let position = self.len();
+        self.writes[position] = write;
         self.epoch = epoch;
         self
     }
 
-    /// Whether one of the two is a beginning of the other.
-    pub fn agrees_with(&self, other: &[u8; MAX_WRITES]) -> bool {
+    /// Whether one of the two is a prefix of the other.
+    pub fn is_consistent_with(&self, other: &[u8; MAX_WRITES]) -> bool {
         self.writes.iter().zip(other).all(|(mine, theirs)| *mine == 0 || *theirs == 0 || mine == theirs)
     }
 }
 
-/// A message that was sent; it stays deliverable for ever.
+/// A message that was sent; it can be delivered at any later time, any number of times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Message {
-    Prepare { number: Number },
-    Promise { number: Number, from: u8, accepted: Epoch, held: Log },
+    Prepare { number: EpochNumber },
+    Promise { number: EpochNumber, from: u8, accepted: Epoch, log: Log },
     Accept { epoch: Epoch },
-    Accepted { number: Number, from: u8 },
-    Snapshot { epoch: Number, log: Log },
-    Confirm { epoch: Number, from: u8, held: Log },
-    Heartbeat { epoch: Epoch, answers_read: bool },
-    HeartbeatAnswer { epoch: Number, from: u8 },
+    Accepted { number: EpochNumber, from: u8 },
+    Snapshot { epoch: EpochNumber, log: Log },
+    WriteAck { epoch: EpochNumber, from: u8, log: Log },
+    Heartbeat { epoch: Epoch, confirms_read: bool },
+    HeartbeatReply { epoch: EpochNumber, from: u8 },
 }
 
-/// The voters and in-sync replicas that a sitting primary wants.
+/// The voters and in-sync replicas that a primary wants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Plan {
-    pub voters: Members,
-    pub in_sync: Members,
+pub struct EpochPlan {
+    pub voters: MemberSet,
+    pub in_sync: MemberSet,
 }
 
-/// What a keeper is busy with.
+/// What a keeper is doing about epochs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Stage {
     #[default]
     Following,
-    /// Seeks an epoch; `base` is the one that it was to follow at first.
+    /// Has an election in progress; `base` is the epoch that the new one was to follow at first.
     Candidate {
-        number: Number,
+        number: EpochNumber,
         base: Epoch,
-        plan: Option<Plan>,
+        plan: Option<EpochPlan>,
         proposed: bool,
     },
     Primary,
 }
 
-/// What a primary keeps while it is in office.
+/// The state of a primary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Office {
-    pub serves: bool,
-    pub synced: bool,
-    /// The write under way; 0 for none.
-    pub in_flight: u8,
+pub struct Leadership {
+    pub has_served: bool,
+    pub is_synchronized: bool,
+    /// The write in flight; 0 for none.
+    pub in_flight_write: u8,
     pub committed: Log,
 }
 
@@ -195,23 +133,23 @@
 pub struct Keeper {
     pub is_up: bool,
     /// On disk: the promise, the accepted epoch and the state.
-    pub promised: Number,
+    pub promised: EpochNumber,
     pub accepted: Epoch,
     pub log: Log,
     /// In memory.
     pub stage: Stage,
-    pub office: Option<Office>,
+    pub leadership: Option<Leadership>,
 }
 
 impl Keeper {
-    /// Whether it is a candidate under that number.
-    fn seeks(&self, sought: Number) -> bool {
-        matches!(self.stage, Stage::Candidate { number, .. } if number == sought)
+    /// Whether it is a candidate with that number.
+    fn is_candidate_with(&self, candidate_number: EpochNumber) -> bool {
+        matches!(self.stage, Stage::Candidate { number, .. } if number == candidate_number)
     }
 
-    /// Whether it is, or as a candidate still was, primary of that epoch.
-    fn holds_office(&self, number: Number) -> bool {
-        self.office.is_some() && self.accepted.number == number
+    /// Whether it is primary of that epoch, or a candidate that still was.
+    fn is_primary_of(&self, number: EpochNumber) -> bool {
+        self.leadership.is_some() && self.accepted.number == number
     }
 }
 
@@ -220,47 +158,47 @@
 pub struct Read {
     pub reader: u8,
     /// The writes that were acknowledged before it, as bits.
-    pub floor: u8,
+    pub required_writes: u8,
 }
 
-/// What callers were told, for the properties.
+/// What clients have observed, for the properties.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct History {
     /// The epoch in which each write was acknowledged.
-    pub acknowledged: [Option<Number>; MAX_WRITES],
-    /// The longest list that a primary called committed.
+    pub acknowledged: [Option<EpochNumber>; MAX_WRITES],
+    /// The longest list that a primary has committed.
     pub committed: [u8; MAX_WRITES],
-    /// Two primaries called different lists committed.
-    pub diverged: bool,
-    /// A confirmed read lacked a write that was acknowledged before it.
-    pub read_too_old: bool,
-    /// A read was confirmed.
-    pub read_confirmed: bool,
-    /// The newest number that each keeper proposed an epoch under.
-    pub proposed: [Number; IDENTITIES as usize],
-    /// The newest epoch that was accepted by those that must.
-    pub chosen: Epoch,
-    /// Two epochs were proposed under one number.
-    pub number_used_twice: bool,
+    /// Whether two primaries have committed different lists.
+    pub has_diverged: bool,
+    /// Whether a confirmed read lacked a write that was acknowledged before it.
+    pub has_stale_read: bool,
+    /// Whether a read was confirmed.
+    pub has_confirmed_read: bool,
+    /// The newest number with which each keeper has proposed an epoch.
+    pub last_proposed: [EpochNumber; MEMBER_COUNT as usize],
+    /// The newest epoch that is chosen.
+    pub newest_chosen: Epoch,
+    /// Whether two epochs were proposed with one number.
+    pub has_duplicate_number: bool,
 }
 
 /// A state of the whole tier.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Tier {
-    pub keepers: [Keeper; IDENTITIES as usize],
+pub struct ModelState {
+    pub keepers: [Keeper; MEMBER_COUNT as usize],
     /// Sorted.
     pub messages: Vec<Message>,
-    pub elections_left: u8,
-    pub writes_begun: u8,
-    pub restarts_left: u8,
-    /// Whether a keeper may yet lose its disk and come back as it was before.
-    pub may_wipe: bool,
-    pub may_read: bool,
+    pub remaining_elections: u8,
+    pub started_writes: u8,
+    pub remaining_restarts: u8,
+    /// Whether a keeper may still lose its disk and return with its identity.
+    pub can_wipe: bool,
+    pub can_read: bool,
     pub read: Option<Read>,
     pub history: History,
 }
 
-impl Tier {
+impl ModelState {
     pub fn keeper(&self, member: u8) -> &Keeper {
         &self.keepers[usize::from(member)]
     }
@@ -270,36 +208,39 @@
     }
 
     pub fn send(&mut self, message: Message) {
-        if let Err(place) = self.messages.binary_search(&message) {
-            self.messages.insert(place, message);
+        if let Err(position) = self.messages.binary_search(&message) {
+            self.messages.insert(position, message);
         }
     }
 
-    /// Forgets messages that can change nothing any more: answers that nobody waits for, and requests that
-    /// every keeper would refuse. States that differ by such messages alone are one.
-    pub fn forget_spent_messages(&mut self) {
+    /// Removes messages that cannot change anything any more: replies that no keeper waits for, and requests
+    /// that every keeper would reject. States that differ only by such messages are equal then.
+    pub fn remove_obsolete_messages(&mut self) {
         let keepers = self.keepers;
-        let may_obey = |proposer: u8, number: Number| {
-            let others = (0..IDENTITIES).filter(|member| *member != proposer);
-            let mut promises =
+        let can_be_accepted = |proposer: u8, number: EpochNumber| {
+            let others = (0..MEMBER_COUNT).filter(|member| *member != proposer);
+            let mut acceptors =
                 others.map(|member| keepers[usize::from(member)]).filter(|keeper| keeper.is_up);
-            promises.any(|keeper| keeper.promised <= number)
+            acceptors.any(|keeper| keeper.promised <= number)
         };
         self.messages.retain(|message| match *message {
             Message::Prepare { number } => {
-                keepers[usize::from(number.proposer)].seeks(number) && may_obey(number.proposer, number)
+                keepers[usize::from(number.proposer)].is_candidate_with(number)
+                    && can_be_accepted(number.proposer, number)
             }
             Message::Promise { number, .. } => {
                 let proposer = keepers[usize::from(number.proposer)];
-                proposer.seeks(number) || proposer.holds_office(number)
+                proposer.is_candidate_with(number) || proposer.is_primary_of(number)
+            }
+            Message::WriteAck { epoch, .. } | Message::HeartbeatReply { epoch, .. } => {
+                keepers[usize::from(epoch.proposer)].is_primary_of(epoch)
             }
-            Message::Confirm { epoch, .. } | Message::HeartbeatAnswer { epoch, .. } => {
-                keepers[usize::from(epoch.proposer)].holds_office(epoch)
+            Message::Snapshot { epoch, .. } => can_be_accepted(epoch.proposer, epoch),
+            Message::Heartbeat { epoch, .. } => can_be_accepted(epoch.number.proposer, epoch.number),
+            Message::Accept { epoch } => can_be_accepted(epoch.number.proposer, epoch.number),
+            Message::Accepted { number, .. } => {
+                keepers[usize::from(number.proposer)].is_candidate_with(number)
             }
-            Message::Snapshot { epoch, .. } => may_obey(epoch.proposer, epoch),
-            Message::Heartbeat { epoch, .. } => may_obey(epoch.number.proposer, epoch.number),
-            Message::Accept { epoch } => may_obey(epoch.number.proposer, epoch.number),
-            Message::Accepted { number, .. } => keepers[usize::from(number.proposer)].seeks(number),
         });
     }
 
--- a/crates/replication/tests/model_check.rs
+++ b/crates/replication/tests/model_check.rs
@@ -1,7 +1,8 @@
 //! Explores every order of events of a small tier: three keepers, two writes, one lost disk, messages that
-//! are lost, late and duplicated at will. Each guard that is taken out must break a property.
+//! are lost, late and duplicated at will. Each guard that is taken out must violate a property.
 //!
-//! What is too large for every build stands in `docs/control-voters.md`, with its number of states.
+//! Explorations that are too large for every build are listed in `docs/control-voters.md`, with their numbers
+//! of states.
 
 mod epoch_model;
 
@@ -13,60 +14,74 @@
 
 const THREADS: usize = 3;
 
-/// Much longer than any of these takes.
-const LIMIT: Duration = Duration::from_secs(240);
+/// Much longer than any exploration takes.
+const EXPLORATION_TIMEOUT: Duration = Duration::from_secs(240);
 
-/// Three keepers, two writes, and two epochs after the founding one.
+/// Three keepers, two writes, and two epochs after the bootstrap.
 const WRITES: Rules = Rules {
-    elections: 2,
-    writes: 2,
-    restarts: 0,
-    admits_first: false,
-    lost: None,
-    newcomer: false,
-    read: false,
+    max_elections: 2,
+    max_writes: 2,
+    max_restarts: 0,
+    admits_newcomer_first: false,
+    lost_keeper: None,
+    has_newcomer: false,
+    has_read: false,
     mutation: None,
 };
 
 /// A read beside the writes, around one change of epoch.
-const READS: Rules = Rules { elections: 1, read: true, ..WRITES };
-
-/// A successor is let in beside the others, or in the place of any of them, around two writes.
-const ADMISSION: Rules = Rules { elections: 1, admits_first: true, newcomer: true, ..WRITES };
-
-/// A keeper has lost its disk, its successor is let in, and then anybody seeks an epoch.
-const LOST_DISK: Rules = Rules { elections: 2, lost: Some(2), ..ADMISSION };
-
-/// The primary has lost its disk: a backup takes over, lets the successor in, and then anybody seeks an
-/// epoch.
-const LOST_PRIMARY: Rules =
-    Rules { elections: 3, writes: 1, lost: Some(0), admits_first: false, ..ADMISSION };
+const READS: Rules = Rules { max_elections: 1, has_read: true, ..WRITES };
+
+/// A newcomer joins as a further voter, or in place of any of them, around two writes.
+const ADMISSION: Rules =
+    Rules { max_elections: 1, admits_newcomer_first: true, has_newcomer: true, ..WRITES };
+
+/// A keeper has lost its disk, its replacement joins, and then any keeper starts an election.
+const LOST_DISK: Rules = Rules { max_elections: 2, lost_keeper: Some(2), ..ADMISSION };
+
+/// The primary has lost its disk: a backup takes over, the replacement joins, and then any keeper starts an
+/// election.
+const LOST_PRIMARY: Rules = Rules {
+    max_elections: 3,
+    max_writes: 1,
+    lost_keeper: Some(0),
+    admits_newcomer_first: false,
+    ..ADMISSION
+};
 
-/// Explores all states. None may break a property, and each of `reached` must be met.
+/// Explores all states. None may violate a property, and each of `reached` must occur.
 fn explore(rules: Rules, reached: &[&str]) {
-    let begun = Instant::now();
-    let checker = rules.checker().threads(THREADS).finish_when(HasDiscoveries::AnyFailures).timeout(LIMIT);
+    let started_at = Instant::now();
+    let checker = rules
+        .checker()
+        .threads(THREADS)
+        .finish_when(HasDiscoveries::AnyFailures)
+        .timeout(EXPLORATION_TIMEOUT);
     let checker = checker.spawn_bfs().join();
     let discoveries = checker.discoveries();
     for name in SAFETY {
         let path = discoveries.get(name).cloned().map(|path| path.into_actions());
         assert_eq!(path, None, "{name}");
     }
-    assert!(begun.elapsed() < LIMIT, "not explored completely");
+    assert!(started_at.elapsed() < EXPLORATION_TIMEOUT, "not explored completely");
     for name in reached {
         assert!(discoveries.contains_key(name), "never reached: {name}");
     }
-    println!("{} states, {:?}", checker.unique_state_count(), begun.elapsed());
+    println!("{} states, {:?}", checker.unique_state_count(), started_at.elapsed());
 }
 
-/// Takes a guard out; some property must break.
-fn expect_caught(rules: Rules, mutation: Mutation) {
+/// Takes a guard out; some property must be violated.
+fn expect_violation(rules: Rules, mutation: Mutation) {
     let rules = Rules { mutation: Some(mutation), ..rules };
-    let checker = rules.checker().threads(THREADS).finish_when(HasDiscoveries::AnyFailures).timeout(LIMIT);
+    let checker = rules
+        .checker()
+        .threads(THREADS)
+        .finish_when(HasDiscoveries::AnyFailures)
+        .timeout(EXPLORATION_TIMEOUT);
     let checker = checker.spawn_bfs().join();
-    let broken = SAFETY.iter().find(|name| checker.discoveries().contains_key(*name));
-    println!("{mutation:?}: {broken:?}, {} states", checker.unique_state_count());
-    assert!(broken.is_some(), "{mutation:?} is not caught");
+    let violated = SAFETY.iter().find(|name| checker.discoveries().contains_key(*name));
+    println!("{mutation:?}: {violated:?}, {} states", checker.unique_state_count());
+    assert!(violated.is_some(), "{mutation:?} is not caught");
 }
 
 #[test]
@@ -76,7 +91,7 @@
 
 #[test]
 fn read_reflects_all_writes_acknowledged_before() {
-    explore(READS, &["all writes are acknowledged", "a read is confirmed after a take-over"]);
+    explore(READS, &["all writes are acknowledged", "a read is confirmed after a change of primary"]);
 }
 
 #[test]
@@ -86,63 +101,63 @@
 
 #[test]
 fn replacement_of_a_wiped_keeper_forms_no_majority_without_acknowledged_writes() {
-    explore(LOST_DISK, &["a newcomer leads", "all writes are acknowledged"]);
+    explore(LOST_DISK, &["a newcomer is primary", "all writes are acknowledged"]);
 }
 
 #[test]
 fn replacement_of_a_wiped_primary_forms_no_majority_without_acknowledged_writes() {
-    explore(LOST_PRIMARY, &["a newcomer leads"]);
+    explore(LOST_PRIMARY, &["a newcomer is primary"]);
 }
 
 #[test]
 fn accepting_an_epoch_below_the_promise_is_unsafe() {
-    expect_caught(WRITES, Mutation::AcceptsBelowPromise);
+    expect_violation(WRITES, Mutation::AcceptsBelowPromise);
 }
 
 #[test]
 fn electing_a_keeper_out_of_sync_is_unsafe() {
-    expect_caught(WRITES, Mutation::TakesOverOutOfSync);
+    expect_violation(WRITES, Mutation::ElectsKeeperOutOfSync);
 }
 
 #[test]
 fn counting_promises_as_in_sync_is_unsafe() {
-    expect_caught(WRITES, Mutation::CountsAllAsInSync);
+    expect_violation(WRITES, Mutation::CountsPromisesAsInSync);
 }
 
 #[test]
 fn acknowledging_before_all_in_sync_replicas_is_unsafe() {
-    expect_caught(WRITES, Mutation::AcknowledgesBeforeAllInSync);
+    expect_violation(WRITES, Mutation::AcknowledgesBeforeAllInSync);
 }
 
 #[test]
 fn ignoring_accepted_epochs_is_unsafe() {
-    expect_caught(WRITES, Mutation::IgnoresAcceptedEpochs);
+    expect_violation(WRITES, Mutation::IgnoresAcceptedEpochs);
 }
 
 #[test]
 fn changing_a_superseded_epoch_is_unsafe() {
-    expect_caught(WRITES, Mutation::ChangesAnEpochThatIsOver);
+    expect_violation(WRITES, Mutation::ChangesSupersededEpoch);
 }
 
 #[test]
 fn keeping_the_vote_of_a_wiped_keeper_is_unsafe() {
-    expect_caught(WRITES, Mutation::WipedKeepsItsVote);
+    expect_violation(WRITES, Mutation::WipedKeeperKeepsVote);
 }
 
 #[test]
 fn changing_voters_without_the_previous_voters_is_unsafe() {
-    expect_caught(
-        Rules { lost: None, writes: 1, ..LOST_DISK },
-        Mutation::ChangesVotersWithoutThePreviousOnes,
+    expect_violation(
+        Rules { lost_keeper: None, max_writes: 1, ..LOST_DISK },
+        Mutation::ChangesVotersWithoutPreviousVoters,
     );
 }
 
 #[test]
 fn admitting_a_voter_without_the_state_is_unsafe() {
-    expect_caught(LOST_DISK, Mutation::AdmitsWithoutState);
+    expect_violation(LOST_DISK, Mutation::AdmitsVoterWithoutState);
 }
 
 #[test]
 fn confirming_a_read_without_a_majority_is_unsafe() {
-    expect_caught(READS, Mutation::ConfirmsReadsAlone);
+    expect_violation(READS, Mutation::ConfirmsReadsWithoutMajority);
 }
