--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,9 +1,9 @@
-//! The control state that keepers replicate, and the decisions that change it.
+//! The replicated control state and the decisions that change it.
 //!
-//! [`ControlState`] holds the configuration in force, the digests of all orders ever taken, the store map and
-//! the store machines that are being emptied. Everything here is pure: [`decide_put`] and [`decide_retire`]
-//! turn an operator's order into a [`ControlChange`] or a refusal, [`StoreTracker`] tells stores that are lost
-//! from those that are only being waited for, and [`plan`] computes the store map that should follow.
+//! [`ControlState`] holds the configuration in force, the digests of accepted and rejected orders, the store map
+//! and the retirements of store machines. The crate does no I/O: [`decide_put`] and [`decide_retire`] turn an
+//! operator's order into a [`ControlChange`] or a rejection, [`StoreTracker`] distinguishes lost stores from
+//! those that are expected back, and [`plan_store_map`] computes the next store map.
 
 mod order;
 mod order_history;
--- a/crates/control/src/order.rs
+++ b/crates/control/src/order.rs
@@ -1,39 +1,39 @@
-//! Decides on a configuration that an operator sent.
+//! Accepts or rejects a configuration that an operator submitted.
 //!
-//! An order is answered from a state that was confirmed after it came, but other copies of it may still be under
-//! way to other keepers, to be decided on later. So every answer is given only on what no later state can
-//! change: generations only climb, so a base below the one in force never comes back; whether an order is valid
-//! depends on its own base and body; what was taken or refused is remembered.
+//! The decision rests on a state that a majority confirmed after the order arrived, but other copies of the order
+//! may still be in flight to other keepers and be decided later. Every decision therefore depends only on facts
+//! that no later state changes: generations only increase, so a base below the one in force never becomes current
+//! again; validity depends on the order's own base and body; accepted and rejected orders are remembered.
 
 use juniperwing_configuration::{Configuration, Findings, digest};
 
 use crate::state::{ConfigurationInForce, ControlChange, ControlState};
 
-/// What becomes of a configuration that was sent.
+/// The decision on a submitted configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PutDecision {
-    /// This very order was taken before, whatever came after.
+    /// The same order was accepted before, whatever was accepted since.
     AlreadyAccepted,
-    /// It is valid and builds on the configuration in force: this change is to be made.
+    /// It is valid and builds on the configuration in force: propose this change.
     Accept(ControlChange),
-    /// It builds on a configuration that is not in force, and never comes into force itself.
+    /// It builds on a configuration that is no longer in force, and can never be accepted.
     Stale {
         /// The generation in force.
         current: u64,
     },
-    /// It builds on a generation above the one in force, which may yet come. It may be answered as stale only
-    /// once this change is made: a copy of the order that comes later must not be taken.
+    /// It builds on a generation above the one in force, which may yet be accepted. Reply that it is stale only
+    /// after this change is committed: a copy of the order that arrives later must not be accepted.
     Reject {
         /// The generation in force.
         current: u64,
-        /// Makes the refusal last.
+        /// Records the rejection.
         change: ControlChange,
     },
-    /// It is not valid, whatever comes into force.
+    /// It is invalid on any state.
     Invalid(Findings),
 }
 
-/// Decides on the configuration `body`, which builds on the generation `base` (0 for the first).
+/// Decides on the configuration `body` (JSON), which builds on the generation `base` (0 for the first).
 pub fn decide_put(state: &ControlState, base: u64, body: &[u8]) -> PutDecision {
     let digest = digest(base, body);
     if state.has_accepted(digest) {
--- a/crates/control/src/order_history.rs
+++ b/crates/control/src/order_history.rs
@@ -1,4 +1,4 @@
-//! The digests of the newest orders, a bounded number of them.
+//! A bounded history of order digests.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -7,20 +7,20 @@
 use serde::de::{Error, Visitor};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Digests of orders, oldest first. Encoded as one run of bytes, so that thousands cost no more than a copy.
+/// Digests of orders, oldest first. Serialized as one byte string, so that encoding thousands is a plain copy.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OrderHistory {
     digests: VecDeque<OrderDigest>,
 }
 
 impl OrderHistory {
-    /// Whether the order is among those remembered.
+    /// Whether the order is in the history.
     pub fn contains(&self, digest: OrderDigest) -> bool {
-        // Orders that are sent again are mostly recent ones.
+        // Resent orders are mostly recent ones.
         self.digests.iter().rev().any(|known| *known == digest)
     }
 
-    /// Remembers an order; beyond `limit` the oldest give way.
+    /// Appends an order and removes the oldest ones beyond `limit`.
     pub fn insert(&mut self, digest: OrderDigest, limit: usize) {
         self.digests.push_back(digest);
         while self.digests.len() > limit {
@@ -28,12 +28,12 @@
         }
     }
 
-    /// How many orders are remembered.
+    /// The number of orders in the history.
     pub fn len(&self) -> usize {
         self.digests.len()
     }
 
-    /// Whether no order is remembered.
+    /// Whether the history is empty.
     pub fn is_empty(&self) -> bool {
         self.digests.is_empty()
     }
@@ -55,7 +55,7 @@
     }
 }
 
-/// Takes the run of bytes apart.
+/// Splits the byte string into digests.
 struct HistoryVisitor;
 
 impl Visitor<'_> for HistoryVisitor {
--- a/crates/control/src/placement.rs
+++ b/crates/control/src/placement.rs
@@ -5,14 +5,14 @@
 use juniperwing_protocol::subscription::{Assignment, StoreNode};
 use juniperwing_protocol::{DiskId, EpochNumber, PartitionId};
 
-/// The number of partitions; it never changes in the life of a tier.
+/// The number of partitions; fixed for the lifetime of a tier.
 pub const PARTITION_COUNT: u16 = 32;
 
-/// Replicas of a partition beyond those required, where there are stores for them: after a loss the others
-/// are enough without copying.
+/// Replicas of a partition beyond the required ones, where enough stores are eligible: after one loss the
+/// remaining replicas suffice without copying.
 pub const EXTRA_REPLICAS: usize = 1;
 
-/// How many replicas and how many primaries each store has.
+/// The number of replicas and of primaries on each store.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Load {
     replicas: BTreeMap<DiskId, usize>,
@@ -20,7 +20,7 @@
 }
 
 impl Load {
-    /// Counts what a store map's partitions put on each store.
+    /// The load that the assignments put on each store.
     pub(crate) fn of(partitions: &[Assignment]) -> Self {
         let mut load = Load::default();
         for assignment in partitions {
@@ -44,12 +44,12 @@
         self.primaries.get(&disk).copied().unwrap_or(0)
     }
 
-    /// Counts a further replica.
+    /// Counts an additional replica.
     pub(crate) fn add_replica(&mut self, disk: DiskId) {
         *self.replicas.entry(disk).or_default() += 1;
     }
 
-    /// Counts that a partition's primary moves.
+    /// Counts the move of a partition's primary.
     pub(crate) fn move_primary(&mut self, from: DiskId, to: DiskId) {
         if let Some(count) = self.primaries.get_mut(&from) {
             *count = count.saturating_sub(1);
@@ -60,35 +60,41 @@
 
 /// The rendezvous weight of a store for a partition.
 pub(crate) fn weight(partition: PartitionId, disk: DiskId) -> u64 {
-    // The finaliser of SplitMix64: the same on every machine and in every version.
+    // The finalizer of SplitMix64: equal on every machine and in every release.
     let mut mixed = disk.0 ^ u64::from(partition.0).wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     mixed ^ (mixed >> 31)
 }
 
-/// The store that should be the next replica beside `members`: one in a zone that has none, then one that is
-/// not loaded beyond its share, then the one of the highest weight.
+/// Selects the next replica beside `members`: preferably in a zone without a replica, then on a store that does
+/// not exceed `max_replicas_per_store`, then by the highest rendezvous weight.
 pub(crate) fn next_replica(
     partition: PartitionId, eligible: &BTreeMap<DiskId, StoreNode>, members: &[DiskId],
-    member_zones: &BTreeSet<&str>, load: &Load, share: usize,
+    member_zones: &BTreeSet<&str>, load: &Load, max_replicas_per_store: usize,
 ) -> Option<DiskId> {
     let candidates = eligible.values().filter(|store| !members.contains(&store.disk));
     let best = candidates.min_by_key(|store| {
         let same_zone = member_zones.contains(&*store.zone);
-        let beyond_share = load.replicas(store.disk).saturating_sub(share);
-        (same_zone, beyond_share, u64::MAX - weight(partition, store.disk))
+        let excess_replicas = load.replicas(store.disk).saturating_sub(max_replicas_per_store);
+        (same_zone, excess_replicas, u64::MAX - weight(partition, store.disk))
     });
     best.map(|store| store.disk)
 }
 
-/// The first assignment of all partitions.
+/// Replicas per store, rounded up, if all partitions were spread evenly over the eligible stores.
+pub(crate) fn even_replica_share(replicas: usize, eligible_stores: usize) -> usize {
+    (usize::from(PARTITION_COUNT) * replicas).div_ceil(eligible_stores.max(1))
+}
+
+/// The initial assignment of all partitions.
 pub(crate) fn first_assignments(eligible: &BTreeMap<DiskId, StoreNode>, replicas: usize) -> Vec<Assignment> {
     let mut load = Load::default();
-    let share = (usize::from(PARTITION_COUNT) * replicas).div_ceil(eligible.len().max(1));
+    let max_replicas_per_store = even_replica_share(replicas, eligible.len());
     let mut assignments = Vec::new();
     for partition in (0..PARTITION_COUNT).map(PartitionId) {
-        let members = first_members(partition, eligible, replicas, &load, share.saturating_sub(1));
+        let members =
+            first_members(partition, eligible, replicas, &load, max_replicas_per_store.saturating_sub(1));
         let by_load = |disk: &&DiskId| (load.primaries(**disk), u64::MAX - weight(partition, **disk));
         let primary = members.iter().min_by_key(by_load).copied().unwrap_or_default();
         let assignment = Assignment {
@@ -104,14 +110,15 @@
     assignments
 }
 
+/// The initial in-sync replicas of a partition.
 fn first_members(
     partition: PartitionId, eligible: &BTreeMap<DiskId, StoreNode>, replicas: usize, load: &Load,
-    share: usize,
+    max_replicas_per_store: usize,
 ) -> Vec<DiskId> {
     let mut members = Vec::new();
     let mut zones = BTreeSet::new();
     while members.len() < replicas {
-        let next = next_replica(partition, eligible, &members, &zones, load, share);
+        let next = next_replica(partition, eligible, &members, &zones, load, max_replicas_per_store);
         let Some(disk) = next else { break };
         zones.extend(eligible.get(&disk).map(|store| &*store.zone));
         members.push(disk);
--- a/crates/control/src/plan.rs
+++ b/crates/control/src/plan.rs
@@ -1,13 +1,13 @@
-//! The store map that should follow the one in force.
+//! Computes the store map that follows the one in force.
 //!
-//! A store enters `in_sync` of a partition only at the first map, or after the partition's primary has
-//! reported that it has caught up. From that report on, the primary must wait for the store's confirmation of
-//! every further write, also before the map says so: the map that lets it in may come into force at any time,
-//! and make it primary next. A store leaves `in_sync` when it is lost; the last one never does.
+//! A store enters `in_sync` of a partition only with the first map, or after the partition's primary has
+//! reported that it caught up. From that report on, the primary must wait for the store's acknowledgement of
+//! every further write, even before the map names the store: the map that admits it may come into force at any
+//! time, and may make it primary next. A store leaves `in_sync` when it is lost; the last one never does.
 //!
-//! Fewer copies than required are enough (`lost_copies`) only while no other store could hold one, because all
-//! others are lost beyond doubt: the fault model allows no further loss of a disk until they have been back for
-//! the catch-up time. From the moment at which one of them is back, the full number is asked for again.
+//! Fewer replicas than required suffice (`lost_replicas`) only while no other store could hold one, because the
+//! loss of all others is certain: the fault model allows no further loss of a disk until they have been back for
+//! the catch-up time. As soon as one of them returns, the full number is required again.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -15,27 +15,29 @@
 use juniperwing_protocol::subscription::{Assignment, CaughtUp, StoreMap, StoreNode};
 use juniperwing_protocol::{DiskId, EpochNumber, PartitionId};
 
-use crate::placement::{EXTRA_REPLICAS, Load, PARTITION_COUNT, first_assignments, next_replica};
+use crate::placement::{
+    EXTRA_REPLICAS, Load, PARTITION_COUNT, even_replica_share, first_assignments, next_replica,
+};
 use crate::state::ControlState;
 use crate::tracker::StoreView;
 
-/// Primaries that are moved for balance by one change of the map.
+/// The number of primaries that one plan moves to balance the load.
 const MAX_PRIMARY_MOVES_PER_PLAN: usize = 4;
 
-/// What a plan is computed from.
+/// The input of [`plan_store_map`].
 #[derive(Clone, Copy, Debug)]
 pub struct PlanInput<'input> {
     /// The committed state.
     pub state: &'input ControlState,
-    /// Which stores are alive.
+    /// The live and the lost stores.
     pub view: &'input StoreView,
-    /// Reports of the partitions' primaries; those of other epochs than the present ones do not count.
+    /// Reports of the partitions' primaries; only those of the present epochs count.
     pub caught_up_reports: &'input [CaughtUp],
-    /// Copies that must exist of everything that is acknowledged.
-    pub required_copies: usize,
+    /// The number of replicas that must hold every acknowledged write.
+    pub required_replicas: usize,
 }
 
-/// The map that should come into force now; `None` if the present one stays.
+/// The store map to propose now; `None` if the present one stays in force.
 pub fn plan_store_map(input: PlanInput) -> Option<Arc<StoreMap>> {
     let planner = Planner::new(input);
     let present = &input.state.store_map;
@@ -51,27 +53,30 @@
     Some(Arc::new(StoreMap { version: present.version + 1, stores, partitions }))
 }
 
-/// Partitions of which every copy that counts was on disks that are gone for good.
+/// Partitions whose in-sync replicas were all on disks that have been replaced.
 pub fn unrecoverable_partitions(state: &ControlState, view: &StoreView) -> Vec<PartitionId> {
-    let gone = replaced_disks(&state.store_map.stores, &view.alive);
-    let lost = |assignment: &Assignment| assignment.in_sync.iter().all(|disk| gone.contains(disk));
+    let replaced = replaced_disks(&state.store_map.stores, &view.alive);
+    let is_lost = |assignment: &Assignment| assignment.in_sync.iter().all(|disk| replaced.contains(disk));
     let partitions = (0..PARTITION_COUNT).map(PartitionId).zip(&state.store_map.partitions);
-    partitions.filter(|(_, assignment)| lost(assignment)).map(|(partition, _)| partition).collect()
+    partitions.filter(|(_, assignment)| is_lost(assignment)).map(|(partition, _)| partition).collect()
 }
 
-/// Disks whose machine is back with another one.
+/// Disks whose machine came back with another disk: they will not return.
 fn replaced_disks(placed: &[StoreNode], alive: &BTreeMap<DiskId, StoreNode>) -> BTreeSet<DiskId> {
-    let replaced = |store: &&StoreNode| {
+    let is_replaced = |store: &&StoreNode| {
         !alive.contains_key(&store.disk) && alive.values().any(|other| other.node == store.node)
     };
-    placed.iter().filter(replaced).map(|store| store.disk).collect()
+    placed.iter().filter(is_replaced).map(|store| store.disk).collect()
 }
 
+/// Computes the assignments of one plan.
 struct Planner<'input> {
     input: PlanInput<'input>,
-    /// Stores that may be given replicas.
+    /// Live stores that are not retiring: they may be given replicas.
     eligible: BTreeMap<DiskId, StoreNode>,
+    /// Disks of the present map that will not return.
     replaced: BTreeSet<DiskId>,
+    /// The number of replicas that each partition should have.
     target_replicas: usize,
 }
 
@@ -83,17 +88,19 @@
             .filter(|(disk, _)| !input.state.is_retiring(**disk))
             .map(|(disk, store)| (*disk, store.clone()))
             .collect();
-        let gone = replaced_disks(&input.state.store_map.stores, alive);
-        let wanted = input.required_copies + EXTRA_REPLICAS;
-        let replicas = wanted.min(eligible.len());
-        Planner { input, eligible, replaced: gone, target_replicas: replicas }
+        let replaced = replaced_disks(&input.state.store_map.stores, alive);
+        let target_replicas = (input.required_replicas + EXTRA_REPLICAS).min(eligible.len());
+        Planner { input, eligible, replaced, target_replicas }
     }
 
+    /// The assignments of a tier's first map; `None` while too few stores have joined.
     fn first_assignments(&self) -> Option<Vec<Assignment>> {
-        let ready = self.input.view.is_initial_wait_over && self.eligible.len() >= self.input.required_copies;
-        ready.then(|| first_assignments(&self.eligible, self.target_replicas))
+        let is_ready =
+            self.input.view.is_initial_wait_over && self.eligible.len() >= self.input.required_replicas;
+        is_ready.then(|| first_assignments(&self.eligible, self.target_replicas))
     }
 
+    /// The assignments that follow `present`. Each changed assignment gets the next epoch.
     fn next_assignments(&self, present: &[Assignment]) -> Vec<Assignment> {
         let mut load = Load::of(present);
         let mut next = Vec::with_capacity(present.len());
@@ -118,7 +125,7 @@
         next
     }
 
-    /// Removes stores that are lost; `in_sync` never becomes empty by it.
+    /// Removes lost stores, but never all of `in_sync`.
     fn remove_lost_replicas(&self, planned: &mut Assignment) {
         let lost = &self.input.view.lost;
         planned.joining.retain(|disk| !lost.contains(disk) && !self.replaced.contains(disk));
@@ -126,7 +133,7 @@
         retain_unless_empty(&mut planned.in_sync, |disk| !lost.contains(&disk));
     }
 
-    /// Lets stores in that have caught up in the present epoch with a primary that stays.
+    /// Moves stores to `in_sync` that caught up in the present epoch with a primary that stays.
     fn admit_caught_up_replicas(
         &self, partition: PartitionId, present: &Assignment, planned: &mut Assignment,
     ) {
@@ -136,62 +143,62 @@
             return;
         }
         for report in self.input.caught_up_reports {
-            let counts = report.partition == partition && report.epoch == present.epoch;
-            if counts && planned.joining.contains(&report.replica) {
+            let is_current = report.partition == partition && report.epoch == present.epoch;
+            if is_current && planned.joining.contains(&report.replica) {
                 planned.joining.retain(|disk| *disk != report.replica);
                 planned.in_sync.push(report.replica);
             }
         }
     }
 
-    /// Removes stores that are being emptied, once enough others hold everything.
+    /// Removes retiring stores once enough other replicas are in sync.
     fn remove_retiring_replicas(&self, planned: &mut Assignment) {
-        let retiring = |disk: DiskId| self.input.state.is_retiring(disk);
-        planned.joining.retain(|disk| !retiring(*disk));
-        let others = planned
+        let is_retiring = |disk: DiskId| self.input.state.is_retiring(disk);
+        planned.joining.retain(|disk| !is_retiring(*disk));
+        let live_others = planned
             .in_sync
             .iter()
-            .filter(|disk| !retiring(**disk) && self.input.view.alive.contains_key(disk))
+            .filter(|disk| !is_retiring(**disk) && self.input.view.alive.contains_key(disk))
             .count();
-        let enough = self.target_replicas.max(self.input.required_copies);
-        if others >= enough {
-            planned.in_sync.retain(|disk| !retiring(*disk));
+        if live_others >= self.target_replicas.max(self.input.required_replicas) {
+            planned.in_sync.retain(|disk| !is_retiring(*disk));
         }
     }
 
-    /// Makes sure that the primary is in sync, and moves it only if it is not.
+    /// Chooses another primary if the present one is not in sync.
     fn choose_primary(&self, planned: &mut Assignment, load: &mut Load) {
         if planned.in_sync.contains(&planned.primary) {
             return;
         }
-        let alive = |disk: DiskId| self.input.view.alive.contains_key(&disk);
-        let retiring = |disk: DiskId| self.input.state.is_retiring(disk);
-        let order = |disk: &&DiskId| (!alive(**disk), retiring(**disk), load.primaries(**disk), **disk);
-        if let Some(chosen) = planned.in_sync.iter().min_by_key(order).copied() {
+        let is_alive = |disk: DiskId| self.input.view.alive.contains_key(&disk);
+        let is_retiring = |disk: DiskId| self.input.state.is_retiring(disk);
+        let preference =
+            |disk: &&DiskId| (!is_alive(**disk), is_retiring(**disk), load.primaries(**disk), **disk);
+        if let Some(chosen) = planned.in_sync.iter().min_by_key(preference).copied() {
             load.move_primary(planned.primary, chosen);
             planned.primary = chosen;
         }
     }
 
-    /// Gives the partition further replicas while it has too few.
+    /// Adds joining replicas while the partition has too few.
     fn add_joining_replicas(&self, partition: PartitionId, planned: &mut Assignment, load: &mut Load) {
-        let share =
-            (usize::from(PARTITION_COUNT) * self.target_replicas).div_ceil(self.eligible.len().max(1));
+        let max_replicas_per_store = even_replica_share(self.target_replicas, self.eligible.len());
         while self.lacks_replicas(planned) {
             let members: Vec<DiskId> = planned.in_sync.iter().chain(&planned.joining).copied().collect();
             let zones: BTreeSet<&str> =
                 members.iter().filter_map(|disk| self.eligible.get(disk)).map(|store| &*store.zone).collect();
-            let next = next_replica(partition, &self.eligible, &members, &zones, load, share);
+            let next =
+                next_replica(partition, &self.eligible, &members, &zones, load, max_replicas_per_store);
             let Some(disk) = next else { return };
             planned.joining.push(disk);
             load.add_replica(disk);
         }
     }
 
-    /// How many of the required copies may be missing: none while another store could hold one. Once this is
-    /// allowed it stays so until another store is seen, also at a keeper that has seen nothing yet.
+    /// The number of required replicas that may be missing: 0 while another store could hold one. Once allowed, it
+    /// stays allowed until another store is reported, also at a keeper that has no reports yet.
     fn allowed_lost_replicas(&self, planned: &Assignment, before: u16) -> u16 {
-        let missing = self.input.required_copies.saturating_sub(planned.in_sync.len());
+        let missing = self.input.required_replicas.saturating_sub(planned.in_sync.len());
         let missing = u16::try_from(missing).unwrap_or(u16::MAX);
         let others_seen = self.eligible.keys().any(|disk| !planned.in_sync.contains(disk));
         if others_seen || !planned.joining.is_empty() {
@@ -200,7 +207,7 @@
         if missing <= before || self.are_others_lost(planned) { missing } else { 0 }
     }
 
-    /// Whether every store beside those in sync is lost beyond doubt, gone or being emptied.
+    /// Whether the loss of every store that is not in sync is certain, or the store is replaced or retiring.
     fn are_others_lost(&self, planned: &Assignment) -> bool {
         let view = self.input.view;
         let known =
@@ -213,8 +220,8 @@
         })
     }
 
-    /// Whether another replica should join. While enough copies are left, the place of a store that was lost
-    /// only now is kept for it, except where a store is being emptied: the operator set a time for that.
+    /// Whether another replica should join. While enough replicas are left, a recently lost store is expected
+    /// back, unless a store is retiring: the operator set a time limit for that.
     fn lacks_replicas(&self, planned: &Assignment) -> bool {
         let members = planned.in_sync.iter().chain(&planned.joining);
         let staying = members.filter(|disk| self.eligible.contains_key(disk)).count();
@@ -222,12 +229,12 @@
         if staying + unseen >= self.target_replicas {
             return false;
         }
-        let emptied = planned.in_sync.iter().any(|disk| self.input.state.is_retiring(*disk));
-        let returning = if emptied { 0 } else { self.returning_stores(planned) };
-        staying < self.input.required_copies || staying + unseen + returning < self.target_replicas
+        let has_retiring = planned.in_sync.iter().any(|disk| self.input.state.is_retiring(*disk));
+        let returning = if has_retiring { 0 } else { self.returning_stores(planned) };
+        staying < self.input.required_replicas || staying + unseen + returning < self.target_replicas
     }
 
-    /// Stores that were lost a short while ago and may come back.
+    /// The number of recently lost stores that may return.
     fn returning_stores(&self, planned: &Assignment) -> usize {
         let view = self.input.view;
         let recent = view.lost.difference(&view.replaceable);
@@ -239,7 +246,7 @@
         expected.count()
     }
 
-    /// Moves a few primaries from the store that has most of them to others that are in sync.
+    /// Moves a few primaries to in-sync stores with fewer primaries.
     fn balance_primaries(&self, planned: &mut [Assignment], load: &mut Load) {
         let mut moves = 0;
         for assignment in planned {
@@ -258,7 +265,7 @@
         }
     }
 
-    /// The stores that the map has to name: those alive and those that hold something.
+    /// The stores that the map names: live stores, recently lost ones, and all that hold a replica.
     fn named_stores(&self, partitions: &[Assignment]) -> Vec<StoreNode> {
         let holders: BTreeSet<DiskId> = partitions
             .iter()
@@ -273,13 +280,13 @@
                 named.insert(store.disk, store.clone());
             }
         }
-        // Those alive may have another address now.
+        // A live store may have another address now.
         named.extend(self.input.view.alive.iter().map(|(disk, store)| (*disk, store.clone())));
         named.into_values().collect()
     }
 }
 
-/// Keeps those that `keep` names, or all if that would leave none.
+/// Retains the disks for which `keep` holds, or all if it holds for none.
 fn retain_unless_empty(disks: &mut Vec<DiskId>, keep: impl Fn(DiskId) -> bool) {
     if disks.iter().any(|disk| keep(*disk)) {
         disks.retain(|disk| keep(*disk));
--- a/crates/control/src/retire.rs
+++ b/crates/control/src/retire.rs
@@ -1,4 +1,4 @@
-//! Decides on orders to empty a store machine.
+//! Decides whether a store machine may be retired, and tracks retirements.
 
 use juniperwing_protocol::subscription::StoreNode;
 use juniperwing_protocol::{DiskId, NodeName};
@@ -6,27 +6,27 @@
 use crate::state::{ControlChange, ControlState, Retirement, RetirementState};
 use crate::tracker::StoreView;
 
-/// What becomes of an order to empty a store machine.
+/// The decision on an order to retire a store machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RetireDecision {
-    /// It is under way, or done.
+    /// The retirement is active or completed.
     AlreadyAccepted,
-    /// This change is to be made.
+    /// Propose this change.
     Accept(ControlChange),
-    /// This keeper has not seen the stores for long enough to refuse anything.
+    /// This keeper has not observed the stores for long enough to reject the order.
     StoresUncertain,
-    /// No store machine has that name.
+    /// No store machine has this name.
     UnknownMachine,
-    /// Too few others would remain.
+    /// Too few other machines would remain.
     TooFewRemaining {
-        /// How many others there are.
+        /// The number of other machines that may hold replicas.
         others: usize,
     },
 }
 
-/// Decides whether the store machine `node` may be emptied.
+/// Decides whether the store machine `node` may be retired.
 pub fn decide_retire(
-    state: &ControlState, view: &StoreView, node: &NodeName, required_copies: usize,
+    state: &ControlState, view: &StoreView, node: &NodeName, required_replicas: usize,
 ) -> RetireDecision {
     let present = known_stores(state, view).into_iter().rfind(|store| store.node == *node);
     let Some(store) = present else {
@@ -40,7 +40,7 @@
         return RetireDecision::AlreadyAccepted;
     }
     let others = remaining_machines(state, view, node);
-    if others >= required_copies {
+    if others >= required_replicas {
         RetireDecision::Accept(ControlChange::BeginRetirement(store.clone()))
     } else if view.is_settled {
         RetireDecision::TooFewRemaining { others }
@@ -49,8 +49,8 @@
     }
 }
 
-/// How far the emptying of a machine has come; `None` if it was never asked for, or only for an earlier machine
-/// of that name.
+/// The state of a machine's retirement; `None` if none was ordered, or only for an earlier machine of this
+/// name.
 pub fn retirement_state(state: &ControlState, view: &StoreView, node: &NodeName) -> Option<RetirementState> {
     let newest = newest_retirement(state, node)?;
     let another = |store: &&StoreNode| store.node == *node && !state.is_retiring(store.disk);
@@ -58,7 +58,8 @@
     (!came_anew).then_some(newest.state)
 }
 
-/// A machine that is being emptied and has come back with another disk: that disk is to be given nothing either.
+/// Extends an active retirement to the machine's new disk, if it came back with one: that disk must not be given
+/// replicas either.
 pub fn retirement_of_replaced_disk(state: &ControlState, view: &StoreView) -> Option<ControlChange> {
     let renewed =
         |store: &&StoreNode| !state.is_retiring(store.disk) && has_active_retirement(state, &store.node);
@@ -74,16 +75,16 @@
     newest_retirement(state, node).is_some_and(|newest| newest.state == RetirementState::Active)
 }
 
-/// Stores that hold nothing any more and whose retirement is still under way.
-pub fn completed_retirements(state: &ControlState, required_copies: usize) -> Vec<DiskId> {
+/// Stores that hold no replica any more and whose retirement is still active.
+pub fn completed_retirements(state: &ControlState, required_replicas: usize) -> Vec<DiskId> {
     let partitions = &state.store_map.partitions;
-    let enough = |disk: DiskId| {
+    let has_enough_others = |disk: DiskId| {
         partitions.iter().all(|assignment| {
-            let copies = assignment.in_sync.iter().filter(|holder| **holder != disk).count();
-            copies >= required_copies
+            let others = assignment.in_sync.iter().filter(|replica| **replica != disk).count();
+            others >= required_replicas
         })
     };
-    let holds = |disk: DiskId| {
+    let holds_replica = |disk: DiskId| {
         partitions
             .iter()
             .any(|assignment| assignment.in_sync.contains(&disk) || assignment.joining.contains(&disk))
@@ -92,15 +93,18 @@
         .retirements
         .iter()
         .filter(|retirement: &&Retirement| retirement.state == RetirementState::Active);
-    active.map(|retirement| retirement.store.disk).filter(|disk| !holds(*disk) && enough(*disk)).collect()
+    active
+        .map(|retirement| retirement.store.disk)
+        .filter(|disk| !holds_replica(*disk) && has_enough_others(*disk))
+        .collect()
 }
 
-/// The store machines of which something is known, those alive last.
+/// All known stores: those of the store map, then those alive.
 fn known_stores<'state>(state: &'state ControlState, view: &'state StoreView) -> Vec<&'state StoreNode> {
     state.store_map.stores.iter().chain(view.alive.values()).collect()
 }
 
-/// How many other store machines may hold replicas.
+/// The number of other store machines that may hold replicas.
 fn remaining_machines(state: &ControlState, view: &StoreView, node: &NodeName) -> usize {
     let mut others: Vec<&NodeName> = known_stores(state, view)
         .into_iter()
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -1,4 +1,7 @@
-//! The state itself, and its changes.
+//! The replicated control state and its changes.
+//!
+//! Both are encoded with postcard on disk and between keepers: the order of fields and variants is part of the
+//! format.
 
 use std::sync::Arc;
 
@@ -11,77 +14,77 @@
 
 use crate::order_history::OrderHistory;
 
-/// Orders taken whose digests are remembered; the oldest give way.
+/// The number of accepted orders whose digests are kept; the oldest are dropped.
 pub const MAX_REMEMBERED_ORDERS: usize = 100_000;
 
-/// Refusals that are remembered; the oldest give way.
+/// The number of rejected orders whose digests are kept; the oldest are dropped.
 pub const MAX_REMEMBERED_REJECTIONS: usize = 1_000;
 
-/// Retirements that are remembered; the oldest completed ones give way.
+/// The number of retirements that are kept; the oldest completed ones are dropped.
 pub const MAX_REMEMBERED_RETIREMENTS: usize = 1_000;
 
 /// The configuration in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationInForce {
-    /// The number that the operator gave it.
+    /// The number that the operator assigned; it increases with every accepted configuration.
     pub generation: u64,
-    /// The configuration as the operator sent it (JSON).
+    /// The configuration as the operator submitted it (JSON).
     #[serde(with = "juniperwing_protocol::shared_bytes")]
     pub body: Arc<[u8]>,
 }
 
-/// How far the emptying of a store machine has come.
+/// The progress of a store machine's retirement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RetirementState {
-    /// Its replicas are being moved away.
+    /// Its replicas are being moved to other stores.
     Active,
-    /// It holds nothing that counts and may be taken away.
+    /// It holds no replica and may be removed.
     Completed,
 }
 
-/// A store machine that is being emptied, or was.
+/// An active or completed retirement of a store machine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Retirement {
-    /// The store.
+    /// The retired store.
     pub store: StoreNode,
-    /// How far it has come.
+    /// Its progress.
     pub state: RetirementState,
 }
 
-/// What the keepers agree on.
+/// The state that all keepers replicate.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlState {
     /// The configuration in force; `None` before the first.
     pub configuration: Option<ConfigurationInForce>,
-    /// Counts the configurations ever taken.
+    /// The number of configurations ever accepted.
     pub configurations_accepted: u64,
-    /// Which store holds which partition.
+    /// The assignment of partitions to stores.
     pub store_map: Arc<StoreMap>,
-    /// Store machines that are being emptied, or were.
+    /// Active and completed retirements, oldest first; at most [`MAX_REMEMBERED_RETIREMENTS`].
     pub retirements: Vec<Retirement>,
-    /// The orders that were refused although they could have been taken later.
+    /// Orders that were rejected although a later state could have accepted them.
     rejected: OrderHistory,
-    /// The orders that were taken.
+    /// Orders that were accepted.
     accepted: OrderHistory,
 }
 
 /// A change of the control state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ControlChange {
-    /// An operator's configuration comes into force.
+    /// Puts an operator's configuration into force.
     ApplyConfiguration {
-        /// Identifies the order.
+        /// The digest that identifies the order.
         digest: OrderDigest,
         /// The configuration.
         configuration: ConfigurationInForce,
     },
-    /// An operator's configuration is refused for good, though the version that it builds on may yet come.
+    /// Rejects an operator's configuration permanently, although the generation it builds on may yet be accepted.
     RejectConfiguration(OrderDigest),
-    /// Another store map comes into force.
+    /// Replaces the store map.
     SetStoreMap(Arc<StoreMap>),
-    /// A store machine is to be emptied.
+    /// Begins the retirement of a store machine.
     BeginRetirement(StoreNode),
-    /// A store machine is empty.
+    /// Completes the retirement of a store machine.
     CompleteRetirement(DiskId),
 }
 
@@ -91,23 +94,23 @@
         self.configuration.as_ref().map_or(0, |configuration| configuration.generation)
     }
 
-    /// The version of the configuration in force, for subscribers. It rises with every configuration taken and
-    /// does not depend on the epoch in which it was written.
+    /// The version of the configuration in force, for subscribers. It increases with every accepted configuration
+    /// and does not depend on the epoch in which it was written.
     pub fn configuration_version(&self) -> Version {
         Version { epoch: EpochNumber(0), sequence: self.configurations_accepted }
     }
 
-    /// Whether this very order was ever taken.
+    /// Whether this order was accepted.
     pub fn has_accepted(&self, digest: OrderDigest) -> bool {
         self.accepted.contains(digest)
     }
 
-    /// Whether this very order was refused and must never come into force.
+    /// Whether this order was rejected and must never be accepted.
     pub fn has_rejected(&self, digest: OrderDigest) -> bool {
         self.rejected.contains(digest)
     }
 
-    /// Whether the store is being emptied, or was: it is given nothing new.
+    /// Whether the store's retirement is active or completed; such a store is given no replicas.
     pub fn is_retiring(&self, disk: DiskId) -> bool {
         self.retirements.iter().any(|retirement| retirement.store.disk == disk)
     }
@@ -149,7 +152,7 @@
             ControlChange::RejectConfiguration(digest) => {
                 self.rejected.insert(digest, MAX_REMEMBERED_REJECTIONS);
             }
-            ControlChange::SetStoreMap(stores) => self.store_map = stores,
+            ControlChange::SetStoreMap(store_map) => self.store_map = store_map,
             ControlChange::BeginRetirement(store) => self.begin_retirement(store),
             ControlChange::CompleteRetirement(disk) => self.complete_retirement(disk),
         }
@@ -173,8 +176,8 @@
 }
 
 fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    // Into memory, and of types that have an encoding: this cannot fail.
-    postcard::to_stdvec(value).expect("every value of this type has an encoding")
+    // Writing to memory values of types that postcard supports cannot fail.
+    postcard::to_stdvec(value).expect("postcard encodes every value of this type")
 }
 
 fn decode<T: for<'bytes> Deserialize<'bytes>>(bytes: &[u8]) -> Result<T, MalformedState> {
--- a/crates/control/src/tracker.rs
+++ b/crates/control/src/tracker.rs
@@ -1,4 +1,4 @@
-//! Which stores are alive, by what the keepers see of them.
+//! Detects live and lost stores from the reports of all keepers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,65 +6,72 @@
 use juniperwing_protocol::DiskId;
 use juniperwing_protocol::subscription::StoreNode;
 
-/// For how long a keeper's report counts.
+/// The time after which a keeper's report expires.
 const REPORT_EXPIRY: Span = Span::from_millis(1_200);
-/// A store that no keeper has seen for this long is lost.
+/// The time after which a store that no keeper reports counts as lost.
 const LOSS_TIMEOUT: Span = Span::from_millis(300);
-/// A store that no keeper has seen for this long is lost beyond doubt: copies that only it could hold are not
-/// asked for until it is back. Longer than a hiccup of a machine that no one would count as lost.
+/// The time after which the loss of an unreported store is certain: replicas that only it could hold are not
+/// required until it returns. Longer than a short stall of a machine that is not lost.
 const CONFIRMED_LOSS_TIMEOUT: Span = Span::from_millis(1_000);
-/// After the start of the process, or a pause of it, nothing counts as lost for this long.
+/// The time after the start or a pause of this process during which no store counts as lost.
 const STARTUP_GRACE_PERIOD: Span = Span::from_millis(2_000);
-/// Two ticks further apart than this mean that the process was paused.
+/// An interval between two ticks above this means that the process was paused.
 const PAUSE_THRESHOLD: Span = Span::from_millis(1_000);
-/// After the first store was seen, others are waited for this long before the first map is made.
+/// The time between the first report of a store and the first store map, so that other stores can join.
 const INITIAL_PLACEMENT_DELAY: Span = Span::from_millis(1_500);
-/// A lost store is waited for this long before another takes its place, where copies are enough without it.
+/// The time after which a lost store is replaced, where enough replicas exist without it.
 const REPLACEMENT_DELAY: Span = Span::from_millis(6_000);
-/// Without a loss or return for this long, work may be spread anew.
+/// The time without a loss or return of a store after which primaries may be rebalanced.
 const STABILITY_PERIOD: Span = Span::from_millis(5_000);
-/// Stores that are remembered at most.
+/// The number of stores that are read from one report.
 const MAX_STORES_PER_REPORT: usize = 10_000;
 
+/// The newest report of one keeper.
 #[derive(Clone, Debug)]
 struct Report {
     received_at: Time,
     stores: Vec<StoreNode>,
 }
 
-/// What is known of the stores at one moment.
+/// The state of the stores at one time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoreView {
-    /// Stores that some keeper sees.
+    /// Stores that at least one keeper reports.
     pub alive: BTreeMap<DiskId, StoreNode>,
-    /// Stores of the map that have been seen by none for long enough to go on without them.
+    /// Stores of the map that have been unreported for long enough to go on without them.
     pub lost: BTreeSet<DiskId>,
-    /// Those of them that are lost beyond doubt.
+    /// The subset of `lost` whose loss is certain.
     pub confirmed_lost: BTreeSet<DiskId>,
-    /// Those of them that others should replace.
+    /// The subset of `lost` that other stores should replace.
     pub replaceable: BTreeSet<DiskId>,
-    /// Whether this keeper has run for long enough to have heard of every store that is alive.
+    /// Whether this keeper has run for long enough to know of every live store.
     pub is_settled: bool,
-    /// Whether the stores of the first start have had their time to come.
+    /// Whether the stores of a new tier have had enough time to join.
     pub is_initial_wait_over: bool,
-    /// Whether nothing was lost and nothing came back for some seconds.
+    /// Whether no store was lost or returned for some seconds.
     pub is_stable: bool,
 }
 
-/// Collects what the keepers report of the stores, and turns it into a [`StoreView`].
+/// Collects the keepers' reports of reachable stores and derives a [`StoreView`].
 #[derive(Clone, Debug)]
 pub struct StoreTracker {
+    /// The newest unexpired report of each keeper, by the keeper's disk.
     reports: BTreeMap<DiskId, Report>,
+    /// Stores of the map that no keeper reports, with the time since when.
     unseen_since: BTreeMap<DiskId, Time>,
+    /// The live stores as of the last tick.
     last_alive: BTreeSet<DiskId>,
+    /// The time of the first report that named a store.
     first_seen_at: Option<Time>,
+    /// No store counts as lost before this time.
     grace_until: Time,
     last_tick_at: Time,
+    /// The time of the last change of the set of live stores.
     changed_at: Time,
 }
 
 impl StoreTracker {
-    /// A tracker of a process that starts now.
+    /// A tracker for a process that starts at `now`.
     pub fn new(now: Time) -> Self {
         StoreTracker {
             reports: BTreeMap::new(),
@@ -77,7 +84,7 @@
         }
     }
 
-    /// A keeper tells which stores it sees.
+    /// Records the stores that a keeper can reach.
     pub fn record_report(&mut self, now: Time, keeper: DiskId, mut stores: Vec<StoreNode>) {
         stores.truncate(MAX_STORES_PER_REPORT);
         if !stores.is_empty() {
@@ -86,7 +93,7 @@
         self.reports.insert(keeper, Report { received_at: now, stores });
     }
 
-    /// Brings everything up to `now`. `placed` are the stores of the map in force.
+    /// Advances to `now` and returns the current view. `placed` are the stores of the map in force.
     pub fn tick(&mut self, now: Time, placed: &[StoreNode]) -> StoreView {
         if now.since(self.last_tick_at) > PAUSE_THRESHOLD {
             self.grace_until = now + STARTUP_GRACE_PERIOD;
@@ -100,13 +107,13 @@
             let since = self.unseen_since.iter();
             since.filter(|(_, since)| now.since(**since) >= span).map(|(disk, _)| *disk).collect()
         };
-        let graced = now < self.grace_until;
-        let lost_after = |span: Span| if graced { BTreeSet::new() } else { unseen_for(span) };
+        let is_in_grace_period = now < self.grace_until;
+        let lost_after = |span: Span| if is_in_grace_period { BTreeSet::new() } else { unseen_for(span) };
         StoreView {
             lost: lost_after(LOSS_TIMEOUT),
             confirmed_lost: lost_after(CONFIRMED_LOSS_TIMEOUT),
             replaceable: lost_after(REPLACEMENT_DELAY),
-            is_settled: !graced,
+            is_settled: !is_in_grace_period,
             is_initial_wait_over: self
                 .first_seen_at
                 .is_some_and(|first| now.since(first) >= INITIAL_PLACEMENT_DELAY),
@@ -115,7 +122,7 @@
         }
     }
 
-    /// The earliest moment at which a store that is unseen now counts as lost, or as lost beyond doubt;
+    /// The earliest time at which an unreported store will count as lost, or its loss as certain;
     /// [`Time::NEVER`] if there is none.
     pub fn next_loss_at(&self) -> Time {
         let unseen = self.unseen_since.values();
@@ -123,19 +130,21 @@
         pending.filter(|at| *at > self.last_tick_at).min().map_or(Time::NEVER, |at| at.max(self.grace_until))
     }
 
+    /// The stores of all unexpired reports.
     fn alive(&self) -> BTreeMap<DiskId, StoreNode> {
         let mut by_age: Vec<&Report> = self.reports.values().collect();
-        // Of two addresses of one store, the one that was reported last counts.
+        // Of two addresses of one store, the last reported one counts.
         by_age.sort_by_key(|report| report.received_at);
         let stores = by_age.into_iter().flat_map(|report| &report.stores);
         stores.map(|store| (store.disk, store.clone())).collect()
     }
 
+    /// Updates the times of the last change and of each store's disappearance.
     fn record_changes(&mut self, now: Time, alive: &BTreeMap<DiskId, StoreNode>, placed: &[StoreNode]) {
-        let seen: BTreeSet<DiskId> = alive.keys().copied().collect();
-        if seen != self.last_alive {
+        let alive_disks: BTreeSet<DiskId> = alive.keys().copied().collect();
+        if alive_disks != self.last_alive {
             self.changed_at = now;
-            self.last_alive = seen;
+            self.last_alive = alive_disks;
         }
         let unseen: BTreeSet<DiskId> =
             placed.iter().map(|store| store.disk).filter(|disk| !alive.contains_key(disk)).collect();
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A tier's stores, for tests: the committed state and what is seen of the stores.
+//! Test harness for store maps: the committed state of a tier and its view of the stores.
 
 #![allow(dead_code)]
 
@@ -10,15 +10,15 @@
 use juniperwing_protocol::{DiskId, PartitionId};
 use juniperwing_replication::ReplicatedState;
 
-/// Copies required in these tests: the loss of one is borne.
-pub const REQUIRED: usize = 2;
+/// The required replicas in these tests: one store may be lost.
+pub const REQUIRED_REPLICAS: usize = 2;
 
 /// A store on the machine of the same number, in one of three zones.
 pub fn store(disk: u64) -> StoreNode {
     store_on(disk, disk)
 }
 
-/// A store on a machine.
+/// A store with a disk of its own on a machine.
 pub fn store_on(disk: u64, machine: u64) -> StoreNode {
     StoreNode {
         disk: DiskId(disk),
@@ -28,15 +28,15 @@
     }
 }
 
-/// The stores of a tier.
+/// A tier with its committed state and its view of the stores.
 pub struct Tier {
     pub state: ControlState,
     pub view: StoreView,
 }
 
 impl Tier {
-    /// A tier whose first map is in force.
-    pub fn of(stores: impl IntoIterator<Item = u64>) -> Self {
+    /// A tier whose first store map is in force.
+    pub fn with_first_map(stores: impl IntoIterator<Item = u64>) -> Self {
         let view = StoreView {
             alive: stores.into_iter().map(|disk| (DiskId(disk), store(disk))).collect(),
             is_initial_wait_over: true,
@@ -44,36 +44,36 @@
             ..StoreView::default()
         };
         let mut tier = Tier { state: ControlState::default(), view };
-        tier.step(&[]).expect("a first map");
+        tier.plan_and_commit(&[]).expect("a first map");
         tier
     }
 
-    /// Plans once and commits what comes of it.
-    pub fn step(&mut self, caught_up: &[CaughtUp]) -> Option<Arc<StoreMap>> {
+    /// Plans once and commits the resulting map; `None` if the present one stays.
+    pub fn plan_and_commit(&mut self, caught_up: &[CaughtUp]) -> Option<Arc<StoreMap>> {
         let input = PlanInput {
             state: &self.state,
             view: &self.view,
             caught_up_reports: caught_up,
-            required_copies: REQUIRED,
+            required_replicas: REQUIRED_REPLICAS,
         };
         let map = plan_store_map(input)?;
         self.state.apply(&ControlChange::SetStoreMap(Arc::clone(&map)));
         Some(map)
     }
 
-    /// Plans until nothing changes any more.
-    pub fn settle(&mut self) {
+    /// Plans and commits until the map does not change any more.
+    pub fn plan_until_stable(&mut self) {
         for _ in 0..100 {
-            let caught_up = self.all_caught_up();
-            if self.step(&caught_up).is_none() {
+            let caught_up = self.caught_up_reports();
+            if self.plan_and_commit(&caught_up).is_none() {
                 return;
             }
         }
         panic!("the map never comes to rest");
     }
 
-    /// Reports that every joining replica has caught up.
-    pub fn all_caught_up(&self) -> Vec<CaughtUp> {
+    /// Reports that every joining replica has caught up in the present epoch.
+    pub fn caught_up_reports(&self) -> Vec<CaughtUp> {
         let partitions = (0..).map(PartitionId).zip(&self.state.store_map.partitions);
         let report = |(partition, assignment): (PartitionId, &Assignment)| {
             let epoch = assignment.epoch;
@@ -83,26 +83,26 @@
         partitions.flat_map(report).collect()
     }
 
-    /// A store falls silent for long enough to count as lost.
-    pub fn lose(&mut self, disk: u64) {
+    /// Marks a store as lost.
+    pub fn lose_store(&mut self, disk: u64) {
         self.view.alive.remove(&DiskId(disk));
         self.view.lost.insert(DiskId(disk));
     }
 
-    /// A store has been lost for long enough that nobody doubts it.
-    pub fn lose_surely(&mut self, disk: u64) {
-        self.lose(disk);
+    /// Marks a store as lost, with certainty.
+    pub fn confirm_loss(&mut self, disk: u64) {
+        self.lose_store(disk);
         self.view.confirmed_lost.insert(DiskId(disk));
     }
 
-    /// A lost store has been lost for long.
-    pub fn lose_long(&mut self, disk: u64) {
-        self.lose_surely(disk);
+    /// Marks a store as lost for long enough to be replaced.
+    pub fn make_replaceable(&mut self, disk: u64) {
+        self.confirm_loss(disk);
         self.view.replaceable.insert(DiskId(disk));
     }
 
-    /// A store is there, whether it was before or not.
-    pub fn bring(&mut self, node: StoreNode) {
+    /// Marks a store as alive, whether it was before or not.
+    pub fn add_live_store(&mut self, node: StoreNode) {
         self.view.lost.remove(&node.disk);
         self.view.confirmed_lost.remove(&node.disk);
         self.view.replaceable.remove(&node.disk);
@@ -113,14 +113,17 @@
         &self.state.store_map.partitions
     }
 
-    /// The disks that hold something.
-    pub fn holders(&self) -> BTreeSet<DiskId> {
-        let disks = self.partitions().iter().flat_map(|held| held.in_sync.iter().chain(&held.joining));
+    /// The disks that hold a replica, in sync or joining.
+    pub fn replica_disks(&self) -> BTreeSet<DiskId> {
+        let disks = self
+            .partitions()
+            .iter()
+            .flat_map(|assignment| assignment.in_sync.iter().chain(&assignment.joining));
         disks.copied().collect()
     }
 }
 
-/// What must hold between a map and the one that follows it.
+/// Asserts the invariants between a store map and its successor.
 pub fn check_successor(before: &StoreMap, after: &StoreMap, caught_up: &[CaughtUp]) {
     assert!(after.version > before.version);
     for (index, (old, new)) in before.partitions.iter().zip(&after.partitions).enumerate() {
@@ -145,7 +148,7 @@
                 "nothing is acknowledged on fewer copies while one is being made"
             );
             assert!(
-                new.in_sync.len() + usize::from(new.lost_replicas) <= REQUIRED,
+                new.in_sync.len() + usize::from(new.lost_replicas) <= REQUIRED_REPLICAS,
                 "no more than are missing"
             );
         }
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The control state and every change of it have the bytes that earlier releases gave them, on disk and between
-//! keepers.
+//! Golden files: the encoding of the control state and of every change equals that of earlier releases, on disk
+//! and between keepers.
 
 #[path = "../../protocol/tests/golden_files/mod.rs"]
 mod golden_files;
@@ -27,7 +27,7 @@
     assert_golden("golden/changes", &changes(), ControlState::encode_change, decode);
 }
 
-/// Orders are told from each other by digests on disk, so these must stay the same as well.
+/// Orders are identified by their digests on disk, so these must not change either.
 #[test]
 fn the_digest_of_an_order_has_its_golden_bytes() {
     let orders = [("order", digest(320, br#"{"generation":7}"#))];
@@ -37,7 +37,7 @@
 
 fn changes() -> Vec<(&'static str, ControlChange)> {
     vec![
-        ("take-configuration", take_configuration(41, 7, b"{\"generation\":7}")),
+        ("take-configuration", apply_configuration(41, 7, b"{\"generation\":7}")),
         ("refuse-configuration", ControlChange::RejectConfiguration(order_digest(42))),
         ("set-stores", ControlChange::SetStoreMap(Arc::new(store_map()))),
         ("begin-retirement", ControlChange::BeginRetirement(olive())),
@@ -45,20 +45,20 @@
     ]
 }
 
-/// One retirement active and one completed, orders taken and refused.
+/// One retirement active and one completed, orders accepted and rejected.
 fn filled_state() -> ControlState {
     let mut state = ControlState::default();
-    let before = [
-        take_configuration(43, 6, b"{\"generation\":6}"),
+    let earlier_changes = [
+        apply_configuration(43, 6, b"{\"generation\":6}"),
         ControlChange::BeginRetirement(maple()),
         ControlChange::RejectConfiguration(order_digest(44)),
     ];
-    before.iter().for_each(|change| state.apply(change));
+    earlier_changes.iter().for_each(|change| state.apply(change));
     changes().iter().for_each(|(_, change)| state.apply(change));
     state
 }
 
-fn take_configuration(order: u8, generation: u64, body: &[u8]) -> ControlChange {
+fn apply_configuration(order: u8, generation: u64, body: &[u8]) -> ControlChange {
     let configuration = ConfigurationInForce { generation, body: body.into() };
     ControlChange::ApplyConfiguration { digest: order_digest(order), configuration }
 }
@@ -70,12 +70,12 @@
 }
 
 fn store_map() -> StoreMap {
-    let assignment = |epoch, primary, lost_copies| Assignment {
+    let assignment = |epoch, primary, lost_replicas| Assignment {
         epoch: EpochNumber(epoch),
         primary: DiskId(primary),
         in_sync: vec![DiskId(21), DiskId(22)],
         joining: vec![DiskId(24)],
-        lost_replicas: lost_copies,
+        lost_replicas,
     };
     StoreMap {
         version: 350,
--- a/crates/control/tests/growth.rs
+++ b/crates/control/tests/growth.rs
@@ -1,14 +1,15 @@
-//! What the control state and its changes come to, in bytes, after many changes of large configurations.
+//! The encoded size of the control state and its changes after many changes of large configurations.
 
 use juniperwing_configuration::digest;
 use juniperwing_control::{ConfigurationInForce, ControlChange, ControlState, MAX_REMEMBERED_ORDERS};
 use juniperwing_replication::ReplicatedState;
 
-/// Bytes of an order that is remembered.
-const PER_ORDER: usize = 16;
-/// Bytes for all else: numbers, lengths, empty lists.
-const OVERHEAD: usize = 128;
+/// The encoded size of a remembered order.
+const BYTES_PER_ORDER: usize = 16;
+/// The encoded size of everything else: numbers, lengths, empty lists.
+const OVERHEAD_BYTES: usize = 128;
 
+/// Puts a configuration with `routes` routes into force.
 fn change(generation: u64, routes: usize) -> ControlChange {
     let route = |number: usize| {
         format!(
@@ -28,23 +29,23 @@
     state.configuration.as_ref().map_or(0, |configuration| configuration.body.len())
 }
 
-/// Fails if older configurations, or more than the digest of an order, stay in the state.
+/// Fails if the state keeps older configurations, or more of an order than its digest.
 #[test]
-fn the_state_holds_one_configuration_and_a_digest_for_each_order() {
+fn the_state_keeps_one_configuration_and_one_digest_for_each_order() {
     for routes in [10, 1_000, 3_000] {
         let mut state = ControlState::default();
         for generation in 1..=1_000 {
-            // The digests differ with the number; most need not be those of large bodies.
+            // Digests differ by generation; most need not be those of large bodies.
             let is_measured = [1, 100, 1_000].contains(&generation);
             let change = change(generation, if is_measured { routes } else { 1 });
             state.apply(&change);
             if is_measured {
                 let body = body_bytes(&state);
                 let encoded = state.encode().len();
-                let bound = body + PER_ORDER * generation as usize + OVERHEAD;
+                let bound = body + BYTES_PER_ORDER * generation as usize + OVERHEAD_BYTES;
                 assert!(encoded <= bound, "{encoded} bytes for a body of {body} after {generation} changes");
                 let sent = ControlState::encode_change(&change).len();
-                assert!(sent <= body + OVERHEAD, "{sent} bytes for a change of {body}");
+                assert!(sent <= body + OVERHEAD_BYTES, "{sent} bytes for a change of {body}");
                 println!(
                     "{routes} routes, {generation} changes: body {body}, state {encoded}, change {sent}"
                 );
@@ -56,12 +57,15 @@
 
 /// Fails without the limit in `OrderHistory::insert`.
 #[test]
-fn the_state_grows_no_further_than_the_orders_that_are_remembered() {
+fn the_state_size_is_bounded_by_the_remembered_orders() {
     let mut state = ControlState::default();
     for generation in 1..=MAX_REMEMBERED_ORDERS as u64 + 1_000 {
         state.apply(&change(generation, 0));
     }
     let encoded = state.encode().len();
-    assert!(encoded <= PER_ORDER * MAX_REMEMBERED_ORDERS + body_bytes(&state) + OVERHEAD, "{encoded}");
+    assert!(
+        encoded <= BYTES_PER_ORDER * MAX_REMEMBERED_ORDERS + body_bytes(&state) + OVERHEAD_BYTES,
+        "{encoded}"
+    );
     assert_eq!(ControlState::decode(&state.encode()).expect("its own encoding"), state);
 }
--- a/crates/control/tests/orders_model.rs
+++ b/crates/control/tests/orders_model.rs
@@ -1,10 +1,11 @@
-//! Operators, lost answers and changes of primary, played by chance over the real decisions and the real state.
+//! A randomized model of operators, lost replies and changes of primary over the real decisions and state.
 //!
-//! A step is a copy of an order that is sent, that reaches a primary (which confirms its state), that is decided
-//! on (later, on the state that was confirmed), or a write that is committed, or lost with its primary. The
-//! oracle sees only what operators see: answers, and configurations read back. The test fails without the look
-//! at the orders taken, without the look at those refused, and with an answer of `Stale` in place of `Reject` in
-//! `decide_put`.
+//! In a step a copy of an order is sent, is delivered to a primary (which confirms its state and decides), or its
+//! decision is executed (possibly much later), or a write is committed, or lost with its primary. The oracle sees
+//! only what operators see: replies, and configurations read back.
+//!
+//! Guards: `has_accepted` and `has_rejected` in `decide_put`, and its `Reject` (the test fails with `Stale` in its
+//! place).
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,14 +19,14 @@
 struct Order {
     base: u64,
     generation: u64,
-    /// Orders under one number may differ in content.
+    /// Orders of one generation may differ in content.
     content: u8,
 }
 
 impl Order {
     fn body(self) -> Vec<u8> {
         let Order { base, generation, content } = self;
-        // The unknown field tells what is read back from the same configuration on another base.
+        // The unknown field distinguishes the body from the same configuration on another base.
         let text =
             format!(r#"{{"generation":{generation},"routes":[],"backends":[],"order":"{base} {content}"}}"#);
         text.into_bytes()
@@ -36,28 +37,28 @@
 enum Step {
     /// An operator sends an order, for the first time or again.
     Send(Order),
-    /// A copy on its way comes twice: it was passed on once more after a lost answer.
-    Double(usize),
-    /// A copy on its way reaches the primary, which confirms its state and decides.
-    Arrive(usize),
-    /// A decision is carried out: answered or proposed.
-    CarryOut(usize),
-    /// The write under way is committed, and its answer is lost or not.
-    Commit { answer_lost: bool },
-    /// Another keeper becomes primary, with the write under way or without it.
+    /// A copy in flight is duplicated: it was forwarded again after a lost reply.
+    Duplicate(usize),
+    /// A copy in flight reaches the primary, which confirms its state and decides.
+    Deliver(usize),
+    /// A decision is executed: replied or proposed.
+    Execute(usize),
+    /// The pending write is committed, and its reply is lost or not.
+    Commit { is_reply_lost: bool },
+    /// Another keeper becomes primary, with the pending write or without it.
     ChangePrimary { keeps_write: bool },
 }
 
-/// A decision on the way from its state to its answer; the primary may have been frozen meanwhile.
+/// A decision that is not executed yet; the primary may have been frozen since.
 #[derive(Clone, Debug)]
-struct Decided {
+struct PendingDecision {
     order: Order,
     version: u64,
     decision: PutDecision,
 }
 
 #[derive(Clone, Debug)]
-struct Write {
+struct PendingWrite {
     order: Order,
     change: ControlChange,
     status: u16,
@@ -67,135 +68,136 @@
 struct Tier {
     state: ControlState,
     version: u64,
-    under_way: Option<Write>,
-    on_their_way: Vec<Order>,
-    decided: Vec<Decided>,
+    pending_write: Option<PendingWrite>,
+    in_flight: Vec<Order>,
+    pending_decisions: Vec<PendingDecision>,
     oracle: Oracle,
 }
 
-/// What operators saw.
+/// The replies and reads that operators saw.
 #[derive(Default)]
 struct Oracle {
     sent: BTreeSet<Order>,
     confirmed: BTreeSet<Order>,
-    refused: BTreeSet<Order>,
-    /// What was read back under each number.
-    read: BTreeMap<u64, Vec<u8>>,
-    newest_read: u64,
+    rejected: BTreeSet<Order>,
+    /// The body that was read back of each generation.
+    read_bodies: BTreeMap<u64, Vec<u8>>,
+    newest_read_generation: u64,
 }
 
 impl Oracle {
-    fn answered(&mut self, order: Order, status: u16) {
+    fn record_reply(&mut self, order: Order, status: u16) {
         match status {
             200 => {
                 self.confirmed.insert(order);
                 let rivals = self.confirmed.iter().filter(|other| other.base == order.base).count();
                 assert_eq!(rivals, 1, "two confirmed on base {}", order.base);
             }
-            _ => drop(self.refused.insert(order)),
+            _ => drop(self.rejected.insert(order)),
         }
         assert!(
-            !self.confirmed.contains(&order) || !self.refused.contains(&order),
-            "{order:?} was confirmed and refused"
+            !self.confirmed.contains(&order) || !self.rejected.contains(&order),
+            "{order:?} was confirmed and rejected"
         );
     }
 
-    fn reads(&mut self, state: &ControlState) {
+    fn record_read(&mut self, state: &ControlState) {
         let Some(configuration) = &state.configuration else { return };
         let generation = configuration.generation;
-        assert!(generation >= self.newest_read, "an older configuration comes back");
-        self.newest_read = generation;
+        assert!(generation >= self.newest_read_generation, "an older configuration comes back");
+        self.newest_read_generation = generation;
         let body = configuration.body.to_vec();
-        let refused =
-            self.refused.iter().find(|order| order.generation == generation && order.body() == body);
-        let also_other = |order: &Order| {
+        let rejected =
+            self.rejected.iter().find(|order| order.generation == generation && order.body() == body);
+        let was_sent_twice = |order: &Order| {
             let same = |other: &&Order| other.generation == order.generation && other.body() == order.body();
             self.sent.iter().filter(same).count() > 1
         };
-        // The same content may have been sent on another base as well, and taken there.
-        assert!(refused.is_none_or(also_other), "{refused:?} was refused and is in force");
-        let before = self.read.entry(generation).or_insert_with(|| body.clone());
-        assert_eq!(*before, body, "two contents under one number");
+        // The same content may also have been sent on another base, and accepted there.
+        assert!(rejected.is_none_or(was_sent_twice), "{rejected:?} was rejected and is in force");
+        let before = self.read_bodies.entry(generation).or_insert_with(|| body.clone());
+        assert_eq!(*before, body, "two contents under one generation");
     }
 }
 
 impl Tier {
-    fn play(&mut self, step: Step) {
+    fn run_step(&mut self, step: Step) {
         match step {
             Step::Send(order) => {
                 self.oracle.sent.insert(order);
-                self.on_their_way.push(order);
+                self.in_flight.push(order);
             }
-            Step::Double(index) => {
-                let copy = pick(&self.on_their_way, index).map(|place| self.on_their_way[place]);
-                self.on_their_way.extend(copy);
+            Step::Duplicate(index) => {
+                let copy = index_of(&self.in_flight, index).map(|position| self.in_flight[position]);
+                self.in_flight.extend(copy);
             }
-            Step::Arrive(index) => {
-                let Some(place) = pick(&self.on_their_way, index) else { return };
-                let order = self.on_their_way.remove(place);
+            Step::Deliver(index) => {
+                let Some(position) = index_of(&self.in_flight, index) else { return };
+                let order = self.in_flight.remove(position);
                 let decision = decide_put(&self.state, order.base, &order.body());
-                self.decided.push(Decided { order, version: self.version, decision });
+                self.pending_decisions.push(PendingDecision { order, version: self.version, decision });
             }
-            Step::CarryOut(index) => {
-                let Some(place) = pick(&self.decided, index) else { return };
-                let decided = self.decided.remove(place);
-                self.carry_out(decided);
+            Step::Execute(index) => {
+                let Some(position) = index_of(&self.pending_decisions, index) else { return };
+                let decided = self.pending_decisions.remove(position);
+                self.execute(decided);
             }
-            Step::Commit { answer_lost } => self.commit(answer_lost),
+            Step::Commit { is_reply_lost } => self.commit(is_reply_lost),
             Step::ChangePrimary { keeps_write } => match keeps_write {
-                // The outcome is not known to the primary before.
+                // The primary before does not know the outcome.
                 true => self.commit(true),
-                false => self.under_way = None,
+                false => self.pending_write = None,
             },
         }
-        self.oracle.reads(&self.state);
+        self.oracle.record_read(&self.state);
     }
 
-    fn carry_out(&mut self, Decided { order, version, decision }: Decided) {
+    fn execute(&mut self, PendingDecision { order, version, decision }: PendingDecision) {
         let (change, status) = match decision {
-            PutDecision::AlreadyAccepted => return self.oracle.answered(order, 200),
-            PutDecision::Stale { .. } => return self.oracle.answered(order, 412),
-            PutDecision::Invalid(_) => return self.oracle.answered(order, 400),
+            PutDecision::AlreadyAccepted => return self.oracle.record_reply(order, 200),
+            PutDecision::Stale { .. } => return self.oracle.record_reply(order, 412),
+            PutDecision::Invalid(_) => return self.oracle.record_reply(order, 400),
             PutDecision::Accept(change) => (change, 200),
             PutDecision::Reject { change, .. } => (change, 412),
         };
-        if version == self.version && self.under_way.is_none() {
-            self.under_way = Some(Write { order, change, status });
+        if version == self.version && self.pending_write.is_none() {
+            self.pending_write = Some(PendingWrite { order, change, status });
         } else {
-            // A conflict: the order is decided on once more.
-            self.on_their_way.push(order);
+            // A conflict: the order is decided again.
+            self.in_flight.push(order);
         }
     }
 
-    fn commit(&mut self, answer_lost: bool) {
-        let Some(Write { order, change, status }) = self.under_way.take() else { return };
+    fn commit(&mut self, is_reply_lost: bool) {
+        let Some(PendingWrite { order, change, status }) = self.pending_write.take() else { return };
         self.state.apply(&change);
         self.version += 1;
-        if !answer_lost {
-            self.oracle.answered(order, status);
+        if !is_reply_lost {
+            self.oracle.record_reply(order, status);
         }
     }
 
-    /// Every order that was ever sent is sent again, and all that is on its way comes in.
-    fn end(&mut self) {
+    /// Sends every order once more and delivers everything in flight.
+    fn finish(&mut self) {
         let sent: Vec<Order> = self.oracle.sent.iter().copied().collect();
-        self.on_their_way.extend(sent);
-        while !self.on_their_way.is_empty() || !self.decided.is_empty() || self.under_way.is_some() {
-            for step in [Step::Arrive(0), Step::CarryOut(0), Step::Commit { answer_lost: false }] {
-                self.play(step);
+        self.in_flight.extend(sent);
+        while !self.in_flight.is_empty() || !self.pending_decisions.is_empty() || self.pending_write.is_some()
+        {
+            for step in [Step::Deliver(0), Step::Execute(0), Step::Commit { is_reply_lost: false }] {
+                self.run_step(step);
             }
         }
-        let answered =
-            |order: &&Order| !self.oracle.confirmed.contains(order) && !self.oracle.refused.contains(order);
-        assert_eq!(self.oracle.sent.iter().find(answered), None, "an order without an answer");
+        let has_no_reply =
+            |order: &&Order| !self.oracle.confirmed.contains(order) && !self.oracle.rejected.contains(order);
+        assert_eq!(self.oracle.sent.iter().find(has_no_reply), None, "an order without a reply");
     }
 }
 
-fn pick<T>(items: &[T], index: usize) -> Option<usize> {
+fn index_of<T>(items: &[T], index: usize) -> Option<usize> {
     index.checked_rem(items.len())
 }
 
-/// Few bases and numbers, so that orders meet.
+/// Few bases and generations, so that orders conflict.
 fn orders() -> impl Strategy<Value = Order> {
     (0_u64..6, 0_u64..4, 0_u8..2).prop_map(|(base, above, content)| Order {
         base,
@@ -207,10 +209,10 @@
 fn steps() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => orders().prop_map(Step::Send),
-        1 => any::<usize>().prop_map(Step::Double),
-        5 => any::<usize>().prop_map(Step::Arrive),
-        5 => any::<usize>().prop_map(Step::CarryOut),
-        4 => any::<bool>().prop_map(|answer_lost| Step::Commit { answer_lost }),
+        1 => any::<usize>().prop_map(Step::Duplicate),
+        5 => any::<usize>().prop_map(Step::Deliver),
+        5 => any::<usize>().prop_map(Step::Execute),
+        4 => any::<bool>().prop_map(|is_reply_lost| Step::Commit { is_reply_lost }),
         1 => any::<bool>().prop_map(|keeps_write| Step::ChangePrimary { keeps_write }),
     ]
 }
@@ -219,11 +221,11 @@
     #![proptest_config(ProptestConfig { cases: 2_000, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_operators_see_never_contradicts_itself(steps in vec(steps(), 1..80)) {
+    fn replies_and_reads_never_contradict_each_other(steps in vec(steps(), 1..80)) {
         let mut tier = Tier::default();
         for step in steps {
-            tier.play(step);
+            tier.run_step(step);
         }
-        tier.end();
+        tier.finish();
     }
 }
--- a/crates/control/tests/retire.rs
+++ b/crates/control/tests/retire.rs
@@ -1,8 +1,8 @@
-//! Emptying a store machine.
+//! Retirement of store machines.
 
 mod common;
 
-use common::{REQUIRED, Tier, store_on};
+use common::{REQUIRED_REPLICAS, Tier, store_on};
 use juniperwing_control::{
     ControlChange, ControlState, RetireDecision, RetirementState, StoreView, completed_retirements,
     decide_retire, retirement_of_replaced_disk, retirement_state,
@@ -15,7 +15,7 @@
 }
 
 fn decide(tier: &Tier, machine: u64) -> RetireDecision {
-    decide_retire(&tier.state, &tier.view, &node(machine), REQUIRED)
+    decide_retire(&tier.state, &tier.view, &node(machine), REQUIRED_REPLICAS)
 }
 
 fn begin(tier: &mut Tier, machine: u64) {
@@ -26,21 +26,21 @@
 }
 
 fn complete(tier: &mut Tier) {
-    for disk in completed_retirements(&tier.state, REQUIRED) {
+    for disk in completed_retirements(&tier.state, REQUIRED_REPLICAS) {
         tier.state.apply(&ControlChange::CompleteRetirement(disk));
     }
 }
 
 #[test]
-fn unknown_machines_and_too_few_others_are_refused() {
-    let tier = Tier::of(1..=2);
+fn orders_for_unknown_machines_or_with_too_few_others_are_rejected() {
+    let tier = Tier::with_first_map(1..=2);
     assert_eq!(decide(&tier, 9), RetireDecision::UnknownMachine);
     assert_eq!(decide(&tier, 1), RetireDecision::TooFewRemaining { others: 1 });
 }
 
 #[test]
-fn a_machine_under_way_does_not_count_as_another() {
-    let mut tier = Tier::of(1..=4);
+fn a_retiring_machine_does_not_count_as_remaining() {
+    let mut tier = Tier::with_first_map(1..=4);
     begin(&mut tier, 1);
     begin(&mut tier, 2);
     assert_eq!(decide(&tier, 3), RetireDecision::TooFewRemaining { others: 1 });
@@ -48,89 +48,93 @@
 }
 
 #[test]
-fn replicas_move_away_before_it_is_completed() {
-    let mut tier = Tier::of(1..=4);
+fn replicas_move_away_before_the_retirement_completes() {
+    let mut tier = Tier::with_first_map(1..=4);
     begin(&mut tier, 1);
-    tier.step(&[]).unwrap();
-    let moving: Vec<_> =
-        tier.partitions().iter().filter(|held| held.in_sync.contains(&DiskId(1))).cloned().collect();
+    tier.plan_and_commit(&[]).unwrap();
+    let moving: Vec<_> = tier
+        .partitions()
+        .iter()
+        .filter(|assignment| assignment.in_sync.contains(&DiskId(1)))
+        .cloned()
+        .collect();
     assert!(!moving.is_empty());
-    assert!(moving.iter().all(|held| held.joining.len() == 1), "another joins first");
+    assert!(moving.iter().all(|assignment| assignment.joining.len() == 1), "another joins first");
     complete(&mut tier);
     assert_eq!(retirement_state(&tier.state, &tier.view, &node(1)), Some(RetirementState::Active));
-    tier.settle();
-    assert!(!tier.holders().contains(&DiskId(1)));
-    assert!(tier.partitions().iter().all(|held| held.in_sync.len() == REQUIRED + 1));
+    tier.plan_until_stable();
+    assert!(!tier.replica_disks().contains(&DiskId(1)));
+    assert!(tier.partitions().iter().all(|assignment| assignment.in_sync.len() == REQUIRED_REPLICAS + 1));
     complete(&mut tier);
     assert_eq!(retirement_state(&tier.state, &tier.view, &node(1)), Some(RetirementState::Completed));
     assert_eq!(decide(&tier, 1), RetireDecision::AlreadyAccepted);
 }
 
 #[test]
-fn it_is_not_completed_while_a_partition_has_too_few_copies() {
-    let mut tier = Tier::of(1..=3);
-    tier.lose(3);
-    tier.step(&[]).unwrap();
+fn a_retirement_does_not_complete_while_a_partition_has_too_few_replicas() {
+    let mut tier = Tier::with_first_map(1..=3);
+    tier.lose_store(3);
+    tier.plan_and_commit(&[]).unwrap();
     begin(&mut tier, 1);
-    tier.step(&[]);
+    tier.plan_and_commit(&[]);
     complete(&mut tier);
-    assert!(tier.holders().contains(&DiskId(1)));
+    assert!(tier.replica_disks().contains(&DiskId(1)));
     assert_eq!(retirement_state(&tier.state, &tier.view, &node(1)), Some(RetirementState::Active));
 }
 
 #[test]
-fn it_does_not_wait_for_a_store_that_was_lost_a_short_while_ago() {
-    let mut tier = Tier::of(1..=5);
+fn a_retirement_does_not_wait_for_a_recently_lost_store() {
+    let mut tier = Tier::with_first_map(1..=5);
     let before = tier.partitions().to_vec();
-    tier.lose(2);
+    tier.lose_store(2);
     begin(&mut tier, 1);
-    tier.settle();
+    tier.plan_until_stable();
     complete(&mut tier);
     assert_eq!(retirement_state(&tier.state, &tier.view, &node(1)), Some(RetirementState::Completed));
-    let left = before.iter().zip(tier.partitions()).filter(|(old, _)| old.in_sync.contains(&DiskId(1)));
-    assert!(left.map(|(_, new)| new.in_sync.len()).all(|copies| copies == REQUIRED + 1));
+    let moved = before.iter().zip(tier.partitions()).filter(|(old, _)| old.in_sync.contains(&DiskId(1)));
+    assert!(moved.map(|(_, new)| new.in_sync.len()).all(|replicas| replicas == REQUIRED_REPLICAS + 1));
 }
 
 #[test]
-fn a_completed_one_that_is_still_there_is_given_nothing() {
-    let mut tier = Tier::of(1..=4);
+fn a_retired_machine_that_is_still_alive_is_given_no_replicas() {
+    let mut tier = Tier::with_first_map(1..=4);
     begin(&mut tier, 1);
-    tier.settle();
+    tier.plan_until_stable();
     complete(&mut tier);
-    tier.lose_long(2);
-    tier.settle();
-    assert!(!tier.holders().contains(&DiskId(1)));
+    tier.make_replaceable(2);
+    tier.plan_until_stable();
+    assert!(!tier.replica_disks().contains(&DiskId(1)));
 }
 
 #[test]
-fn it_stays_completed_when_the_machine_is_gone() {
-    let mut tier = Tier::of(1..=4);
+fn a_retirement_stays_completed_after_the_machine_is_removed() {
+    let mut tier = Tier::with_first_map(1..=4);
     begin(&mut tier, 1);
-    tier.settle();
+    tier.plan_until_stable();
     complete(&mut tier);
-    tier.lose_long(1);
-    tier.settle();
+    tier.make_replaceable(1);
+    tier.plan_until_stable();
     assert_eq!(retirement_state(&tier.state, &tier.view, &node(1)), Some(RetirementState::Completed));
     assert_eq!(decide(&tier, 1), RetireDecision::AlreadyAccepted);
 }
 
 #[test]
-fn a_keeper_that_has_seen_no_store_yet_refuses_nothing() {
+fn a_keeper_without_reports_rejects_no_retirement() {
     // Guard: `is_settled` in `decide_retire`.
-    let tier = Tier::of(1..=2);
+    let tier = Tier::with_first_map(1..=2);
     let empty = StoreView::default();
-    let unknown = decide_retire(&ControlState::default(), &empty, &node(1), REQUIRED);
+    let unknown = decide_retire(&ControlState::default(), &empty, &node(1), REQUIRED_REPLICAS);
     assert_eq!(unknown, RetireDecision::StoresUncertain);
-    let too_few = decide_retire(&tier.state, &empty, &node(1), REQUIRED);
+    let too_few = decide_retire(&tier.state, &empty, &node(1), REQUIRED_REPLICAS);
     assert_eq!(too_few, RetireDecision::StoresUncertain);
     let settled = StoreView { is_settled: true, ..empty };
-    let unknown = decide_retire(&ControlState::default(), &settled, &node(1), REQUIRED);
+    let unknown = decide_retire(&ControlState::default(), &settled, &node(1), REQUIRED_REPLICAS);
     assert_eq!(unknown, RetireDecision::UnknownMachine);
 }
 
 #[test]
-fn a_keeper_that_has_seen_no_store_yet_takes_an_order_by_the_map_and_knows_what_was_taken() {
-    let mut tier = Tier::of(1..=3);
+fn a_keeper_without_reports_accepts_a_retirement_by_the_store_map() {
+    let mut tier = Tier::with_first_map(1..=3);
     tier.view = StoreView::default();
     begin(&mut tier, 1);
     assert_eq!(decide(&tier, 1), RetireDecision::AlreadyAccepted);
@@ -138,47 +142,47 @@
 }
 
 #[test]
-fn a_machine_that_came_anew_under_the_name_of_one_taken_away_is_another() {
+fn a_new_machine_under_the_name_of_a_retired_one_is_not_retired() {
     // Guard: `came_anew` in `retirement_state`.
-    let mut tier = Tier::of(1..=4);
+    let mut tier = Tier::with_first_map(1..=4);
     begin(&mut tier, 1);
-    tier.settle();
+    tier.plan_until_stable();
     complete(&mut tier);
-    tier.lose_long(1);
-    tier.bring(store_on(11, 1));
-    tier.settle();
+    tier.make_replaceable(1);
+    tier.add_live_store(store_on(11, 1));
+    tier.plan_until_stable();
     assert_eq!(retirement_state(&tier.state, &tier.view, &node(1)), None);
-    tier.lose_long(2);
-    tier.settle();
-    assert!(tier.holders().contains(&DiskId(11)));
-    tier.bring(common::store(2));
+    tier.make_replaceable(2);
+    tier.plan_until_stable();
+    assert!(tier.replica_disks().contains(&DiskId(11)));
+    tier.add_live_store(common::store(2));
     begin(&mut tier, 1);
     assert_eq!(retirement_state(&tier.state, &tier.view, &node(1)), Some(RetirementState::Active));
-    tier.settle();
+    tier.plan_until_stable();
     complete(&mut tier);
     assert_eq!(retirement_state(&tier.state, &tier.view, &node(1)), Some(RetirementState::Completed));
-    assert!(!tier.holders().contains(&DiskId(11)));
+    assert!(!tier.replica_disks().contains(&DiskId(11)));
 }
 
 #[test]
-fn a_machine_that_lost_its_disk_while_being_emptied_goes_on_being_emptied() {
+fn a_retirement_continues_after_the_machine_lost_its_disk() {
     // Guards: `has_active_retirement` in `decide_retire`, and `retirement_of_replaced_disk`.
-    let mut tier = Tier::of(1..=3);
+    let mut tier = Tier::with_first_map(1..=3);
     begin(&mut tier, 1);
     tier.view.alive.remove(&DiskId(1));
-    tier.bring(store_on(11, 1));
-    // The order that was taken is not refused, although too few would remain for another one.
-    tier.lose_long(3);
+    tier.add_live_store(store_on(11, 1));
+    // The accepted order is not rejected, although too few machines would remain for another one.
+    tier.make_replaceable(3);
     assert_eq!(decide(&tier, 1), RetireDecision::AlreadyAccepted);
-    tier.bring(common::store(3));
+    tier.add_live_store(common::store(3));
     let renewed =
-        retirement_of_replaced_disk(&tier.state, &tier.view).expect("another disk to be given nothing");
+        retirement_of_replaced_disk(&tier.state, &tier.view).expect("the retirement of the new disk");
     tier.state.apply(&renewed);
     assert_eq!(retirement_of_replaced_disk(&tier.state, &tier.view), None);
-    tier.settle();
+    tier.plan_until_stable();
     complete(&mut tier);
-    assert!(!tier.holders().contains(&DiskId(1)) && !tier.holders().contains(&DiskId(11)));
+    assert!(!tier.replica_disks().contains(&DiskId(1)) && !tier.replica_disks().contains(&DiskId(11)));
     assert_eq!(retirement_state(&tier.state, &tier.view, &node(1)), Some(RetirementState::Completed));
-    tier.settle();
-    assert!(!tier.holders().contains(&DiskId(11)));
+    tier.plan_until_stable();
+    assert!(!tier.replica_disks().contains(&DiskId(11)));
 }
--- a/crates/control/tests/tracker.rs
+++ b/crates/control/tests/tracker.rs
@@ -1,4 +1,4 @@
-//! Traces of what keepers report of the stores.
+//! Detection of lost stores from traces of keepers' reports.
 
 mod common;
 
@@ -8,14 +8,14 @@
 use juniperwing_protocol::DiskId;
 
 const KEEPER: DiskId = DiskId(100);
-const OTHER: DiskId = DiskId(101);
+const OTHER_KEEPER: DiskId = DiskId(101);
 
 fn at(millis: u64) -> Time {
     Time::default() + Span::from_millis(millis)
 }
 
 /// A tracker that has run for ten seconds, with reports of two stores every 100 ms.
-fn running() -> StoreTracker {
+fn tracker_after_ten_seconds() -> StoreTracker {
     let mut tracker = StoreTracker::new(at(0));
     for millis in (0..=10_000).step_by(100) {
         tracker.record_report(at(millis), KEEPER, vec![store(1), store(2)]);
@@ -25,8 +25,8 @@
 }
 
 #[test]
-fn a_store_is_lost_when_no_keeper_sees_it_for_a_while() {
-    let mut tracker = running();
+fn a_store_that_no_keeper_reports_is_lost_after_the_timeout() {
+    let mut tracker = tracker_after_ten_seconds();
     tracker.record_report(at(10_100), KEEPER, vec![store(1)]);
     let view = tracker.tick(at(10_100), &[store(1), store(2)]);
     assert!(!view.alive.contains_key(&DiskId(2)) && view.lost.is_empty());
@@ -41,9 +41,9 @@
 }
 
 #[test]
-fn a_store_that_another_keeper_sees_is_alive() {
-    let mut tracker = running();
-    tracker.record_report(at(10_100), OTHER, vec![store(2)]);
+fn a_store_that_another_keeper_reports_is_alive() {
+    let mut tracker = tracker_after_ten_seconds();
+    tracker.record_report(at(10_100), OTHER_KEEPER, vec![store(2)]);
     tracker.record_report(at(10_100), KEEPER, vec![store(1)]);
     tracker.tick(at(10_100), &[store(1), store(2)]);
     let view = tracker.tick(at(10_600), &[store(1), store(2)]);
@@ -52,9 +52,9 @@
 }
 
 #[test]
-fn a_keeper_that_says_nothing_does_not_count() {
-    let mut tracker = running();
-    tracker.record_report(at(10_100), OTHER, vec![store(2)]);
+fn reports_of_a_silent_keeper_expire() {
+    let mut tracker = tracker_after_ten_seconds();
+    tracker.record_report(at(10_100), OTHER_KEEPER, vec![store(2)]);
     for millis in (10_100..=11_800).step_by(100) {
         tracker.record_report(at(millis), KEEPER, vec![store(1)]);
         tracker.tick(at(millis), &[store(1), store(2)]);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn nothing_is_lost_right_after_the_start() {
+fn no_store_is_lost_right_after_the_start() {
     let mut tracker = StoreTracker::new(at(0));
     for millis in (0..2_000).step_by(100) {
         let view = tracker.tick(at(millis), &[store(1)]);
@@ -74,8 +74,8 @@
 }
 
 #[test]
-fn nothing_is_lost_right_after_a_pause_of_the_process() {
-    let mut tracker = running();
+fn no_store_is_lost_right_after_a_pause_of_the_process() {
+    let mut tracker = tracker_after_ten_seconds();
     let view = tracker.tick(at(15_000), &[store(1), store(2)]);
     assert!(view.alive.is_empty() && view.lost.is_empty());
     let view = tracker.tick(at(15_900), &[store(1), store(2)]);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn others_are_waited_for_before_the_first_map() {
+fn the_first_map_waits_for_other_stores_to_join() {
     let mut tracker = StoreTracker::new(at(0));
     tracker.record_report(at(500), KEEPER, Vec::new());
     assert!(!tracker.tick(at(500), &[]).is_initial_wait_over);
--- a/crates/node/src/keeper/store_placement.rs
+++ b/crates/node/src/keeper/store_placement.rs
@@ -113,7 +113,7 @@
             state: &committed.state,
             view: &state.store_view,
             caught_up_reports: &state.caught_up_reports,
-            required_copies: self.required_copies,
+            required_replicas: self.required_copies,
         };
         if let Some(map) = plan_store_map(input) {
             return Some((committed.version, ControlChange::SetStoreMap(map)));
--- a/crates/sessions/tests/common/keepers.rs
+++ b/crates/sessions/tests/common/keepers.rs
@@ -39,7 +39,7 @@
             state: &self.state,
             view: &view,
             caught_up_reports: caught_up,
-            required_copies: REQUIRED,
+            required_replicas: REQUIRED,
         };
         if let Some(map) = plan_store_map(input) {
             self.state.apply(&ControlChange::SetStoreMap(Arc::clone(&map)));
