--- a/crates/node/src/keeper/consensus.rs
+++ b/crates/node/src/keeper/consensus.rs
@@ -15,7 +15,7 @@
 use slog::info;
 use tokio::sync::{mpsc, watch};
 
-use super::Controller;
+use super::controller::Controller;
 use super::pending_outcomes::PendingOutcomes;
 use crate::clock;
 use crate::host::write_to_disk;
--- a/crates/node/src/keeper/control_listener.rs
+++ b/crates/node/src/keeper/control_listener.rs
@@ -20,9 +20,10 @@
 use juniperwing_registry::parse_heartbeat;
 use serde::{Deserialize, Serialize};
 use tokio::sync::{mpsc, watch};
+use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-use super::Controller;
+use super::controller::Controller;
 use super::endpoints::EndpointReply;
 use super::orders::json_reply;
 use crate::host::{Listener, Stream};
@@ -38,6 +39,8 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Unacknowledged bytes end a connection after this time: the other end is cut off.
 const TCP_USER_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long open calls may take after the keeper began to shut down.
+const CALL_DRAIN_TIMEOUT: Duration = Duration::from_millis(900);
 /// Connections at a time.
 const MAX_CONNECTIONS: usize = 3_000;
 /// The pause after a connection could not be accepted.
@@ -60,9 +63,36 @@
     duration_s: f64,
 }
 
-/// Serves until `stop` says otherwise, then finishes what is under way. `open` is held while anything is.
-pub(super) async fn serve(
-    listener: Listener, controller: Arc<Controller>, mut stop: watch::Receiver<bool>, open: mpsc::Sender<()>,
+/// The server of the control listener.
+pub(super) struct ControlServer {
+    /// Set to `true` to stop serving.
+    stop: watch::Sender<bool>,
+    /// Closed when no call is open any more: every connection holds a sender.
+    open_calls: mpsc::Receiver<()>,
+    accepting: JoinHandle<()>,
+}
+
+impl ControlServer {
+    /// Serves calls on the listener.
+    pub(super) fn start(listener: Listener, controller: Arc<Controller>) -> ControlServer {
+        let (stop, stop_receiver) = watch::channel(false);
+        let (call_guard, open_calls) = mpsc::channel(1);
+        let accepting = tokio::spawn(accept_connections(listener, controller, stop_receiver, call_guard));
+        ControlServer { stop, open_calls, accepting }
+    }
+
+    /// Accepts no more calls and waits a limited time for the open ones.
+    pub(super) async fn drain(mut self) {
+        self.stop.send_replace(true);
+        let _ = timeout(CALL_DRAIN_TIMEOUT, self.open_calls.recv()).await;
+        self.accepting.abort();
+    }
+}
+
+/// Accepts connections until `stop` is set. `call_guard` is held by every connection.
+async fn accept_connections(
+    listener: Listener, controller: Arc<Controller>, mut stop: watch::Receiver<bool>,
+    call_guard: mpsc::Sender<()>,
 ) {
     let router = router(controller);
     loop {
@@ -73,10 +103,10 @@
         };
         match accepted {
             // The count includes this loop's own sender.
-            Ok(_) if open.strong_count() > MAX_CONNECTIONS => {}
+            Ok(_) if call_guard.strong_count() > MAX_CONNECTIONS => {}
             Ok(mut stream) => {
                 if stream.prepare(TCP_USER_TIMEOUT).is_ok() {
-                    let serving = serve_connection(stream, router.clone(), stop.clone(), open.clone());
+                    let serving = serve_connection(stream, router.clone(), stop.clone(), call_guard.clone());
                     tokio::spawn(isolated(serving));
                 }
             }
--- a/crates/node/src/keeper/endpoints.rs
+++ b/crates/node/src/keeper/endpoints.rs
@@ -10,7 +10,7 @@
 use slog::{debug, info};
 use tokio::time::Instant;
 
-use super::{Controller, State};
+use super::controller::{Controller, State};
 use crate::clock;
 use crate::link::{LinkId, Reply};
 
@@ -214,7 +214,7 @@
         let epoch = state.consensus.replica.epoch();
         let confirmed: Vec<DiskId> = state.exchange.confirmed_peers(spread.change_number).collect();
         let has = |voter: &&Voter| voter.disk == self.local_voter.disk || confirmed.contains(&voter.disk);
-        let needed = needed_confirmations(epoch.voters.len(), self.required_copies - 1);
+        let needed = needed_confirmations(epoch.voters.len(), self.required_replicas - 1);
         let is_enough = epoch.voters.iter().filter(has).count() >= needed;
         is_enough && state.subscribers.have_applied_instances(spread.revision)
     }
--- a/crates/node/src/keeper/message_handler.rs
+++ b/crates/node/src/keeper/message_handler.rs
@@ -11,7 +11,7 @@
 use slog::info;
 use tokio::time::Instant;
 
-use super::Controller;
+use super::controller::Controller;
 use super::subscribers::subscribing_store;
 use crate::clock;
 use crate::link::{Link, Reply, Service};
--- a/crates/node/src/keeper/metrics.rs
+++ b/crates/node/src/keeper/metrics.rs
@@ -2,7 +2,7 @@
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use super::Controller;
+use super::controller::Controller;
 use crate::metrics::{Figure, FigureSource};
 
 /// Answers to orders and questions of operators, by what their status says.
--- a/crates/node/src/keeper/orders.rs
+++ b/crates/node/src/keeper/orders.rs
@@ -18,8 +18,8 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, timeout, timeout_at};
 
-use super::Controller;
 use super::consensus::PrimaryLocation;
+use super::controller::Controller;
 
 /// Callers move on after a second without an answer.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(930);
@@ -219,7 +219,7 @@
     ) -> OrderAttempt {
         let decision = {
             let state = self.lock();
-            decide_retire(&confirmed.state, &state.store_view, node, self.required_copies)
+            decide_retire(&confirmed.state, &state.store_view, node, self.required_replicas)
         };
         let change = match decision {
             RetireDecision::Accept(change) => change,
--- a/crates/node/src/keeper/peer_discovery.rs
+++ b/crates/node/src/keeper/peer_discovery.rs
@@ -9,7 +9,7 @@
 use juniperwing_replication::Event;
 use tokio::sync::watch;
 
-use super::Controller;
+use super::controller::Controller;
 use crate::gossip::{Gossip, Myself};
 use crate::settings::Settings;
 use crate::sync::lock;
--- a/crates/node/src/keeper/store_placement.rs
+++ b/crates/node/src/keeper/store_placement.rs
@@ -11,9 +11,10 @@
 use juniperwing_protocol::subscription::{CaughtUp, StoreNode};
 use juniperwing_protocol::{DiskId, EpochNumber, Message};
 use slog::{info, warn};
+use tokio::time::timeout;
 
 use super::consensus::PrimaryLocation;
-use super::{Controller, State};
+use super::controller::{Controller, State};
 use crate::clock;
 
 /// Reports of primaries that wait to be used.
@@ -41,7 +42,8 @@
             state.tracker.record_report(clock::now(), from, stores.clone());
             stores
         };
-        for voter in self.other_voters() {
+        let others = self.other_voters(&self.lock());
+        for voter in others {
             let message = RegistryMessage::ReachableStores { from, stores: stores.clone() };
             tokio::spawn(Arc::clone(self).send_reachable_stores(voter, message));
         }
@@ -82,8 +84,19 @@
         }
     }
 
+    /// Plans store maps for the lifetime of the keeper.
+    pub(super) async fn run_planning_loop(self: Arc<Self>) {
+        loop {
+            let next_loss_at = self.lock().tracker.next_loss_at();
+            let delay = clock::duration(next_loss_at.since(clock::now()));
+            // Whichever comes first: an update of the stores, or the time at which one counts as lost.
+            let _ = timeout(delay, self.planning_requested.notified()).await;
+            self.plan_store_map_change().await;
+        }
+    }
+
     /// Brings the view of the stores up to date and, as primary, changes the map where it has to change.
-    pub(super) async fn plan_store_map_change(self: &Arc<Self>) {
+    async fn plan_store_map_change(self: &Arc<Self>) {
         let Some((base, change)) = self.next_store_change() else { return };
         match self.propose(base, change).await {
             Ok(_) => self.planning_requested.notify_one(),
@@ -113,12 +126,12 @@
             state: &committed.state,
             view: &state.store_view,
             caught_up_reports: &state.caught_up_reports,
-            required_replicas: self.required_copies,
+            required_replicas: self.required_replicas,
         };
         if let Some(map) = plan_store_map(input) {
             return Some((committed.version, ControlChange::SetStoreMap(map)));
         }
-        let empty = completed_retirements(&committed.state, self.required_copies).into_iter().next()?;
+        let empty = completed_retirements(&committed.state, self.required_replicas).into_iter().next()?;
         Some((committed.version, ControlChange::CompleteRetirement(empty)))
     }
 
--- a/crates/node/src/keeper/subscription_confirmation.rs
+++ b/crates/node/src/keeper/subscription_confirmation.rs
@@ -14,8 +14,8 @@
 use juniperwing_protocol::replication::Version;
 use tokio::time::{Instant, sleep, timeout};
 
-use super::Controller;
 use super::consensus::PrimaryLocation;
+use super::controller::Controller;
 
 /// Between two questions while no majority confirms.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
@@ -49,7 +49,7 @@
             return false;
         }
         let Some(version) = self.confirmed_version().await else { return false };
-        let has_reached = |state: &super::State| {
+        let has_reached = |state: &super::controller::State| {
             state.consensus.committed().is_some_and(|committed| committed.version >= version)
         };
         self.wait_until(until, has_reached).await
