--- a/crates/node/src/keeper.rs
+++ b/crates/node/src/keeper.rs
@@ -34,7 +34,7 @@
 use self::startup::StartupResources;
 use crate::command::Process;
 use crate::settings::Settings;
-use crate::signals::Wish;
+use crate::signals::ShutdownOrReload;
 
 /// Runs until the platform ends the process.
 ///
@@ -47,12 +47,12 @@
         biased;
         resources = StartupResources::acquire(&settings, &log) => resources?,
         // This incarnation has promised nothing yet.
-        () = signals.stop() => return Ok(()),
+        () = signals.wait_for_shutdown() => return Ok(()),
     };
     let (changed, changes) = watch::channel(settings.clone());
     let reload_log = log.clone();
     let stop = async move {
-        while signals.next().await == Wish::Reload {
+        while signals.next().await == ShutdownOrReload::Reload {
             match Settings::read(settings_file.as_deref()) {
                 Ok(settings) => drop(changed.send_replace(settings)),
                 Err(error) => warn!(reload_log, "settings not read again"; "why" => error.to_string()),
--- a/crates/node/src/keeper/control_listener.rs
+++ b/crates/node/src/keeper/control_listener.rs
@@ -27,7 +27,7 @@
 use super::endpoints::EndpointReply;
 use super::orders::json_reply;
 use crate::host::{Listener, Stream};
-use crate::panics::isolated;
+use crate::panics::isolate;
 
 /// The largest configuration, in bytes.
 const MAX_CONFIGURATION_BYTES: usize = 8 << 20;
@@ -105,9 +105,9 @@
             // The count includes this loop's own sender.
             Ok(_) if call_guard.strong_count() > MAX_CONNECTIONS => {}
             Ok(mut stream) => {
-                if stream.prepare(TCP_USER_TIMEOUT).is_ok() {
+                if stream.configure(TCP_USER_TIMEOUT).is_ok() {
                     let serving = serve_connection(stream, router.clone(), stop.clone(), call_guard.clone());
-                    tokio::spawn(isolated(serving));
+                    tokio::spawn(isolate(serving));
                 }
             }
             Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
--- a/crates/node/src/keeper/controller.rs
+++ b/crates/node/src/keeper/controller.rs
@@ -21,7 +21,7 @@
 use crate::clock;
 use crate::link::LinkId;
 use crate::rate_limit::RateLimit;
-use crate::settings::{ControlTimes, Settings};
+use crate::settings::{ControlTimings, Settings};
 use crate::sync::lock;
 
 /// The mutable state of a keeper.
@@ -58,7 +58,7 @@
     pub(super) local_voter: Voter,
     /// The number of replicas that must hold every acknowledged write of a partition.
     pub(super) required_replicas: usize,
-    pub(super) control_times: ControlTimes,
+    pub(super) control_timings: ControlTimings,
     pub(super) log: Logger,
     state: Mutex<State>,
     pub(super) peers: Arc<Peers>,
@@ -78,12 +78,12 @@
     pub(super) fn new(
         settings: &Settings, log: Logger, local_voter: Voter, consensus: Consensus,
     ) -> Arc<Controller> {
-        let control_times = settings.control_times();
-        let state = State::new(settings, &control_times, consensus);
+        let control_timings = settings.control_timings();
+        let state = State::new(settings, &control_timings, consensus);
         Arc::new_cyclic(|controller| Controller {
             local_voter,
-            required_replicas: settings.required_copies(),
-            control_times,
+            required_replicas: settings.required_replicas(),
+            control_timings,
             log,
             state: Mutex::new(state),
             peers: Arc::new(Peers::new(Arc::new(MessageHandler::new(controller.clone())))),
@@ -144,7 +144,7 @@
 }
 
 impl State {
-    fn new(settings: &Settings, control_times: &ControlTimes, consensus: Consensus) -> State {
+    fn new(settings: &Settings, control_timings: &ControlTimings, consensus: Consensus) -> State {
         let now = clock::now();
         let registry_settings = RegistrySettings {
             heartbeat_interval: Span::from_millis(settings.heartbeat_ms),
@@ -152,7 +152,7 @@
         };
         State {
             consensus,
-            contact: Contact::new(control_times.contact_window),
+            contact: Contact::new(control_timings.contact_window),
             registry: Registry::new(now, registry_settings),
             exchange: Exchange::default(),
             subscribers: Subscribers::default(),
--- a/crates/node/src/keeper/endpoints.rs
+++ b/crates/node/src/keeper/endpoints.rs
@@ -12,7 +12,7 @@
 
 use super::controller::{Controller, State};
 use crate::clock;
-use crate::link::{LinkId, Reply};
+use crate::link::{LinkId, ReplySender};
 
 /// The answer to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -74,7 +74,7 @@
     /// Another keeper tells of instances. If it wants them confirmed, it is answered when the subscribers here
     /// have applied them.
     pub(super) fn handle_instances(
-        self: &Arc<Self>, changed: Vec<Instance>, refreshed: &[Refresh], confirm: bool, reply: Reply,
+        self: &Arc<Self>, changed: Vec<Instance>, refreshed: &[Refresh], confirm: bool, reply: ReplySender,
     ) {
         let revision = {
             let mut state = self.lock();
@@ -89,7 +89,7 @@
             return reply.send(controller.instances_merged(false));
         }
         tokio::spawn(async move {
-            let until = Instant::now() + controller.control_times.subscribers_apply_within;
+            let until = Instant::now() + controller.control_timings.subscriber_apply_timeout;
             let applied = controller
                 .wait_until(until, |state| state.subscribers.have_applied_instances(revision))
                 .await;
@@ -163,7 +163,7 @@
     /// Another keeper's answer, with the link over which it came.
     async fn call_peer(&self, address: SocketAddr, message: Message) -> Option<(LinkId, RegistryMessage)> {
         let link = self.peers.link(address).await.ok()?;
-        match link.call(message, self.control_times.peer_answers_within).await {
+        match link.call(message, self.control_timings.peer_reply_timeout).await {
             Ok(Message::Registry(answer)) => Some((link.id(), answer)),
             _ => None,
         }
@@ -198,7 +198,7 @@
     /// Waits until every keeper in reach has confirmed, for a limited time. Enough have to have confirmed in any
     /// case, so that every relay has a subscription to one that has.
     async fn wait_until_propagated(&self, spread: Propagation) -> EndpointReply {
-        let until = Instant::now() + self.control_times.spread_within;
+        let until = Instant::now() + self.control_timings.propagation_timeout;
         self.wait_until(until, |state| {
             self.is_propagated_to_enough(state, &spread) && state.is_propagated_to_reachable(&spread)
         })
--- a/crates/node/src/keeper/message_handler.rs
+++ b/crates/node/src/keeper/message_handler.rs
@@ -14,7 +14,7 @@
 use super::controller::Controller;
 use super::subscribers::subscribing_store;
 use crate::clock;
-use crate::link::{Link, Reply, Service};
+use crate::link::{Link, ReplySender, Service};
 
 /// The longest that a keeper waits for its subscribers, whatever it is asked.
 const MAX_DISTRIBUTION_WAIT_MS: u32 = 1_000;
@@ -31,7 +31,7 @@
 }
 
 impl Service for MessageHandler {
-    fn message(&self, link: &Link, message: Message, reply: Reply) {
+    fn handle_message(&self, link: &Link, message: Message, reply: ReplySender) {
         let Some(controller) = self.controller.upgrade() else { return link.close() };
         match message {
             Message::Replication(message) => controller.handle_replication_message(message),
@@ -43,7 +43,7 @@
         }
     }
 
-    fn closed(&self, link: &Link) {
+    fn handle_closed(&self, link: &Link) {
         if let Some(controller) = self.controller.upgrade() {
             controller.handle_link_closed(link);
         }
@@ -56,7 +56,7 @@
         self.step_replica(Event::Message(message));
     }
 
-    fn handle_registry_message(self: &Arc<Self>, message: RegistryMessage, reply: Reply) {
+    fn handle_registry_message(self: &Arc<Self>, message: RegistryMessage, reply: ReplySender) {
         match message {
             RegistryMessage::Instances { from, changed, refreshed, confirm } => {
                 self.lock().contact.record_message(clock::now(), from);
--- a/crates/node/src/keeper/orders.rs
+++ b/crates/node/src/keeper/orders.rs
@@ -124,7 +124,7 @@
         if !changes && answer.status != STATUS_UNAVAILABLE {
             return;
         }
-        let Some(unlogged) = self.order_log_limit.take() else { return };
+        let Some(unlogged) = self.order_log_limit.try_acquire() else { return };
         let (kind, base, digest) = describe(order);
         let epoch = self.lock().consensus.replica.epoch().number.0;
         info!(self.log, "order";
@@ -255,7 +255,7 @@
     /// Brings the configuration to the subscribers of all keepers in reach; returns when all have it, or the
     /// time for it is over.
     async fn distribute_configuration(self: &Arc<Self>, version: Version, deadline: Instant) {
-        let apply_within = self.control_times.configuration_applies_within;
+        let apply_within = self.control_timings.configuration_apply_timeout;
         let until = deadline.min(Instant::now() + apply_within);
         let wait_ms = until.saturating_duration_since(Instant::now()).as_millis() as u32;
         let mut calls = JoinSet::new();
--- a/crates/node/src/keeper/startup.rs
+++ b/crates/node/src/keeper/startup.rs
@@ -23,8 +23,8 @@
 use super::record_file::{self, OpenedRecordFile, RecordFile};
 use super::shutdown::RunningKeeper;
 use crate::clock;
-use crate::host::{Listener, wait_for_disk};
-use crate::metrics::{self, FigureSource};
+use crate::host::{Listener, run_disk_work};
+use crate::metrics::{self, MetricSource};
 use crate::panics::spawn_essential;
 use crate::settings::{Port, Settings};
 
@@ -71,7 +71,7 @@
         let internal_listener = Listener::bind(settings.own_address(Port::Keeper)).await?;
         let control_listener = control_listener::bind(control_address).await?;
         let (disk_settings, disk_log) = (settings.clone(), log.clone());
-        let restored = wait_for_disk(move || open_disk(&disk_settings, &data_directory, &disk_log));
+        let restored = run_disk_work(move || open_disk(&disk_settings, &data_directory, &disk_log));
         let restored = restored.await.map_err(io::Error::other)??;
         Ok(StartupResources { internal_listener, control_listener, restored })
     }
@@ -94,7 +94,7 @@
         let (replica_timer, timer_changes) = watch::channel(Time::default());
         let consensus = Consensus::new(replica, record_writes, replica_timer);
         let controller = Controller::new(settings, log, local_voter, consensus);
-        metrics::start(settings, Arc::clone(&controller) as Arc<dyn FigureSource>, &controller.log).await;
+        metrics::start(settings, Arc::clone(&controller) as Arc<dyn MetricSource>, &controller.log).await;
         let mut tasks = start_replica_tasks(&controller, record_file, queued_writes, timer_changes);
         tasks.extend(start_tasks(&controller, self.internal_listener));
         let peer_discovery = PeerDiscovery::start(settings, &controller).await?;
@@ -144,7 +144,7 @@
         seeds: settings.seed_keepers(),
         // A keeper that lost its disk must not bootstrap the tier a second time.
         bootstrap: settings.bootstrap && loss.is_none(),
-        min_in_sync_replicas: settings.required_copies(),
+        min_in_sync_replicas: settings.required_replicas(),
         timings: Timings::default(),
     };
     let initial = ControlState::default();
--- a/crates/node/tests/keepers/peer.rs
+++ b/crates/node/tests/keepers/peer.rs
@@ -9,7 +9,7 @@
 
 use juniperwing_clock::{Span, Time};
 use juniperwing_control::{ControlState, PutDecision, decide_put};
-use juniperwing_node::link::{Link, LinkPool, Reply, Service, serve};
+use juniperwing_node::link::{Link, LinkPool, ReplySender, Service, serve};
 use juniperwing_node::settings::{Port, Settings};
 use juniperwing_protocol::registry::{Instance, InstanceState, RegistryMessage};
 use juniperwing_protocol::replication::{ReplicationBody, ReplicationMessage, Voter};
@@ -74,7 +74,7 @@
     replica: Replica<ControlState>,
     gate: Gate,
     wake_at: Time,
-    reads: HashMap<ReadToken, Reply>,
+    reads: HashMap<ReadToken, ReplySender>,
     next_token: u64,
     instances: BTreeMap<InstanceId, InstanceState>,
 }
@@ -85,11 +85,11 @@
 struct NoRequests;
 
 impl Service for NoRequests {
-    fn message(&self, _: &Link, _: Message, _: Reply) {}
+    fn handle_message(&self, _: &Link, _: Message, _: ReplySender) {}
 }
 
 impl Service for MessageHandler {
-    fn message(&self, _: &Link, message: Message, reply: Reply) {
+    fn handle_message(&self, _: &Link, message: Message, reply: ReplySender) {
         match message {
             Message::Replication(message) => self.0.handle_replication_message(message),
             Message::Registry(message) if self.0.lock().gate.receives => {
@@ -110,7 +110,7 @@
             local_voter: me.clone(),
             seeds: settings.seed_keepers(),
             bootstrap: settings.bootstrap,
-            min_in_sync_replicas: settings.required_copies(),
+            min_in_sync_replicas: settings.required_replicas(),
             timings: Timings::default(),
         };
         let initial = ControlState::default();
@@ -234,7 +234,7 @@
         }
     }
 
-    fn handle_registry_message(self: &Arc<Self>, message: RegistryMessage, reply: Reply) {
+    fn handle_registry_message(self: &Arc<Self>, message: RegistryMessage, reply: ReplySender) {
         let (gate, epoch) = {
             let state = self.lock();
             (state.gate, state.replica.epoch().number)
--- /dev/null
+++ b/crates/relay/src/journal.rs
@@ -0,0 +1,290 @@
+//! Keeps the notifications that were accepted and are still owed an end: in memory, and in a file that outlives the
+//! process.
+//!
+//! The file is only appended to. Each record carries its length and a checksum, so that a torn tail is found and cut off.
+//! Once much of the file is obsolete, the live notifications are written to a new file that replaces it; space for both is
+//! always left within the size limit of the directory.
+
+mod frame;
+mod record;
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::fs::{self, File, OpenOptions};
+use std::io::{self, Write};
+use std::path::{Path, PathBuf};
+
+use juniperwing::time::Time;
+
+use frame::DecodedFrame;
+use record::Record;
+pub use record::{
+    AcceptedNotification, Attributes, Guarantee, History, RecordedEffect, SentPush, UndeliveredEnd,
+};
+
+const FILE_NAME: &str = "log";
+/// The name of the new file while the journal is compacted.
+const COMPACTED_FILE_NAME: &str = "log.new";
+/// Files occupy whole blocks of this size, in bytes.
+const FILE_BLOCK_BYTES: u64 = 512;
+/// What a record may grow by, in bytes, when it is written again with all that has happened since.
+const MAX_HISTORY_BYTES: u64 = 256;
+/// The most that a record may need beside the body and its history, in bytes: its attributes, escaped.
+const MAX_ATTRIBUTES_BYTES: u64 = 8 * 1024;
+/// A smaller file is not worth compacting.
+const MIN_COMPACTION_BYTES: u64 = 64 * 1024;
+
+/// A live notification.
+#[derive(Debug)]
+pub struct JournalEntry {
+    /// The notification without its body.
+    pub notification: AcceptedNotification,
+    /// Its body; empty once it has ended.
+    pub body: Vec<u8>,
+    /// Pushes decided on. One whose connection never came up is in no record: for the next process it never was.
+    pub decided_pushes: u32,
+    /// The most that it may occupy in the file, in bytes.
+    max_record_bytes: u64,
+}
+
+/// The journal of a directory. Notifications are numbered from 1 in the order accepted.
+pub struct Journal {
+    directory: PathBuf,
+    file: File,
+    file_bytes: u64,
+    /// Frames that are still to be appended to the file.
+    unflushed: Vec<u8>,
+    live: BTreeMap<u64, JournalEntry>,
+    /// The ids of all live notifications.
+    ids: BTreeSet<String>,
+    /// The sum of the entries' `max_record_bytes`.
+    live_bytes: u64,
+    next_number: u64,
+    max_bytes: u64,
+}
+
+/// A journal and what was lost of it.
+pub struct OpenedJournal {
+    /// The journal, with all records before the first torn one.
+    pub journal: Journal,
+    /// The length of the torn tail that was cut off, in bytes.
+    pub torn_bytes: u64,
+}
+
+impl Journal {
+    /// Opens the journal in a directory, which may hold `max_bytes` bytes.
+    ///
+    /// # Errors
+    ///
+    /// A file in the directory cannot be removed, read, opened or truncated.
+    pub fn open(directory: &Path, max_bytes: u64) -> io::Result<OpenedJournal> {
+        // Left by a process that ended while it compacted; the journal itself is intact then.
+        match fs::remove_file(directory.join(COMPACTED_FILE_NAME)) {
+            Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
+            _ => {}
+        }
+        let path = directory.join(FILE_NAME);
+        let bytes = match fs::read(&path) {
+            Err(e) if e.kind() == io::ErrorKind::NotFound => Vec::new(),
+            read => read?,
+        };
+        let file = OpenOptions::new().create(true).append(true).open(&path)?;
+        let mut journal = Journal {
+            directory: directory.to_owned(),
+            file,
+            file_bytes: 0,
+            unflushed: Vec::new(),
+            live: BTreeMap::new(),
+            ids: BTreeSet::new(),
+            live_bytes: 0,
+            next_number: 1,
+            max_bytes: max_bytes.saturating_sub(4 * FILE_BLOCK_BYTES),
+        };
+        let torn_bytes = journal.replay(&bytes)?;
+        Ok(OpenedJournal { journal, torn_bytes })
+    }
+
+    /// Applies all intact records and truncates the file behind them. Returns the length of the tail cut off.
+    fn replay(&mut self, bytes: &[u8]) -> io::Result<u64> {
+        let mut position = 0;
+        while let Some(DecodedFrame { record, body, length }) = frame::decode(&bytes[position..]) {
+            self.apply(record, body, length);
+            position += length;
+        }
+        let torn_bytes = (bytes.len() - position) as u64;
+        if torn_bytes > 0 {
+            self.file.set_len(position as u64)?;
+        }
+        self.file_bytes = position as u64;
+        Ok(torn_bytes)
+    }
+
+    /// Applies a record whose frame has this length to what is kept in memory.
+    fn apply(&mut self, record: Record, body: Vec<u8>, frame_length: usize) {
+        match record {
+            Record::Accepted(number, notification) => {
+                self.apply_accepted(number, *notification, body, frame_length);
+            }
+            Record::Pushed(number, sent_at_ns, zone) => {
+                if let Some(entry) = self.live.get_mut(&number) {
+                    let history = &mut entry.notification.history;
+                    history.push_count += 1;
+                    history.in_flight = Some(SentPush { sent_at_ns, zone });
+                    entry.decided_pushes = entry.decided_pushes.max(history.push_count);
+                }
+            }
+            Record::PushEnded(number, may_have_run, may_run_since_ns) => {
+                if let Some(entry) = self.live.get_mut(&number) {
+                    let history = &mut entry.notification.history;
+                    let ended = history.in_flight.take().filter(|_| may_have_run);
+                    history.first_may_have_run = history.first_may_have_run.take().or(ended);
+                    history.may_run_since_ns = may_run_since_ns.or(history.may_run_since_ns);
+                }
+            }
+            Record::Ended(number, end) => {
+                if let Some(entry) = self.live.get_mut(&number) {
+                    entry.notification.history.end = Some(end);
+                    let body_bytes = std::mem::take(&mut entry.body).len() as u64;
+                    entry.max_record_bytes -= body_bytes;
+                    self.live_bytes -= body_bytes;
+                }
+            }
+            Record::Closed(number) => {
+                if let Some(entry) = self.live.remove(&number) {
+                    self.ids.remove(&entry.notification.attributes.id);
+                    self.live_bytes -= entry.max_record_bytes;
+                }
+            }
+        }
+    }
+
+    fn apply_accepted(
+        &mut self, number: u64, notification: AcceptedNotification, body: Vec<u8>, frame_length: usize,
+    ) {
+        let max_record_bytes = frame_length as u64 + MAX_HISTORY_BYTES;
+        self.ids.insert(notification.attributes.id.clone());
+        self.next_number = self.next_number.max(number + 1);
+        self.live_bytes += max_record_bytes;
+        let decided_pushes = notification.history.push_count;
+        self.live.insert(number, JournalEntry { notification, body, decided_pushes, max_record_bytes });
+    }
+
+    fn append(&mut self, record: Record, body: Vec<u8>) {
+        let bytes_before = self.unflushed.len();
+        frame::encode(&mut self.unflushed, &record, &body);
+        self.apply(record, body, self.unflushed.len() - bytes_before);
+    }
+
+    /// Whether a further notification with a body of this length fits. A compacted file must fit beside the present one
+    /// at any time: the live notifications have two fifths of the space, and the present file the rest.
+    pub fn has_capacity_for(&self, body_bytes: usize) -> bool {
+        self.live_bytes + body_bytes as u64 + MAX_ATTRIBUTES_BYTES <= self.max_live_bytes()
+    }
+
+    fn max_live_bytes(&self) -> u64 {
+        self.max_bytes * 2 / 5
+    }
+
+    /// Records that a notification is accepted. Returns its number.
+    pub fn accept(
+        &mut self, attributes: Attributes, valid_until: Time, guarantee: Guarantee, body: Vec<u8>,
+    ) -> u64 {
+        let number = self.next_number;
+        let notification = AcceptedNotification {
+            attributes,
+            valid_until_ns: unix_nanos(valid_until),
+            history: History::default(),
+            guarantee: Some(guarantee),
+        };
+        self.append(Record::Accepted(number, Box::new(notification)), body);
+        number
+    }
+
+    /// Counts a push that was decided on. Returns its number, from 0.
+    pub fn count_push(&mut self, number: u64) -> Option<u32> {
+        let entry = self.live.get_mut(&number)?;
+        entry.decided_pushes += 1;
+        Some(entry.decided_pushes - 1)
+    }
+
+    /// Records that a push is about to be sent: after the next flush, a process that reads the journal has to assume that
+    /// it may have run.
+    pub fn record_push(&mut self, number: u64, sent_at: Time, zone: &str) {
+        self.append(Record::Pushed(number, unix_nanos(sent_at), zone.to_owned()), Vec::new());
+    }
+
+    /// Records the end of a push: whether it may have run, and since when it may still be running.
+    pub fn record_push_ended(&mut self, number: u64, may_have_run: bool, may_run_since: Option<Time>) {
+        self.append(Record::PushEnded(number, may_have_run, may_run_since.map(unix_nanos)), Vec::new());
+    }
+
+    /// Records that a notification ended undelivered; its client is still to be notified.
+    pub fn record_end(&mut self, number: u64, end: UndeliveredEnd) {
+        self.append(Record::Ended(number, end), Vec::new());
+    }
+
+    /// Records that nothing more is owed for a notification, which is live no longer.
+    pub fn close(&mut self, number: u64) {
+        self.append(Record::Closed(number), Vec::new());
+    }
+
+    /// Whether a live notification has this id.
+    pub fn contains_id(&self, id: &str) -> bool {
+        self.ids.contains(id)
+    }
+
+    /// The live notification with this number.
+    pub fn get(&self, number: u64) -> Option<&JournalEntry> {
+        self.live.get(&number)
+    }
+
+    /// All live notifications with their numbers, in the order accepted.
+    pub fn live(&self) -> impl Iterator<Item = (u64, &JournalEntry)> {
+        self.live.iter().map(|(number, entry)| (*number, entry))
+    }
+
+    /// How many notifications are live.
+    pub fn live_count(&self) -> usize {
+        self.live.len()
+    }
+
+    /// Hands all new records to the system, which keeps them if this process ends.
+    ///
+    /// # Errors
+    ///
+    /// The file cannot be written or replaced.
+    pub fn flush(&mut self) -> io::Result<()> {
+        if self.unflushed.is_empty() {
+            return Ok(());
+        }
+        let grown_bytes = self.file_bytes + self.unflushed.len() as u64;
+        let is_mostly_obsolete = grown_bytes > MIN_COMPACTION_BYTES && grown_bytes > 4 * self.live_bytes;
+        if is_mostly_obsolete || grown_bytes > self.max_bytes - self.max_live_bytes() {
+            return self.compact();
+        }
+        self.file.write_all(&self.unflushed)?;
+        self.file_bytes = grown_bytes;
+        self.unflushed.clear();
+        Ok(())
+    }
+
+    /// Writes the live notifications, which the unflushed records are applied to, to a new file that replaces the present
+    /// one.
+    fn compact(&mut self) -> io::Result<()> {
+        let mut bytes = Vec::new();
+        for (number, entry) in &self.live {
+            let record = Record::Accepted(*number, Box::new(entry.notification.clone()));
+            frame::encode(&mut bytes, &record, &entry.body);
+        }
+        let path = self.directory.join(COMPACTED_FILE_NAME);
+        let mut file = OpenOptions::new().create(true).append(true).open(&path)?;
+        file.write_all(&bytes)?;
+        fs::rename(&path, self.directory.join(FILE_NAME))?;
+        (self.file, self.file_bytes) = (file, bytes.len() as u64);
+        self.unflushed.clear();
+        Ok(())
+    }
+}
+
+fn unix_nanos(time: Time) -> u64 {
+    time.since(Time::default()).as_nanos()
+}
