--- a/crates/node/src/keeper/inbox.rs
+++ b/crates/node/src/keeper/inbox.rs
@@ -31,11 +31,11 @@
 }
 
 impl Service for Inbox {
-    fn handle_message(&self, link: &Link, handle_message: Message, reply: ReplySender) {
+    fn handle_message(&self, link: &Link, message: Message, reply: ReplySender) {
         let Some(keeper) = self.keeper.upgrade() else { return link.close() };
-        match handle_message {
-            Message::Replication(handle_message) => keeper.replication_message(handle_message),
-            Message::Registry(handle_message) => keeper.registry_message(handle_message, reply),
+        match message {
+            Message::Replication(message) => keeper.replication_message(message),
+            Message::Registry(message) => keeper.registry_message(message, reply),
             Message::Subscribe(subscribe) => keeper.subscribe(link, subscribe),
             Message::Applied(applied) => keeper.applied(link, applied),
             // Nothing else is said to a keeper.
--- a/crates/node/src/store/core.rs
+++ b/crates/node/src/store/core.rs
@@ -246,8 +246,8 @@
 pub(super) struct Handle(pub(super) Arc<Core>);
 
 impl Service for Handle {
-    fn handle_message(&self, link: &Link, handle_message: Message, reply: ReplySender) {
-        match handle_message {
+    fn handle_message(&self, link: &Link, message: Message, reply: ReplySender) {
+        match message {
             Message::SessionRequest(request) => {
                 let asker = self.0.expect(reply);
                 self.0.handle(Event::Asked { asker, request });
--- a/crates/node/src/subscriber.rs
+++ b/crates/node/src/subscriber.rs
@@ -239,8 +239,8 @@
 }
 
 impl Service for Subscription {
-    fn handle_message(&self, link: &Link, handle_message: Message, _: ReplySender) {
-        let Message::Update(update) = handle_message else { return };
+    fn handle_message(&self, link: &Link, message: Message, _: ReplySender) {
+        let Message::Update(update) = message else { return };
         let first_update = lock(&self.first_update).take();
         if let Some(first_update) = first_update {
             // Nobody waits any more where the answer came too late.
--- a/crates/node/tests/keepers/observer.rs
+++ b/crates/node/tests/keepers/observer.rs
@@ -53,8 +53,8 @@
 }
 
 impl Service for Recorder {
-    fn handle_message(&self, link: &Link, handle_message: Message, _: ReplySender) {
-        let Message::Update(update) = handle_message else { return };
+    fn handle_message(&self, link: &Link, message: Message, _: ReplySender) {
+        let Message::Update(update) = message else { return };
         let mut seen = self.seen.lock().unwrap();
         seen.updates += 1;
         match update {
--- a/crates/node/tests/keepers/peer.rs
+++ b/crates/node/tests/keepers/peer.rs
@@ -84,12 +84,10 @@
 }
 
 impl Service for Inbox {
-    fn handle_message(&self, _: &Link, handle_message: Message, reply: ReplySender) {
-        match handle_message {
-            Message::Replication(handle_message) => self.0.replication(handle_message),
-            Message::Registry(handle_message) if self.0.lock().gate.hears => {
-                self.0.registry(handle_message, reply)
-            }
+    fn handle_message(&self, _: &Link, message: Message, reply: ReplySender) {
+        match message {
+            Message::Replication(message) => self.0.replication(message),
+            Message::Registry(message) if self.0.lock().gate.hears => self.0.registry(message, reply),
             _ => {}
         }
     }
--- a/crates/node/tests/link.rs
+++ b/crates/node/tests/link.rs
@@ -19,8 +19,8 @@
 }
 
 impl Service for Recorder {
-    fn handle_message(&self, link: &Link, handle_message: Message, reply: ReplySender) {
-        match handle_message {
+    fn handle_message(&self, link: &Link, message: Message, reply: ReplySender) {
+        match message {
             Message::Registry(RegistryMessage::DistributeConfiguration { .. }) => {
                 reply.send(Message::Registry(RegistryMessage::ConfigurationDistributed));
             }
--- a/crates/node/tests/stores/mod.rs
+++ b/crates/node/tests/stores/mod.rs
@@ -41,9 +41,9 @@
 }
 
 impl Service for Keeper {
-    fn handle_message(&self, link: &Link, handle_message: Message, _: ReplySender) {
+    fn handle_message(&self, link: &Link, message: Message, _: ReplySender) {
         let mut state = self.state.lock().unwrap();
-        match handle_message {
+        match message {
             Message::Subscribe(subscribe) => {
                 let SubscriberKind::Store { disk } = subscribe.subscriber else { return };
                 state.stores.insert(disk, (node(&subscribe, disk), link.clone()));
--- a/crates/node/tests/subscriber.rs
+++ b/crates/node/tests/subscriber.rs
@@ -26,8 +26,8 @@
 }
 
 impl Service for Keeper {
-    fn handle_message(&self, link: &Link, handle_message: Message, _: ReplySender) {
-        if !matches!(handle_message, Message::Subscribe(_)) {
+    fn handle_message(&self, link: &Link, message: Message, _: ReplySender) {
+        if !matches!(message, Message::Subscribe(_)) {
             return;
         }
         *self.subscriptions.lock().unwrap() += 1;
