--- a/crates/node/src/check_configuration.rs
+++ b/crates/node/src/check_configuration.rs
@@ -1,4 +1,4 @@
-//! The command `juniperwing check-configuration`: what is wrong with an operator's configuration.
+//! The command `juniperwing check-configuration`, which validates an operator's configuration.
 
 use std::fmt::Write;
 use std::process::ExitCode;
@@ -13,7 +13,7 @@
 it, a line for each finding with its place. Exits with 0 if it can be used, 1 if not, 2 if it cannot be read.
 ";
 
-/// Runs with the arguments behind `check-configuration`.
+/// Runs the command with the arguments that follow `check-configuration`.
 pub fn run(arguments: &[String]) -> ExitCode {
     let [file] = arguments else {
         eprint!("juniperwing check-configuration: name one file\n{USAGE}");
@@ -42,7 +42,7 @@
     }
 }
 
-/// What a configuration says, a line for each route and service.
+/// Describes a configuration, with one line per route and service.
 pub fn describe(configuration: &Configuration) -> String {
     let mut text = format!("generation {}\n", configuration.generation);
     for route in &configuration.routes {
@@ -62,10 +62,10 @@
         RouteType::Idempotent => "idempotent",
         RouteType::NonIdempotent => "non_idempotent",
     };
-    let kept = if route.stores_turns { ", kept" } else { "" };
-    let (host, prefix, most) = (&route.hostname, &route.path_prefix, route.max_retries);
+    let stored = if route.stores_turns { ", kept" } else { "" };
+    let (host, prefix, max_retries) = (&route.hostname, &route.path_prefix, route.max_retries);
     let seconds = route.timeout.as_secs_f64();
-    format!("{host}{prefix}: {kind}{kept}, up to {seconds} s, up to {most} endpoints")
+    format!("{host}{prefix}: {kind}{stored}, up to {seconds} s, up to {max_retries} endpoints")
 }
 
 fn format_findings(file: &str, findings: &Findings) -> String {
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clocks of a process. On a simulated machine they are that one's.
+//! Clocks and random numbers of a process; on a simulated machine those of the simulation.
 
 use std::sync::OnceLock;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
@@ -7,7 +7,7 @@
 
 use crate::host;
 
-/// Now on the steady clock, counted from the first call in this process.
+/// The monotonic time since the first call in this process.
 pub fn now() -> Time {
     if let Some(host) = host::simulated_host() {
         return host.now();
@@ -17,7 +17,7 @@
     Time::from_nanos(1 + start.elapsed().as_nanos() as u64)
 }
 
-/// The time of day in milliseconds since 1970. It may jump, and differs between machines.
+/// Wall-clock time in milliseconds since the Unix epoch. It may jump, and differs between machines.
 pub fn unix_time_ms() -> u64 {
     if let Some(host) = host::simulated_host() {
         return host.unix_time_ms();
@@ -25,7 +25,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
 
-/// A number that differs from process to process and from call to call.
+/// A random number; it differs between processes and between calls.
 pub fn random() -> u64 {
     use std::hash::{BuildHasher, Hasher, RandomState};
     if let Some(host) = host::simulated_host() {
@@ -38,7 +38,7 @@
     hasher.finish()
 }
 
-/// A span as the type that timers take.
+/// Converts a span to the type that timers take.
 pub fn duration(span: Span) -> std::time::Duration {
     std::time::Duration::from_nanos(span.as_nanos())
 }
--- a/crates/node/src/command.rs
+++ b/crates/node/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line of the tier's roles.
+//! Command line of the roles `relay`, `keeper` and `store`.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -13,21 +13,12 @@
 use crate::settings::{Settings, SettingsError};
 use crate::signals::Signals;
 
-/// How long a write to the disk that is under way may hold up the end.
+/// How long disk writes in progress may delay the exit of the process.
 const DISK_SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Runs a role with the arguments behind its name, until it ends.
+/// Runs a role with the arguments that follow its name, until it shuts down.
 pub fn run(role: Role, arguments: &[String]) -> ExitCode {
-    let mut options = Options::new();
-    options.optopt("", "settings", "the settings file [environment: JUNIPERWING_CONFIG]", "FILE");
-    options.optopt("", "log-level", "error, warning, info or debug [default: info]", "LEVEL");
-    options.optopt("", "metrics", "where to tell figures, in place of what the settings name", "PORT/PATH");
-    options.optflag(
-        "",
-        "check",
-        "read the settings, say what is in them or what is wrong with them, and exit",
-    );
-    options.optflag("h", "help", "print this");
+    let options = options();
     let usage = options.usage(&format!("Usage: juniperwing {} [OPTIONS]", role.name()));
     let matches = match options.parse(arguments) {
         Ok(matches) if matches.free.is_empty() => matches,
@@ -51,13 +42,28 @@
     }
 }
 
-/// Tells what is wrong with the settings.
+/// The options of every role.
+fn options() -> Options {
+    let mut options = Options::new();
+    options.optopt("", "settings", "the settings file [environment: JUNIPERWING_CONFIG]", "FILE");
+    options.optopt("", "log-level", "error, warning, info or debug [default: info]", "LEVEL");
+    options.optopt("", "metrics", "where to tell figures, in place of what the settings name", "PORT/PATH");
+    options.optflag(
+        "",
+        "check",
+        "read the settings, say what is in them or what is wrong with them, and exit",
+    );
+    options.optflag("h", "help", "print this");
+    options
+}
+
+/// Prints why the settings are invalid.
 fn settings_error(role: Role, error: &SettingsError) -> ExitCode {
     eprintln!("juniperwing {}: {error}", role.name());
     ExitCode::from(2)
 }
 
-/// Prints what was understood, or what the role lacks.
+/// Prints a description of the settings, or the keys that the role lacks.
 fn check(role: Role, settings: &Settings) -> ExitCode {
     let missing = settings.missing_for(role);
     if missing.is_empty() {
@@ -79,7 +85,7 @@
         }
     };
     let code = runtime.block_on(serve_role(role, settings_file, metrics, level));
-    // A disk that answers nothing must not keep the process.
+    // An unresponsive disk must not delay the exit any longer.
     runtime.shutdown_timeout(DISK_SHUTDOWN_TIMEOUT);
     flush();
     code
@@ -88,7 +94,7 @@
 async fn serve_role(
     role: Role, settings_file: Option<PathBuf>, metrics: Option<String>, level: Level,
 ) -> ExitCode {
-    // First, so that a signal that comes while the settings are read is heeded.
+    // First, so that a signal that arrives while the settings are read is not missed.
     let signals = Signals::new();
     let mut settings = match Settings::read(settings_file.as_deref()) {
         Ok(settings) => settings,
@@ -97,7 +103,7 @@
     settings.metrics = metrics.or(settings.metrics);
     let log = logger(level, role.name(), &settings.node_name);
     install_fault_logging(&log);
-    let ended = match signals {
+    let result = match signals {
         Err(e) => Err(e),
         Ok(signals) => {
             let process = Process { settings, settings_file, log: log.clone(), signals };
@@ -108,10 +114,10 @@
             }
         }
     };
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            error!(log, "cannot go on"; "why" => e.to_string());
+            error!(log, "role failed"; "error" => e.to_string());
             ExitCode::FAILURE
         }
     }
@@ -127,7 +133,7 @@
     }
 }
 
-fn usage_error(why: &str, usage: &str) -> ExitCode {
-    eprintln!("juniperwing: {why}\n{usage}");
+fn usage_error(problem: &str, usage: &str) -> ExitCode {
+    eprintln!("juniperwing: {problem}\n{usage}");
     ExitCode::from(2)
 }
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -1,8 +1,9 @@
-//! SWIM membership among all processes of the tier, over UDP.
+//! SWIM membership of all processes of the tier, over UDP.
 //!
-//! Every role runs one [`Gossip`] on the number of its port for the tier's own messages. It learns which processes
-//! live and where keepers listen, beyond the seeds of the settings. The protocol is `juniperwing-membership`; this is
-//! its socket and its timer. Whether a store is lost is decided by its links, not here.
+//! Every role runs one [`Gossip`], on the UDP port with the number of its internal TCP port. It discovers which
+//! processes are alive and where keepers listen, beyond the seeds of the settings. The protocol is
+//! `juniperwing-membership`; this module adds its socket and its timer. Whether a store is lost is decided by its links,
+//! not here.
 
 mod view;
 
@@ -27,28 +28,28 @@
 use crate::settings::{Port, Settings};
 use crate::sync::lock;
 
-/// From one probe to the next. Losses that matter at once show on links, so that this can be rare.
+/// Interval between probes. Failures that matter at once are detected by links, so probes can be infrequent.
 const PROBE_INTERVAL: Span = Span::from_millis(1_000);
-/// How long a probe may take before other members are asked to help.
+/// Time-out of a direct probe, after which indirect probes are requested.
 const PROBE_TIMEOUT: Span = Span::from_millis(300);
-/// Datagrams that are read before the timer has its turn.
+/// Maximum number of datagrams read before the timer is checked.
 const MAX_DATAGRAMS_PER_BATCH: usize = 64;
-/// The pause after the socket has failed.
+/// Delay before the socket is read again after an error.
 const SOCKET_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Is told where live keepers listen, whenever that changes.
+/// Callback with the addresses of live keepers, called whenever they change.
 pub type KeepersObserver = Box<dyn Fn(Vec<SocketAddr>) + Send + Sync>;
 
-/// What a process tells of itself.
+/// Properties of this process that other members learn.
 #[derive(Clone, Copy, Debug)]
 pub struct LocalProcess {
-    /// Its role.
+    /// The role of the process.
     pub role: Role,
-    /// The identity of its data folder, if it has one.
+    /// The identity of its data directory, if it has one.
     pub disk: Option<DiskId>,
 }
 
-/// This process as a member; it ends when dropped.
+/// This process as a member; it stops when dropped, without leaving.
 pub struct Gossip {
     shared: Arc<Shared>,
     task: JoinHandle<()>,
@@ -57,7 +58,7 @@
 struct Shared {
     socket: Datagrams,
     state: Mutex<State>,
-    /// The time of the next tick is another one.
+    /// Notified when the time of the next tick has changed.
     wake_up_changed: Notify,
     observer: KeepersObserver,
     log: Logger,
@@ -70,19 +71,19 @@
 }
 
 impl Gossip {
-    /// Opens the socket and looks for the other members through the seeds.
+    /// Opens the socket and starts to join the other members through the seeds.
     ///
     /// # Errors
     ///
-    /// If the socket cannot be opened or the settings name no usable member.
+    /// If the socket cannot be opened or the settings do not describe a valid member.
     pub async fn start(
-        settings: &Settings, myself: LocalProcess, log: Logger, observer: KeepersObserver,
+        settings: &Settings, process: LocalProcess, log: Logger, observer: KeepersObserver,
     ) -> io::Result<Gossip> {
-        let me = member(settings, myself);
-        let socket = Datagrams::bind(me.gossip_address).await?;
-        let view = MemberView::new(&me.id);
+        let local_member = member(settings, process);
+        let socket = Datagrams::bind(local_member.gossip_address).await?;
+        let view = MemberView::new(&local_member.id);
         let membership_settings =
-            juniperwing_membership::Settings { local_member: me, seeds: seeds(settings), timings: timings() };
+            juniperwing_membership::Settings { local_member, seeds: seeds(settings), timings: timings() };
         let membership = Membership::new(now(), membership_settings, random()).map_err(io::Error::other)?;
         let state = Mutex::new(State { membership, wake_at: now(), view });
         let shared = Arc::new(Shared { socket, state, wake_up_changed: Notify::new(), observer, log });
@@ -90,23 +91,23 @@
         Ok(Gossip { shared, task })
     }
 
-    /// Takes the seeds of settings that have changed.
+    /// Applies the seeds of changed settings.
     pub fn reload(&self, settings: &Settings) {
         self.shared.handle(Event::SeedsChanged(seeds(settings)));
     }
 
-    /// Tells the others that this process ends.
+    /// Notifies other members that this process is shutting down.
     pub fn leave(&self) {
         self.shared.handle(Event::Leave);
         self.shared.lock().wake_at = Time::NEVER;
     }
 
-    /// Where live keepers listen, this process not counted.
+    /// The addresses of live keepers, this process excluded.
     pub fn keepers(&self) -> Vec<SocketAddr> {
         self.shared.lock().view.keepers().to_vec()
     }
 
-    /// The live relays of a zone, this process not counted.
+    /// The live relays of a zone, this process excluded.
     pub fn live_relays(&self, zone: &str) -> Vec<Member> {
         let state = self.shared.lock();
         view::live_members(&state.membership, Role::Relay)
@@ -124,22 +125,22 @@
 
 impl Shared {
     async fn run(self: Arc<Self>) {
-        // One byte more than allowed, so that what is too long shows.
+        // One byte more than allowed, so that oversized datagrams are recognized.
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
         loop {
-            let pause = duration(self.lock().wake_at.since(now()));
+            let delay = duration(self.lock().wake_at.since(now()));
             let readable = tokio::select! {
                 biased;
                 readable = self.socket.readable() => readable,
-                () = tokio::time::sleep(pause) => Ok(()),
+                () = tokio::time::sleep(delay) => Ok(()),
                 () = self.wake_up_changed.notified() => continue,
             };
-            // What waits in the socket is heard before anything counts as missing.
+            // Datagrams in the socket are handled before any ack counts as missing.
             if readable.and_then(|()| self.read_datagrams(&mut buffer)).is_err() {
                 tokio::time::sleep(SOCKET_RETRY_DELAY).await;
             }
-            let due = self.lock().wake_at <= now();
-            if due {
+            let is_due = self.lock().wake_at <= now();
+            if is_due {
                 self.handle(Event::Tick);
             }
         }
@@ -160,23 +161,23 @@
         let keepers = {
             let mut state = self.lock();
             let commands = state.membership.handle(now(), event);
-            let mut changed = false;
+            let mut has_changed = false;
             for command in commands {
-                changed |= self.execute(&mut state, command);
+                has_changed |= self.execute(&mut state, command);
             }
             let State { membership, view, .. } = &mut *state;
-            if changed && view.update_keepers(membership) { Some(view.keepers().to_vec()) } else { None }
+            if has_changed && view.update_keepers(membership) { Some(view.keepers().to_vec()) } else { None }
         };
         if let Some(keepers) = keepers {
             (self.observer)(keepers);
         }
     }
 
-    /// Returns whether a member has changed.
+    /// Executes a command of the state machine. Returns whether a member has changed.
     fn execute(&self, state: &mut State, command: Command) -> bool {
         match command {
             Command::Send { to, bytes } => {
-                // A datagram may be lost, here as well as under way.
+                // Datagrams may be lost, here as well as on the network.
                 let _ = self.socket.try_send_to(&bytes, to);
             }
             Command::Changed { member, status } => {
@@ -188,10 +189,10 @@
                 self.wake_up_changed.notify_one();
             }
             Command::Rejected { from, reason } => {
-                debug!(self.log, "datagram refused"; "from" => %from, "why" => %reason);
+                debug!(self.log, "datagram rejected"; "from" => %from, "error" => %reason);
             }
             Command::Conflict { duplicate } => {
-                warn!(self.log, "another process has this one's name";
+                warn!(self.log, "node name in use by another process";
                     "node" => %duplicate.id.node, "role" => ?duplicate.id.role, "address" => %duplicate.address);
             }
         }
@@ -203,15 +204,15 @@
     }
 }
 
-fn member(settings: &Settings, myself: LocalProcess) -> Member {
-    let address = settings.own_address(port(myself.role));
+fn member(settings: &Settings, process: LocalProcess) -> Member {
+    let address = settings.own_address(port(process.role));
     Member {
-        id: MemberId { node: NodeName::from(settings.node_name.as_str()), role: myself.role },
+        id: MemberId { node: NodeName::from(settings.node_name.as_str()), role: process.role },
         run_id: RunId(random()),
         zone: settings.zone.as_str().into(),
         gossip_address: address,
         address,
-        disk: myself.disk,
+        disk: process.disk,
     }
 }
 
--- a/crates/node/src/gossip/view.rs
+++ b/crates/node/src/gossip/view.rs
@@ -1,4 +1,4 @@
-//! What a process makes of the members that it knows.
+//! A process's view of the other members: the live keepers, and deaths that were logged.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -6,17 +6,17 @@
 use juniperwing_membership::{Member, MemberId, Membership, Role, Status};
 use slog::{Logger, info};
 
-/// The most keepers that are told to others of this process; more than ever vote.
+/// Maximum number of keepers reported to the observer; more than ever vote.
 const MAX_KEEPERS: usize = 32;
 
-/// The keepers found, and whom the log holds for dead.
+/// The live keepers, and the members whose death was logged.
 pub(super) struct MemberView {
     local_id: MemberId,
     keepers: Vec<SocketAddr>,
     logged_dead: HashSet<MemberId>,
 }
 
-/// Live members of a role.
+/// The live members of a role.
 pub(super) fn live_members(membership: &Membership, role: Role) -> impl Iterator<Item = &Member> {
     membership
         .members()
@@ -25,37 +25,37 @@
 }
 
 impl MemberView {
-    pub(super) fn new(me: &MemberId) -> MemberView {
-        MemberView { local_id: me.clone(), keepers: Vec::new(), logged_dead: HashSet::new() }
+    pub(super) fn new(local_id: &MemberId) -> MemberView {
+        MemberView { local_id: local_id.clone(), keepers: Vec::new(), logged_dead: HashSet::new() }
     }
 
-    /// Where live keepers listen, in order of their addresses.
+    /// The addresses of live keepers, sorted.
     pub(super) fn keepers(&self) -> &[SocketAddr] {
         &self.keepers
     }
 
-    /// Looks for the keepers again; whether they are others than before.
+    /// Updates the keepers from the membership. Returns whether they have changed.
     pub(super) fn update_keepers(&mut self, membership: &Membership) -> bool {
         let others = live_members(membership, Role::Keeper).filter(|member| member.id != self.local_id);
         let mut keepers: Vec<SocketAddr> = others.map(|member| member.address).collect();
         keepers.sort_unstable();
         keepers.dedup();
         keepers.truncate(MAX_KEEPERS);
-        let changed = keepers != self.keepers;
+        let has_changed = keepers != self.keepers;
         self.keepers = keepers;
-        changed
+        has_changed
     }
 
-    /// Logs a death and a return, except at relays, of which there are many.
+    /// Logs the death and the return of a member, except on relays, of which there are many.
     pub(super) fn log_change(&mut self, log: &Logger, member: &Member, status: Status) {
         if self.local_id.role == Role::Relay {
             return;
         }
         if status == Status::Dead {
             self.logged_dead.insert(member.id.clone());
-            info!(log, "member dead"; "member" => %member.id.node, "its role" => ?member.id.role);
+            info!(log, "member declared dead"; "member" => %member.id.node, "member_role" => ?member.id.role);
         } else if self.logged_dead.remove(&member.id) && status.is_live() {
-            info!(log, "member back"; "member" => %member.id.node, "its role" => ?member.id.role);
+            info!(log, "member alive again"; "member" => %member.id.node, "member_role" => ?member.id.role);
         }
     }
 }
--- a/crates/node/src/host.rs
+++ b/crates/node/src/host.rs
@@ -1,7 +1,7 @@
-//! The machine that a process runs on: its clocks, its randomness, its sockets and its disk.
+//! Clocks, random numbers, sockets and disk of a process: those of the operating system, or simulated ones.
 //!
-//! A process uses those of the operating system. On a thread that has entered a simulated [`Host`] it uses that
-//! one's instead: the same code then runs in virtual time, and the same seed gives the same run.
+//! On a thread for which [`simulate`] was called, a process uses those of the given [`Host`]: the same code then runs in
+//! virtual time, and the same seed gives the same run.
 
 mod datagrams;
 mod listener;
@@ -26,24 +26,24 @@
 pub use self::listener::Listener;
 pub use self::stream::{ReadHalf, Stream, WriteHalf};
 
-/// A write to the disk that takes longer is told in the log.
+/// Disk writes that take at least this long are logged.
 const SLOW_WRITE_THRESHOLD: Duration = Duration::from_millis(300);
 
-/// What a simulated call will come to.
+/// The result of a simulated asynchronous call.
 pub type IoFuture<'call, T> = Pin<Box<dyn Future<Output = io::Result<T>> + Send + 'call>>;
 
 /// A simulated machine.
 pub trait Host: Debug + Send + Sync {
-    /// Now on the steady clock.
+    /// The monotonic time.
     fn now(&self) -> Time;
 
-    /// The time of day in milliseconds since 1970.
+    /// Wall-clock time in milliseconds since the Unix epoch.
     fn unix_time_ms(&self) -> u64;
 
-    /// The next number of the machine's own sequence.
+    /// The next random number of the machine.
     fn random(&self) -> u64;
 
-    /// Opens a socket for connections.
+    /// Opens a listening socket.
     ///
     /// # Errors
     ///
@@ -53,34 +53,34 @@
     /// Opens a connection.
     fn connect(&self, address: SocketAddr) -> IoFuture<'static, SimulatedStream>;
 
-    /// Opens a socket for datagrams.
+    /// Opens a datagram socket.
     ///
     /// # Errors
     ///
     /// If the address is in use.
     fn bind(&self, address: SocketAddr) -> io::Result<Arc<dyn SimulatedDatagrams>>;
 
-    /// Its disk.
+    /// The file system of the machine.
     fn disk(&self) -> Arc<dyn FileSystem>;
 
-    /// How long the calls to the disk took that were made since this was last asked.
+    /// The virtual time that disk calls have taken since the last call of this method.
     fn take_disk_time(&self) -> Duration;
 
-    /// Whether calls to the disk take their time by themselves, and so are made on a thread of their own.
+    /// Whether disk calls block in real time, so that they must be made on a separate thread.
     fn uses_disk_thread(&self) -> bool {
         false
     }
 }
 
-/// A simulated socket that accepts connections.
+/// A simulated listening socket.
 pub trait SimulatedListener: Debug + Send + Sync {
-    /// The next connection.
+    /// Accepts the next connection.
     fn accept(&self) -> IoFuture<'_, SimulatedStream>;
 }
 
-/// A simulated socket for datagrams.
+/// A simulated datagram socket.
 pub trait SimulatedDatagrams: Debug + Send + Sync {
-    /// Returns when there is a datagram to receive.
+    /// Waits until there is a datagram to receive.
     fn readable(&self) -> IoFuture<'_, ()>;
 
     /// See [`tokio::net::UdpSocket::try_recv_from`].
@@ -100,90 +100,89 @@
 
 /// One end of a simulated connection.
 pub struct SimulatedStream {
-    /// The other end.
+    /// The address of the peer.
     pub peer: SocketAddr,
-    /// Where bytes come from.
+    /// The reading half.
     pub reader: Box<dyn tokio::io::AsyncRead + Send + Unpin>,
-    /// Where bytes go.
+    /// The writing half.
     pub writer: Box<dyn SimulatedWriter>,
 }
 
 /// The writing half of a simulated connection.
 pub trait SimulatedWriter: tokio::io::AsyncWrite + Send + Unpin {
-    /// The connection breaks when bytes stay unacknowledged for this long.
-    fn set_user_timeout(&mut self, time_out: Duration);
+    /// Sets how long sent bytes may stay unacknowledged before the connection is closed.
+    fn set_user_timeout(&mut self, user_timeout: Duration);
 }
 
 thread_local! {
     static SIMULATED: RefCell<Option<Arc<dyn Host>>> = const { RefCell::new(None) };
 }
 
-/// As long as it lives, this thread is a simulated machine; it is used by simulations only.
+/// Guard of [`simulate`]: the thread uses the simulated machine until it is dropped.
 #[derive(Debug)]
 pub struct SimulationGuard {
-    before: Option<Arc<dyn Host>>,
-    _disk: juniperwing_storage::file_system::SimulationGuard,
+    previous: Option<Arc<dyn Host>>,
+    _file_system: juniperwing_storage::file_system::SimulationGuard,
 }
 
-/// Makes this thread a simulated machine until the guard is dropped.
+/// Has this thread use a simulated machine until the guard is dropped. For simulations only.
 #[must_use]
 pub fn simulate(host: Arc<dyn Host>) -> SimulationGuard {
-    let disk = juniperwing_storage::file_system::simulate(host.disk());
-    SimulationGuard { before: SIMULATED.replace(Some(host)), _disk: disk }
+    let file_system = juniperwing_storage::file_system::simulate(host.disk());
+    SimulationGuard { previous: SIMULATED.replace(Some(host)), _file_system: file_system }
 }
 
 impl Drop for SimulationGuard {
     fn drop(&mut self) {
-        SIMULATED.set(self.before.take());
+        SIMULATED.set(self.previous.take());
     }
 }
 
-/// The simulated machine that this thread is, if it is one.
+/// The simulated machine of this thread, if there is one.
 pub(crate) fn simulated_host() -> Option<Arc<dyn Host>> {
     SIMULATED.with_borrow(Clone::clone)
 }
 
-/// An error with the address at which it came up.
+/// Adds the address to the message of an error.
 pub(crate) fn with_address(address: SocketAddr, error: &io::Error) -> io::Error {
     io::Error::new(error.kind(), format!("{address}: {error}"))
 }
 
-/// Writes to the disk without holding up the process, and tells the log of writes that take long: whoever waits for
-/// one may have given up.
+/// Runs a disk write without blocking the process, and logs slow writes, whose callers may have timed out.
 ///
 /// # Errors
 ///
-/// If the work panicked.
+/// If `work` panicked.
 pub(crate) async fn run_disk_write<T: Send + 'static>(
     log: &Logger, work: impl FnOnce() -> T + Send + 'static,
 ) -> Result<T, JoinError> {
-    let began = Instant::now();
-    let done = run_disk_work(work).await;
-    let took = began.elapsed();
-    if took >= SLOW_WRITE_THRESHOLD {
-        warn!(log, "the disk is slow"; "took_ms" => took.as_millis() as u64);
+    let started_at = Instant::now();
+    let result = run_disk_work(work).await;
+    let elapsed = started_at.elapsed();
+    if elapsed >= SLOW_WRITE_THRESHOLD {
+        warn!(log, "disk write slow"; "duration_ms" => elapsed.as_millis() as u64);
     }
-    done
+    result
 }
 
-/// Does work that waits for the disk without holding up the process.
+/// Runs work that waits for the disk without blocking the process.
 ///
 /// # Errors
 ///
-/// If the work panicked.
+/// If `work` panicked.
 pub(crate) async fn run_disk_work<T: Send + 'static>(
     work: impl FnOnce() -> T + Send + 'static,
 ) -> Result<T, JoinError> {
     let Some(host) = simulated_host() else { return tokio::task::spawn_blocking(work).await };
     if host.uses_disk_thread() {
         let disk = host.disk();
-        let on_that_disk = move || {
-            let _entered = juniperwing_storage::file_system::simulate(disk);
+        let simulated_work = move || {
+            let _guard = juniperwing_storage::file_system::simulate(disk);
             work()
         };
-        return tokio::task::spawn_blocking(on_that_disk).await;
+        return tokio::task::spawn_blocking(simulated_work).await;
     }
-    let done = work();
+    let result = work();
     tokio::time::sleep(host.take_disk_time()).await;
-    Ok(done)
+    Ok(result)
 }
--- a/crates/node/src/host/datagrams.rs
+++ b/crates/node/src/host/datagrams.rs
@@ -1,4 +1,4 @@
-//! Sockets for datagrams.
+//! Datagram sockets, real or simulated.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,12 +8,12 @@
 
 use super::{SimulatedDatagrams, simulated_host, with_address};
 
-/// A socket for datagrams.
+/// A datagram socket.
 #[derive(Debug)]
 pub enum Datagrams {
-    /// Of the operating system.
+    /// A socket of the operating system.
     Udp(UdpSocket),
-    /// Of a simulated network.
+    /// A socket of a simulated network.
     Simulated(Arc<dyn SimulatedDatagrams>),
 }
 
@@ -31,7 +31,7 @@
         socket.map_err(|error| with_address(address, &error))
     }
 
-    /// Returns when there may be a datagram to receive.
+    /// Waits until there may be a datagram to receive.
     ///
     /// # Errors
     ///
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Receives a datagram that is there.
+    /// Receives a datagram without waiting.
     ///
     /// # Errors
     ///
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Sends a datagram.
+    /// Sends a datagram without waiting.
     ///
     /// # Errors
     ///
--- a/crates/node/src/host/listener.rs
+++ b/crates/node/src/host/listener.rs
@@ -1,4 +1,4 @@
-//! Sockets that accept connections.
+//! Listening sockets, real or simulated.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,12 +8,12 @@
 
 use super::{SimulatedListener, Stream, simulated_host, with_address};
 
-/// A socket that accepts connections.
+/// A listening socket.
 #[derive(Debug)]
 pub enum Listener {
-    /// Of the operating system.
+    /// A socket of the operating system.
     Tcp(TcpListener),
-    /// Of a simulated network.
+    /// A socket of a simulated network.
     Simulated(Arc<dyn SimulatedListener>),
 }
 
@@ -37,11 +37,11 @@
         listener.map_err(|error| with_address(address, &error))
     }
 
-    /// The next connection.
+    /// Accepts the next connection.
     ///
     /// # Errors
     ///
-    /// If there is none by a failure, for instance since no descriptor is free.
+    /// If accepting fails, for instance since no file descriptor is free.
     pub async fn accept(&self) -> io::Result<Stream> {
         match self {
             Listener::Tcp(listener) => Ok(Stream::Tcp(listener.accept().await?.0)),
--- a/crates/node/src/host/stream.rs
+++ b/crates/node/src/host/stream.rs
@@ -1,4 +1,4 @@
-//! Connections.
+//! Connections, real or simulated.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,27 +12,27 @@
 
 use super::{SimulatedStream, SimulatedWriter, simulated_host};
 
-/// A connection.
+/// A TCP connection.
 pub enum Stream {
-    /// Of the operating system.
+    /// A connection of the operating system.
     Tcp(TcpStream),
-    /// Of a simulated network.
+    /// A connection of a simulated network.
     Simulated(SimulatedStream),
 }
 
 /// The reading half of a connection.
 pub enum ReadHalf {
-    /// Of the operating system.
+    /// A connection of the operating system.
     Tcp(OwnedReadHalf),
-    /// Of a simulated network.
+    /// A connection of a simulated network.
     Simulated(Box<dyn AsyncRead + Send + Unpin>),
 }
 
 /// The writing half of a connection.
 pub enum WriteHalf {
-    /// Of the operating system.
+    /// A connection of the operating system.
     Tcp(OwnedWriteHalf),
-    /// Of a simulated network.
+    /// A connection of a simulated network.
     Simulated(Box<dyn SimulatedWriter>),
 }
 
@@ -43,11 +43,11 @@
 }
 
 impl Stream {
-    /// Opens a connection that breaks when bytes stay unacknowledged for `user_timeout`.
+    /// Opens a connection that is closed when sent bytes stay unacknowledged for `user_timeout`.
     ///
     /// # Errors
     ///
-    /// If it does not come up.
+    /// If the connection cannot be established.
     pub async fn connect(address: SocketAddr, user_timeout: Duration) -> io::Result<Stream> {
         if let Some(host) = simulated_host() {
             let mut stream = host.connect(address).await?;
@@ -59,11 +59,11 @@
         Ok(Stream::Tcp(socket.connect(address).await?))
     }
 
-    /// The other end.
+    /// The address of the peer.
     ///
     /// # Errors
     ///
-    /// If the connection is gone.
+    /// If the connection is closed.
     pub fn peer_addr(&self) -> io::Result<SocketAddr> {
         match self {
             Stream::Tcp(stream) => stream.peer_addr(),
@@ -71,11 +71,12 @@
         }
     }
 
-    /// Sends small writes at once, and breaks when bytes stay unacknowledged for `user_timeout`.
+    /// Disables the delay of small writes, and sets how long sent bytes may stay unacknowledged before the connection
+    /// is closed.
     ///
     /// # Errors
     ///
-    /// If the connection is gone.
+    /// If the connection is closed.
     pub fn configure(&mut self, user_timeout: Duration) -> io::Result<()> {
         match self {
             Stream::Tcp(stream) => {
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Splits it into its halves.
+    /// Splits the connection into its halves.
     pub fn into_split(self) -> (ReadHalf, WriteHalf) {
         match self {
             Stream::Tcp(stream) => {
@@ -151,7 +152,7 @@
     }
 }
 
-/// Forwards every call to the writer that `$inner` gives.
+/// Implements `AsyncWrite` by the writer that `$inner` returns.
 macro_rules! forward_writes {
     ($kind:ty, $inner:ident) => {
         impl AsyncWrite for $kind {
--- a/crates/node/src/link.rs
+++ b/crates/node/src/link.rs
@@ -1,8 +1,8 @@
-//! Links: TCP connections between processes of the tier that carry envelopes both ways.
+//! Links: TCP connections between processes of the tier that carry envelopes in both directions.
 //!
-//! The connecting end sends a ping when it has heard nothing for [`PING_AFTER`], and either end does while it has
-//! read only a part of an envelope for so long; either end gives the link up when it has heard nothing for
-//! [`DEAD_AFTER`]. A link that is given up fails all its open calls.
+//! The end that opened the connection sends a ping when it has received nothing for [`PING_INTERVAL`]; either end does so
+//! while it has received only part of an envelope for that long. Either end closes the link when it has received
+//! nothing for [`LINK_TIMEOUT`]. Closing a link fails all its pending calls.
 
 mod connection;
 mod pool;
@@ -13,11 +13,11 @@
 
 use std::time::Duration;
 
-/// Silence after which the connecting end pings.
+/// Time without received bytes after which the connecting end sends a ping.
 pub const PING_INTERVAL: Duration = Duration::from_millis(200);
-/// Silence after which a link counts as dead.
+/// Time without received bytes after which a link is closed.
 pub const LINK_TIMEOUT: Duration = Duration::from_millis(700);
-/// How long a connection may take to come up.
+/// Time-out for establishing a connection.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Bytes that may wait to be written on one link; more means that the other end does not read.
+/// Maximum number of bytes queued for writing on a link; more means that the peer does not read.
 pub const MAX_QUEUED_BYTES: usize = 64 << 20;
--- a/crates/node/src/link/connection.rs
+++ b/crates/node/src/link/connection.rs
@@ -1,4 +1,4 @@
-//! One link: its reader, its writer and its open calls.
+//! One link: its reader, its writer and its pending calls.
 
 use std::collections::HashMap;
 use std::io;
@@ -17,33 +17,34 @@
 use crate::host::{Listener, ReadHalf, Stream, WriteHalf};
 use crate::sync::lock;
 
+/// Initial size of the read buffer, in bytes.
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// What a process does with the messages that reach it.
+/// Handler of the messages that a process receives over its links.
 pub trait Service: Send + Sync + 'static {
-    /// A message came. Where the sender waits for an answer, `reply` takes it, now or later.
+    /// Handles a message. If the sender waits for a reply, it is sent through `reply`, now or later.
     fn handle_message(&self, link: &Link, message: Message, reply: ReplySender);
 
-    /// A link is no more.
+    /// Handles the closing of a link.
     fn handle_closed(&self, link: &Link) {
         let _ = link;
     }
 }
 
-/// Tells the links of one process apart.
+/// Identifies a link; unique within a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkId(u64);
 
-/// Why a call has no answer.
+/// Why a call has no reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum CallError {
-    /// No connection came up: the call was not sent.
+    /// No connection could be established: the call was not sent.
     #[snafu(display("no connection"))]
     NotConnected,
-    /// The link broke: the call may have been handled.
+    /// The link was closed: the call may have been handled.
     #[snafu(display("the link broke"))]
     LinkClosed,
-    /// No answer in time: the call may have been handled.
+    /// No reply was received in time: the call may have been handled.
     #[snafu(display("no answer in time"))]
     TimedOut,
 }
@@ -65,14 +66,14 @@
     pending_calls: Mutex<HashMap<CallId, oneshot::Sender<Message>>>,
 }
 
-/// The place for the answer to a message; without a caller it is dropped silently.
+/// Sends the reply to a message; the reply is dropped if the message was not a call.
 pub struct ReplySender {
     link: Link,
     call: CallId,
 }
 
 impl ReplySender {
-    /// Answers.
+    /// Sends the reply.
     pub fn send(self, message: Message) {
         if self.call != CallId::default() {
             self.link.enqueue(&Envelope { call: self.call, is_reply: true, message });
@@ -81,12 +82,14 @@
 }
 
 impl Link {
-    /// Runs a link over a connection that has come up. `connecting` is whether this end opened it.
+    /// Runs a link over an established connection; `is_initiator` says whether this end opened it.
     ///
     /// # Errors
     ///
-    /// If the connection is gone already.
-    pub fn start(stream: impl Into<Stream>, connecting: bool, service: Arc<dyn Service>) -> io::Result<Link> {
+    /// If the connection is closed already.
+    pub fn start(
+        stream: impl Into<Stream>, is_initiator: bool, service: Arc<dyn Service>,
+    ) -> io::Result<Link> {
         static NEXT: AtomicU64 = AtomicU64::new(1);
         let mut stream = stream.into();
         let peer = stream.peer_addr()?;
@@ -105,37 +108,37 @@
         };
         let (reader, writer) = stream.into_split();
         tokio::spawn(run_writer(link.clone(), writer));
-        tokio::spawn(run_reader(link.clone(), reader, connecting, service));
+        tokio::spawn(run_reader(link.clone(), reader, is_initiator, service));
         Ok(link)
     }
 
-    /// Tells this link from others.
+    /// The identity of the link.
     pub fn id(&self) -> LinkId {
         self.shared.id
     }
 
-    /// The other end.
+    /// The address of the peer.
     pub fn peer(&self) -> SocketAddr {
         self.shared.peer
     }
 
-    /// Whether it is given up.
+    /// Whether the link is closed.
     pub fn is_closed(&self) -> bool {
         self.shared.is_closed.load(Ordering::Relaxed)
     }
 
-    /// Waits until it is given up.
+    /// Waits until the link is closed.
     pub async fn wait_closed(&self) {
-        let ended = self.shared.closed.notified();
-        tokio::pin!(ended);
-        // Registered before the check, so that an end between the two is not missed.
-        ended.as_mut().enable();
+        let closed = self.shared.closed.notified();
+        tokio::pin!(closed);
+        // Registered before the check, so that closing between the two is not missed.
+        closed.as_mut().enable();
         if !self.is_closed() {
-            ended.await;
+            closed.await;
         }
     }
 
-    /// Gives it up.
+    /// Closes the link and fails its pending calls.
     pub fn close(&self) {
         if !self.shared.is_closed.swap(true, Ordering::Relaxed) {
             lock(&self.shared.pending_calls).clear();
@@ -144,17 +147,17 @@
         }
     }
 
-    /// Sends a message that nobody answers. It is lost if the link breaks.
+    /// Sends a message without a reply. It is lost if the link is closed.
     pub fn send(&self, message: Message) {
         self.enqueue(&Envelope { call: CallId::default(), is_reply: false, message });
     }
 
-    /// Sends a message and waits for its answer.
+    /// Sends a message and waits for the reply, for `call_timeout` at most.
     ///
     /// # Errors
     ///
-    /// If the link breaks or the time is over; the message may have been handled all the same.
-    pub async fn call(&self, message: Message, within: Duration) -> Result<Message, CallError> {
+    /// If the link is closed or the call times out; the message may have been handled nevertheless.
+    pub async fn call(&self, message: Message, call_timeout: Duration) -> Result<Message, CallError> {
         let call = CallId(self.shared.next_call.fetch_add(1, Ordering::Relaxed));
         let (sender, receiver) = oneshot::channel();
         lock(&self.shared.pending_calls).insert(call, sender);
@@ -162,11 +165,11 @@
             lock(&self.shared.pending_calls).remove(&call);
             return Err(CallError::LinkClosed);
         }
-        // Also when this future is dropped, the call must not stay in the table.
+        // The call must not stay in the table when this future is dropped.
         let _guard = PendingCallGuard { link: self, call };
         self.enqueue(&Envelope { call, is_reply: false, message });
-        match timeout(within, receiver).await {
-            Ok(Ok(answer)) => Ok(answer),
+        match timeout(call_timeout, receiver).await {
+            Ok(Ok(reply)) => Ok(reply),
             Ok(Err(_)) => Err(CallError::LinkClosed),
             Err(_) => Err(CallError::TimedOut),
         }
@@ -177,12 +180,12 @@
             return;
         }
         let Ok(bytes) = envelope.encode() else { return self.close() };
-        let waiting = {
+        let queued_bytes = {
             let mut outgoing = lock(&self.shared.outgoing);
             outgoing.extend_from_slice(&bytes);
             outgoing.len()
         };
-        if waiting > MAX_QUEUED_BYTES {
+        if queued_bytes > MAX_QUEUED_BYTES {
             return self.close();
         }
         self.shared.wake_writer.notify_one();
@@ -195,7 +198,7 @@
             }
             message if envelope.is_reply => {
                 if let Some(caller) = lock(&self.shared.pending_calls).remove(&envelope.call) {
-                    // A caller that no longer waits has dropped its end.
+                    // The caller may have stopped waiting.
                     let _ = caller.send(message);
                 }
             }
@@ -206,6 +209,7 @@
     }
 }
 
+/// Removes a pending call when dropped.
 struct PendingCallGuard<'link> {
     link: &'link Link,
     call: CallId,
@@ -217,19 +221,20 @@
     }
 }
 
-/// Accepts links until the listener fails.
+/// Accepts links at a listener; never returns.
 pub async fn serve(listener: impl Into<Listener>, service: Arc<dyn Service>) {
-    const PAUSE_AFTER_FAILURE: Duration = Duration::from_millis(50);
+    const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
     let listener = listener.into();
     loop {
         match listener.accept().await {
-            // A connection that is gone already needs no answer.
+            // The connection may be closed already.
             Ok(stream) => drop(Link::start(stream, false, Arc::clone(&service))),
-            Err(_) => tokio::time::sleep(PAUSE_AFTER_FAILURE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
+/// Writes queued envelopes until the link is closed.
 async fn run_writer(link: Link, mut writer: WriteHalf) {
     loop {
         let bytes = std::mem::take(&mut *lock(&link.shared.outgoing));
@@ -251,50 +256,52 @@
     }
 }
 
-async fn run_reader(link: Link, mut reader: ReadHalf, connecting: bool, service: Arc<dyn Service>) {
+/// Reads and dispatches envelopes until the link is closed.
+async fn run_reader(link: Link, mut reader: ReadHalf, is_initiator: bool, service: Arc<dyn Service>) {
     let mut buffer = Vec::with_capacity(READ_BUFFER_BYTES);
-    let mut heard = Instant::now();
-    let mut pinged = Instant::now();
+    let mut last_received_at = Instant::now();
+    let mut last_ping_at = Instant::now();
     loop {
         // The accepting end only waits; the connecting end wakes up to ping.
-        let wake = if connecting { Instant::now() + PING_INTERVAL } else { heard + LINK_TIMEOUT };
+        let wake_at =
+            if is_initiator { Instant::now() + PING_INTERVAL } else { last_received_at + LINK_TIMEOUT };
         let received = tokio::select! {
             biased;
             () = link.wait_closed() => break,
-            received = timeout_at(wake, reader.read_buf(&mut buffer)) => received,
+            received = timeout_at(wake_at, reader.read_buf(&mut buffer)) => received,
         };
         match received {
             Ok(Ok(0) | Err(_)) => break,
-            Ok(Ok(_)) => heard = Instant::now(),
-            Err(_) if heard.elapsed() >= LINK_TIMEOUT => break,
+            Ok(Ok(_)) => last_received_at = Instant::now(),
+            Err(_) if last_received_at.elapsed() >= LINK_TIMEOUT => break,
             Err(_) => link.send(Message::Ping),
         }
         if !dispatch_envelopes(&link, &mut buffer, &service) {
             break;
         }
-        // Whoever sends a large envelope over a slow link hears for as long that it is being read.
-        if !buffer.is_empty() && pinged.elapsed() >= PING_INTERVAL {
+        // A peer that sends a large envelope over a slow link must receive something meanwhile.
+        if !buffer.is_empty() && last_ping_at.elapsed() >= PING_INTERVAL {
             link.send(Message::Ping);
-            pinged = Instant::now();
+            last_ping_at = Instant::now();
         }
     }
     link.close();
     service.handle_closed(&link);
 }
 
-/// Hands on every whole envelope; `false` if the bytes are none.
+/// Dispatches every complete envelope; returns `false` if the bytes are invalid.
 fn dispatch_envelopes(link: &Link, buffer: &mut Vec<u8>, service: &Arc<dyn Service>) -> bool {
-    let mut taken = 0;
-    let intact = loop {
-        match Envelope::decode(&buffer[taken..]) {
+    let mut consumed = 0;
+    let is_valid = loop {
+        match Envelope::decode(&buffer[consumed..]) {
             Ok(Some((envelope, bytes))) => {
-                taken += bytes;
+                consumed += bytes;
                 link.dispatch(envelope, service);
             }
             Ok(None) => break true,
             Err(_) => break false,
         }
     };
-    buffer.drain(..taken);
-    intact
+    buffer.drain(..consumed);
+    is_valid
 }
--- a/crates/node/src/link/pool.rs
+++ b/crates/node/src/link/pool.rs
@@ -1,4 +1,4 @@
-//! Links to other processes, opened when they are first needed.
+//! Pool of links to other processes, opened on demand.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,27 +15,27 @@
 
 type Slot = Arc<tokio::sync::Mutex<Option<Link>>>;
 
-/// One link for each process that this one talks to.
+/// One link per process that this one sends messages to.
 pub struct LinkPool {
     service: Arc<dyn Service>,
     slots: Mutex<HashMap<SocketAddr, Slot>>,
 }
 
 impl LinkPool {
-    /// A pool whose links hand what the other ends send to `service`.
+    /// A pool whose links pass received messages to `service`.
     pub fn new(service: Arc<dyn Service>) -> Self {
         LinkPool { service, slots: Mutex::default() }
     }
 
-    /// The link to a process, which comes up if there is none.
+    /// The link to a process; it is opened if there is none.
     ///
     /// # Errors
     ///
-    /// [`CallError::NotConnected`] if it does not come up in time.
+    /// [`CallError::NotConnected`] if it cannot be opened in time.
     pub async fn link(&self, address: SocketAddr) -> Result<Link, CallError> {
         let slot = {
             let mut slots = lock(&self.slots);
-            // A process is known by its address; those gone leave an empty slot, dropped here.
+            // Slots are keyed by address; those of closed links that nobody uses are removed here.
             slots.retain(|known, slot| {
                 *known == address
                     || Arc::strong_count(slot) > 1
@@ -54,24 +54,24 @@
         Ok(link)
     }
 
-    /// Calls a process and waits for its answer; opening the connection counts in.
+    /// Calls a process and waits for its reply, for `call_timeout` at most, including the time to open a link.
     ///
     /// # Errors
     ///
-    /// If there is no answer; the error tells whether the call may have been handled.
+    /// If there is no reply; the error says whether the call may have been handled.
     pub async fn call(
-        &self, address: SocketAddr, message: Message, within: Duration,
+        &self, address: SocketAddr, message: Message, call_timeout: Duration,
     ) -> Result<Message, CallError> {
-        let begun = tokio::time::Instant::now();
-        let link = timeout(within, self.link(address)).await.map_err(|_| CallError::NotConnected)??;
-        link.call(message, within.saturating_sub(begun.elapsed())).await
+        let started_at = tokio::time::Instant::now();
+        let link = timeout(call_timeout, self.link(address)).await.map_err(|_| CallError::NotConnected)??;
+        link.call(message, call_timeout.saturating_sub(started_at.elapsed())).await
     }
 
-    /// Sends a message that nobody answers.
+    /// Sends a message without a reply.
     ///
     /// # Errors
     ///
-    /// If no connection comes up.
+    /// If no link can be opened.
     pub async fn send(&self, address: SocketAddr, message: Message) -> Result<(), CallError> {
         self.link(address).await?.send(message);
         Ok(())
@@ -82,7 +82,7 @@
     slot.as_ref().is_some_and(|link| !link.is_closed())
 }
 
-/// Opens a connection; `None` if it does not come up in time.
+/// Opens a connection; `None` if it cannot be established in time.
 pub(crate) async fn connect(address: SocketAddr) -> Option<Stream> {
     timeout(CONNECT_TIMEOUT, Stream::connect(address, LINK_TIMEOUT)).await.ok()?.ok()
 }
--- a/crates/node/src/local.rs
+++ b/crates/node/src/local.rs
@@ -1,6 +1,6 @@
-//! A tier on one machine: `juniperwing local` starts the roles of a folder of settings as child processes.
+//! The command `juniperwing local`: a tier on one machine, with each role as a child process.
 //!
-//! As the platform would, it starts a role again that ends by itself, passes SIGHUP on, and ends all by SIGTERM.
+//! Like the platform it restarts a role that exits by itself, forwards SIGHUP, and terminates all roles by SIGTERM.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -18,11 +18,11 @@
 use crate::role::Role;
 use crate::signals::{ShutdownOrReload, Signals};
 
-/// A role that ends by itself sooner than this after its first start has settings that cannot be used.
+/// A role that exits by itself within this time after its first start is taken to have invalid settings.
 const MIN_FIRST_RUN: Duration = Duration::from_secs(2);
-/// The pause before a role that has ended is started again.
+/// Delay before a role that has exited is restarted.
 const RESTART_DELAY: Duration = Duration::from_secs(1);
-/// Roles in one folder at most.
+/// Maximum number of roles in a directory.
 const MAX_ROLES: usize = 64;
 const USAGE: &str = "\
 Usage: juniperwing local FOLDER [--log-level LEVEL]
@@ -34,20 +34,20 @@
 /// Why the tier cannot be started.
 #[derive(Debug, Snafu)]
 pub enum LocalError {
-    /// The folder or a file in it cannot be read.
+    /// The directory or a file in it cannot be read.
     #[snafu(display("reading {}: {source}", path.display()))]
     Unreadable {
-        /// The folder or file.
+        /// The directory or file.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A file names no role.
+    /// A file names no role or is not valid TOML.
     #[snafu(display("{}: {source}", path.display()))]
     Malformed {
         /// The file.
         path: PathBuf,
-        /// What the parser says.
+        /// The error of the parser.
         source: toml::de::Error,
     },
     /// A file names a role that does not exist.
@@ -55,39 +55,39 @@
     UnknownRole {
         /// The file.
         path: PathBuf,
-        /// What it names.
+        /// The name given in the file.
         role: String,
     },
-    /// There is nothing to start, or too much.
+    /// The directory holds no settings files, or too many.
     #[snafu(display("{}: {count} settings files; there must be 1 to {MAX_ROLES}", folder.display()))]
     SettingsFileCount {
-        /// The folder.
+        /// The directory.
         folder: PathBuf,
-        /// How many there are.
+        /// The number of settings files.
         count: usize,
     },
 }
 
-/// The part of a settings file that says which role it is for.
+/// The key of a settings file that names its role.
 #[derive(Deserialize)]
 struct RoleSetting {
     role: String,
 }
 
-/// A role to be started.
+/// A role to start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LocalRole {
-    /// Which.
+    /// The role.
     pub role: Role,
-    /// Its settings.
+    /// Its settings file.
     pub settings_file: PathBuf,
 }
 
-/// The roles of a folder, in the order of their files' names.
+/// Reads the roles of a directory, in the order of their file names.
 ///
 /// # Errors
 ///
-/// If the folder holds no settings, or a file names no role.
+/// If the directory holds no settings, or a file names no role.
 pub fn read_roles(folder: &Path) -> Result<Vec<LocalRole>, LocalError> {
     let entries = std::fs::read_dir(folder).context(UnreadableSnafu { path: folder })?;
     let mut files = Vec::new();
@@ -111,7 +111,7 @@
     }
 }
 
-/// Runs the roles of a folder with the arguments behind `local`, until SIGTERM or SIGINT.
+/// Runs the command with the arguments that follow `local`, until SIGTERM or SIGINT.
 pub fn run(arguments: &[String]) -> ExitCode {
     let mut options = Options::new();
     options.optopt("", "log-level", "error, warning, info or debug [default: info]", "LEVEL");
@@ -131,15 +131,15 @@
     }
 }
 
-fn usage_error(why: &str) -> ExitCode {
-    eprintln!("juniperwing local: {why}\nTry 'juniperwing local --help'.");
+fn usage_error(problem: &str) -> ExitCode {
+    eprintln!("juniperwing local: {problem}\nTry 'juniperwing local --help'.");
     ExitCode::from(2)
 }
 
 fn serve(roles: &[LocalRole], log_level: Option<String>) -> ExitCode {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let ended = runtime.and_then(|runtime| runtime.block_on(supervise(roles, log_level)));
-    match ended {
+    let result = runtime.and_then(|runtime| runtime.block_on(supervise(roles, log_level)));
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(e) => {
@@ -149,7 +149,7 @@
     }
 }
 
-/// Runs the roles until the end is wanted. Returns whether all of them could be started.
+/// Runs the roles until shutdown. Returns whether all of them could be started.
 async fn supervise(roles: &[LocalRole], log_level: Option<String>) -> io::Result<bool> {
     let mut signals = Signals::new()?;
     let program = std::env::current_exe()?;
@@ -157,12 +157,12 @@
     let mut supervised = Vec::new();
     for role in roles {
         let process = Arc::new(RoleProcess::new(&program, role, log_level.as_deref()));
-        let (running, failed) = (Arc::clone(&process), failed.clone());
-        supervised.push((process, thread::spawn(move || running.run(&failed))));
+        let (runner, failed) = (Arc::clone(&process), failed.clone());
+        supervised.push((process, thread::spawn(move || runner.run(&failed))));
     }
     let all_started = loop {
         tokio::select! {
-            wish = signals.next() => match wish {
+            signal = signals.next() => match signal {
                 ShutdownOrReload::Shutdown => break true,
                 ShutdownOrReload::Reload => supervised.iter().for_each(|(process, _)| process.send_signal(Signal::HUP)),
             },
@@ -173,27 +173,27 @@
         process.stop();
     }
     for (_, thread) in supervised {
-        // A thread that panicked has said so; the others are still waited for.
+        // A panic of the thread has been logged; the other threads are still joined.
         let _ = thread.join();
     }
     Ok(all_started)
 }
 
-/// What is known of the process of a role.
+/// State of a role's child process.
 #[derive(Debug, Default)]
 struct ChildState {
     child: Option<Pid>,
     is_stopping: bool,
 }
 
-/// The process of a role, started again when it ends.
+/// A role's child process, restarted when it exits.
 #[derive(Debug)]
 struct RoleProcess {
     program: PathBuf,
     name: String,
     arguments: Vec<String>,
     state: Mutex<ChildState>,
-    /// Told when the end is wanted.
+    /// Notified when the process shall stop.
     stop_requested: std::sync::Condvar,
 }
 
@@ -213,20 +213,20 @@
         }
     }
 
-    /// Starts the process again and again. Tells if the first start failed.
+    /// Runs the process and restarts it until it shall stop. Notifies `failed` and returns if the first start fails.
     fn run(&self, failed: &Sender<()>) {
         let mut is_first = true;
         loop {
-            let begun = Instant::now();
+            let started_at = Instant::now();
             let Some(child) = self.start() else { return };
-            let ended = child.and_then(|child| self.wait(child));
+            let exit = child.and_then(|child| self.wait(child));
             if self.is_stopping() {
                 return;
             }
-            report_exit(&self.name, &ended);
-            let was_killed = matches!(&ended, Ok(status) if status.code().is_none());
-            if is_first && !was_killed && begun.elapsed() < MIN_FIRST_RUN {
-                // Whoever listens ends when the first has told.
+            report_exit(&self.name, &exit);
+            let was_killed = matches!(&exit, Ok(status) if status.code().is_none());
+            if is_first && !was_killed && started_at.elapsed() < MIN_FIRST_RUN {
+                // The receiver may have stopped after an earlier failure.
                 let _ = failed.blocking_send(());
                 return;
             }
@@ -237,7 +237,7 @@
         }
     }
 
-    /// Starts the process, unless the end is wanted.
+    /// Starts the process, unless it shall stop.
     fn start(&self) -> Option<io::Result<Child>> {
         let mut progress = self.lock();
         if progress.is_stopping {
@@ -252,14 +252,14 @@
     }
 
     fn wait(&self, mut child: Child) -> io::Result<ExitStatus> {
-        let ended = child.wait();
+        let exit = child.wait();
         self.lock().child = None;
-        ended
+        exit
     }
 
     fn send_signal(&self, signal: Signal) {
         if let Some(child) = self.lock().child {
-            // A process that has just ended needs no signal.
+            // The process may just have exited.
             let _ = kill_process(child, signal);
         }
     }
@@ -274,7 +274,7 @@
         self.lock().is_stopping
     }
 
-    /// Waits for the end to be wanted. Returns whether it is.
+    /// Waits up to `time` for a request to stop. Returns whether there is one.
     fn wait_for_stop(&self, time: Duration) -> bool {
         let waited =
             self.stop_requested.wait_timeout_while(self.lock(), time, |progress| !progress.is_stopping);
@@ -286,8 +286,8 @@
     }
 }
 
-fn report_exit(name: &str, ended: &io::Result<ExitStatus>) {
-    match ended {
+fn report_exit(name: &str, exit: &io::Result<ExitStatus>) {
+    match exit {
         Ok(status) => eprintln!("juniperwing local: {name} ended: {status}"),
         Err(e) => eprintln!("juniperwing local: {name} cannot be started: {e}"),
     }
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -1,4 +1,4 @@
-//! The log: one JSON object a line on standard error.
+//! The log: one JSON object per line on standard error, with panics and violated invariants.
 
 use std::any::Any;
 use std::io;
@@ -15,18 +15,18 @@
 use crate::rate_limit::RateLimit;
 use crate::sync::lock;
 
-/// Violations of invariants that are logged in a second; all are counted.
+/// Maximum number of violated invariants logged per second; all are counted.
 const MAX_LOGGED_VIOLATIONS_PER_SECOND: u32 = 20;
 
-/// The exit code of a process that a panic has ended, as of any Rust program.
+/// Exit code of a process that panicked, as of any Rust program.
 const PANIC_EXIT_CODE: i32 = 101;
 
 static PANIC_COUNT: AtomicU64 = AtomicU64::new(0);
 
-/// Flushes the log; wherever the process ends, whoever ends it takes the guard.
+/// Guard that flushes the log; taken by whoever terminates the process.
 static FLUSH_GUARD: Mutex<Option<FlushGuard>> = Mutex::new(None);
 
-/// The log of a process, from `level` upward.
+/// Creates the log of a process, from `level` upward.
 pub fn logger(level: Level, role: &'static str, node: &str) -> Logger {
     let values = o!("role" => role, "node" => node.to_owned());
     let (logger, guard) = background(io::stderr(), level, values);
@@ -34,8 +34,8 @@
     logger
 }
 
-/// Waits until all that was logged is written, for a bounded time. To be called at the end of the process: what is logged
-/// afterwards is lost.
+/// Waits, for a bounded time, until all log lines are written. To be called when the process exits: lines logged
+/// afterwards are lost.
 pub fn flush() {
     let guard = lock(&FLUSH_GUARD).take();
     if let Some(guard) = guard {
@@ -43,39 +43,40 @@
     }
 }
 
-/// Has panics and violated invariants of this process logged and counted. A panic ends the process, unless it is
-/// isolated (`panics`).
+/// Installs hooks that log and count panics and violated invariants of this process.
+///
+/// A panic terminates the process, unless it is isolated (see [`crate::panics`]).
 pub fn install_fault_logging(log: &Logger) {
-    let panics = log.clone();
+    let panic_log = log.clone();
     panic::set_hook(Box::new(move |panic| {
         PANIC_COUNT.fetch_add(1, Ordering::Relaxed);
-        let place = panic.location().map(ToString::to_string).unwrap_or_default();
+        let location = panic.location().map(ToString::to_string).unwrap_or_default();
         let is_isolated = is_isolated();
-        crit!(panics, "panic"; "place" => place, "why" => panic_message(panic.payload()),
-            "ends the process" => !is_isolated);
+        crit!(panic_log, "panic"; "location" => location, "reason" => panic_message(panic.payload()),
+            "is_fatal" => !is_isolated);
         if !is_isolated {
             flush();
             exit(PANIC_EXIT_CODE);
         }
     }));
-    let violations = log.clone();
+    let violation_log = log.clone();
     let limit = RateLimit::per_second(MAX_LOGGED_VIOLATIONS_PER_SECOND);
-    // A second role in one process, as in tests, keeps the first one's reporter.
+    // A second role in the same process, as in tests, keeps the reporter of the first one.
     let _ = report_to(Box::new(move |violation| {
-        if let Some(unlogged) = limit.try_acquire() {
-            crit!(violations, "invariant violated"; "invariant" => violation.invariant.name(),
-                "details" => &violation.details, "unlogged" => unlogged);
+        if let Some(suppressed) = limit.try_acquire() {
+            crit!(violation_log, "invariant violated"; "invariant" => violation.invariant.name(),
+                "details" => &violation.details, "suppressed" => suppressed);
         }
     }));
 }
 
-/// The text that a panic carries.
+/// The message of a panic.
 fn panic_message(payload: &dyn Any) -> &str {
     let text = payload.downcast_ref::<&str>().copied();
     text.or_else(|| payload.downcast_ref::<String>().map(String::as_str)).unwrap_or("no text")
 }
 
-/// Panics of this process so far.
+/// The number of panics of this process so far.
 pub fn panic_count() -> u64 {
     PANIC_COUNT.load(Ordering::Relaxed)
 }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,7 +1,7 @@
-//! Figures of a process as text, in the exposition format of OpenMetrics, on a listener of their own.
+//! Metrics of a process in the text format of OpenMetrics, served on a listener of their own.
 //!
-//! The setting `metrics` names the port and the path; without it nothing listens. Figures are gathered when they
-//! are asked for.
+//! The setting `metrics` names the port and the path; without it nothing listens. Metrics are collected when they are
+//! requested.
 
 use std::convert::Infallible;
 use std::fmt;
@@ -31,29 +31,29 @@
 use crate::panics::isolate;
 use crate::settings::Settings;
 
-/// The prefix of all names.
+/// Prefix of all metric names.
 const PREFIX: &str = "juniperwing";
-/// Connections at a time; further ones wait in the socket's queue.
+/// Maximum number of concurrent connections; further ones wait in the backlog of the socket.
 const MAX_CONNECTIONS: usize = 4;
-/// How long a connection may last.
+/// Maximum duration of a connection.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long the head of a request may take.
+/// Maximum time for receiving the header of a request.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(2);
-/// The pause after a connection could not be accepted.
+/// Delay before the next accept after one has failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 const OPENMETRICS_CONTENT_TYPE: HeaderValue =
     HeaderValue::from_static("application/openmetrics-text; version=1.0.0; charset=utf-8");
 
-/// What kind of figure it is.
+/// The kind of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MetricKind {
-    /// It only rises within a life of the process; its name is told with `_total` behind it.
+    /// A value that only increases while the process runs; its name is written with the suffix `_total`.
     Counter,
-    /// It rises and falls.
+    /// A value that may increase and decrease.
     Gauge,
 }
 
-/// One figure, with one value or one for each label.
+/// A metric with a single value, or one value per label value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Metric {
     name: &'static str,
@@ -69,17 +69,17 @@
 }
 
 impl Metric {
-    /// A number that only rises.
+    /// A counter.
     pub fn counter(name: &'static str, help: &'static str, value: u64) -> Metric {
         Metric { name, help, kind: MetricKind::Counter, values: MetricValues::One(value) }
     }
 
-    /// A number that rises and falls.
+    /// A gauge.
     pub fn gauge(name: &'static str, help: &'static str, value: u64) -> Metric {
         Metric { name, help, kind: MetricKind::Gauge, values: MetricValues::One(value) }
     }
 
-    /// Numbers that only rise, one for each value of a label.
+    /// A counter per value of a label.
     pub fn counters(
         name: &'static str, help: &'static str, label: &'static str, values: Vec<(&'static str, u64)>,
     ) -> Metric {
@@ -111,26 +111,26 @@
     }
 }
 
-/// Something that can tell its figures at any moment.
+/// A source of metrics.
 pub trait MetricSource: Send + Sync + 'static {
-    /// The figures now.
+    /// The present metrics.
     fn metrics(&self) -> Vec<Metric>;
 }
 
-/// Hands the figures of a source to the library that writes the format.
+/// Adapter of a source to the library that encodes the format.
 struct SourceCollector(Arc<dyn MetricSource>);
 
 impl fmt::Debug for SourceCollector {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str("Gathered")
+        formatter.write_str("SourceCollector")
     }
 }
 
 impl Collector for SourceCollector {
     fn encode(&self, mut encoder: DescriptorEncoder) -> Result<(), fmt::Error> {
-        let figures = self.0.metrics().into_iter().chain(process_metrics());
-        for figure in figures {
-            figure.encode(&mut encoder)?;
+        let metrics = self.0.metrics().into_iter().chain(process_metrics());
+        for metric in metrics {
+            metric.encode(&mut encoder)?;
         }
         Ok(())
     }
@@ -150,44 +150,45 @@
     ]
 }
 
-/// All figures as text.
+/// Renders all metrics as text.
 pub fn render(source: &Arc<dyn MetricSource>) -> String {
     let mut registry = Registry::with_prefix(PREFIX);
     registry.register_collector(Box::new(SourceCollector(Arc::clone(source))));
-    let mut page = String::new();
-    // Writing to a string fails only if a figure cannot be told; the page then ends there.
-    let _ = text::encode(&mut page, &registry);
-    page
+    let mut text = String::new();
+    // Writing to a string fails only if a metric cannot be encoded; the text then ends there.
+    let _ = text::encode(&mut text, &registry);
+    text
 }
 
-/// Tells figures where the settings say, for as long as the process lives; nowhere if they say nothing. A place that
-/// cannot be used is logged, and the role serves without: figures must not take it down.
+/// Starts to serve metrics at the endpoint that the settings name, if any, until the process exits.
+///
+/// An endpoint that cannot be used is logged, and the role runs without metrics.
 pub async fn start(settings: &Settings, source: Arc<dyn MetricSource>, log: &Logger) {
-    let Some(place) = settings.metrics.as_deref().filter(|place| !place.is_empty()) else { return };
-    let Some(MetricsEndpoint { port, path }) = MetricsEndpoint::parse(place) else {
-        return warn!(log, "no metrics"; "metrics" => place, "why" => "not PORT/PATH");
+    let Some(setting) = settings.metrics.as_deref().filter(|setting| !setting.is_empty()) else { return };
+    let Some(MetricsEndpoint { port, path }) = MetricsEndpoint::parse(setting) else {
+        return warn!(log, "metrics disabled"; "metrics" => setting, "reason" => "not PORT/PATH");
     };
     let address = SocketAddr::new(settings.ip_address, port);
     match TcpListener::bind(address).await {
         Ok(listener) => {
-            info!(log, "metrics"; "address" => %address, "path" => &path);
+            info!(log, "metrics endpoint started"; "address" => %address, "path" => &path);
             tokio::spawn(serve(listener, path, source));
         }
-        Err(error) => warn!(log, "no metrics"; "address" => %address, "why" => error.to_string()),
+        Err(error) => warn!(log, "metrics disabled"; "address" => %address, "error" => error.to_string()),
     }
 }
 
-/// Where figures are told.
+/// The endpoint at which metrics are served.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MetricsEndpoint {
     /// The port, at the machine's address.
     pub port: u16,
-    /// The path, with its slash.
+    /// The path, with its leading slash.
     pub path: String,
 }
 
 impl MetricsEndpoint {
-    /// Reads `PORT/PATH`.
+    /// Parses `PORT/PATH`; `None` if the text has another form.
     pub fn parse(text: &str) -> Option<MetricsEndpoint> {
         let (port, path) = text.split_once('/')?;
         let port = port.trim_start_matches(':').parse().ok().filter(|port| *port > 0)?;
@@ -195,21 +196,21 @@
     }
 }
 
-/// Answers `GET path` at a listener until it is dropped.
+/// Serves `GET path` at a listener; never returns.
 pub async fn serve(listener: TcpListener, path: String, source: Arc<dyn MetricSource>) {
-    let places = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     let path: Arc<str> = path.into();
     // The semaphore is never closed.
-    while let Ok(place) = Arc::clone(&places).acquire_owned().await {
+    while let Ok(permit) = Arc::clone(&permits).acquire_owned().await {
         let Ok((stream, _)) = listener.accept().await else {
             sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let (path, source) = (Arc::clone(&path), Arc::clone(&source));
         tokio::spawn(isolate(async move {
-            // Whoever is too slow asks again.
+            // A client that is too slow is disconnected.
             let _ = timeout(CONNECTION_TIMEOUT, serve_connection(stream, path, source)).await;
-            drop(place);
+            drop(permit);
         }));
     }
 }
@@ -218,22 +219,22 @@
     let mut builder = http1::Builder::new();
     builder.keep_alive(false).timer(TokioTimer::new()).header_read_timeout(HEADER_TIMEOUT);
     let service = service_fn(|request| {
-        let answer = respond(&request, &path, &source);
-        async move { Ok::<_, Infallible>(answer) }
+        let response = respond(&request, &path, &source);
+        async move { Ok::<_, Infallible>(response) }
     });
-    // A caller that broke off needs no answer.
+    // The client may have disconnected.
     let _ = builder.serve_connection(TokioIo::new(stream), service).await;
 }
 
 fn respond(request: &Request<Incoming>, path: &str, source: &Arc<dyn MetricSource>) -> Response<String> {
-    let mut answer = Response::new(String::new());
+    let mut response = Response::new(String::new());
     if request.uri().path() != path {
-        *answer.status_mut() = StatusCode::NOT_FOUND;
+        *response.status_mut() = StatusCode::NOT_FOUND;
     } else if request.method() != Method::GET {
-        *answer.status_mut() = StatusCode::METHOD_NOT_ALLOWED;
+        *response.status_mut() = StatusCode::METHOD_NOT_ALLOWED;
     } else {
-        answer.headers_mut().insert(CONTENT_TYPE, OPENMETRICS_CONTENT_TYPE);
-        *answer.body_mut() = render(source);
+        response.headers_mut().insert(CONTENT_TYPE, OPENMETRICS_CONTENT_TYPE);
+        *response.body_mut() = render(source);
     }
-    answer
+    response
 }
--- a/crates/node/src/panics.rs
+++ b/crates/node/src/panics.rs
@@ -1,9 +1,9 @@
-//! What a panic ends: the process, unless it comes up in a task that concerns one caller only.
+//! Scope of panics: a panic terminates the process, unless it occurs in an isolated task.
 //!
-//! A process that has lost a task, or whose state was left half changed, is worse than none: it is still counted on.
-//! The platform starts one again that has ended. Tasks that serve a single connection are isolated instead: a panic
-//! in one of them closes that connection, so that nothing a caller sends can take a process down. What they share
-//! with others is changed in critical sections, where a panic ends the process after all.
+//! A process that has lost a task, or whose state was left inconsistent, is worse than none, since others still rely
+//! on it; the platform restarts a process that has exited. Tasks that serve a single connection are isolated instead:
+//! a panic in one of them closes that connection only, so that no input of a caller can terminate a process. State
+//! that they share with other tasks is changed in critical sections, where a panic terminates the process after all.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -17,34 +17,34 @@
     static IS_ISOLATED: Cell<bool> = const { Cell::new(false) };
 }
 
-/// Sets whether panics of this thread are isolated, until it is dropped.
+/// Guard that sets whether panics of this thread are isolated, and restores the previous value when dropped.
 struct IsolationScope {
-    before: bool,
+    previous: bool,
 }
 
 impl IsolationScope {
-    fn enter(isolated: bool) -> IsolationScope {
-        IsolationScope { before: IS_ISOLATED.replace(isolated) }
+    fn enter(is_isolated: bool) -> IsolationScope {
+        IsolationScope { previous: IS_ISOLATED.replace(is_isolated) }
     }
 }
 
 impl Drop for IsolationScope {
     fn drop(&mut self) {
-        IS_ISOLATED.set(self.before);
+        IS_ISOLATED.set(self.previous);
     }
 }
 
-/// Whether a panic of this thread, at this moment, ends no more than its task.
+/// Whether a panic of this thread, at this moment, terminates its task only.
 pub fn is_isolated() -> bool {
     IS_ISOLATED.get()
 }
 
-/// A task whose panics end nothing else.
+/// A task whose panics terminate nothing else.
 pub struct Isolated<T> {
     inner: Pin<Box<dyn Future<Output = T> + Send>>,
 }
 
-/// Isolates a task that concerns one caller only.
+/// Isolates a task that serves one caller only.
 pub fn isolate<T>(task: impl Future<Output = T> + Send + 'static) -> Isolated<T> {
     Isolated { inner: Box::pin(task) }
 }
@@ -58,19 +58,23 @@
     }
 }
 
-/// Changes what several tasks share: a panic meanwhile ends the process, whoever called.
+/// Changes state that several tasks share: a panic of `work` terminates the process, also in an isolated task.
 pub fn critical_section<T>(work: impl FnOnce() -> T) -> T {
     let _scope = IsolationScope::enter(false);
     work()
 }
 
-/// Starts a task that a process cannot do without. If it ever returns, it panics.
+/// Spawns a task that the process cannot do without.
+///
+/// # Panics
+///
+/// The spawned task panics if `task` ever returns.
 pub fn spawn_essential(
     name: &'static str, task: impl Future<Output = ()> + Send + 'static,
 ) -> JoinHandle<()> {
     tokio::spawn(async move {
         task.await;
         check(Invariant::EssentialTaskRuns, false, || name.to_owned());
-        panic!("the task {name} has ended");
+        panic!("essential task {name} returned");
     })
 }
--- a/crates/node/src/rate_limit.rs
+++ b/crates/node/src/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Bounds how often something is logged.
+//! Rate limit for log lines.
 
 use std::sync::Mutex;
 
@@ -9,7 +9,7 @@
 
 const SECOND: Span = Span::from_millis(1_000);
 
-/// Lets a number of events pass in each second and counts the rest.
+/// Admits a number of events per second and counts the suppressed ones.
 #[derive(Debug)]
 pub struct RateLimit {
     max_per_second: u32,
@@ -24,13 +24,14 @@
 }
 
 impl RateLimit {
-    /// Lets `most` events pass in each second.
-    pub const fn per_second(most: u32) -> RateLimit {
+    /// A limit of `max_per_second` events per second.
+    pub const fn per_second(max_per_second: u32) -> RateLimit {
         let state = State { second_started_at: Time::from_nanos(0), admitted: 0, suppressed: 0 };
-        RateLimit { max_per_second: most, state: Mutex::new(state) }
+        RateLimit { max_per_second, state: Mutex::new(state) }
     }
 
-    /// Whether the next event may pass; with it, how many were held back since the last one that did.
+    /// Admits the next event and returns how many were suppressed since the last admitted one; `None` if the limit is
+    /// reached.
     pub fn try_acquire(&self) -> Option<u64> {
         let now = now();
         let mut state = lock(&self.state);
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a process: a TOML file that the platform writes. Unknown fields are skipped.
+//! Settings of a process: a TOML file that the platform writes. Unknown keys are ignored.
 
 mod control_timings;
 mod describe;
@@ -12,13 +12,13 @@
 
 pub use control_timings::{CALLER_TIMEOUT, ControlTimings};
 
-/// The variable that names the file.
+/// The environment variable that names the settings file.
 pub const SETTINGS_VARIABLE: &str = "JUNIPERWING_CONFIG";
 
-/// Why settings cannot be used.
+/// Why settings cannot be read or are invalid.
 #[derive(Debug, Snafu)]
 pub enum SettingsError {
-    /// No file was named.
+    /// Neither the command line nor the environment names a file.
     #[snafu(display("no settings: name the file by --settings or {SETTINGS_VARIABLE}"))]
     NoFileNamed,
     /// The file cannot be read.
@@ -26,23 +26,23 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The file is not TOML or lacks something.
+    /// The file is not valid TOML or lacks a key.
     #[snafu(display("{}: {source}", path.display()))]
     Malformed {
         /// The file.
         path: PathBuf,
-        /// What the parser says, with its place.
+        /// The error of the parser, with its position.
         source: toml::de::Error,
     },
-    /// The values don't fit together. All findings are listed.
+    /// Some values are invalid. All problems are listed.
     #[snafu(display("{}: {}", path.display(), findings.join("; ")))]
     Invalid {
         /// The file.
         path: PathBuf,
-        /// What is wrong, each with its key.
+        /// The problems, each with its key.
         findings: Vec<String>,
     },
 }
@@ -51,37 +51,37 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Settings {
-    /// The machine's name.
+    /// The name of the machine.
     pub node_name: String,
-    /// The machine's address.
+    /// The address of the machine.
     pub ip_address: IpAddr,
-    /// Its zone.
+    /// The zone of the machine.
     pub zone: String,
-    /// First and last of the ports that are free for the tier's own messages, the same on all machines.
+    /// First and last of the ports for messages between processes of the tier, the same on all machines.
     pub ephemeral_ports: (u16, u16),
-    /// Addresses of control listeners of three machines, or fewer.
+    /// Addresses of the control listeners of up to three machines.
     #[serde(default)]
     pub seed_nodes: Vec<SocketAddr>,
-    /// Whether this is the very first start of the whole system.
+    /// Whether this is the very first start of the tier.
     #[serde(default)]
     pub bootstrap: bool,
-    /// The folder that lasts, where there is one.
+    /// The persistent data directory, if there is one.
     pub data_directory: Option<PathBuf>,
-    /// Where the process tells its figures, as `PORT/PATH`; nowhere if it is missing or empty.
+    /// Where metrics are served, as `PORT/PATH`; nowhere if missing or empty.
     pub metrics: Option<String>,
-    /// How often endpoints send heartbeats, in milliseconds.
+    /// Interval between heartbeats of endpoints, in milliseconds.
     #[serde(default = "default_heartbeat_ms")]
     pub heartbeat_ms: u64,
-    /// Where the process listens for those outside.
+    /// Listeners for clients, endpoints, operators and the platform.
     #[serde(default)]
     pub listeners_map: Listeners,
-    /// What the process may use.
+    /// Resource limits of the process.
     #[serde(default)]
     pub limits: Limits,
-    /// What may be lost at once.
+    /// Failures that the tier must tolerate.
     #[serde(default)]
     pub fault_tolerance: FaultTolerance,
-    /// The figures of the rules.
+    /// Time bounds that the tier must meet.
     #[serde(default)]
     pub bounds: Bounds,
     /// Zones, each with its region.
@@ -89,29 +89,29 @@
     pub zones: BTreeMap<String, String>,
 }
 
-/// Listeners for those outside.
+/// Listeners for clients, endpoints, operators and the platform.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Listeners {
-    /// For clients.
+    /// Listener for clients.
     pub frontend: Option<SocketAddr>,
-    /// For the platform's readiness checks.
+    /// Listener for the platform's readiness checks.
     pub readiness: Option<SocketAddr>,
-    /// For endpoints and operators.
+    /// Listener for endpoints and operators.
     pub control_plane: Option<SocketAddr>,
 }
 
-/// What a process may use.
+/// Resource limits of a process.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Limits {
-    /// Cores.
+    /// Number of processor cores.
     pub cpu_quota: f64,
-    /// Memory in megabytes.
+    /// Memory, in megabytes.
     pub memory_mb: u64,
-    /// Open descriptors.
+    /// Number of open file descriptors.
     pub max_fds: u64,
-    /// Disk in megabytes.
+    /// Disk space, in megabytes.
     pub disk_mb: u64,
 }
 
@@ -121,15 +121,15 @@
     }
 }
 
-/// What may be lost at once while every rule holds.
+/// Simultaneous failures under which all guarantees must hold.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct FaultTolerance {
-    /// Machines whose loss counts.
+    /// Number of machines.
     pub machines: usize,
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
-    /// Regions.
+    /// Number of regions.
     pub regions: usize,
 }
 
@@ -139,28 +139,28 @@
     }
 }
 
-/// The figures of the rules that the tier goes by.
+/// Time bounds that the tier must meet.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct Bounds {
-    /// How soon a configuration is in force, in milliseconds.
+    /// Within which a configuration must be applied everywhere, in milliseconds.
     #[serde(rename = "configApplyMs")]
     pub config_apply_ms: u64,
-    /// How soon nothing more reaches an endpoint that has announced its end, in milliseconds.
+    /// Within which requests to an endpoint must cease after its deregistration, in milliseconds.
     #[serde(rename = "drainMs")]
     pub drain_ms: u64,
-    /// For how long a process may go on after SIGTERM, in seconds.
+    /// Grace period for shutdown after SIGTERM, in seconds.
     #[serde(rename = "graceS")]
     pub grace_s: f64,
-    /// How soon an operator expects an answer, in milliseconds.
+    /// Within which an operator expects a response, in milliseconds.
     #[serde(rename = "ackMs")]
     pub ack_ms: u64,
-    /// After a disturbance of the core, how soon machines must be in contact again, in milliseconds.
+    /// Within which machines must be in contact again after a fault of the core, in milliseconds.
     #[serde(rename = "contactMs")]
     pub contact_ms: u64,
-    /// How soon an event of a stream is passed on, in milliseconds.
+    /// Within which an event of a stream must be forwarded, in milliseconds.
     pub pass_ms: u64,
-    /// How soon an ended turn must count at what it generated, in milliseconds.
+    /// Within which a finished turn must be accounted with the tokens that it generated, in milliseconds.
     #[serde(rename = "settleMs")]
     pub settle_ms: u64,
 }
@@ -183,31 +183,31 @@
     1_000
 }
 
-/// Listeners for the tier's own messages, one for each role: an offset from the first of the free ports.
+/// Ports for messages between processes of the tier, one per role: an offset from the first ephemeral port.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Port {
-    /// Of a relay.
+    /// The port of a relay.
     Relay = 0,
-    /// Of a keeper.
+    /// The port of a keeper.
     Keeper = 1,
-    /// Of a store.
+    /// The port of a store.
     Store = 2,
 }
 
 impl Settings {
-    /// Reads the file given, or else the one that the environment names.
+    /// Reads the given file, or else the one that the environment names.
     ///
     /// # Errors
     ///
-    /// If it cannot be read or used; the message names the key.
+    /// If the file cannot be read or is invalid; the message names the key.
     pub fn read(path: Option<&Path>) -> Result<Settings, SettingsError> {
-        let named = std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from);
-        let Some(path) = path.map(Path::to_owned).or(named) else { return NoFileNamedSnafu.fail() };
+        let default_path = std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from);
+        let Some(path) = path.map(Path::to_owned).or(default_path) else { return NoFileNamedSnafu.fail() };
         let text = std::fs::read_to_string(&path).context(UnreadableSnafu { path: &path })?;
         Settings::parse(&path, &text)
     }
 
-    /// Takes settings from the text of a file.
+    /// Parses the text of a settings file.
     ///
     /// # Errors
     ///
@@ -237,28 +237,28 @@
         findings
     }
 
-    /// The address of a listener for the tier's own messages on any machine.
+    /// The address of a role's internal listener on `machine`.
     pub fn internal_address(&self, machine: IpAddr, port: Port) -> SocketAddr {
         SocketAddr::new(machine, self.ephemeral_ports.0 + port as u16)
     }
 
-    /// Where this process listens for the tier's own messages.
+    /// The address of a role's internal listener on this machine.
     pub fn own_address(&self, port: Port) -> SocketAddr {
         self.internal_address(self.ip_address, port)
     }
 
-    /// The keepers that the settings name.
+    /// The internal addresses of the keepers that the settings name.
     pub fn seed_keepers(&self) -> Vec<SocketAddr> {
         self.seed_nodes.iter().map(|seed| self.internal_address(seed.ip(), Port::Keeper)).collect()
     }
 
-    /// How many disks must hold what is acknowledged.
+    /// Number of replicas that must store a write before it is acknowledged.
     pub fn required_replicas(&self) -> usize {
         self.fault_tolerance.machines + 1
     }
 
-    /// The times that keepers go by.
+    /// The time-outs of keepers, derived from the bounds.
     pub fn control_timings(&self) -> ControlTimings {
-        ControlTimings::of(&self.bounds)
+        ControlTimings::from_bounds(&self.bounds)
     }
 }
--- a/crates/node/src/settings/control_timings.rs
+++ b/crates/node/src/settings/control_timings.rs
@@ -1,4 +1,4 @@
-//! The times that keepers go by, derived from the bounds of the settings.
+//! Time-outs of keepers, derived from the time bounds of the settings.
 
 use std::time::Duration;
 
@@ -7,48 +7,48 @@
 use super::Bounds;
 use crate::link::LINK_TIMEOUT;
 
-/// Callers of the control listener, endpoints and operators, move on after so long without an answer. Part of
-/// the protocol, not of the bounds.
+/// Time after which callers of the control listener, endpoints and operators, give up on a response. It is part of the
+/// protocol, not of the bounds.
 pub const CALLER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// What is left of a caller's patience when the answer to an end must be on its way.
+/// Part of [`CALLER_TIMEOUT`] reserved for the response to a deregistration.
 const REPLY_MARGIN: Duration = Duration::from_millis(250);
-/// How much sooner than a keeper answers its caller the other keepers must have answered it.
+/// Difference between the time-outs of a call and of the call nested in it, for the hop between processes.
 const HOP_ALLOWANCE: Duration = Duration::from_millis(50);
-/// The share of `contactMs` for which evidence of contact counts. The rest is for losing and finding it again.
+/// Fraction of `contactMs` for which evidence of contact counts. The rest is for detecting a loss and reconnecting.
 const CONTACT_WINDOW_FRACTION: f64 = 0.4;
-/// The shortest time for which evidence of contact counts: two reports between keepers, 450 ms apart, must fit.
+/// Minimum time for which evidence of contact counts: two reports between keepers, 450 ms apart, must fit.
 const MIN_CONTACT_WINDOW: Span = Span::from_millis(900);
-/// The share of `configApplyMs` for which an acknowledgement of a configuration waits for subscribers.
+/// Fraction of `configApplyMs` for which the acknowledgement of a configuration waits for subscribers.
 const CONFIGURATION_WAIT_FRACTION: f64 = 0.25;
-/// The longest that such an acknowledgement waits, whatever the bounds allow: the rest of the caller's patience is
-/// for committing.
+/// Maximum time that such an acknowledgement waits, whatever the bounds: the rest of [`CALLER_TIMEOUT`] is for
+/// committing.
 const MAX_CONFIGURATION_WAIT: Duration = Duration::from_millis(500);
-/// The shortest `contactMs`: a little more than the shortest window, for losing contact and finding it again.
+/// Minimum of `contactMs`: the shortest window, and some time for detecting a loss and reconnecting.
 const MIN_CONTACT_MS: u64 = 1_200;
-/// The shortest `drainMs` and `configApplyMs`: before that, a subscriber that is cut off cannot be known to be.
+/// Minimum of `drainMs` and `configApplyMs`: the loss of a subscriber cannot be detected sooner.
 const MIN_PROPAGATION_MS: u64 = LINK_TIMEOUT.as_millis() as u64;
 
-/// The times that a keeper goes by.
+/// The time-outs of a keeper.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ControlTimings {
-    /// For how long an answer, or a message, of another keeper is evidence of contact.
+    /// How long a reply or a message of another keeper counts as evidence of contact.
     pub contact_window: Span,
-    /// How long an end of an endpoint may take to spread before the endpoint is refused.
+    /// Time-out for propagating the termination of an endpoint; after it the request of the endpoint is rejected.
     pub propagation_timeout: Duration,
-    /// When another keeper's answer is given up.
+    /// Time-out of a call to another keeper.
     pub peer_reply_timeout: Duration,
-    /// How long a keeper waits for its own subscribers before it tells another keeper that some lack a change.
+    /// How long a keeper waits for its own subscribers before it reports to another keeper that some lack a change.
     pub subscriber_apply_timeout: Duration,
-    /// How long a confirmation that the committed state is current may take before it is asked for again.
+    /// Time-out of a confirmation that the committed state is current, after which it is requested again.
     pub confirmation_timeout: Duration,
-    /// How long subscribers have for applying a configuration before it is acknowledged all the same.
+    /// How long subscribers may take to apply a configuration before it is acknowledged nevertheless.
     pub configuration_apply_timeout: Duration,
 }
 
 impl ControlTimings {
-    /// Computes them.
-    pub fn of(bounds: &Bounds) -> ControlTimings {
+    /// Derives the time-outs from the bounds.
+    pub fn from_bounds(bounds: &Bounds) -> ControlTimings {
         let spread_within = CALLER_TIMEOUT - REPLY_MARGIN;
         let peer_answers_within = spread_within - HOP_ALLOWANCE;
         let configuration =
@@ -66,17 +66,17 @@
 }
 
 impl Bounds {
-    /// Bounds that keepers cannot meet, each with its key. They serve all the same, as fast as they can.
+    /// Describes the bounds that keepers cannot meet, each with its key. Keepers run nevertheless, as fast as they can.
     pub fn too_short(&self) -> Vec<String> {
-        let least = [
+        let minimums = [
             ("contactMs", self.contact_ms, MIN_CONTACT_MS),
             ("drainMs", self.drain_ms, MIN_PROPAGATION_MS),
             ("configApplyMs", self.config_apply_ms, MIN_PROPAGATION_MS),
             ("ackMs", self.ack_ms, CALLER_TIMEOUT.as_millis() as u64),
         ];
-        let too_short = least.into_iter().filter(|(_, given, least)| given < least);
+        let too_short = minimums.into_iter().filter(|(_, given, minimum)| given < minimum);
         too_short
-            .map(|(key, given, least)| format!("bounds.{key}: {given} is too short, {least} at least"))
+            .map(|(key, given, minimum)| format!("bounds.{key}: {given} is too short, {minimum} at least"))
             .collect()
     }
 }
--- a/crates/node/src/settings/describe.rs
+++ b/crates/node/src/settings/describe.rs
@@ -1,4 +1,4 @@
-//! What was understood of settings, in words, for `--check`.
+//! Description of settings in words, for `--check`.
 
 use std::net::SocketAddr;
 
@@ -6,10 +6,10 @@
 use crate::role::Role;
 
 impl Settings {
-    /// The keys that a role needs and that are not given.
+    /// The keys that a role requires and that are missing.
     pub fn missing_for(&self, role: Role) -> Vec<&'static str> {
         let listeners = &self.listeners_map;
-        let needed = match role {
+        let required = match role {
             Role::Relay => vec![
                 ("listenersMap.frontend", listeners.frontend.is_some()),
                 ("listenersMap.readiness", listeners.readiness.is_some()),
@@ -20,23 +20,26 @@
             ],
             Role::Store => vec![("dataDirectory", self.data_directory.is_some())],
         };
-        needed.into_iter().filter(|(_, is_given)| !is_given).map(|(key, _)| key).collect()
+        required.into_iter().filter(|(_, is_given)| !is_given).map(|(key, _)| key).collect()
     }
 
-    /// What a role goes by, a line for each matter.
+    /// Describes the settings that a role uses, one line each.
     pub fn describe(&self, role: Role) -> String {
         let mut lines = vec![format!("{} {} in zone {}", role.name(), self.node_name, self.zone)];
         lines.extend(self.describe_listeners(role));
         lines.push(format!("seed keepers: {}", format_addresses(&self.seed_keepers())));
-        if let (Role::Keeper | Role::Store, Some(folder)) = (role, &self.data_directory) {
-            lines.push(format!("keeps its data in {}", folder.display()));
+        if let (Role::Keeper | Role::Store, Some(directory)) = (role, &self.data_directory) {
+            lines.push(format!("keeps its data in {}", directory.display()));
         }
         if role == Role::Keeper {
-            let start = if self.bootstrap { "founds a tier if its folder is empty" } else { "joins a tier" };
-            lines.push(start.to_owned());
+            let start_mode =
+                if self.bootstrap { "founds a tier if its folder is empty" } else { "joins a tier" };
+            lines.push(start_mode.to_owned());
         }
-        let (machines, copies) = (self.fault_tolerance.machines, self.required_replicas());
-        lines.push(format!("bears the loss of {machines} machines: {copies} copies of what is acknowledged"));
+        let (machines, replicas) = (self.fault_tolerance.machines, self.required_replicas());
+        lines.push(format!(
+            "bears the loss of {machines} machines: {replicas} copies of what is acknowledged"
+        ));
         let limits = &self.limits;
         lines.push(format!(
             "may use {} MB of memory, {} descriptors, {} MB of disk",
@@ -47,8 +50,8 @@
 
     fn describe_listeners(&self, role: Role) -> Vec<String> {
         let listeners = &self.listeners_map;
-        let line = |what: &str, address: Option<SocketAddr>| {
-            address.map(|address| format!("listens on {address} for {what}"))
+        let line = |purpose: &str, address: Option<SocketAddr>| {
+            address.map(|address| format!("listens on {address} for {purpose}"))
         };
         let lines = match role {
             Role::Relay => {
--- a/crates/node/src/signals.rs
+++ b/crates/node/src/signals.rs
@@ -1,10 +1,10 @@
-//! Signals of the platform.
+//! Process signals: shutdown and reload.
 
 use std::io;
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// The signals that a process heeds, caught from the moment this is made.
+/// Receiver of SIGTERM, SIGINT and SIGHUP; signals are caught from its creation on.
 #[derive(Debug)]
 pub struct Signals {
     terminate: Signal,
@@ -12,21 +12,21 @@
     hangup: Signal,
 }
 
-/// What the platform wants.
+/// The request that a signal stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownOrReload {
-    /// End, after what is under way (SIGTERM, SIGINT).
+    /// Shut down gracefully (SIGTERM, SIGINT).
     Shutdown,
-    /// Read the settings again (SIGHUP).
+    /// Reload the settings (SIGHUP).
     Reload,
 }
 
 impl Signals {
-    /// Begins to catch signals.
+    /// Installs the signal handlers.
     ///
     /// # Errors
     ///
-    /// If the system refuses.
+    /// If the operating system refuses.
     pub fn new() -> io::Result<Self> {
         Ok(Signals {
             terminate: signal(SignalKind::terminate())?,
@@ -35,12 +35,12 @@
         })
     }
 
-    /// Waits until the end is wanted. Nothing is read again meanwhile.
+    /// Waits for a shutdown signal; reload signals are ignored meanwhile.
     pub async fn wait_for_shutdown(&mut self) {
         while self.next().await != ShutdownOrReload::Shutdown {}
     }
 
-    /// Waits for the next one.
+    /// Waits for the next signal.
     pub async fn next(&mut self) -> ShutdownOrReload {
         tokio::select! {
             _ = self.terminate.recv() => ShutdownOrReload::Shutdown,
--- a/crates/node/src/subscriber.rs
+++ b/crates/node/src/subscriber.rs
@@ -1,10 +1,10 @@
 //! Subscriptions of a relay or a store to keepers.
 //!
-//! A subscriber keeps links to several keepers, more than may be lost at once, so that it need not wait for a
-//! time-out when one of them dies. What they tell is handed to a [`Sink`], which merges it by version.
+//! A subscriber maintains links to several keepers, more than may fail at once, so that it need not wait for a time-out
+//! when one of them fails. Updates are passed to an [`UpdateSink`], which merges them by version.
 //!
-//! A keeper answers a subscription with its first update, once a majority of the keepers has confirmed that it is
-//! current. One that does not answer in time is left for another; what was told before stays.
+//! A keeper replies to a subscription with its first update, once a majority of the keepers has confirmed that it is
+//! current. A keeper that does not reply in time is replaced by another; earlier updates remain applied.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -20,24 +20,24 @@
 use crate::panics::spawn_essential;
 use crate::sync::lock;
 
-/// The pause before the next keeper is tried.
+/// Delay before a subscription to the next keeper is attempted.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// How long a keeper may take for the first update. Keepers that choose a new primary need up to a second.
+/// Time-out of the first update. Keepers that elect a new primary need up to a second.
 const FIRST_UPDATE_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Where updates go.
+/// Receiver of updates.
 pub trait UpdateSink: Send + Sync + 'static {
-    /// Applies an update; it may be older than what is held already.
+    /// Applies an update; it may be older than what is already applied.
     fn apply(&self, update: Update);
 
-    /// What is applied. `instances` is filled in by the subscription.
+    /// The versions applied. The subscription fills in `instances`.
     fn applied_versions(&self) -> AppliedVersions;
 
-    /// The configuration held; it is not sent again.
+    /// The version of the applied configuration; it is not sent again.
     fn configuration_version(&self) -> Version;
 
-    /// Whether a keeper that has answered is subscribed to, after that may have changed. What was told may be out
-    /// of date while none is.
+    /// Handles a possible change of whether any subscription is established. While none is, the applied state may be
+    /// outdated.
     fn handle_connection_change(&self, is_connected: bool) {
         let _ = is_connected;
     }
@@ -48,28 +48,30 @@
     subscribe: Subscribe,
     sink: Arc<dyn UpdateSink>,
     keepers: Mutex<Keepers>,
-    /// Told when there may be a keeper to subscribe to where there was none.
+    /// Notified when there may be a keeper to subscribe to where there was none.
     keepers_changed: Notify,
 }
 
 #[derive(Default)]
 struct Keepers {
-    /// From the settings; they may be out of date.
+    /// Keepers named by the settings; they may be outdated.
     seeds: Vec<SocketAddr>,
-    /// From the keepers themselves.
+    /// Keepers announced by a keeper.
     announced: Vec<SocketAddr>,
-    /// From the membership. They need not be voters, so they are asked only while there is no subscription.
+    /// Keepers discovered by the membership. They need not be voters, so they are used only while no subscription is
+    /// established.
     discovered: Vec<SocketAddr>,
     slots: Vec<KeeperSlot>,
+    /// Index of the candidate to try next, modulo their number.
     next_candidate: usize,
     is_suspended: bool,
 }
 
-/// A keeper that is subscribed to, or about to be.
+/// A keeper with a subscription that is established or being established.
 struct KeeperSlot {
     keeper: SocketAddr,
     link: Option<Link>,
-    /// Whether the keeper has answered.
+    /// Whether the keeper has sent its first update.
     has_replied: bool,
 }
 
@@ -80,55 +82,54 @@
 }
 
 impl Keepers {
-    /// Takes the list that was told over `link`. Keepers that are not in it hear of no change any more; one that is
-    /// cut off does not know that, so its subscription is ended here.
-    fn handle_announced(&mut self, told: Vec<SocketAddr>, link: &Link) {
-        let others = self.slots.iter().filter(|place| !told.contains(&place.keeper));
-        let dropped = others.filter_map(|place| place.link.as_ref()).filter(|held| held.id() != link.id());
+    /// Applies a list of keepers received over `link`. Keepers that are not in it receive no changes any more; one that
+    /// is partitioned does not know that, so its subscription is ended here.
+    fn handle_announced(&mut self, announced: Vec<SocketAddr>, link: &Link) {
+        let others = self.slots.iter().filter(|slot| !announced.contains(&slot.keeper));
+        let dropped = others.filter_map(|slot| slot.link.as_ref()).filter(|other| other.id() != link.id());
         dropped.for_each(Link::close);
-        self.announced = told;
+        self.announced = announced;
     }
 }
 
 impl Subscriber {
-    /// Subscribes to `wanted` keepers at a time, found through the seeds, until the process ends.
+    /// Maintains subscriptions to `count` keepers, found through the seeds, until the process exits.
     pub fn start(
-        subscribe: Subscribe, seeds: Vec<SocketAddr>, wanted: usize, sink: Arc<dyn UpdateSink>,
+        subscribe: Subscribe, seeds: Vec<SocketAddr>, count: usize, sink: Arc<dyn UpdateSink>,
     ) -> Arc<Subscriber> {
         let next = crate::clock::random() as usize % seeds.len().max(1);
         let keepers = Mutex::new(Keepers { seeds, next_candidate: next, ..Keepers::default() });
         let subscriber = Arc::new(Subscriber { subscribe, sink, keepers, keepers_changed: Notify::new() });
-        for _ in 0..wanted {
+        for _ in 0..count {
             spawn_essential("subscription", Arc::clone(&subscriber).maintain_subscription());
         }
         subscriber
     }
 
-    /// Takes other seeds, from settings that have changed.
+    /// Replaces the seeds, after the settings have changed.
     pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         self.lock().seeds = seeds;
         self.keepers_changed.notify_waiters();
     }
 
-    /// Takes the keepers that the membership holds to be alive. They are asked while no subscription stands.
-    pub fn set_discovered(&self, found: Vec<SocketAddr>) {
-        self.lock().discovered = found;
+    /// Sets the keepers that the membership regards as alive. They are used while no subscription is established.
+    pub fn set_discovered(&self, discovered: Vec<SocketAddr>) {
+        self.lock().discovered = discovered;
         self.keepers_changed.notify_waiters();
     }
 
-    /// Ends all subscriptions and begins none, or begins them again. The keepers take a process that does not
-    /// subscribe for lost.
+    /// Ends all subscriptions and starts none, or resumes them. Keepers regard a process without subscriptions as lost.
     pub fn set_suspended(&self, suspended: bool) {
         let mut keepers = self.lock();
         keepers.is_suspended = suspended;
         if suspended {
-            keepers.slots.iter().filter_map(|place| place.link.as_ref()).for_each(Link::close);
+            keepers.slots.iter().filter_map(|slot| slot.link.as_ref()).for_each(Link::close);
         }
         drop(keepers);
         self.keepers_changed.notify_waiters();
     }
 
-    /// Keepers that may be asked, those told by keepers first.
+    /// The keepers that may be contacted, those announced by keepers first.
     pub fn keepers(&self) -> Vec<SocketAddr> {
         let keepers = self.lock();
         let mut all = keepers.announced.clone();
@@ -136,20 +137,21 @@
         all
     }
 
-    /// Tells every keeper subscribed to what is applied now, for instance after an update took some time.
+    /// Reports the applied versions to every subscribed keeper, for instance after an update that took some time.
     pub fn send_applied_versions(&self) {
-        let links: Vec<Link> = self.lock().slots.iter().filter_map(|place| place.link.clone()).collect();
+        let links: Vec<Link> = self.lock().slots.iter().filter_map(|slot| slot.link.clone()).collect();
         let applied = self.sink.applied_versions();
         for link in links {
             link.send(Message::Applied(applied.clone()));
         }
     }
 
-    /// Whether a keeper has answered a subscription that stands.
+    /// Whether any subscription is established.
     pub fn is_connected(&self) -> bool {
         self.lock().slots.iter().any(KeeperSlot::is_live)
     }
 
+    /// Maintains one subscription at a time, to one keeper after another.
     async fn maintain_subscription(self: Arc<Self>) {
         loop {
             let changed = self.keepers_changed.notified();
@@ -160,44 +162,44 @@
                 changed.await;
                 continue;
             };
-            if let Some((link, answered)) = self.connect(address).await {
-                self.follow(address, &link, answered).await;
+            if let Some((link, first_update_received)) = self.connect(address).await {
+                self.follow(address, &link, first_update_received).await;
             }
-            self.lock().slots.retain(|place| place.keeper != address);
+            self.lock().slots.retain(|slot| slot.keeper != address);
             self.sink.handle_connection_change(self.is_connected());
             self.keepers_changed.notify_waiters();
             tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
-    /// The next keeper in turn to which there is no subscription.
+    /// Reserves the next keeper in turn without a subscription.
     fn reserve_keeper(&self) -> Option<SocketAddr> {
         let mut candidates = self.keepers();
         let mut keepers = self.lock();
         if !keepers.slots.iter().any(KeeperSlot::is_live) {
-            let unknown = keepers.discovered.iter().filter(|found| !candidates.contains(found));
+            let unknown = keepers.discovered.iter().filter(|discovered| !candidates.contains(discovered));
             let unknown: Vec<SocketAddr> = unknown.copied().collect();
             candidates.extend(unknown);
         }
-        let free = |address: &SocketAddr| keepers.slots.iter().all(|place| place.keeper != *address);
+        let is_free = |address: &SocketAddr| keepers.slots.iter().all(|slot| slot.keeper != *address);
         if keepers.is_suspended {
             return None;
         }
-        let turn = keepers.next_candidate;
-        let order = (0..candidates.len()).map(|offset| candidates[(turn + offset) % candidates.len()]);
-        let chosen = order.into_iter().find(free)?;
-        keepers.next_candidate = turn.wrapping_add(1);
-        keepers.slots.push(KeeperSlot { keeper: chosen, link: None, has_replied: false });
-        Some(chosen)
+        let start = keepers.next_candidate;
+        let order = (0..candidates.len()).map(|offset| candidates[(start + offset) % candidates.len()]);
+        let keeper = order.into_iter().find(is_free)?;
+        keepers.next_candidate = start.wrapping_add(1);
+        keepers.slots.push(KeeperSlot { keeper, link: None, has_replied: false });
+        Some(keeper)
     }
 
-    /// Waits for the keeper's answer, and then for the end of the link.
-    async fn follow(&self, address: SocketAddr, link: &Link, answered: oneshot::Receiver<()>) {
-        if !matches!(timeout(FIRST_UPDATE_TIMEOUT, answered).await, Ok(Ok(()))) {
+    /// Waits for the keeper's first update, and then until the link is closed.
+    async fn follow(&self, address: SocketAddr, link: &Link, first_update_received: oneshot::Receiver<()>) {
+        if !matches!(timeout(FIRST_UPDATE_TIMEOUT, first_update_received).await, Ok(Ok(()))) {
             return link.close();
         }
-        if let Some(place) = self.lock().slots.iter_mut().find(|place| place.keeper == address) {
-            place.has_replied = true;
+        if let Some(slot) = self.lock().slots.iter_mut().find(|slot| slot.keeper == address) {
+            slot.has_replied = true;
         }
         self.sink.handle_connection_change(self.is_connected());
         link.wait_closed().await;
@@ -205,7 +207,7 @@
 
     async fn connect(self: &Arc<Self>, address: SocketAddr) -> Option<(Link, oneshot::Receiver<()>)> {
         let stream = connect(address).await?;
-        let (first_update, answered) = oneshot::channel();
+        let (first_update, first_update_received) = oneshot::channel();
         let service = Subscription {
             subscriber: Arc::clone(self),
             first_update: Mutex::new(Some(first_update)),
@@ -219,9 +221,9 @@
         if keepers.is_suspended {
             link.close();
         }
-        let place = keepers.slots.iter_mut().find(|place| place.keeper == address)?;
-        place.link = Some(link.clone());
-        Some((link, answered))
+        let slot = keepers.slots.iter_mut().find(|slot| slot.keeper == address)?;
+        slot.link = Some(link.clone());
+        Some((link, first_update_received))
     }
 
     fn lock(&self) -> MutexGuard<'_, Keepers> {
@@ -229,10 +231,10 @@
     }
 }
 
-/// One subscription.
+/// Handler of the messages of one subscription.
 struct Subscription {
     subscriber: Arc<Subscriber>,
-    /// Told by the first update.
+    /// Notified by the first update.
     first_update: Mutex<Option<oneshot::Sender<()>>>,
     /// The highest revision of instances applied from this keeper.
     highest_instances_revision: Mutex<u64>,
@@ -243,12 +245,12 @@
         let Message::Update(update) = message else { return };
         let first_update = lock(&self.first_update).take();
         if let Some(first_update) = first_update {
-            // Nobody waits any more where the answer came too late.
+            // The receiver is gone if the first update came too late.
             let _ = first_update.send(());
         }
         match update {
-            Update::Keepers(told) => {
-                self.subscriber.lock().handle_announced(told, link);
+            Update::Keepers(announced) => {
+                self.subscriber.lock().handle_announced(announced, link);
                 self.subscriber.keepers_changed.notify_waiters();
             }
             update => {
--- a/crates/node/tests/gossip.rs
+++ b/crates/node/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! Membership over loopback: processes find keepers that their settings do not name.
+//! Membership over loopback: processes discover keepers that their settings do not name.
 
 mod keepers;
 
@@ -22,10 +22,10 @@
 
 use keepers::{Keepers, Observer, PATIENCE, configuration};
 
-/// Nobody listens there.
-const DEAD: u8 = 250;
+/// Number of a machine on which nothing listens.
+const DEAD_MACHINE: u8 = 250;
 
-/// Machines of one test, on loopback addresses of its own.
+/// The machines of one test, with loopback addresses of their own.
 struct Machines(Ipv4Addr);
 
 impl Machines {
@@ -57,7 +57,7 @@
     }
 }
 
-/// A member and the keepers that it was told last.
+/// A member and the keepers that it reported last.
 struct Node {
     gossip: Gossip,
     keepers: watch::Receiver<Vec<SocketAddr>>,
@@ -66,72 +66,72 @@
 impl Node {
     async fn start(settings: &Settings, role: Role) -> Node {
         let (sender, keepers) = watch::channel(Vec::new());
-        let observer = Box::new(move |found| drop(sender.send_replace(found)));
+        let observer = Box::new(move |keepers| drop(sender.send_replace(keepers)));
         let log = Logger::root(Discard, o!());
         let gossip = Gossip::start(settings, LocalProcess { role, disk: None }, log, observer).await.unwrap();
         Node { gossip, keepers }
     }
 
-    async fn until_keepers(&mut self, wanted: &[SocketAddr]) {
-        let found = self.keepers.wait_for(|found| found == wanted);
-        timeout(PATIENCE, found).await.expect("in time").expect("the member runs");
+    async fn wait_for_keepers(&mut self, expected: &[SocketAddr]) {
+        let reported = self.keepers.wait_for(|keepers| keepers == expected);
+        timeout(PATIENCE, reported).await.expect("keepers reported in time").expect("the member runs");
     }
 }
 
 #[tokio::test]
-async fn a_process_with_a_dead_seed_finds_all_keepers_through_the_other() {
+async fn a_process_with_a_dead_seed_discovers_all_keepers_through_the_other() {
     let machines = Machines::new();
     let mut first = Node::start(&machines.settings(1, &[1, 2]), Role::Keeper).await;
     let _second = Node::start(&machines.settings(2, &[1, 2]), Role::Keeper).await;
-    first.until_keepers(&[machines.keeper(2)]).await;
-    let mut relay = Node::start(&machines.settings(3, &[DEAD, 1]), Role::Relay).await;
-    relay.until_keepers(&[machines.keeper(1), machines.keeper(2)]).await;
+    first.wait_for_keepers(&[machines.keeper(2)]).await;
+    let mut relay = Node::start(&machines.settings(3, &[DEAD_MACHINE, 1]), Role::Relay).await;
+    relay.wait_for_keepers(&[machines.keeper(1), machines.keeper(2)]).await;
     assert_eq!(relay.gossip.keepers(), [machines.keeper(1), machines.keeper(2)]);
 }
 
 #[tokio::test]
-async fn a_restarted_process_whose_seeds_are_dead_is_found_by_those_that_knew_it() {
+async fn a_restarted_process_with_dead_seeds_is_rediscovered_by_known_members() {
     let machines = Machines::new();
     let _keeper = Node::start(&machines.settings(1, &[1]), Role::Keeper).await;
     let mut relay = Node::start(&machines.settings(2, &[1]), Role::Relay).await;
-    relay.until_keepers(&[machines.keeper(1)]).await;
+    relay.wait_for_keepers(&[machines.keeper(1)]).await;
     drop(relay);
     // The socket is closed when the task has been dropped.
-    let settings = machines.settings(2, &[DEAD]);
+    let settings = machines.settings(2, &[DEAD_MACHINE]);
     let address = settings.own_address(Port::Relay);
     while tokio::net::UdpSocket::bind(address).await.is_err() {
         tokio::task::yield_now().await;
     }
     let mut relay = Node::start(&settings, Role::Relay).await;
-    relay.until_keepers(&[machines.keeper(1)]).await;
+    relay.wait_for_keepers(&[machines.keeper(1)]).await;
 }
 
 #[tokio::test]
-async fn changed_seeds_are_asked_and_a_zone_lists_its_live_relays() {
+async fn changed_seeds_are_contacted_and_a_zone_lists_its_live_relays() {
     let machines = Machines::new();
     let keeper = Node::start(&machines.settings(1, &[1]), Role::Keeper).await;
-    let mut relay = Node::start(&machines.settings(2, &[DEAD]), Role::Relay).await;
+    let mut relay = Node::start(&machines.settings(2, &[DEAD_MACHINE]), Role::Relay).await;
     relay.gossip.reload(&machines.settings(2, &[1]));
-    relay.until_keepers(&[machines.keeper(1)]).await;
+    relay.wait_for_keepers(&[machines.keeper(1)]).await;
     let relays = keeper.gossip.live_relays("a");
     assert_eq!(relays.iter().map(|relay| &*relay.id.node.0).collect::<Vec<_>>(), ["machine-2"]);
     assert!(keeper.gossip.live_relays("b").is_empty());
 }
 
 #[tokio::test]
-async fn a_keeper_that_leaves_is_a_keeper_no_more() {
+async fn a_keeper_that_leaves_is_removed() {
     let machines = Machines::new();
     let keeper = Node::start(&machines.settings(1, &[1]), Role::Keeper).await;
     let mut relay = Node::start(&machines.settings(2, &[1]), Role::Relay).await;
-    relay.until_keepers(&[machines.keeper(1)]).await;
+    relay.wait_for_keepers(&[machines.keeper(1)]).await;
     keeper.gossip.leave();
-    relay.until_keepers(&[]).await;
+    relay.wait_for_keepers(&[]).await;
 }
 
-/// Holds nothing.
-struct Nothing;
+/// Ignores all updates.
+struct NullSink;
 
-impl UpdateSink for Nothing {
+impl UpdateSink for NullSink {
     fn apply(&self, _: Update) {}
 
     fn applied_versions(&self) -> AppliedVersions {
@@ -144,10 +144,10 @@
 }
 
 #[tokio::test]
-async fn a_subscriber_whose_seeds_are_dead_subscribes_to_a_keeper_that_was_found() {
+async fn a_subscriber_with_dead_seeds_subscribes_to_a_discovered_keeper() {
     let machines = Machines::new();
     let keeper = TcpListener::bind(machines.keeper(1)).await.unwrap();
-    let settings = machines.settings(2, &[DEAD]);
+    let settings = machines.settings(2, &[DEAD_MACHINE]);
     let subscribe = Subscribe {
         node: NodeName::from("machine-2"),
         zone: "a".into(),
@@ -155,16 +155,16 @@
         subscriber: Kind::Relay,
         configuration: Version::default(),
     };
-    let subscriber = Subscriber::start(subscribe, settings.seed_keepers(), 1, Arc::new(Nothing));
+    let subscriber = Subscriber::start(subscribe, settings.seed_keepers(), 1, Arc::new(NullSink));
     subscriber.set_discovered(vec![machines.keeper(1)]);
-    timeout(PATIENCE, keeper.accept()).await.expect("in time").unwrap();
+    timeout(PATIENCE, keeper.accept()).await.expect("a connection in time").unwrap();
 }
 
 #[tokio::test]
-async fn a_keeper_with_stale_seeds_joins_when_its_settings_change() {
+async fn a_keeper_with_dead_seeds_joins_when_its_settings_change() {
     let keepers = Keepers::start(3).await;
     assert_eq!(keepers.put(0, 0, &configuration(3)).await.status, 200);
-    let (fresh, stale) = joining(&keepers);
+    let (fresh, stale) = settings_of_joining_keeper(&keepers);
     let address = fresh.own_address(Port::Keeper);
     let (changed, changes) = watch::channel(stale.clone());
     let log = Logger::root(Discard, o!());
@@ -175,8 +175,8 @@
     running.abort();
 }
 
-/// The settings of a further keeper, with seeds that live and with one that does not.
-fn joining(keepers: &Keepers) -> (Settings, Settings) {
+/// The settings of a joining keeper: with live seeds, and with one dead seed.
+fn settings_of_joining_keeper(keepers: &Keepers) -> (Settings, Settings) {
     let mut fresh = keepers.settings(0).clone();
     let SocketAddr::V4(first) = fresh.own_address(Port::Keeper) else { unreachable!("loopback is IPv4") };
     let [one, two, three, _] = first.ip().octets();
@@ -187,6 +187,6 @@
     fresh.data_directory = fresh.data_directory.map(|folder| folder.with_file_name("9"));
     fresh.bootstrap = false;
     let mut stale = fresh.clone();
-    stale.seed_nodes = vec![SocketAddr::new(at(DEAD).into(), 8_144)];
+    stale.seed_nodes = vec![SocketAddr::new(at(DEAD_MACHINE).into(), 8_144)];
     (fresh, stale)
 }
--- a/crates/node/tests/link.rs
+++ b/crates/node/tests/link.rs
@@ -1,4 +1,4 @@
-//! Links carry calls, answers and updates over loopback, and end their calls when they break.
+//! Links carry calls, replies and updates over loopback, and fail their calls when they are closed.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -10,9 +10,9 @@
 use tokio::net::TcpListener;
 use tokio::time::timeout;
 
-const WITHIN: Duration = Duration::from_secs(10);
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Answers a question for distribution, closes the link on [`Message::Pong`], keeps all else.
+/// Replies to a request for distribution, closes the link on [`Message::Pong`], and records all other messages.
 #[derive(Default)]
 struct Recorder {
     messages: Mutex<Vec<Message>>,
@@ -30,7 +30,7 @@
     }
 }
 
-fn question() -> Message {
+fn request() -> Message {
     Message::Registry(RegistryMessage::DistributeConfiguration { version: Default::default(), wait_ms: 1 })
 }
 
@@ -43,24 +43,24 @@
 }
 
 #[tokio::test]
-async fn a_call_is_answered_and_the_link_is_used_again() {
+async fn a_call_is_replied_to_and_the_link_is_reused() {
     let (address, _) = server().await;
     let pool = LinkPool::new(Arc::new(Recorder::default()));
-    let answer = pool.call(address, question(), WITHIN).await.unwrap();
-    assert_eq!(answer, Message::Registry(RegistryMessage::ConfigurationDistributed));
+    let reply = pool.call(address, request(), CALL_TIMEOUT).await.unwrap();
+    assert_eq!(reply, Message::Registry(RegistryMessage::ConfigurationDistributed));
     let first = pool.link(address).await.unwrap();
-    pool.call(address, question(), WITHIN).await.unwrap();
+    pool.call(address, request(), CALL_TIMEOUT).await.unwrap();
     assert_eq!(first.id(), pool.link(address).await.unwrap().id());
 }
 
 #[tokio::test]
-async fn many_calls_at_once_each_get_their_own_answer() {
+async fn concurrent_calls_each_get_their_own_reply() {
     let (address, _) = server().await;
     let pool = Arc::new(LinkPool::new(Arc::new(Recorder::default())));
     let calls: Vec<_> = (0..100)
         .map(|_| {
             let pool = Arc::clone(&pool);
-            tokio::spawn(async move { pool.call(address, question(), WITHIN).await })
+            tokio::spawn(async move { pool.call(address, request(), CALL_TIMEOUT).await })
         })
         .collect();
     for call in calls {
@@ -69,42 +69,42 @@
 }
 
 #[tokio::test]
-async fn a_call_on_a_link_that_breaks_fails_and_the_next_opens_another() {
+async fn a_call_on_a_closed_link_fails_and_the_next_opens_another_link() {
     let (address, _) = server().await;
     let pool = LinkPool::new(Arc::new(Recorder::default()));
     let link = pool.link(address).await.unwrap();
-    assert_eq!(link.call(Message::Pong, WITHIN).await, Err(CallError::LinkClosed));
+    assert_eq!(link.call(Message::Pong, CALL_TIMEOUT).await, Err(CallError::LinkClosed));
     link.wait_closed().await;
     assert!(link.is_closed());
-    assert!(pool.call(address, question(), WITHIN).await.is_ok());
+    assert!(pool.call(address, request(), CALL_TIMEOUT).await.is_ok());
 }
 
 #[tokio::test]
-async fn nobody_listening_is_told_apart_from_a_broken_link() {
+async fn a_refused_connection_is_distinguished_from_a_closed_link() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
     let pool = LinkPool::new(Arc::new(Recorder::default()));
-    assert_eq!(pool.call(address, question(), WITHIN).await, Err(CallError::NotConnected));
+    assert_eq!(pool.call(address, request(), CALL_TIMEOUT).await, Err(CallError::NotConnected));
 }
 
 #[tokio::test]
-async fn bytes_that_are_no_envelope_end_the_link() {
+async fn invalid_bytes_close_the_link() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let (address, recorder) = server().await;
     let mut stream = tokio::net::TcpStream::connect(address).await.unwrap();
     stream.write_all(&[0xff; 64]).await.unwrap();
     let mut rest = Vec::new();
-    // The end, or a reset for what was not read.
+    // End of file, or a reset because of unread bytes.
     let _ = stream.read_to_end(&mut rest).await;
     assert!(rest.is_empty());
     assert!(recorder.messages.lock().unwrap().is_empty());
 }
 
-/// An envelope that takes longer than a link's patience, in as many parts as it has bytes. Fails without the ping
-/// for a part of an envelope in `read`: the sender hears nothing and gives the link up.
+/// An envelope that takes longer than [`LINK_TIMEOUT`](juniperwing_node::link::LINK_TIMEOUT), sent byte by byte. Fails
+/// without the ping for a partial envelope in `run_reader`: the sender receives nothing and closes the link.
 #[tokio::test]
-async fn whoever_sends_a_large_envelope_slowly_hears_that_it_is_read() {
+async fn a_peer_that_sends_a_large_envelope_slowly_receives_pings() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     const BYTES: usize = 8 << 20;
     let (address, recorder) = server().await;
@@ -114,26 +114,26 @@
     let bytes = envelope.encode().unwrap();
     let mut stream = tokio::net::TcpStream::connect(address).await.unwrap();
     let (mut reader, mut writer) = stream.split();
-    let mut sign = [0; 4];
+    let mut buffer = [0; 4];
     let mut sent = 0;
-    let hears = async {
+    let receives_ping = async {
         loop {
             tokio::select! {
                 biased;
-                heard = reader.read(&mut sign) => return assert!(heard.unwrap() > 0),
+                received = reader.read(&mut buffer) => return assert!(received.unwrap() > 0),
                 written = writer.write_all(&bytes[sent..=sent]) => written.unwrap(),
             }
             sent += 1;
             tokio::task::yield_now().await;
         }
     };
-    timeout(WITHIN, hears).await.expect("a sign of life");
-    assert!(sent < bytes.len(), "heard before all was sent");
+    timeout(CALL_TIMEOUT, receives_ping).await.expect("a ping");
+    assert!(sent < bytes.len(), "a ping was received before everything was sent");
     writer.write_all(&bytes[sent..]).await.unwrap();
     let arrived = async {
         while recorder.messages.lock().unwrap().first() != Some(&message) {
             tokio::task::yield_now().await;
         }
     };
-    timeout(WITHIN, arrived).await.expect("the whole envelope");
+    timeout(CALL_TIMEOUT, arrived).await.expect("the complete envelope");
 }
--- a/crates/node/tests/link_answers.rs
+++ b/crates/node/tests/link_replies.rs
@@ -1,5 +1,5 @@
-//! An answer on a link reaches its own caller alone, however late, doubled, out of order or cut it comes, and a call
-//! that may have been handled is told apart from one that was not sent.
+//! Replies on a link reach their own caller only, also if they are late, duplicated, reordered or truncated, and a call
+//! that may have been handled is distinguished from one that was not sent.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,17 +13,17 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::runtime::Builder;
 
-const WITHIN: Duration = Duration::from_secs(10);
-/// For calls that are not to be answered in time.
-const SHORT: Duration = Duration::from_millis(20);
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time-out of calls that are not replied to in time.
+const SHORT_CALL_TIMEOUT: Duration = Duration::from_millis(20);
 
-struct Unasked;
+struct IgnoreMessages;
 
-impl Service for Unasked {
+impl Service for IgnoreMessages {
     fn handle_message(&self, _: &Link, _: Message, _: ReplySender) {}
 }
 
-/// A message that bears a number; answers bear that of their question.
+/// A message with a number; a reply has the number of its call.
 fn numbered(number: u32) -> Message {
     Message::Registry(RegistryMessage::DistributeConfiguration {
         version: Default::default(),
@@ -31,11 +31,11 @@
     })
 }
 
-fn answer(call: CallId, number: u32) -> Vec<u8> {
+fn encode_reply(call: CallId, number: u32) -> Vec<u8> {
     Envelope { call, is_reply: true, message: numbered(number) }.encode().unwrap()
 }
 
-/// The other end of a link, as bytes.
+/// The peer of a link, which reads and writes bytes.
 struct Peer {
     stream: TcpStream,
     buffer: Vec<u8>,
@@ -61,48 +61,48 @@
     }
 }
 
-async fn linked() -> (Link, Peer) {
+async fn link_with_peer() -> (Link, Peer) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let pool = LinkPool::new(Arc::new(Unasked));
+    let pool = LinkPool::new(Arc::new(IgnoreMessages));
     let link = pool.link(listener.local_addr().unwrap()).await.unwrap();
     let peer = Peer::accept(&listener).await;
     (link, peer)
 }
 
-// Guard: `Link::take` looks the caller up by the call's number, which no two calls of a link share.
+// Guard: `Link::dispatch` looks up the caller by the id of the call, which is unique on a link.
 #[tokio::test]
-async fn a_late_answer_does_not_reach_the_next_call() {
-    let (link, mut peer) = linked().await;
-    assert_eq!(link.call(numbered(1), SHORT).await, Err(CallError::TimedOut));
+async fn a_late_reply_does_not_reach_the_next_call() {
+    let (link, mut peer) = link_with_peer().await;
+    assert_eq!(link.call(numbered(1), SHORT_CALL_TIMEOUT).await, Err(CallError::TimedOut));
     let late = peer.next_call().await;
     let calling = tokio::spawn({
         let link = link.clone();
-        async move { link.call(numbered(2), WITHIN).await }
+        async move { link.call(numbered(2), CALL_TIMEOUT).await }
     });
-    let due = peer.next_call().await;
-    peer.send(&answer(late, 1)).await;
-    peer.send(&answer(due, 2)).await;
+    let current = peer.next_call().await;
+    peer.send(&encode_reply(late, 1)).await;
+    peer.send(&encode_reply(current, 2)).await;
     assert_eq!(calling.await.unwrap(), Ok(numbered(2)));
 }
 
 #[tokio::test]
-async fn a_link_that_ends_within_an_answer_has_broken_and_the_call_may_have_been_handled() {
-    let whole = answer(CallId(1), 1).len();
-    for cut in 0..whole {
-        let (link, mut peer) = linked().await;
-        let calling = tokio::spawn(async move { link.call(numbered(1), WITHIN).await });
+async fn a_link_closed_within_a_reply_fails_the_call_as_possibly_handled() {
+    let full_length = encode_reply(CallId(1), 1).len();
+    for length in 0..full_length {
+        let (link, mut peer) = link_with_peer().await;
+        let calling = tokio::spawn(async move { link.call(numbered(1), CALL_TIMEOUT).await });
         let call = peer.next_call().await;
-        peer.send(&answer(call, 1)[..cut]).await;
+        peer.send(&encode_reply(call, 1)[..length]).await;
         drop(peer);
-        assert_eq!(calling.await.unwrap(), Err(CallError::LinkClosed), "cut at {cut}");
+        assert_eq!(calling.await.unwrap(), Err(CallError::LinkClosed), "truncated at {length}");
     }
 }
 
-/// In which order answers come, and which come again or for calls that nobody made.
+/// The order of replies, with duplicates and replies to unknown calls.
 #[derive(Clone, Debug)]
 struct Script {
     calls: usize,
-    /// Places of calls, answered in this order; each may be named more than once or never.
+    /// Indexes of calls, replied to in this order; each may occur more than once or never.
     order: Vec<usize>,
     unknown: Vec<u64>,
 }
@@ -116,40 +116,40 @@
 }
 
 #[test]
-fn answers_in_any_order_doubled_or_unasked_reach_their_own_callers() {
+fn replies_reordered_duplicated_or_unrequested_reach_their_own_callers() {
     for seed in 0..3 {
         let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]);
         let config = Config { cases: 60, failure_persistence: None, ..Config::default() };
         TestRunner::new_with_rng(config, rng)
             .run(&scripts(), |script| {
                 let runtime = Builder::new_current_thread().enable_all().build().unwrap();
-                runtime.block_on(play(script)).map_err(TestCaseError::fail)
+                runtime.block_on(play(script))
             })
             .unwrap();
     }
 }
 
-async fn play(script: Script) -> Result<(), String> {
-    let (link, mut peer) = linked().await;
+async fn play(script: Script) -> Result<(), TestCaseError> {
+    let (link, mut peer) = link_with_peer().await;
     let (mut callers, mut calls) = (Vec::new(), Vec::new());
-    for place in 0..script.calls {
+    for index in 0..script.calls {
         let link = link.clone();
-        callers.push(tokio::spawn(async move { link.call(numbered(place as u32), WITHIN).await }));
+        callers.push(tokio::spawn(async move { link.call(numbered(index as u32), CALL_TIMEOUT).await }));
         calls.push(peer.next_call().await);
     }
     for unknown in &script.unknown {
-        peer.send(&answer(CallId(*unknown), 77)).await;
+        peer.send(&encode_reply(CallId(*unknown), 77)).await;
     }
-    for place in &script.order {
-        peer.send(&answer(calls[*place], *place as u32)).await;
+    for index in &script.order {
+        peer.send(&encode_reply(calls[*index], *index as u32)).await;
     }
     drop(peer);
-    for (place, caller) in callers.into_iter().enumerate() {
-        let answered = script.order.contains(&place);
-        let expected = if answered { Ok(numbered(place as u32)) } else { Err(CallError::LinkClosed) };
-        let got = caller.await.unwrap();
-        if got != expected {
-            return Err(format!("call {place}: {got:?}"));
+    for (index, caller) in callers.into_iter().enumerate() {
+        let has_reply = script.order.contains(&index);
+        let expected = if has_reply { Ok(numbered(index as u32)) } else { Err(CallError::LinkClosed) };
+        let result = caller.await.unwrap();
+        if result != expected {
+            return Err(TestCaseError::fail(format!("call {index}: {result:?}")));
         }
     }
     Ok(())
--- a/crates/node/tests/panics.rs
+++ b/crates/node/tests/panics.rs
@@ -1,36 +1,36 @@
-//! What a panic ends.
+//! Scope of panics: isolated tasks, critical sections and essential tasks.
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 use juniperwing_node::panics::{critical_section, is_isolated, isolate, spawn_essential};
 
 #[tokio::test]
-async fn isolation_holds_in_the_task_and_nowhere_else() {
+async fn isolation_applies_to_its_task_only() {
     assert!(!is_isolated());
-    let seen = isolate(async {
-        let before = is_isolated();
+    let observed = isolate(async {
+        let at_start = is_isolated();
         tokio::task::yield_now().await;
-        let in_critical = critical_section(is_isolated);
-        let spawned = tokio::spawn(async { is_isolated() }).await.unwrap();
-        (before, in_critical, spawned, is_isolated())
+        let in_critical_section = critical_section(is_isolated);
+        let in_spawned_task = tokio::spawn(async { is_isolated() }).await.unwrap();
+        (at_start, in_critical_section, in_spawned_task, is_isolated())
     });
-    assert_eq!(seen.await, (true, false, false, true));
+    assert_eq!(observed.await, (true, false, false, true));
     assert!(!is_isolated());
 }
 
 #[tokio::test]
-async fn a_panic_leaves_the_isolation_of_its_task() {
-    let ended = tokio::spawn(isolate(async { panic!("a caller's") })).await;
-    assert!(ended.unwrap_err().is_panic());
+async fn isolation_is_restored_after_a_panic() {
+    let result = tokio::spawn(isolate(async { panic!("a caller's") })).await;
+    assert!(result.unwrap_err().is_panic());
     assert!(!is_isolated());
-    let ended = isolate(async {
+    let is_still_isolated = isolate(async {
         catch_unwind(AssertUnwindSafe(|| critical_section(|| panic!("shared")))).is_err() && is_isolated()
     });
-    assert!(ended.await);
+    assert!(is_still_isolated.await);
 }
 
 #[tokio::test]
 async fn an_essential_task_that_returns_panics() {
-    let ended = spawn_essential("upkeep", async {}).await;
-    assert!(ended.unwrap_err().is_panic());
+    let result = spawn_essential("upkeep", async {}).await;
+    assert!(result.unwrap_err().is_panic());
 }
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -1,10 +1,10 @@
-//! Settings are read as the platform writes them; what does not fit is told with its key.
+//! Settings are parsed as the platform writes them; invalid values are reported with their keys.
 
 use std::path::Path;
 
 use juniperwing_clock::Span;
 use juniperwing_node::link::LINK_TIMEOUT;
-use juniperwing_node::settings::{CALLER_TIMEOUT, Port, Settings};
+use juniperwing_node::settings::{CALLER_TIMEOUT, Port, Settings, SettingsError};
 
 const CORE: &str = r#"
 nodeName = "core-a-1"
@@ -41,12 +41,12 @@
 pass_ms = 120
 "#;
 
-fn parse(text: &str) -> Result<Settings, String> {
-    Settings::parse(Path::new("local.toml"), text).map_err(|e| e.to_string())
+fn parse(text: &str) -> Result<Settings, SettingsError> {
+    Settings::parse(Path::new("local.toml"), text)
 }
 
 #[test]
-fn the_platform_s_settings_are_read() {
+fn the_settings_of_the_platform_are_parsed() {
     let settings = parse(CORE).unwrap();
     assert_eq!(settings.node_name, "core-a-1");
     assert_eq!(settings.own_address(Port::Keeper).to_string(), "10.1.0.41:7381");
@@ -62,75 +62,75 @@
 #[test]
 fn a_missing_key_is_named() {
     let text = CORE.replace("ipAddress", "other");
-    assert!(parse(&text).unwrap_err().contains("ipAddress"));
+    assert!(parse(&text).unwrap_err().to_string().contains("ipAddress"));
 }
 
 #[test]
-fn all_findings_are_told_together() {
+fn all_invalid_values_are_reported_together() {
     let text =
         CORE.replace("[7380,7395]", "[7380,7381]").replace("1200", "0").replace("graceS = 8", "graceS = nan");
-    let told = parse(&text).unwrap_err();
+    let error = parse(&text).unwrap_err().to_string();
     for key in ["ephemeralPorts", "heartbeatMs", "bounds.graceS"] {
-        assert!(told.contains(key), "{told}");
+        assert!(error.contains(key), "{error}");
     }
 }
 
 #[test]
-fn a_keeper_s_times_follow_from_the_bounds() {
-    let times = parse(CORE).unwrap().control_timings();
-    assert_eq!(times.contact_window, Span::from_millis(1_200));
-    assert_eq!(times.configuration_apply_timeout.as_millis(), 375);
+fn time_outs_of_a_keeper_are_derived_from_the_bounds() {
+    let timings = parse(CORE).unwrap().control_timings();
+    assert_eq!(timings.contact_window, Span::from_millis(1_200));
+    assert_eq!(timings.configuration_apply_timeout.as_millis(), 375);
     let longer = CORE.replace("contactMs = 3000", "contactMs = 4000").replace("Ms = 1500", "Ms = 9000");
-    let times = parse(&longer).unwrap().control_timings();
-    assert_eq!(times.contact_window, Span::from_millis(1_600));
-    // The rest of the caller's second is for committing, whatever the bounds allow.
-    assert_eq!(times.configuration_apply_timeout.as_millis(), 500);
+    let timings = parse(&longer).unwrap().control_timings();
+    assert_eq!(timings.contact_window, Span::from_millis(1_600));
+    // The rest of the caller's time-out is for committing, whatever the bounds.
+    assert_eq!(timings.configuration_apply_timeout.as_millis(), 500);
 }
 
-/// Guard: each wait ends before the one that contains it, and the outermost before the caller's second.
+/// Guard: each time-out is shorter than the one that contains it, and the outermost shorter than the caller's.
 #[test]
-fn nested_waits_end_in_time_for_the_caller_whatever_the_bounds() {
+fn nested_time_outs_are_shorter_than_the_callers_whatever_the_bounds() {
     for bound in [1_200, 2_000, 4_000, 60_000] {
         let text = ["contactMs = 3000", "drainMs = 2000", "configApplyMs = 1500", "ackMs = 4000"]
             .iter()
             .fold(CORE.to_owned(), |text, line| {
                 text.replace(line, &format!("{}= {bound}", line.split('=').next().unwrap()))
             });
-        let times = parse(&text).unwrap().control_timings();
-        assert!(times.subscriber_apply_timeout < times.peer_reply_timeout);
-        assert!(times.peer_reply_timeout < times.propagation_timeout);
-        assert!(times.propagation_timeout < CALLER_TIMEOUT);
-        assert!(times.configuration_apply_timeout < CALLER_TIMEOUT / 2 + CALLER_TIMEOUT / 10);
-        assert!(times.contact_window < Span::from_millis(bound));
-        // At a dead link's time-out the subscriber is known dead, so that it cannot refuse ends for long.
-        assert!(times.propagation_timeout >= LINK_TIMEOUT);
+        let timings = parse(&text).unwrap().control_timings();
+        assert!(timings.subscriber_apply_timeout < timings.peer_reply_timeout);
+        assert!(timings.peer_reply_timeout < timings.propagation_timeout);
+        assert!(timings.propagation_timeout < CALLER_TIMEOUT);
+        assert!(timings.configuration_apply_timeout < CALLER_TIMEOUT / 2 + CALLER_TIMEOUT / 10);
+        assert!(timings.contact_window < Span::from_millis(bound));
+        // A dead subscriber is detected by the time-out of its link, so that it cannot block deregistrations for long.
+        assert!(timings.propagation_timeout >= LINK_TIMEOUT);
     }
 }
 
 #[test]
-fn bounds_that_no_keeper_can_meet_are_told_and_served_as_well_as_can_be() {
+fn bounds_that_no_keeper_can_meet_are_reported_and_approximated() {
     let text = CORE
         .replace("contactMs = 3000", "contactMs = 1199")
         .replace("ackMs = 4000", "ackMs = 999")
         .replace("drainMs = 2000", "drainMs = 699")
         .replace("configApplyMs = 1500", "configApplyMs = 0");
     let settings = parse(&text).unwrap();
-    let told = settings.bounds.too_short().join("; ");
+    let too_short = settings.bounds.too_short().join("; ");
     for key in ["bounds.contactMs", "bounds.ackMs", "bounds.drainMs", "bounds.configApplyMs"] {
-        assert!(told.contains(key), "{told}");
+        assert!(too_short.contains(key), "{too_short}");
     }
-    // Two reports between keepers fit in the window, so contact is not lost by its own rhythm.
+    // Two reports between keepers fit in the window, so contact is not lost between them.
     assert!(settings.control_timings().contact_window >= Span::from_millis(900));
     assert!(parse(CORE).unwrap().bounds.too_short().is_empty());
 }
 
 #[test]
-fn a_torn_file_is_refused() {
+fn a_truncated_file_is_rejected() {
     assert!(parse(&CORE[..40]).is_err());
 }
 
-/// The keys that the structures of the settings have, by what reads them.
-fn keys_read() -> Vec<String> {
+/// The keys that are read, according to the source of the settings' structs.
+fn keys_in_source() -> Vec<String> {
     let source = include_str!("../src/settings.rs");
     let mut keys = Vec::new();
     let mut prefix = None;
@@ -148,11 +148,11 @@
         } else if let (Some(prefix), Some((name, _))) =
             (prefix, line.strip_prefix("pub ").and_then(|field| field.split_once(": ")))
         {
-            let plain = if is_camel { camel(name) } else { name.to_owned() };
+            let plain = if is_camel { camel_case(name) } else { name.to_owned() };
             keys.push(format!("{prefix}{}", renamed.take().unwrap_or(plain)));
         }
     }
-    // The tables stand in the list by their own keys.
+    // Tables are listed by their own keys.
     keys.retain(|key| !["listenersMap", "limits", "faultTolerance", "bounds"].contains(&key.as_str()));
     keys
 }
@@ -168,7 +168,7 @@
     }
 }
 
-fn camel(name: &str) -> String {
+fn camel_case(name: &str) -> String {
     let mut words = name.split('_');
     let first = words.next().unwrap_or_default().to_owned();
     words.fold(first, |name, word| {
@@ -182,8 +182,8 @@
     let page = include_str!("../../../docs/settings-system.md");
     let rows = page.lines().filter_map(|line| line.strip_prefix("| `"));
     let mut listed: Vec<&str> = rows.filter_map(|row| row.split('`').next()).collect();
-    let mut read = keys_read();
+    let mut in_source = keys_in_source();
     listed.sort_unstable();
-    read.sort_unstable();
-    assert_eq!(listed, read);
+    in_source.sort_unstable();
+    assert_eq!(listed, in_source);
 }
--- a/crates/node/tests/subscriber.rs
+++ b/crates/node/tests/subscriber.rs
@@ -1,4 +1,4 @@
-//! Subscriptions of a relay or store where keepers answer late or not at all.
+//! Subscriptions of a relay or store when keepers reply late or not at all.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -13,16 +13,16 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-const PATIENCE: Duration = Duration::from_secs(40);
+const TEST_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// A keeper that takes subscriptions and answers them, or does not.
+/// A keeper that accepts subscriptions and, if `replies`, sends the first update.
 #[derive(Default)]
 struct Keeper {
-    answers: bool,
+    replies: bool,
     subscriptions: Mutex<usize>,
     /// The link of the newest subscription.
     link: Mutex<Option<Link>>,
-    news: Notify,
+    subscribed: Notify,
 }
 
 impl Service for Keeper {
@@ -32,8 +32,8 @@
         }
         *self.subscriptions.lock().unwrap() += 1;
         *self.link.lock().unwrap() = Some(link.clone());
-        self.news.notify_waiters();
-        if self.answers {
+        self.subscribed.notify_waiters();
+        if self.replies {
             let update = InstancesUpdate {
                 is_snapshot: true,
                 is_registry_complete: true,
@@ -45,43 +45,43 @@
 }
 
 impl Keeper {
-    async fn start(answers: bool) -> (SocketAddr, Arc<Keeper>) {
-        let keeper = Arc::new(Keeper { answers, ..Keeper::default() });
+    async fn start(replies: bool) -> (SocketAddr, Arc<Keeper>) {
+        let keeper = Arc::new(Keeper { replies, ..Keeper::default() });
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         tokio::spawn(serve(listener, keeper.clone()));
         (address, keeper)
     }
 
-    async fn until_subscriptions(&self, count: usize) {
-        let met = async {
+    async fn wait_for_subscriptions(&self, count: usize) {
+        let reached = async {
             loop {
-                let news = self.news.notified();
-                tokio::pin!(news);
-                news.as_mut().enable();
+                let subscribed = self.subscribed.notified();
+                tokio::pin!(subscribed);
+                subscribed.as_mut().enable();
                 if *self.subscriptions.lock().unwrap() >= count {
                     return;
                 }
-                news.await;
+                subscribed.await;
             }
         };
-        timeout(PATIENCE, met).await.expect("subscriptions");
+        timeout(TEST_TIMEOUT, reached).await.expect("subscriptions");
     }
 }
 
-/// Counts the updates that it is told.
+/// Counts the updates and records connection changes.
 #[derive(Default)]
 struct Counter {
     updates: Mutex<usize>,
-    told: Notify,
-    connected: Mutex<Vec<bool>>,
-    connection: Notify,
+    updated: Notify,
+    connection_changes: Mutex<Vec<bool>>,
+    connection_changed: Notify,
 }
 
 impl UpdateSink for Counter {
     fn apply(&self, _: Update) {
         *self.updates.lock().unwrap() += 1;
-        self.told.notify_one();
+        self.updated.notify_one();
     }
 
     fn applied_versions(&self) -> AppliedVersions {
@@ -93,8 +93,8 @@
     }
 
     fn handle_connection_change(&self, is_connected: bool) {
-        self.connected.lock().unwrap().push(is_connected);
-        self.connection.notify_one();
+        self.connection_changes.lock().unwrap().push(is_connected);
+        self.connection_changed.notify_one();
     }
 }
 
@@ -108,71 +108,71 @@
     }
 }
 
-/// Guard: `ANSWER_WITHIN`. Without it the only place is held by the keeper that never answers.
+/// Guard: `FIRST_UPDATE_TIMEOUT`. Without it the only slot remains occupied by the keeper that never replies.
 #[tokio::test]
-async fn a_keeper_that_does_not_answer_is_left_for_another() {
+async fn a_keeper_that_does_not_reply_is_replaced_by_another() {
     let (silent, silent_keeper) = Keeper::start(false).await;
-    let (answering, answering_keeper) = Keeper::start(true).await;
+    let (replying, replying_keeper) = Keeper::start(true).await;
     let sink = Arc::new(Counter::default());
     let subscriber = Subscriber::start(subscribe(), vec![silent], 1, sink.clone());
-    silent_keeper.until_subscriptions(1).await;
+    silent_keeper.wait_for_subscriptions(1).await;
     assert!(!subscriber.is_connected());
-    subscriber.set_seeds(vec![silent, answering]);
-    answering_keeper.until_subscriptions(1).await;
-    timeout(PATIENCE, sink.told.notified()).await.expect("an update");
+    subscriber.set_seeds(vec![silent, replying]);
+    replying_keeper.wait_for_subscriptions(1).await;
+    timeout(TEST_TIMEOUT, sink.updated.notified()).await.expect("an update");
     assert_eq!(*sink.updates.lock().unwrap(), 1);
 }
 
-/// At the latest when the silent keeper is left; at once in fact, which is not asserted: it is a matter of time.
+/// At the latest when the silent keeper is replaced; in fact at once, which is not asserted since it depends on timing.
 #[tokio::test]
-async fn while_no_keeper_answers_those_are_asked_that_the_membership_found() {
+async fn discovered_keepers_are_subscribed_to_while_no_keeper_replies() {
     let (silent, silent_keeper) = Keeper::start(false).await;
-    let (found, found_keeper) = Keeper::start(true).await;
+    let (discovered, discovered_keeper) = Keeper::start(true).await;
     let sink = Arc::new(Counter::default());
     let subscriber = Subscriber::start(subscribe(), vec![silent], 2, sink.clone());
-    silent_keeper.until_subscriptions(1).await;
-    subscriber.set_discovered(vec![found]);
-    found_keeper.until_subscriptions(1).await;
-    timeout(PATIENCE, sink.told.notified()).await.expect("an update");
+    silent_keeper.wait_for_subscriptions(1).await;
+    subscriber.set_discovered(vec![discovered]);
+    discovered_keeper.wait_for_subscriptions(1).await;
+    timeout(TEST_TIMEOUT, sink.updated.notified()).await.expect("an update");
 }
 
-/// Guard: the sink is told when the last answered subscription ends. Links that nobody answers do not count.
+/// Guard: the sink is notified when the last established subscription ends. Links without a reply do not count.
 #[tokio::test]
-async fn the_sink_is_told_whether_any_keeper_answers() {
-    let (answering, keeper) = Keeper::start(true).await;
+async fn the_sink_is_notified_whether_any_subscription_is_established() {
+    let (replying, keeper) = Keeper::start(true).await;
     let (silent, silent_keeper) = Keeper::start(false).await;
     let sink = Arc::new(Counter::default());
-    let subscriber = Subscriber::start(subscribe(), vec![answering, silent], 2, sink.clone());
-    keeper.until_subscriptions(1).await;
-    silent_keeper.until_subscriptions(1).await;
-    let answered = async {
+    let subscriber = Subscriber::start(subscribe(), vec![replying, silent], 2, sink.clone());
+    keeper.wait_for_subscriptions(1).await;
+    silent_keeper.wait_for_subscriptions(1).await;
+    let established = async {
         while !subscriber.is_connected() {
-            sink.connection.notified().await
+            sink.connection_changed.notified().await
         }
     };
-    timeout(PATIENCE, answered).await.expect("an answer");
+    timeout(TEST_TIMEOUT, established).await.expect("an established subscription");
     subscriber.set_suspended(true);
     let lost = async {
-        while sink.connected.lock().unwrap().last() != Some(&false) {
-            sink.connection.notified().await
+        while sink.connection_changes.lock().unwrap().last() != Some(&false) {
+            sink.connection_changed.notified().await
         }
     };
-    timeout(PATIENCE, lost).await.expect("the end");
-    assert!(sink.connected.lock().unwrap().contains(&true));
+    timeout(TEST_TIMEOUT, lost).await.expect("the loss of the subscription");
+    assert!(sink.connection_changes.lock().unwrap().contains(&true));
 }
 
-/// Guard: `Keepers::take_keepers`. A keeper that was replaced while it was cut off does not end its subscriptions.
+/// Guard: `Keepers::handle_announced`. A keeper that was replaced during a partition does not end its subscriptions.
 #[tokio::test]
-async fn a_keeper_that_is_no_voter_any_more_is_left() {
+async fn the_subscription_to_a_removed_voter_is_closed() {
     let (replaced, replaced_keeper) = Keeper::start(true).await;
     let (voter, voter_keeper) = Keeper::start(true).await;
     let subscriber = Subscriber::start(subscribe(), vec![replaced, voter], 2, Arc::new(Counter::default()));
-    replaced_keeper.until_subscriptions(1).await;
-    voter_keeper.until_subscriptions(1).await;
+    replaced_keeper.wait_for_subscriptions(1).await;
+    voter_keeper.wait_for_subscriptions(1).await;
     let link_to_voter = voter_keeper.link.lock().unwrap().clone().unwrap();
     let link_to_replaced = replaced_keeper.link.lock().unwrap().clone().unwrap();
     link_to_voter.send(Message::Update(Update::Keepers(vec![voter])));
-    timeout(PATIENCE, link_to_replaced.wait_closed()).await.expect("the end of the subscription");
+    timeout(TEST_TIMEOUT, link_to_replaced.wait_closed()).await.expect("the end of the subscription");
     assert!(!link_to_voter.is_closed());
     assert!(subscriber.keepers().contains(&voter));
 }
