--- a/crates/node/tests/gossip.rs
+++ b/crates/node/tests/gossip.rs
@@ -20,7 +20,7 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-use keepers::{Keepers, Observer, PATIENCE, configuration};
+use keepers::{Keepers, Observer, TEST_TIMEOUT, configuration};
 
 /// Number of a machine on which nothing listens.
 const DEAD_MACHINE: u8 = 250;
@@ -74,7 +74,7 @@
 
     async fn wait_for_keepers(&mut self, expected: &[SocketAddr]) {
         let reported = self.keepers.wait_for(|keepers| keepers == expected);
-        timeout(PATIENCE, reported).await.expect("keepers reported in time").expect("the member runs");
+        timeout(TEST_TIMEOUT, reported).await.expect("keepers reported in time").expect("the member runs");
     }
 }
 
@@ -157,7 +157,7 @@
     };
     let subscriber = Subscriber::start(subscribe, settings.seed_keepers(), 1, Arc::new(NullSink));
     subscriber.set_discovered(vec![machines.keeper(1)]);
-    timeout(PATIENCE, keeper.accept()).await.expect("a connection in time").unwrap();
+    timeout(TEST_TIMEOUT, keeper.accept()).await.expect("a connection in time").unwrap();
 }
 
 #[tokio::test]
--- a/crates/sessions/src/call.rs
+++ b/crates/sessions/src/call.rs
@@ -1,50 +1,52 @@
-//! Calls to other stores, and what they are for.
+//! Calls to other stores.
 
 use juniperwing_protocol::DiskId;
 use juniperwing_protocol::transfer::{TransferReply, TransferRequest};
 
+use crate::anti_entropy::SyncStep;
+use crate::epoch_confirmation::EpochConfirmationId;
 use crate::event::{Command, TransferCallId};
-use crate::levelling::LevelStep;
-use crate::primary::RoundId;
 use crate::store::Store;
 use crate::write::WriteId;
 
-/// What a call is for.
+/// What a call is made for; decides where its reply goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Purpose {
-    /// To copy a write to a replica.
+pub(crate) enum CallPurpose {
+    /// Copies a write to a replica.
     Write { write: WriteId, replica: DiskId },
-    /// To confirm an epoch before something is denied.
-    Confirm { round: RoundId },
-    /// To make a replica level.
-    Level(LevelStep),
+    /// Has a replica confirm epochs before a request is denied.
+    ConfirmEpochs { confirmation: EpochConfirmationId },
+    /// Synchronizes a replica.
+    Sync(SyncStep),
 }
 
 impl Store {
-    /// Calls a store. One that the map does not name counts as one that does not answer.
-    pub(crate) fn call(&mut self, replica: DiskId, request: TransferRequest, purpose: Purpose) {
+    /// Calls a store. A call to one that the map does not name ends at once without a reply.
+    pub(crate) fn call_store(&mut self, replica: DiskId, request: TransferRequest, purpose: CallPurpose) {
         match self.map.store(replica).map(|store| store.address) {
             Some(to) => {
                 let call = TransferCallId(self.next_number());
                 self.calls.insert(call, purpose);
                 self.commands.push(Command::Call { call, to, request });
             }
-            None => self.ended(purpose, None),
+            None => self.complete_call(purpose, None),
         }
     }
 
-    /// A call has ended.
-    pub(crate) fn answered(&mut self, call: TransferCallId, answer: Option<TransferReply>) {
+    /// Handles the end of a call; `None` if there was no reply.
+    pub(crate) fn handle_call_completed(&mut self, call: TransferCallId, reply: Option<TransferReply>) {
         if let Some(purpose) = self.calls.remove(&call) {
-            self.ended(purpose, answer);
+            self.complete_call(purpose, reply);
         }
     }
 
-    fn ended(&mut self, purpose: Purpose, answer: Option<TransferReply>) {
+    fn complete_call(&mut self, purpose: CallPurpose, reply: Option<TransferReply>) {
         match purpose {
-            Purpose::Write { write, replica } => self.write_answered(write, replica, answer),
-            Purpose::Confirm { round } => self.confirm_answered(round, answer),
-            Purpose::Level(step) => self.level_answered(step, answer),
+            CallPurpose::Write { write, replica } => self.handle_write_reply(write, replica, reply),
+            CallPurpose::ConfirmEpochs { confirmation } => {
+                self.handle_epoch_confirmation(confirmation, reply);
+            }
+            CallPurpose::Sync(step) => self.handle_sync_reply(step, reply),
         }
     }
 }
--- a/crates/sessions/src/store.rs
+++ b/crates/sessions/src/store.rs
@@ -1,80 +1,56 @@
-//! The store as a whole: what it holds, its timers, and where events go.
+//! The state of a store, and the entry point of its events.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 use juniperwing_clock::Time;
-use juniperwing_invariants::{Invariant, check};
-use juniperwing_protocol::session::SessionRequest;
 use juniperwing_protocol::subscription::StoreMap;
-use juniperwing_protocol::transfer::{RecordKey, TransferReply, TransferRequest};
 use juniperwing_protocol::{DiskId, PartitionId};
 
-use crate::batch::StoredRecord;
-use crate::call::Purpose;
-use crate::counts::{Undecided, UndecidedCounts};
-use crate::event::{AskerId, Command, Event, Moment, TransferCallId};
-use crate::journal::{Journal, StoredKey, Written};
-use crate::ledger::Ledger;
-use crate::levelling::Lead;
-use crate::limits::{Limits, RETRY_PAUSE, SWEEP_PAUSE};
+use crate::anti_entropy::LedPartition;
+use crate::call::CallPurpose;
+use crate::epoch_confirmation::{EpochConfirmation, EpochConfirmationId};
+use crate::event::{Command, Event, Moment, TransferCallId};
+use crate::group_commit::GroupCommit;
+use crate::limits::Limits;
 use crate::map_version::DurableMapVersion;
-use crate::primary::{Round, RoundId};
-use crate::program::{Place, record_bytes};
+use crate::segment_usage::SegmentUsage;
+use crate::statistics::UnavailableCounts;
 use crate::table::Table;
+use crate::timers::Timer;
+use crate::waiting_requests::WaitingRequest;
 use crate::write::{PendingWrite, WriteId};
 
-/// What happens at a point in time.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Timer {
-    /// A replica may be compared.
-    Level(PartitionId, DiskId),
-    /// A write may be sent again.
-    Resend(WriteId, DiskId),
-    /// The asker of a write has waited for long enough.
-    Overdue(WriteId),
-    /// A question has waited for long enough.
-    Waiting(u64),
-    /// The keepers may be told again.
-    Report,
-    /// The disk may be tried again.
-    Journal,
-    /// Expired programs are looked for.
-    Sweep,
-}
-
-/// A question that waits.
-#[derive(Clone, Debug)]
-pub(crate) enum Waiting {
-    /// Of a relay, until all replicas of the partition are level.
-    Level { asker: AskerId, request: SessionRequest },
-    /// Of a store, until the map names its epoch.
-    Map { asker: AskerId, request: TransferRequest },
-}
-
 /// The state machine of a store. It does no I/O and reads no clock.
 #[derive(Clone, Debug)]
 pub struct Store {
+    /// The identity of this store's disk, by which the map names it.
     pub(crate) disk: DiskId,
     pub(crate) limits: Limits,
+    /// The newest map; its version never decreases.
     pub(crate) map: Arc<StoreMap>,
     pub(crate) tables: BTreeMap<PartitionId, Table>,
-    pub(crate) leads: BTreeMap<PartitionId, Lead>,
-    pub(crate) writes: BTreeMap<WriteId, PendingWrite>,
-    pub(crate) rounds: BTreeMap<RoundId, Round>,
-    pub(crate) calls: BTreeMap<TransferCallId, Purpose>,
-    pub(crate) waiting: BTreeMap<u64, Waiting>,
+    /// The partitions of which the map names this store as the primary.
+    pub(crate) led_partitions: BTreeMap<PartitionId, LedPartition>,
+    pub(crate) pending_writes: BTreeMap<WriteId, PendingWrite>,
+    pub(crate) epoch_confirmations: BTreeMap<EpochConfirmationId, EpochConfirmation>,
+    /// Calls in flight to other stores.
+    pub(crate) calls: BTreeMap<TransferCallId, CallPurpose>,
+    /// Requests that wait for a synchronized partition or a map, by their number.
+    pub(crate) waiting_requests: BTreeMap<u64, WaitingRequest>,
     /// Joining replicas that wait until fewer are being filled.
-    pub(crate) to_fill: BTreeSet<(PartitionId, DiskId)>,
-    pub(crate) journal: Journal,
-    pub(crate) ledger: Ledger,
+    pub(crate) waiting_syncs: BTreeSet<(PartitionId, DiskId)>,
+    pub(crate) group_commit: GroupCommit,
+    pub(crate) segment_usage: SegmentUsage,
     pub(crate) timers: BTreeSet<(Time, Timer)>,
-    pub(crate) report_due: bool,
-    pub(crate) map_version: DurableMapVersion,
+    pub(crate) is_report_scheduled: bool,
+    pub(crate) is_sweep_scheduled: bool,
+    pub(crate) durable_map_version: DurableMapVersion,
+    /// The time of the event that is being handled.
     pub(crate) moment: Moment,
+    /// The commands that it has led to so far.
     pub(crate) commands: Vec<Command>,
-    pub(crate) undecided: UndecidedCounts,
-    sweep_due: bool,
+    pub(crate) unavailable_counts: UnavailableCounts,
     last_number: u64,
 }
 
@@ -86,102 +62,73 @@
             limits,
             map: Arc::default(),
             tables: BTreeMap::new(),
-            leads: BTreeMap::new(),
-            writes: BTreeMap::new(),
-            rounds: BTreeMap::new(),
+            led_partitions: BTreeMap::new(),
+            pending_writes: BTreeMap::new(),
+            epoch_confirmations: BTreeMap::new(),
             calls: BTreeMap::new(),
-            waiting: BTreeMap::new(),
-            to_fill: BTreeSet::new(),
-            journal: Journal::default(),
-            ledger: Ledger::default(),
+            waiting_requests: BTreeMap::new(),
+            waiting_syncs: BTreeSet::new(),
+            group_commit: GroupCommit::default(),
+            segment_usage: SegmentUsage::default(),
             timers: BTreeSet::new(),
-            report_due: false,
-            map_version: DurableMapVersion::default(),
+            is_report_scheduled: false,
+            is_sweep_scheduled: false,
+            durable_map_version: DurableMapVersion::default(),
             moment: Moment::default(),
             commands: Vec::new(),
-            undecided: UndecidedCounts::default(),
-            sweep_due: false,
+            unavailable_counts: UnavailableCounts::default(),
             last_number: 0,
         }
     }
 
-    /// Takes a batch that was found in a segment at the start; batches come in the order in which they were written.
-    pub fn recover(&mut self, moment: Moment, segment: u64, bytes: u64, records: Vec<StoredRecord>) {
-        self.moment = moment;
-        self.ledger.add(segment, bytes);
-        for stored in records {
-            self.recover_record(segment, stored);
-        }
-    }
-
-    fn recover_record(&mut self, segment: u64, stored: StoredRecord) {
-        let StoredRecord { partition, record } = stored;
-        let table = self.tables.entry(partition).or_default();
-        let changed = table.merge(&record, self.moment);
-        let key = RecordKey { program: record.program.clone(), request: record.request.clone() };
-        let Some(held) = table.held_mut(&key).filter(|_| changed) else { return };
-        let place = Place { segment, bytes: record_bytes(&held.record) };
-        let whole = held.record == record;
-        let before = held.place.replace(place);
-        held.durable = if whole { held.version } else { 0 };
-        self.ledger.place(place);
-        if let Some(before) = before {
-            self.ledger.release(before);
-        }
-        if !whole {
-            self.journal.mark(StoredKey { partition, key });
-        }
-    }
-
-    /// Takes the map version that was found on disk at the start. Older maps count for nothing from now on.
-    pub fn recover_map_version(&mut self, version: u64) {
-        self.map_version.recover(version);
-    }
-
-    /// All batches have been taken: forgets what has expired, and returns what is to be done.
-    pub fn recovered(&mut self, moment: Moment) -> Vec<Command> {
-        self.moment = moment;
-        self.sweep();
-        self.expect_sweep();
-        self.settle()
-    }
-
-    /// Handles an event; returns what is to be done.
+    /// Handles an event; returns the commands to carry out.
     pub fn handle(&mut self, moment: Moment, event: Event) -> Vec<Command> {
         self.moment = moment;
         match event {
-            Event::Map(map) => self.take_map(map),
-            Event::Asked { asker, request } => self.asked(asker, request),
-            Event::Transfer { asker, request } => self.transfer(asker, request, false),
-            Event::Answered { call, answer } => self.answered(call, answer),
-            Event::BatchWritten { segment, bytes } => self.batch_written(segment, bytes),
-            Event::BatchFailed => self.batch_failed(),
-            Event::MapVersionWritten { version } => self.map_version_written(version),
-            Event::MapVersionFailed => self.map_version.fail(),
+            Event::StoreMap(map) => self.handle_store_map(map),
+            Event::SessionRequest { caller, request } => self.handle_session_request(caller, request),
+            Event::TransferRequest { caller, request } => {
+                self.handle_transfer_request(caller, request, false);
+            }
+            Event::CallCompleted { call, reply } => self.handle_call_completed(call, reply),
+            Event::BatchWritten { segment, bytes } => self.handle_batch_written(segment, bytes),
+            Event::BatchFailed => self.handle_batch_failed(),
+            Event::MapVersionWritten { version } => self.handle_map_version_written(version),
+            Event::MapVersionFailed => self.durable_map_version.fail_write(),
             Event::Tick => {}
         }
-        self.settle()
+        self.run_pending()
     }
 
-    /// When [`Event::Tick`] is wanted; `None` if nothing waits.
-    pub fn next_wake(&self) -> Option<Time> {
+    /// Runs timers that have expired and starts what the event has made possible.
+    pub(crate) fn run_pending(&mut self) -> Vec<Command> {
+        self.run_timers();
+        self.start_waiting_syncs();
+        self.start_batch();
+        std::mem::take(&mut self.commands)
+    }
+
+    /// When [`Event::Tick`] is needed; `None` if no timer is set.
+    pub fn next_wake_at(&self) -> Option<Time> {
         self.timers.first().map(|(at, _)| *at)
     }
 
-    /// The version of the map held.
+    /// The version of the newest map.
     pub fn map_version(&self) -> u64 {
         self.map.version
     }
 
-    /// Whether nobody waits for an answer and all is on disk.
+    /// Whether no caller waits for a reply and everything is on disk.
     pub fn is_idle(&self) -> bool {
-        let answered = self.writes.values().all(|write| write.answer.is_none());
-        answered && self.rounds.is_empty() && self.waiting.is_empty() && self.journal.is_idle()
+        let is_replied = self.pending_writes.values().all(|write| write.pending_reply.is_none());
+        let has_no_requests = self.epoch_confirmations.is_empty() && self.waiting_requests.is_empty();
+        is_replied && has_no_requests && self.group_commit.is_idle()
     }
 
-    /// Whether some partition has its only copy here while another store is being filled with it.
-    pub fn is_filling_a_second_copy(&self) -> bool {
-        self.map.partitions.iter().any(|held| held.in_sync == [self.disk] && !held.joining.is_empty())
+    /// Whether some partition has its only replica here while another store is being filled with it.
+    pub fn is_filling_second_replica(&self) -> bool {
+        let mut partitions = self.map.partitions.iter();
+        partitions.any(|assignment| assignment.in_sync == [self.disk] && !assignment.joining.is_empty())
     }
 
     /// The records of a partition.
@@ -189,191 +136,7 @@
         self.tables.get(&partition)
     }
 
-    /// Does what is due and starts a batch if there is something to write.
-    fn settle(&mut self) -> Vec<Command> {
-        self.run_timers();
-        self.fill_next();
-        self.start_batch();
-        std::mem::take(&mut self.commands)
-    }
-
-    fn take_map(&mut self, map: Arc<StoreMap>) {
-        if map.version <= self.map.version || map.version < self.map_version.on_disk() {
-            return;
-        }
-        let before = std::mem::replace(&mut self.map, map);
-        check(Invariant::StoreMapVersionNeverDecreases, before.version < self.map.version, || {
-            format!("disk {}, map {} after {}", self.disk.0, self.map.version, before.version)
-        });
-        let count = self.map.partitions.len().max(before.partitions.len()) as u16;
-        for partition in (0..count).map(PartitionId) {
-            if before.assignment(partition) != self.map.assignment(partition) {
-                self.reassigned(partition);
-            }
-        }
-        self.resume_transfers();
-    }
-
-    fn reassigned(&mut self, partition: PartitionId) {
-        let leads = self.map.assignment(partition).is_some_and(|assignment| assignment.primary == self.disk);
-        if leads {
-            self.lead(partition);
-            self.reconsider_writes(partition);
-        } else if self.leads.remove(&partition).is_some() {
-            self.abandon_writes(partition);
-        }
-        if !leads || self.is_levelled(partition) {
-            self.resume_waiting(partition);
-        }
-    }
-
-    /// Decides the questions that waited for a partition.
-    pub(crate) fn resume_waiting(&mut self, partition: PartitionId) {
-        let waits = |waiting: &Waiting| match waiting {
-            Waiting::Level { request, .. } => request.partition == partition,
-            Waiting::Map { .. } => false,
-        };
-        for waiting in self.take_waiting(waits) {
-            if let Waiting::Level { asker, request } = waiting {
-                self.asked(asker, request);
-            }
-        }
-    }
-
-    fn resume_transfers(&mut self) {
-        for waiting in self.take_waiting(|waiting| matches!(waiting, Waiting::Map { .. })) {
-            if let Waiting::Map { asker, request } = waiting {
-                self.transfer(asker, request, false);
-            }
-        }
-    }
-
-    fn take_waiting(&mut self, which: impl Fn(&Waiting) -> bool) -> Vec<Waiting> {
-        let (taken, left) = std::mem::take(&mut self.waiting).into_iter().partition(|(_, held)| which(held));
-        self.waiting = left;
-        let taken: BTreeMap<u64, Waiting> = taken;
-        taken.into_values().collect()
-    }
-
-    fn run_timers(&mut self) {
-        while let Some((at, timer)) = self.timers.first().copied().filter(|(at, _)| *at <= self.moment.now) {
-            self.timers.remove(&(at, timer));
-            match timer {
-                Timer::Level(partition, replica) => self.start_levelling(partition, replica),
-                Timer::Resend(write, replica) => self.resend(write, replica),
-                Timer::Overdue(write) => self.write_overdue(write),
-                Timer::Waiting(number) => self.waited(number),
-                Timer::Report => self.report_again(),
-                Timer::Journal => self.journal.resume(),
-                Timer::Sweep => self.sweep_again(),
-            }
-        }
-    }
-
-    fn waited(&mut self, number: u64) {
-        match self.waiting.remove(&number) {
-            Some(Waiting::Level { asker, .. }) => self.answer_undecided(asker, Undecided::NotLevel),
-            Some(Waiting::Map { asker, .. }) => self.answer_transfer(asker, TransferReply::Failed),
-            None => {}
-        }
-    }
-
-    fn start_batch(&mut self) {
-        let Some(keys) = self.journal.take_dirty() else { return };
-        let mut records = Vec::with_capacity(keys.len());
-        let mut written = Vec::with_capacity(keys.len());
-        for key in keys {
-            let Some(held) = self.tables.get(&key.partition).and_then(|table| table.held(&key.key)) else {
-                continue;
-            };
-            let bytes = record_bytes(&held.record);
-            records.push(StoredRecord { partition: key.partition, record: held.record.clone() });
-            written.push(Written { key, version: held.version, bytes });
-        }
-        self.journal.begin(written);
-        self.commands.push(Command::WriteBatch { records });
-    }
-
-    fn batch_written(&mut self, segment: u64, bytes: u64) {
-        let running = self.journal.succeed();
-        self.ledger.add(segment, bytes);
-        for written in running.written {
-            self.record_written(segment, &written);
-        }
-        self.remove_empty();
-        self.compact();
-        for waiter in running.waiters {
-            self.disk_done(waiter);
-        }
-    }
-
-    fn record_written(&mut self, segment: u64, written: &Written) {
-        let table = self.tables.get_mut(&written.key.partition);
-        let Some(held) = table.and_then(|table| table.held_mut(&written.key.key)) else { return };
-        let place = Place { segment, bytes: written.bytes };
-        held.durable = written.version;
-        let before = held.place.replace(place);
-        self.ledger.place(place);
-        if let Some(before) = before {
-            self.ledger.release(before);
-        }
-    }
-
-    fn batch_failed(&mut self) {
-        let waiters = self.journal.fail();
-        self.timers.insert((self.moment.now + RETRY_PAUSE, Timer::Journal));
-        for waiter in waiters {
-            self.disk_failed(waiter);
-        }
-    }
-
-    /// Has the survivors of segments that are mostly superseded written again; the segments go when that is done.
-    fn compact(&mut self) {
-        let chosen = self.ledger.worth_compacting();
-        if chosen.is_empty() {
-            return;
-        }
-        for (partition, table) in &self.tables {
-            for key in table.keys_in(|segment| chosen.contains(&segment)) {
-                self.journal.mark(StoredKey { partition: *partition, key });
-            }
-        }
-    }
-
-    /// Has expired programs looked for after a pause, if anything is held.
-    pub(crate) fn expect_sweep(&mut self) {
-        if !self.sweep_due && self.tables.values().any(|table| !table.is_empty()) {
-            self.sweep_due = true;
-            self.timers.insert((self.moment.now + SWEEP_PAUSE, Timer::Sweep));
-        }
-    }
-
-    fn sweep_again(&mut self) {
-        self.sweep_due = false;
-        self.sweep();
-        self.expect_sweep();
-    }
-
-    fn sweep(&mut self) {
-        for table in self.tables.values_mut() {
-            for place in table.sweep(self.moment) {
-                self.ledger.release(place);
-            }
-        }
-        self.remove_empty();
-    }
-
-    /// Has segments removed in which nothing counts. A batch that is being written may end up in any of them, so
-    /// it is waited for.
-    fn remove_empty(&mut self) {
-        if self.journal.is_writing() {
-            return;
-        }
-        for segment in self.ledger.take_empty() {
-            self.commands.push(Command::RemoveSegment { segment });
-        }
-    }
-
+    /// A number that this store has not used yet.
     pub(crate) fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
