--- a/crates/sessions/tests/golden.rs
+++ b/crates/sessions/tests/golden.rs
@@ -22,26 +22,28 @@
 
 fn batches() -> Vec<(&'static str, BatchRecords)> {
     let reserved = stored(301, "request-1", 601, false, None);
-    let settled = stored(302, "request-2", 602, true, None);
+    let committed = stored(302, "request-2", 602, true, None);
     let first_turn = stored(303, "request-3", 603, true, Some(first_turn()));
     let later_turn = stored(304, "request-4", 604, true, Some(later_turn()));
-    let mixed = vec![reserved.clone(), settled.clone(), first_turn.clone(), later_turn.clone()];
+    let mixed = vec![reserved.clone(), committed.clone(), first_turn.clone(), later_turn.clone()];
     vec![
         ("empty", Vec::new()),
         ("reserved", vec![reserved]),
-        ("settled", vec![settled]),
+        ("settled", vec![committed]),
         ("first-turn", vec![first_turn]),
         ("later-turn", vec![later_turn]),
         ("mixed", mixed),
     ]
 }
 
-fn stored(partition: u16, request: &str, tokens: u64, settled: bool, turn: Option<Turn>) -> StoredRecord {
+fn stored(
+    partition: u16, request: &str, tokens: u64, is_committed: bool, turn: Option<Turn>,
+) -> StoredRecord {
     let record = Record {
         program: ProgramId::from("program-1"),
         request: RequestId::from(request),
         tokens,
-        is_committed: settled,
+        is_committed,
         turn,
         expires_at_ms: 1_700_000_000_000 + tokens,
     };
--- a/crates/sessions/tests/filling.rs
+++ b/crates/sessions/tests/joining_replicas.rs
@@ -11,8 +11,8 @@
 use juniperwing_sessions::{Command, Event, Limits, Moment, Store, TransferCallId};
 
 const PARTITIONS: usize = 100;
-/// Far fewer than the partitions.
-const AT_ONCE: usize = 20;
+/// The limit of concurrent synchronizations, with some slack; far fewer than the partitions.
+const MAX_CONCURRENT: usize = 20;
 
 fn map() -> Arc<StoreMap> {
     let store = |number: u16| StoreNode {
@@ -32,7 +32,7 @@
     Arc::new(StoreMap { version: 1, stores: vec![store(1), store(2)], partitions })
 }
 
-fn calls(commands: Vec<Command>) -> impl Iterator<Item = TransferCallId> {
+fn digest_calls(commands: Vec<Command>) -> impl Iterator<Item = TransferCallId> {
     commands.into_iter().filter_map(|command| match command {
         Command::Call { call, request: TransferRequest::Digests { .. }, .. } => Some(call),
         _ => None,
@@ -40,46 +40,47 @@
 }
 
 #[test]
-fn all_partitions_are_filled_a_few_at_a_time() {
+fn joining_replicas_are_filled_a_few_partitions_at_a_time() {
     let limits = Limits { required_replicas: 2, memory_bytes: 1 << 20, disk_bytes: 1 << 20 };
     let mut store = Store::new(DiskId(1), limits);
     let moment = Moment { now: Time::from_nanos(1), unix_time_ms: 1 };
-    let mut open: VecDeque<TransferCallId> = calls(store.handle(moment, Event::StoreMap(map()))).collect();
-    // One that fails takes its turn again later.
-    let failing = open.pop_front().unwrap();
-    open.extend(calls(store.handle(moment, Event::CallCompleted { call: failing, reply: None })));
-    let mut most = 0;
-    while let Some(call) = open.pop_front() {
-        most = most.max(open.len() + 1);
-        let answer = Some(TransferReply::Digests(vec![0; 16]));
-        open.extend(calls(store.handle(moment, Event::CallCompleted { call, reply: answer })));
+    let mut in_flight: VecDeque<TransferCallId> =
+        digest_calls(store.handle(moment, Event::StoreMap(map()))).collect();
+    // One that fails is tried again later.
+    let failing = in_flight.pop_front().unwrap();
+    in_flight.extend(digest_calls(store.handle(moment, Event::CallCompleted { call: failing, reply: None })));
+    let mut max_in_flight = 0;
+    while let Some(call) = in_flight.pop_front() {
+        max_in_flight = max_in_flight.max(in_flight.len() + 1);
+        let reply = Some(TransferReply::Digests(vec![0; 16]));
+        in_flight.extend(digest_calls(store.handle(moment, Event::CallCompleted { call, reply })));
     }
-    assert!(most <= AT_ONCE, "{most} at once");
-    // Guard: `DurableMapVersion`. Nothing is told before the version of the map is on disk.
+    assert!(max_in_flight <= MAX_CONCURRENT, "{max_in_flight} at once");
+    // Guard: `DurableMapVersion`. Nothing is reported before the version of the map is on disk.
     assert_eq!(store.caught_up_replicas().len(), 0);
     store.handle(moment, Event::MapVersionWritten { version: 1 });
     assert_eq!(store.caught_up_replicas().len(), PARTITIONS - 1);
     let later = Moment { now: moment.now + Span::from_millis(1_000), ..moment };
-    for call in calls(store.handle(later, Event::Tick)).collect::<Vec<_>>() {
-        let answer = Some(TransferReply::Digests(vec![0; 16]));
-        store.handle(later, Event::CallCompleted { call, reply: answer });
+    for call in digest_calls(store.handle(later, Event::Tick)).collect::<Vec<_>>() {
+        let reply = Some(TransferReply::Digests(vec![0; 16]));
+        store.handle(later, Event::CallCompleted { call, reply });
     }
     assert_eq!(store.caught_up_replicas().len(), PARTITIONS);
 }
 
 #[test]
-fn what_has_expired_a_short_while_ago_is_filled_too() {
-    // Guard: `LEVEL_SLACK_MS`. By a clock that is seconds ahead, a turn that must be known has expired already.
+fn recently_expired_programs_are_synchronized_too() {
+    // Guard: `SYNC_EXPIRY_SLACK_MS`. By a clock that is seconds ahead, a turn that must be known has expired already.
     let limits = Limits { required_replicas: 2, memory_bytes: 1 << 20, disk_bytes: 1 << 20 };
     let mut store = Store::new(DiskId(1), limits);
     let moment = Moment { now: Time::from_nanos(1), unix_time_ms: 100_000 };
-    let compared =
+    let live_after =
         store.handle(moment, Event::StoreMap(map())).into_iter().filter_map(|command| match command {
             Command::Call { request: TransferRequest::Digests { live_after_ms, .. }, .. } => {
                 Some(live_after_ms)
             }
             _ => None,
         });
-    let compared: Vec<u64> = compared.collect();
-    assert!(!compared.is_empty() && compared.iter().all(|after| *after == 95_000), "{compared:?}");
+    let live_after: Vec<u64> = live_after.collect();
+    assert!(!live_after.is_empty() && live_after.iter().all(|ms| *ms == 95_000), "{live_after:?}");
 }
--- a/crates/sessions/tests/merge.rs
+++ b/crates/sessions/tests/merge.rs
@@ -1,4 +1,4 @@
-//! Records merge the same way in any order, and once is enough.
+//! The merge of records is commutative, associative and idempotent.
 
 use std::sync::Arc;
 
@@ -21,46 +21,46 @@
 
 fn record() -> impl Strategy<Value = Record> {
     (0..4_u64, any::<bool>(), prop::option::of(turn()), 0..4_u64).prop_map(
-        |(tokens, settled, turn, expires_at_ms)| Record {
+        |(tokens, is_committed, turn, expires_at_ms)| Record {
             program: ProgramId::from("p"),
             request: RequestId::from("r"),
             tokens,
-            is_committed: settled,
+            is_committed,
             turn,
             expires_at_ms,
         },
     )
 }
 
-fn merged(records: &[&Record]) -> Record {
-    let mut whole = records[0].clone();
+fn merge_all(records: &[&Record]) -> Record {
+    let mut merged = records[0].clone();
     for record in &records[1..] {
-        merge(&mut whole, record);
+        merge(&mut merged, record);
     }
-    whole
+    merged
 }
 
 proptest! {
     #[test]
     fn merging_commutes_associates_and_is_idempotent(a in record(), b in record(), c in record()) {
-        prop_assert_eq!(merged(&[&a, &b]), merged(&[&b, &a]));
-        prop_assert_eq!(merged(&[&merged(&[&a, &b]), &c]), merged(&[&a, &merged(&[&b, &c])]));
-        prop_assert_eq!(&merged(&[&a, &a]), &a);
+        prop_assert_eq!(merge_all(&[&a, &b]), merge_all(&[&b, &a]));
+        prop_assert_eq!(merge_all(&[&merge_all(&[&a, &b]), &c]), merge_all(&[&a, &merge_all(&[&b, &c])]));
+        prop_assert_eq!(&merge_all(&[&a, &a]), &a);
     }
 
     #[test]
-    fn merging_tells_whether_it_changed_anything(a in record(), b in record()) {
-        let mut whole = a.clone();
-        let changed = merge(&mut whole, &b);
-        prop_assert_eq!(changed, whole != a);
+    fn merging_returns_whether_it_changed_anything(a in record(), b in record()) {
+        let mut merged = a.clone();
+        let has_changed = merge(&mut merged, &b);
+        prop_assert_eq!(has_changed, merged != a);
     }
 
     #[test]
-    fn nothing_is_taken_back(a in record(), b in record()) {
-        let whole = merged(&[&a, &b]);
-        prop_assert!(whole.is_committed || !a.is_committed);
-        prop_assert!(whole.turn.is_some() || a.turn.is_none());
-        prop_assert!(whole.expires_at_ms >= a.expires_at_ms);
+    fn merging_never_removes_anything(a in record(), b in record()) {
+        let merged = merge_all(&[&a, &b]);
+        prop_assert!(merged.is_committed || !a.is_committed);
+        prop_assert!(merged.turn.is_some() || a.turn.is_none());
+        prop_assert!(merged.expires_at_ms >= a.expires_at_ms);
     }
 
     #[test]
--- /dev/null
+++ b/crates/sessions/tests/session_requests.rs
@@ -0,0 +1,162 @@
+//! Session requests at a primary: begin, finish and denial of turns, one store step by step.
+
+mod harness;
+
+use harness::{
+    LIMITS, OTHER, OWN, PARTITION, TURN_BEGUN, TestStore, begin, finish, finish_stored, last_call_of, map,
+    record, reply_of, turn,
+};
+use juniperwing_clock::Span;
+use juniperwing_protocol::EpochNumber;
+use juniperwing_protocol::session::{PartitionEpoch, SessionReply};
+use juniperwing_protocol::transfer::{Record, TransferReply, TransferRequest};
+use juniperwing_sessions::{CallerId, Event, Limits};
+
+#[test]
+fn a_turn_begins_when_both_disks_have_the_reservation() {
+    let mut store = TestStore::leading();
+    let commands = store.send_request(1, begin("a", None, Some(100)));
+    assert_eq!(reply_of(&commands), None);
+    let (call, request) = last_call_of(&commands);
+    assert!(matches!(request, TransferRequest::Write { .. }));
+    assert_eq!(reply_of(&store.complete_call(call, TransferReply::Written)), None, "not on the own disk yet");
+    assert_eq!(reply_of(&store.complete_batch()), Some(TURN_BEGUN));
+}
+
+#[test]
+fn without_the_replica_a_turn_does_not_begin_and_the_write_is_retried() {
+    let mut store = TestStore::leading();
+    let commands = store.send_request(1, begin("a", None, Some(100)));
+    let (call, _) = last_call_of(&commands);
+    store.complete_batch();
+    assert_eq!(reply_of(&store.handle(Event::CallCompleted { call, reply: None })), None);
+    let retried = store.advance_time(Span::from_millis(200));
+    assert!(matches!(last_call_of(&retried).1, TransferRequest::Write { .. }));
+    assert_eq!(reply_of(&store.advance_time(Span::from_millis(2_000))), Some(SessionReply::Unavailable));
+}
+
+#[test]
+fn a_reservation_counts_the_maximum_until_the_turn_is_committed() {
+    let mut store = TestStore::leading();
+    assert_eq!(store.decide(1, begin("a", None, Some(100))), TURN_BEGUN);
+    assert_eq!(store.decide(2, begin("b", None, Some(100))), TURN_BEGUN);
+    assert_eq!(store.decide(3, begin("c", None, Some(100))), SessionReply::BudgetExhausted);
+    assert_eq!(store.decide(4, finish("a", 15)), SessionReply::TurnFinished);
+    assert_eq!(store.decide(5, begin("c", None, Some(100))), TURN_BEGUN);
+    assert_eq!(store.decide(6, begin("d", None, Some(100))), SessionReply::BudgetExhausted);
+}
+
+#[test]
+fn a_turn_begun_twice_counts_once_and_a_committed_one_does_not_begin() {
+    let mut store = TestStore::leading();
+    assert_eq!(store.decide(1, begin("a", None, Some(50))), TURN_BEGUN);
+    assert_eq!(store.decide(2, begin("a", None, Some(50))), TURN_BEGUN);
+    assert_eq!(store.decide(3, finish("a", 0)), SessionReply::TurnFinished);
+    assert_eq!(store.decide(4, begin("a", None, Some(50))), SessionReply::Unavailable);
+    assert_eq!(store.decide(5, begin("b", None, Some(50))), TURN_BEGUN);
+}
+
+#[test]
+fn a_reservation_left_by_an_old_primary_does_not_admit_the_turn() {
+    let (mut store, _) = TestStore::new();
+    store.handle(Event::StoreMap(map(2, 2, OTHER)));
+    let reserved = Record { tokens: 40, is_committed: false, ..record("a") };
+    let records = vec![reserved, Record { tokens: 40, ..record("b") }];
+    let request = TransferRequest::Write { partition: PARTITION, epoch: EpochNumber(2), records };
+    store.handle(Event::TransferRequest { caller: CallerId(1), request });
+    store.complete_batch();
+    let (call, _) = last_call_of(&store.handle(Event::StoreMap(map(3, 3, OWN))));
+    let digests = store.machine.table(PARTITION).unwrap().digests(16, store.moment().unix_time_ms);
+    store.complete_call(call, TransferReply::Digests(digests));
+    assert_eq!(store.decide(2, begin("a", None, Some(79))), SessionReply::BudgetExhausted);
+    assert_eq!(store.decide(3, begin("a", None, Some(80))), TURN_BEGUN);
+}
+
+#[test]
+fn committing_again_with_less_does_not_return_tokens() {
+    let mut store = TestStore::leading();
+    assert_eq!(store.decide(1, finish("a", 20)), SessionReply::TurnFinished);
+    assert_eq!(store.decide(2, finish("a", 0)), SessionReply::TurnFinished);
+    assert_eq!(store.decide(3, begin("b", None, Some(50))), SessionReply::BudgetExhausted);
+}
+
+#[test]
+fn a_chain_is_returned_oldest_first() {
+    let mut store = TestStore::leading();
+    assert_eq!(store.decide(1, finish_stored("a", None)), SessionReply::TurnFinished);
+    assert_eq!(store.decide(2, finish_stored("b", Some("a"))), SessionReply::TurnFinished);
+    let chain = vec![turn("a", None), turn("b", Some("a"))];
+    assert_eq!(store.decide(3, begin("c", Some("b"), None)), SessionReply::TurnBegun { chain });
+}
+
+#[test]
+fn an_unknown_turn_is_denied_only_when_the_replica_has_confirmed_the_epoch() {
+    let mut store = TestStore::leading();
+    let commands = store.send_request(1, begin("a", Some("unknown"), None));
+    assert_eq!(reply_of(&commands), None);
+    let (call, request) = last_call_of(&commands);
+    let expected = PartitionEpoch { partition: PARTITION, epoch: EpochNumber(1) };
+    assert_eq!(request, TransferRequest::Confirm { partitions: vec![expected] });
+    let commands = store.complete_call(call, TransferReply::Written);
+    assert_eq!(reply_of(&commands), Some(SessionReply::UnknownTurn));
+}
+
+#[test]
+fn a_fenced_primary_denies_nothing() {
+    for body in [begin("a", Some("unknown"), None), begin("a", None, Some(10))] {
+        let mut store = TestStore::leading();
+        let commands = store.send_request(1, body);
+        let (call, _) = last_call_of(&commands);
+        let commands = store.complete_call(call, TransferReply::Fenced { epoch: EpochNumber(2) });
+        assert_eq!(reply_of(&commands), Some(SessionReply::Unavailable));
+    }
+}
+
+#[test]
+fn a_denial_confirmed_in_a_superseded_epoch_is_not_sent() {
+    let mut store = TestStore::leading();
+    let (call, _) = last_call_of(&store.send_request(1, begin("a", Some("unknown"), None)));
+    store.handle(Event::StoreMap(map(2, 2, OTHER)));
+    let commands = store.complete_call(call, TransferReply::Written);
+    assert_eq!(reply_of(&commands), Some(SessionReply::Unavailable));
+}
+
+#[test]
+fn a_new_primary_decides_nothing_before_the_replica_is_synchronized() {
+    let (mut store, commands) = TestStore::new();
+    let (digests, _) = last_call_of(&commands);
+    assert_eq!(reply_of(&store.send_request(1, begin("a", Some("w"), Some(50)))), None);
+    let (records, request) = last_call_of(&store.complete_call(digests, TransferReply::Digests(vec![7; 16])));
+    assert!(matches!(request, TransferRequest::Records { .. }));
+    let stored = Record { turn: Some(turn("w", None)), ..record("w") };
+    let page = TransferReply::Records { records: vec![stored], next: None };
+    let (push, request) = last_call_of(&store.complete_call(records, page));
+    assert!(matches!(request, TransferRequest::Write { ref records, .. } if records.len() == 1));
+    let (digests, _) = last_call_of(&store.complete_call(push, TransferReply::Written));
+    let table = store.machine.table(PARTITION).unwrap();
+    let digests_here = table.digests(16, store.moment().unix_time_ms);
+    let commands = store.complete_call(digests, TransferReply::Digests(digests_here));
+    // Now it is admitted: written, and not denied.
+    assert!(matches!(last_call_of(&commands).1, TransferRequest::Write { .. }));
+}
+
+#[test]
+fn a_store_at_its_memory_limit_admits_nothing_and_still_commits() {
+    let (mut store, commands) = TestStore::with_limits(Limits { memory_bytes: 100, ..LIMITS });
+    let (call, _) = last_call_of(&commands);
+    store.complete_call(call, TransferReply::Digests(vec![0; 16]));
+    assert_eq!(store.decide(1, finish_stored("a", None)), SessionReply::TurnFinished);
+    assert_eq!(store.decide(2, begin("b", None, Some(100))), SessionReply::Unavailable);
+    assert_eq!(store.decide(3, finish("b", 0)), SessionReply::TurnFinished);
+}
+
+#[test]
+fn with_too_few_replicas_or_another_primary_nothing_is_decided() {
+    let (mut store, commands) = TestStore::with_limits(Limits { required_replicas: 3, ..LIMITS });
+    let (call, _) = last_call_of(&commands);
+    store.complete_call(call, TransferReply::Digests(vec![0; 16]));
+    assert_eq!(store.decide(1, begin("a", None, Some(9))), SessionReply::Unavailable);
+    store.handle(Event::StoreMap(map(2, 2, OTHER)));
+    let not_primary = SessionReply::NotPrimary { epoch: EpochNumber(2) };
+    assert_eq!(store.decide(2, begin("a", None, Some(9))), not_primary);
+}
--- a/crates/sessions/tests/common/keepers.rs
+++ b/crates/sessions/tests/simulation/keepers.rs
@@ -1,4 +1,4 @@
-//! The keepers as one, with the planner and the tracker that they run.
+//! One keeper in place of all, with the planner and the tracker that keepers run.
 
 use std::sync::Arc;
 
@@ -11,9 +11,9 @@
 use juniperwing_protocol::{DiskId, NodeName};
 use juniperwing_replication::ReplicatedState;
 
-use super::node::REQUIRED;
+use super::node::REQUIRED_REPLICAS;
 
-/// The keeper that reports.
+/// The keeper that reports stores.
 const KEEPER: DiskId = DiskId(1_000_000);
 
 pub struct Keepers {
@@ -26,35 +26,35 @@
         Keepers { state: ControlState::default(), tracker: StoreTracker::new(now) }
     }
 
-    /// Looks at the stores that are there; returns the map if another one comes into force.
-    pub fn look(
-        &mut self, now: Time, present: Vec<StoreNode>, caught_up: &[CaughtUp],
+    /// Processes the reachable stores; returns the map if a new one is planned.
+    pub fn run(
+        &mut self, now: Time, reachable: Vec<StoreNode>, caught_up: &[CaughtUp],
     ) -> Option<Arc<StoreMap>> {
-        self.tracker.record_report(now, KEEPER, present);
+        self.tracker.record_report(now, KEEPER, reachable);
         let view = self.tracker.tick(now, &self.state.store_map.stores);
-        if let Some(renewed) = retirement_of_replaced_disk(&self.state, &view) {
-            self.state.apply(&renewed);
+        if let Some(renewal) = retirement_of_replaced_disk(&self.state, &view) {
+            self.state.apply(&renewal);
         }
         let input = PlanInput {
             state: &self.state,
             view: &view,
             caught_up_reports: caught_up,
-            required_copies: REQUIRED,
+            required_copies: REQUIRED_REPLICAS,
         };
         if let Some(map) = plan_store_map(input) {
             self.state.apply(&ControlChange::SetStoreMap(Arc::clone(&map)));
             return Some(map);
         }
-        for disk in completed_retirements(&self.state, REQUIRED) {
+        for disk in completed_retirements(&self.state, REQUIRED_REPLICAS) {
             self.state.apply(&ControlChange::CompleteRetirement(disk));
         }
         None
     }
 
-    /// The operator orders a machine to be emptied; whether the order is taken.
+    /// Orders the retirement of a machine; returns whether the order is accepted.
     pub fn retire(&mut self, now: Time, node: &NodeName) -> bool {
         let view = self.tracker.tick(now, &self.state.store_map.stores);
-        match decide_retire(&self.state, &view, node, REQUIRED) {
+        match decide_retire(&self.state, &view, node, REQUIRED_REPLICAS) {
             RetireDecision::Accept(change) => self.state.apply(&change),
             RetireDecision::AlreadyAccepted => {}
             _ => return false,
@@ -62,8 +62,8 @@
         true
     }
 
-    /// Whether a machine may be taken away with its disk.
-    pub fn is_emptied(&mut self, now: Time, node: &NodeName) -> bool {
+    /// Whether a machine may be removed with its disk.
+    pub fn is_retired(&mut self, now: Time, node: &NodeName) -> bool {
         let view = self.tracker.tick(now, &self.state.store_map.stores);
         retirement_state(&self.state, &view, node) == Some(RetirementState::Completed)
     }
--- a/crates/sessions/tests/common/mod.rs
+++ b/crates/sessions/tests/simulation/mod.rs
@@ -1,20 +1,22 @@
 //! A small cluster of stores in virtual time, with a model of the keepers, a network that loses, delays and
-//! reorders, disks that lose what was not synced, and clients that know what must hold.
+//! reorders, disks that lose what was not synced, and clients that check what the stores promise.
 
 #![allow(dead_code)]
 
 pub mod clients;
 pub mod cluster;
+pub mod faults;
 pub mod keepers;
 pub mod losses;
+pub mod map_publication;
 pub mod node;
 
-/// A generator of numbers (xorshift); the same seed gives the same play.
-pub struct Chance(u64);
+/// A random number generator (xorshift); the same seed gives the same run.
+pub struct TestRng(u64);
 
-impl Chance {
+impl TestRng {
     pub fn new(seed: u64) -> Self {
-        Chance(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1)
+        TestRng(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1)
     }
 
     pub fn below(&mut self, limit: usize) -> usize {
@@ -24,8 +26,8 @@
         ((self.0 >> 11) % limit.max(1) as u64) as usize
     }
 
-    /// Whether something happens that does so in `percent` of cases.
-    pub fn percent(&mut self, percent: usize) -> bool {
+    /// `true` in `percent` of 100 cases.
+    pub fn random_bool(&mut self, percent: usize) -> bool {
         self.below(100) < percent
     }
 }
--- a/crates/sessions/tests/common/node.rs
+++ b/crates/sessions/tests/simulation/node.rs
@@ -8,11 +8,12 @@
 use juniperwing_protocol::{DiskId, NodeName};
 use juniperwing_sessions::{Command, Event, Limits, Moment, Store, StoredRecord};
 
-use super::Chance;
+use super::TestRng;
 
-/// Copies required: the loss of one store is borne.
-pub const REQUIRED: usize = 2;
-const LIMITS: Limits = Limits { required_replicas: REQUIRED, memory_bytes: 1 << 30, disk_bytes: 1 << 30 };
+/// The replicas required to tolerate the loss of one store.
+pub const REQUIRED_REPLICAS: usize = 2;
+const LIMITS: Limits =
+    Limits { required_replicas: REQUIRED_REPLICAS, memory_bytes: 1 << 30, disk_bytes: 1 << 30 };
 const BATCH_FILE_BYTES: u64 = 100;
 
 pub struct Node {
@@ -21,38 +22,38 @@
     /// `None` while the process is down.
     pub store: Option<Store>,
     /// Whether the keepers reach it.
-    pub in_touch: bool,
-    /// How far its time of day is ahead of the steady clock, in milliseconds.
-    pub clock_ms: u64,
+    pub is_reachable: bool,
+    /// How far the wall clock is ahead of the monotonic clock, in milliseconds.
+    pub clock_offset_ms: u64,
     segments: BTreeMap<u64, Vec<StoredRecord>>,
-    /// Removed without a sync of the folder: they may come back.
+    /// Segments removed without a sync of the directory: they may come back.
     removed: BTreeMap<u64, Vec<StoredRecord>>,
     /// The batch that is being written.
-    writing: Option<Vec<StoredRecord>>,
+    in_flight_batch: Option<Vec<StoredRecord>>,
     /// The map version on disk.
     map_version: u64,
     /// The map version that is being written.
-    writing_map_version: Option<u64>,
+    in_flight_map_version: Option<u64>,
     last_segment: u64,
 }
 
 impl Node {
-    pub fn new(number: usize, chance: &mut Chance) -> Self {
+    pub fn new(number: usize, rng: &mut TestRng) -> Self {
         let disk = DiskId(number as u64 + 1);
         let mut node = Node {
             number,
             disk,
             store: Some(Store::new(disk, LIMITS)),
-            in_touch: true,
-            clock_ms: 0,
+            is_reachable: true,
+            clock_offset_ms: 0,
             segments: BTreeMap::new(),
             removed: BTreeMap::new(),
-            writing: None,
+            in_flight_batch: None,
             map_version: 0,
-            writing_map_version: None,
+            in_flight_map_version: None,
             last_segment: 0,
         };
-        node.step_clock(chance);
+        node.step_clock(rng);
         node
     }
 
@@ -72,32 +73,32 @@
 
     pub fn moment(&self, now: Time) -> Moment {
         let elapsed_ms = now.since(Time::default()).as_nanos() / 1_000_000;
-        Moment { now, unix_time_ms: self.clock_ms + elapsed_ms }
+        Moment { now, unix_time_ms: self.clock_offset_ms + elapsed_ms }
     }
 
     /// Clocks differ by up to three seconds and may step.
-    pub fn step_clock(&mut self, chance: &mut Chance) {
-        self.clock_ms = 1_000_000_000 + chance.below(3_000) as u64;
+    pub fn step_clock(&mut self, rng: &mut TestRng) {
+        self.clock_offset_ms = 1_000_000_000 + rng.below(3_000) as u64;
     }
 
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Command> {
         let moment = self.moment(now);
         let commands = self.store.as_mut().map_or(Vec::new(), |store| store.handle(moment, event));
-        self.use_disk(commands)
+        self.apply_disk_commands(commands)
     }
 
-    /// Does the commands that concern the disk; returns the others.
-    fn use_disk(&mut self, commands: Vec<Command>) -> Vec<Command> {
+    /// Carries out the commands for the disk; returns the others.
+    fn apply_disk_commands(&mut self, commands: Vec<Command>) -> Vec<Command> {
         let mut others = Vec::new();
         for command in commands {
             match command {
                 Command::WriteBatch { records } => {
-                    assert!(self.writing.is_none(), "one batch at a time");
-                    self.writing = Some(records);
+                    assert!(self.in_flight_batch.is_none(), "one batch at a time");
+                    self.in_flight_batch = Some(records);
                 }
                 Command::WriteMapVersion { version } => {
-                    assert!(self.writing_map_version.is_none(), "one map version at a time");
-                    self.writing_map_version = Some(version);
+                    assert!(self.in_flight_map_version.is_none(), "one map version at a time");
+                    self.in_flight_map_version = Some(version);
                 }
                 Command::RemoveSegment { segment } => {
                     let contents = self.segments.remove(&segment).expect("a segment that is there");
@@ -109,18 +110,18 @@
         others
     }
 
-    /// Whether a sync is under way.
-    pub fn is_writing(&self) -> bool {
-        self.writing.is_some() || self.writing_map_version.is_some()
+    /// Whether a sync is in flight.
+    pub fn is_syncing(&self) -> bool {
+        self.in_flight_batch.is_some() || self.in_flight_map_version.is_some()
     }
 
-    /// The sync ends, in some cases with an error.
-    pub fn sync_ends(&mut self, now: Time, chance: &mut Chance) -> Vec<Command> {
-        if let Some(version) = self.writing_map_version.take() {
-            return self.map_version_ends(now, version, chance);
+    /// Completes the sync in flight, in some cases with an error.
+    pub fn complete_sync(&mut self, now: Time, rng: &mut TestRng) -> Vec<Command> {
+        if let Some(version) = self.in_flight_map_version.take() {
+            return self.complete_map_version(now, version, rng);
         }
-        let Some(records) = self.writing.take() else { return Vec::new() };
-        if chance.percent(3) {
+        let Some(records) = self.in_flight_batch.take() else { return Vec::new() };
+        if rng.random_bool(3) {
             return self.handle(now, Event::BatchFailed);
         }
         self.last_segment += 1;
@@ -128,26 +129,26 @@
         self.handle(now, Event::BatchWritten { segment: self.last_segment, bytes: BATCH_FILE_BYTES })
     }
 
-    fn map_version_ends(&mut self, now: Time, version: u64, chance: &mut Chance) -> Vec<Command> {
-        if chance.percent(3) {
+    fn complete_map_version(&mut self, now: Time, version: u64, rng: &mut TestRng) -> Vec<Command> {
+        if rng.random_bool(3) {
             return self.handle(now, Event::MapVersionFailed);
         }
         self.map_version = version;
         self.handle(now, Event::MapVersionWritten { version })
     }
 
-    /// The process is killed or the machine loses power: the batch under way may be there or not.
-    pub fn kill(&mut self, chance: &mut Chance) {
+    /// The process is killed or the machine loses power: the batch in flight may be on disk or not.
+    pub fn kill(&mut self, rng: &mut TestRng) {
         self.store = None;
-        if let Some(version) = self.writing_map_version.take().filter(|_| chance.percent(50)) {
+        if let Some(version) = self.in_flight_map_version.take().filter(|_| rng.random_bool(50)) {
             self.map_version = version;
         }
-        if let Some(records) = self.writing.take().filter(|_| chance.percent(50)) {
+        if let Some(records) = self.in_flight_batch.take().filter(|_| rng.random_bool(50)) {
             self.last_segment += 1;
             self.segments.insert(self.last_segment, records);
         }
         for (number, records) in std::mem::take(&mut self.removed) {
-            if chance.percent(30) {
+            if rng.random_bool(30) {
                 self.segments.insert(number, records);
             }
         }
@@ -168,6 +169,6 @@
         store.recover_map_version(self.map_version);
         let commands = store.finish_recovery(self.moment(now));
         self.store = Some(store);
-        self.use_disk(commands)
+        self.apply_disk_commands(commands)
     }
 }
