--- a/crates/node/src/sessions_client.rs
+++ b/crates/node/src/sessions_client.rs
@@ -102,7 +102,7 @@
     fn from(error: CallError) -> Self {
         match error {
             CallError::NotConnected => StoreFailureReason::NotConnected,
-            CallError::Broken => StoreFailureReason::ConnectionLost,
+            CallError::LinkClosed => StoreFailureReason::ConnectionLost,
             CallError::TimedOut => StoreFailureReason::TimedOut,
         }
     }
