--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -1,11 +1,14 @@
-//! The role of a store: kept turns and budgets of agent programs.
+//! The role of a store: keeps stored turns and budgets of agent programs.
 //!
-//! What a store does is decided by [`juniperwing_sessions::Store`]; this is its process. It subscribes to all
-//! keepers, which place it by their map, and ends when the platform says so.
+//! What a store does is decided by [`juniperwing_sessions::Store`]; this is its process. It subscribes to all keepers,
+//! which assign partitions to it by their map, and ends when the platform asks it to.
 
-mod core;
+mod clock;
 mod disk;
-mod figures;
+mod disk_health;
+mod driver;
+mod links;
+mod metrics;
 
 use std::future::Future;
 use std::io;
@@ -13,36 +16,38 @@
 use std::time::Duration;
 
 use juniperwing_membership::Role;
-use juniperwing_protocol::NodeName;
 use juniperwing_protocol::replication::Version;
-use juniperwing_protocol::subscription::{self, Subscribe};
+use juniperwing_protocol::subscription::{Subscribe, SubscriberKind};
+use juniperwing_protocol::{DiskId, NodeName};
 use juniperwing_sessions::{Limits, Store};
 use slog::{Logger, info, warn};
 use tokio::time::timeout;
 
-use self::core::{Core, Handle};
-use self::disk::{Disk, Opened};
+use self::disk::{RecoveredStore, StoreDisk};
+use self::driver::StoreDriver;
+use self::links::StoreHandle;
 use crate::command::Process;
 use crate::gossip::{Gossip, LocalProcess};
 use crate::host::{Listener, run_disk_work};
 use crate::link::serve;
-use crate::metrics::{self, MetricSource};
+use crate::metrics::{self as metrics_endpoint, MetricSource};
 use crate::panics::spawn_essential;
 use crate::settings::{Port, Settings};
 use crate::signals::ShutdownOrReload;
 use crate::subscriber::Subscriber;
 
-/// Keepers that a store subscribes to at most; usually there are fewer.
+/// The number of keepers that a store subscribes to; usually there are fewer.
 const MAX_SUBSCRIPTIONS: usize = 9;
-/// How long before the platform kills the process the end no longer waits for a second copy.
-const BEFORE_GRACE_ENDS: Duration = Duration::from_millis(1_500);
-/// How long the end waits for what is under way.
-const END_WITHIN: Duration = Duration::from_millis(500);
-/// The share of memory that records may take; the rest is for messages, batches and the process itself.
-const MEMORY_SHARE: f64 = 0.4;
-/// The share of the disk that batches may take before no further turn is admitted.
-const DISK_SHARE: f64 = 0.6;
-const MEGABYTE: f64 = 1_000_000.0;
+/// How long before the end of the grace period, when the platform kills the process, the shutdown no longer waits for a
+/// second replica.
+const GRACE_RESERVE: Duration = Duration::from_millis(1_500);
+/// How long the shutdown waits for pending requests.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
+/// The fraction of memory that records may take; the rest is for messages, batches and the process itself.
+const RECORD_MEMORY_FRACTION: f64 = 0.4;
+/// The fraction of the disk that batches may take before no further turn is admitted.
+const BATCH_DISK_FRACTION: f64 = 0.6;
+const BYTES_PER_MEGABYTE: f64 = 1_000_000.0;
 
 /// Runs until the platform ends the process.
 ///
@@ -51,25 +56,25 @@
 /// If a listener or the disk cannot be used.
 pub async fn run(mut process: Process) -> io::Result<()> {
     let starting = StoreProcess::start(&process.settings, process.log.clone());
-    let node = tokio::select! {
+    let store = tokio::select! {
         started = starting => started?,
-        // Nothing was promised yet.
+        // Nothing was acknowledged yet.
         () = process.signals.wait_for_shutdown() => return Ok(()),
     };
     loop {
         match process.signals.next().await {
             ShutdownOrReload::Shutdown => break,
             ShutdownOrReload::Reload => match Settings::read(process.settings_file.as_deref()) {
-                Ok(settings) => node.reload(&settings),
-                Err(e) => warn!(process.log, "settings are not read again"; "why" => e.to_string()),
+                Ok(settings) => store.reload(&settings),
+                Err(error) => warn!(process.log, "settings reload failed"; "error" => error.to_string()),
             },
         }
     }
-    node.stop().await;
+    store.stop().await;
     Ok(())
 }
 
-/// Runs with these settings until `shutdown` is over.
+/// Runs with these settings until `shutdown` completes.
 ///
 /// # Errors
 ///
@@ -77,88 +82,95 @@
 pub async fn run_until(
     settings: &Settings, log: Logger, shutdown: impl Future<Output = ()>,
 ) -> io::Result<()> {
-    let node = StoreProcess::start(settings, log).await?;
+    let store = StoreProcess::start(settings, log).await?;
     shutdown.await;
-    node.stop().await;
+    store.stop().await;
     Ok(())
 }
 
-/// A store that runs.
+/// A running store.
 struct StoreProcess {
-    core: Arc<Core>,
+    driver: Arc<StoreDriver>,
     subscriber: Arc<Subscriber>,
     gossip: Gossip,
-    listening: tokio::task::JoinHandle<()>,
-    /// How long the end may wait for a second copy.
-    hand_over_within: Duration,
+    link_server: tokio::task::JoinHandle<()>,
+    /// How long the shutdown may wait for a second replica.
+    handover_timeout: Duration,
     log: Logger,
 }
 
 impl StoreProcess {
     async fn start(settings: &Settings, log: Logger) -> io::Result<Self> {
-        let folder = settings
-            .data_directory
-            .as_ref()
-            .ok_or_else(|| io::Error::other("dataDirectory: a store needs one"))?;
-        let (folder, limits, disk_log) = (folder.clone(), limits(settings), log.clone());
-        let opened = run_disk_work(move || Disk::open(&folder, limits, &disk_log)).await;
-        let Opened { disk, is_new, files, store } =
-            opened.map_err(io::Error::other)?.map_err(io::Error::other)?;
+        let RecoveredStore { disk, is_new, files, store } = recover(settings, &log).await?;
         let listener = Listener::bind(settings.own_address(Port::Store)).await?;
-        let core = Core::start(store, files, log.clone());
-        metrics::start(settings, Arc::clone(&core) as Arc<dyn MetricSource>, &log).await;
-        let listening = spawn_essential("links", serve(listener, Arc::new(Handle(core.clone()))));
-        let subscribe = Subscribe {
-            node: NodeName::from(settings.node_name.as_str()),
-            zone: settings.zone.as_str().into(),
-            address: settings.own_address(Port::Store),
-            subscriber: subscription::SubscriberKind::Store { disk },
-            configuration: Version::default(),
-        };
+        let driver = StoreDriver::start(store, files, log.clone());
+        let metric_source = Arc::clone(&driver) as Arc<dyn MetricSource>;
+        metrics_endpoint::start(settings, metric_source, &log).await;
+        let link_server = spawn_essential("links", serve(listener, Arc::new(StoreHandle(driver.clone()))));
+        let sink = Arc::new(StoreHandle(driver.clone()));
         let seeds = settings.seed_keepers();
-        let sink = Arc::new(Handle(core.clone()));
-        let subscriber = Subscriber::start(subscribe, seeds, MAX_SUBSCRIPTIONS, sink);
-        core.subscribed(&subscriber);
-        let found = Arc::clone(&subscriber);
-        let observer = Box::new(move |keepers| found.set_discovered(keepers));
-        let myself = LocalProcess { role: Role::Store, disk: Some(disk) };
-        let gossip = Gossip::start(settings, myself, log.clone(), observer).await?;
+        let subscriber = Subscriber::start(subscription(settings, disk), seeds, MAX_SUBSCRIPTIONS, sink);
+        driver.set_subscriber(&subscriber);
+        let discovering = Arc::clone(&subscriber);
+        let observer = Box::new(move |keepers| discovering.set_discovered(keepers));
+        let local = LocalProcess { role: Role::Store, disk: Some(disk) };
+        let gossip = Gossip::start(settings, local, log.clone(), observer).await?;
         info!(log, "serving"; "disk" => disk.0, "new" => is_new);
-        let hand_over_within = hand_over_within(settings);
-        Ok(StoreProcess { core, subscriber, gossip, listening, hand_over_within, log })
+        let handover_timeout = handover_timeout(settings);
+        Ok(StoreProcess { driver, subscriber, gossip, link_server, handover_timeout, log })
     }
 
     fn reload(&self, settings: &Settings) {
         self.subscriber.set_seeds(settings.seed_keepers());
         self.gossip.reload(settings);
-        info!(self.log, "settings read again");
+        info!(self.log, "settings reloaded");
     }
 
-    /// Fills another store first, where this one has the only copy. Then leaves the keepers, so that they move the
-    /// partitions, and ends what is under way if that is soon done.
+    /// Fills another store first, where this one has the only replica. Then leaves the keepers, so that they move the
+    /// partitions, and waits a short while for pending requests.
     async fn stop(self) {
-        let filled = self.core.until(|store| !store.is_filling_second_replica());
-        if timeout(self.hand_over_within, filled).await.is_err() {
-            warn!(self.log, "ends with the only copy");
+        let filled = self.driver.wait_until(|store| !store.is_filling_second_replica());
+        if timeout(self.handover_timeout, filled).await.is_err() {
+            warn!(self.log, "shutting down with the only replica");
         }
         self.gossip.leave();
         self.subscriber.set_suspended(true);
-        self.listening.abort();
-        if timeout(END_WITHIN, self.core.until(Store::is_idle)).await.is_err() {
-            info!(self.log, "ends with questions open");
+        self.link_server.abort();
+        if timeout(DRAIN_TIMEOUT, self.driver.wait_until(Store::is_idle)).await.is_err() {
+            info!(self.log, "shutting down with pending requests");
         }
     }
 }
 
-fn hand_over_within(settings: &Settings) -> Duration {
+/// Recovers the store from the data directory.
+async fn recover(settings: &Settings, log: &Logger) -> io::Result<RecoveredStore> {
+    let directory = settings.data_directory.clone();
+    let directory = directory.ok_or_else(|| io::Error::other("dataDirectory: a store needs one"))?;
+    let (limits, log) = (limits(settings), log.clone());
+    let recovered = run_disk_work(move || StoreDisk::open(&directory, limits, &log)).await;
+    recovered.map_err(io::Error::other)?.map_err(io::Error::other)
+}
+
+/// The subscription of the store with this disk.
+fn subscription(settings: &Settings, disk: DiskId) -> Subscribe {
+    Subscribe {
+        node: NodeName::from(settings.node_name.as_str()),
+        zone: settings.zone.as_str().into(),
+        address: settings.own_address(Port::Store),
+        subscriber: SubscriberKind::Store { disk },
+        configuration: Version::default(),
+    }
+}
+
+fn handover_timeout(settings: &Settings) -> Duration {
     let grace = Duration::try_from_secs_f64(settings.bounds.grace_s).unwrap_or_default();
-    grace.saturating_sub(BEFORE_GRACE_ENDS)
+    grace.saturating_sub(GRACE_RESERVE)
 }
 
 fn limits(settings: &Settings) -> Limits {
     Limits {
         required_replicas: settings.required_replicas(),
-        memory_bytes: (settings.limits.memory_mb as f64 * MEGABYTE * MEMORY_SHARE) as u64,
-        disk_bytes: (settings.limits.disk_mb as f64 * MEGABYTE * DISK_SHARE) as u64,
+        memory_bytes: (settings.limits.memory_mb as f64 * BYTES_PER_MEGABYTE * RECORD_MEMORY_FRACTION) as u64,
+        disk_bytes: (settings.limits.disk_mb as f64 * BYTES_PER_MEGABYTE * BATCH_DISK_FRACTION) as u64,
     }
 }
--- /dev/null
+++ b/crates/node/src/store/links.rs
@@ -0,0 +1,53 @@
+//! A store as its links and subscriptions see it.
+
+use std::sync::Arc;
+
+use juniperwing_protocol::Message;
+use juniperwing_protocol::replication::Version;
+use juniperwing_protocol::subscription::{AppliedVersions, Update};
+use juniperwing_sessions::Event;
+
+use super::driver::StoreDriver;
+use crate::link::{Link, ReplySender, Service};
+use crate::subscriber::UpdateSink;
+
+/// Hands messages of relays and stores, and updates of keepers, to the driver.
+pub(super) struct StoreHandle(pub(super) Arc<StoreDriver>);
+
+impl Service for StoreHandle {
+    fn handle_message(&self, link: &Link, message: Message, sender: ReplySender) {
+        match message {
+            Message::SessionRequest(request) => {
+                let caller = self.0.add_caller(sender);
+                self.0.handle(Event::SessionRequest { caller, request });
+            }
+            Message::TransferRequest(request) => {
+                let caller = self.0.add_caller(sender);
+                self.0.handle(Event::TransferRequest { caller, request });
+            }
+            // A store expects no other messages.
+            _ => link.close(),
+        }
+    }
+}
+
+impl UpdateSink for StoreHandle {
+    fn apply(&self, update: Update) {
+        if let Update::Stores(map) = update {
+            self.0.handle(Event::StoreMap(map));
+        }
+    }
+
+    fn applied_versions(&self) -> AppliedVersions {
+        let state = self.0.lock();
+        AppliedVersions {
+            stores: state.store.map_version(),
+            caught_up: state.store.caught_up_replicas(),
+            ..AppliedVersions::default()
+        }
+    }
+
+    fn configuration_version(&self) -> Version {
+        Version::default()
+    }
+}
