--- a/crates/node/tests/relay/unary.rs
+++ b/crates/node/tests/relay/unary.rs
@@ -1,4 +1,4 @@
-//! Requests with one answer.
+//! Requests with a single response.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -8,14 +8,14 @@
 use juniperwing_clock::Span;
 use juniperwing_protocol::registry::InstanceState;
 
-use crate::endpoint::{Endpoint, Step, answer, declined, ok};
+use crate::endpoint::{FakeEndpoint, Step, declined, ok, response};
 use crate::hostile::script::End;
-use crate::support::{Bench, connect, instance, read, request, soon, with_headers};
+use crate::support::{RelayHarness, connect, instance, read, request, with_headers, with_timeout};
 
 #[tokio::test]
-async fn request_and_answer_pass_unchanged() {
-    let endpoint = Endpoint::start("i-1", |request| {
-        vec![answer(
+async fn request_and_response_are_forwarded_unchanged() {
+    let endpoint = FakeEndpoint::start("i-1", |request| {
+        vec![response(
             request,
             "201 Created",
             "X-Other: 7\r\nKeep-Alive: 5\r\nConnection: keep-alive\r\n",
@@ -23,18 +23,18 @@
         )]
     })
     .await;
-    let bench = Bench::with(&[&endpoint]).await;
+    let harness = RelayHarness::with_endpoints(&[&endpoint]).await;
     let sent = with_headers(
         request("POST", "/n/a%20b/c?x=1&y=%2F", "9c41", "the body"),
         &[("x-mine", "yes"), ("connection", "keep-alive, x-hop"), ("keep-alive", "3"), ("te", "trailers")],
     );
-    let answer = read(bench.send(sent).await).await;
-    assert_eq!(answer.status, StatusCode::CREATED);
-    assert_eq!(answer.body.as_deref(), Some(&b"done"[..]));
-    assert_eq!(answer.header("x-server-signature"), "stamp");
-    assert_eq!(answer.header("x-request-id"), "9c41");
-    assert_eq!(answer.header("x-other"), "7");
-    assert_eq!(answer.header("keep-alive"), "");
+    let response = read(harness.send(sent).await).await;
+    assert_eq!(response.status, StatusCode::CREATED);
+    assert_eq!(response.body.as_deref(), Some(&b"done"[..]));
+    assert_eq!(response.header("x-server-signature"), "stamp");
+    assert_eq!(response.header("x-request-id"), "9c41");
+    assert_eq!(response.header("x-other"), "7");
+    assert_eq!(response.header("keep-alive"), "");
     let received = &endpoint.received()[0];
     assert_eq!(received.line, "POST /n/a%20b/c?x=1&y=%2F HTTP/1.1");
     assert_eq!(received.body, b"the body");
@@ -49,53 +49,53 @@
 }
 
 #[tokio::test]
-async fn a_path_without_route_is_not_found_and_without_configuration_comes_later() {
-    let bench = Bench::empty().await;
-    let early = bench.get("/i/x").await;
+async fn unknown_routes_get_404_and_a_missing_configuration_503() {
+    let harness = RelayHarness::start().await;
+    let early = harness.get("/i/x").await;
     assert_eq!(early.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(early.header("retry-after").parse::<f64>().unwrap() > 0.0);
-    bench.configure_all(1);
-    assert_eq!(bench.get("/nowhere/x").await.status, StatusCode::NOT_FOUND);
-    let no_endpoint = bench.get("/i/x").await;
+    harness.configure_all_routes(1);
+    assert_eq!(harness.get("/nowhere/x").await.status, StatusCode::NOT_FOUND);
+    let no_endpoint = harness.get("/i/x").await;
     assert_eq!(no_endpoint.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(no_endpoint.header("retry-after").parse::<f64>().unwrap() > 0.0);
 }
 
 #[tokio::test]
-async fn an_answer_to_another_request_is_never_passed_on() {
-    let script = |request: &crate::endpoint::Received| {
+async fn a_response_to_another_request_is_never_forwarded() {
+    let script = |request: &crate::endpoint::ReceivedRequest| {
         let mut other = request.clone();
         other.headers.retain(|(name, _)| !name.eq_ignore_ascii_case("x-request-id"));
         other.headers.push(("x-request-id".into(), "another".into()));
         ok(&other, "not yours")
     };
-    let endpoint = Endpoint::start("i-1", script).await;
-    let bench = Bench::with(&[&endpoint]).await;
-    let answer = read(bench.send(request("POST", "/n/x", "9c41", "")).await).await;
-    assert_eq!(answer.status, StatusCode::BAD_GATEWAY);
-    assert_eq!(answer.header("x-server-signature"), "");
+    let endpoint = FakeEndpoint::start("i-1", script).await;
+    let harness = RelayHarness::with_endpoints(&[&endpoint]).await;
+    let response = read(harness.send(request("POST", "/n/x", "9c41", "")).await).await;
+    assert_eq!(response.status, StatusCode::BAD_GATEWAY);
+    assert_eq!(response.header("x-server-signature"), "");
     assert_eq!(endpoint.received().len(), 1);
 }
 
 #[tokio::test]
-async fn bytes_behind_an_answer_do_not_reach_the_next_request() {
-    let endpoint = Endpoint::start("i-1", |request| {
+async fn surplus_bytes_do_not_reach_the_next_request() {
+    let endpoint = FakeEndpoint::start("i-1", |request| {
         let mut late = request.clone();
         late.body.clear();
-        vec![answer(request, "200 OK", "", "first"), answer(&late, "200 OK", "", "surplus")]
+        vec![response(request, "200 OK", "", "first"), response(&late, "200 OK", "", "surplus")]
     })
     .await;
-    let bench = Bench::with(&[&endpoint]).await;
+    let harness = RelayHarness::with_endpoints(&[&endpoint]).await;
     for id in ["a1", "a2", "a3"] {
-        let answer = read(bench.send(request("GET", "/i/x", id, "")).await).await;
-        assert_eq!((answer.status, answer.header("x-request-id")), (StatusCode::OK, id));
-        assert_eq!(answer.body.as_deref(), Some(&b"first"[..]));
+        let response = read(harness.send(request("GET", "/i/x", id, "")).await).await;
+        assert_eq!((response.status, response.header("x-request-id")), (StatusCode::OK, id));
+        assert_eq!(response.body.as_deref(), Some(&b"first"[..]));
     }
 }
 
 #[tokio::test]
-async fn unsound_successes_are_no_answers() {
-    // Without a length, the end of the connection ends the answer: only a reset shows that it is not whole.
+async fn invalid_success_responses_are_not_forwarded() {
+    // Without a length the response ends with the connection: only a reset shows that it is incomplete.
     let heads = [
         ("X-Request-Id: ID\r\nContent-Length: 2\r\n", End::Close),
         (
@@ -108,240 +108,253 @@
         ("X-Request-Id: ID\r\nX-Server-Signature: s\r\nTransfer-Encoding: chunked\r\n", End::Close),
     ];
     for (head, end) in heads {
-        let endpoint = Endpoint::start("i-1", move |request| {
+        let endpoint = FakeEndpoint::start("i-1", move |request| {
             let head = head.replace("ID", request.id());
             let end = if end == End::Reset { Step::Reset } else { Step::Close };
             vec![Step::Send(format!("HTTP/1.1 200 OK\r\n{head}\r\nhi").into_bytes()), end]
         })
         .await;
-        let bench = Bench::with(&[&endpoint]).await;
-        let answer = read(bench.send(request("POST", "/n/x", "9c41", "")).await).await;
-        assert_eq!(answer.status, StatusCode::BAD_GATEWAY, "{head}");
+        let harness = RelayHarness::with_endpoints(&[&endpoint]).await;
+        let response = read(harness.send(request("POST", "/n/x", "9c41", "")).await).await;
+        assert_eq!(response.status, StatusCode::BAD_GATEWAY, "{head}");
         assert_eq!(endpoint.received().len(), 1, "{head}");
     }
 }
 
 #[tokio::test]
-async fn what_may_not_repeat_is_not_sent_again_after_a_reset_of_a_kept_connection() {
-    let endpoint = Endpoint::start("i-1", |request| match request.id() {
+async fn non_idempotent_requests_are_not_retried_after_a_reset_of_a_reused_connection() {
+    let endpoint = FakeEndpoint::start("i-1", |request| match request.id() {
         "first" => ok(request, ""),
         _ => vec![Step::Reset],
     })
     .await;
-    let other = Endpoint::start("i-2", |request| ok(request, "")).await;
-    let bench = Bench::with(&[&endpoint]).await;
-    read(bench.send(request("POST", "/n/x", "first", "")).await).await;
-    // Of two that are equally free, the one in the relay's own zone is chosen.
-    let mut elsewhere = instance(&other, InstanceState::Ready, 1);
-    elsewhere.zone = "b".into();
-    bench.tell(false, vec![elsewhere]);
-    let answer = read(bench.send(request("POST", "/n/x", "second", "")).await).await;
-    assert_eq!(answer.status, StatusCode::BAD_GATEWAY);
+    let other = FakeEndpoint::start("i-2", |request| ok(request, "")).await;
+    let harness = RelayHarness::with_endpoints(&[&endpoint]).await;
+    read(harness.send(request("POST", "/n/x", "first", "")).await).await;
+    // Of two equally loaded endpoints the one in the relay's own zone is chosen.
+    let mut in_other_zone = instance(&other, InstanceState::Ready, 1);
+    in_other_zone.zone = "b".into();
+    harness.publish_instances(false, vec![in_other_zone]);
+    let response = read(harness.send(request("POST", "/n/x", "second", "")).await).await;
+    assert_eq!(response.status, StatusCode::BAD_GATEWAY);
     assert_eq!(endpoint.received().len(), 2);
     assert_eq!(*endpoint.connections.lock().unwrap(), 1, "the kept connection was used");
     assert!(other.received().is_empty());
 }
 
 #[tokio::test]
-async fn what_may_repeat_is_sent_elsewhere_after_a_reset() {
+async fn idempotent_requests_are_retried_elsewhere_after_a_reset() {
     let calls = Arc::new(AtomicUsize::new(0));
     let script = {
         let calls = Arc::clone(&calls);
-        move |request: &crate::endpoint::Received| match calls.fetch_add(1, Ordering::SeqCst) {
+        move |request: &crate::endpoint::ReceivedRequest| match calls.fetch_add(1, Ordering::SeqCst) {
             0 => vec![Step::Reset],
             _ => ok(request, "well"),
         }
     };
     let script = Arc::new(script);
     let (one, two) = (Arc::clone(&script), script);
-    let endpoints =
-        [Endpoint::start("i-1", move |r| one(r)).await, Endpoint::start("i-2", move |r| two(r)).await];
-    let bench = Bench::with(&[&endpoints[0], &endpoints[1]]).await;
-    assert_eq!(bench.get("/i/x").await.status, StatusCode::OK);
+    let endpoints = [
+        FakeEndpoint::start("i-1", move |r| one(r)).await,
+        FakeEndpoint::start("i-2", move |r| two(r)).await,
+    ];
+    let harness = RelayHarness::with_endpoints(&[&endpoints[0], &endpoints[1]]).await;
+    assert_eq!(harness.get("/i/x").await.status, StatusCode::OK);
     assert_eq!(endpoints.map(|endpoint| endpoint.received().len()), [1, 1]);
 }
 
 #[tokio::test]
-async fn a_declined_request_goes_elsewhere_even_if_it_may_not_repeat() {
+async fn a_declined_request_is_retried_even_if_not_idempotent() {
     let calls = Arc::new(AtomicUsize::new(0));
     let script = {
         let calls = Arc::clone(&calls);
-        Arc::new(move |request: &crate::endpoint::Received| match calls.fetch_add(1, Ordering::SeqCst) {
-            0 => declined(request),
-            _ => ok(request, "well"),
+        Arc::new(move |request: &crate::endpoint::ReceivedRequest| {
+            match calls.fetch_add(1, Ordering::SeqCst) {
+                0 => declined(request),
+                _ => ok(request, "well"),
+            }
         })
     };
     let (one, two) = (Arc::clone(&script), script);
-    let endpoints =
-        [Endpoint::start("i-1", move |r| one(r)).await, Endpoint::start("i-2", move |r| two(r)).await];
-    let bench = Bench::with(&[&endpoints[0], &endpoints[1]]).await;
-    let answer = read(bench.send(request("POST", "/n/x", "9c41", "")).await).await;
-    assert_eq!(answer.status, StatusCode::OK);
+    let endpoints = [
+        FakeEndpoint::start("i-1", move |r| one(r)).await,
+        FakeEndpoint::start("i-2", move |r| two(r)).await,
+    ];
+    let harness = RelayHarness::with_endpoints(&[&endpoints[0], &endpoints[1]]).await;
+    let response = read(harness.send(request("POST", "/n/x", "9c41", "")).await).await;
+    assert_eq!(response.status, StatusCode::OK);
     assert_eq!(endpoints.map(|endpoint| endpoint.received().len()), [1, 1]);
 }
 
 #[tokio::test]
-async fn a_request_that_all_declined_is_refused_with_a_time_to_come_back() {
-    let endpoints = [Endpoint::start("i-1", declined).await, Endpoint::start("i-2", declined).await];
-    let bench = Bench::with(&[&endpoints[0], &endpoints[1]]).await;
-    let answer = read(bench.send(request("POST", "/n/x", "9c41", "")).await).await;
-    assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-    assert!(answer.header("retry-after").parse::<f64>().unwrap() > 0.0);
+async fn a_request_declined_by_all_is_rejected_with_retry_after() {
+    let endpoints = [FakeEndpoint::start("i-1", declined).await, FakeEndpoint::start("i-2", declined).await];
+    let harness = RelayHarness::with_endpoints(&[&endpoints[0], &endpoints[1]]).await;
+    let response = read(harness.send(request("POST", "/n/x", "9c41", "")).await).await;
+    assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+    assert!(response.header("retry-after").parse::<f64>().unwrap() > 0.0);
 }
 
 #[tokio::test]
-async fn an_instance_that_is_not_at_its_address_any_more_is_dropped() {
-    let endpoint = Endpoint::start("i-1", |_| {
+async fn a_misdirected_instance_is_dropped() {
+    let endpoint = FakeEndpoint::start("i-1", |_| {
         vec![Step::Send(
             b"HTTP/1.1 421 Misdirected Request\r\nX-Instance-Id: i-9\r\nContent-Length: 0\r\n\r\n".to_vec(),
         )]
     })
     .await;
-    let bench = Bench::with(&[&endpoint]).await;
+    let harness = RelayHarness::with_endpoints(&[&endpoint]).await;
     for _ in 0..3 {
-        let answer = read(bench.send(request("POST", "/n/x", "9c41", "")).await).await;
-        assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
+        let response = read(harness.send(request("POST", "/n/x", "9c41", "")).await).await;
+        assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
     }
     assert_eq!(endpoint.received().len(), 1);
 }
 
 #[tokio::test]
-async fn nothing_goes_to_an_instance_once_its_drain_is_applied() {
-    let leaving = Endpoint::start("i-1", |request| ok(request, "")).await;
-    let staying = Endpoint::start("i-2", |request| ok(request, "")).await;
-    let bench = Bench::with(&[&leaving, &staying]).await;
+async fn a_draining_instance_gets_no_requests() {
+    let leaving = FakeEndpoint::start("i-1", |request| ok(request, "")).await;
+    let staying = FakeEndpoint::start("i-2", |request| ok(request, "")).await;
+    let harness = RelayHarness::with_endpoints(&[&leaving, &staying]).await;
     for _ in 0..8 {
-        bench.get("/i/x").await;
+        harness.get("/i/x").await;
     }
-    bench.tell(false, vec![instance(&leaving, InstanceState::Draining, 2)]);
+    harness.publish_instances(false, vec![instance(&leaving, InstanceState::Draining, 2)]);
     let before = leaving.received().len();
     // A late heartbeat does not bring it back.
-    bench.tell(false, vec![instance(&leaving, InstanceState::Ready, 3)]);
+    harness.publish_instances(false, vec![instance(&leaving, InstanceState::Ready, 3)]);
     for _ in 0..8 {
-        assert_eq!(bench.get("/i/x").await.status, StatusCode::OK);
+        assert_eq!(harness.get("/i/x").await.status, StatusCode::OK);
     }
     assert_eq!(leaving.received().len(), before);
 }
 
 #[tokio::test]
-async fn a_slow_first_try_is_abandoned_at_its_time_out_and_sent_elsewhere() {
+async fn a_slow_attempt_is_abandoned_at_its_timeout_and_retried_elsewhere() {
     let calls = Arc::new(AtomicUsize::new(0));
     let script = {
         let calls = Arc::clone(&calls);
-        Arc::new(move |request: &crate::endpoint::Received| match calls.fetch_add(1, Ordering::SeqCst) {
-            0 => vec![Step::Hang],
-            _ => ok(request, "well"),
+        Arc::new(move |request: &crate::endpoint::ReceivedRequest| {
+            match calls.fetch_add(1, Ordering::SeqCst) {
+                0 => vec![Step::Hang],
+                _ => ok(request, "well"),
+            }
         })
     };
     let (one, two) = (Arc::clone(&script), script);
-    let endpoints =
-        [Endpoint::start("i-1", move |r| one(r)).await, Endpoint::start("i-2", move |r| two(r)).await];
-    let bench = Bench::with(&[&endpoints[0], &endpoints[1]]).await;
-    bench.warm_up("/i/", Span::from_millis(40));
-    let begun = std::time::Instant::now();
+    let endpoints = [
+        FakeEndpoint::start("i-1", move |r| one(r)).await,
+        FakeEndpoint::start("i-2", move |r| two(r)).await,
+    ];
+    let harness = RelayHarness::with_endpoints(&[&endpoints[0], &endpoints[1]]).await;
+    harness.record_latencies("/i/", Span::from_millis(40));
+    let started_at = std::time::Instant::now();
     let sent = with_headers(request("GET", "/i/x", "9c41", ""), &[("x-deadline-ms", "1200")]);
-    let answer = read(bench.send(sent).await).await;
-    assert_eq!(answer.status, StatusCode::OK);
+    let response = read(harness.send(sent).await).await;
+    assert_eq!(response.status, StatusCode::OK);
     assert_eq!(endpoints.each_ref().map(|endpoint| endpoint.received().len()), [1, 1]);
-    let waited = begun.elapsed().as_millis();
+    let waited = started_at.elapsed().as_millis();
     assert!(waited >= 500, "half of the time left, not {waited} ms");
-    // The abandoned try is closed.
-    soon(async {
+    // The connection of the abandoned attempt is closed.
+    with_timeout(async {
         tokio::select! {
-            () = endpoints[0].left.notified() => {}
-            () = endpoints[1].left.notified() => {}
+            () = endpoints[0].client_disconnected() => {}
+            () = endpoints[1].client_disconnected() => {}
         }
     })
     .await;
 }
 
 #[tokio::test]
-async fn silence_does_not_end_what_may_not_repeat_before_the_deadline() {
-    let endpoint = Endpoint::start("i-1", |_| vec![Step::Hang]).await;
-    let bench = Bench::with(&[&endpoint]).await;
-    bench.warm_up("/n/", Span::from_millis(10));
-    let begun = std::time::Instant::now();
+async fn non_idempotent_requests_wait_until_the_deadline() {
+    let endpoint = FakeEndpoint::start("i-1", |_| vec![Step::Hang]).await;
+    let harness = RelayHarness::with_endpoints(&[&endpoint]).await;
+    harness.record_latencies("/n/", Span::from_millis(10));
+    let started_at = std::time::Instant::now();
     let sent = with_headers(request("POST", "/n/x", "9c41", ""), &[("x-deadline-ms", "300")]);
-    let answer = read(bench.send(sent).await).await;
-    assert_eq!(answer.status, StatusCode::GATEWAY_TIMEOUT);
-    assert!(begun.elapsed().as_millis() >= 250);
+    let response = read(harness.send(sent).await).await;
+    assert_eq!(response.status, StatusCode::GATEWAY_TIMEOUT);
+    assert!(started_at.elapsed().as_millis() >= 250);
 }
 
 #[tokio::test]
-async fn too_little_time_is_refused_unsent() {
-    let endpoint = Endpoint::start("i-1", |request| ok(request, "")).await;
-    let bench = Bench::with(&[&endpoint]).await;
-    bench.warm_up("/n/", Span::from_millis(900));
+async fn requests_with_too_little_time_are_rejected_unsent() {
+    let endpoint = FakeEndpoint::start("i-1", |request| ok(request, "")).await;
+    let harness = RelayHarness::with_endpoints(&[&endpoint]).await;
+    harness.record_latencies("/n/", Span::from_millis(900));
     let sent = with_headers(request("POST", "/n/x", "9c41", ""), &[("x-deadline-ms", "300")]);
-    let answer = read(bench.send(sent).await).await;
-    assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-    assert!(answer.header("retry-after").parse::<f64>().unwrap() > 0.0);
+    let response = read(harness.send(sent).await).await;
+    assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+    assert!(response.header("retry-after").parse::<f64>().unwrap() > 0.0);
     assert!(endpoint.received().is_empty());
 }
 
 #[tokio::test]
-async fn an_endpoint_error_is_passed_on_unchanged() {
+async fn endpoint_errors_are_forwarded_unchanged() {
     let endpoint =
-        Endpoint::start("i-1", |request| vec![answer(request, "500 Internal Server Error", "", "oh")]).await;
-    let bench = Bench::with(&[&endpoint]).await;
+        FakeEndpoint::start("i-1", |request| vec![response(request, "500 Internal Server Error", "", "oh")])
+            .await;
+    let harness = RelayHarness::with_endpoints(&[&endpoint]).await;
     for (method, path) in [("POST", "/n/x"), ("GET", "/i/x"), ("POST", "/e/x")] {
-        let answer = read(bench.send(request(method, path, "9c41", "")).await).await;
-        assert_eq!(answer.status, StatusCode::INTERNAL_SERVER_ERROR);
+        let response = read(harness.send(request(method, path, "9c41", "")).await).await;
+        assert_eq!(response.status, StatusCode::INTERNAL_SERVER_ERROR);
         assert_eq!(
-            (answer.header("x-server-signature"), answer.body.as_deref()),
+            (response.header("x-server-signature"), response.body.as_deref()),
             ("stamp", Some(&b"oh"[..]))
         );
     }
 }
 
 #[tokio::test]
-async fn limits_of_the_configuration_hold() {
-    let endpoint = Endpoint::start("i-1", |request| ok(request, "")).await;
-    let bench = Bench::with(&[&endpoint]).await;
+async fn configured_limits_are_enforced() {
+    let endpoint = FakeEndpoint::start("i-1", |request| ok(request, "")).await;
+    let harness = RelayHarness::with_endpoints(&[&endpoint]).await;
     let large = "x".repeat(65_537);
-    let answer = read(bench.send(request("POST", "/n/x", "9c41", &large)).await).await;
-    assert_eq!(answer.status, StatusCode::PAYLOAD_TOO_LARGE);
+    let response = read(harness.send(request("POST", "/n/x", "9c41", &large)).await).await;
+    assert_eq!(response.status, StatusCode::PAYLOAD_TOO_LARGE);
     let long = "x".repeat(16_384);
     let sent = with_headers(request("POST", "/n/x", "9c41", ""), &[("x-long", &long)]);
-    let answer = read(bench.send(sent).await).await;
-    assert_eq!(answer.status, StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE);
+    let response = read(harness.send(sent).await).await;
+    assert_eq!(response.status, StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE);
     assert!(endpoint.received().is_empty());
 }
 
 #[tokio::test]
-async fn requests_on_one_connection_share_one_to_the_endpoint() {
-    let endpoint = Endpoint::start("i-1", |request| ok(request, request.id())).await;
-    let bench = Bench::with(&[&endpoint]).await;
-    let mut client = connect(bench.frontend).await;
+async fn requests_on_one_client_connection_reuse_one_endpoint_connection() {
+    let endpoint = FakeEndpoint::start("i-1", |request| ok(request, request.id())).await;
+    let harness = RelayHarness::with_endpoints(&[&endpoint]).await;
+    let mut client = connect(harness.frontend).await;
     for id in ["a", "b", "c"] {
         client.ready().await.unwrap();
-        let answer = read(soon(client.send_request(request("GET", "/i/x", id, ""))).await.unwrap()).await;
-        assert_eq!(answer.body.as_deref(), Some(id.as_bytes()));
+        let response =
+            read(with_timeout(client.send_request(request("GET", "/i/x", id, ""))).await.unwrap()).await;
+        assert_eq!(response.body.as_deref(), Some(id.as_bytes()));
     }
     assert_eq!(*endpoint.connections.lock().unwrap(), 1);
 }
 
 #[tokio::test]
-async fn an_endpoint_that_errs_does_not_draw_what_may_not_repeat() {
-    let erring =
-        Endpoint::start("i-1", |request| vec![answer(request, "500 Internal Server Error", "", "oh")]).await;
-    let sound = Endpoint::start("i-2", |request| ok(request, "")).await;
-    let bench = Bench::with(&[&erring]).await;
-    // Of two that are equally free, the one in the relay's own zone is chosen.
-    let mut elsewhere = instance(&sound, InstanceState::Ready, 1);
-    elsewhere.zone = "b".into();
-    bench.tell(false, vec![elsewhere]);
+async fn an_endpoint_with_errors_does_not_attract_non_idempotent_requests() {
+    let failing =
+        FakeEndpoint::start("i-1", |request| vec![response(request, "500 Internal Server Error", "", "oh")])
+            .await;
+    let healthy = FakeEndpoint::start("i-2", |request| ok(request, "")).await;
+    let harness = RelayHarness::with_endpoints(&[&failing]).await;
+    // Of two equally loaded endpoints the one in the relay's own zone is chosen.
+    let mut in_other_zone = instance(&healthy, InstanceState::Ready, 1);
+    in_other_zone.zone = "b".into();
+    harness.publish_instances(false, vec![in_other_zone]);
     for (id, status) in [("first", StatusCode::INTERNAL_SERVER_ERROR), ("second", StatusCode::OK)] {
-        let answer = read(bench.send(request("POST", "/n/x", id, "")).await).await;
-        assert_eq!(answer.status, status, "{id}");
+        let response = read(harness.send(request("POST", "/n/x", id, "")).await).await;
+        assert_eq!(response.status, status, "{id}");
     }
 }
 
 #[tokio::test]
-async fn kept_connections_go_when_their_endpoint_takes_no_new_ones() {
-    let endpoint = Endpoint::start("i-1", |request| ok(request, "")).await;
-    let bench = Bench::empty().await;
-    let (pool, id) = (&bench.state.pool, "i-1".into());
+async fn idle_connections_are_closed_when_the_endpoint_accepts_none() {
+    let endpoint = FakeEndpoint::start("i-1", |request| ok(request, "")).await;
+    let harness = RelayHarness::start().await;
+    let (pool, id) = (&harness.state.pool, "i-1".into());
     let mut connection = pool.connect(endpoint.address, Duration::from_secs(1)).await.unwrap();
     connection.sender.ready().await.unwrap();
     pool.put_idle(&id, connection, None);
