--- a/crates/balancing/src/latency.rs
+++ b/crates/balancing/src/latency.rs
@@ -28,13 +28,13 @@
     /// The time-out of the next attempt, with `remaining` until the deadline and `attempts_left` endpoints to which
     /// the request may still be sent, this one included.
     pub fn attempt_timeout(&self, destination: &Destination, remaining: Span, attempts_left: u32) -> Span {
-        self.models.get(destination).map_or(remaining, |model| model.time_out(remaining, attempts_left))
+        self.models.get(destination).map_or(remaining, |model| model.timeout(remaining, attempts_left))
     }
 
     /// The cutoff: whether the remaining time is at least the fitted median.
     pub fn has_time_for_attempt(&self, destination: &Destination, remaining: Span) -> bool {
         remaining > Span::ZERO
-            && self.models.get(destination).is_none_or(|model| model.worth_trying(remaining))
+            && self.models.get(destination).is_none_or(|model| model.is_worth_trying(remaining))
     }
 
     /// The fitted median; zero until there are enough samples.
--- a/crates/balancing/src/queue.rs
+++ b/crates/balancing/src/queue.rs
@@ -51,8 +51,9 @@
         let mut next = Vec::new();
         for by_destination in self.waiting.values() {
             let mut destinations: Vec<_> = by_destination.iter().collect();
-            destinations
-                .sort_by_key(|(key, _)| (self.slot_times.spent(now, key, STUCK_CALL_ALLOWANCE), *key));
+            destinations.sort_by_key(|(key, _)| {
+                (self.slot_times.recent_slot_time(now, key, STUCK_CALL_ALLOWANCE), *key)
+            });
             let first = destinations.into_iter().filter_map(|(_, requests)| requests.front());
             next.extend(first.map(|(ticket, request)| (*ticket, request)));
         }
@@ -67,11 +68,11 @@
 
     /// Records the start of a call, whose slot time counts for its destination.
     pub(crate) fn begin_call(&mut self, now: Time, destination: &Destination, expected_duration: Span) {
-        self.slot_times.begin(now, destination.clone(), expected_duration);
+        self.slot_times.begin_call(now, destination.clone(), expected_duration);
     }
 
     /// Records the end of a call.
     pub(crate) fn end_call(&mut self, now: Time, destination: &Destination) {
-        self.slot_times.end(now, destination);
+        self.slot_times.end_call(now, destination);
     }
 }
--- a/crates/node/src/relay/cluster_view.rs
+++ b/crates/node/src/relay/cluster_view.rs
@@ -18,7 +18,7 @@
 use super::dispatcher::Dispatcher;
 use super::snapshot::{ActiveConfiguration, Snapshot};
 use crate::clock::now;
-use crate::subscriber::Sink;
+use crate::subscriber::UpdateSink;
 use crate::sync::lock;
 
 /// The current [`Snapshot`], with which the dispatcher is kept consistent.
@@ -79,7 +79,7 @@
     }
 
     fn apply_configuration(&self, version: Version, body: &[u8]) {
-        if self.configuration() >= version {
+        if self.configuration_version() >= version {
             return;
         }
         let configuration = match Configuration::read(body) {
@@ -170,7 +170,7 @@
     check(Invariant::StoreMapVersionNeverDecreases, from <= to, || format!("map {from} is followed by {to}"));
 }
 
-impl Sink for ClusterView {
+impl UpdateSink for ClusterView {
     fn apply(&self, update: Update) {
         match update {
             Update::Configuration { version, body } => self.apply_configuration(version, &body),
@@ -180,16 +180,16 @@
         }
     }
 
-    fn applied(&self) -> AppliedVersions {
+    fn applied_versions(&self) -> AppliedVersions {
         let stores = self.snapshot().stores.version;
-        AppliedVersions { configuration: self.configuration(), stores, ..AppliedVersions::default() }
+        AppliedVersions { configuration: self.configuration_version(), stores, ..AppliedVersions::default() }
     }
 
-    fn configuration(&self) -> Version {
+    fn configuration_version(&self) -> Version {
         self.snapshot().configuration_version().unwrap_or_default()
     }
 
-    fn connected(&self, is_connected: bool) {
+    fn handle_connection_change(&self, is_connected: bool) {
         self.is_disconnected.store(!is_connected, Ordering::Relaxed);
     }
 }
--- a/crates/node/src/relay/dispatcher.rs
+++ b/crates/node/src/relay/dispatcher.rs
@@ -15,7 +15,7 @@
 use tokio::time::timeout;
 
 use crate::clock::{duration, now};
-use crate::panics::critical;
+use crate::panics::critical_section;
 use crate::sync::lock;
 
 /// Reported loads age without an event: queued requests look for free slots this often.
@@ -115,7 +115,7 @@
         let destination = request.destination.clone();
         let mut state = self.lock();
         let expected_duration = state.latencies.median(&destination);
-        match critical(|| state.balancer.admit(now(), request, expected_duration)) {
+        match critical_section(|| state.balancer.admit(now(), request, expected_duration)) {
             Admission::Granted(endpoint) => {
                 drop(state);
                 Ok(Admitted::Slot(self.occupy_slot(destination, endpoint)))
@@ -151,7 +151,7 @@
 
     /// Grants free slots of a service to queued requests.
     fn grant_slots(self: &Arc<Self>, service: &ServiceName) {
-        let granted: Vec<_> = critical(|| {
+        let granted: Vec<_> = critical_section(|| {
             let mut state = self.lock();
             let grants = state.balancer.grant_slots(now(), service);
             grants.into_iter().map(|grant| (state.waiters.remove(&grant.ticket), grant)).collect()
@@ -164,7 +164,7 @@
     }
 
     fn end_call(self: &Arc<Self>, destination: &Destination, endpoint: &InstanceId, outcome: CallOutcome) {
-        critical(|| self.lock().balancer.end_call(now(), destination, endpoint, outcome));
+        critical_section(|| self.lock().balancer.end_call(now(), destination, endpoint, outcome));
         self.grant_slots(&destination.service);
     }
 
@@ -192,7 +192,7 @@
 
     /// Records that an endpoint began to respond, `elapsed` after the request was sent.
     pub fn record_first_response(&self, request: &PlacementRequest, endpoint: &InstanceId, elapsed: Span) {
-        critical(|| self.lock().balancer.record_first_response(request, endpoint, elapsed));
+        critical_section(|| self.lock().balancer.record_first_response(request, endpoint, elapsed));
     }
 
     /// Records the duration of an attempt; censored if the attempt was abandoned at its time-out.
--- a/crates/node/src/relay/frontend.rs
+++ b/crates/node/src/relay/frontend.rs
@@ -14,7 +14,7 @@
 use super::connections::RegisteredConnection;
 use super::request_handler::handle_request;
 use super::state::RelayState;
-use crate::panics::isolated;
+use crate::panics::isolate;
 
 /// The pause after a connection could not be accepted.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
@@ -46,7 +46,7 @@
     let limits = state.cluster.snapshot().limits();
     // Registered at once: a shutdown waits for all connections that were accepted.
     let registered = state.connections.register(limits.max_header_bytes);
-    tokio::spawn(isolated(serve_connection(Arc::clone(state), stream, registered, limits, has_capacity)));
+    tokio::spawn(isolate(serve_connection(Arc::clone(state), stream, registered, limits, has_capacity)));
 }
 
 async fn serve_connection(
--- a/crates/node/src/relay/metrics.rs
+++ b/crates/node/src/relay/metrics.rs
@@ -5,7 +5,7 @@
 use slog::{KV, Logger, Record, Serializer, info};
 
 use super::rejection::Rejection;
-use crate::metrics::Figure;
+use crate::metrics::Metric;
 
 /// A number that only increases.
 #[derive(Debug, Default)]
@@ -111,10 +111,10 @@
     }
 
     /// The counters for the metrics endpoint.
-    pub fn figures(&self) -> Vec<Figure> {
+    pub fn figures(&self) -> Vec<Metric> {
         self.entries()
             .into_iter()
-            .map(|(name, help, counter)| Figure::counter(name, help, counter.get()))
+            .map(|(name, help, counter)| Metric::counter(name, help, counter.get()))
             .collect()
     }
 
--- a/crates/node/src/relay/request_log.rs
+++ b/crates/node/src/relay/request_log.rs
@@ -41,7 +41,7 @@
             return;
         }
         let limit = if has_failed { &self.failed } else { &self.slow };
-        let Some(suppressed) = limit.take() else { return };
+        let Some(suppressed) = limit.try_acquire() else { return };
         let outcome = record.outcome;
         info!(self.log, "request finished";
             "request" => &record.request_id,
--- a/crates/node/src/relay/server.rs
+++ b/crates/node/src/relay/server.rs
@@ -28,16 +28,16 @@
 use super::upstream::ConnectionPool;
 use super::{frontend, maintenance, readiness};
 use crate::clock::random;
-use crate::command::Process;
-use crate::gossip::{Gossip, Myself};
-use crate::host::at;
-use crate::link::{Link, LinkPool, Reply, Service};
-use crate::metrics::FigureSource;
+use crate::gossip::{Gossip, LocalProcess};
+use crate::host::with_address;
+use crate::link::{Link, LinkPool, ReplySender, Service};
+use crate::metrics::MetricSource;
 use crate::panics::spawn_essential;
+use crate::process::Process;
 use crate::sessions_client::SessionsClient;
 use crate::settings::{Port, Settings};
-use crate::signals::Wish;
-use crate::subscriber::{Sink, Subscriber};
+use crate::signals::ShutdownOrReload;
+use crate::subscriber::{Subscriber, UpdateSink};
 
 /// For how long connections are still accepted after a shutdown is requested: the platform directs new ones to this
 /// process until two of its readiness checks, one each second, have failed.
@@ -70,12 +70,12 @@
     let relay = Relay::open(settings, log.clone(), session_store).await?;
     let subscriber = relay.subscribe();
     let keepers_subscriber = Arc::clone(&subscriber);
-    let observer = Box::new(move |keepers| keepers_subscriber.set_found(keepers));
-    let myself = Myself { role: Role::Relay, disk: None };
+    let observer = Box::new(move |keepers| keepers_subscriber.set_discovered(keepers));
+    let myself = LocalProcess { role: Role::Relay, disk: None };
     let gossip = Gossip::start(&relay.settings, myself, log.clone(), observer).await?;
     relay
         .serve(async move {
-            while signals.next().await == Wish::Reload {
+            while signals.next().await == ShutdownOrReload::Reload {
                 match Settings::read(settings_file.as_deref()) {
                     Ok(settings) => {
                         subscriber.set_seeds(settings.seed_keepers());
@@ -128,10 +128,10 @@
             zone: settings.zone.as_str().into(),
             address: settings.own_address(Port::Relay),
             subscriber: SubscriberKind::Relay,
-            configuration: self.state.cluster.configuration(),
+            configuration: self.state.cluster.configuration_version(),
         };
         let subscriptions = settings.fault_tolerance.machines + 1;
-        let sink = Arc::clone(&self.state.cluster) as Arc<dyn Sink>;
+        let sink = Arc::clone(&self.state.cluster) as Arc<dyn UpdateSink>;
         Subscriber::start(subscribe, settings.seed_keepers(), subscriptions, sink)
     }
 
@@ -171,7 +171,7 @@
     pub async fn serve(self, shutdown: impl Future<Output = ()>) -> io::Result<()> {
         let Relay { state, frontend, readiness, settings, log } = self;
         info!(log, "serving");
-        crate::metrics::start(&settings, Arc::clone(&state) as Arc<dyn FigureSource>, &log).await;
+        crate::metrics::start(&settings, Arc::clone(&state) as Arc<dyn MetricSource>, &log).await;
         let readiness = spawn_essential("readiness", readiness::serve(Arc::clone(&state), readiness));
         let accepting = spawn_essential("accepting", frontend::accept(Arc::clone(&state), frontend));
         let maintenance = spawn_essential("maintenance", maintenance::run(Arc::clone(&state), log.clone()));
@@ -209,14 +209,14 @@
 async fn listen(address: Option<SocketAddr>, key: &str) -> io::Result<TcpListener> {
     let address =
         address.ok_or_else(|| io::Error::new(io::ErrorKind::InvalidInput, format!("{key}: missing")))?;
-    TcpListener::bind(address).await.map_err(|error| at(address, &error))
+    TcpListener::bind(address).await.map_err(|error| with_address(address, &error))
 }
 
 /// Ignores messages of stores that are not replies: a relay expects none.
 struct IgnoreUnsolicited;
 
 impl Service for IgnoreUnsolicited {
-    fn message(&self, _: &Link, _: Message, _: Reply) {}
+    fn handle_message(&self, _: &Link, _: Message, _: ReplySender) {}
 }
 
 fn session_store(cluster: &ClusterView) -> Arc<dyn SessionStore> {
--- a/crates/node/src/relay/sessions.rs
+++ b/crates/node/src/relay/sessions.rs
@@ -7,7 +7,7 @@
 use juniperwing_protocol::session::{BeginTurn, FinishTurn, Turn};
 use snafu::Snafu;
 
-use crate::sessions_client::{NotSettled, SessionError, SessionsClient, StoreTrouble};
+use crate::sessions_client::{CommitUncertain, SessionError, SessionsClient, StoreFailure};
 
 /// Why a turn cannot be begun or finished.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
@@ -22,7 +22,7 @@
     #[snafu(display("the stores are unavailable: {cause}"))]
     Unavailable {
         /// Why, as far as is known.
-        cause: StoreTrouble,
+        cause: StoreFailure,
     },
 }
 
@@ -61,9 +61,9 @@
         let client = self.clone();
         Box::pin(async move {
             let begun = client.begin(turn, max_wait).await.map_err(|error| match error {
-                SessionError::BudgetSpent => TurnError::BudgetExhausted,
+                SessionError::BudgetExhausted => TurnError::BudgetExhausted,
                 SessionError::UnknownTurn => TurnError::UnknownTurn,
-                SessionError::Unavailable { trouble } => TurnError::Unavailable { cause: trouble },
+                SessionError::Unavailable { failure } => TurnError::Unavailable { cause: failure },
             })?;
             Ok(begun.chain)
         })
@@ -73,24 +73,24 @@
         let client = self.clone();
         Box::pin(async move {
             let finished = client.finish(turn, max_wait).await;
-            finished.map_err(|NotSettled { trouble }| TurnError::Unavailable { cause: trouble })
+            finished.map_err(|CommitUncertain { failure }| TurnError::Unavailable { cause: failure })
         })
     }
 
     fn finish_turn_in_background(&self, turn: FinishTurn) {
-        self.finish_later(turn);
+        self.finish_in_background(turn);
     }
 
     fn background_commits_done(&self) -> Pin<Box<dyn Future<Output = ()> + Send>> {
         let client = self.clone();
-        Box::pin(async move { client.settled().await })
+        Box::pin(async move { client.wait_for_background_commits().await })
     }
 
     fn background_commits(&self) -> usize {
-        self.settling()
+        self.background_commits()
     }
 
     fn lost_commits(&self) -> u64 {
-        self.settlements_lost()
+        self.lost_commits()
     }
 }
--- a/crates/node/src/relay/trace.rs
+++ b/crates/node/src/relay/trace.rs
@@ -13,7 +13,7 @@
 use super::rejection::Rejection;
 use super::stream_error::StreamError;
 use crate::clock::now;
-use crate::sessions_client::StoreTrouble;
+use crate::sessions_client::StoreFailure;
 use crate::sync::lock;
 
 /// The number of attempts of one request that are recorded; configurations allow fewer.
@@ -74,7 +74,7 @@
     /// Whether an attempt that ended may have been executed.
     pub may_have_run: bool,
     /// Why the stores failed.
-    pub store_failure: Option<StoreTrouble>,
+    pub store_failure: Option<StoreFailure>,
     /// When the head of the response was ready.
     pub responded_after: Option<Span>,
     /// How the request ended; `None` if the client disconnected before.
@@ -103,7 +103,7 @@
     }
 
     /// Records why the stores failed.
-    pub fn record_store_failure(&self, cause: StoreTrouble) {
+    pub fn record_store_failure(&self, cause: StoreFailure) {
         self.lock().store_failure = Some(cause);
     }
 
--- a/crates/node/src/relay/upstream.rs
+++ b/crates/node/src/relay/upstream.rs
@@ -17,7 +17,7 @@
 use tokio::time::timeout;
 
 use crate::clock::now;
-use crate::panics::isolated;
+use crate::panics::isolate;
 use crate::sync::lock;
 
 /// The longest that establishing a connection may take.
@@ -100,7 +100,7 @@
         let mut builder = http1::Builder::new();
         builder.max_buf_size(READ_BUFFER_BYTES);
         let (sender, driver) = builder.handshake(TokioIo::new(stream)).await.ok()?;
-        let task = tokio::spawn(isolated(async move {
+        let task = tokio::spawn(isolate(async move {
             // Its errors reach the request that is in flight.
             let _ = driver.await;
         }));
--- a/crates/node/tests/relay/lifecycle.rs
+++ b/crates/node/tests/relay/lifecycle.rs
@@ -8,7 +8,7 @@
 
 use crate::endpoint::{FakeEndpoint, Step, chunk, last_chunk, ok, stream_head};
 use crate::support::{RelayHarness, connect, instance, next_chunk, read, request, with_timeout};
-use juniperwing_node::subscriber::Sink;
+use juniperwing_node::subscriber::UpdateSink;
 use juniperwing_protocol::registry::InstanceState;
 
 async fn readiness(harness: &RelayHarness) -> StatusCode {
@@ -47,10 +47,10 @@
     let endpoint = FakeEndpoint::start("i-1", |request| ok(request, "")).await;
     let harness = RelayHarness::with_endpoints(&[&endpoint]).await;
     assert_eq!(harness.get("/nowhere").await.status, StatusCode::NOT_FOUND);
-    harness.cluster.connected(false);
+    harness.cluster.handle_connection_change(false);
     assert_eq!(harness.get("/nowhere").await.status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(harness.get("/i/x").await.status, StatusCode::OK);
-    harness.cluster.connected(true);
+    harness.cluster.handle_connection_change(true);
     assert_eq!(harness.get("/nowhere").await.status, StatusCode::NOT_FOUND);
 }
 
--- a/crates/node/tests/relay/request_log.rs
+++ b/crates/node/tests/relay/request_log.rs
@@ -2,8 +2,8 @@
 
 use http::StatusCode;
 use juniperwing_node::relay::TurnError;
-use juniperwing_node::sessions_client::StoreFault;
-use juniperwing_node::subscriber::Sink;
+use juniperwing_node::sessions_client::StoreFailureReason;
+use juniperwing_node::subscriber::UpdateSink;
 use juniperwing_protocol::registry::InstanceState;
 use serde_json::Value;
 
@@ -149,12 +149,12 @@
     assert_eq!(send("b", "/n/x").await, (503, "rejected".into(), "no endpoint".into(), "".into()));
     harness.publish_instances(true, vec![instance(&endpoint, InstanceState::Ready, 1)]);
     assert_eq!(send("c", "/nowhere").await, (404, "refused".into(), "".into(), "".into()));
-    harness.cluster.connected(false);
+    harness.cluster.handle_connection_change(false);
     assert_eq!(
         send("d", "/nowhere").await,
         (503, "rejected".into(), "keepers unreachable".into(), "".into())
     );
-    let fault = TurnError::Unavailable { cause: StoreFault::NotPrimary.into() };
+    let fault = TurnError::Unavailable { cause: StoreFailureReason::NotPrimary.into() };
     *harness.stores.begin_result.lock().unwrap() = Some(Err(fault));
     let turn = with_headers(request("POST", "/k/x", "f", "x"), &[("program", "p"), ("budget", "9")]);
     assert_eq!(read(harness.send(turn).await).await.status.as_u16(), 503);
--- a/crates/node/tests/relay/support.rs
+++ b/crates/node/tests/relay/support.rs
@@ -15,9 +15,9 @@
 use juniperwing_balancing::Destination;
 use juniperwing_clock::Span;
 use juniperwing_node::relay::{ClusterView, Relay, RelayState, SessionCall, SessionStore, TurnError};
-use juniperwing_node::sessions_client::StoreFault;
+use juniperwing_node::sessions_client::StoreFailureReason;
 use juniperwing_node::settings::Settings;
-use juniperwing_node::subscriber::Sink;
+use juniperwing_node::subscriber::UpdateSink;
 use juniperwing_protocol::identity::{EpochNumber, InstanceId, RequestId, ServiceName};
 use juniperwing_protocol::registry::{Instance, InstanceState};
 use juniperwing_protocol::replication::Version;
@@ -85,7 +85,11 @@
             if let Some(gate) = gate {
                 gate.notified().await;
             }
-            if fails { Err(TurnError::Unavailable { cause: StoreFault::NoAnswer.into() }) } else { Ok(()) }
+            if fails {
+                Err(TurnError::Unavailable { cause: StoreFailureReason::TimedOut.into() })
+            } else {
+                Ok(())
+            }
         })
     }
 
--- a/crates/node/tests/relay/turns.rs
+++ b/crates/node/tests/relay/turns.rs
@@ -6,7 +6,7 @@
 use http::{Request, StatusCode};
 use http_body_util::Full;
 use juniperwing_node::relay::TurnError;
-use juniperwing_node::sessions_client::StoreFault;
+use juniperwing_node::sessions_client::StoreFailureReason;
 use juniperwing_protocol::identity::RequestId;
 use tokio::sync::Notify;
 
@@ -117,7 +117,10 @@
     let denials = [
         (TurnError::BudgetExhausted, StatusCode::PAYMENT_REQUIRED),
         (TurnError::UnknownTurn, StatusCode::NOT_FOUND),
-        (TurnError::Unavailable { cause: StoreFault::NoAnswer.into() }, StatusCode::SERVICE_UNAVAILABLE),
+        (
+            TurnError::Unavailable { cause: StoreFailureReason::TimedOut.into() },
+            StatusCode::SERVICE_UNAVAILABLE,
+        ),
     ];
     for (fault, status) in denials {
         *harness.stores.begin_result.lock().unwrap() = Some(Err(fault));
--- /dev/null
+++ b/crates/sessions/src/anti_entropy.rs
@@ -0,0 +1,257 @@
+//! Anti-entropy repair of replicas: the primary makes its replicas hold the same records as itself.
+//!
+//! The primary compares range digests with each replica, pulls the records of the ranges that differ, pushes its own
+//! and compares again, until the digests are equal. A store that has become primary synchronizes the in-sync replicas
+//! before it decides anything; joining replicas are filled the same way, a few at a time.
+
+use std::collections::BTreeMap;
+use std::collections::btree_map::Entry;
+
+use juniperwing_protocol::transfer::{RecordKey, TransferReply, TransferRequest};
+use juniperwing_protocol::{DiskId, EpochNumber, PartitionId};
+
+use crate::call::CallPurpose;
+use crate::limits::{
+    DIGEST_RANGE_COUNT, MAX_CONCURRENT_JOINING_SYNCS, MAX_DIGEST_COMPARISONS, SYNC_EXPIRY_SLACK_MS,
+    SYNC_RETRY_DELAY,
+};
+use crate::store::Store;
+use crate::timers::Timer;
+
+/// A partition of which this store is the primary.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct LedPartition {
+    /// The epoch in which it is the primary.
+    pub(crate) epoch: EpochNumber,
+    /// The version of the first map with this epoch.
+    pub(crate) first_map_version: u64,
+    /// The state of every other replica, in sync or joining.
+    replicas: BTreeMap<DiskId, ReplicaSyncState>,
+}
+
+/// How far the synchronization of a replica has come.
+#[derive(Clone, Debug, PartialEq, Eq)]
+enum ReplicaSyncState {
+    /// Not compared yet.
+    Pending,
+    /// A call of this attempt and phase is in flight.
+    InProgress { attempt: u64, phase: SyncPhase },
+    /// The replica holds all that this store holds. From now on it is sent every write until it has confirmed it.
+    Synchronized,
+}
+
+/// A phase of the synchronization of a replica; `differing` are the ranges whose digests differ.
+#[derive(Clone, Debug, PartialEq, Eq)]
+enum SyncPhase {
+    CompareDigests,
+    /// Fetches the replica's records behind the key `after`.
+    PullRecords {
+        differing: Vec<u16>,
+        after: Option<RecordKey>,
+    },
+    /// Sends this store's records behind the key `after`; `None` in a phase in progress if there are no more.
+    PushRecords {
+        differing: Vec<u16>,
+        after: Option<RecordKey>,
+    },
+}
+
+/// One step of a synchronization, which is one call to the replica.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct SyncStep {
+    partition: PartitionId,
+    replica: DiskId,
+    /// Tells this step from earlier ones, whose replies are ignored.
+    attempt: u64,
+    /// Programs that expire by this time are left out, in milliseconds since the Unix epoch.
+    live_after_ms: u64,
+    /// Comparisons since the last delay, this one included.
+    comparisons: u32,
+}
+
+impl LedPartition {
+    /// The replicas that hold all that this store holds.
+    pub(crate) fn synchronized_replicas(&self) -> impl Iterator<Item = DiskId> + '_ {
+        let synchronized =
+            self.replicas.iter().filter(|(_, state)| **state == ReplicaSyncState::Synchronized);
+        synchronized.map(|(replica, _)| *replica)
+    }
+
+    /// Whether a replica holds all that this store holds.
+    pub(crate) fn is_replica_synchronized(&self, replica: DiskId) -> bool {
+        self.replicas.get(&replica) == Some(&ReplicaSyncState::Synchronized)
+    }
+
+    fn is_sync_in_progress(&self, replica: DiskId) -> bool {
+        matches!(self.replicas.get(&replica), Some(ReplicaSyncState::InProgress { .. }))
+    }
+}
+
+impl Store {
+    /// Whether every in-sync replica of a partition that this store leads is synchronized.
+    pub(crate) fn is_synchronized(&self, partition: PartitionId) -> bool {
+        let Some(led) = self.led_partitions.get(&partition) else { return false };
+        let Some(assignment) = self.map.assignment(partition) else { return false };
+        let others = assignment.in_sync.iter().filter(|replica| **replica != self.disk);
+        others.copied().all(|replica| led.is_replica_synchronized(replica))
+    }
+
+    /// Takes over the assignment of a partition whose primary this store is, and schedules the synchronization of new
+    /// replicas. Those synchronized in an earlier epoch stay so, since this store has acknowledged nothing without
+    /// them.
+    pub(crate) fn update_led_partition(&mut self, partition: PartitionId) {
+        let Some(assignment) = self.map.assignment(partition) else { return };
+        let mut members = assignment.in_sync.clone();
+        members.extend(&assignment.joining);
+        members.retain(|replica| *replica != self.disk);
+        let led = self.led_partitions.entry(partition).or_default();
+        led.epoch = assignment.epoch;
+        led.first_map_version = self.map.version;
+        led.replicas.retain(|replica, _| members.contains(replica));
+        let now = self.moment.now;
+        for replica in members {
+            if let Entry::Vacant(entry) = led.replicas.entry(replica) {
+                entry.insert(ReplicaSyncState::Pending);
+                self.timers.insert((now, Timer::SyncReplica(partition, replica)));
+            }
+        }
+    }
+
+    /// Starts the synchronization of a pending replica. A joining one waits while too many others are filled.
+    pub(crate) fn start_sync(&mut self, partition: PartitionId, replica: DiskId) {
+        let state = self.led_partitions.get(&partition).and_then(|led| led.replicas.get(&replica));
+        if state != Some(&ReplicaSyncState::Pending) {
+            return;
+        }
+        let assignment = self.map.assignment(partition);
+        let is_joining = assignment.is_some_and(|assignment| assignment.joining.contains(&replica));
+        if is_joining && self.joining_syncs_in_progress() >= MAX_CONCURRENT_JOINING_SYNCS {
+            self.waiting_syncs.insert((partition, replica));
+            return;
+        }
+        self.compare_digests(partition, replica, 1);
+    }
+
+    /// Starts the synchronization of joining replicas that had to wait for others, as far as the limit allows.
+    pub(crate) fn start_waiting_syncs(&mut self) {
+        while !self.waiting_syncs.is_empty()
+            && self.joining_syncs_in_progress() < MAX_CONCURRENT_JOINING_SYNCS
+        {
+            if let Some((partition, replica)) = self.waiting_syncs.pop_first() {
+                self.start_sync(partition, replica);
+            }
+        }
+    }
+
+    fn joining_syncs_in_progress(&self) -> usize {
+        self.led_partitions.iter().map(|(partition, led)| self.joining_syncs_of(*partition, led)).sum()
+    }
+
+    fn joining_syncs_of(&self, partition: PartitionId, led: &LedPartition) -> usize {
+        let Some(assignment) = self.map.assignment(partition) else { return 0 };
+        let in_progress = led.replicas.keys().filter(|replica| led.is_sync_in_progress(**replica));
+        in_progress.filter(|replica| assignment.joining.contains(replica)).count()
+    }
+
+    fn compare_digests(&mut self, partition: PartitionId, replica: DiskId, comparisons: u32) {
+        let live_after_ms = self.moment.unix_time_ms.saturating_sub(SYNC_EXPIRY_SLACK_MS);
+        let step = SyncStep { partition, replica, attempt: 0, live_after_ms, comparisons };
+        self.start_phase(step, SyncPhase::CompareDigests);
+    }
+
+    /// Calls the replica for the next step.
+    fn start_phase(&mut self, step: SyncStep, phase: SyncPhase) {
+        let step = SyncStep { attempt: self.next_number(), ..step };
+        let SyncStep { partition, replica, attempt, live_after_ms, .. } = step;
+        let Some(led) = self.led_partitions.get_mut(&partition) else { return };
+        let epoch = led.epoch;
+        let ranges = DIGEST_RANGE_COUNT;
+        let (request, phase) = match phase {
+            SyncPhase::CompareDigests => {
+                (TransferRequest::Digests { partition, epoch, ranges, live_after_ms }, phase)
+            }
+            SyncPhase::PullRecords { ref differing, ref after } => {
+                let (requested, after) = (differing.clone(), after.clone());
+                let request =
+                    TransferRequest::Records { partition, epoch, ranges, requested, live_after_ms, after };
+                (request, phase)
+            }
+            SyncPhase::PushRecords { differing, after } => {
+                let table = self.tables.entry(partition).or_default();
+                let page = table.page(ranges, &differing, live_after_ms, after.as_ref());
+                let request = TransferRequest::Write { partition, epoch, records: page.records };
+                (request, SyncPhase::PushRecords { differing, after: page.resume_after })
+            }
+        };
+        led.replicas.insert(replica, ReplicaSyncState::InProgress { attempt, phase });
+        self.call_store(replica, request, CallPurpose::Sync(step));
+    }
+
+    /// Handles the end of a step's call; `None` if there was no reply.
+    pub(crate) fn handle_sync_reply(&mut self, step: SyncStep, reply: Option<TransferReply>) {
+        let state = self.led_partitions.get(&step.partition).and_then(|led| led.replicas.get(&step.replica));
+        let Some(ReplicaSyncState::InProgress { attempt, phase }) = state else { return };
+        if *attempt != step.attempt {
+            return;
+        }
+        match (phase.clone(), reply) {
+            (SyncPhase::CompareDigests, Some(TransferReply::Digests(digests))) => {
+                self.handle_digests(step, &digests);
+            }
+            (SyncPhase::PullRecords { differing, .. }, Some(TransferReply::Records { records, next })) => {
+                for record in &records {
+                    self.merge_record(step.partition, record);
+                }
+                let phase = match next {
+                    Some(after) => SyncPhase::PullRecords { differing, after: Some(after) },
+                    None => SyncPhase::PushRecords { differing, after: None },
+                };
+                self.start_phase(step, phase);
+            }
+            (phase @ SyncPhase::PushRecords { after: Some(_), .. }, Some(TransferReply::Written)) => {
+                self.start_phase(step, phase);
+            }
+            (SyncPhase::PushRecords { after: None, .. }, Some(TransferReply::Written)) => {
+                self.compare_digests(step.partition, step.replica, step.comparisons + 1);
+            }
+            _ => self.retry_sync_later(step),
+        }
+    }
+
+    fn handle_digests(&mut self, step: SyncStep, theirs: &[u64]) {
+        let table = self.tables.entry(step.partition).or_default();
+        let ours = table.digests(DIGEST_RANGE_COUNT, step.live_after_ms);
+        if theirs.len() != ours.len() {
+            return self.retry_sync_later(step);
+        }
+        let differs = |range: &u16| ours[usize::from(*range)] != theirs[usize::from(*range)];
+        let differing: Vec<u16> = (0..DIGEST_RANGE_COUNT).filter(differs).collect();
+        if differing.is_empty() {
+            self.mark_synchronized(step.partition, step.replica);
+        } else if step.comparisons >= MAX_DIGEST_COMPARISONS {
+            self.retry_sync_later(step);
+        } else {
+            self.start_phase(step, SyncPhase::PullRecords { differing, after: None });
+        }
+    }
+
+    fn mark_synchronized(&mut self, partition: PartitionId, replica: DiskId) {
+        if let Some(led) = self.led_partitions.get_mut(&partition) {
+            led.replicas.insert(replica, ReplicaSyncState::Synchronized);
+        }
+        self.confirm_pending_writes(partition, replica);
+        if self.is_synchronized(partition) {
+            self.resume_requests(partition);
+        }
+        self.report_caught_up();
+    }
+
+    /// Starts again with the comparison after a delay.
+    fn retry_sync_later(&mut self, step: SyncStep) {
+        if let Some(led) = self.led_partitions.get_mut(&step.partition) {
+            led.replicas.insert(step.replica, ReplicaSyncState::Pending);
+        }
+        let at = self.moment.now + SYNC_RETRY_DELAY;
+        self.timers.insert((at, Timer::SyncReplica(step.partition, step.replica)));
+    }
+}
