--- a/crates/relay/src/admission.rs
+++ b/crates/relay/src/admission.rs
@@ -1,6 +1,7 @@
-//! The second stage: whether a notification that was handed in can be taken on at all. It owns the bounds on
-//! what is held and the ids handed in of late, and must never weigh one notification against another: that is
-//! the core's.
+//! Decides whether a submitted notification can be accepted at all.
+//!
+//! It enforces limits and recognises ids that were submitted before. Weighing notifications against each other is the
+//! core's part.
 
 use std::collections::{HashMap, VecDeque};
 use std::hash::{BuildHasher, RandomState};
@@ -13,56 +14,58 @@
 use crate::discovery::Discovery;
 use crate::journal::Journal;
 
-/// So many of the latest ids are known again: more than come in while one may be held.
+/// How many of the latest ids are remembered: more than can come while one of them is live.
 const MAX_REMEMBERED_IDS: usize = 8_192;
 
+/// The responses to the latest ids.
 #[derive(Default)]
 pub struct Admission {
-    /// What the latest ids were answered, by a digest of each, and the digests in the order they came.
-    answers: HashMap<u64, SubmissionResponse>,
-    order: VecDeque<u64>,
-    digest: RandomState,
+    /// By a digest of the id.
+    responses: HashMap<u64, SubmissionResponse>,
+    /// The digests in the order in which they came.
+    insertion_order: VecDeque<u64>,
+    hasher: RandomState,
 }
 
 impl Admission {
-    /// The topic type of a notification that there is room for, or the answer to one that is not taken on.
+    /// The topic type of a notification that can be accepted, or the response to one that can't.
     pub fn admit(
-        &mut self, handed_in: &Submission, settings: &Settings, store: &Journal, discovery: &Discovery,
+        &mut self, submission: &Submission, settings: &Settings, journal: &Journal, discovery: &Discovery,
     ) -> Result<Arc<TopicType>, SubmissionResponse> {
-        let words = &handed_in.attributes;
-        // Guards against an id used again, be it another client's: under it, something else would be pushed. What
-        // was taken on once is so still, and a connection that broke before the answer costs nothing.
-        if store.contains_id(&words.id) {
+        let attributes = &submission.attributes;
+        // An id that is used again, even by another client, would push something else under it. What was accepted once
+        // stays accepted, so that a client whose connection broke before the response loses nothing.
+        if journal.contains_id(&attributes.id) {
             return Err(SubmissionResponse::Accepted);
         }
-        if let Some(answer) = self.answers.get(&self.digest.hash_one(&words.id)) {
-            return Err(*answer);
+        if let Some(response) = self.responses.get(&self.hasher.hash_one(&attributes.id)) {
+            return Err(*response);
         }
-        let topic = settings.topic(&words.topic).ok_or(SubmissionResponse::Malformed)?;
-        // Guards against notifications that could never be delivered, and would fill the hold.
-        if !discovery.is_known_destination(DestinationId(words.destination)) {
+        let topic = settings.topic(&attributes.topic).ok_or(SubmissionResponse::Malformed)?;
+        // Notifications that can never be delivered would use up the capacity.
+        if !discovery.is_known_destination(DestinationId(attributes.destination)) {
             return Err(if discovery.is_current() {
                 SubmissionResponse::UnknownDestination
             } else {
                 SubmissionResponse::Unavailable
             });
         }
-        let most = settings.terms.allowance.held;
-        // Guards against a folder that fills up, and a hold larger than the settings allow.
-        if !store.has_capacity_for(handed_in.body.len()) || most > 0 && store.live_count() >= most {
+        let max_live = settings.terms.allowance.held;
+        let is_full = max_live > 0 && journal.live_count() >= max_live;
+        if is_full || !journal.has_capacity_for(submission.body.len()) {
             return Err(SubmissionResponse::Unavailable);
         }
         Ok(topic)
     }
 
-    /// Notes what an id was answered.
-    pub fn record_response(&mut self, id: &str, answer: SubmissionResponse) {
-        let digest = self.digest.hash_one(id);
-        if self.answers.insert(digest, answer).is_none() {
-            self.order.push_back(digest);
+    /// Remembers the response to an id.
+    pub fn record_response(&mut self, id: &str, response: SubmissionResponse) {
+        let digest = self.hasher.hash_one(id);
+        if self.responses.insert(digest, response).is_none() {
+            self.insertion_order.push_back(digest);
         }
-        if self.order.len() > MAX_REMEMBERED_IDS {
-            self.order.pop_front().map(|oldest| self.answers.remove(&oldest));
+        if self.insertion_order.len() > MAX_REMEMBERED_IDS {
+            self.insertion_order.pop_front().map(|oldest| self.responses.remove(&oldest));
         }
     }
 }
--- a/crates/relay/src/core_driver.rs
+++ b/crates/relay/src/core_driver.rs
@@ -1,5 +1,6 @@
-//! The third stage: hands the core what happened in a turn and takes its commands. It owns the core's state
-//! and its wake-up, and must never add to a command or leave one out.
+//! Hands the core the events of a turn and takes its commands.
+//!
+//! It owns the core and its wake-up, and neither adds a command nor leaves one out.
 
 use juniperwing::Relay;
 use juniperwing::interface::{Command, Event};
@@ -8,6 +9,7 @@
 
 pub struct CoreDriver {
     core: Relay,
+    /// Events for the next decision.
     events: Vec<Event>,
     wake_at: Time,
 }
@@ -18,17 +20,17 @@
         CoreDriver { core, events: Vec::new(), wake_at: now }
     }
 
-    /// Notes what happened, for the next decision.
+    /// Queues an event for the next decision.
     pub fn enqueue(&mut self, event: Event) {
         self.events.push(event);
     }
 
-    /// When the next decision is due.
+    /// When the next decision is due; at once while events are queued.
     pub fn next_decision_at(&self) -> Time {
         if self.events.is_empty() { self.wake_at } else { Time::default() }
     }
 
-    /// Has the core decide on all that happened.
+    /// Has the core decide on all queued events, and on its wake-up if that is due.
     pub fn decide(&mut self, now: Time) -> Vec<Command> {
         if self.wake_at <= now {
             self.wake_at = Time::NEVER;
--- a/crates/relay/src/discovery.rs
+++ b/crates/relay/src/discovery.rs
@@ -10,7 +10,7 @@
 use juniperwing_settings::Settings;
 use serde::Deserialize;
 
-use crate::event_loop::{ConnectionEvent, Net, Role, Token};
+use crate::event_loop::{ConnectionEvent, ConnectionRole, Net, Token};
 use crate::http;
 
 /// A watch that says nothing for so long is dead: it writes an empty line every 2 s while nothing changes.
@@ -187,7 +187,7 @@
         if let Some(old) = self.watch.take() {
             net.close(old.token);
         }
-        let Ok(token) = net.open(self.address, Role::Watch) else { return false };
+        let Ok(token) = net.open(self.address, ConnectionRole::Watch) else { return false };
         let target = format!("GET /v1/endpoints?stream=1&index={} HTTP/1.1", self.list_version);
         net.write(token, &http::encode_message(&target, &[("Host", &self.address.to_string())], b""));
         net.set_deadline(token, now + WATCH_TIMEOUT);
--- a/crates/relay/src/event_loop.rs
+++ b/crates/relay/src/event_loop.rs
@@ -1,147 +1,107 @@
-//! Owns the poller, every socket and its buffers, and the times at which sockets are due. Sockets are given
-//! back in one place, [`Net::close`]. It must never look into the bytes it carries, wait on anything but the
-//! poller, or decide what a connection is used for.
+//! The event loop: the poller, all sockets with their buffers, and the deadlines of connections.
+//!
+//! It does not interpret the bytes it carries, does not decide what a connection is used for, and waits on nothing but the
+//! poller. Sockets are closed in one place, [`Net::close`].
 
-use std::collections::{BTreeSet, VecDeque};
-use std::io::{self, ErrorKind, Read, Write};
-use std::mem::MaybeUninit;
+mod connection;
+mod listener;
+
+use std::collections::BTreeSet;
+use std::io::{self, ErrorKind, Read};
 use std::net::{Shutdown, SocketAddr, TcpListener};
 use std::os::fd::{AsFd, AsRawFd};
 use std::os::unix::net::UnixStream;
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::Duration;
 
 use juniperwing::time::{Span, Time};
 use polling::{Event, Events, PollMode, Poller};
 use socket2::{Domain, Protocol, Socket, Type};
 
-/// Most bytes read from one socket in a turn, so that one busy peer does not keep others waiting.
-const MAX_READ_BYTES_PER_TURN: usize = 64 * 1024;
-/// Bytes that may wait to be taken from one connection's input; no more are read. A client's request with all its
-/// frames is shorter, and so is a line of discovery's.
-const MAX_CLIENT_INPUT_BYTES: usize = 160 * 1024;
-const MAX_INPUT_BYTES: usize = 8 * 1024 * 1024;
-/// After a connection could not be accepted for want of anything, the next is not tried for so long.
-const ACCEPT_RETRY_INTERVAL: Span = Span::from_millis(100);
-/// How long a connection closed by us may go on sending what nobody reads, before it is cut.
-const LINGER_TIMEOUT: Span = Span::from_millis(1_000);
-/// Connections waiting to be accepted.
-const LISTEN_BACKLOG: i32 = 1_024;
+use crate::clock::Clock;
+pub use connection::Token;
+use connection::{ConnectProgress, Connection, ConnectionTable, FlushResult, Interest};
 
+/// How long the peer of a connection closed by us may go on sending, which is dropped, before the connection is cut.
+const LINGER_TIMEOUT: Span = Span::from_millis(1_000);
+/// Keys of the poller that are no tokens.
 const LISTENER_KEY: usize = usize::MAX - 1;
 const STOP_KEY: usize = usize::MAX - 2;
 const RELOAD_KEY: usize = usize::MAX - 3;
-/// A token is a place in the table and the count of its uses, so that news of a socket long closed reaches
-/// nobody.
-const SLOT_BITS: u32 = 20;
-
-/// Unix time that never steps: read from the system once, then advanced by the monotonic clock.
-#[derive(Clone, Copy, Debug)]
-pub struct Clock {
-    start: Instant,
-    unix_nanos_at_start: u64,
-}
-
-impl Clock {
-    pub fn new() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), unix_nanos_at_start: u64::try_from(unix.as_nanos()).unwrap_or(0) }
-    }
-
-    pub fn now(&self) -> Time {
-        let since = u64::try_from(self.start.elapsed().as_nanos()).unwrap_or(u64::MAX);
-        Time::from_nanos(self.unix_nanos_at_start.saturating_add(since))
-    }
-}
-
-/// Names an open connection; never used twice.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Token(usize);
-
-impl Token {
-    fn slot(self) -> usize {
-        self.0 & ((1 << SLOT_BITS) - 1)
-    }
-}
+/// The system's error number for a connection attempt that is in progress.
+const EINPROGRESS: i32 = 115;
 
-/// Whom a connection was opened for.
+/// What a connection is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Role {
+pub enum ConnectionRole {
     Client,
     Endpoint,
     Watch,
     Notices,
 }
 
+/// What happened on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEvent {
     /// A client has connected.
     Accepted,
-    /// The connection that we opened is up.
+    /// The connection that we opened is established.
     Connected,
     /// There are new bytes in the input, or it is to be looked at again.
     Readable,
-    /// The peer has ended or broken the connection; it is still to be closed.
+    /// The peer has ended or broken the connection, which is still to be closed.
     PeerClosed,
-    /// The time given by [`Net::due`] has come.
+    /// The deadline given by [`Net::set_deadline`] has come.
     DeadlineReached,
 }
 
-/// What a turn brings.
+/// An event with the connection that it happened on.
+#[derive(Clone, Copy, Debug)]
+pub struct QueuedEvent {
+    pub token: Token,
+    pub role: ConnectionRole,
+    pub event: ConnectionEvent,
+}
+
+/// What happened in a turn.
 #[derive(Debug, Default)]
 pub struct Turn {
-    pub connection_events: Vec<(Token, Role, ConnectionEvent)>,
-    /// A signal to stop has come.
+    pub events: Vec<QueuedEvent>,
+    /// A signal to stop was received.
     pub is_stop_requested: bool,
-    /// A signal to read the configuration anew has come.
+    /// A signal to read the configuration again was received.
     pub is_reload_requested: bool,
 }
 
-/// Signals come as bytes: those to stop, and those to read the configuration anew.
+/// Signals arrive as bytes: those to stop, and those to read the configuration again.
 pub struct Signals {
     pub stop: UnixStream,
     pub reload: UnixStream,
 }
 
-struct Connection {
-    socket: Socket,
-    role: Role,
-    is_connected: bool,
-    is_peer_closed: bool,
-    /// Closed by its owner: only what is queued goes out.
-    is_closing: bool,
-    input: Vec<u8>,
-    output: VecDeque<u8>,
-    interest: (bool, bool),
-    deadline: Time,
-}
-
+/// The sockets of the process.
 pub struct Net {
     clock: Clock,
     poller: Poller,
     events: Events,
     listener: Option<TcpListener>,
     is_accepting: bool,
+    /// When accepting is tried again after a failure.
+    accept_retry_at: Time,
     signals: Signals,
-    slots: Vec<(usize, Option<Connection>)>,
-    free_slots: Vec<usize>,
+    connections: ConnectionTable,
     deadlines: BTreeSet<(Time, Token)>,
+    /// Connections whose output may be written.
     unflushed: BTreeSet<Token>,
-    deferred_events: Vec<(Token, Role, ConnectionEvent)>,
+    /// Events for the next turn.
+    deferred_events: Vec<QueuedEvent>,
     client_count: usize,
     max_clients: usize,
-    /// When clients are accepted again that could not be.
-    accept_retry_at: Time,
 }
 
 impl Net {
     /// Listens on an address.
-    pub fn new(clock: Clock, listen: SocketAddr, signals: Signals, clients_most: usize) -> io::Result<Net> {
-        let socket = Socket::new(Domain::for_address(listen), Type::STREAM, Some(Protocol::TCP))?;
-        socket.set_reuse_address(true)?;
-        socket.bind(&listen.into())?;
-        socket.listen(LISTEN_BACKLOG)?;
-        socket.set_nonblocking(true)?;
-        let listener = TcpListener::from(socket);
+    pub fn new(clock: Clock, address: SocketAddr, signals: Signals, max_clients: usize) -> io::Result<Net> {
+        let listener = listener::listen(address)?;
         let poller = Poller::new()?;
         register(&poller, &listener, Event::readable(LISTENER_KEY))?;
         for (stream, key) in [(&signals.stop, STOP_KEY), (&signals.reload, RELOAD_KEY)] {
@@ -154,34 +114,29 @@
             events: Events::new(),
             listener: Some(listener),
             is_accepting: true,
+            accept_retry_at: Time::NEVER,
             signals,
-            slots: Vec::new(),
-            free_slots: Vec::new(),
+            connections: ConnectionTable::default(),
             deadlines: BTreeSet::new(),
             unflushed: BTreeSet::new(),
             deferred_events: Vec::new(),
             client_count: 0,
-            max_clients: clients_most,
-            accept_retry_at: Time::NEVER,
+            max_clients,
         })
     }
 
-    pub fn local_addr(&self) -> Option<SocketAddr> {
-        self.listener.as_ref().and_then(|listener| listener.local_addr().ok())
-    }
-
-    /// Waits for the next happenings, no longer than `until`, and gathers all that there are.
+    /// Waits for events, no longer than `until`, and returns all that there are.
     pub fn poll(&mut self, until: Time) -> Turn {
-        let until = self.deadlines.first().map_or(until, |due| due.0.min(until)).min(self.accept_retry_at);
-        let mut left = Duration::from_nanos(until.since(self.clock.now()).as_nanos());
-        let mut turn =
-            Turn { connection_events: std::mem::take(&mut self.deferred_events), ..Turn::default() };
-        if !turn.connection_events.is_empty() {
-            left = Duration::ZERO;
+        let until =
+            self.deadlines.first().map_or(until, |first| first.0.min(until)).min(self.accept_retry_at);
+        let mut timeout = Duration::from_nanos(until.since(self.clock.now()).as_nanos());
+        let mut turn = Turn { events: std::mem::take(&mut self.deferred_events), ..Turn::default() };
+        if !turn.events.is_empty() {
+            timeout = Duration::ZERO;
         }
         self.events.clear();
         // An interrupted wait is a turn in which nothing happened.
-        let _ = self.poller.wait(&mut self.events, Some(left));
+        let _ = self.poller.wait(&mut self.events, Some(timeout));
         let events: Vec<Event> = self.events.iter().collect();
         for event in events {
             match event.key {
@@ -192,74 +147,30 @@
             }
         }
         let now = self.clock.now();
-        if self.accept_retry_at <= now {
-            self.accept_retry_at = Time::NEVER;
-            self.set_accepting(true);
-        }
-        while let Some((_, token)) = self.deadlines.first().copied().filter(|due| due.0 <= now) {
+        self.retry_accepting(now);
+        self.expire_deadlines(now, &mut turn);
+        turn
+    }
+
+    fn expire_deadlines(&mut self, now: Time, turn: &mut Turn) {
+        while let Some((_, token)) = self.deadlines.first().copied().filter(|first| first.0 <= now) {
             self.set_deadline(token, Time::NEVER);
-            match self.connection(token).map(|conn| (conn.is_closing, conn.role)) {
+            match self.connection(token).map(|connection| (connection.is_closing, connection.role)) {
                 Some((true, _)) => self.close(token),
                 Some((false, role)) => {
-                    turn.connection_events.push((token, role, ConnectionEvent::DeadlineReached))
+                    turn.events.push(QueuedEvent { token, role, event: ConnectionEvent::DeadlineReached });
                 }
                 None => {}
             }
         }
-        turn
     }
 
-    fn accept(&mut self, turn: &mut Turn) {
-        while self.client_count < self.max_clients {
-            let Some(listener) = &self.listener else { return };
-            let stream = match listener.accept() {
-                Ok((stream, _)) => stream,
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return,
-                Err(_) => {
-                    // Guards against a want of descriptors or memory: it would be told of the same client for ever.
-                    self.accept_retry_at = self.clock.now() + ACCEPT_RETRY_INTERVAL;
-                    return self.set_accepting(false);
-                }
-            };
-            let socket = Socket::from(stream);
-            if socket.set_nonblocking(true).is_err() {
-                continue;
-            }
-            // Without it answers still arrive, only later.
-            let _ = socket.set_tcp_nodelay(true);
-            if let Ok(token) = self.insert(socket, Role::Client, true) {
-                turn.connection_events.push((token, Role::Client, ConnectionEvent::Accepted));
-            }
-        }
-        // Guards against more clients than there are descriptors: the rest wait unaccepted.
-        self.set_accepting(false);
-    }
-
-    fn set_accepting(&mut self, wanted: bool) {
-        if let Some(listener) = self.listener.as_ref().filter(|_| self.is_accepting != wanted) {
-            let interest = if wanted { Event::readable(LISTENER_KEY) } else { Event::none(LISTENER_KEY) };
-            let done = self.poller.modify_with_mode(listener, interest, PollMode::Level);
-            self.is_accepting = if done.is_ok() { wanted } else { self.is_accepting };
-        }
-    }
-
-    /// Takes no further clients but those that have connected already.
-    pub fn stop_listening(&mut self) {
-        let mut last = Turn::default();
-        self.accept(&mut last);
-        self.deferred_events.extend(last.connection_events);
-        if let Some(listener) = self.listener.take() {
-            // The listener is closed with it, whatever the poller says.
-            let _ = self.poller.delete(&listener);
-        }
-    }
-
-    /// Begins a connection; what is written before it is up goes out then.
-    pub fn open(&mut self, to: SocketAddr, role: Role) -> io::Result<Token> {
-        let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
+    /// Begins a connection; what is written before it is established goes out then.
+    pub fn open(&mut self, address: SocketAddr, role: ConnectionRole) -> io::Result<Token> {
+        let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
         socket.set_tcp_nodelay(true)?;
-        match socket.connect(&to.into()) {
+        match socket.connect(&address.into()) {
             Ok(()) => {}
             Err(e) if e.raw_os_error() == Some(EINPROGRESS) || e.kind() == ErrorKind::WouldBlock => {}
             Err(e) => return Err(e),
@@ -267,252 +178,210 @@
         self.insert(socket, role, false)
     }
 
-    fn insert(&mut self, socket: Socket, role: Role, connected: bool) -> io::Result<Token> {
-        let place = self.free_slots.pop().unwrap_or_else(|| {
-            self.slots.push((0, None));
-            self.slots.len() - 1
-        });
-        let token = Token(self.slots[place].0 << SLOT_BITS | place);
-        let interest = (true, !connected);
-        if let Err(e) = register(&self.poller, &socket, poller_event(token, interest)) {
-            self.free_slots.push(place);
+    fn insert(&mut self, socket: Socket, role: ConnectionRole, is_connected: bool) -> io::Result<Token> {
+        let token = self.connections.reserve();
+        let connection = Connection::new(socket, role, is_connected);
+        let event = poller_event(token, connection.interest);
+        if let Err(e) = register(&self.poller, &connection.socket, event) {
+            self.connections.release(token);
             return Err(e);
         }
-        self.client_count += usize::from(role == Role::Client);
-        let (input, output) = (Vec::new(), VecDeque::new());
-        let conn = Connection {
-            socket,
-            role,
-            is_connected: connected,
-            is_peer_closed: false,
-            is_closing: false,
-            input,
-            output,
-            interest,
-            deadline: Time::NEVER,
-        };
-        self.slots[place].1 = Some(conn);
+        self.client_count += usize::from(role == ConnectionRole::Client);
+        self.connections.insert(token, connection);
         Ok(token)
     }
 
     fn connection(&mut self, token: Token) -> Option<&mut Connection> {
-        find_connection(&mut self.slots, token)
+        self.connections.get_mut(token)
     }
 
     fn handle_readiness(&mut self, token: Token, turn: &mut Turn) {
-        let Some(conn) = self.connection(token) else { return };
-        let role = conn.role;
-        if !conn.is_connected {
-            match conn.socket.take_error() {
-                Ok(None) if conn.socket.peer_addr().is_ok() => conn.is_connected = true,
-                Ok(None) => return,
-                _ => {
-                    conn.is_peer_closed = true;
-                    self.set_interest(token, (false, false));
-                    turn.connection_events.push((token, role, ConnectionEvent::PeerClosed));
+        let Some(connection) = self.connection(token) else { return };
+        let role = connection.role;
+        if !connection.is_connected {
+            match connection.connect_progress() {
+                ConnectProgress::Pending => return,
+                ConnectProgress::Failed => {
+                    connection.is_peer_closed = true;
+                    self.set_interest(token, Interest::NONE);
+                    turn.events.push(QueuedEvent { token, role, event: ConnectionEvent::PeerClosed });
                     return;
                 }
+                ConnectProgress::Connected => connection.is_connected = true,
             }
-            self.set_interest(token, (true, false));
-            turn.connection_events.push((token, role, ConnectionEvent::Connected));
+            self.set_interest(token, Interest::READS);
+            turn.events.push(QueuedEvent { token, role, event: ConnectionEvent::Connected });
         }
         self.unflushed.insert(token);
-        let Some(conn) = self.connection(token).filter(|conn| !conn.is_peer_closed) else { return };
-        let (before, mut read, mut ended) = (conn.input.len(), 0, false);
-        let mut piece = [0; 16 * 1024];
-        let most = if role == Role::Client { MAX_CLIENT_INPUT_BYTES } else { MAX_INPUT_BYTES };
-        while read < MAX_READ_BYTES_PER_TURN && conn.input.len() < most {
-            match conn.socket.read(&mut piece) {
-                Ok(0) => ended = true,
-                Ok(count) => {
-                    read += count;
-                    if !conn.is_closing {
-                        conn.input.extend_from_slice(&piece[..count]);
-                    }
-                    continue;
-                }
-                Err(e) if e.kind() == ErrorKind::Interrupted => continue,
-                Err(e) => ended = e.kind() != ErrorKind::WouldBlock,
-            }
-            break;
+        self.read(token, turn);
+    }
+
+    fn read(&mut self, token: Token, turn: &mut Turn) {
+        let Some(connection) = self.connection(token).filter(|connection| !connection.is_peer_closed) else {
+            return;
+        };
+        let role = connection.role;
+        let read = connection.read_available();
+        if read.has_new_input {
+            turn.events.push(QueuedEvent { token, role, event: ConnectionEvent::Readable });
         }
-        if conn.input.len() > before {
-            turn.connection_events.push((token, role, ConnectionEvent::Readable));
+        if !read.is_peer_closed {
+            return;
         }
-        if ended {
-            conn.is_peer_closed = true;
-            if conn.is_closing {
-                return self.close(token);
-            }
-            let writes = conn.interest.1;
-            self.set_interest(token, (false, writes));
-            turn.connection_events.push((token, role, ConnectionEvent::PeerClosed));
+        connection.is_peer_closed = true;
+        if connection.is_closing {
+            return self.close(token);
         }
+        let interest = Interest { reads: false, ..connection.interest };
+        self.set_interest(token, interest);
+        turn.events.push(QueuedEvent { token, role, event: ConnectionEvent::PeerClosed });
     }
 
-    fn set_interest(&mut self, token: Token, interest: (bool, bool)) {
-        let Some(conn) = find_connection(&mut self.slots, token).filter(|conn| conn.interest != interest)
-        else {
-            return;
-        };
-        conn.interest = interest;
-        // A socket that cannot be watched is found out by its due time.
-        let _ = self.poller.modify_with_mode(&conn.socket, poller_event(token, interest), PollMode::Level);
+    fn set_interest(&mut self, token: Token, interest: Interest) {
+        let connection = self.connections.get_mut(token).filter(|connection| connection.interest != interest);
+        let Some(connection) = connection else { return };
+        connection.interest = interest;
+        // A socket that cannot be polled is found by its deadline.
+        let event = poller_event(token, interest);
+        let _ = self.poller.modify_with_mode(&connection.socket, event, PollMode::Level);
     }
 
-    /// What has come in and was not taken yet.
+    /// What has been received and not been consumed yet.
     pub fn input(&mut self, token: Token) -> Option<&mut Vec<u8>> {
-        self.connection(token).map(|conn| &mut conn.input)
+        self.connection(token).map(|connection| &mut connection.input)
     }
 
-    /// Queues bytes; they go out with the next [`Net::flush`], once the connection is up.
+    /// Queues bytes; they go out with the next [`Net::flush`], once the connection is established.
     pub fn write(&mut self, token: Token, bytes: &[u8]) {
-        if let Some(conn) = self.connection(token) {
-            conn.output.extend(bytes);
+        if let Some(connection) = self.connection(token) {
+            connection.output.extend(bytes);
             self.unflushed.insert(token);
         }
     }
 
-    /// Hands all that is queued to the system, as far as it takes it.
+    /// Hands all queued bytes to the system, as far as it accepts them.
     pub fn flush(&mut self) {
         for token in std::mem::take(&mut self.unflushed) {
-            let Some(conn) = self.connection(token).filter(|conn| conn.is_connected) else { continue };
-            let mut broken = false;
-            while !conn.output.is_empty() && !broken {
-                let (first, _) = conn.output.as_slices();
-                match conn.socket.write(first) {
-                    Ok(count) => drop(conn.output.drain(..count)),
-                    Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                    Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                    Err(_) => broken = true,
+            self.flush_connection(token);
+        }
+    }
+
+    fn flush_connection(&mut self, token: Token) {
+        let Some(connection) = self.connection(token).filter(|connection| connection.is_connected) else {
+            return;
+        };
+        let result = connection.flush_output();
+        let (role, is_closing) = (connection.role, connection.is_closing);
+        let Interest { reads, .. } = connection.interest;
+        match result {
+            FlushResult::Broken if is_closing => self.close(token),
+            FlushResult::Broken => {
+                if !std::mem::replace(&mut connection.is_peer_closed, true) {
+                    let event = ConnectionEvent::PeerClosed;
+                    self.deferred_events.push(QueuedEvent { token, role, event });
                 }
+                self.set_interest(token, Interest::NONE);
             }
-            let (blocked, leaving, role) = (!conn.output.is_empty(), conn.is_closing, conn.role);
-            let reads = conn.interest.0;
-            if broken && leaving || leaving && !blocked && conn.is_peer_closed {
-                self.close(token);
-            } else if broken {
-                if !std::mem::replace(&mut conn.is_peer_closed, true) {
-                    self.deferred_events.push((token, role, ConnectionEvent::PeerClosed));
-                }
-                self.set_interest(token, (false, false));
-            } else {
-                if leaving && !blocked {
-                    // The peer may have gone already.
-                    let _ = conn.socket.shutdown(Shutdown::Write);
+            FlushResult::Complete if is_closing && connection.is_peer_closed => self.close(token),
+            FlushResult::Complete => {
+                if is_closing {
+                    // The peer may be gone already.
+                    let _ = connection.socket.shutdown(Shutdown::Write);
                 }
-                self.set_interest(token, (reads, blocked));
+                self.set_interest(token, Interest { reads, writes: false });
             }
+            FlushResult::Blocked => self.set_interest(token, Interest { reads, writes: true }),
         }
     }
 
-    /// Whether the connection is up.
+    /// Whether the connection is established.
     pub fn is_connected(&mut self, token: Token) -> bool {
-        self.connection(token).is_some_and(|conn| conn.is_connected)
+        self.connection(token).is_some_and(|connection| connection.is_connected)
     }
 
-    /// How many of the bytes queued have not been handed to the system.
+    /// How many of the queued bytes have not been handed to the system.
     pub fn unsent_bytes(&mut self, token: Token) -> usize {
-        self.connection(token).map_or(0, |conn| conn.output.len())
+        self.connection(token).map_or(0, |connection| connection.output.len())
     }
 
     /// Whether there are bytes, or an end, that have not been read, here or at the system.
     pub fn has_unread(&mut self, token: Token) -> bool {
-        let Some(conn) = self.connection(token) else { return false };
-        let nothing = |e: io::Error| e.kind() == ErrorKind::WouldBlock;
-        !conn.input.is_empty() || !conn.socket.peek(&mut [MaybeUninit::uninit()]).is_err_and(nothing)
+        self.connection(token).is_some_and(|connection| connection.has_unread())
     }
 
     /// Whether the peer has ended its sending.
     pub fn is_peer_closed(&mut self, token: Token) -> bool {
-        self.connection(token).is_none_or(|conn| conn.is_peer_closed)
+        self.connection(token).is_none_or(|connection| connection.is_peer_closed)
     }
 
-    /// Sets when the connection is due, in place of an earlier time.
-    pub fn set_deadline(&mut self, token: Token, at: Time) {
-        let Some(conn) = self.connection(token) else { return };
-        let before = std::mem::replace(&mut conn.deadline, at);
+    /// Sets the deadline of a connection in place of an earlier one; [`Time::NEVER`] removes it.
+    pub fn set_deadline(&mut self, token: Token, deadline: Time) {
+        let Some(connection) = self.connection(token) else { return };
+        let before = std::mem::replace(&mut connection.deadline, deadline);
         self.deadlines.remove(&(before, token));
-        if at < Time::NEVER {
-            self.deadlines.insert((at, token));
+        if deadline < Time::NEVER {
+            self.deadlines.insert((deadline, token));
         }
     }
 
-    /// Whether the time of a connection that was found due has not been set anew since.
+    /// Whether a connection has no deadline, as after [`ConnectionEvent::DeadlineReached`] until a new one is set.
     pub fn has_no_deadline(&mut self, token: Token) -> bool {
-        self.connection(token).is_some_and(|conn| conn.deadline == Time::NEVER)
+        self.connection(token).is_some_and(|connection| connection.deadline == Time::NEVER)
     }
 
     /// Has the input looked at again in the next turn.
     pub fn read_again(&mut self, token: Token) {
-        if let Some(role) = self.connection(token).map(|conn| conn.role) {
-            self.deferred_events.push((token, role, ConnectionEvent::Readable));
+        if let Some(role) = self.connection(token).map(|connection| connection.role) {
+            self.deferred_events.push(QueuedEvent { token, role, event: ConnectionEvent::Readable });
         }
     }
 
-    /// Closes a connection once what is queued has gone out; what still comes in is read and dropped for a
-    /// while, or the peer's system would throw away the answer unread.
+    /// Closes a connection once the queued output has gone out. What is still received is dropped for a while, or the
+    /// peer's system would discard the response unread.
     pub fn close_after_flush(&mut self, token: Token) {
         let until = self.clock.now() + LINGER_TIMEOUT;
-        let Some(conn) = self.connection(token) else { return };
-        conn.is_closing = true;
-        conn.input = Vec::new();
+        let Some(connection) = self.connection(token) else { return };
+        connection.is_closing = true;
+        connection.input = Vec::new();
         self.unflushed.insert(token);
         self.set_deadline(token, until);
     }
 
     /// Ends our sending on a connection; what its peer still sends is read.
     pub fn shutdown_write(&mut self, token: Token) {
-        if let Some(conn) = self.connection(token) {
-            conn.output.clear();
-            // The peer may have gone already.
-            let _ = conn.socket.shutdown(Shutdown::Write);
+        if let Some(connection) = self.connection(token) {
+            connection.output.clear();
+            // The peer may be gone already.
+            let _ = connection.socket.shutdown(Shutdown::Write);
         }
     }
 
-    /// Closes a connection at once: the one place where sockets are given back.
+    /// Closes a connection at once.
     pub fn close(&mut self, token: Token) {
-        let Some(due) = self.connection(token).map(|conn| conn.deadline) else { return };
-        self.deadlines.remove(&(due, token));
+        let Some(connection) = self.connections.remove(token) else { return };
+        self.deadlines.remove(&(connection.deadline, token));
         self.unflushed.remove(&token);
-        let place = token.slot();
-        let Some(conn) = self.slots[place].1.take() else { return };
         // Closing the socket takes it from the poller in any case.
-        let _ = self.poller.delete(&conn.socket);
-        self.slots[place].0 += 1;
-        self.free_slots.push(place);
-        if conn.role == Role::Client {
+        let _ = self.poller.delete(&connection.socket);
+        if connection.role == ConnectionRole::Client {
             self.client_count -= 1;
             self.set_accepting(true);
         }
     }
-
-    /// Client connections that are open, and the most there may be.
-    pub fn clients(&self) -> (usize, usize) {
-        (self.client_count, self.max_clients)
-    }
-}
-
-fn find_connection(conns: &mut [(usize, Option<Connection>)], token: Token) -> Option<&mut Connection> {
-    let slot = conns.get_mut(token.slot())?;
-    if slot.0 == token.0 >> SLOT_BITS { slot.1.as_mut() } else { None }
 }
 
+/// Whether any signal was received since the last call.
 fn drain_signals(mut stream: &UnixStream) -> bool {
     matches!(stream.read(&mut [0; 64]), Ok(count) if count > 0)
 }
 
-/// A connection is under way.
-const EINPROGRESS: i32 = 115;
-
-fn poller_event(token: Token, (reads, writes): (bool, bool)) -> Event {
-    Event::new(token.0, reads, writes)
+fn poller_event(token: Token, interest: Interest) -> Event {
+    Event::new(token.0, interest.reads, interest.writes)
 }
 
 #[allow(unsafe_code)]
 fn register(poller: &Poller, source: &(impl AsRawFd + AsFd), interest: Event) -> io::Result<()> {
-    // SAFETY: every source given here is owned by `Net`, which takes it out of the poller before it drops it:
-    // the connections in `close`, the listener in `stop_listening`; all others are dropped together with the
-    // poller.
+    // SAFETY: every source given here is owned by `Net`, which takes it out of the poller before it drops it: the
+    // connections in `close`, the listener in `stop_listening`; all others are dropped together with the poller.
     unsafe { poller.add_with_mode(source, interest, PollMode::Level) }
 }
--- /dev/null
+++ b/crates/relay/src/event_loop/listener.rs
@@ -0,0 +1,92 @@
+//! Accepts connections of clients.
+
+use std::io::{self, ErrorKind};
+use std::net::{SocketAddr, TcpListener};
+
+use juniperwing::time::{Span, Time};
+use polling::{Event, PollMode};
+use socket2::{Domain, Protocol, Socket, Type};
+
+use super::{ConnectionEvent, ConnectionRole, LISTENER_KEY, Net, QueuedEvent, Turn};
+
+/// After a connection could not be accepted for lack of a resource, the next attempt waits for so long.
+const ACCEPT_RETRY_INTERVAL: Span = Span::from_millis(100);
+/// Connections that may wait to be accepted.
+const LISTEN_BACKLOG: i32 = 1_024;
+
+pub(super) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
+    let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+    socket.set_reuse_address(true)?;
+    socket.bind(&address.into())?;
+    socket.listen(LISTEN_BACKLOG)?;
+    socket.set_nonblocking(true)?;
+    Ok(TcpListener::from(socket))
+}
+
+impl Net {
+    /// The address that clients connect to, while it is listened on.
+    pub fn local_addr(&self) -> Option<SocketAddr> {
+        self.listener.as_ref().and_then(|listener| listener.local_addr().ok())
+    }
+
+    /// Accepts all waiting clients, as far as the limit allows.
+    pub(super) fn accept(&mut self, turn: &mut Turn) {
+        while self.client_count < self.max_clients {
+            let Some(listener) = &self.listener else { return };
+            let stream = match listener.accept() {
+                Ok((stream, _)) => stream,
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return,
+                Err(_) => {
+                    // Descriptors or memory are exhausted: the poller would report the same client in every turn.
+                    self.accept_retry_at = self.clock.now() + ACCEPT_RETRY_INTERVAL;
+                    return self.set_accepting(false);
+                }
+            };
+            let socket = Socket::from(stream);
+            if socket.set_nonblocking(true).is_err() {
+                continue;
+            }
+            // Without it responses still arrive, only later.
+            let _ = socket.set_tcp_nodelay(true);
+            let role = ConnectionRole::Client;
+            if let Ok(token) = self.insert(socket, role, true) {
+                turn.events.push(QueuedEvent { token, role, event: ConnectionEvent::Accepted });
+            }
+        }
+        // The limit is reached: further clients wait in the backlog.
+        self.set_accepting(false);
+    }
+
+    pub(super) fn set_accepting(&mut self, is_wanted: bool) {
+        if let Some(listener) = self.listener.as_ref().filter(|_| self.is_accepting != is_wanted) {
+            let interest = if is_wanted { Event::readable(LISTENER_KEY) } else { Event::none(LISTENER_KEY) };
+            if self.poller.modify_with_mode(listener, interest, PollMode::Level).is_ok() {
+                self.is_accepting = is_wanted;
+            }
+        }
+    }
+
+    /// Accepts again once the pause after a failure is over.
+    pub(super) fn retry_accepting(&mut self, now: Time) {
+        if self.accept_retry_at <= now {
+            self.accept_retry_at = Time::NEVER;
+            self.set_accepting(true);
+        }
+    }
+
+    /// Accepts the clients that have connected already, and no further ones.
+    pub fn stop_listening(&mut self) {
+        let mut last_turn = Turn::default();
+        self.accept(&mut last_turn);
+        self.deferred_events.extend(last_turn.events);
+        if let Some(listener) = self.listener.take() {
+            // The listener is closed with it, whatever the poller says.
+            let _ = self.poller.delete(&listener);
+        }
+    }
+
+    /// Whether no further client is accepted until one leaves.
+    pub fn is_client_limit_reached(&self) -> bool {
+        self.client_count >= self.max_clients
+    }
+}
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -7,6 +7,7 @@
 
 mod admission;
 mod client_connections;
+mod clock;
 mod command_line;
 mod config;
 mod core_driver;
--- a/crates/relay/src/notices.rs
+++ b/crates/relay/src/notices.rs
@@ -1,5 +1,6 @@
-//! The last stage: owns the notices of ends that clients are still to hear of. It must never end a
-//! notification itself, and forgets a notice only when it was answered.
+//! Notifies clients, by way of the platform, of notifications that ended undelivered.
+//!
+//! A notice is repeated until the platform acknowledges it.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -7,21 +8,22 @@
 use juniperwing::time::{Span, Time};
 use serde::Serialize;
 
-use crate::event_loop::{ConnectionEvent, Net, Role, Token};
-use crate::http;
+use crate::event_loop::{ConnectionEvent, ConnectionRole, Net, Token};
+use crate::http::{self, Response};
 use crate::journal::{Journal, UndeliveredEnd};
 
-/// Notices in one request at the most: their ids are 256 bytes at the longest, and a body 64 KiB.
+/// The most notices in one request: their ids have up to 256 bytes, and a body up to 64 KiB.
 const MAX_NOTICES_PER_REQUEST: usize = 100;
-/// A request not answered by then is made again on a new connection.
+/// A request that is not answered by then is repeated on a new connection.
 const RESPONSE_TIMEOUT: Span = Span::from_millis(400);
-/// The same for one on a connection that was kept: the platform answers at once, so that fell silent. Repeated so soon,
-/// an end that came with the time to live is still heard within the 300 ms that it has.
+/// The same for a request on a connection that was kept open: the platform answers at once, so the connection is dead. An
+/// end at the time to live thus still arrives within its 300 ms.
 const REUSED_CONNECTION_RESPONSE_TIMEOUT: Span = Span::from_millis(100);
-/// The first pause after a request that failed, doubling up to the longest.
+/// The pause after the first failed request; it doubles with each further one.
 const INITIAL_BACKOFF: Span = Span::from_millis(20);
 const MAX_BACKOFF: Span = Span::from_millis(1_000);
 
+/// A line of a request to the platform.
 #[derive(Serialize)]
 struct Notice<'a> {
     message: &'a str,
@@ -30,24 +32,24 @@
     retry_in_ms: Option<u64>,
 }
 
-/// What has come of notices.
+/// What became of notices, by the numbers of their notifications.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct NoticeResults {
-    /// These were answered.
     pub acknowledged: Vec<u64>,
-    /// The platform cannot read this one; there is no use in repeating it.
+    /// The platform cannot parse this one, so that it is not repeated.
     pub rejected: Option<u64>,
 }
 
 pub struct NoticeSender {
     address: SocketAddr,
-    /// Ends of which notices are still to be written, and those of the request under way.
+    /// Notifications whose notices are still to be sent.
     queued: VecDeque<u64>,
+    /// Those of the request that is not answered yet.
     in_flight: Vec<u64>,
     connection: Option<Token>,
     backoff: Span,
     retry_at: Time,
-    /// One notice at a time, for one among several could not be read.
+    /// Whether each notice goes in a request of its own, since one among several was rejected.
     is_one_at_a_time: bool,
 }
 
@@ -64,24 +66,24 @@
         }
     }
 
-    /// Notes that a client is to hear of the end that the store has for a notification.
-    pub fn enqueue(&mut self, n: u64) {
-        self.queued.push_back(n);
+    /// Queues the notice of the end that the journal has for a notification.
+    pub fn enqueue(&mut self, number: u64) {
+        self.queued.push_back(number);
     }
 
-    /// When notices that wait may be written.
+    /// When queued notices may be sent; [`Time::NEVER`] while there are none or a request is not answered.
     pub fn next_send_at(&self) -> Time {
         if self.queued.is_empty() || !self.in_flight.is_empty() { Time::NEVER } else { self.retry_at }
     }
 
-    /// Writes the notices that wait, if none are under way.
-    pub fn send_queued(&mut self, net: &mut Net, store: &Journal, now: Time) {
+    /// Sends queued notices, if that is due.
+    pub fn send_queued(&mut self, net: &mut Net, journal: &Journal, now: Time) {
         if self.next_send_at() > now {
             return;
         }
-        let (token, slow) = match self.connection.filter(|token| !net.is_peer_closed(*token)) {
+        let (token, timeout) = match self.connection.filter(|token| !net.is_peer_closed(*token)) {
             Some(token) => (token, REUSED_CONNECTION_RESPONSE_TIMEOUT),
-            None => match net.open(self.address, Role::Notices) {
+            None => match net.open(self.address, ConnectionRole::Notices) {
                 Ok(token) => (token, RESPONSE_TIMEOUT),
                 Err(_) => return self.handle_failure(net, now),
             },
@@ -89,84 +91,98 @@
         self.connection = Some(token);
         let count = if self.is_one_at_a_time { 1 } else { MAX_NOTICES_PER_REQUEST.min(self.queued.len()) };
         self.in_flight = self.queued.drain(..count).collect();
-        let mut body = Vec::new();
-        for taken in self.in_flight.iter().filter_map(|n| store.get(*n)).map(|kept| &kept.notification) {
-            let Some(end) = taken.history.end else { continue };
-            let (outcome, retry_in_ms) = match end {
-                UndeliveredEnd::GivenUp => ("given_up", None),
-                UndeliveredEnd::ReturnedToClient(ms) => ("handed_back", Some(ms).filter(|ms| *ms > 0)),
-            };
-            let notice = Notice { message: &taken.attributes.id, outcome, retry_in_ms };
-            serde_json::to_writer(&mut body, &notice).expect("a notice is plain text");
-            body.push(b'\n');
-        }
         let host = self.address.to_string();
         let headers = [("Host", host.as_str()), ("Content-Type", "application/x-ndjson")];
+        let body = encode_notices(&self.in_flight, journal);
         net.write(token, &http::encode_message("POST /v1/notices HTTP/1.1", &headers, &body));
-        net.set_deadline(token, now + slow);
+        net.set_deadline(token, now + timeout);
     }
 
-    /// The platform is at another address from now on: what was under way is asked there anew, at once.
-    pub fn change_address(&mut self, net: &mut Net, to: SocketAddr, now: Time) {
-        self.address = to;
+    /// The platform is at another address from now on; the notices in flight are sent there again, at once.
+    pub fn change_address(&mut self, net: &mut Net, address: SocketAddr, now: Time) {
+        self.address = address;
         self.handle_failure(net, now);
         (self.backoff, self.retry_at) = (Span::ZERO, now);
     }
 
     fn handle_failure(&mut self, net: &mut Net, now: Time) {
-        if let Some(token) = self.connection.take() {
-            net.close(token);
-        }
-        for n in self.in_flight.drain(..).rev() {
-            self.queued.push_front(n);
+        self.close(net);
+        for number in self.in_flight.drain(..).rev() {
+            self.queued.push_front(number);
         }
         self.backoff = (self.backoff + self.backoff).max(INITIAL_BACKOFF).min(MAX_BACKOFF);
         self.retry_at = now + self.backoff;
     }
 
-    /// What happened on the connection that notices go by.
+    fn close(&mut self, net: &mut Net) {
+        if let Some(token) = self.connection.take() {
+            net.close(token);
+        }
+    }
+
+    /// Handles an event on a connection to the platform.
     pub fn handle_connection_event(
-        &mut self, net: &mut Net, token: Token, what: ConnectionEvent, now: Time,
+        &mut self, net: &mut Net, token: Token, event: ConnectionEvent, now: Time,
     ) -> NoticeResults {
-        let mut heard = NoticeResults::default();
-        if what == ConnectionEvent::Connected {
-            return heard;
+        if event == ConnectionEvent::Connected {
+            return NoticeResults::default();
         }
         if self.connection != Some(token) {
             net.close(token);
-            return heard;
+            return NoticeResults::default();
         }
-        let ended = what != ConnectionEvent::Readable;
-        let Some(input) = net.input(token) else { return heard };
-        match http::parse_response(input, ended) {
+        let is_closed = event != ConnectionEvent::Readable;
+        let Some(input) = net.input(token) else { return NoticeResults::default() };
+        match http::parse_response(input, is_closed) {
             Ok(Some((response, length))) if !self.in_flight.is_empty() => {
                 input.drain(..length);
                 net.set_deadline(token, Time::NEVER);
-                match response.status {
-                    200..300 => {
-                        (self.backoff, self.is_one_at_a_time) = (Span::ZERO, false);
-                        heard.acknowledged = std::mem::take(&mut self.in_flight);
-                    }
-                    400 if self.in_flight.len() == 1 => heard.rejected = self.in_flight.pop(),
-                    status => {
-                        self.is_one_at_a_time = status == 400;
-                        self.handle_failure(net, now);
-                        return heard;
-                    }
-                }
-                if !response.is_keep_alive || ended {
-                    self.connection = None;
-                    net.close(token);
-                }
-            }
-            Ok(None) if !ended => {}
-            // Idle and closed by the platform; or broken, silent or unreadable, and to be asked again.
-            _ if self.in_flight.is_empty() => {
-                self.connection = None;
-                net.close(token);
+                return self.handle_response(net, &response, is_closed, now);
             }
+            Ok(None) if !is_closed => {}
+            // An idle connection, closed by the platform.
+            _ if self.in_flight.is_empty() => self.close(net),
+            // Broken, timed out or invalid: the notices are repeated.
             _ => self.handle_failure(net, now),
         }
-        heard
+        NoticeResults::default()
+    }
+
+    fn handle_response(
+        &mut self, net: &mut Net, response: &Response, is_closed: bool, now: Time,
+    ) -> NoticeResults {
+        let mut results = NoticeResults::default();
+        match response.status {
+            200..300 => {
+                (self.backoff, self.is_one_at_a_time) = (Span::ZERO, false);
+                results.acknowledged = std::mem::take(&mut self.in_flight);
+            }
+            400 if self.in_flight.len() == 1 => results.rejected = self.in_flight.pop(),
+            status => {
+                self.is_one_at_a_time = status == 400;
+                self.handle_failure(net, now);
+                return results;
+            }
+        }
+        if !response.is_keep_alive || is_closed {
+            self.close(net);
+        }
+        results
+    }
+}
+
+/// A line for each of these notifications.
+fn encode_notices(numbers: &[u64], journal: &Journal) -> Vec<u8> {
+    let mut body = Vec::new();
+    for entry in numbers.iter().filter_map(|number| journal.get(*number)) {
+        let Some(end) = entry.notification.history.end else { continue };
+        let (outcome, retry_in_ms) = match end {
+            UndeliveredEnd::GivenUp => ("given_up", None),
+            UndeliveredEnd::ReturnedToClient(ms) => ("handed_back", Some(ms).filter(|ms| *ms > 0)),
+        };
+        let notice = Notice { message: &entry.notification.attributes.id, outcome, retry_in_ms };
+        serde_json::to_writer(&mut body, &notice).expect("a notice is plain data");
+        body.push(b'\n');
     }
+    body
 }
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -17,10 +17,11 @@
 
 use crate::admission::Admission;
 use crate::client_connections::{ClientConnections, Submission, SubmissionResponse};
+use crate::clock::Clock;
 use crate::config::{Config, StaticConfig};
 use crate::core_driver::CoreDriver;
 use crate::discovery::{Discovery, EndpointList, ListChange};
-use crate::event_loop::{Clock, ConnectionEvent, Net, Role, Signals, Token};
+use crate::event_loop::{ConnectionEvent, ConnectionRole, Net, QueuedEvent, Signals, Token};
 use crate::journal::{AcceptedNotification, Guarantee, Journal, OpenedJournal, UndeliveredEnd};
 use crate::notices::NoticeSender;
 use crate::upstream::{CallOutcome, PushRequest, Upstream};
@@ -144,7 +145,7 @@
             let now = clock.now();
             self.client_connections.is_closing =
                 stop.is_some_and(|(since, _)| since + ADMISSION_ENDS_AFTER <= now);
-            for (token, role, what) in turn.connection_events {
+            for QueuedEvent { token, role, event: what } in turn.events {
                 // Guards against a time that is up in the turn in which what was waited for has come.
                 if what != ConnectionEvent::DeadlineReached || self.net.has_no_deadline(token) {
                     self.handle_connection_event(token, role, what, now);
@@ -302,19 +303,21 @@
         }
     }
 
-    fn handle_connection_event(&mut self, token: Token, role: Role, what: ConnectionEvent, now: Time) {
+    fn handle_connection_event(
+        &mut self, token: Token, role: ConnectionRole, what: ConnectionEvent, now: Time,
+    ) {
         match role {
-            Role::Client => {
+            ConnectionRole::Client => {
                 if let Some(handed_in) =
                     self.client_connections.handle_connection_event(&mut self.net, token, what, now)
                 {
                     self.handle_submission(token, handed_in, now);
                 }
             }
-            Role::Endpoint => {
+            ConnectionRole::Endpoint => {
                 self.upstream.handle_connection_event(&mut self.net, token, what, &self.settings, now)
             }
-            Role::Watch => {
+            ConnectionRole::Watch => {
                 let brought = self.discovery.handle_connection_event(&mut self.net, token, what, now);
                 // Word that nothing has changed is news too: the watch is well.
                 if brought.has_message && brought.lists.is_empty() {
@@ -323,7 +326,7 @@
                 brought.lists.into_iter().for_each(|list| self.handle_list(list, now));
                 brought.failure.into_iter().for_each(|why| self.handle_watch_failure(why));
             }
-            Role::Notices => {
+            ConnectionRole::Notices => {
                 let heard = self.notices.handle_connection_event(&mut self.net, token, what, now);
                 if let Some(n) = heard.rejected {
                     let id = self.journal.get(n).map(|kept| kept.notification.attributes.id.clone());
--- a/crates/relay/src/upstream.rs
+++ b/crates/relay/src/upstream.rs
@@ -13,7 +13,7 @@
 
 use crate::discovery::KnownEndpoint;
 use crate::endpoint_response::{self, PushResult};
-use crate::event_loop::{ConnectionEvent, Net, Role, Token};
+use crate::event_loop::{ConnectionEvent, ConnectionRole, Net, Token};
 use crate::http;
 
 /// Idle connections are closed after this share of the time after which their endpoint closes them, so that
@@ -327,7 +327,7 @@
                 .or(self.idle_connections.first_key_value())?;
             self.close_connection(net, *token);
         }
-        net.open(place.address, Role::Endpoint).ok()
+        net.open(place.address, ConnectionRole::Endpoint).ok()
     }
 
     fn close_connection(&mut self, net: &mut Net, token: Token) {
