--- a/crates/relay/src/discovery.rs
+++ b/crates/relay/src/discovery.rs
@@ -1,95 +1,47 @@
-//! Owns the watch on discovery's list and where each endpoint is dialled. It must never decide when to ask
-//! again: it says that a watch is broken, and the core subscribes.
+//! The endpoint list: the watch on it, and the address of each endpoint.
+//!
+//! It reports that a watch has ended; when another one is opened, the core decides.
+
+mod list;
+mod watch;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use std::sync::Arc;
 
-use juniperwing::interface::{DestinationId, EndpointId, Entry, News, Readiness};
+use juniperwing::interface::{DestinationId, EndpointId, News, Readiness};
 use juniperwing::time::{Span, Time};
 use juniperwing_settings::Settings;
-use serde::Deserialize;
 
 use crate::event_loop::{ConnectionEvent, ConnectionRole, Net, Token};
 use crate::http;
+use list::ParsedEntry;
+pub use list::{EndpointList, KnownEndpoint};
+use watch::Watch;
+pub use watch::{WatchError, WatchMessages};
 
-/// A watch that says nothing for so long is dead: it writes an empty line every 2 s while nothing changes.
+/// A watch without a message for so long is dead: while nothing changes, discovery writes an empty line every 2 s.
 const WATCH_TIMEOUT: Span = Span::from_millis(3_000);
-/// The longest chunk or line of a watch.
-const MAX_CHUNK_BYTES: usize = 4 * 1024 * 1024;
-
-/// The list, or what changed in it, as discovery writes it.
-#[derive(Clone, Debug, Default, Deserialize)]
-pub struct EndpointList {
-    seq: u64,
-    #[serde(default)]
-    whole: bool,
-    hosts: Option<Vec<EndpointEntry>>,
-}
-
-#[derive(Clone, Debug, Deserialize)]
-struct EndpointEntry {
-    host: String,
-    #[serde(default)]
-    dial: String,
-    #[serde(default)]
-    site: String,
-    #[serde(default)]
-    class: String,
-    block: u64,
-    #[serde(default)]
-    health: String,
-    #[serde(default)]
-    share: f64,
-}
-
-/// Where an endpoint is, and how it may be called.
-#[derive(Clone, Debug, PartialEq)]
-pub struct KnownEndpoint {
-    pub address: SocketAddr,
-    /// As the core was told of it.
-    entry: Entry,
-}
-
-impl KnownEndpoint {
-    pub fn zone(&self) -> Arc<str> {
-        self.entry.zone.clone()
-    }
 
-    /// Most notifications in one call.
-    pub fn max_notifications_per_call(&self) -> usize {
-        self.entry.kind.per_call.max(1)
-    }
-}
-
-/// What came of a list.
+/// What a list changed.
 pub struct ListChange {
+    /// The change as it is reported to the core.
     pub update: News,
-    /// Their idle connections are of no use any more.
+    /// Endpoints whose connections are of no use any more.
     pub withdrawn: Vec<EndpointId>,
-    /// Their addresses cannot be read.
+    /// Endpoints whose addresses cannot be parsed.
     pub without_address: Vec<EndpointId>,
 }
 
-struct Watch {
-    token: Token,
-    /// Whether the head of the answer has come.
-    has_head: bool,
-    /// Whether a list has come, or word that nothing has changed.
-    has_message: bool,
-    buffer: Vec<u8>,
-}
-
 pub struct Discovery {
     pub address: SocketAddr,
     list_version: u64,
     watch: Option<Watch>,
-    /// The core has asked for a watch.
+    /// Whether the core has asked for a watch.
     is_watch_requested: bool,
-    /// A watch has told something, so that what is held is no longer an earlier process's.
+    /// Whether any watch had a message, so that the list is not that of an earlier process any more.
     has_received_message: bool,
     endpoints: BTreeMap<EndpointId, KnownEndpoint>,
-    /// Destinations that have endpoints on the list, and when one that has none any more may be forgotten.
+    /// Destinations that have endpoints on the list, or had some lately, with the time at which they are forgotten.
     destinations: BTreeMap<DestinationId, Time>,
 }
 
@@ -111,7 +63,7 @@
         self.destinations.contains_key(&destination)
     }
 
-    /// Whether the list is as discovery tells it now.
+    /// Whether the list is what discovery says now.
     pub fn is_current(&self) -> bool {
         self.watch.as_ref().is_some_and(|watch| watch.has_message)
     }
@@ -120,196 +72,119 @@
         self.endpoints.get(endpoint)
     }
 
-    /// Takes in a list.
+    /// Applies a list.
     pub fn apply_list(&mut self, list: EndpointList, settings: &Settings, now: Time) -> ListChange {
-        self.list_version = list.seq;
-        let before = if list.whole { std::mem::take(&mut self.endpoints) } else { self.endpoints.clone() };
+        self.list_version = list.version;
+        let before =
+            if list.is_complete { std::mem::take(&mut self.endpoints) } else { self.endpoints.clone() };
         let hosts = list.hosts.unwrap_or_default();
-        let (mut entries, mut nowhere) = (Vec::with_capacity(hosts.len()), Vec::new());
+        let (mut entries, mut without_address) = (Vec::with_capacity(hosts.len()), Vec::new());
         for host in hosts {
-            let dial = host.dial.parse().ok();
-            let entry = Entry {
-                endpoint: EndpointId(Arc::from(host.host)),
-                destination: DestinationId(host.block),
-                kind: settings.kind(&host.class),
-                zone: Arc::from(host.site),
-                readiness: match host.health.as_str() {
-                    "draining" => Readiness::Draining,
-                    "gone" => Readiness::Deleted,
-                    // Guards against pushes used up on one that nobody can reach: what it would get is held.
-                    _ if dial.is_none() => Readiness::Deleted,
-                    _ => Readiness::Serving,
-                },
-                rate: host.share,
-            };
+            let is_deleted = host.is_deleted();
+            let ParsedEntry { entry, address } = host.parse(settings);
             self.endpoints.remove(&entry.endpoint);
-            if dial.is_none() && host.health != "gone" {
-                nowhere.push(entry.endpoint.clone());
+            if address.is_none() && !is_deleted {
+                without_address.push(entry.endpoint.clone());
             }
-            if let Some(dial) = dial.filter(|_| entry.readiness != Readiness::Deleted) {
+            if let Some(address) = address.filter(|_| entry.readiness != Readiness::Deleted) {
                 self.endpoints
-                    .insert(entry.endpoint.clone(), KnownEndpoint { address: dial, entry: entry.clone() });
+                    .insert(entry.endpoint.clone(), KnownEndpoint { address, entry: entry.clone() });
             }
             entries.push(entry);
         }
-        let has_left = |id: &EndpointId, old: &KnownEndpoint| {
-            self.endpoints.get(id).is_none_or(|now| {
-                let moved = now.address != old.address || now.entry.destination != old.entry.destination;
-                moved || now.entry.readiness != Readiness::Serving
-            })
-        };
-        let left = before.iter().filter(|(id, old)| has_left(id, old)).map(|(id, _)| id.clone()).collect();
-        let forget = now + settings.longest_ttl();
-        self.destinations.extend(before.values().map(|place| (place.entry.destination, forget)));
-        self.destinations.extend(self.endpoints.values().map(|place| (place.entry.destination, Time::NEVER)));
-        self.destinations.retain(|_, until| *until > now);
-        let news = if list.whole { News::Whole(entries) } else { News::Changes(entries) };
-        ListChange { update: news, withdrawn: left, without_address: nowhere }
+        let is_withdrawn =
+            |(id, old): &(&EndpointId, &KnownEndpoint)| old.is_withdrawn(self.endpoints.get(*id));
+        let withdrawn = before.iter().filter(is_withdrawn).map(|(id, _)| id.clone()).collect();
+        self.update_destinations(&before, settings, now);
+        let update = if list.is_complete { News::Whole(entries) } else { News::Changes(entries) };
+        ListChange { update, withdrawn, without_address }
+    }
+
+    fn update_destinations(
+        &mut self, before: &BTreeMap<EndpointId, KnownEndpoint>, settings: &Settings, now: Time,
+    ) {
+        let forget_at = now + settings.longest_ttl();
+        let destination = |known: &KnownEndpoint| known.entry.destination;
+        self.destinations.extend(before.values().map(|known| (destination(known), forget_at)));
+        self.destinations.extend(self.endpoints.values().map(|known| (destination(known), Time::NEVER)));
+        self.destinations.retain(|_, forget_at| *forget_at > now);
     }
 
-    /// The kinds of the endpoints on the list.
+    /// The names of the kinds of all endpoints on the list.
     pub fn kinds(&self) -> impl Iterator<Item = &str> {
-        self.endpoints.values().map(|place| place.entry.kind.name.as_str())
+        self.endpoints.values().map(|known| known.entry.kind.name.as_str())
     }
 
-    /// Reads the kinds on the list anew, by other settings. Gives the news of it for the core.
+    /// Looks the kinds of all endpoints up in other settings. Returns the list for the core.
     pub fn apply_settings(&mut self, settings: &Settings) -> News {
-        for place in self.endpoints.values_mut() {
-            place.entry.kind = settings.kind(&place.entry.kind.name);
+        for known in self.endpoints.values_mut() {
+            known.entry.kind = settings.kind(&known.entry.kind.name);
         }
-        let entries = self.endpoints.values().map(|place| place.entry.clone()).collect();
+        let entries = self.endpoints.values().map(|known| known.entry.clone()).collect();
         if self.has_received_message { News::Changes(entries) } else { News::Held(entries) }
     }
 
-    /// Opens a watch, in place of one that is open. Says whether that could be begun.
-    pub fn subscribe(&mut self, net: &mut Net, now: Time) -> bool {
+    /// Opens a watch, in place of one that is open.
+    ///
+    /// # Errors
+    ///
+    /// No connection can be opened.
+    pub fn subscribe(&mut self, net: &mut Net, now: Time) -> Result<(), WatchError> {
         self.is_watch_requested = true;
         if let Some(old) = self.watch.take() {
             net.close(old.token);
         }
-        let Ok(token) = net.open(self.address, ConnectionRole::Watch) else { return false };
+        let opened = net.open(self.address, ConnectionRole::Watch);
+        let token = opened.map_err(|_| WatchError::NotOpened)?;
         let target = format!("GET /v1/endpoints?stream=1&index={} HTTP/1.1", self.list_version);
         net.write(token, &http::encode_message(&target, &[("Host", &self.address.to_string())], b""));
         net.set_deadline(token, now + WATCH_TIMEOUT);
-        self.watch = Some(Watch { token, has_head: false, has_message: false, buffer: Vec::new() });
-        true
+        self.watch = Some(Watch::new(token));
+        Ok(())
     }
 
-    /// Discovery is at another address from now on. A watch that the core wants goes there at once, from the version
-    /// held. Says whether it could be begun.
-    pub fn change_address(&mut self, net: &mut Net, to: SocketAddr, now: Time) -> bool {
-        self.address = to;
-        !self.is_watch_requested || self.subscribe(net, now)
+    /// Discovery is at another address from now on. A watch that the core has asked for is opened there at once, from the
+    /// version of the list.
+    ///
+    /// # Errors
+    ///
+    /// No connection can be opened.
+    pub fn change_address(
+        &mut self, net: &mut Net, address: SocketAddr, now: Time,
+    ) -> Result<(), WatchError> {
+        self.address = address;
+        if self.is_watch_requested { self.subscribe(net, now) } else { Ok(()) }
     }
 
-    /// Reads what a watch brings: news in order, and then that it broke, if it did.
+    /// Handles an event on the connection of a watch. Returns its messages in order, and its failure if it ended.
     pub fn handle_connection_event(
-        &mut self, net: &mut Net, token: Token, what: ConnectionEvent, now: Time,
+        &mut self, net: &mut Net, token: Token, event: ConnectionEvent, now: Time,
     ) -> WatchMessages {
-        let mut brought = WatchMessages::default();
-        let Some(watch) = self.watch.as_mut().filter(|watch| watch.token == token) else { return brought };
-        match what {
-            ConnectionEvent::Connected => return brought,
-            ConnectionEvent::DeadlineReached => brought.failure = Some("silent"),
+        let mut messages = WatchMessages::default();
+        let Some(watch) = self.watch.as_mut().filter(|watch| watch.token == token) else { return messages };
+        match event {
+            ConnectionEvent::Connected => return messages,
+            ConnectionEvent::DeadlineReached => messages.failure = Some(WatchError::TimedOut),
             ConnectionEvent::PeerClosed if !net.is_connected(token) => {
-                brought.failure = Some("cannot be reached")
+                messages.failure = Some(WatchError::Unreachable);
             }
             _ => {
-                let begun = watch.has_head;
-                brought = watch.read(net);
-                self.has_received_message |= brought.has_message;
-                // Guards against one that keeps itself alive by pieces of lines, and tells nothing.
-                if brought.has_message || watch.has_head != begun {
+                let had_head = watch.has_head;
+                messages = watch.read(net);
+                self.has_received_message |= messages.has_message;
+                // Parts of lines alone do not keep a watch alive.
+                if messages.has_message || watch.has_head != had_head {
                     net.set_deadline(token, now + WATCH_TIMEOUT);
                 }
-                if what == ConnectionEvent::PeerClosed && brought.failure.is_none() {
-                    brought.failure = Some("ended");
+                if event == ConnectionEvent::PeerClosed {
+                    messages.failure = messages.failure.or(Some(WatchError::Ended));
                 }
             }
         }
-        if brought.failure.is_some() {
+        if messages.failure.is_some() {
             self.watch = None;
             net.close(token);
         }
-        brought
-    }
-}
-
-/// What a watch brought.
-#[derive(Default)]
-pub struct WatchMessages {
-    pub lists: Vec<EndpointList>,
-    /// A list, or word that nothing has changed.
-    pub has_message: bool,
-    /// Why there will be no more.
-    pub failure: Option<&'static str>,
-}
-
-impl Watch {
-    fn read(&mut self, net: &mut Net) -> WatchMessages {
-        let mut brought = WatchMessages::default();
-        brought.failure = self.read_chunks(net, &mut brought).err();
-        self.has_message |= brought.has_message;
-        brought
-    }
-
-    fn read_chunks(&mut self, net: &mut Net, brought: &mut WatchMessages) -> Result<(), &'static str> {
-        let Some(input) = net.input(self.token) else { return Err("closed") };
-        if !self.has_head {
-            match http::parse_response_head(input) {
-                Ok(None) => return Ok(()),
-                Ok(Some(head)) if head.status == 200 => drop(input.drain(..head.body_start)),
-                Ok(Some(_)) => return Err("refused"),
-                Err(_) => return Err("unreadable"),
-            }
-            self.has_head = true;
-        }
-        let (mut at, mut end) = (0, None);
-        loop {
-            match http::parse_chunk(&input[at..], MAX_CHUNK_BYTES) {
-                Ok(Some((data, next))) => {
-                    self.buffer.extend_from_slice(&input[at..][data.clone()]);
-                    at += next;
-                    if data.is_empty() {
-                        end = Some("ended");
-                        break;
-                    }
-                }
-                Ok(None) => break,
-                Err(_) => {
-                    end = Some("unreadable");
-                    break;
-                }
-            }
-        }
-        input.drain(..at);
-        // What came before an end, or before what cannot be read, still counts.
-        let read = self.parse_lists(brought);
-        let long = if self.buffer.len() > MAX_CHUNK_BYTES { Err("too long") } else { Ok(()) };
-        read.and(long).and(end.map_or(Ok(()), Err))
-    }
-
-    /// Takes the lists that are whole out of the text. Each may stand on one line or on several.
-    fn parse_lists(&mut self, brought: &mut WatchMessages) -> Result<(), &'static str> {
-        loop {
-            let blank = self.buffer.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
-            brought.has_message |= self.buffer.drain(..blank).any(|byte| byte == b'\n');
-            if self.buffer.is_empty() {
-                return Ok(());
-            }
-            let mut values = serde_json::Deserializer::from_slice(&self.buffer).into_iter();
-            match values.next() {
-                // Guards against one that would empty the list held: it says that it is whole, and names nothing.
-                Some(Ok(EndpointList { whole: true, hosts: None, .. })) => return Err("unreadable"),
-                Some(Ok(list)) => {
-                    brought.lists.push(list);
-                    brought.has_message = true;
-                    let length = values.byte_offset();
-                    self.buffer.drain(..length);
-                }
-                Some(Err(e)) if !e.is_eof() => return Err("unreadable"),
-                _ => return Ok(()),
-            }
-        }
+        messages
     }
 }
--- /dev/null
+++ b/crates/relay/src/server/commands.rs
@@ -0,0 +1,132 @@
+//! Carries out the commands of the core.
+
+use juniperwing::interface::{Command, EndpointId, NtfId};
+use juniperwing::time::{Span, Time};
+use juniperwing_settings::Settings;
+use slog::{debug, info};
+
+use super::Server;
+use crate::client_connections::SubmissionResponse;
+use crate::journal::{AcceptedNotification, Journal, UndeliveredEnd};
+use crate::upstream::PushRequest;
+
+/// A push that the core decided on.
+struct DecidedPush {
+    ntf: NtfId,
+    /// Which of its notification's pushes it is, from 0; `None` if the notification is not live.
+    push_number: Option<u32>,
+    timeout: Span,
+    send_within: Span,
+}
+
+impl Server {
+    /// Has the core decide and carries out its commands in order. What was submitted in this turn and not rejected by then
+    /// is accepted.
+    pub(super) fn run_core(&mut self, now: Time) {
+        let commands = self.core.decide(now);
+        let mut rest = commands.as_slice();
+        while let Some((command, later)) = rest.split_first() {
+            rest = match command {
+                Command::Push { endpoint, .. } => {
+                    let same_endpoint = |command: &&Command| matches!(command, Command::Push { endpoint: other, .. } if other == endpoint);
+                    let count = 1 + later.iter().take_while(same_endpoint).count();
+                    let (pushes, later) = rest.split_at(count);
+                    self.push(endpoint, pushes, now);
+                    later
+                }
+                command => {
+                    self.carry_out(command, now);
+                    later
+                }
+            };
+        }
+        for (ntf, tokens) in std::mem::take(&mut self.unanswered) {
+            self.respond(tokens, ntf, SubmissionResponse::Accepted);
+        }
+        self.notices.send_queued(&mut self.net, &self.journal, now);
+    }
+
+    /// Carries out any command but a push.
+    fn carry_out(&mut self, command: &Command, now: Time) {
+        match command {
+            Command::Push { .. } | Command::Wake(_) => {}
+            Command::Cancel { ntf, push } => self.upstream.cancel(&mut self.net, *ntf, *push, now),
+            Command::Throttle { ntf, retry_in } => {
+                let end = UndeliveredEnd::ReturnedToClient(retry_in.as_nanos() / 1_000_000);
+                self.finish(*ntf, SubmissionResponse::Throttled(*retry_in), end, now);
+            }
+            Command::Expire(ntf) => {
+                self.finish(*ntf, SubmissionResponse::Expired, UndeliveredEnd::GivenUp, now);
+            }
+            Command::Subscribe => {
+                if let Err(e) = self.discovery.subscribe(&mut self.net, now) {
+                    self.handle_watch_failure(e);
+                }
+            }
+            Command::Probe(endpoint) => {
+                self.upstream.probe(&mut self.net, endpoint, self.discovery.endpoint(endpoint), now);
+            }
+            Command::CloseIdle(endpoint) => self.upstream.close_idle(&mut self.net, endpoint),
+            Command::Recall(endpoint) => self.upstream.cancel_unsent(&mut self.net, endpoint, now),
+            Command::Log(line) => info!(self.log, "{}", line),
+        }
+    }
+
+    /// Ends a notification undelivered: in the response to its submission if that is not answered, else by a notice.
+    fn finish(&mut self, ntf: NtfId, response: SubmissionResponse, end: UndeliveredEnd, now: Time) {
+        match self.unanswered.remove(&ntf) {
+            Some(tokens) => {
+                self.respond(tokens, ntf, response);
+                self.handle_end_acknowledged(ntf);
+            }
+            None => self.end_undelivered(ntf, end, now),
+        }
+    }
+
+    /// Makes the pushes of these commands, which are all to one endpoint.
+    fn push(&mut self, endpoint: &EndpointId, commands: &[Command], now: Time) {
+        let pushes: Vec<DecidedPush> =
+            commands.iter().filter_map(|command| self.decided_push(command)).collect();
+        debug!(self.log, "push"; "endpoint" => &*endpoint.0,
+            "n" => format!("{:?}", pushes.iter().map(|push| push.ntf.0).collect::<Vec<_>>()));
+        let requests =
+            pushes.iter().filter_map(|push| push_request(push, &self.journal, &self.settings, now));
+        let requests: Vec<PushRequest<'_>> = requests.collect();
+        let known = self.discovery.endpoint(endpoint);
+        self.upstream.push(&mut self.net, endpoint, known, &requests, now);
+    }
+
+    /// The push of a command, which is counted.
+    fn decided_push(&mut self, command: &Command) -> Option<DecidedPush> {
+        let Command::Push { ntf, time_out, send_within, .. } = command else { return None };
+        let push_number = self.journal.count_push(ntf.0);
+        Some(DecidedPush { ntf: *ntf, push_number, timeout: *time_out, send_within: *send_within })
+    }
+}
+
+/// The request of a push; `None` if its notification is not live.
+fn push_request<'a>(
+    push: &DecidedPush, journal: &'a Journal, settings: &Settings, now: Time,
+) -> Option<PushRequest<'a>> {
+    let entry = journal.get(push.ntf.0)?;
+    let notification = &entry.notification;
+    let time_left = Time::from_nanos(notification.valid_until_ns).since(now);
+    Some(PushRequest {
+        ntf: push.ntf,
+        id: &notification.attributes.id,
+        idempotency_key: notification.attributes.idempotency_key.as_deref(),
+        body: &entry.body,
+        push_number: push.push_number?,
+        is_ordered: is_ordered(notification, settings),
+        timeout: push.timeout.min(time_left),
+        send_within: push.send_within,
+    })
+}
+
+/// Whether others with the key of a notification wait for it.
+fn is_ordered(notification: &AcceptedNotification, settings: &Settings) -> bool {
+    let attributes = &notification.attributes;
+    let is_topic_ordered = || settings.topic(&attributes.topic).is_some_and(|topic| topic.ordered);
+    attributes.key.is_some()
+        && notification.guarantee.map_or_else(is_topic_ordered, |guarantee| guarantee.is_ordered)
+}
--- /dev/null
+++ b/crates/relay/src/server/endpoint_list.rs
@@ -0,0 +1,52 @@
+//! The endpoint list and the watch on it.
+
+use juniperwing::interface::{EndpointId, Event, News};
+use juniperwing::time::Time;
+use slog::{debug, info, warn};
+
+use super::Server;
+use crate::discovery::{EndpointList, ListChange, WatchError, WatchMessages};
+
+impl Server {
+    /// Applies the list as an earlier process knew it.
+    pub(super) fn load_initial_endpoints(&mut self, list: EndpointList, now: Time) {
+        let change = self.discovery.apply_list(list, &self.settings, now);
+        self.warn_without_address(&change.without_address);
+        if let News::Whole(entries) | News::Changes(entries) = change.update {
+            self.core.enqueue(Event::List(News::Held(entries)));
+        }
+    }
+
+    pub(super) fn handle_watch_messages(&mut self, messages: WatchMessages, now: Time) {
+        // The core has to know of a message that nothing has changed, too: the watch works.
+        if messages.has_message && messages.lists.is_empty() {
+            self.core.enqueue(Event::List(News::Changes(Vec::new())));
+        }
+        messages.lists.into_iter().for_each(|list| self.handle_list(list, now));
+        messages.failure.into_iter().for_each(|error| self.handle_watch_failure(error));
+    }
+
+    fn handle_list(&mut self, list: EndpointList, now: Time) {
+        let ListChange { update, withdrawn, without_address } =
+            self.discovery.apply_list(list, &self.settings, now);
+        self.warn_without_address(&without_address);
+        if let News::Changes(entries) | News::Whole(entries) = &update {
+            debug!(self.log, "the list has news"; "entries" => entries.len(), "left" => withdrawn.len());
+        }
+        for endpoint in &withdrawn {
+            self.upstream.handle_endpoint_withdrawn(&mut self.net, endpoint, now);
+        }
+        self.core.enqueue(Event::List(update));
+    }
+
+    fn warn_without_address(&self, endpoints: &[EndpointId]) {
+        for endpoint in endpoints {
+            warn!(self.log, "the list has no address that can be read"; "endpoint" => &*endpoint.0);
+        }
+    }
+
+    pub(super) fn handle_watch_failure(&mut self, error: WatchError) {
+        info!(self.log, "the watch on the list broke"; "why" => error.to_string());
+        self.core.enqueue(Event::List(News::Broken));
+    }
+}
--- /dev/null
+++ b/crates/relay/src/server/outcomes.rs
@@ -0,0 +1,90 @@
+//! Ends of pushes and of notifications.
+
+use juniperwing::interface::{Event, NtfId, Outcome};
+use juniperwing::time::Time;
+use slog::{debug, warn};
+
+use super::Server;
+use crate::journal::UndeliveredEnd;
+use crate::notices::NoticeResults;
+use crate::upstream::{CallOutcome, RetryAfter};
+
+impl Server {
+    /// Reports to the core how pushes and probes ended.
+    pub(super) fn report_outcomes(&mut self, now: Time) {
+        for RetryAfter { endpoint, delay } in self.upstream.take_retry_afters() {
+            debug!(self.log, "a wait was told"; "endpoint" => &*endpoint.0,
+                "ms" => delay.as_nanos() / 1_000_000);
+            self.core.enqueue(Event::Told { endpoint, wait: delay });
+        }
+        for outcome in self.upstream.take_outcomes() {
+            match outcome.ntf {
+                Some(ntf) => self.report_push_outcome(ntf, outcome, now),
+                None => {
+                    let CallOutcome { endpoint, result, limit, .. } = outcome;
+                    self.core.enqueue(Event::Probed { endpoint, status: result.status, limit });
+                }
+            }
+        }
+    }
+
+    fn report_push_outcome(&mut self, ntf: NtfId, outcome: CallOutcome, now: Time) {
+        let CallOutcome { push_number, endpoint, result, elapsed, retry_after, limit, .. } = outcome;
+        let status = result.status;
+        debug!(self.log, "push ended"; "n" => ntf.0, "push" => push_number, "endpoint" => &*endpoint.0,
+            "status" => format!("{status:?}"), "ms" => elapsed.as_nanos() / 1_000_000,
+            "left" => limit.map(|limit| limit.left), "rate" => limit.map(|limit| limit.rate));
+        let may_run_since = status.may_be_running().then_some(now);
+        self.journal.record_push_ended(ntf.0, status.may_have_run(), may_run_since);
+        if result.is_final {
+            self.forget(ntf);
+        }
+        let entry = self.journal.get(ntf.0);
+        let settled = entry.is_none_or(|entry| entry.notification.history.end.is_some());
+        self.core.enqueue(Event::Ended(Outcome {
+            ntf,
+            push: push_number,
+            endpoint,
+            status,
+            spent: elapsed,
+            settled,
+            wait: retry_after,
+            limit,
+        }));
+    }
+
+    /// Records that a notification ended undelivered, and queues the notice to its client.
+    pub(super) fn end_undelivered(&mut self, ntf: NtfId, end: UndeliveredEnd, now: Time) {
+        self.journal.record_end(ntf.0, end);
+        self.count_recovered(ntf, now);
+        if let Some(entry) = self.journal.get(ntf.0) {
+            debug!(self.log, "ended"; "id" => &entry.notification.attributes.id, "n" => ntf.0,
+                "end" => format!("{end:?}"));
+            self.notices.enqueue(ntf.0);
+        }
+    }
+
+    pub(super) fn handle_notice_results(&mut self, results: NoticeResults) {
+        if let Some(number) = results.rejected {
+            let id = self.journal.get(number).map(|entry| entry.notification.attributes.id.clone());
+            warn!(self.log, "a notice was refused as unreadable"; "id" => id);
+        }
+        for number in results.acknowledged.into_iter().chain(results.rejected) {
+            self.handle_end_acknowledged(NtfId(number));
+        }
+    }
+
+    /// The client of a notification knows its end: nothing more is owed.
+    pub(super) fn handle_end_acknowledged(&mut self, ntf: NtfId) {
+        debug!(self.log, "end heard"; "n" => ntf.0);
+        self.forget(ntf);
+        self.core.enqueue(Event::Heard(ntf));
+    }
+
+    fn forget(&mut self, ntf: NtfId) {
+        self.upstream.forget(ntf);
+        if self.journal.get(ntf.0).is_some() {
+            self.journal.close(ntf.0);
+        }
+    }
+}
--- /dev/null
+++ b/crates/relay/src/server/reload.rs
@@ -0,0 +1,41 @@
+//! Reads the configuration again.
+
+use juniperwing::interface::Event;
+use juniperwing::time::Time;
+use slog::{info, warn};
+
+use super::Server;
+use crate::config::Config;
+
+impl Server {
+    /// Reads the configuration again. Settings and the address of discovery take effect at once. Notifications keep the
+    /// guarantee and the time to live that they were accepted with, and calls, pauses and drains in progress go on. A file
+    /// that is incomplete or invalid changes nothing.
+    pub(super) fn reload(&mut self, now: Time) {
+        let config = match Config::read(Some(self.config_path.clone())) {
+            Ok(config) => config,
+            Err(e) => return warn!(self.log, "the new configuration cannot be used"; "why" => e.to_string()),
+        };
+        let live_topics = self.journal.live().map(|(_, entry)| entry.notification.attributes.topic.as_str());
+        if let Some(reason) = self.settings.bars(&config.settings, live_topics, self.discovery.kinds()) {
+            return warn!(self.log, "the new configuration cannot be used"; "why" => reason);
+        }
+        let changed_keys = self.static_config.changed_keys(&config.static_config);
+        if !changed_keys.is_empty() {
+            warn!(self.log, "changes that wait for the next start"; "keys" => changed_keys.join(", "));
+        }
+        info!(self.log, "configuration read anew"; "discovery" => config.discovery_address.to_string(),
+            "settings" => config.settings.to_string());
+        self.settings = config.settings;
+        self.upstream.apply_settings(&mut self.net, self.settings.connections);
+        self.core.enqueue(Event::Terms(self.settings.terms.clone()));
+        self.core.enqueue(Event::List(self.discovery.apply_settings(&self.settings)));
+        if config.discovery_address == self.discovery.address {
+            return;
+        }
+        self.notices.change_address(&mut self.net, config.discovery_address, now);
+        if let Err(e) = self.discovery.change_address(&mut self.net, config.discovery_address, now) {
+            self.handle_watch_failure(e);
+        }
+    }
+}
--- /dev/null
+++ b/crates/relay/src/server/shutdown.rs
@@ -0,0 +1,94 @@
+//! The phases of a stop.
+
+use juniperwing::interface::Event;
+use juniperwing::time::{Span, Time};
+use slog::info;
+
+use super::Server;
+
+/// How long after the request each phase ends. The last one is over well before a machine that is put down kills the
+/// processes still running.
+const SERVING_ENDS_AFTER: Span = Span::from_millis(2_000);
+const ADMISSION_ENDS_AFTER: Span = Span::from_millis(2_800);
+const CLOSING_ENDS_AFTER: Span = Span::from_millis(3_100);
+
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum ShutdownPhase {
+    /// Everything goes on, but `/ready` says that the relay stops.
+    Serving,
+    /// No new calls are made; those in flight may end, and notifications are accepted for the next process.
+    AdmittingOnly,
+    /// No new clients are accepted, and connections without a request are closed.
+    Closing,
+}
+
+/// A stop that was requested.
+#[derive(Clone, Copy)]
+pub(super) struct Shutdown {
+    requested_at: Time,
+    phase: ShutdownPhase,
+}
+
+impl Shutdown {
+    pub(super) fn phase_ends_at(&self) -> Time {
+        self.requested_at
+            + match self.phase {
+                ShutdownPhase::Serving => SERVING_ENDS_AFTER,
+                ShutdownPhase::AdmittingOnly => ADMISSION_ENDS_AFTER,
+                ShutdownPhase::Closing => CLOSING_ENDS_AFTER,
+            }
+    }
+
+    /// Whether each further response closes its connection.
+    pub(super) fn is_admission_over(&self, now: Time) -> bool {
+        self.requested_at + ADMISSION_ENDS_AFTER <= now
+    }
+}
+
+impl Server {
+    /// Begins the stop, unless that was done before.
+    pub(super) fn begin_shutdown(&mut self, now: Time) {
+        if self.shutdown.is_some() {
+            return;
+        }
+        info!(self.log, "stopping"; "owed" => self.journal.live_count(),
+            "calls" => self.upstream.calls_in_flight());
+        self.client_connections.is_stopping = true;
+        self.shutdown = Some(Shutdown { requested_at: now, phase: ShutdownPhase::Serving });
+    }
+
+    /// Goes on to the next phase of a stop if that is due. Returns whether the stop is done.
+    pub(super) fn advance_shutdown(&mut self, now: Time) -> bool {
+        let Some(shutdown) = &mut self.shutdown else { return false };
+        let is_phase_over = shutdown.phase_ends_at() <= now;
+        match shutdown.phase {
+            ShutdownPhase::Serving if is_phase_over => {
+                shutdown.phase = ShutdownPhase::AdmittingOnly;
+                info!(self.log, "no further calls"; "calls" => self.upstream.calls_in_flight());
+                self.core.enqueue(Event::Slots(0));
+                false
+            }
+            ShutdownPhase::AdmittingOnly if is_phase_over => {
+                shutdown.phase = ShutdownPhase::Closing;
+                self.net.stop_listening();
+                false
+            }
+            ShutdownPhase::Closing => {
+                // Calls in flight may still end, so that the next process does not have to assume that they ran.
+                let is_drained =
+                    self.client_connections.close_idle(&mut self.net) && self.upstream.calls_in_flight() == 0;
+                if is_drained || is_phase_over {
+                    self.finish_shutdown();
+                }
+                is_drained || is_phase_over
+            }
+            ShutdownPhase::Serving | ShutdownPhase::AdmittingOnly => false,
+        }
+    }
+
+    fn finish_shutdown(&mut self) {
+        self.net.flush();
+        info!(self.log, "stopped"; "owed" => self.journal.live_count(),
+            "calls" => self.upstream.calls_in_flight());
+    }
+}
--- a/crates/relay/src/upstream.rs
+++ b/crates/relay/src/upstream.rs
@@ -1,302 +1,171 @@
-//! The fourth stage: owns the calls that are out and the connections to endpoints, idle ones included. It
-//! must never choose an endpoint, send again of its own accord, or hold a push back.
+//! Calls to endpoints and the connections that they go by.
+//!
+//! It neither chooses endpoints nor retries nor delays a push: the core decides that.
+
+mod call;
+mod events;
+mod pool;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use base64::Engine;
-use base64::engine::general_purpose::STANDARD;
-use juniperwing::interface::{EndpointId, LimitReport, NtfId, Status};
+use juniperwing::interface::{EndpointId, NtfId, Status};
 use juniperwing::time::{Span, Time};
-use juniperwing_settings::{Connections, Settings};
-use serde::Serialize;
+use juniperwing_settings::Connections;
 
 use crate::discovery::KnownEndpoint;
-use crate::endpoint_response::{self, PushResult};
-use crate::event_loop::{ConnectionEvent, ConnectionRole, Net, Token};
+use crate::event_loop::{ConnectionRole, Net, Token};
 use crate::http;
+use call::{Call, InFlightPush, UnwrittenRequest};
+pub use call::{CallOutcome, PushRequest};
+use pool::ConnectionPool;
 
-/// Idle connections are closed after this share of the time after which their endpoint closes them, so that
-/// no push crosses the closing.
-const IDLE_TIMEOUT_FRACTION: f64 = 0.9;
-
-/// Guards against answers that never end: one is whole so long after its first bytes, or it is spoilt.
-const RESPONSE_COMPLETION_TIMEOUT: Span = Span::from_millis(500);
-
-/// Guards against waits told in answers that cross the end of their call: its connection is read on for so long.
+/// The connection of a call that ended without a response is read for so long, since the response may still come and ask
+/// for a pause.
 const LATE_RESPONSE_TIMEOUT: Span = Span::from_millis(1_000);
 
-/// A notification to be pushed.
-pub struct PushRequest<'a> {
-    pub ntf: NtfId,
-    pub id: &'a str,
-    pub idempotency_key: Option<&'a str>,
-    pub body: &'a [u8],
-    /// Which of its pushes this is.
-    pub push_number: u32,
-    /// Others with its key wait for it.
-    pub is_ordered: bool,
-    pub timeout: Span,
-    /// It is not to go out to the endpoint after that.
-    pub send_within: Span,
-}
-
-struct InFlightPush {
-    ntf: NtfId,
-    id: String,
-    push_number: u32,
-    is_ordered: bool,
-    deadline: Time,
-    send_by: Time,
-    /// Its item of a call of several, until that is written.
-    encoded_item: Vec<u8>,
-    /// Its outcome is still to come.
-    is_pending: bool,
-}
-
-struct Call {
-    endpoint: EndpointId,
-    zone: Arc<str>,
-    started_at: Time,
-    connect_by: Time,
-    /// When an answer that has begun must be whole.
-    complete_by: Time,
-    /// A single push that read 200 in the first line of its answer before its time was up.
-    has_success_status: bool,
-    /// The wait in the head of an answer that is not whole yet has been told.
-    is_retry_after_reported: bool,
-    is_batch: bool,
-    /// What goes out once the connection is up; nothing once it has been written.
-    unwritten: Option<UnwrittenRequest>,
-    /// Empty for a probe.
-    pushes: Vec<InFlightPush>,
-}
-
-enum UnwrittenRequest {
-    /// A message for one notification, or a probe.
-    Encoded(Vec<u8>),
-    /// A call of several to this host, of the items of whatever is still wanted then.
-    BatchTo(String),
-}
-
-/// How a push ended; without a notification, how a probe did.
-#[derive(Debug)]
-pub struct CallOutcome {
-    pub ntf: Option<NtfId>,
-    pub push_number: u32,
+/// An endpoint asked for a pause in a response that is not complete or came after the end of its call.
+pub struct RetryAfter {
     pub endpoint: EndpointId,
-    pub result: PushResult,
-    pub elapsed: Span,
-    pub retry_after: Option<Span>,
-    pub limit: Option<LimitReport>,
+    pub delay: Span,
 }
 
-#[derive(Serialize)]
-struct BatchItem<'a> {
-    id: &'a str,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    key: Option<&'a str>,
-    body: String,
-}
-
-impl<'a> BatchItem<'a> {
-    fn from_push(push: &PushRequest<'a>) -> BatchItem<'a> {
-        BatchItem { id: push.id, key: push.idempotency_key, body: STANDARD.encode(push.body) }
-    }
+/// A notification in a call that is about to go out, and the zone of the call's endpoint.
+pub struct SentNotification {
+    pub ntf: NtfId,
+    pub zone: Arc<str>,
 }
 
 pub struct Upstream {
-    connection_settings: Connections,
-    max_connections: usize,
+    settings: Connections,
     calls: BTreeMap<Token, Call>,
-    /// Connections that are up, with a call that has not been written.
+    /// Connections that are established and whose calls have not been written.
     writable_calls: Vec<Token>,
-    idle_by_endpoint: BTreeMap<EndpointId, Vec<Token>>,
-    idle_connections: BTreeMap<Token, EndpointId>,
-    /// Connections of calls that are over, on which an answer may still come.
-    late_response_connections: BTreeMap<Token, EndpointId>,
-    /// Were in a call of several that its endpoint could not read; each goes in a call of its own.
+    pool: ConnectionPool,
+    /// Notifications that were in a batch which its endpoint could not parse; each goes in a call of its own.
     unbatchable: BTreeSet<NtfId>,
     outcomes: Vec<CallOutcome>,
-    late_retry_afters: Vec<(EndpointId, Span)>,
+    retry_afters: Vec<RetryAfter>,
 }
 
 impl Upstream {
-    /// With at most so many connections to endpoints.
-    pub fn new(connections: Connections, most: usize) -> Upstream {
-        let (calls, idle, resting) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
-        let (ready, ended) = (Vec::new(), Vec::new());
-        let (leaving, apart, told) = (BTreeMap::new(), BTreeSet::new(), Vec::new());
+    pub fn new(settings: Connections, max_connections: usize) -> Upstream {
         Upstream {
-            connection_settings: connections,
-            max_connections: most,
-            calls,
-            writable_calls: ready,
-            idle_by_endpoint: idle,
-            idle_connections: resting,
-            late_response_connections: leaving,
-            unbatchable: apart,
-            outcomes: ended,
-            late_retry_afters: told,
+            settings,
+            calls: BTreeMap::new(),
+            writable_calls: Vec::new(),
+            pool: ConnectionPool::new(max_connections),
+            unbatchable: BTreeSet::new(),
+            outcomes: Vec::new(),
+            retry_afters: Vec::new(),
         }
     }
 
-    /// Goes by other settings from now on; connections under way keep the times they were given. Idle ones go where
-    /// that would be too long.
-    pub fn apply_settings(&mut self, net: &mut Net, connections: Connections) {
-        let told = |span: Span| if span > Span::ZERO { span.as_nanos() } else { u64::MAX };
-        if told(connections.idle) < told(self.connection_settings.idle) {
-            self.idle_by_endpoint.clear();
-            std::mem::take(&mut self.idle_connections).into_keys().for_each(|token| net.close(token));
+    /// Uses other settings from now on. Deadlines that were set stay, so that idle connections are closed if they would
+    /// stay open for too long.
+    pub fn apply_settings(&mut self, net: &mut Net, settings: Connections) {
+        let idle_nanos = |settings: &Connections| match settings.idle {
+            Span::ZERO => u64::MAX,
+            idle => idle.as_nanos(),
+        };
+        if idle_nanos(&settings) < idle_nanos(&self.settings) {
+            self.pool.close_all_idle(net);
         }
-        self.connection_settings = connections;
+        self.settings = settings;
     }
 
-    /// All outcomes since this was last asked.
+    /// All outcomes since the last call.
     pub fn take_outcomes(&mut self) -> Vec<CallOutcome> {
         std::mem::take(&mut self.outcomes)
     }
 
-    /// The waits told in answers to calls that were over, since this was last asked.
-    pub fn take_retry_afters(&mut self) -> Vec<(EndpointId, Span)> {
-        std::mem::take(&mut self.late_retry_afters)
+    /// The pauses asked for outside of outcomes since the last call.
+    pub fn take_retry_afters(&mut self) -> Vec<RetryAfter> {
+        std::mem::take(&mut self.retry_afters)
     }
 
-    /// Whether outcomes wait to be taken.
+    /// Whether there are outcomes to take.
     pub fn has_outcomes(&self) -> bool {
         !self.outcomes.is_empty()
     }
 
-    /// Calls that are out.
+    /// How many calls have not ended.
     pub fn calls_in_flight(&self) -> usize {
         self.calls.len()
     }
 
-    /// Sends notifications to one endpoint: in one call if they fit, else in as few as possible.
+    /// Pushes notifications to one endpoint: in one call if they fit, else in as few as possible.
     pub fn push(
-        &mut self, net: &mut Net, endpoint: &EndpointId, place: Option<&KnownEndpoint>,
-        pushes: &[PushRequest<'_>], now: Time,
+        &mut self, net: &mut Net, endpoint: &EndpointId, known: Option<&KnownEndpoint>,
+        requests: &[PushRequest<'_>], now: Time,
     ) {
-        if !self.connection_settings.second_copies {
-            pushes.iter().for_each(|push| self.cancel_earlier_calls(net, push.ntf, now));
+        if !self.settings.second_copies {
+            requests.iter().for_each(|request| self.cancel_earlier_calls(net, request.ntf, now));
         }
-        let (mut rest, per_call) = (pushes, place.map_or(1, |place| place.max_notifications_per_call()));
+        let max_count = known.map_or(1, KnownEndpoint::max_notifications_per_call);
+        let mut rest = requests;
         while !rest.is_empty() {
-            let (mut count, mut size) = (1, max_encoded_item_bytes(&rest[0]));
-            let joins = |push: &PushRequest<'_>| !self.unbatchable.contains(&push.ntf);
-            while count < per_call.min(rest.len())
-                && size + max_encoded_item_bytes(&rest[count]) < http::MAX_BODY_BYTES
-                && joins(&rest[0])
-                && joins(&rest[count])
-            {
-                size += max_encoded_item_bytes(&rest[count]);
-                count += 1;
-            }
-            let (call, later) = rest.split_at(count);
-            self.start_push_call(net, endpoint, place, call, now);
+            let (batch, later) = rest.split_at(self.batch_length(rest, max_count));
+            self.start_push_call(net, endpoint, known, batch, now);
             rest = later;
         }
     }
 
+    /// How many of the first requests go in one call.
+    fn batch_length(&self, requests: &[PushRequest<'_>], max_count: usize) -> usize {
+        let is_batchable = |request: &PushRequest<'_>| !self.unbatchable.contains(&request.ntf);
+        let (mut count, mut body_bytes) = (1, requests[0].max_encoded_item_bytes());
+        while count < max_count.min(requests.len())
+            && body_bytes + requests[count].max_encoded_item_bytes() < http::MAX_BODY_BYTES
+            && is_batchable(&requests[0])
+            && is_batchable(&requests[count])
+        {
+            body_bytes += requests[count].max_encoded_item_bytes();
+            count += 1;
+        }
+        count
+    }
+
     fn start_push_call(
-        &mut self, net: &mut Net, endpoint: &EndpointId, place: Option<&KnownEndpoint>,
-        pushes: &[PushRequest<'_>], now: Time,
+        &mut self, net: &mut Net, endpoint: &EndpointId, known: Option<&KnownEndpoint>,
+        requests: &[PushRequest<'_>], now: Time,
     ) {
-        let several = pushes.len() > 1;
-        let item = |push: &PushRequest<'_>| {
-            serde_json::to_vec(&BatchItem::from_push(push)).expect("items are plain text")
+        let is_batch = requests.len() > 1;
+        let pushes = requests.iter().map(|request| InFlightPush::new(request, is_batch, now)).collect();
+        let unwritten = |host: &str| match requests {
+            [request] => UnwrittenRequest::Encoded(request.encode_message(host)),
+            _ => UnwrittenRequest::BatchTo(host.to_owned()),
         };
-        let members = pushes.iter().map(|push| InFlightPush {
-            ntf: push.ntf,
-            id: push.id.to_owned(),
-            push_number: push.push_number,
-            is_ordered: push.is_ordered,
-            deadline: now + push.timeout,
-            send_by: now + push.send_within,
-            encoded_item: if several { item(push) } else { Vec::new() },
-            is_pending: true,
-        });
-        let members = members.collect();
-        let unwritten = |host: &str| {
-            let [push] = pushes else { return UnwrittenRequest::BatchTo(host.to_owned()) };
-            let time_out = format_millis(push.timeout);
-            let mut headers =
-                vec![("Host", host), ("Request-Timeout-Ms", time_out.as_str()), ("Request-Id", push.id)];
-            headers.extend(push.idempotency_key.map(|key| ("Idempotency-Key", key)));
-            UnwrittenRequest::Encoded(http::encode_message("POST /hook HTTP/1.1", &headers, push.body))
-        };
-        self.start_call(net, endpoint, place, members, unwritten, now);
-    }
-
-    /// Writes the calls whose connections are up: what is not wanted any more, or would come too late, is left
-    /// out. Every call passes here, after all that a turn brings is known and decided. Gives what is in them, and
-    /// the zone it goes to: no byte of it may go out before that is on record.
-    pub fn write_ready_calls(&mut self, net: &mut Net, now: Time) -> Vec<(NtfId, Arc<str>)> {
-        let mut gone = Vec::new();
-        for token in std::mem::take(&mut self.writable_calls) {
-            let late = |member: &InFlightPush| member.is_pending && member.send_by <= now;
-            if self.calls.get(&token).is_some_and(|call| call.pushes.iter().any(late)) {
-                self.end_pushes(net, token, Status::NoConnection, now, late);
-            }
-            let Some(call) = self.calls.get_mut(&token) else { continue };
-            let unwritten = call.unwritten.take();
-            if unwritten.is_some() {
-                let out = call.pushes.iter().filter(|member| member.is_pending);
-                gone.extend(out.map(|member| (member.ntf, call.zone.clone())));
-            }
-            match unwritten {
-                Some(UnwrittenRequest::Encoded(bytes)) => net.write(token, &bytes),
-                Some(UnwrittenRequest::BatchTo(host)) => {
-                    call.pushes.retain(|member| member.is_pending);
-                    let deadlines = call.pushes.iter().map(|member| member.deadline.since(now));
-                    let time_out = format_millis(deadlines.max().unwrap_or_default());
-                    let items = call.pushes.iter_mut().map(|member| std::mem::take(&mut member.encoded_item));
-                    let body = [b"[", items.collect::<Vec<_>>().join(&b',').as_slice(), b"]"].concat();
-                    let headers = [
-                        ("Host", host.as_str()),
-                        ("Request-Timeout-Ms", &time_out),
-                        ("Content-Type", "application/json"),
-                    ];
-                    net.write(token, &http::encode_message("POST /hook/batch HTTP/1.1", &headers, &body));
-                }
-                None => {}
-            }
-            net.set_deadline(token, call.next_deadline());
-        }
-        gone
+        self.start_call(net, endpoint, known, pushes, unwritten, now);
     }
 
-    /// Asks an endpoint for its health.
-    pub fn probe(&mut self, net: &mut Net, endpoint: &EndpointId, place: Option<&KnownEndpoint>, now: Time) {
-        let message = |host: &str| {
+    /// Sends an endpoint a health check.
+    pub fn probe(&mut self, net: &mut Net, endpoint: &EndpointId, known: Option<&KnownEndpoint>, now: Time) {
+        let unwritten = |host: &str| {
             UnwrittenRequest::Encoded(http::encode_message("GET /health HTTP/1.1", &[("Host", host)], b""))
         };
-        self.start_call(net, endpoint, place, Vec::new(), message, now);
+        self.start_call(net, endpoint, known, Vec::new(), unwritten, now);
     }
 
     fn start_call(
-        &mut self, net: &mut Net, endpoint: &EndpointId, place: Option<&KnownEndpoint>,
-        members: Vec<InFlightPush>, unwritten: impl FnOnce(&str) -> UnwrittenRequest, now: Time,
+        &mut self, net: &mut Net, endpoint: &EndpointId, known: Option<&KnownEndpoint>,
+        pushes: Vec<InFlightPush>, unwritten: impl FnOnce(&str) -> UnwrittenRequest, now: Time,
     ) {
-        let connect = Some(self.connection_settings.connect).filter(|span| *span > Span::ZERO);
-        let connect_by = connect.map_or(Time::NEVER, |span| now + span);
-        let whole_by = Time::NEVER;
-        let unwritten = place.map(|place| unwritten(&place.address.to_string()));
-        let many = members.len() > 1;
+        let connect_timeout = Some(self.settings.connect).filter(|span| *span > Span::ZERO);
         let call = Call {
             endpoint: endpoint.clone(),
-            zone: place.map(KnownEndpoint::zone).unwrap_or_default(),
+            zone: known.map(KnownEndpoint::zone).unwrap_or_default(),
             started_at: now,
-            connect_by,
-            complete_by: whole_by,
+            connect_by: connect_timeout.map_or(Time::NEVER, |span| now + span),
+            complete_by: Time::NEVER,
             has_success_status: false,
             is_retry_after_reported: false,
-            is_batch: many,
-            unwritten,
-            pushes: members,
+            is_batch: pushes.len() > 1,
+            unwritten: known.map(|known| unwritten(&known.address.to_string())),
+            pushes,
         };
-        let token = place.and_then(|place| self.take_connection(net, endpoint, place));
-        let Some(token) = token else { return self.report_failure(call, Status::NoConnection, now) };
+        let token = known.and_then(|known| self.connect(net, endpoint, known));
+        let Some(token) = token else { return self.report_failure(&call, Status::NoConnection, now) };
         if net.is_connected(token) {
             self.writable_calls.push(token);
         }
@@ -304,64 +173,63 @@
         self.calls.insert(token, call);
     }
 
-    /// The idle connection used last, or a new one.
-    fn take_connection(
-        &mut self, net: &mut Net, endpoint: &EndpointId, place: &KnownEndpoint,
-    ) -> Option<Token> {
-        while let Some(token) = self.idle_by_endpoint.get_mut(endpoint).and_then(Vec::pop) {
-            self.idle_connections.remove(&token);
-            // Guards against what an endpoint sends beyond its answer: it would be taken for the answer to come.
-            if !net.is_peer_closed(token) && !net.has_unread(token) {
-                return Some(token);
-            }
-            net.close(token);
+    /// The idle connection that was used last, or a new one.
+    fn connect(&mut self, net: &mut Net, endpoint: &EndpointId, known: &KnownEndpoint) -> Option<Token> {
+        if let Some(token) = self.pool.take_idle(net, endpoint) {
+            return Some(token);
         }
-        self.idle_by_endpoint.remove(endpoint);
-        // Guards against more connections than there are descriptors: one without a call makes room.
-        if self.calls.len() + self.idle_connections.len() + self.late_response_connections.len()
-            >= self.max_connections
-        {
-            let (token, _) = self
-                .late_response_connections
-                .first_key_value()
-                .or(self.idle_connections.first_key_value())?;
-            self.close_connection(net, *token);
+        if !self.pool.make_capacity(net, self.calls.len()) {
+            return None;
         }
-        net.open(place.address, ConnectionRole::Endpoint).ok()
+        net.open(known.address, ConnectionRole::Endpoint).ok()
     }
 
-    fn close_connection(&mut self, net: &mut Net, token: Token) {
-        self.late_response_connections.remove(&token);
-        if let Some(endpoint) = self.idle_connections.remove(&token)
-            && let Some(tokens) = self.idle_by_endpoint.get_mut(&endpoint)
-        {
-            tokens.retain(|idle| *idle != token);
-            if tokens.is_empty() {
-                self.idle_by_endpoint.remove(&endpoint);
+    /// Writes the calls whose connections are established. Pushes that were cancelled, or would come too late, are left
+    /// out. Every call passes here after the events of a turn are known and decided on. Returns what the calls contain: it
+    /// has to be in the journal before any byte goes out.
+    pub fn write_ready_calls(&mut self, net: &mut Net, now: Time) -> Vec<SentNotification> {
+        let mut sent = Vec::new();
+        for token in std::mem::take(&mut self.writable_calls) {
+            self.end_late_pushes(net, token, now);
+            let Some(call) = self.calls.get_mut(&token) else { continue };
+            let unwritten = call.unwritten.take();
+            if unwritten.is_some() {
+                let pending = call.pushes.iter().filter(|push| push.is_pending);
+                sent.extend(pending.map(|push| SentNotification { ntf: push.ntf, zone: call.zone.clone() }));
             }
+            match unwritten {
+                Some(UnwrittenRequest::Encoded(message)) => net.write(token, &message),
+                Some(UnwrittenRequest::BatchTo(host)) => net.write(token, &call.encode_batch(&host, now)),
+                None => {}
+            }
+            net.set_deadline(token, call.next_deadline());
+        }
+        sent
+    }
+
+    fn end_late_pushes(&mut self, net: &mut Net, token: Token, now: Time) {
+        let is_late = |push: &InFlightPush| push.is_late_to_send(now);
+        if self.calls.get(&token).is_some_and(|call| call.pushes.iter().any(is_late)) {
+            self.end_pushes(net, token, Status::NoConnection, now, is_late);
         }
-        net.close(token);
     }
 
     /// Closes the idle connections to an endpoint.
     pub fn close_idle(&mut self, net: &mut Net, endpoint: &EndpointId) {
-        for token in self.idle_by_endpoint.remove(endpoint).unwrap_or_default() {
-            self.idle_connections.remove(&token);
-            net.close(token);
-        }
+        self.pool.close_idle(net, endpoint);
     }
 
-    /// An endpoint drains, is gone or has moved.
+    /// An endpoint drains, was removed or has moved.
     pub fn handle_endpoint_withdrawn(&mut self, net: &mut Net, endpoint: &EndpointId, now: Time) {
-        self.close_idle(net, endpoint);
+        self.pool.close_idle(net, endpoint);
         self.cancel_unsent(net, endpoint, now);
     }
 
-    /// What has not all been handed to the system yet, since its connection is not up or its endpoint does not read,
-    /// must not arrive at the endpoint any more. It ends as not sent.
+    /// Cancels the calls to an endpoint that have not been handed to the system completely, since their connections are
+    /// not established or the endpoint does not read. They end as not sent.
     pub fn cancel_unsent(&mut self, net: &mut Net, endpoint: &EndpointId, now: Time) {
-        let there = self.calls.iter().filter(|(_, call)| call.endpoint == *endpoint);
-        let tokens: Vec<Token> = there.map(|(token, _)| *token).collect();
+        let calls = self.calls.iter().filter(|(_, call)| call.endpoint == *endpoint);
+        let tokens: Vec<Token> = calls.map(|(token, _)| *token).collect();
         for token in tokens {
             if self.is_unsent(net, token) {
                 self.end_call(net, token, Status::Skipped, now);
@@ -374,287 +242,87 @@
         self.unbatchable.remove(&ntf);
     }
 
-    /// Calls a push off.
-    pub fn cancel(&mut self, net: &mut Net, ntf: NtfId, push: u32, now: Time) {
-        let is = |m: &InFlightPush| m.is_pending && m.ntf == ntf && m.push_number == push;
-        let found = self.calls.iter().find(|(_, call)| call.pushes.iter().any(is)).map(|(token, _)| *token);
-        if let Some(token) = found {
-            self.end_pushes(net, token, Status::Cancelled, now, is);
+    /// Cancels a push.
+    pub fn cancel(&mut self, net: &mut Net, ntf: NtfId, push_number: u32, now: Time) {
+        let is_it =
+            |push: &InFlightPush| push.is_pending && push.ntf == ntf && push.push_number == push_number;
+        if let Some(token) = self.find_call(|call| call.pushes.iter().any(is_it)) {
+            self.end_pushes(net, token, Status::Cancelled, now, is_it);
         }
     }
 
-    /// Closes the connection of any call that a notification was in, though it has its outcome, for a copy is
-    /// about to go out and there may not be two. Whatever else was in that call is called off with it.
+    /// Closes the connection of any call that a notification is in, even if its outcome is known: it is about to be sent
+    /// again, and there must not be two copies. The other pushes of that call are cancelled with it.
     fn cancel_earlier_calls(&mut self, net: &mut Net, ntf: NtfId, now: Time) {
-        let holds = |call: &Call| call.pushes.iter().any(|member| member.ntf == ntf);
-        while let Some(token) = self.calls.iter().find(|(_, call)| holds(call)).map(|(token, _)| *token) {
-            self.end_pushes(net, token, Status::Cancelled, now, |member| member.is_pending);
+        let has_notification = |call: &Call| call.pushes.iter().any(|push| push.ntf == ntf);
+        while let Some(token) = self.find_call(has_notification) {
+            self.end_pushes(net, token, Status::Cancelled, now, |push| push.is_pending);
         }
     }
 
-    /// Ends some of a call's pushes. With the last, its connection is closed. So it is with one that others of its
-    /// key wait for: as long as the call is out it may still run, and they would overtake it.
+    fn find_call(&self, predicate: impl Fn(&Call) -> bool) -> Option<Token> {
+        self.calls.iter().find(|(_, call)| predicate(call)).map(|(token, _)| *token)
+    }
+
+    /// Ends some of a call's pushes. The connection is closed with the last one, and with one that others of its key wait
+    /// for: as long as the call is open it may still run, and they would overtake it.
     fn end_pushes(
         &mut self, net: &mut Net, token: Token, status: Status, now: Time,
-        which: impl Fn(&InFlightPush) -> bool,
+        is_ending: impl Fn(&InFlightPush) -> bool,
     ) {
         let Some(call) = self.calls.get_mut(&token) else { return };
-        // What has not been written never ran, and is left out when the rest is. What waits half sent may still go.
-        let unwritten = call.unwritten.is_some();
+        // What has not been written is left out when the rest is. What is half sent may still arrive.
+        let is_unwritten = call.unwritten.is_some();
         let status = match status {
-            _ if unwritten => Status::NoConnection,
+            _ if is_unwritten => Status::NoConnection,
             _ if call.has_success_status => Status::Delivered,
             status => status,
         };
-        let mut closes = false;
-        for member in call.pushes.iter_mut().filter(|member| which(member)) {
-            (member.is_pending, closes) = (false, closes || member.is_ordered && !unwritten);
-            self.outcomes.push(outcome_without_response(
-                &call.endpoint,
-                Some(member),
-                status,
-                now.since(call.started_at),
-            ));
+        let mut must_close = false;
+        for index in 0..call.pushes.len() {
+            if is_ending(&call.pushes[index]) {
+                call.pushes[index].is_pending = false;
+                must_close |= call.pushes[index].is_ordered && !is_unwritten;
+                self.outcomes.push(call.outcome_without_response(Some(&call.pushes[index]), status, now));
+            }
         }
-        if !closes && call.pushes.iter().any(|member| member.is_pending) {
+        if !must_close && call.has_pending_pushes() {
             net.set_deadline(token, call.next_deadline());
         } else {
             self.end_call(net, token, Status::Cancelled, now);
         }
     }
 
-    /// What happened on a connection to an endpoint.
-    pub fn handle_connection_event(
-        &mut self, net: &mut Net, token: Token, what: ConnectionEvent, settings: &Settings, now: Time,
-    ) {
-        let Some(call) = self.calls.get(&token) else {
-            if let Some(endpoint) = self
-                .late_response_connections
-                .get(&token)
-                .filter(|_| what != ConnectionEvent::DeadlineReached)
-            {
-                match net.input(token).map(|input| http::parse_final_head(input)) {
-                    Some(Ok(Some(head))) => {
-                        let wait = endpoint_response::retry_after(&head.headers);
-                        self.late_retry_afters.extend(wait.map(|wait| (endpoint.clone(), wait)));
-                    }
-                    Some(Ok(None)) if what != ConnectionEvent::PeerClosed => return,
-                    _ => {}
-                }
-            }
-            // Idle: its time is up, its endpoint closed it, or it sends what nobody asked for.
-            return self.close_connection(net, token);
-        };
-        // Guards against an answer read in the turn in which time is up: it may have come after, when it speaks of
-        // what is over.
-        if what != ConnectionEvent::DeadlineReached
-            && call.pushes.iter().any(|member| member.is_pending && member.deadline <= now)
-        {
-            self.handle_connection_event(net, token, ConnectionEvent::DeadlineReached, settings, now);
-            if !self.calls.contains_key(&token) {
-                return;
-            }
-        }
-        let never = self.is_unsent(net, token);
-        let Some(call) = self.calls.get_mut(&token) else { return };
-        match what {
-            ConnectionEvent::Accepted => {}
-            ConnectionEvent::Connected => self.writable_calls.push(token),
-            ConnectionEvent::Readable | ConnectionEvent::PeerClosed => {
-                let ended = what == ConnectionEvent::PeerClosed;
-                let Some(input) = net.input(token) else { return };
-                let read = http::parse_response(input, ended);
-                // Guards against an answer whose rest is late, spoilt or never comes: its wait binds from its head on.
-                if !matches!(read, Ok(Some(_)))
-                    && !call.is_retry_after_reported
-                    && let Ok(Some(head)) = http::parse_final_head(input)
-                {
-                    call.is_retry_after_reported = true;
-                    let wait = endpoint_response::retry_after(&head.headers);
-                    self.late_retry_afters.extend(wait.map(|wait| (call.endpoint.clone(), wait)));
-                }
-                match read {
-                    Ok(Some((response, length))) => {
-                        let clean = response.is_keep_alive && length == input.len() && !ended;
-                        input.clear();
-                        self.handle_response(net, token, &response, (clean, never), settings, now);
-                    }
-                    // Nothing is to be written behind what speaks of something else.
-                    Ok(None) if !ended && call.unwritten.is_some() => {
-                        self.end_call(net, token, Status::NoConnection, now);
-                    }
-                    Ok(None) if !ended => {
-                        if http::has_final_response_begun(input) {
-                            call.has_success_status =
-                                !never && !call.is_batch && http::final_status(input) == Some(200);
-                            call.complete_by = call.complete_by.min(now + RESPONSE_COMPLETION_TIMEOUT);
-                            net.set_deadline(token, call.next_deadline());
-                        }
-                    }
-                    broken => {
-                        // A single push is delivered with the first line of its answer.
-                        let delivered = !call.is_batch && http::final_status(input) == Some(200);
-                        let status = match broken {
-                            _ if never => Status::NoConnection,
-                            _ if delivered => Status::Delivered,
-                            Err(_) => Status::Error,
-                            _ => Status::Reset,
-                        };
-                        self.end_call(net, token, status, now);
-                    }
-                }
-            }
-            ConnectionEvent::DeadlineReached => {
-                if never && call.connect_by <= now {
-                    return self.end_call(net, token, Status::NoConnection, now);
-                }
-                let status = match (call.has_success_status, never) {
-                    (_, true) => Status::NoConnection,
-                    (true, _) => Status::Delivered,
-                    _ if call.complete_by <= now => Status::Error,
-                    _ => Status::TimedOut,
-                };
-                if call.pushes.is_empty() || call.complete_by <= now {
-                    return self.end_call(net, token, status, now);
-                }
-                // Once it is up only the pushes' own time-outs count.
-                call.connect_by = if never { call.connect_by } else { Time::NEVER };
-                let over = |member: &InFlightPush| member.deadline <= now || never && member.send_by <= now;
-                self.end_pushes(net, token, status, now, |member| member.is_pending && over(member));
-            }
-        }
-    }
-
-    fn handle_response(
-        &mut self, net: &mut Net, token: Token, response: &http::Response, (clean, never): (bool, bool),
-        settings: &Settings, now: Time,
-    ) {
-        let Some(call) = self.calls.remove(&token) else { return };
-        let (wait, limit) = (
-            endpoint_response::retry_after(&response.headers),
-            endpoint_response::limit_report(response, settings),
-        );
-        let (endpoint, spent) = (&call.endpoint, now.since(call.started_at));
-        if call.pushes.is_empty() {
-            let fate = endpoint_response::push_results(response, &[""], false)[0];
-            let endpoint = endpoint.clone();
-            self.outcomes.push(CallOutcome {
-                ntf: None,
-                push_number: 0,
-                endpoint,
-                result: fate,
-                elapsed: spent,
-                retry_after: wait,
-                limit,
-            });
-        }
-        let ids: Vec<&str> = call.pushes.iter().map(|member| member.id.as_str()).collect();
-        let mut fates = endpoint_response::push_results(response, &ids, call.is_batch);
-        // Guards against an answer that comes before its call has gone out: but for one that turns the connection
-        // away it speaks of something else, and none of the call ran.
-        if never {
-            let of = |fate: &PushResult| matches!(fate.status, Status::Busy | Status::Crowded);
-            let none = PushResult::from_status(Status::NoConnection);
-            fates.iter_mut().filter(|fate| !of(fate)).for_each(|fate| *fate = none);
-        }
-        // Guards against one that spoils the call for all that go with it, again and again.
-        if !never && call.is_batch && endpoint_response::is_rejected_as_malformed(response) {
-            self.unbatchable.extend(call.pushes.iter().map(|member| member.ntf));
-        }
-        for (member, fate) in call.pushes.iter().zip(fates).filter(|(member, _)| member.is_pending) {
-            let (ntf, endpoint) = (Some(member.ntf), endpoint.clone());
-            self.outcomes.push(CallOutcome {
-                ntf,
-                push_number: member.push_number,
-                endpoint,
-                result: fate,
-                elapsed: spent,
-                retry_after: wait,
-                limit,
-            });
-        }
-        if clean && !never {
-            let idle = Some(self.connection_settings.idle).filter(|span| *span > Span::ZERO);
-            net.set_deadline(
-                token,
-                idle.map_or(Time::NEVER, |span| now + span.mul_f64(IDLE_TIMEOUT_FRACTION)),
-            );
-            self.idle_by_endpoint.entry(call.endpoint.clone()).or_default().push(token);
-            self.idle_connections.insert(token, call.endpoint);
-        } else {
-            net.close(token);
-        }
-    }
-
-    /// Whether the last byte of a call has not been handed to the system: then it never ran.
+    /// Whether the last byte of a call has not been handed to the system: then it was not run.
     fn is_unsent(&self, net: &mut Net, token: Token) -> bool {
-        let unwritten = self.calls.get(&token).is_some_and(|call| call.unwritten.is_some());
-        unwritten || !net.is_connected(token) || net.unsent_bytes(token) > 0
+        let is_unwritten = self.calls.get(&token).is_some_and(|call| call.unwritten.is_some());
+        is_unwritten || !net.is_connected(token) || net.unsent_bytes(token) > 0
     }
 
-    /// The call is over without an answer: whatever of it is still out ends so, and its connection is closed.
+    /// Ends a call without a response, with this status for all pushes that are pending, and closes its connection, at
+    /// once or after the time for a late response.
     fn end_call(&mut self, net: &mut Net, token: Token, status: Status, now: Time) {
-        let waited_for = matches!(status, Status::TimedOut | Status::Cancelled);
-        let heard = waited_for && !self.is_unsent(net, token) && !net.is_peer_closed(token);
-        if let Some(call) = self.calls.get(&token).filter(|_| heard) {
-            net.shutdown_write(token);
-            net.set_deadline(token, now + LATE_RESPONSE_TIMEOUT);
-            self.late_response_connections.insert(token, call.endpoint.clone());
-        } else {
-            net.close(token);
+        let is_given_up = matches!(status, Status::TimedOut | Status::Cancelled);
+        let may_respond = is_given_up && !self.is_unsent(net, token) && !net.is_peer_closed(token);
+        let call = self.calls.remove(&token);
+        match call.as_ref().filter(|_| may_respond) {
+            Some(call) => {
+                net.shutdown_write(token);
+                net.set_deadline(token, now + LATE_RESPONSE_TIMEOUT);
+                self.pool.add_awaiting_late_response(call.endpoint.clone(), token);
+            }
+            None => net.close(token),
         }
-        if let Some(call) = self.calls.remove(&token) {
-            self.report_failure(call, status, now);
+        if let Some(call) = call {
+            self.report_failure(&call, status, now);
         }
     }
 
-    fn report_failure(&mut self, call: Call, status: Status, now: Time) {
-        let ended =
-            |member| outcome_without_response(&call.endpoint, member, status, now.since(call.started_at));
-        if call.pushes.is_empty() {
-            self.outcomes.push(ended(None));
+    fn report_failure(&mut self, call: &Call, status: Status, now: Time) {
+        if call.is_probe() {
+            self.outcomes.push(call.outcome_without_response(None, status, now));
         }
-        let members = call.pushes.iter().filter(|member| member.is_pending);
-        self.outcomes.extend(members.map(|member| ended(Some(member))));
+        let pending = call.pushes.iter().filter(|push| push.is_pending);
+        self.outcomes.extend(pending.map(|push| call.outcome_without_response(Some(push), status, now)));
     }
 }
-
-impl Call {
-    /// When the next of its pushes times out, or its connection should be up.
-    fn next_deadline(&self) -> Time {
-        let unwritten = self.unwritten.is_some();
-        let last = |member: &InFlightPush| {
-            if unwritten { member.deadline.min(member.send_by) } else { member.deadline }
-        };
-        let deadlines = self.pushes.iter().filter(|member| member.is_pending).map(last);
-        deadlines.min().unwrap_or(Time::NEVER).min(self.connect_by).min(self.complete_by)
-    }
-}
-
-/// As a header states it.
-fn format_millis(span: Span) -> String {
-    (span.as_nanos() / 1_000_000).max(1).to_string()
-}
-
-/// A push, or without one a probe, that ended with no answer.
-fn outcome_without_response(
-    endpoint: &EndpointId, member: Option<&InFlightPush>, status: Status, spent: Span,
-) -> CallOutcome {
-    let (ntf, push) = (member.map(|member| member.ntf), member.map_or(0, |member| member.push_number));
-    let (endpoint, fate) = (endpoint.clone(), PushResult::from_status(status));
-    CallOutcome {
-        ntf,
-        push_number: push,
-        endpoint,
-        result: fate,
-        elapsed: spent,
-        retry_after: None,
-        limit: None,
-    }
-}
-
-/// The most a notification takes in the body of a call of several.
-fn max_encoded_item_bytes(push: &PushRequest<'_>) -> usize {
-    let text = 2 * (push.id.len() + push.idempotency_key.map_or(0, str::len));
-    push.body.len().div_ceil(3) * 4 + text + 32
-}
--- /dev/null
+++ b/crates/relay/src/upstream/call.rs
@@ -0,0 +1,194 @@
+//! A call to an endpoint: one push, a batch of pushes, or a probe.
+
+use std::sync::Arc;
+
+use base64::Engine;
+use base64::engine::general_purpose::STANDARD;
+use juniperwing::interface::{EndpointId, LimitReport, NtfId, Status};
+use juniperwing::time::{Span, Time};
+use serde::Serialize;
+
+use crate::endpoint_response::PushResult;
+use crate::http;
+
+/// The JSON around the values of a batch item, in bytes.
+const MAX_ITEM_FRAME_BYTES: usize = 32;
+
+/// A notification to be pushed.
+pub struct PushRequest<'a> {
+    pub ntf: NtfId,
+    pub id: &'a str,
+    pub idempotency_key: Option<&'a str>,
+    pub body: &'a [u8],
+    /// Which of its pushes this is, from 0.
+    pub push_number: u32,
+    /// Whether others with its key wait for it.
+    pub is_ordered: bool,
+    pub timeout: Span,
+    /// After that it must not go out to the endpoint any more.
+    pub send_within: Span,
+}
+
+impl PushRequest<'_> {
+    /// The most that it takes in the body of a batch, in bytes.
+    pub(super) fn max_encoded_item_bytes(&self) -> usize {
+        let escaped_text_bytes = 2 * (self.id.len() + self.idempotency_key.map_or(0, str::len));
+        self.body.len().div_ceil(3) * 4 + escaped_text_bytes + MAX_ITEM_FRAME_BYTES
+    }
+
+    fn encode_item(&self) -> Vec<u8> {
+        let item = BatchItem { id: self.id, key: self.idempotency_key, body: STANDARD.encode(self.body) };
+        serde_json::to_vec(&item).expect("an item is plain data")
+    }
+
+    /// The message of a call for this notification alone.
+    pub(super) fn encode_message(&self, host: &str) -> Vec<u8> {
+        let timeout_ms = format_millis(self.timeout);
+        let mut headers =
+            vec![("Host", host), ("Request-Timeout-Ms", timeout_ms.as_str()), ("Request-Id", self.id)];
+        headers.extend(self.idempotency_key.map(|key| ("Idempotency-Key", key)));
+        http::encode_message("POST /hook HTTP/1.1", &headers, self.body)
+    }
+}
+
+/// A notification in the body of a batch.
+#[derive(Serialize)]
+struct BatchItem<'a> {
+    id: &'a str,
+    #[serde(skip_serializing_if = "Option::is_none")]
+    key: Option<&'a str>,
+    body: String,
+}
+
+/// A push in a call that has not ended.
+pub(super) struct InFlightPush {
+    pub(super) ntf: NtfId,
+    pub(super) id: String,
+    pub(super) push_number: u32,
+    pub(super) is_ordered: bool,
+    pub(super) deadline: Time,
+    pub(super) send_by: Time,
+    /// Its item of a batch, until that is written.
+    encoded_item: Vec<u8>,
+    /// Whether its outcome is still to come.
+    pub(super) is_pending: bool,
+}
+
+impl InFlightPush {
+    pub(super) fn new(request: &PushRequest<'_>, is_batch: bool, now: Time) -> InFlightPush {
+        InFlightPush {
+            ntf: request.ntf,
+            id: request.id.to_owned(),
+            push_number: request.push_number,
+            is_ordered: request.is_ordered,
+            deadline: now + request.timeout,
+            send_by: now + request.send_within,
+            encoded_item: if is_batch { request.encode_item() } else { Vec::new() },
+            is_pending: true,
+        }
+    }
+
+    /// Whether it would come too late if it were sent now.
+    pub(super) fn is_late_to_send(&self, now: Time) -> bool {
+        self.is_pending && self.send_by <= now
+    }
+
+    /// Whether its time is up.
+    pub(super) fn is_overdue(&self, now: Time) -> bool {
+        self.is_pending && self.deadline <= now
+    }
+}
+
+/// What goes out once the connection is established.
+pub(super) enum UnwrittenRequest {
+    /// The message of a single push or of a probe.
+    Encoded(Vec<u8>),
+    /// A batch to this host, of the pushes that are still pending then.
+    BatchTo(String),
+}
+
+pub(super) struct Call {
+    pub(super) endpoint: EndpointId,
+    pub(super) zone: Arc<str>,
+    pub(super) started_at: Time,
+    /// When the connection has to be established.
+    pub(super) connect_by: Time,
+    /// When a response that has begun has to be complete.
+    pub(super) complete_by: Time,
+    /// Whether a single push read status 200 in the first line of its response before its time was up.
+    pub(super) has_success_status: bool,
+    /// Whether the retry-after in the head of an incomplete response has been reported.
+    pub(super) is_retry_after_reported: bool,
+    pub(super) is_batch: bool,
+    /// `None` once it has been written.
+    pub(super) unwritten: Option<UnwrittenRequest>,
+    /// Empty for a probe.
+    pub(super) pushes: Vec<InFlightPush>,
+}
+
+impl Call {
+    /// When the next of its pushes times out, or its connection or response has to be complete.
+    pub(super) fn next_deadline(&self) -> Time {
+        let is_unwritten = self.unwritten.is_some();
+        let deadline = |push: &InFlightPush| {
+            if is_unwritten { push.deadline.min(push.send_by) } else { push.deadline }
+        };
+        let pending = self.pushes.iter().filter(|push| push.is_pending);
+        let earliest = pending.map(deadline).min().unwrap_or(Time::NEVER);
+        earliest.min(self.connect_by).min(self.complete_by)
+    }
+
+    pub(super) fn is_probe(&self) -> bool {
+        self.pushes.is_empty()
+    }
+
+    pub(super) fn has_pending_pushes(&self) -> bool {
+        self.pushes.iter().any(|push| push.is_pending)
+    }
+
+    /// The message of a batch of the pushes that are still pending; the others are dropped from the call.
+    pub(super) fn encode_batch(&mut self, host: &str, now: Time) -> Vec<u8> {
+        self.pushes.retain(|push| push.is_pending);
+        let times_left = self.pushes.iter().map(|push| push.deadline.since(now));
+        let timeout_ms = format_millis(times_left.max().unwrap_or_default());
+        let items = self.pushes.iter_mut().map(|push| std::mem::take(&mut push.encoded_item));
+        let body = [b"[", items.collect::<Vec<_>>().join(&b',').as_slice(), b"]"].concat();
+        let headers =
+            [("Host", host), ("Request-Timeout-Ms", &timeout_ms), ("Content-Type", "application/json")];
+        http::encode_message("POST /hook/batch HTTP/1.1", &headers, &body)
+    }
+
+    /// The outcome of one of its pushes, or of the probe, that ended without a response.
+    pub(super) fn outcome_without_response(
+        &self, push: Option<&InFlightPush>, status: Status, now: Time,
+    ) -> CallOutcome {
+        CallOutcome {
+            ntf: push.map(|push| push.ntf),
+            push_number: push.map_or(0, |push| push.push_number),
+            endpoint: self.endpoint.clone(),
+            result: PushResult::from_status(status),
+            elapsed: now.since(self.started_at),
+            retry_after: None,
+            limit: None,
+        }
+    }
+}
+
+/// How a push ended; without a notification, how a probe did.
+#[derive(Debug)]
+pub struct CallOutcome {
+    pub ntf: Option<NtfId>,
+    /// Which of its notification's pushes it is, from 0.
+    pub push_number: u32,
+    pub endpoint: EndpointId,
+    pub result: PushResult,
+    /// How long ago the call started.
+    pub elapsed: Span,
+    pub retry_after: Option<Span>,
+    pub limit: Option<LimitReport>,
+}
+
+/// A span as a header states it: whole milliseconds, at least one.
+fn format_millis(span: Span) -> String {
+    (span.as_nanos() / 1_000_000).max(1).to_string()
+}
--- /dev/null
+++ b/crates/relay/src/upstream/events.rs
@@ -0,0 +1,208 @@
+//! What happens on connections to endpoints: responses, their absence, and closed connections.
+
+use juniperwing::interface::Status;
+use juniperwing::time::{Span, Time};
+use juniperwing_settings::Settings;
+
+use super::call::{Call, CallOutcome, InFlightPush};
+use super::{RetryAfter, Upstream};
+use crate::endpoint_response::{self, PushResult};
+use crate::event_loop::{ConnectionEvent, Net, Token};
+use crate::http::{self, ParseError, Response};
+
+/// Idle connections are closed after this fraction of the time after which their endpoint closes them, so that no push
+/// crosses the closing.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.9;
+/// A response has to be complete so long after its first byte.
+const RESPONSE_COMPLETION_TIMEOUT: Span = Span::from_millis(500);
+
+/// A complete response, and what it means for its connection.
+struct ReceivedResponse {
+    response: Response,
+    /// The call had not gone out completely when it came.
+    is_call_unsent: bool,
+    /// The connection can be used for another call.
+    is_connection_reusable: bool,
+}
+
+impl Upstream {
+    /// Handles an event on a connection to an endpoint.
+    pub fn handle_connection_event(
+        &mut self, net: &mut Net, token: Token, event: ConnectionEvent, settings: &Settings, now: Time,
+    ) {
+        let Some(call) = self.calls.get(&token) else {
+            return self.handle_event_without_call(net, token, event);
+        };
+        // A response that is read in the turn in which a push's time is up may have come after that, when it is about
+        // a call that has ended.
+        if event != ConnectionEvent::DeadlineReached && call.pushes.iter().any(|push| push.is_overdue(now)) {
+            self.handle_deadline(net, token, now);
+            if !self.calls.contains_key(&token) {
+                return;
+            }
+        }
+        match event {
+            ConnectionEvent::Accepted => {}
+            ConnectionEvent::Connected => self.writable_calls.push(token),
+            ConnectionEvent::Readable => self.read_response(net, token, false, settings, now),
+            ConnectionEvent::PeerClosed => self.read_response(net, token, true, settings, now),
+            ConnectionEvent::DeadlineReached => self.handle_deadline(net, token, now),
+        }
+    }
+
+    fn handle_event_without_call(&mut self, net: &mut Net, token: Token, event: ConnectionEvent) {
+        let endpoint = self.pool.late_response_endpoint(token);
+        if let Some(endpoint) = endpoint.filter(|_| event != ConnectionEvent::DeadlineReached) {
+            match net.input(token).map(|input| http::parse_final_head(input)) {
+                Some(Ok(Some(head))) => {
+                    let delay = endpoint_response::retry_after(&head.headers);
+                    let retry_after = delay.map(|delay| RetryAfter { endpoint: endpoint.clone(), delay });
+                    self.retry_afters.extend(retry_after);
+                }
+                Some(Ok(None)) if event != ConnectionEvent::PeerClosed => return,
+                _ => {}
+            }
+        }
+        // Otherwise it is idle: its deadline has come, its endpoint closed it, or it sends what nobody asked for.
+        self.pool.close(net, token);
+    }
+
+    fn read_response(
+        &mut self, net: &mut Net, token: Token, is_closed: bool, settings: &Settings, now: Time,
+    ) {
+        let is_call_unsent = self.is_unsent(net, token);
+        let Some(call) = self.calls.get_mut(&token) else { return };
+        let Some(input) = net.input(token) else { return };
+        let parsed = http::parse_response(input, is_closed);
+        // The rest of a response may be late or invalid, or never come: its retry-after holds as soon as its head is
+        // there.
+        if !matches!(parsed, Ok(Some(_))) {
+            self.retry_afters.extend(early_retry_after(call, input));
+        }
+        match parsed {
+            Ok(Some((response, length))) => {
+                let is_clean = response.is_keep_alive && length == input.len() && !is_closed;
+                let is_connection_reusable = is_clean && !is_call_unsent;
+                input.clear();
+                let received = ReceivedResponse { response, is_call_unsent, is_connection_reusable };
+                self.handle_response(net, token, &received, settings, now);
+            }
+            // It is a response to something else, and the call must not be written behind it.
+            Ok(None) if !is_closed && call.unwritten.is_some() => {
+                self.end_call(net, token, Status::NoConnection, now);
+            }
+            Ok(None) if !is_closed => {
+                if http::has_final_response_begun(input) {
+                    call.has_success_status = !is_call_unsent && is_success_of_single_push(call, input);
+                    call.complete_by = call.complete_by.min(now + RESPONSE_COMPLETION_TIMEOUT);
+                    net.set_deadline(token, call.next_deadline());
+                }
+            }
+            failed => {
+                let status = status_of_failed_response(call, input, failed.err(), is_call_unsent);
+                self.end_call(net, token, status, now);
+            }
+        }
+    }
+
+    fn handle_deadline(&mut self, net: &mut Net, token: Token, now: Time) {
+        let is_unsent = self.is_unsent(net, token);
+        let Some(call) = self.calls.get_mut(&token) else { return };
+        if is_unsent && call.connect_by <= now {
+            return self.end_call(net, token, Status::NoConnection, now);
+        }
+        let status = match (call.has_success_status, is_unsent) {
+            (_, true) => Status::NoConnection,
+            (true, _) => Status::Delivered,
+            _ if call.complete_by <= now => Status::Error,
+            _ => Status::TimedOut,
+        };
+        if call.is_probe() || call.complete_by <= now {
+            return self.end_call(net, token, status, now);
+        }
+        if !is_unsent {
+            // Only the time-outs of the pushes count from now on.
+            call.connect_by = Time::NEVER;
+        }
+        let has_ended = |push: &InFlightPush| push.is_overdue(now) || is_unsent && push.is_late_to_send(now);
+        self.end_pushes(net, token, status, now, has_ended);
+    }
+
+    fn handle_response(
+        &mut self, net: &mut Net, token: Token, received: &ReceivedResponse, settings: &Settings, now: Time,
+    ) {
+        let Some(call) = self.calls.remove(&token) else { return };
+        let response = &received.response;
+        let retry_after = endpoint_response::retry_after(&response.headers);
+        let limit = endpoint_response::limit_report(response, settings);
+        let outcome = |push: Option<&InFlightPush>, result: PushResult| CallOutcome {
+            result,
+            retry_after,
+            limit,
+            ..call.outcome_without_response(push, result.status, now)
+        };
+        if call.is_probe() {
+            let result = endpoint_response::push_results(response, &[""], false)[0];
+            self.outcomes.push(outcome(None, result));
+        }
+        let results = results_of_call(&call, received);
+        // Such a notification would spoil every batch that it goes in.
+        if !received.is_call_unsent && call.is_batch && endpoint_response::is_rejected_as_malformed(response)
+        {
+            self.unbatchable.extend(call.pushes.iter().map(|push| push.ntf));
+        }
+        let pending = call.pushes.iter().zip(results).filter(|(push, _)| push.is_pending);
+        self.outcomes.extend(pending.map(|(push, result)| outcome(Some(push), result)));
+        if received.is_connection_reusable {
+            let idle_timeout = Some(self.settings.idle).filter(|span| *span > Span::ZERO);
+            let close_after = idle_timeout.map(|span| span.mul_f64(IDLE_TIMEOUT_FRACTION));
+            net.set_deadline(token, close_after.map_or(Time::NEVER, |span| now + span));
+            self.pool.add_idle(call.endpoint, token);
+        } else {
+            net.close(token);
+        }
+    }
+}
+
+/// The retry-after in the head of a response that is not complete, once for each call.
+fn early_retry_after(call: &mut Call, input: &[u8]) -> Option<RetryAfter> {
+    if call.is_retry_after_reported {
+        return None;
+    }
+    let Ok(Some(head)) = http::parse_final_head(input) else { return None };
+    call.is_retry_after_reported = true;
+    let delay = endpoint_response::retry_after(&head.headers)?;
+    Some(RetryAfter { endpoint: call.endpoint.clone(), delay })
+}
+
+/// Whether a single push was delivered, which it is with the first line of its response.
+fn is_success_of_single_push(call: &Call, input: &[u8]) -> bool {
+    !call.is_batch && http::final_status(input) == Some(200)
+}
+
+fn status_of_failed_response(
+    call: &Call, input: &[u8], error: Option<ParseError>, is_call_unsent: bool,
+) -> Status {
+    if is_call_unsent {
+        Status::NoConnection
+    } else if is_success_of_single_push(call, input) {
+        Status::Delivered
+    } else if error.is_some() {
+        Status::Error
+    } else {
+        Status::Reset
+    }
+}
+
+fn results_of_call(call: &Call, received: &ReceivedResponse) -> Vec<PushResult> {
+    let ids: Vec<&str> = call.pushes.iter().map(|push| push.id.as_str()).collect();
+    let mut results = endpoint_response::push_results(&received.response, &ids, call.is_batch);
+    // A response that comes before its call has gone out does not answer it, unless it rejects the connection: none of
+    // the call was run.
+    if received.is_call_unsent {
+        let is_rejection = |result: &PushResult| matches!(result.status, Status::Busy | Status::Crowded);
+        let not_sent = PushResult::from_status(Status::NoConnection);
+        results.iter_mut().filter(|result| !is_rejection(result)).for_each(|result| *result = not_sent);
+    }
+    results
+}
