--- a/crates/node/tests/relay/support.rs
+++ b/crates/node/tests/relay/support.rs
@@ -17,9 +17,9 @@
 use juniperwing_node::relay::sessions::{SessionCall, Sessions, TurnError};
 use juniperwing_node::relay::snapshot::ClusterView;
 use juniperwing_node::relay::{Relay, RelayState};
-use juniperwing_node::sessions_client::StoreFault;
+use juniperwing_node::sessions_client::StoreFailureReason;
 use juniperwing_node::settings::Settings;
-use juniperwing_node::subscriber::Sink;
+use juniperwing_node::subscriber::UpdateSink;
 use juniperwing_protocol::identity::{EpochNumber, InstanceId, RequestId, ServiceName};
 use juniperwing_protocol::registry::{Instance, InstanceState};
 use juniperwing_protocol::replication::Version;
@@ -85,7 +85,11 @@
             if let Some(hold) = hold {
                 hold.notified().await;
             }
-            if fails { Err(TurnError::Unavailable { trouble: StoreFault::NoAnswer.into() }) } else { Ok(()) }
+            if fails {
+                Err(TurnError::Unavailable { trouble: StoreFailureReason::TimedOut.into() })
+            } else {
+                Ok(())
+            }
         })
     }
 
--- a/crates/relay/src/admission.rs
+++ b/crates/relay/src/admission.rs
@@ -41,7 +41,7 @@
         if let Some(response) = self.responses.get(&self.hasher.hash_one(&attributes.id)) {
             return Err(*response);
         }
-        let topic = settings.topic(&attributes.topic).ok_or(SubmissionResponse::Malformed)?;
+        let topic = settings.topic_type(&attributes.topic).ok_or(SubmissionResponse::Malformed)?;
         // Notifications that can never be delivered would use up the capacity.
         if !discovery.is_known_destination(DestinationId(attributes.destination)) {
             return Err(if discovery.is_current() {
@@ -50,7 +50,7 @@
                 SubmissionResponse::Unavailable
             });
         }
-        let max_live = settings.terms.allowance.held;
+        let max_live = settings.relay_config.limits.max_pending;
         let is_full = max_live > 0 && journal.live_count() >= max_live;
         if is_full || !journal.has_capacity_for(submission.body.len()) {
             return Err(SubmissionResponse::Unavailable);
--- a/crates/relay/src/command_line.rs
+++ b/crates/relay/src/command_line.rs
@@ -91,7 +91,7 @@
 /// Runs a command of the serving tier, if the first word is one.
 fn run_tier_command(words: &[String]) -> Option<ExitCode> {
     let (command, arguments) = words.split_first()?;
-    if let Some(role) = Role::of(command) {
+    if let Some(role) = Role::from_name(command) {
         return Some(juniperwing_node::command::run(role, arguments));
     }
     match command.as_str() {
--- a/crates/relay/src/config.rs
+++ b/crates/relay/src/config.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use juniperwing_settings::{Settings, Written};
+use juniperwing_settings::{RawSettings, Settings};
 use serde::Deserialize;
 use serde_json::Value;
 use snafu::{OptionExt, ResultExt, Snafu, ensure};
@@ -60,7 +60,7 @@
     limits: Limits,
     #[serde(default)]
     known: EndpointList,
-    settings: Written,
+    settings: RawSettings,
 }
 
 /// What the process may use of its machine.
@@ -154,7 +154,7 @@
         file.settings.check().map_err(|error| ConfigError::InvalidSettings { reason: error.to_string() })?;
         let mut settings = Settings::from(&file.settings);
         // The list arrives by a watch alone, which the core has to open, whether or not the list counts as pushed.
-        settings.terms.fleet.list_on_request = true;
+        settings.relay_config.fleet.is_list_on_request = true;
         Ok(Config {
             path,
             static_config: StaticConfig {
--- a/crates/relay/src/core_driver.rs
+++ b/crates/relay/src/core_driver.rs
@@ -16,7 +16,7 @@
 
 impl CoreDriver {
     pub fn new(now: Time, seed: u64, settings: &Settings) -> CoreDriver {
-        let core = Relay::new(now, seed, settings.terms.clone());
+        let core = Relay::new(now, seed, settings.relay_config.clone());
         CoreDriver { core, events: Vec::new(), wake_at: now }
     }
 
@@ -34,14 +34,14 @@
     pub fn decide(&mut self, now: Time) -> Vec<Command> {
         if self.wake_at <= now {
             self.wake_at = Time::NEVER;
-            self.events.push(Event::Woken);
+            self.events.push(Event::WakeUp);
         }
         if self.events.is_empty() {
             return Vec::new();
         }
         let commands = self.core.handle(now, std::mem::take(&mut self.events));
         for command in &commands {
-            if let Command::Wake(after) = command {
+            if let Command::WakeAfter(after) = command {
                 self.wake_at = self.wake_at.min(now + *after);
             }
         }
--- a/crates/relay/src/discovery.rs
+++ b/crates/relay/src/discovery.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use juniperwing::interface::{DestinationId, EndpointId, News, Readiness};
+use juniperwing::interface::{DestinationId, EndpointId, EndpointListUpdate, Readiness};
 use juniperwing::time::{Span, Time};
 use juniperwing_settings::Settings;
 
@@ -25,7 +25,7 @@
 /// What a list changed.
 pub struct ListChange {
     /// The change as it is reported to the core.
-    pub update: News,
+    pub update: EndpointListUpdate,
     /// Endpoints whose connections are of no use any more.
     pub withdrawn: Vec<EndpointId>,
     /// Endpoints whose addresses cannot be parsed.
@@ -96,14 +96,18 @@
             |(id, old): &(&EndpointId, &KnownEndpoint)| old.is_withdrawn(self.endpoints.get(*id));
         let withdrawn = before.iter().filter(is_withdrawn).map(|(id, _)| id.clone()).collect();
         self.update_destinations(&before, settings, now);
-        let update = if list.is_complete { News::Whole(entries) } else { News::Changes(entries) };
+        let update = if list.is_complete {
+            EndpointListUpdate::Snapshot(entries)
+        } else {
+            EndpointListUpdate::Changes(entries)
+        };
         ListChange { update, withdrawn, without_address }
     }
 
     fn update_destinations(
         &mut self, before: &BTreeMap<EndpointId, KnownEndpoint>, settings: &Settings, now: Time,
     ) {
-        let forget_at = now + settings.longest_ttl();
+        let forget_at = now + settings.max_ttl();
         let destination = |known: &KnownEndpoint| known.entry.destination;
         self.destinations.extend(before.values().map(|known| (destination(known), forget_at)));
         self.destinations.extend(self.endpoints.values().map(|known| (destination(known), Time::NEVER)));
@@ -116,12 +120,16 @@
     }
 
     /// Looks the kinds of all endpoints up in other settings. Returns the list for the core.
-    pub fn apply_settings(&mut self, settings: &Settings) -> News {
+    pub fn apply_settings(&mut self, settings: &Settings) -> EndpointListUpdate {
         for known in self.endpoints.values_mut() {
             known.entry.kind = settings.kind(&known.entry.kind.name);
         }
         let entries = self.endpoints.values().map(|known| known.entry.clone()).collect();
-        if self.has_received_message { News::Changes(entries) } else { News::Held(entries) }
+        if self.has_received_message {
+            EndpointListUpdate::Changes(entries)
+        } else {
+            EndpointListUpdate::CachedSnapshot(entries)
+        }
     }
 
     /// Opens a watch, in place of one that is open.
--- a/crates/relay/src/discovery/list.rs
+++ b/crates/relay/src/discovery/list.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use juniperwing::interface::{DestinationId, EndpointId, Entry, Readiness};
+use juniperwing::interface::{DestinationId, EndpointEntry, EndpointId, Readiness};
 use juniperwing_settings::Settings;
 use serde::Deserialize;
 
@@ -20,14 +20,14 @@
     /// Whether endpoints that are missing here are not on the list any more.
     #[serde(default, rename = "whole")]
     pub(super) is_complete: bool,
-    pub(super) hosts: Option<Vec<EndpointEntry>>,
+    pub(super) hosts: Option<Vec<ListedHost>>,
 }
 
 /// An endpoint as discovery describes it.
 #[derive(Clone, Debug, Deserialize)]
 // The name that serde prints in an error.
 #[serde(rename = "Host")]
-pub(super) struct EndpointEntry {
+pub(super) struct ListedHost {
     #[serde(rename = "host")]
     id: String,
     /// An IP address with a port.
@@ -42,9 +42,9 @@
     destination: u64,
     #[serde(default)]
     health: String,
-    /// The rate that it accepts, in calls a second.
+    /// The rate that it accepts.
     #[serde(default, rename = "share")]
-    rate: f64,
+    rate_per_second: f64,
 }
 
 /// An endpoint that can be called.
@@ -52,7 +52,7 @@
 pub struct KnownEndpoint {
     pub address: SocketAddr,
     /// As it was reported to the core.
-    pub(super) entry: Entry,
+    pub(super) entry: EndpointEntry,
 }
 
 impl KnownEndpoint {
@@ -62,7 +62,7 @@
 
     /// The most notifications in one call.
     pub fn max_notifications_per_call(&self) -> usize {
-        self.entry.kind.per_call.max(1)
+        self.entry.kind.max_notifications_per_call.max(1)
     }
 
     /// Whether its connections are of no use any more, now that it is `current`.
@@ -77,11 +77,11 @@
 
 /// An entry of the list with its address parsed.
 pub(super) struct ParsedEntry {
-    pub(super) entry: Entry,
+    pub(super) entry: EndpointEntry,
     pub(super) address: Option<SocketAddr>,
 }
 
-impl EndpointEntry {
+impl ListedHost {
     pub(super) fn is_deleted(&self) -> bool {
         self.health == DELETED
     }
@@ -95,13 +95,13 @@
             _ if address.is_none() => Readiness::Deleted,
             _ => Readiness::Serving,
         };
-        let entry = Entry {
+        let entry = EndpointEntry {
             endpoint: EndpointId(Arc::from(self.id)),
             destination: DestinationId(self.destination),
             kind: settings.kind(&self.kind),
             zone: Arc::from(self.zone),
             readiness,
-            rate: self.rate,
+            rate_per_second: self.rate_per_second,
         };
         ParsedEntry { entry, address }
     }
--- a/crates/relay/src/journal/record.rs
+++ b/crates/relay/src/journal/record.rs
@@ -2,7 +2,7 @@
 //!
 //! The names on disk are those of the first release, kept by `serde(rename)`. All times are Unix time in nanoseconds.
 
-use juniperwing::interface::{Effect, Group, TopicType};
+use juniperwing::interface::{DeduplicationScope, Semantics, TopicType};
 use juniperwing::time::Span;
 use serde::ser::SerializeTuple;
 use serde::{Deserialize, Serialize, Serializer};
@@ -127,15 +127,15 @@
 
 impl From<&TopicType> for Guarantee {
     fn from(topic: &TopicType) -> Guarantee {
-        let effect = match topic.effect {
-            Effect::Repeatable => RecordedEffect::Repeatable,
-            Effect::Collapsible { group, window } => RecordedEffect::Collapsible {
-                is_group_all: group == Group::All,
+        let effect = match topic.semantics {
+            Semantics::Idempotent => RecordedEffect::Repeatable,
+            Semantics::Deduplicated { scope, window } => RecordedEffect::Collapsible {
+                is_group_all: scope == DeduplicationScope::All,
                 window_ns: window.as_nanos(),
             },
-            Effect::OnceOnly => RecordedEffect::OnceOnly,
+            Semantics::NonIdempotent => RecordedEffect::OnceOnly,
         };
-        Guarantee { effect, is_ordered: topic.ordered }
+        Guarantee { effect, is_ordered: topic.is_ordered }
     }
 }
 
@@ -143,14 +143,14 @@
     /// The topic type as it is now, but for what was guaranteed.
     pub fn apply_to(self, topic: &TopicType) -> TopicType {
         let effect = match self.effect {
-            RecordedEffect::Repeatable => Effect::Repeatable,
+            RecordedEffect::Repeatable => Semantics::Idempotent,
             RecordedEffect::Collapsible { is_group_all, window_ns } => {
-                let group = if is_group_all { Group::All } else { Group::Zone };
-                Effect::Collapsible { group, window: Span::from_nanos(window_ns) }
+                let group = if is_group_all { DeduplicationScope::All } else { DeduplicationScope::Zone };
+                Semantics::Deduplicated { scope: group, window: Span::from_nanos(window_ns) }
             }
-            RecordedEffect::OnceOnly => Effect::OnceOnly,
+            RecordedEffect::OnceOnly => Semantics::NonIdempotent,
         };
-        TopicType { effect, ordered: self.is_ordered, ..topic.clone() }
+        TopicType { semantics: effect, is_ordered: self.is_ordered, ..topic.clone() }
     }
 }
 
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -16,7 +16,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use juniperwing::interface::NtfId;
+use juniperwing::interface::NotificationId;
 use juniperwing::time::Time;
 use juniperwing_settings::Settings;
 use slog::{Logger, info, o, warn};
@@ -62,7 +62,7 @@
     notices: NoticeSender,
     journal: Journal,
     /// Notifications submitted in this turn and not answered yet, with the connections that submitted them.
-    unanswered: BTreeMap<NtfId, Vec<Token>>,
+    unanswered: BTreeMap<NotificationId, Vec<Token>>,
     recovered: Recovered,
     /// Set once a stop was requested.
     shutdown: Option<Shutdown>,
--- a/crates/relay/src/server/commands.rs
+++ b/crates/relay/src/server/commands.rs
@@ -1,6 +1,6 @@
 //! Carries out the commands of the core.
 
-use juniperwing::interface::{Command, EndpointId, NtfId};
+use juniperwing::interface::{Command, EndpointId, NotificationId};
 use juniperwing::time::{Span, Time};
 use juniperwing_settings::Settings;
 use slog::{debug, info};
@@ -12,7 +12,7 @@
 
 /// A push that the core decided on.
 struct DecidedPush {
-    ntf: NtfId,
+    ntf: NotificationId,
     /// Which of its notification's pushes it is, from 0; `None` if the notification is not live.
     push_number: Option<u32>,
     timeout: Span,
@@ -49,16 +49,18 @@
     /// Carries out any command but a push.
     fn carry_out(&mut self, command: &Command, now: Time) {
         match command {
-            Command::Push { .. } | Command::Wake(_) => {}
-            Command::Cancel { ntf, push } => self.upstream.cancel(&mut self.net, *ntf, *push, now),
-            Command::Throttle { ntf, retry_in } => {
-                let end = UndeliveredEnd::ReturnedToClient(retry_in.as_nanos() / 1_000_000);
-                self.finish(*ntf, SubmissionResponse::Throttled(*retry_in), end, now);
+            Command::Push { .. } | Command::WakeAfter(_) => {}
+            Command::Cancel { notification, push_index } => {
+                self.upstream.cancel(&mut self.net, *notification, *push_index, now)
+            }
+            Command::Throttle { notification, retry_after } => {
+                let end = UndeliveredEnd::ReturnedToClient(retry_after.as_nanos() / 1_000_000);
+                self.finish(*notification, SubmissionResponse::Throttled(*retry_after), end, now);
             }
             Command::Expire(ntf) => {
                 self.finish(*ntf, SubmissionResponse::Expired, UndeliveredEnd::GivenUp, now);
             }
-            Command::Subscribe => {
+            Command::SubscribeToEndpointList => {
                 if let Err(e) = self.discovery.subscribe(&mut self.net, now) {
                     self.handle_watch_failure(e);
                 }
@@ -66,14 +68,14 @@
             Command::Probe(endpoint) => {
                 self.upstream.probe(&mut self.net, endpoint, self.discovery.endpoint(endpoint), now);
             }
-            Command::CloseIdle(endpoint) => self.upstream.close_idle(&mut self.net, endpoint),
-            Command::Recall(endpoint) => self.upstream.cancel_unsent(&mut self.net, endpoint, now),
+            Command::CloseIdleConnections(endpoint) => self.upstream.close_idle(&mut self.net, endpoint),
+            Command::CancelUnsent(endpoint) => self.upstream.cancel_unsent(&mut self.net, endpoint, now),
             Command::Log(line) => info!(self.log, "{}", line),
         }
     }
 
     /// Ends a notification undelivered: in the response to its submission if that is not answered, else by a notice.
-    fn finish(&mut self, ntf: NtfId, response: SubmissionResponse, end: UndeliveredEnd, now: Time) {
+    fn finish(&mut self, ntf: NotificationId, response: SubmissionResponse, end: UndeliveredEnd, now: Time) {
         match self.unanswered.remove(&ntf) {
             Some(tokens) => {
                 self.respond(tokens, ntf, response);
@@ -98,9 +100,9 @@
 
     /// The push of a command, which is counted.
     fn decided_push(&mut self, command: &Command) -> Option<DecidedPush> {
-        let Command::Push { ntf, time_out, send_within, .. } = command else { return None };
-        let push_number = self.journal.count_push(ntf.0);
-        Some(DecidedPush { ntf: *ntf, push_number, timeout: *time_out, send_within: *send_within })
+        let Command::Push { notification, timeout, send_within, .. } = command else { return None };
+        let push_number = self.journal.count_push(notification.0);
+        Some(DecidedPush { ntf: *notification, push_number, timeout: *timeout, send_within: *send_within })
     }
 }
 
@@ -126,7 +128,7 @@
 /// Whether others with the key of a notification wait for it.
 fn is_ordered(notification: &AcceptedNotification, settings: &Settings) -> bool {
     let attributes = &notification.attributes;
-    let is_topic_ordered = || settings.topic(&attributes.topic).is_some_and(|topic| topic.ordered);
+    let is_topic_ordered = || settings.topic_type(&attributes.topic).is_some_and(|topic| topic.is_ordered);
     attributes.key.is_some()
         && notification.guarantee.map_or_else(is_topic_ordered, |guarantee| guarantee.is_ordered)
 }
--- a/crates/relay/src/server/endpoint_list.rs
+++ b/crates/relay/src/server/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! The endpoint list and the watch on it.
 
-use juniperwing::interface::{EndpointId, Event, News};
+use juniperwing::interface::{EndpointId, EndpointListUpdate, Event};
 use juniperwing::time::Time;
 use slog::{debug, info, warn};
 
@@ -12,15 +12,15 @@
     pub(super) fn load_initial_endpoints(&mut self, list: EndpointList, now: Time) {
         let change = self.discovery.apply_list(list, &self.settings, now);
         self.warn_without_address(&change.without_address);
-        if let News::Whole(entries) | News::Changes(entries) = change.update {
-            self.core.enqueue(Event::List(News::Held(entries)));
+        if let EndpointListUpdate::Snapshot(entries) | EndpointListUpdate::Changes(entries) = change.update {
+            self.core.enqueue(Event::EndpointListUpdated(EndpointListUpdate::CachedSnapshot(entries)));
         }
     }
 
     pub(super) fn handle_watch_messages(&mut self, messages: WatchMessages, now: Time) {
         // The core has to know of a message that nothing has changed, too: the watch works.
         if messages.has_message && messages.lists.is_empty() {
-            self.core.enqueue(Event::List(News::Changes(Vec::new())));
+            self.core.enqueue(Event::EndpointListUpdated(EndpointListUpdate::Changes(Vec::new())));
         }
         messages.lists.into_iter().for_each(|list| self.handle_list(list, now));
         messages.failure.into_iter().for_each(|error| self.handle_watch_failure(error));
@@ -30,13 +30,13 @@
         let ListChange { update, withdrawn, without_address } =
             self.discovery.apply_list(list, &self.settings, now);
         self.warn_without_address(&without_address);
-        if let News::Changes(entries) | News::Whole(entries) = &update {
+        if let EndpointListUpdate::Changes(entries) | EndpointListUpdate::Snapshot(entries) = &update {
             debug!(self.log, "the list has news"; "entries" => entries.len(), "left" => withdrawn.len());
         }
         for endpoint in &withdrawn {
             self.upstream.handle_endpoint_withdrawn(&mut self.net, endpoint, now);
         }
-        self.core.enqueue(Event::List(update));
+        self.core.enqueue(Event::EndpointListUpdated(update));
     }
 
     fn warn_without_address(&self, endpoints: &[EndpointId]) {
@@ -47,6 +47,6 @@
 
     pub(super) fn handle_watch_failure(&mut self, error: WatchError) {
         info!(self.log, "the watch on the list broke"; "why" => error.to_string());
-        self.core.enqueue(Event::List(News::Broken));
+        self.core.enqueue(Event::EndpointListUpdated(EndpointListUpdate::Failed));
     }
 }
--- a/crates/relay/src/server/outcomes.rs
+++ b/crates/relay/src/server/outcomes.rs
@@ -1,6 +1,6 @@
 //! Ends of pushes and of notifications.
 
-use juniperwing::interface::{Event, NtfId, Outcome};
+use juniperwing::interface::{Event, NotificationId, PushOutcome};
 use juniperwing::time::Time;
 use slog::{debug, warn};
 
@@ -15,46 +15,50 @@
         for RetryAfter { endpoint, delay } in self.upstream.take_retry_afters() {
             debug!(self.log, "a wait was told"; "endpoint" => &*endpoint.0,
                 "ms" => delay.as_nanos() / 1_000_000);
-            self.core.enqueue(Event::Told { endpoint, wait: delay });
+            self.core.enqueue(Event::RetryAfterReported { endpoint, retry_after: delay });
         }
         for outcome in self.upstream.take_outcomes() {
             match outcome.ntf {
                 Some(ntf) => self.report_push_outcome(ntf, outcome, now),
                 None => {
                     let CallOutcome { endpoint, result, limit, .. } = outcome;
-                    self.core.enqueue(Event::Probed { endpoint, status: result.status, limit });
+                    self.core.enqueue(Event::ProbeEnded {
+                        endpoint,
+                        status: result.status,
+                        rate_limit: limit,
+                    });
                 }
             }
         }
     }
 
-    fn report_push_outcome(&mut self, ntf: NtfId, outcome: CallOutcome, now: Time) {
+    fn report_push_outcome(&mut self, ntf: NotificationId, outcome: CallOutcome, now: Time) {
         let CallOutcome { push_number, endpoint, result, elapsed, retry_after, limit, .. } = outcome;
         let status = result.status;
         debug!(self.log, "push ended"; "n" => ntf.0, "push" => push_number, "endpoint" => &*endpoint.0,
             "status" => format!("{status:?}"), "ms" => elapsed.as_nanos() / 1_000_000,
-            "left" => limit.map(|limit| limit.left), "rate" => limit.map(|limit| limit.rate));
+            "left" => limit.map(|limit| limit.remaining_fraction), "rate" => limit.map(|limit| limit.rate_per_second));
         let may_run_since = status.may_be_running().then_some(now);
         self.journal.record_push_ended(ntf.0, status.may_have_run(), may_run_since);
         if result.is_final {
             self.forget(ntf);
         }
         let entry = self.journal.get(ntf.0);
-        let settled = entry.is_none_or(|entry| entry.notification.history.end.is_some());
-        self.core.enqueue(Event::Ended(Outcome {
-            ntf,
-            push: push_number,
+        let has_final_answer = entry.is_none_or(|entry| entry.notification.history.end.is_some());
+        self.core.enqueue(Event::PushEnded(PushOutcome {
+            notification: ntf,
+            push_index: push_number,
             endpoint,
             status,
-            spent: elapsed,
-            settled,
-            wait: retry_after,
-            limit,
+            elapsed,
+            has_final_answer,
+            retry_after,
+            rate_limit: limit,
         }));
     }
 
     /// Records that a notification ended undelivered, and queues the notice to its client.
-    pub(super) fn end_undelivered(&mut self, ntf: NtfId, end: UndeliveredEnd, now: Time) {
+    pub(super) fn end_undelivered(&mut self, ntf: NotificationId, end: UndeliveredEnd, now: Time) {
         self.journal.record_end(ntf.0, end);
         self.count_recovered(ntf, now);
         if let Some(entry) = self.journal.get(ntf.0) {
@@ -70,18 +74,18 @@
             warn!(self.log, "a notice was refused as unreadable"; "id" => id);
         }
         for number in results.acknowledged.into_iter().chain(results.rejected) {
-            self.handle_end_acknowledged(NtfId(number));
+            self.handle_end_acknowledged(NotificationId(number));
         }
     }
 
     /// The client of a notification knows its end: nothing more is owed.
-    pub(super) fn handle_end_acknowledged(&mut self, ntf: NtfId) {
+    pub(super) fn handle_end_acknowledged(&mut self, ntf: NotificationId) {
         debug!(self.log, "end heard"; "n" => ntf.0);
         self.forget(ntf);
-        self.core.enqueue(Event::Heard(ntf));
+        self.core.enqueue(Event::FinalAnswerAcknowledged(ntf));
     }
 
-    fn forget(&mut self, ntf: NtfId) {
+    fn forget(&mut self, ntf: NotificationId) {
         self.upstream.forget(ntf);
         if self.journal.get(ntf.0).is_some() {
             self.journal.close(ntf.0);
--- a/crates/relay/src/server/recovery.rs
+++ b/crates/relay/src/server/recovery.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use juniperwing::interface::{Event, Notification, NtfId, Past, TopicType};
+use juniperwing::interface::{
+    Event, Notification, NotificationHistory, NotificationId, PossibleRun, TopicType,
+};
 use juniperwing::time::Time;
 use slog::info;
 
@@ -14,7 +16,7 @@
 #[derive(Default)]
 pub(super) struct Recovered {
     /// Those that have neither been pushed nor ended.
-    pub(super) pending: BTreeSet<NtfId>,
+    pub(super) pending: BTreeSet<NotificationId>,
     pushed: usize,
     /// Ended at the time to live without a push.
     expired: usize,
@@ -40,7 +42,7 @@
             if history.end.is_some() {
                 self.notices.enqueue(number);
             } else if history.push_count == 0 {
-                self.recovered.pending.insert(NtfId(number));
+                self.recovered.pending.insert(NotificationId(number));
             }
             let notification = self
                 .recovered_topic(&entry.notification)
@@ -57,7 +59,7 @@
             }
             match notification {
                 Some(notification) => self.core.enqueue(Event::Accepted(notification)),
-                None => self.end_undelivered(NtfId(number), UndeliveredEnd::GivenUp, now),
+                None => self.end_undelivered(NotificationId(number), UndeliveredEnd::GivenUp, now),
             }
         }
     }
@@ -67,14 +69,14 @@
     /// none.
     fn recovered_topic(&self, notification: &AcceptedNotification) -> Option<Arc<TopicType>> {
         let name = &notification.attributes.topic;
-        let topic = self.settings.topic(name);
+        let topic = self.settings.topic_type(name);
         let Some(guarantee) = notification.guarantee else { return topic };
         let missing = || Arc::new(TopicType { name: name.clone(), ..TopicType::default() });
         Some(Arc::new(guarantee.apply_to(&topic.unwrap_or_else(missing))))
     }
 
     /// Counts what became of a notification that an earlier process did not push, once it has been pushed or has ended.
-    pub(super) fn count_recovered(&mut self, ntf: NtfId, now: Time) {
+    pub(super) fn count_recovered(&mut self, ntf: NotificationId, now: Time) {
         let recovered = &mut self.recovered;
         if !recovered.pending.remove(&ntf) {
             return;
@@ -95,18 +97,20 @@
 
 /// What the core has to know of an earlier process. A push that was in flight when that ended may have run, and may still
 /// be running.
-fn past_of(history: &History, now: Time) -> Past {
+fn past_of(history: &History, now: Time) -> NotificationHistory {
     let first_may_have_run = history.first_may_have_run.as_ref().or(history.in_flight.as_ref());
     let may_run_since = match history.in_flight {
         Some(_) => Some(now),
         None => history.may_run_since_ns.map(Time::from_nanos),
     };
-    Past {
-        pushes: history.push_count,
-        ran: first_may_have_run
-            .map(|push| (Time::from_nanos(push.sent_at_ns), Arc::from(push.zone.as_str()))),
-        doubt: may_run_since,
-        ended: history.end.is_some(),
-        taken_up: true,
+    NotificationHistory {
+        push_count: history.push_count,
+        first_possible_run: first_may_have_run.map(|push| PossibleRun {
+            sent_at: Time::from_nanos(push.sent_at_ns),
+            zone: Arc::from(push.zone.as_str()),
+        }),
+        last_doubtful_end: may_run_since,
+        has_final_answer: history.end.is_some(),
+        is_recovered: true,
     }
 }
--- a/crates/relay/src/server/reload.rs
+++ b/crates/relay/src/server/reload.rs
@@ -28,8 +28,8 @@
             "settings" => config.settings.to_string());
         self.settings = config.settings;
         self.upstream.apply_settings(&mut self.net, self.settings.connections);
-        self.core.enqueue(Event::Terms(self.settings.terms.clone()));
-        self.core.enqueue(Event::List(self.discovery.apply_settings(&self.settings)));
+        self.core.enqueue(Event::ConfigChanged(self.settings.relay_config.clone()));
+        self.core.enqueue(Event::EndpointListUpdated(self.discovery.apply_settings(&self.settings)));
         if config.discovery_address == self.discovery.address {
             return;
         }
--- a/crates/relay/src/server/shutdown.rs
+++ b/crates/relay/src/server/shutdown.rs
@@ -65,7 +65,7 @@
             ShutdownPhase::Serving if is_phase_over => {
                 shutdown.phase = ShutdownPhase::AdmittingOnly;
                 info!(self.log, "no further calls"; "calls" => self.upstream.calls_in_flight());
-                self.core.enqueue(Event::Slots(0));
+                self.core.enqueue(Event::SlotLimitChanged(0));
                 false
             }
             ShutdownPhase::AdmittingOnly if is_phase_over => {
--- a/crates/relay/src/server/submissions.rs
+++ b/crates/relay/src/server/submissions.rs
@@ -2,7 +2,9 @@
 
 use std::sync::Arc;
 
-use juniperwing::interface::{DestinationId, Event, Notification, NtfId, Past, TopicType};
+use juniperwing::interface::{
+    DestinationId, Event, Notification, NotificationHistory, NotificationId, TopicType,
+};
 use juniperwing::time::{Span, Time};
 use slog::debug;
 
@@ -29,8 +31,9 @@
             return None;
         }
         let journal = &self.journal;
-        let has_id =
-            |ntf: &NtfId| journal.get(ntf.0).is_some_and(|entry| entry.notification.attributes.id == id);
+        let has_id = |ntf: &NotificationId| {
+            journal.get(ntf.0).is_some_and(|entry| entry.notification.attributes.id == id)
+        };
         self.unanswered.iter_mut().find(|(ntf, _)| has_id(ntf)).map(|(_, tokens)| tokens)
     }
 
@@ -53,29 +56,31 @@
         let attributes = &entry.notification.attributes;
         debug!(self.log, "taken on"; "id" => &attributes.id, "n" => number,
             "dest" => attributes.destination, "topic" => &attributes.topic);
-        let notification = self.notification(number, &entry.notification, topic, Past::default());
-        self.unanswered.insert(NtfId(number), vec![token]);
+        let notification =
+            self.notification(number, &entry.notification, topic, NotificationHistory::default());
+        self.unanswered.insert(NotificationId(number), vec![token]);
         self.core.enqueue(Event::Accepted(notification));
     }
 
     /// A notification as it is reported to the core.
     pub(super) fn notification(
-        &self, number: u64, accepted: &AcceptedNotification, topic: Arc<TopicType>, past: Past,
+        &self, number: u64, accepted: &AcceptedNotification, topic: Arc<TopicType>,
+        history: NotificationHistory,
     ) -> Notification {
         let attributes = &accepted.attributes;
         Notification {
-            id: NtfId(number),
+            id: NotificationId(number),
             destination: DestinationId(attributes.destination),
             topic,
             account: attributes.account.as_ref().and_then(|name| self.settings.account(name)),
             key: attributes.key.clone(),
             valid_until: Time::from_nanos(accepted.valid_until_ns),
-            past,
+            history,
         }
     }
 
     /// Answers the connections that submitted a notification.
-    pub(super) fn respond(&mut self, tokens: Vec<Token>, ntf: NtfId, response: SubmissionResponse) {
+    pub(super) fn respond(&mut self, tokens: Vec<Token>, ntf: NotificationId, response: SubmissionResponse) {
         if let Some(entry) = self.journal.get(ntf.0) {
             self.admission.record_response(&entry.notification.attributes.id, response);
         }
--- a/crates/relay/src/upstream.rs
+++ b/crates/relay/src/upstream.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use juniperwing::interface::{EndpointId, NtfId, Status};
+use juniperwing::interface::{CallStatus, EndpointId, NotificationId};
 use juniperwing::time::{Span, Time};
 use juniperwing_settings::Connections;
 
@@ -32,7 +32,7 @@
 
 /// A notification in a call that is about to go out, and the zone of the call's endpoint.
 pub struct SentNotification {
-    pub ntf: NtfId,
+    pub ntf: NotificationId,
     pub zone: Arc<str>,
 }
 
@@ -43,7 +43,7 @@
     writable_calls: Vec<Token>,
     pool: ConnectionPool,
     /// Notifications that were in a batch which its endpoint could not parse; each goes in a call of its own.
-    unbatchable: BTreeSet<NtfId>,
+    unbatchable: BTreeSet<NotificationId>,
     outcomes: Vec<CallOutcome>,
     retry_afters: Vec<RetryAfter>,
 }
@@ -64,7 +64,7 @@
     /// Uses other settings from now on. Deadlines that were set stay, so that idle connections are closed if they would
     /// stay open for too long.
     pub fn apply_settings(&mut self, net: &mut Net, settings: Connections) {
-        let idle_nanos = |settings: &Connections| match settings.idle {
+        let idle_nanos = |settings: &Connections| match settings.idle_timeout {
             Span::ZERO => u64::MAX,
             idle => idle.as_nanos(),
         };
@@ -99,7 +99,7 @@
         &mut self, net: &mut Net, endpoint: &EndpointId, known: Option<&KnownEndpoint>,
         requests: &[PushRequest<'_>], now: Time,
     ) {
-        if !self.settings.second_copies {
+        if !self.settings.is_hedging_allowed {
             requests.iter().for_each(|request| self.cancel_earlier_calls(net, request.ntf, now));
         }
         let max_count = known.map_or(1, KnownEndpoint::max_notifications_per_call);
@@ -151,7 +151,7 @@
         &mut self, net: &mut Net, endpoint: &EndpointId, known: Option<&KnownEndpoint>,
         pushes: Vec<InFlightPush>, unwritten: impl FnOnce(&str) -> UnwrittenRequest, now: Time,
     ) {
-        let connect_timeout = Some(self.settings.connect).filter(|span| *span > Span::ZERO);
+        let connect_timeout = Some(self.settings.connect_timeout).filter(|span| *span > Span::ZERO);
         let call = Call {
             endpoint: endpoint.clone(),
             zone: known.map(KnownEndpoint::zone).unwrap_or_default(),
@@ -165,7 +165,7 @@
             pushes,
         };
         let token = known.and_then(|known| self.connect(net, endpoint, known));
-        let Some(token) = token else { return self.report_failure(&call, Status::NoConnection, now) };
+        let Some(token) = token else { return self.report_failure(&call, CallStatus::NoConnection, now) };
         if net.is_connected(token) {
             self.writable_calls.push(token);
         }
@@ -210,7 +210,7 @@
     fn end_late_pushes(&mut self, net: &mut Net, token: Token, now: Time) {
         let is_late = |push: &InFlightPush| push.is_late_to_send(now);
         if self.calls.get(&token).is_some_and(|call| call.pushes.iter().any(is_late)) {
-            self.end_pushes(net, token, Status::NoConnection, now, is_late);
+            self.end_pushes(net, token, CallStatus::NoConnection, now, is_late);
         }
     }
 
@@ -232,31 +232,31 @@
         let tokens: Vec<Token> = calls.map(|(token, _)| *token).collect();
         for token in tokens {
             if self.is_unsent(net, token) {
-                self.end_call(net, token, Status::Skipped, now);
+                self.end_call(net, token, CallStatus::Skipped, now);
             }
         }
     }
 
     /// Nothing more is sent for a notification.
-    pub fn forget(&mut self, ntf: NtfId) {
+    pub fn forget(&mut self, ntf: NotificationId) {
         self.unbatchable.remove(&ntf);
     }
 
     /// Cancels a push.
-    pub fn cancel(&mut self, net: &mut Net, ntf: NtfId, push_number: u32, now: Time) {
+    pub fn cancel(&mut self, net: &mut Net, ntf: NotificationId, push_number: u32, now: Time) {
         let is_it =
             |push: &InFlightPush| push.is_pending && push.ntf == ntf && push.push_number == push_number;
         if let Some(token) = self.find_call(|call| call.pushes.iter().any(is_it)) {
-            self.end_pushes(net, token, Status::Cancelled, now, is_it);
+            self.end_pushes(net, token, CallStatus::Cancelled, now, is_it);
         }
     }
 
     /// Closes the connection of any call that a notification is in, even if its outcome is known: it is about to be sent
     /// again, and there must not be two copies. The other pushes of that call are cancelled with it.
-    fn cancel_earlier_calls(&mut self, net: &mut Net, ntf: NtfId, now: Time) {
+    fn cancel_earlier_calls(&mut self, net: &mut Net, ntf: NotificationId, now: Time) {
         let has_notification = |call: &Call| call.pushes.iter().any(|push| push.ntf == ntf);
         while let Some(token) = self.find_call(has_notification) {
-            self.end_pushes(net, token, Status::Cancelled, now, |push| push.is_pending);
+            self.end_pushes(net, token, CallStatus::Cancelled, now, |push| push.is_pending);
         }
     }
 
@@ -267,15 +267,15 @@
     /// Ends some of a call's pushes. The connection is closed with the last one, and with one that others of its key wait
     /// for: as long as the call is open it may still run, and they would overtake it.
     fn end_pushes(
-        &mut self, net: &mut Net, token: Token, status: Status, now: Time,
+        &mut self, net: &mut Net, token: Token, status: CallStatus, now: Time,
         is_ending: impl Fn(&InFlightPush) -> bool,
     ) {
         let Some(call) = self.calls.get_mut(&token) else { return };
         // What has not been written is left out when the rest is. What is half sent may still arrive.
         let is_unwritten = call.unwritten.is_some();
         let status = match status {
-            _ if is_unwritten => Status::NoConnection,
-            _ if call.has_success_status => Status::Delivered,
+            _ if is_unwritten => CallStatus::NoConnection,
+            _ if call.has_success_status => CallStatus::Delivered,
             status => status,
         };
         let mut must_close = false;
@@ -289,7 +289,7 @@
         if !must_close && call.has_pending_pushes() {
             net.set_deadline(token, call.next_deadline());
         } else {
-            self.end_call(net, token, Status::Cancelled, now);
+            self.end_call(net, token, CallStatus::Cancelled, now);
         }
     }
 
@@ -301,8 +301,8 @@
 
     /// Ends a call without a response, with this status for all pushes that are pending, and closes its connection, at
     /// once or after the time for a late response.
-    fn end_call(&mut self, net: &mut Net, token: Token, status: Status, now: Time) {
-        let is_given_up = matches!(status, Status::TimedOut | Status::Cancelled);
+    fn end_call(&mut self, net: &mut Net, token: Token, status: CallStatus, now: Time) {
+        let is_given_up = matches!(status, CallStatus::TimedOut | CallStatus::Cancelled);
         let may_respond = is_given_up && !self.is_unsent(net, token) && !net.is_peer_closed(token);
         let call = self.calls.remove(&token);
         match call.as_ref().filter(|_| may_respond) {
@@ -318,7 +318,7 @@
         }
     }
 
-    fn report_failure(&mut self, call: &Call, status: Status, now: Time) {
+    fn report_failure(&mut self, call: &Call, status: CallStatus, now: Time) {
         if call.is_probe() {
             self.outcomes.push(call.outcome_without_response(None, status, now));
         }
--- a/crates/relay/src/upstream/call.rs
+++ b/crates/relay/src/upstream/call.rs
@@ -4,7 +4,7 @@
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
-use juniperwing::interface::{EndpointId, LimitReport, NtfId, Status};
+use juniperwing::interface::{CallStatus, EndpointId, NotificationId, RateLimitReport};
 use juniperwing::time::{Span, Time};
 use serde::Serialize;
 
@@ -16,7 +16,7 @@
 
 /// A notification to be pushed.
 pub struct PushRequest<'a> {
-    pub ntf: NtfId,
+    pub ntf: NotificationId,
     pub id: &'a str,
     pub idempotency_key: Option<&'a str>,
     pub body: &'a [u8],
@@ -62,7 +62,7 @@
 
 /// A push in a call that has not ended.
 pub(super) struct InFlightPush {
-    pub(super) ntf: NtfId,
+    pub(super) ntf: NotificationId,
     pub(super) id: String,
     pub(super) push_number: u32,
     pub(super) is_ordered: bool,
@@ -160,7 +160,7 @@
 
     /// The outcome of one of its pushes, or of the probe, that ended without a response.
     pub(super) fn outcome_without_response(
-        &self, push: Option<&InFlightPush>, status: Status, now: Time,
+        &self, push: Option<&InFlightPush>, status: CallStatus, now: Time,
     ) -> CallOutcome {
         CallOutcome {
             ntf: push.map(|push| push.ntf),
@@ -177,7 +177,7 @@
 /// How a push ended; without a notification, how a probe did.
 #[derive(Debug)]
 pub struct CallOutcome {
-    pub ntf: Option<NtfId>,
+    pub ntf: Option<NotificationId>,
     /// Which of its notification's pushes it is, from 0.
     pub push_number: u32,
     pub endpoint: EndpointId,
@@ -185,7 +185,7 @@
     /// How long ago the call started.
     pub elapsed: Span,
     pub retry_after: Option<Span>,
-    pub limit: Option<LimitReport>,
+    pub limit: Option<RateLimitReport>,
 }
 
 /// A span as a header states it: whole milliseconds, at least one.
--- a/crates/relay/src/upstream/events.rs
+++ b/crates/relay/src/upstream/events.rs
@@ -1,6 +1,6 @@
 //! What happens on connections to endpoints: responses, their absence, and closed connections.
 
-use juniperwing::interface::Status;
+use juniperwing::interface::CallStatus;
 use juniperwing::time::{Span, Time};
 use juniperwing_settings::Settings;
 
@@ -89,7 +89,7 @@
             }
             // It is a response to something else, and the call must not be written behind it.
             Ok(None) if !is_closed && call.unwritten.is_some() => {
-                self.end_call(net, token, Status::NoConnection, now);
+                self.end_call(net, token, CallStatus::NoConnection, now);
             }
             Ok(None) if !is_closed => {
                 if http::has_final_response_begun(input) {
@@ -109,13 +109,13 @@
         let is_unsent = self.is_unsent(net, token);
         let Some(call) = self.calls.get_mut(&token) else { return };
         if is_unsent && call.connect_by <= now {
-            return self.end_call(net, token, Status::NoConnection, now);
+            return self.end_call(net, token, CallStatus::NoConnection, now);
         }
         let status = match (call.has_success_status, is_unsent) {
-            (_, true) => Status::NoConnection,
-            (true, _) => Status::Delivered,
-            _ if call.complete_by <= now => Status::Error,
-            _ => Status::TimedOut,
+            (_, true) => CallStatus::NoConnection,
+            (true, _) => CallStatus::Delivered,
+            _ if call.complete_by <= now => CallStatus::Error,
+            _ => CallStatus::TimedOut,
         };
         if call.is_probe() || call.complete_by <= now {
             return self.end_call(net, token, status, now);
@@ -154,7 +154,7 @@
         let pending = call.pushes.iter().zip(results).filter(|(push, _)| push.is_pending);
         self.outcomes.extend(pending.map(|(push, result)| outcome(Some(push), result)));
         if received.is_connection_reusable {
-            let idle_timeout = Some(self.settings.idle).filter(|span| *span > Span::ZERO);
+            let idle_timeout = Some(self.settings.idle_timeout).filter(|span| *span > Span::ZERO);
             let close_after = idle_timeout.map(|span| span.mul_f64(IDLE_TIMEOUT_FRACTION));
             net.set_deadline(token, close_after.map_or(Time::NEVER, |span| now + span));
             self.pool.add_idle(call.endpoint, token);
@@ -182,15 +182,15 @@
 
 fn status_of_failed_response(
     call: &Call, input: &[u8], error: Option<ParseError>, is_call_unsent: bool,
-) -> Status {
+) -> CallStatus {
     if is_call_unsent {
-        Status::NoConnection
+        CallStatus::NoConnection
     } else if is_success_of_single_push(call, input) {
-        Status::Delivered
+        CallStatus::Delivered
     } else if error.is_some() {
-        Status::Error
+        CallStatus::Error
     } else {
-        Status::Reset
+        CallStatus::Reset
     }
 }
 
@@ -200,8 +200,10 @@
     // A response that comes before its call has gone out does not answer it, unless it rejects the connection: none of
     // the call was run.
     if received.is_call_unsent {
-        let is_rejection = |result: &PushResult| matches!(result.status, Status::Busy | Status::Crowded);
-        let not_sent = PushResult::from_status(Status::NoConnection);
+        let is_rejection = |result: &PushResult| {
+            matches!(result.status, CallStatus::Busy | CallStatus::ConnectionLimitReached)
+        };
+        let not_sent = PushResult::from_status(CallStatus::NoConnection);
         results.iter_mut().filter(|result| !is_rejection(result)).for_each(|result| *result = not_sent);
     }
     results
