--- a/crates/relay/src/command_line.rs
+++ b/crates/relay/src/command_line.rs
@@ -177,7 +177,7 @@
     let code = match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            error!(log, "cannot go on"; "why" => e.to_string());
+            error!(log, "relay failed"; "error" => e.to_string());
             ExitCode::FAILURE
         }
     };
--- a/crates/relay/src/discovery/watch.rs
+++ b/crates/relay/src/discovery/watch.rs
@@ -12,21 +12,21 @@
 /// Why a watch ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum WatchError {
-    #[snafu(display("cannot be opened"))]
+    #[snafu(display("not opened"))]
     NotOpened,
-    #[snafu(display("cannot be reached"))]
+    #[snafu(display("unreachable"))]
     Unreachable,
     #[snafu(display("closed"))]
     Closed,
-    #[snafu(display("refused"))]
+    #[snafu(display("rejected"))]
     Rejected,
-    #[snafu(display("unreadable"))]
+    #[snafu(display("malformed"))]
     Malformed,
     #[snafu(display("too long"))]
     TooLong,
     #[snafu(display("ended"))]
     Ended,
-    #[snafu(display("silent"))]
+    #[snafu(display("timed out"))]
     TimedOut,
 }
 
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -43,7 +43,7 @@
     RegisterSignals { source: io::Error },
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen { address: SocketAddr, source: io::Error },
-    #[snafu(display("cannot open the log in {}: {source}", directory.display()))]
+    #[snafu(display("cannot open the journal in {}: {source}", directory.display()))]
     OpenJournal { directory: PathBuf, source: io::Error },
     #[snafu(display("{source}"))]
     WriteJournal { source: io::Error },
@@ -90,7 +90,7 @@
             Journal::open(state_directory, config.static_config.limits.disk_bytes())
                 .context(OpenJournalSnafu { directory: state_directory })?;
         if torn_bytes > 0 {
-            warn!(log, "a torn tail of the log was cut off"; "bytes" => torn_bytes);
+            warn!(log, "torn journal tail truncated"; "bytes" => torn_bytes);
         }
         let settings = config.settings;
         let mut server = Server {
@@ -141,11 +141,11 @@
 
     fn log_start(&self) {
         let listen = self.net.local_addr().unwrap_or(self.static_config.listen).to_string();
-        let (owed, untried) = (self.journal.live_count(), self.recovered.pending.len());
+        let (outstanding, unpushed) = (self.journal.live_count(), self.recovered.pending.len());
         let is_ended = |entry: &crate::journal::JournalEntry| entry.notification.history.end.is_some();
         let ended = self.journal.live().filter(|(_, entry)| is_ended(entry)).count();
-        info!(self.log, "serving"; "listen" => listen, "owed" => owed, "untried" => untried,
-            "tried" => owed - untried - ended);
+        info!(self.log, "serving"; "listen" => listen, "outstanding" => outstanding,
+            "unpushed" => unpushed, "pushed" => outstanding - unpushed - ended);
     }
 
     /// When the next turn is due, whatever happens on the sockets.
--- a/crates/relay/src/server/commands.rs
+++ b/crates/relay/src/server/commands.rs
@@ -89,8 +89,8 @@
     fn push(&mut self, endpoint: &EndpointId, commands: &[Command], now: Time) {
         let pushes: Vec<DecidedPush> =
             commands.iter().filter_map(|command| self.decided_push(command)).collect();
-        debug!(self.log, "push"; "endpoint" => &*endpoint.0,
-            "n" => format!("{:?}", pushes.iter().map(|push| push.ntf.0).collect::<Vec<_>>()));
+        debug!(self.log, "push started"; "endpoint" => &*endpoint.0,
+            "notifications" => format!("{:?}", pushes.iter().map(|push| push.ntf.0).collect::<Vec<_>>()));
         let requests =
             pushes.iter().filter_map(|push| push_request(push, &self.journal, &self.settings, now));
         let requests: Vec<PushRequest<'_>> = requests.collect();
--- a/crates/relay/src/server/endpoint_list.rs
+++ b/crates/relay/src/server/endpoint_list.rs
@@ -31,7 +31,7 @@
             self.discovery.apply_list(list, &self.settings, now);
         self.warn_without_address(&without_address);
         if let EndpointListUpdate::Changes(entries) | EndpointListUpdate::Snapshot(entries) = &update {
-            debug!(self.log, "the list has news"; "entries" => entries.len(), "left" => withdrawn.len());
+            debug!(self.log, "endpoint list updated"; "entries" => entries.len(), "withdrawn" => withdrawn.len());
         }
         for endpoint in &withdrawn {
             self.upstream.handle_endpoint_withdrawn(&mut self.net, endpoint, now);
@@ -41,12 +41,12 @@
 
     fn warn_without_address(&self, endpoints: &[EndpointId]) {
         for endpoint in endpoints {
-            warn!(self.log, "the list has no address that can be read"; "endpoint" => &*endpoint.0);
+            warn!(self.log, "endpoint address invalid"; "endpoint" => &*endpoint.0);
         }
     }
 
     pub(super) fn handle_watch_failure(&mut self, error: WatchError) {
-        info!(self.log, "the watch on the list broke"; "why" => error.to_string());
+        info!(self.log, "endpoint list watch failed"; "error" => error.to_string());
         self.core.enqueue(Event::EndpointListUpdated(EndpointListUpdate::Failed));
     }
 }
--- a/crates/relay/src/server/outcomes.rs
+++ b/crates/relay/src/server/outcomes.rs
@@ -13,8 +13,8 @@
     /// Reports to the core how pushes and probes ended.
     pub(super) fn report_outcomes(&mut self, now: Time) {
         for RetryAfter { endpoint, delay } in self.upstream.take_retry_afters() {
-            debug!(self.log, "a wait was told"; "endpoint" => &*endpoint.0,
-                "ms" => delay.as_nanos() / 1_000_000);
+            debug!(self.log, "retry-after received"; "endpoint" => &*endpoint.0,
+                "retry_after_ms" => delay.as_nanos() / 1_000_000);
             self.core.enqueue(Event::RetryAfterReported { endpoint, retry_after: delay });
         }
         for outcome in self.upstream.take_outcomes() {
@@ -35,9 +35,11 @@
     fn report_push_outcome(&mut self, ntf: NotificationId, outcome: CallOutcome, now: Time) {
         let CallOutcome { push_number, endpoint, result, elapsed, retry_after, limit, .. } = outcome;
         let status = result.status;
-        debug!(self.log, "push ended"; "n" => ntf.0, "push" => push_number, "endpoint" => &*endpoint.0,
-            "status" => format!("{status:?}"), "ms" => elapsed.as_nanos() / 1_000_000,
-            "left" => limit.map(|limit| limit.remaining_fraction), "rate" => limit.map(|limit| limit.rate_per_second));
+        debug!(self.log, "push ended"; "notification" => ntf.0, "push" => push_number,
+            "endpoint" => &*endpoint.0, "status" => format!("{status:?}"),
+            "duration_ms" => elapsed.as_nanos() / 1_000_000,
+            "limit_remaining" => limit.map(|limit| limit.remaining_fraction),
+            "limit_rate" => limit.map(|limit| limit.rate_per_second));
         let may_run_since = status.may_be_running().then_some(now);
         self.journal.record_push_ended(ntf.0, status.may_have_run(), may_run_since);
         if result.is_final {
@@ -62,8 +64,8 @@
         self.journal.record_end(ntf.0, end);
         self.count_recovered(ntf, now);
         if let Some(entry) = self.journal.get(ntf.0) {
-            debug!(self.log, "ended"; "id" => &entry.notification.attributes.id, "n" => ntf.0,
-                "end" => format!("{end:?}"));
+            debug!(self.log, "notification undelivered"; "id" => &entry.notification.attributes.id,
+                "notification" => ntf.0, "end" => format!("{end:?}"));
             self.notices.enqueue(ntf.0);
         }
     }
@@ -71,7 +73,7 @@
     pub(super) fn handle_notice_results(&mut self, results: NoticeResults) {
         if let Some(number) = results.rejected {
             let id = self.journal.get(number).map(|entry| entry.notification.attributes.id.clone());
-            warn!(self.log, "a notice was refused as unreadable"; "id" => id);
+            warn!(self.log, "notice rejected"; "id" => id);
         }
         for number in results.acknowledged.into_iter().chain(results.rejected) {
             self.handle_end_acknowledged(NotificationId(number));
@@ -80,7 +82,7 @@
 
     /// The client of a notification knows its end: nothing more is owed.
     pub(super) fn handle_end_acknowledged(&mut self, ntf: NotificationId) {
-        debug!(self.log, "end heard"; "n" => ntf.0);
+        debug!(self.log, "final answer acknowledged"; "notification" => ntf.0);
         self.forget(ntf);
         self.core.enqueue(Event::FinalAnswerAcknowledged(ntf));
     }
--- a/crates/relay/src/server/recovery.rs
+++ b/crates/relay/src/server/recovery.rs
@@ -88,9 +88,9 @@
             _ => recovered.expired += 1,
         }
         if recovered.pending.is_empty() {
-            info!(self.log, "all that was taken up untried was tried or has ended";
-                "tried" => recovered.pushed, "out of time" => recovered.expired,
-                "given up" => recovered.given_up);
+            info!(self.log, "recovered notifications pushed or ended";
+                "pushed" => recovered.pushed, "expired" => recovered.expired,
+                "given_up" => recovered.given_up);
         }
     }
 }
--- a/crates/relay/src/server/reload.rs
+++ b/crates/relay/src/server/reload.rs
@@ -14,17 +14,17 @@
     pub(super) fn reload(&mut self, now: Time) {
         let config = match Config::read(Some(self.config_path.clone())) {
             Ok(config) => config,
-            Err(e) => return warn!(self.log, "the new configuration cannot be used"; "why" => e.to_string()),
+            Err(e) => return warn!(self.log, "configuration reload failed"; "error" => e.to_string()),
         };
         let live_topics = self.journal.live().map(|(_, entry)| entry.notification.attributes.topic.as_str());
         if let Some(reason) = self.settings.bars(&config.settings, live_topics, self.discovery.kinds()) {
-            return warn!(self.log, "the new configuration cannot be used"; "why" => reason);
+            return warn!(self.log, "configuration reload failed"; "error" => reason);
         }
         let changed_keys = self.static_config.changed_keys(&config.static_config);
         if !changed_keys.is_empty() {
-            warn!(self.log, "changes that wait for the next start"; "keys" => changed_keys.join(", "));
+            warn!(self.log, "configuration changes need a restart"; "keys" => changed_keys.join(", "));
         }
-        info!(self.log, "configuration read anew"; "discovery" => config.discovery_address.to_string(),
+        info!(self.log, "configuration reloaded"; "discovery" => config.discovery_address.to_string(),
             "settings" => config.settings.to_string());
         self.settings = config.settings;
         self.upstream.apply_settings(&mut self.net, self.settings.connections);
--- a/crates/relay/src/server/shutdown.rs
+++ b/crates/relay/src/server/shutdown.rs
@@ -51,8 +51,8 @@
         if self.shutdown.is_some() {
             return;
         }
-        info!(self.log, "stopping"; "owed" => self.journal.live_count(),
-            "calls" => self.upstream.calls_in_flight());
+        info!(self.log, "shutdown started"; "outstanding" => self.journal.live_count(),
+            "calls_in_flight" => self.upstream.calls_in_flight());
         self.client_connections.is_stopping = true;
         self.shutdown = Some(Shutdown { requested_at: now, phase: ShutdownPhase::Serving });
     }
@@ -64,7 +64,7 @@
         match shutdown.phase {
             ShutdownPhase::Serving if is_phase_over => {
                 shutdown.phase = ShutdownPhase::AdmittingOnly;
-                info!(self.log, "no further calls"; "calls" => self.upstream.calls_in_flight());
+                info!(self.log, "new calls stopped"; "calls_in_flight" => self.upstream.calls_in_flight());
                 self.core.enqueue(Event::SlotLimitChanged(0));
                 false
             }
@@ -88,7 +88,7 @@
 
     fn finish_shutdown(&mut self) {
         self.net.flush();
-        info!(self.log, "stopped"; "owed" => self.journal.live_count(),
-            "calls" => self.upstream.calls_in_flight());
+        info!(self.log, "shutdown complete"; "outstanding" => self.journal.live_count(),
+            "calls_in_flight" => self.upstream.calls_in_flight());
     }
 }
--- a/crates/relay/src/server/submissions.rs
+++ b/crates/relay/src/server/submissions.rs
@@ -39,7 +39,7 @@
 
     fn reject(&mut self, token: Token, submission: &Submission, response: SubmissionResponse) {
         let id = &submission.attributes.id;
-        debug!(self.log, "not taken on"; "id" => id, "answer" => format!("{response:?}"));
+        debug!(self.log, "notification rejected"; "id" => id, "response" => format!("{response:?}"));
         if response == SubmissionResponse::Unavailable {
             self.admission.record_response(id, response);
         }
@@ -54,8 +54,8 @@
         let number = self.journal.accept(submission.attributes, valid_until, guarantee, submission.body);
         let Some(entry) = self.journal.get(number) else { return };
         let attributes = &entry.notification.attributes;
-        debug!(self.log, "taken on"; "id" => &attributes.id, "n" => number,
-            "dest" => attributes.destination, "topic" => &attributes.topic);
+        debug!(self.log, "notification accepted"; "id" => &attributes.id, "notification" => number,
+            "destination" => attributes.destination, "topic" => &attributes.topic);
         let notification =
             self.notification(number, &entry.notification, topic, NotificationHistory::default());
         self.unanswered.insert(NotificationId(number), vec![token]);
--- a/crates/relay/tests/serve/connections.rs
+++ b/crates/relay/tests/serve/connections.rs
@@ -28,12 +28,12 @@
     assert!(watch.head.contains("index=43 "), "{}", watch.head);
     let mut client = rig.client();
     assert_eq!(client.hand_in("safe", "1", "", b""), 202);
-    rig.logged("taken on");
+    rig.logged("notification accepted");
     let back = list(44, "ready");
     watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     watch.write(&format!("{:x}\r\n{back}\r\n", back.len()));
     assert_eq!(rig.endpoint.next().id(), "1");
-    assert!(rig.logs_in_order("the list has news", "push"));
+    assert!(rig.logs_in_order("endpoint list updated", "push started"));
     // Silent from here on.
     assert!(rig.watch().head.contains("index=44 "));
 }
@@ -101,7 +101,7 @@
     assert_eq!(rig.logged("push ended")["status"], "TimedOut");
     assert!(call.is_closed());
     call.answer("429 Too Many Requests", "Retry-After: 9.5\r\n", "");
-    rig.logged("a wait was told");
+    rig.logged("retry-after received");
     // Its time ends in the wait, so it is answered at once, and told when to come again.
     client.write(&request("safe", "2", "", 300, b""));
     let (status, head) = client.answer();
@@ -120,7 +120,7 @@
     let mut watch = rig.watch();
     watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     assert_eq!(rig.client().hand_in("once", "1", "k", b""), 202);
-    rig.logged("push");
+    rig.logged("push started");
     let host = |name: &str, dial: SocketAddr, health: &str| json!({"host": name, "dial": dial.to_string(), "site": "z", "class": "plain", "block": 7, "health": health});
     let hosts = [host("e", dial, "draining"), host("f", rig.endpoint.address, "ready")];
     let line = format!("{}\n", json!({"seq": 42, "whole": false, "hosts": hosts}));
--- a/crates/relay/tests/serve/crossings/discovery.rs
+++ b/crates/relay/tests/serve/crossings/discovery.rs
@@ -40,7 +40,7 @@
         let mut watch = rig.watch();
         watch.write(HEAD);
         assert_eq!(rig.client().hand_in("once", "1", "k", b"x"), 202);
-        rig.logged("push");
+        rig.logged("push started");
         rig.signal("-STOP");
         full.accept().expect("the connection that took the room");
         let (call, _) = full.accept().expect("the relay's, tried again by its system");
@@ -65,10 +65,10 @@
     let mut watch = rig.watch();
     let drains = list(43, false, &[("e", "draining", Some(rig.endpoint.address))]);
     watch.write(&format!("{HEAD}{}", chunk(&format!("{drains}\n{{\"seq\": 44, \"hosts\": [17]}}\n"))));
-    rig.logged("the list has news");
+    rig.logged("endpoint list updated");
     assert!(rig.watch().head.contains("index=43 "));
     assert_eq!(rig.client().hand_in("safe", "1", "", b""), 202);
-    rig.logged("taken on");
+    rig.logged("notification accepted");
     assert!(rig.endpoint.next_soon().is_none());
 }
 
@@ -88,9 +88,9 @@
     let (first, rest) = text.split_at(text.len() / 3);
     watch.write(&chunk(first));
     watch.write(&chunk(rest));
-    assert_eq!(rig.logged("the list has news")["entries"], 1);
+    assert_eq!(rig.logged("endpoint list updated")["entries"], 1);
     assert_eq!(rig.client().hand_in("safe", "1", "", b""), 202);
-    assert_eq!(rig.logged("push")["endpoint"], "f");
+    assert_eq!(rig.logged("push started")["endpoint"], "f");
     watch.write("0\r\n\r\n");
     assert!(rig.watch().head.contains("index=44 "));
 }
@@ -140,8 +140,8 @@
         let mut client = rig.client();
         assert_eq!([client.hand_in("safe", "1", "", b""), client.hand_in("safe", "2", "", b"")], [202; 2]);
         let mut other = rig.endpoint.next();
-        rig.logged("push");
-        rig.logged("push");
+        rig.logged("push started");
+        rig.logged("push started");
         rig.signal("-STOP");
         full.accept().expect("the connection that took the room");
         let (call, _) = full.accept().expect("the relay's, tried again by its system");
@@ -167,7 +167,7 @@
     let rig = Rig::start();
     let mut watch = rig.watch();
     watch.write(&format!("{HEAD}{}", chunk("{\"seq\": 42, \"whole\": true}\n")));
-    assert_eq!(rig.logged("the watch on the list broke")["why"], "unreadable");
+    assert_eq!(rig.logged("endpoint list watch failed")["error"], "malformed");
     assert!(rig.watch().head.contains("index=41 "));
     assert_eq!(rig.client().hand_in("safe", "1", "", b""), 202);
     assert_eq!(rig.endpoint.next().id(), "1");
@@ -186,15 +186,15 @@
         rig.restart();
         let mut watch = rig.watch();
         assert_eq!(rig.client().hand_in("safe", "2", "", b""), 202);
-        rig.logged("taken on");
+        rig.logged("notification accepted");
         // Read anew, the settings make the old list no newer.
         rig.reload(&rig.config.to_string());
-        rig.logged("configuration read anew");
+        rig.logged("configuration reloaded");
         assert!(rig.endpoint.next_soon().is_none());
         if speaks {
             let hosts = [("e", "draining", None), ("f", "ready", Some(rig.endpoint.address))];
             watch.write(&format!("{HEAD}{}", chunk(&format!("{}\n", list(43, true, &hosts)))));
-            assert_eq!(rig.logged("push")["endpoint"], "f");
+            assert_eq!(rig.logged("push started")["endpoint"], "f");
         } else {
             watch.close();
         }
@@ -243,9 +243,9 @@
     let mut odd = list(42, false, &[("e", "ready", None)]);
     odd["hosts"][0]["dial"] = json!("127.0.0.1:port");
     line(&mut watch, &odd);
-    assert_eq!(rig.logged("the list has no address that can be read")["endpoint"], "e");
+    assert_eq!(rig.logged("endpoint address invalid")["endpoint"], "e");
     assert_eq!(rig.client().hand_in("safe", "1", "", b""), 202);
-    rig.logged("taken on");
+    rig.logged("notification accepted");
     line(&mut watch, &list(43, false, &[("e", "ready", Some(rig.endpoint.address))]));
     assert_eq!(rig.endpoint.next().id(), "1");
 }
--- a/crates/relay/tests/serve/crossings/exchanges.rs
+++ b/crates/relay/tests/serve/crossings/exchanges.rs
@@ -44,7 +44,7 @@
         } else {
             Some(push)
         };
-        assert_eq!(rig.logged("a wait was told")["ms"], 1_200);
+        assert_eq!(rig.logged("retry-after received")["retry_after_ms"], 1_200);
         assert_eq!(client.hand_in("safe", "2", "", b""), 202);
         rig.endpoint.next();
         assert!(since.elapsed() >= Duration::from_millis(1_150), "{status} {rest}: {:?}", since.elapsed());
@@ -80,7 +80,7 @@
     until(since, 550);
     push.write("HTTP/1.1 200 OK\r\n");
     let ended = rig.logged("push ended");
-    assert_eq!((&ended["n"], &ended["status"]), (&json!(1), &json!("Delivered")));
+    assert_eq!((&ended["notification"], &ended["status"]), (&json!(1), &json!("Delivered")));
     assert!(since.elapsed() < Duration::from_millis(1_000), "called off, not spoilt: {:?}", since.elapsed());
     assert_eq!(rig.endpoint.next().id(), "2");
 }
@@ -119,14 +119,14 @@
         let since = Instant::now();
         if id == "1" {
             first.answer("204 No Content", "", "");
-            rig.logged("end heard");
+            rig.logged("final answer acknowledged");
         } else {
             let (mut again, end) = rig.notice();
             assert_eq!(end["message"], id);
             assert!(since.elapsed() < Duration::from_millis(300), "{:?}", since.elapsed());
             assert!(first.is_closed());
             again.answer("204 No Content", "", "");
-            rig.logged("end heard");
+            rig.logged("final answer acknowledged");
         }
     }
 }
--- a/crates/relay/tests/serve/crossings/lives.rs
+++ b/crates/relay/tests/serve/crossings/lives.rs
@@ -22,12 +22,12 @@
             &[request("once", "1", "a", 16_000, b""), request("once", "2", "b", 16_000, b"")].concat(),
         );
         assert_eq!([client.answer().0, client.answer().0], [202; 2]);
-        rig.logged("push");
+        rig.logged("push started");
         rig.kill();
         rig.config["known"]["hosts"][0]["dial"] = json!(rig.endpoint.address.to_string());
         let serving = rig.restart();
         assert_eq!(
-            (&serving["owed"], &serving["untried"], &serving["tried"]),
+            (&serving["outstanding"], &serving["unpushed"], &serving["pushed"]),
             (&json!(2), &json!(2), &json!(0))
         );
         let mut push = rig.endpoint.next();
@@ -39,11 +39,8 @@
             assert!(push.head.starts_with("POST /hook/batch "), "{}", push.head);
             push.answer("200 OK", "", r#"[{"id":"1","state":"delivered"},{"id":"2","state":"delivered"}]"#);
         }
-        let line = rig.logged("all that was taken up untried was tried or has ended");
-        assert_eq!(
-            (&line["tried"], &line["out of time"], &line["given up"]),
-            (&json!(2), &json!(0), &json!(0))
-        );
+        let line = rig.logged("recovered notifications pushed or ended");
+        assert_eq!((&line["pushed"], &line["expired"], &line["given_up"]), (&json!(2), &json!(0), &json!(0)));
     }
 }
 
@@ -81,7 +78,7 @@
         if id == "2" {
             rig.config["settings"]["ceilings"]["conn-idle"] = json!(3_000_000_000u64);
             rig.reload(&rig.config.to_string());
-            rig.logged("configuration read anew");
+            rig.logged("configuration reloaded");
             let since = Instant::now();
             assert!(push.is_closed());
             assert!(since.elapsed() < Duration::from_millis(1_500), "{:?}", since.elapsed());
@@ -92,7 +89,7 @@
 /// A relay that has been told to stop and has no slots any more.
 fn stopping(rig: &Rig) -> Instant {
     rig.terminate();
-    rig.logged("stopping");
+    rig.logged("shutdown started");
     Instant::now()
 }
 
@@ -106,7 +103,7 @@
         assert_eq!(client.hand_in("safe", &format!("1-{place}"), "", b""), 202);
     }
     let since = stopping(&rig);
-    rig.logged("no further calls");
+    rig.logged("new calls stopped");
     rig.signal("-STOP");
     old[0].write(&request("safe", "2", "", 16_000, b""));
     let mut new: Vec<Client> = (0..2).map(|_| rig.client()).collect();
@@ -120,7 +117,7 @@
         let (status, head) = client.answer();
         assert_eq!((status, head.contains("Connection: close")), (202, true), "{head}");
     }
-    assert_eq!(rig.logged("stopped")["owed"], 18);
+    assert_eq!(rig.logged("shutdown complete")["outstanding"], 18);
     assert_eq!(rig.ended(), Some(0));
     assert!(since.elapsed() < Duration::from_millis(3_700), "{:?}", since.elapsed());
 }
@@ -138,7 +135,7 @@
         until(since, ms);
         push.answer("200 OK", "", "");
     }
-    assert_eq!(rig.logged("stopped")["owed"], 0);
+    assert_eq!(rig.logged("shutdown complete")["outstanding"], 0);
     assert_eq!(rig.ended(), Some(0));
 }
 
@@ -147,13 +144,13 @@
 fn what_comes_too_late_in_a_stop_for_its_time_to_live_is_refused_and_the_rest_taken_on() {
     let rig = Rig::start();
     stopping(&rig);
-    rig.logged("no further calls");
+    rig.logged("new calls stopped");
     let mut client = rig.client();
     client.write(&request("safe", "1", "", 1_500, b""));
     let (status, head) = client.answer();
     assert_eq!((status, head.contains("Retry-After: 2.3")), (429, true), "{head}");
     assert_eq!(client.hand_in("safe", "2", "", b""), 202);
-    assert_eq!(rig.logged("stopped")["owed"], 1);
+    assert_eq!(rig.logged("shutdown complete")["outstanding"], 1);
 }
 
 /// Signals before it serves, twice, and in a stop: one stop, in time, and nothing else.
@@ -166,17 +163,20 @@
     let since = stopping(&rig);
     rig.terminate();
     rig.reload("{");
-    rig.logged("the new configuration cannot be used");
+    rig.logged("configuration reload failed");
     rig.config["settings"]["family-info"]["slots"] = json!(4);
     rig.reload(&rig.config.to_string());
-    rig.logged("configuration read anew");
-    rig.logged("no further calls");
+    rig.logged("configuration reloaded");
+    rig.logged("new calls stopped");
     rig.reload(&rig.config.to_string());
-    rig.logged("configuration read anew");
+    rig.logged("configuration reloaded");
     // Slots in a file read anew are none in a stop.
     assert_eq!(rig.client().hand_in("safe", "2", "", b"late"), 202);
-    let rest = rig.logged_until("stopped");
-    assert!(rest.iter().all(|line| line["msg"] != "push" && line["msg"] != "stopping"), "{rest:?}");
+    let rest = rig.logged_until("shutdown complete");
+    assert!(
+        rest.iter().all(|line| line["msg"] != "push started" && line["msg"] != "shutdown started"),
+        "{rest:?}"
+    );
     assert_eq!(rig.ended(), Some(0));
     assert!(since.elapsed() < Duration::from_millis(3_700), "{:?}", since.elapsed());
     drop(first);
@@ -184,11 +184,11 @@
     rig.restart();
     rig.terminate();
     assert_eq!(&*rig.endpoint.next().body, b"late");
-    rig.logged("stopping");
+    rig.logged("shutdown started");
     rig.terminate();
     rig.signal("-INT");
-    let rest = rig.logged_until("stopped");
-    assert!(rest.iter().all(|line| line["msg"] != "stopping"), "{rest:?}");
+    let rest = rig.logged_until("shutdown complete");
+    assert!(rest.iter().all(|line| line["msg"] != "shutdown started"), "{rest:?}");
     assert_eq!(rig.ended(), Some(0));
 }
 
--- a/crates/relay/tests/serve/hand_over.rs
+++ b/crates/relay/tests/serve/hand_over.rs
@@ -29,7 +29,7 @@
     let mut third = rig.endpoint.next();
     rig.terminate();
     third.answer("200 OK", "", "");
-    assert_eq!(rig.logged("stopped")["owed"], 0);
+    assert_eq!(rig.logged("shutdown complete")["outstanding"], 0);
     assert_eq!(rig.ended(), Some(0));
 }
 
@@ -106,7 +106,7 @@
     // One whose last endpoint has just left is about to have another.
     let gone = json!({"seq": 42, "whole": false, "hosts": [{"host": "e", "block": 7, "health": "gone"}]});
     watch.write(&format!("{:x}\r\n{gone}\n\r\n", gone.to_string().len() + 1));
-    rig.logged("the list has news");
+    rig.logged("endpoint list updated");
     assert_eq!(client.hand_in("safe", "held", "", b""), 202);
 }
 
--- a/crates/relay/tests/serve/restarts.rs
+++ b/crates/relay/tests/serve/restarts.rs
@@ -27,10 +27,10 @@
     assert_eq!(again, notice);
     // The next of its key may go only now.
     assert_eq!(rig.client().hand_in("once", "2", "k", b"x"), 202);
-    rig.logged("taken on");
+    rig.logged("notification accepted");
     message.answer("204 No Content", "", "");
     assert_eq!(rig.endpoint.next().id(), "2");
-    assert!(rig.logs_in_order("end heard", "push"));
+    assert!(rig.logs_in_order("final answer acknowledged", "push started"));
 }
 
 #[test]
@@ -60,7 +60,7 @@
     message.answer("204 No Content", "", "");
     let second = rig.endpoint.next();
     assert_eq!((second.id(), &*second.body), ("2", &b"second"[..]));
-    assert!(rig.logs_in_order("end heard", "push"));
+    assert!(rig.logs_in_order("final answer acknowledged", "push started"));
 }
 
 #[test]
@@ -71,15 +71,15 @@
     let first = rig.endpoint.next();
     let since = Instant::now();
     rig.terminate();
-    rig.logged("stopping");
+    rig.logged("shutdown started");
     assert_eq!(client.hand_in("safe", "2", "", b"x"), 202);
     rig.endpoint.next().answer("200 OK", "", "");
     let mut late = rig.client();
     late.write(b"GET /ready HTTP/1.1\r\nHost: r\r\n\r\n");
     assert_eq!(late.answer().0, 503);
-    rig.logged("no further calls");
+    rig.logged("new calls stopped");
     assert_eq!(client.hand_in("safe", "3", "", b"late"), 202);
-    assert!(rig.logged_until("stopped").iter().all(|line| line["msg"] != "push"));
+    assert!(rig.logged_until("shutdown complete").iter().all(|line| line["msg"] != "push started"));
     assert_eq!(rig.ended(), Some(0));
     assert!(since.elapsed() < Duration::from_millis(3_700), "{:?}", since.elapsed());
     drop(first);
--- a/crates/relay/tests/serve/settings.rs
+++ b/crates/relay/tests/serve/settings.rs
@@ -16,7 +16,7 @@
     let (message, notice) = rig.notice();
     // What cannot be used changes nothing.
     rig.reload("{");
-    rig.logged("the new configuration cannot be used");
+    rig.logged("configuration reload failed");
     let old = std::mem::replace(&mut rig.platform, Server::start());
     rig.config["discovery"] = json!(rig.platform.address.to_string());
     rig.reload(&rig.config.to_string());
@@ -115,7 +115,7 @@
             }
         }
         rig.reload(if round % 2 == 0 { &new } else { &old });
-        let line = rig.logged("configuration read anew");
+        let line = rig.logged("configuration reloaded");
         assert_eq!(line["settings"].as_str().map(|text| text.contains("2 slots")), Some(round % 2 == 0));
     }
     while pushes < 24 {
@@ -131,7 +131,7 @@
     // Nothing is owed any more: a process that follows takes up nothing.
     rig.kill();
     let line = rig.restart();
-    assert_eq!(line["owed"], 0);
+    assert_eq!(line["outstanding"], 0);
 }
 
 /// What the new settings say of a topic type holds for what is taken on from then; the record keeps the old.
@@ -142,7 +142,7 @@
     let first = rig.endpoint.next();
     rig.config = moved(&rig.config);
     rig.reload(&rig.config.to_string());
-    rig.logged("configuration read anew");
+    rig.logged("configuration reloaded");
     rig.kill();
     drop(first);
     rig.restart();
@@ -179,12 +179,12 @@
         (change("/settings/kinds", json!(["other"])), "settings.kinds lacks \"plain\""),
     ] {
         rig.reload(&text);
-        let line = rig.logged("the new configuration cannot be used");
-        assert!(line["why"].as_str().is_some_and(|why| why.contains(part)), "{line} lacks {part}");
+        let line = rig.logged("configuration reload failed");
+        assert!(line["error"].as_str().is_some_and(|why| why.contains(part)), "{line} lacks {part}");
     }
     // The old ones hold: once-only is so still, and what came meanwhile is served.
     rig.reload(&change("/listen", json!("127.0.0.1:1")));
-    assert_eq!(rig.logged("changes that wait for the next start")["keys"], "listen");
+    assert_eq!(rig.logged("configuration changes need a restart")["keys"], "listen");
     drop(push);
     assert_eq!(rig.client().hand_in("safe", "2", "", b"x"), 202);
     rig.endpoint.next().answer("200 OK", "", "");
