--- a/crates/relay/src/journal.rs
+++ b/crates/relay/src/journal.rs
@@ -18,7 +18,7 @@
 use frame::DecodedFrame;
 use record::Record;
 pub use record::{
-    AcceptedNotification, Attributes, Guarantee, History, RecordedEffect, SentPush, UndeliveredEnd,
+    AcceptedNotification, Attributes, Guarantee, History, RecordedSemantics, SentPush, UndeliveredEnd,
 };
 
 const FILE_NAME: &str = "log";
--- a/crates/relay/src/journal/record.rs
+++ b/crates/relay/src/journal/record.rs
@@ -98,59 +98,60 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Guarantee {
     /// What a second run would do.
-    pub effect: RecordedEffect,
+    #[serde(rename = "effect")]
+    pub semantics: RecordedSemantics,
     /// Whether it is delivered in the order of its key.
     #[serde(rename = "ordered")]
     pub is_ordered: bool,
 }
 
-/// The core's [`Effect`] as it is written to disk.
+/// The core's [`Semantics`] as they are written to disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum RecordedEffect {
+pub enum RecordedSemantics {
     /// It may run again.
     #[serde(rename = "Runs")]
-    Repeatable,
+    Idempotent,
     /// A repeat is dropped.
     #[serde(rename = "Dropped")]
-    Collapsible {
+    Deduplicated {
         /// Whether all endpoints drop a repeat, and not only those of the first push's zone.
         #[serde(rename = "all")]
-        is_group_all: bool,
+        is_scope_all: bool,
         /// For how long they do, in nanoseconds.
         #[serde(rename = "window")]
         window_ns: u64,
     },
     /// It must not run again.
     #[serde(rename = "Never")]
-    OnceOnly,
+    NonIdempotent,
 }
 
 impl From<&TopicType> for Guarantee {
     fn from(topic: &TopicType) -> Guarantee {
-        let effect = match topic.semantics {
-            Semantics::Idempotent => RecordedEffect::Repeatable,
-            Semantics::Deduplicated { scope, window } => RecordedEffect::Collapsible {
-                is_group_all: scope == DeduplicationScope::All,
+        let semantics = match topic.semantics {
+            Semantics::Idempotent => RecordedSemantics::Idempotent,
+            Semantics::Deduplicated { scope, window } => RecordedSemantics::Deduplicated {
+                is_scope_all: scope == DeduplicationScope::All,
                 window_ns: window.as_nanos(),
             },
-            Semantics::NonIdempotent => RecordedEffect::OnceOnly,
+            Semantics::NonIdempotent => RecordedSemantics::NonIdempotent,
         };
-        Guarantee { effect, is_ordered: topic.is_ordered }
+        Guarantee { semantics, is_ordered: topic.is_ordered }
     }
 }
 
 impl Guarantee {
     /// The topic type as it is now, but for what was guaranteed.
     pub fn apply_to(self, topic: &TopicType) -> TopicType {
-        let effect = match self.effect {
-            RecordedEffect::Repeatable => Semantics::Idempotent,
-            RecordedEffect::Collapsible { is_group_all, window_ns } => {
-                let group = if is_group_all { DeduplicationScope::All } else { DeduplicationScope::Zone };
-                Semantics::Deduplicated { scope: group, window: Span::from_nanos(window_ns) }
+        let semantics = match self.semantics {
+            RecordedSemantics::Idempotent => Semantics::Idempotent,
+            RecordedSemantics::Deduplicated { is_scope_all, window_ns } => {
+                let scope = if is_scope_all { DeduplicationScope::All } else { DeduplicationScope::Zone };
+                Semantics::Deduplicated { scope, window: Span::from_nanos(window_ns) }
             }
-            RecordedEffect::OnceOnly => Semantics::NonIdempotent,
+            RecordedSemantics::NonIdempotent => Semantics::NonIdempotent,
         };
-        TopicType { semantics: effect, is_ordered: self.is_ordered, ..topic.clone() }
+        TopicType { semantics, is_ordered: self.is_ordered, ..topic.clone() }
     }
 }
 
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -124,9 +124,10 @@
             self.handle_turn(turn, now);
             self.report_outcomes(now);
             self.run_core(now);
-            for SentNotification { ntf, zone } in self.upstream.write_ready_calls(&mut self.net, now) {
-                self.journal.record_push(ntf.0, now, &zone);
-                self.count_recovered(ntf, now);
+            for SentNotification { notification, zone } in self.upstream.write_ready_calls(&mut self.net, now)
+            {
+                self.journal.record_push(notification.0, now, &zone);
+                self.count_recovered(notification, now);
             }
             self.journal.flush().context(WriteJournalSnafu)?;
             self.net.flush();
--- a/crates/relay/src/server/commands.rs
+++ b/crates/relay/src/server/commands.rs
@@ -12,7 +12,7 @@
 
 /// A push that the core decided on.
 struct DecidedPush {
-    ntf: NotificationId,
+    notification: NotificationId,
     /// Which of its notification's pushes it is, from 0; `None` if the notification is not live.
     push_number: Option<u32>,
     timeout: Span,
@@ -40,8 +40,8 @@
                 }
             };
         }
-        for (ntf, tokens) in std::mem::take(&mut self.unanswered) {
-            self.respond(tokens, ntf, SubmissionResponse::Accepted);
+        for (notification, tokens) in std::mem::take(&mut self.unanswered) {
+            self.respond(tokens, notification, SubmissionResponse::Accepted);
         }
         self.notices.send_queued(&mut self.net, &self.journal, now);
     }
@@ -57,8 +57,8 @@
                 let end = UndeliveredEnd::ReturnedToClient(retry_after.as_nanos() / 1_000_000);
                 self.finish(*notification, SubmissionResponse::Throttled(*retry_after), end, now);
             }
-            Command::Expire(ntf) => {
-                self.finish(*ntf, SubmissionResponse::Expired, UndeliveredEnd::GivenUp, now);
+            Command::Expire(notification) => {
+                self.finish(*notification, SubmissionResponse::Expired, UndeliveredEnd::GivenUp, now);
             }
             Command::SubscribeToEndpointList => {
                 if let Err(e) = self.discovery.subscribe(&mut self.net, now) {
@@ -75,13 +75,15 @@
     }
 
     /// Ends a notification undelivered: in the response to its submission if that is not answered, else by a notice.
-    fn finish(&mut self, ntf: NotificationId, response: SubmissionResponse, end: UndeliveredEnd, now: Time) {
-        match self.unanswered.remove(&ntf) {
+    fn finish(
+        &mut self, notification: NotificationId, response: SubmissionResponse, end: UndeliveredEnd, now: Time,
+    ) {
+        match self.unanswered.remove(&notification) {
             Some(tokens) => {
-                self.respond(tokens, ntf, response);
-                self.handle_end_acknowledged(ntf);
+                self.respond(tokens, notification, response);
+                self.handle_end_acknowledged(notification);
             }
-            None => self.end_undelivered(ntf, end, now),
+            None => self.end_undelivered(notification, end, now),
         }
     }
 
@@ -89,8 +91,9 @@
     fn push(&mut self, endpoint: &EndpointId, commands: &[Command], now: Time) {
         let pushes: Vec<DecidedPush> =
             commands.iter().filter_map(|command| self.decided_push(command)).collect();
+        let numbers = || pushes.iter().map(|push| push.notification.0).collect::<Vec<_>>();
         debug!(self.log, "push started"; "endpoint" => &*endpoint.0,
-            "notifications" => format!("{:?}", pushes.iter().map(|push| push.ntf.0).collect::<Vec<_>>()));
+            "notifications" => format!("{:?}", numbers()));
         let requests =
             pushes.iter().filter_map(|push| push_request(push, &self.journal, &self.settings, now));
         let requests: Vec<PushRequest<'_>> = requests.collect();
@@ -102,7 +105,12 @@
     fn decided_push(&mut self, command: &Command) -> Option<DecidedPush> {
         let Command::Push { notification, timeout, send_within, .. } = command else { return None };
         let push_number = self.journal.count_push(notification.0);
-        Some(DecidedPush { ntf: *notification, push_number, timeout: *timeout, send_within: *send_within })
+        Some(DecidedPush {
+            notification: *notification,
+            push_number,
+            timeout: *timeout,
+            send_within: *send_within,
+        })
     }
 }
 
@@ -110,11 +118,11 @@
 fn push_request<'a>(
     push: &DecidedPush, journal: &'a Journal, settings: &Settings, now: Time,
 ) -> Option<PushRequest<'a>> {
-    let entry = journal.get(push.ntf.0)?;
+    let entry = journal.get(push.notification.0)?;
     let notification = &entry.notification;
     let time_left = Time::from_nanos(notification.valid_until_ns).since(now);
     Some(PushRequest {
-        ntf: push.ntf,
+        notification: push.notification,
         id: &notification.attributes.id,
         idempotency_key: notification.attributes.idempotency_key.as_deref(),
         body: &entry.body,
--- a/crates/relay/src/server/outcomes.rs
+++ b/crates/relay/src/server/outcomes.rs
@@ -18,8 +18,8 @@
             self.core.enqueue(Event::RetryAfterReported { endpoint, retry_after: delay });
         }
         for outcome in self.upstream.take_outcomes() {
-            match outcome.ntf {
-                Some(ntf) => self.report_push_outcome(ntf, outcome, now),
+            match outcome.notification {
+                Some(notification) => self.report_push_outcome(notification, outcome, now),
                 None => {
                     let CallOutcome { endpoint, result, limit, .. } = outcome;
                     self.core.enqueue(Event::ProbeEnded {
@@ -32,23 +32,23 @@
         }
     }
 
-    fn report_push_outcome(&mut self, ntf: NotificationId, outcome: CallOutcome, now: Time) {
+    fn report_push_outcome(&mut self, notification: NotificationId, outcome: CallOutcome, now: Time) {
         let CallOutcome { push_number, endpoint, result, elapsed, retry_after, limit, .. } = outcome;
         let status = result.status;
-        debug!(self.log, "push ended"; "notification" => ntf.0, "push" => push_number,
+        debug!(self.log, "push ended"; "notification" => notification.0, "push" => push_number,
             "endpoint" => &*endpoint.0, "status" => format!("{status:?}"),
             "duration_ms" => elapsed.as_nanos() / 1_000_000,
             "limit_remaining" => limit.map(|limit| limit.remaining_fraction),
             "limit_rate" => limit.map(|limit| limit.rate_per_second));
         let may_run_since = status.may_be_running().then_some(now);
-        self.journal.record_push_ended(ntf.0, status.may_have_run(), may_run_since);
+        self.journal.record_push_ended(notification.0, status.may_have_run(), may_run_since);
         if result.is_final {
-            self.forget(ntf);
+            self.forget(notification);
         }
-        let entry = self.journal.get(ntf.0);
+        let entry = self.journal.get(notification.0);
         let has_final_answer = entry.is_none_or(|entry| entry.notification.history.end.is_some());
         self.core.enqueue(Event::PushEnded(PushOutcome {
-            notification: ntf,
+            notification,
             push_index: push_number,
             endpoint,
             status,
@@ -60,13 +60,13 @@
     }
 
     /// Records that a notification ended undelivered, and queues the notice to its client.
-    pub(super) fn end_undelivered(&mut self, ntf: NotificationId, end: UndeliveredEnd, now: Time) {
-        self.journal.record_end(ntf.0, end);
-        self.count_recovered(ntf, now);
-        if let Some(entry) = self.journal.get(ntf.0) {
+    pub(super) fn end_undelivered(&mut self, notification: NotificationId, end: UndeliveredEnd, now: Time) {
+        self.journal.record_end(notification.0, end);
+        self.count_recovered(notification, now);
+        if let Some(entry) = self.journal.get(notification.0) {
             debug!(self.log, "notification undelivered"; "id" => &entry.notification.attributes.id,
-                "notification" => ntf.0, "end" => format!("{end:?}"));
-            self.notices.enqueue(ntf.0);
+                "notification" => notification.0, "end" => format!("{end:?}"));
+            self.notices.enqueue(notification.0);
         }
     }
 
@@ -81,16 +81,16 @@
     }
 
     /// The client of a notification knows its end: nothing more is owed.
-    pub(super) fn handle_end_acknowledged(&mut self, ntf: NotificationId) {
-        debug!(self.log, "final answer acknowledged"; "notification" => ntf.0);
-        self.forget(ntf);
-        self.core.enqueue(Event::FinalAnswerAcknowledged(ntf));
+    pub(super) fn handle_end_acknowledged(&mut self, notification: NotificationId) {
+        debug!(self.log, "final answer acknowledged"; "notification" => notification.0);
+        self.forget(notification);
+        self.core.enqueue(Event::FinalAnswerAcknowledged(notification));
     }
 
-    fn forget(&mut self, ntf: NotificationId) {
-        self.upstream.forget(ntf);
-        if self.journal.get(ntf.0).is_some() {
-            self.journal.close(ntf.0);
+    fn forget(&mut self, notification: NotificationId) {
+        self.upstream.forget(notification);
+        if self.journal.get(notification.0).is_some() {
+            self.journal.close(notification.0);
         }
     }
 }
--- a/crates/relay/src/server/recovery.rs
+++ b/crates/relay/src/server/recovery.rs
@@ -76,13 +76,13 @@
     }
 
     /// Counts what became of a notification that an earlier process did not push, once it has been pushed or has ended.
-    pub(super) fn count_recovered(&mut self, ntf: NotificationId, now: Time) {
+    pub(super) fn count_recovered(&mut self, notification: NotificationId, now: Time) {
         let recovered = &mut self.recovered;
-        if !recovered.pending.remove(&ntf) {
+        if !recovered.pending.remove(&notification) {
             return;
         }
         let now_ns = now.since(Time::default()).as_nanos();
-        match self.journal.get(ntf.0).map(|entry| &entry.notification) {
+        match self.journal.get(notification.0).map(|entry| &entry.notification) {
             Some(notification) if notification.history.end.is_none() => recovered.pushed += 1,
             Some(notification) if notification.valid_until_ns > now_ns => recovered.given_up += 1,
             _ => recovered.expired += 1,
--- a/crates/relay/src/server/submissions.rs
+++ b/crates/relay/src/server/submissions.rs
@@ -31,10 +31,10 @@
             return None;
         }
         let journal = &self.journal;
-        let has_id = |ntf: &NotificationId| {
-            journal.get(ntf.0).is_some_and(|entry| entry.notification.attributes.id == id)
+        let has_id = |notification: &NotificationId| {
+            journal.get(notification.0).is_some_and(|entry| entry.notification.attributes.id == id)
         };
-        self.unanswered.iter_mut().find(|(ntf, _)| has_id(ntf)).map(|(_, tokens)| tokens)
+        self.unanswered.iter_mut().find(|(notification, _)| has_id(notification)).map(|(_, tokens)| tokens)
     }
 
     fn reject(&mut self, token: Token, submission: &Submission, response: SubmissionResponse) {
@@ -80,8 +80,10 @@
     }
 
     /// Answers the connections that submitted a notification.
-    pub(super) fn respond(&mut self, tokens: Vec<Token>, ntf: NotificationId, response: SubmissionResponse) {
-        if let Some(entry) = self.journal.get(ntf.0) {
+    pub(super) fn respond(
+        &mut self, tokens: Vec<Token>, notification: NotificationId, response: SubmissionResponse,
+    ) {
+        if let Some(entry) = self.journal.get(notification.0) {
             self.admission.record_response(&entry.notification.attributes.id, response);
         }
         for token in tokens {
--- a/crates/relay/src/upstream.rs
+++ b/crates/relay/src/upstream.rs
@@ -32,7 +32,7 @@
 
 /// A notification in a call that is about to go out, and the zone of the call's endpoint.
 pub struct SentNotification {
-    pub ntf: NotificationId,
+    pub notification: NotificationId,
     pub zone: Arc<str>,
 }
 
@@ -100,7 +100,7 @@
         requests: &[PushRequest<'_>], now: Time,
     ) {
         if !self.settings.is_hedging_allowed {
-            requests.iter().for_each(|request| self.cancel_earlier_calls(net, request.ntf, now));
+            requests.iter().for_each(|request| self.cancel_earlier_calls(net, request.notification, now));
         }
         let max_count = known.map_or(1, KnownEndpoint::max_notifications_per_call);
         let mut rest = requests;
@@ -113,7 +113,7 @@
 
     /// How many of the first requests go in one call.
     fn batch_length(&self, requests: &[PushRequest<'_>], max_count: usize) -> usize {
-        let is_batchable = |request: &PushRequest<'_>| !self.unbatchable.contains(&request.ntf);
+        let is_batchable = |request: &PushRequest<'_>| !self.unbatchable.contains(&request.notification);
         let (mut count, mut body_bytes) = (1, requests[0].max_encoded_item_bytes());
         while count < max_count.min(requests.len())
             && body_bytes + requests[count].max_encoded_item_bytes() < http::MAX_BODY_BYTES
@@ -195,7 +195,10 @@
             let unwritten = call.unwritten.take();
             if unwritten.is_some() {
                 let pending = call.pushes.iter().filter(|push| push.is_pending);
-                sent.extend(pending.map(|push| SentNotification { ntf: push.ntf, zone: call.zone.clone() }));
+                sent.extend(pending.map(|push| SentNotification {
+                    notification: push.notification,
+                    zone: call.zone.clone(),
+                }));
             }
             match unwritten {
                 Some(UnwrittenRequest::Encoded(message)) => net.write(token, &message),
@@ -238,14 +241,15 @@
     }
 
     /// Nothing more is sent for a notification.
-    pub fn forget(&mut self, ntf: NotificationId) {
-        self.unbatchable.remove(&ntf);
+    pub fn forget(&mut self, notification: NotificationId) {
+        self.unbatchable.remove(&notification);
     }
 
     /// Cancels a push.
-    pub fn cancel(&mut self, net: &mut Net, ntf: NotificationId, push_number: u32, now: Time) {
-        let is_it =
-            |push: &InFlightPush| push.is_pending && push.ntf == ntf && push.push_number == push_number;
+    pub fn cancel(&mut self, net: &mut Net, notification: NotificationId, push_number: u32, now: Time) {
+        let is_it = |push: &InFlightPush| {
+            push.is_pending && push.notification == notification && push.push_number == push_number
+        };
         if let Some(token) = self.find_call(|call| call.pushes.iter().any(is_it)) {
             self.end_pushes(net, token, CallStatus::Cancelled, now, is_it);
         }
@@ -253,8 +257,8 @@
 
     /// Closes the connection of any call that a notification is in, even if its outcome is known: it is about to be sent
     /// again, and there must not be two copies. The other pushes of that call are cancelled with it.
-    fn cancel_earlier_calls(&mut self, net: &mut Net, ntf: NotificationId, now: Time) {
-        let has_notification = |call: &Call| call.pushes.iter().any(|push| push.ntf == ntf);
+    fn cancel_earlier_calls(&mut self, net: &mut Net, notification: NotificationId, now: Time) {
+        let has_notification = |call: &Call| call.pushes.iter().any(|push| push.notification == notification);
         while let Some(token) = self.find_call(has_notification) {
             self.end_pushes(net, token, CallStatus::Cancelled, now, |push| push.is_pending);
         }
--- a/crates/relay/src/upstream/call.rs
+++ b/crates/relay/src/upstream/call.rs
@@ -16,7 +16,7 @@
 
 /// A notification to be pushed.
 pub struct PushRequest<'a> {
-    pub ntf: NotificationId,
+    pub notification: NotificationId,
     pub id: &'a str,
     pub idempotency_key: Option<&'a str>,
     pub body: &'a [u8],
@@ -62,7 +62,7 @@
 
 /// A push in a call that has not ended.
 pub(super) struct InFlightPush {
-    pub(super) ntf: NotificationId,
+    pub(super) notification: NotificationId,
     pub(super) id: String,
     pub(super) push_number: u32,
     pub(super) is_ordered: bool,
@@ -77,7 +77,7 @@
 impl InFlightPush {
     pub(super) fn new(request: &PushRequest<'_>, is_batch: bool, now: Time) -> InFlightPush {
         InFlightPush {
-            ntf: request.ntf,
+            notification: request.notification,
             id: request.id.to_owned(),
             push_number: request.push_number,
             is_ordered: request.is_ordered,
@@ -163,7 +163,7 @@
         &self, push: Option<&InFlightPush>, status: CallStatus, now: Time,
     ) -> CallOutcome {
         CallOutcome {
-            ntf: push.map(|push| push.ntf),
+            notification: push.map(|push| push.notification),
             push_number: push.map_or(0, |push| push.push_number),
             endpoint: self.endpoint.clone(),
             result: PushResult::from_status(status),
@@ -177,7 +177,7 @@
 /// How a push ended; without a notification, how a probe did.
 #[derive(Debug)]
 pub struct CallOutcome {
-    pub ntf: Option<NotificationId>,
+    pub notification: Option<NotificationId>,
     /// Which of its notification's pushes it is, from 0.
     pub push_number: u32,
     pub endpoint: EndpointId,
--- a/crates/relay/src/upstream/events.rs
+++ b/crates/relay/src/upstream/events.rs
@@ -149,7 +149,7 @@
         // Such a notification would spoil every batch that it goes in.
         if !received.is_call_unsent && call.is_batch && endpoint_response::is_rejected_as_malformed(response)
         {
-            self.unbatchable.extend(call.pushes.iter().map(|push| push.ntf));
+            self.unbatchable.extend(call.pushes.iter().map(|push| push.notification));
         }
         let pending = call.pushes.iter().zip(results).filter(|(push, _)| push.is_pending);
         self.outcomes.extend(pending.map(|(push, result)| outcome(Some(push), result)));
--- a/crates/relay/tests/journal.rs
+++ b/crates/relay/tests/journal.rs
@@ -15,8 +15,8 @@
 
 use juniperwing::time::Time;
 use juniperwing_relay::journal::{
-    AcceptedNotification, Attributes, Guarantee, History, Journal, OpenedJournal, RecordedEffect, SentPush,
-    UndeliveredEnd,
+    AcceptedNotification, Attributes, Guarantee, History, Journal, OpenedJournal, RecordedSemantics,
+    SentPush, UndeliveredEnd,
 };
 
 /// A directory of this size is never compacted here.
@@ -62,7 +62,7 @@
 }
 
 fn safe(id: &str) -> AcceptedNotification {
-    notification("safe", id, Guarantee { effect: RecordedEffect::Repeatable, is_ordered: false })
+    notification("safe", id, Guarantee { semantics: RecordedSemantics::Idempotent, is_ordered: false })
 }
 
 fn mark(id: &str, all: bool) -> AcceptedNotification {
@@ -70,14 +70,14 @@
         "mark",
         id,
         Guarantee {
-            effect: RecordedEffect::Collapsible { is_group_all: all, window_ns: CENTURY_NS },
+            semantics: RecordedSemantics::Deduplicated { is_scope_all: all, window_ns: CENTURY_NS },
             is_ordered: false,
         },
     )
 }
 
 fn once(id: &str) -> AcceptedNotification {
-    notification("once", id, Guarantee { effect: RecordedEffect::OnceOnly, is_ordered: true })
+    notification("once", id, Guarantee { semantics: RecordedSemantics::NonIdempotent, is_ordered: true })
 }
 
 fn body(id: &str) -> Vec<u8> {
--- a/crates/relay/tests/journal_recovery.rs
+++ b/crates/relay/tests/journal_recovery.rs
@@ -5,7 +5,7 @@
 
 use juniperwing::time::Time;
 use juniperwing_relay::journal::{
-    AcceptedNotification, Attributes, Guarantee, Journal, OpenedJournal, RecordedEffect, UndeliveredEnd,
+    AcceptedNotification, Attributes, Guarantee, Journal, OpenedJournal, RecordedSemantics, UndeliveredEnd,
 };
 
 /// Files occupy whole blocks of this size, in bytes.
@@ -38,8 +38,8 @@
         idempotency_key: None,
         destination: 7,
     };
-    let effect = RecordedEffect::Collapsible { is_group_all: true, window_ns: 5 };
-    let guarantee = Guarantee { effect, is_ordered: true };
+    let semantics = RecordedSemantics::Deduplicated { is_scope_all: true, window_ns: 5 };
+    let guarantee = Guarantee { semantics, is_ordered: true };
     journal.accept(attributes, Time::from_nanos(9), guarantee, body.to_vec())
 }
 
