--- a/crates/lab/src/baselines.rs
+++ b/crates/lab/src/baselines.rs
@@ -57,7 +57,7 @@
             }
 
             fn start(&self, _: Time, relay: usize, seed: u64, fleet: &Fleet) -> Box<dyn Policy> {
-                Box::new(Plain::new(Style::$name, seed, fleet.relays[relay].allowance, fleet.figures))
+                Box::new(Plain::new(Style::$name, seed, fleet.relays[relay].allowance, fleet.rules))
             }
         }
     )*};
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -4,8 +4,8 @@
 
 use std::collections::BTreeSet;
 
-use juniperwing_model::scenario::{Range, Trouble, Woe};
-use juniperwing_model::{Figures, Rule, Scenario};
+use juniperwing_model::scenario::{Fault, FaultKind, Range};
+use juniperwing_model::{Metrics, Rule, Scenario};
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -13,29 +13,29 @@
 use crate::play::Run;
 
 /// What troubles are drawn from, with the range of their sizes.
-const WOES: [(Woe, f64, f64); 22] = [
-    (Woe::Slow, 3.0, 20.0),
-    (Woe::Silent, 1.0, 1.0),
-    (Woe::Errors, 1.0, 1.0),
-    (Woe::Refuses, 1.0, 1.0),
-    (Woe::Down, 1.0, 1.0),
-    (Woe::Pauses, 0.2, 2.0),
-    (Woe::TopicFails, 1.0, 1.0),
-    (Woe::Limit, 0.2, 0.7),
-    (Woe::Handshakes, 3.0, 20.0),
-    (Woe::Burst, 1.2, 2.0),
-    (Woe::Hot, 2.0, 5.0),
-    (Woe::Release, 1.0, 1.0),
-    (Woe::HotRelays, 0.1, 0.3),
-    (Woe::ListDown, 1.0, 1.0),
-    (Woe::ListStale, 3.0, 10.0),
-    (Woe::Deploy, 2.0, 6.0),
-    (Woe::CutThere, 1.0, 1.0),
-    (Woe::CutBack, 1.0, 1.0),
-    (Woe::Resets, 0.05, 0.5),
-    (Woe::Hurry, 0.2, 0.6),
-    (Woe::Kill, 1.0, 5.0),
-    (Woe::Lose, 1.0, 5.0),
+const WOES: [(FaultKind, f64, f64); 22] = [
+    (FaultKind::Slow, 3.0, 20.0),
+    (FaultKind::Silent, 1.0, 1.0),
+    (FaultKind::Errors, 1.0, 1.0),
+    (FaultKind::Refuses, 1.0, 1.0),
+    (FaultKind::Down, 1.0, 1.0),
+    (FaultKind::Pauses, 0.2, 2.0),
+    (FaultKind::TopicFails, 1.0, 1.0),
+    (FaultKind::Limit, 0.2, 0.7),
+    (FaultKind::Handshakes, 3.0, 20.0),
+    (FaultKind::Burst, 1.2, 2.0),
+    (FaultKind::Hot, 2.0, 5.0),
+    (FaultKind::Release, 1.0, 1.0),
+    (FaultKind::HotRelays, 0.1, 0.3),
+    (FaultKind::ListDown, 1.0, 1.0),
+    (FaultKind::ListStale, 3.0, 10.0),
+    (FaultKind::Deploy, 2.0, 6.0),
+    (FaultKind::CutThere, 1.0, 1.0),
+    (FaultKind::CutBack, 1.0, 1.0),
+    (FaultKind::Resets, 0.05, 0.5),
+    (FaultKind::Hurry, 0.2, 0.6),
+    (FaultKind::Kill, 1.0, 5.0),
+    (FaultKind::Lose, 1.0, 5.0),
 ];
 /// Most troubles on one day.
 const MOST_TROUBLES: usize = 3;
@@ -45,12 +45,12 @@
 const LEAST_SPAN_S: f64 = 4.0;
 
 /// The names of all troubles that are drawn.
-pub fn woes() -> impl Iterator<Item = Woe> {
+pub fn woes() -> impl Iterator<Item = FaultKind> {
     WOES.iter().map(|woe| woe.0)
 }
 
 /// A trouble of that kind for a scenario, its figures from chance.
-pub fn trouble(scenario: &Scenario, what: Woe, chance: &mut ChaCha8Rng) -> Trouble {
+pub fn trouble(scenario: &Scenario, what: FaultKind, chance: &mut ChaCha8Rng) -> Fault {
     let span = scenario.span_s.least;
     let (_, least, most) = WOES.iter().copied().find(|woe| woe.0 == what).unwrap_or((what, 1.0, 1.0));
     let mut between = |least: f64, most: f64| Range::from(Range { least, most }.draw(chance));
@@ -58,7 +58,7 @@
     let (size, extent) = (between(least, most), between(0.1, 0.6));
     let whole = chance.random::<f64>() < 0.7;
     let topic = scenario.topic.choose(chance).map(|topic| topic.name.clone());
-    Trouble {
+    Fault {
         what,
         start_s,
         span_s,
@@ -68,20 +68,20 @@
         whole,
         kind: None,
         zone: None,
-        topic: topic.filter(|_| what == Woe::TopicFails),
+        topic: topic.filter(|_| what == FaultKind::TopicFails),
         account: None,
         destination: None,
     }
 }
 
 /// The days of a hunt: the scenario with one to three troubles of `only`, each with a seed of its own.
-pub fn days(scenario: &Scenario, only: &[Woe], seed: u64, budget: usize) -> Vec<Run> {
+pub fn days(scenario: &Scenario, only: &[FaultKind], seed: u64, budget: usize) -> Vec<Run> {
     let mut chance = ChaCha8Rng::seed_from_u64(seed);
     let mut day = |n: usize| {
         let count = chance.random_range(1..=MOST_TROUBLES);
         let mut scenario = scenario.resolve(seed + n as u64);
-        let whats: Vec<Woe> = (0..count).filter_map(|_| only.choose(&mut chance).copied()).collect();
-        scenario.trouble = whats.into_iter().map(|what| trouble(&scenario, what, &mut chance)).collect();
+        let whats: Vec<FaultKind> = (0..count).filter_map(|_| only.choose(&mut chance).copied()).collect();
+        scenario.faults = whats.into_iter().map(|what| trouble(&scenario, what, &mut chance)).collect();
         Run { scenario, seed: seed + n as u64, policy: "core".to_owned() }
     };
     (0..budget).map(&mut day).collect()
@@ -98,11 +98,11 @@
 
 impl Shows {
     /// What a day shows, by its figures and those of the policy compared with.
-    pub fn of(figures: &Figures, beside: Option<&Figures>) -> Shows {
-        if figures.broken > 0 {
-            return Shows::Broken(figures.breaks.iter().map(|b| b.rule).collect());
+    pub fn of(metrics: &Metrics, beside: Option<&Metrics>) -> Shows {
+        if metrics.violation_count > 0 {
+            return Shows::Broken(metrics.violations.iter().map(|b| b.rule).collect());
         }
-        Shows::Loses(beside.map_or(1.0 - figures.served, |beside| beside.served - figures.served))
+        Shows::Loses(beside.map_or(1.0 - metrics.served, |beside| beside.served - metrics.served))
     }
 
     /// How bad it is, the worst last.
@@ -127,9 +127,9 @@
 /// Smaller days, the boldest step first: a trouble less, half the size, half the time.
 fn smaller(scenario: &Scenario) -> Vec<Scenario> {
     let mut all = Vec::new();
-    for place in 0..scenario.trouble.len() {
+    for place in 0..scenario.faults.len() {
         let mut less = scenario.clone();
-        less.trouble.remove(place);
+        less.faults.remove(place);
         all.push(less);
     }
     let half = |range: Range| Range::from((range.least / 2.0).floor().max(1.0));
@@ -152,11 +152,11 @@
         less.span_s = Range::from(scenario.span_s.least / 2.0);
         all.push(less);
     }
-    for place in 0..scenario.trouble.len() {
-        let span = scenario.trouble[place].span_s.least;
+    for place in 0..scenario.faults.len() {
+        let span = scenario.faults[place].span_s.least;
         if span >= 2.0 {
             let mut less = scenario.clone();
-            less.trouble[place].span_s = Range::from(span / 2.0);
+            less.faults[place].span_s = Range::from(span / 2.0);
             all.push(less);
         }
     }
@@ -196,16 +196,16 @@
 
     #[test]
     fn every_day_of_a_hunt_can_be_played_and_the_same_seed_draws_the_same() {
-        let all: Vec<Woe> = woes().collect();
+        let all: Vec<FaultKind> = woes().collect();
         let text =
             |runs: &[Run]| runs.iter().map(|r| file::write(&r.scenario).expect("TOML")).collect::<String>();
         let runs = days(&small(), &all, 3, 200);
         for run in &runs {
-            assert_eq!(run.scenario.check(), [], "{:?}", run.scenario.trouble);
+            assert_eq!(run.scenario.check(), [], "{:?}", run.scenario.faults);
         }
         assert_eq!(text(&runs), text(&days(&small(), &all, 3, 200)));
-        let drawn: BTreeSet<Woe> =
-            runs.iter().flat_map(|run| run.scenario.trouble.iter().map(|t| t.what)).collect();
+        let drawn: BTreeSet<FaultKind> =
+            runs.iter().flat_map(|run| run.scenario.faults.iter().map(|t| t.what)).collect();
         assert_eq!(drawn.len(), all.len());
     }
 
@@ -214,19 +214,21 @@
     fn shrinking_keeps_the_fault_and_takes_away_the_rest() {
         let mut day = small();
         let mut chance = ChaCha8Rng::seed_from_u64(1);
-        let more = [Woe::Slow, Woe::Silent, Woe::Burst].map(|what| trouble(&day, what, &mut chance));
-        day.trouble = more.into_iter().collect();
+        let more = [FaultKind::Slow, FaultKind::Silent, FaultKind::Burst]
+            .map(|what| trouble(&day, what, &mut chance));
+        day.faults = more.into_iter().collect();
         day.relays.count = Range::from(64.0);
         let broken = Shows::Broken([Rule::Return].into_iter().collect());
         let mut played = 0;
         let show = |day: &Scenario| {
             played += 1;
-            let shown = day.relays.count.least >= 2.0 && day.trouble.iter().any(|t| t.what == Woe::Silent);
+            let shown =
+                day.relays.count.least >= 2.0 && day.faults.iter().any(|t| t.what == FaultKind::Silent);
             Ok(if shown { broken.clone() } else { Shows::Loses(0.1) })
         };
         let (least, found) = shrink(&day, &broken, show).expect("no run fails");
         assert_eq!(found, broken);
-        assert_eq!(least.trouble.iter().map(|t| t.what).collect::<Vec<_>>(), [Woe::Silent]);
+        assert_eq!(least.faults.iter().map(|t| t.what).collect::<Vec<_>>(), [FaultKind::Silent]);
         assert_eq!(least.relays.count.least, 2.0);
         assert!(
             least.span_s.least < 2.0 * LEAST_SPAN_S && played < 100,
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -16,8 +16,8 @@
 use std::process::ExitCode;
 
 use clap::{Args, Parser, Subcommand};
-use juniperwing_model::scenario::Woe;
-use juniperwing_model::{Figures, Scenario};
+use juniperwing_model::scenario::FaultKind;
+use juniperwing_model::{Metrics, Scenario};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
@@ -145,7 +145,7 @@
         self.seed..self.seed.saturating_add(self.seeds)
     }
 
-    fn play(&self, runs: &[Run]) -> Result<Vec<Figures>, String> {
+    fn play(&self, runs: &[Run]) -> Result<Vec<Metrics>, String> {
         play::play(runs, self.jobs, self.quiet)
     }
 }
@@ -176,8 +176,8 @@
 type Done = Result<ExitCode, Box<dyn Error>>;
 
 /// 0, or 1 where a rule was broken or a run cut off.
-fn code(figures: &[Figures]) -> ExitCode {
-    let bad = figures.iter().any(|figures| figures.broken > 0 || figures.cut);
+fn code(metrics: &[Metrics]) -> ExitCode {
+    let bad = metrics.iter().any(|metrics| metrics.violation_count > 0 || metrics.is_truncated);
     if bad { ExitCode::FAILURE } else { ExitCode::SUCCESS }
 }
 
@@ -188,41 +188,41 @@
     Err(format!("there is no policy {policy:?}; there are {} and adapter:PROGRAM", play::POLICIES.join(", ")))
 }
 
-fn folder(out: &Path, figures: &Figures) -> PathBuf {
-    out.join(format!("{}-{}-{}", figures.scenario, figures.policy, figures.seed))
+fn folder(out: &Path, metrics: &Metrics) -> PathBuf {
+    out.join(format!("{}-{}-{}", metrics.scenario, metrics.policy, metrics.seed))
 }
 
 fn run(scenario: &Path, how: &How, policy: &str) -> Done {
     known(policy)?;
     let scenario = file::read(scenario)?;
     let run = |seed| Run { scenario: scenario.clone(), seed, policy: policy.to_owned() };
-    let figures = how.play(&how.seeds().map(run).collect::<Vec<_>>())?;
-    for figures in &figures {
-        let folder = folder(&how.out, figures);
-        report::run(&folder, &scenario, figures)?;
-        println!("{}\n  {}", report::summary(figures), folder.join("report.html").display());
-        for broken in figures.breaks.iter().take(3) {
+    let metrics = how.play(&how.seeds().map(run).collect::<Vec<_>>())?;
+    for metrics in &metrics {
+        let folder = folder(&how.out, metrics);
+        report::run(&folder, &scenario, metrics)?;
+        println!("{}\n  {}", report::summary(metrics), folder.join("report.html").display());
+        for broken in metrics.violations.iter().take(3) {
             println!("  {} at {:.3} s: {}", broken.rule, broken.at_s, broken.what);
         }
     }
-    Ok(code(&figures))
+    Ok(code(&metrics))
 }
 
 /// Where the time of a run goes.
 fn timed(scenario: &Path, how: &How, policy: &str) -> Done {
     let run = Run { scenario: file::read(scenario)?, seed: how.seed, policy: policy.to_owned() };
-    let (figures, decisions, all) = play::timed(&run)?;
-    let (model, events) = (all.saturating_sub(decisions), figures.events.max(1));
+    let (metrics, decisions, all) = play::timed(&run)?;
+    let (model, events) = (all.saturating_sub(decisions), metrics.events.max(1));
     let micros = |time: std::time::Duration| time.as_secs_f64() * 1e6;
     println!(
         "{:.1} simulated s a second; decisions {:.2} s ({:.2} us a turn), model {:.2} s ({:.2} us an event)",
-        figures.seconds.len() as f64 / all.as_secs_f64().max(1e-9),
+        metrics.seconds.len() as f64 / all.as_secs_f64().max(1e-9),
         decisions.as_secs_f64(),
-        micros(decisions) / figures.turns.max(1) as f64,
+        micros(decisions) / metrics.turns.max(1) as f64,
         model.as_secs_f64(),
         micros(model) / events as f64
     );
-    Ok(code(&[figures]))
+    Ok(code(&[metrics]))
 }
 
 /// `SCENARIO` or `SCENARIO@POLICY`.
@@ -241,9 +241,9 @@
             sides.each_ref().map(run).map(|(scenario, policy)| Run { scenario, seed, policy })
         })
         .collect();
-    let figures = how.play(&runs)?;
-    let pairs: Vec<(&Figures, &Figures)> = figures.chunks(2).map(|pair| (&pair[0], &pair[1])).collect();
-    type Read = fn(&Figures) -> f64;
+    let metrics = how.play(&runs)?;
+    let pairs: Vec<(&Metrics, &Metrics)> = metrics.chunks(2).map(|pair| (&pair[0], &pair[1])).collect();
+    type Read = fn(&Metrics) -> f64;
     let rows: [(&str, Read); 6] = [
         ("served", |f| f.served),
         ("worst 10 s", |f| f.worst_window.0),
@@ -252,7 +252,7 @@
         ("pushes for each handed in", |f| {
             f.pushes.sent as f64 / f.topics.iter().map(|t| t.offered).sum::<u64>().max(1) as f64
         }),
-        ("rules broken", |f| f.broken as f64),
+        ("rules broken", |f| f.violation_count as f64),
     ];
     let mut body = format!("<p>A: {}<br>B: {}</p>", report::text(a), report::text(b));
     body += "<table><tr><th>Figure<th>A<th>B<th>B less A<th>95 %</tr>";
@@ -272,14 +272,14 @@
         )?;
     }
     body += "</table>";
-    let served = |read: fn(&(&Figures, &Figures)) -> f64| pairs.iter().map(read).collect::<Vec<_>>();
+    let served = |read: fn(&(&Metrics, &Metrics)) -> f64| pairs.iter().map(read).collect::<Vec<_>>();
     let lines = [Line::of("A", &served(|p| p.0.served)), Line::of("B", &served(|p| p.1.served))];
     body += &plots::lines("Served, by seed", "place of the seed", "share", &lines, &[])?;
     let path = how.out.join("compare.html");
     std::fs::create_dir_all(&how.out)?;
     std::fs::write(&path, report::page("Comparison", &body))?;
     println!("{} pairs; {}", pairs.len(), path.display());
-    Ok(code(&figures))
+    Ok(code(&metrics))
 }
 
 /// A scenario with the figure at a path of keys set.
@@ -318,23 +318,23 @@
             }));
         }
     }
-    let figures = how.play(&runs)?;
+    let metrics = how.play(&runs)?;
     std::fs::create_dir_all(&how.out)?;
     let mut table = csv::Writer::from_path(how.out.join("sweep.csv"))?;
     table.write_record(["policy", path, "seed", "served", "worst_window", "broken"])?;
-    let (mut lines, mut rest) = (Vec::new(), figures.as_slice());
+    let (mut lines, mut rest) = (Vec::new(), metrics.as_slice());
     for policy in policies {
         let mut line = Line { name: policy.clone(), points: Vec::new(), band: Vec::new() };
         for value in &values {
             let (here, later) = rest.split_at(how.seeds as usize);
             rest = later;
             for f in here {
-                table.serialize((policy, value, f.seed, f.served, f.worst_window.0, f.broken))?;
+                table.serialize((policy, value, f.seed, f.served, f.worst_window.0, f.violation_count))?;
             }
             let served = || here.iter().map(|f| f.served);
             let mean = served().sum::<f64>() / here.len().max(1) as f64;
             let (least, most) = (served().fold(1.0, f64::min), served().fold(0.0, f64::max));
-            let broken = here.iter().filter(|f| f.broken > 0).count();
+            let broken = here.iter().filter(|f| f.violation_count > 0).count();
             line.points.push((*value, mean));
             line.band.push((*value, least, most));
             println!(
@@ -349,11 +349,11 @@
     let path = how.out.join("sweep.html");
     std::fs::write(&path, report::page(&format!("Sweep of {}", scenario.name), &body))?;
     println!("{}", path.display());
-    Ok(code(&figures))
+    Ok(code(&metrics))
 }
 
 /// Troubles by their names in scenarios; all that a hunt draws from if none is named.
-fn woes(only: &[String]) -> Result<Vec<Woe>, String> {
+fn woes(only: &[String]) -> Result<Vec<FaultKind>, String> {
     let named = |name: &String| {
         let all = || hunt::woes().map(report::name).collect::<Vec<_>>().join(", ");
         hunt::woes()
@@ -368,7 +368,7 @@
     let (scenario, only) = (file::read(scenario)?, woes(only)?);
     let runs = hunt::days(&scenario, &only, how.seed, budget);
     let runs: Vec<Run> = runs.into_iter().map(|run| Run { policy: policy.to_owned(), ..run }).collect();
-    let beside = |runs: &[Run]| -> Result<Vec<Option<Figures>>, String> {
+    let beside = |runs: &[Run]| -> Result<Vec<Option<Metrics>>, String> {
         if rules {
             return Ok(runs.iter().map(|_| None).collect());
         }
@@ -376,8 +376,8 @@
             runs.iter().map(|run| Run { policy: "oracle".to_owned(), ..run.clone() }).collect();
         Ok(how.play(&oracle)?.into_iter().map(Some).collect())
     };
-    let (figures, others) = (how.play(&runs)?, beside(&runs)?);
-    let shown: Vec<Shows> = figures.iter().zip(&others).map(|(f, o)| Shows::of(f, o.as_ref())).collect();
+    let (metrics, others) = (how.play(&runs)?, beside(&runs)?);
+    let shown: Vec<Shows> = metrics.iter().zip(&others).map(|(f, o)| Shows::of(f, o.as_ref())).collect();
     let broken = shown.iter().filter(|s| matches!(s, Shows::Broken(_))).count();
     println!("{} days played, {broken} with a broken rule", runs.len());
     let worst = (0..runs.len()).max_by(|a, b| {
@@ -389,9 +389,9 @@
     let quiet = How { quiet: true, out: how.out.clone(), ..*how };
     let show = |scenario: &Scenario| {
         let run = [Run { scenario: scenario.clone(), ..runs[worst].clone() }];
-        let figures = quiet.play(&run)?;
+        let metrics = quiet.play(&run)?;
         let others = beside(&run)?;
-        Ok(Shows::of(&figures[0], others[0].as_ref()))
+        Ok(Shows::of(&metrics[0], others[0].as_ref()))
     };
     let (mut least, found) = hunt::shrink(&runs[worst].scenario, &shown[worst], show)?;
     least.name = format!("{}-found-{}", scenario.name, runs[worst].seed);
@@ -400,7 +400,7 @@
     std::fs::create_dir_all(&how.out)?;
     let path = how.out.join(format!("{}.toml", least.name));
     std::fs::write(&path, file::write(&least)?)?;
-    let troubles: Vec<String> = least.trouble.iter().map(|t| report::name(t.what)).collect();
+    let troubles: Vec<String> = least.faults.iter().map(|t| report::name(t.what)).collect();
     println!(
         "{found:?} with {} relays, {} destinations, {:.1} s, troubles: {}\n{}",
         least.relays.count.least,
@@ -424,9 +424,9 @@
 
 fn survey(scenario: &Path, how: &How, pairs: bool) -> Done {
     let mut scenario = file::read(scenario)?;
-    scenario.trouble.clear();
-    let all: Vec<Woe> = hunt::woes().collect();
-    let mut sets: Vec<Vec<Woe>> =
+    scenario.faults.clear();
+    let all: Vec<FaultKind> = hunt::woes().collect();
+    let mut sets: Vec<Vec<FaultKind>> =
         std::iter::once(Vec::new()).chain(all.iter().map(|woe| vec![*woe])).collect();
     if pairs {
         let second = |n: usize| all[n + 1..].iter().map(move |b| (n, *b));
@@ -439,12 +439,12 @@
         for seed in how.seeds() {
             let mut day = scenario.resolve(seed);
             let mut chance = ChaCha8Rng::seed_from_u64(seed);
-            day.trouble = set.iter().map(|what| hunt::trouble(&day, *what, &mut chance)).collect();
+            day.faults = set.iter().map(|what| hunt::trouble(&day, *what, &mut chance)).collect();
             let run = |policy: &str| Run { scenario: day.clone(), seed, policy: policy.to_owned() };
             runs.extend(policies.map(run));
         }
     }
-    let figures = how.play(&runs)?;
+    let metrics = how.play(&runs)?;
     std::fs::create_dir_all(&how.out)?;
     let mut table = csv::Writer::from_path(how.out.join("survey.csv"))?;
     let head = [
@@ -460,10 +460,10 @@
     ];
     table.write_record(head)?;
     let mut rows: Vec<Row> = Vec::new();
-    for (set, runs) in sets.iter().zip(figures.chunks(policies.len() * how.seeds as usize)) {
+    for (set, runs) in sets.iter().zip(metrics.chunks(policies.len() * how.seeds as usize)) {
         let of = |policy: usize| runs.iter().skip(policy).step_by(policies.len());
         let mean = |policy: usize| of(policy).map(|f| f.served).sum::<f64>() / how.seeds as f64;
-        let broken = |policy: usize| of(policy).filter(|f| f.broken > 0).count();
+        let broken = |policy: usize| of(policy).filter(|f| f.violation_count > 0).count();
         let served: Vec<f64> = (0..policies.len()).map(mean).collect();
         // A baseline that breaks rules on these days is none to be behind of.
         let best =
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -10,8 +10,8 @@
 use juniperwing::time::Time;
 use juniperwing_model::fleet::Fleet;
 use juniperwing_model::policy::Truth;
-use juniperwing_model::scenario::Woe;
-use juniperwing_model::{Core, Figures, Policies, Policy, Scenario};
+use juniperwing_model::scenario::FaultKind;
+use juniperwing_model::{Core, Metrics, Policies, Policy, Scenario};
 use rayon::prelude::*;
 
 use crate::adapter::Adapter;
@@ -29,16 +29,16 @@
 }
 
 /// Plays one run.
-fn one(run: &Run, play: impl Fn(&dyn Policies) -> Figures) -> Result<Figures, String> {
+fn one(run: &Run, play: impl Fn(&dyn Policies) -> Metrics) -> Result<Metrics, String> {
     if let Some(path) = run.policy.strip_prefix(ADAPTER) {
-        if run.scenario.trouble.iter().any(|trouble| trouble.what == Woe::Kill) {
+        if run.scenario.faults.iter().any(|trouble| trouble.what == FaultKind::Kill) {
             return Err(
                 "an adapter's relays have no folder, so none can be killed and come back over it".to_owned()
             );
         }
         let adapter = Adapter::start(path)?;
-        let figures = play(&adapter);
-        return adapter.failed().map_or(Ok(figures), |why| Err(format!("{path}: {why}")));
+        let metrics = play(&adapter);
+        return adapter.failed().map_or(Ok(metrics), |why| Err(format!("{path}: {why}")));
     }
     let policies: &dyn Policies = match run.policy.as_str() {
         "core" => &Core,
@@ -82,13 +82,13 @@
 }
 
 /// Plays one run and says how long it took, in decisions and in all. The figures are those of any other run.
-pub fn timed(run: &Run) -> Result<(Figures, Duration, Duration), String> {
+pub fn timed(run: &Run) -> Result<(Metrics, Duration, Duration), String> {
     let (since, spent) = (Instant::now(), Rc::new(Cell::new(Duration::ZERO)));
-    let figures = one(run, |policies| {
+    let metrics = one(run, |policies| {
         let timed = Timed { of: policies, spent: spent.clone() };
-        juniperwing_model::play(&run.scenario, run.seed, &timed)
+        juniperwing_model::simulate(&run.scenario, run.seed, &timed)
     })?;
-    Ok((figures, spent.get(), since.elapsed()))
+    Ok((metrics, spent.get(), since.elapsed()))
 }
 
 /// One run to be played.
@@ -103,13 +103,13 @@
 }
 
 /// Plays all runs on so many cores (0: all there are), with a bar on standard error unless `quiet`.
-pub fn play(runs: &[Run], cores: usize, quiet: bool) -> Result<Vec<Figures>, String> {
+pub fn play(runs: &[Run], cores: usize, quiet: bool) -> Result<Vec<Metrics>, String> {
     let bar = if quiet { ProgressBar::hidden() } else { ProgressBar::new(runs.len() as u64) };
     let style = ProgressStyle::with_template("{bar:40} {pos}/{len} runs, {elapsed} gone, {eta} to go");
     bar.set_style(style.map_err(|e| e.to_string())?);
     let pool = rayon::ThreadPoolBuilder::new().num_threads(cores).build().map_err(|e| e.to_string())?;
-    let one = |run: &Run| one(run, |policies| juniperwing_model::play(&run.scenario, run.seed, policies));
-    let figures = pool.install(|| runs.par_iter().progress_with(bar.clone()).map(one).collect());
+    let one = |run: &Run| one(run, |policies| juniperwing_model::simulate(&run.scenario, run.seed, policies));
+    let metrics = pool.install(|| runs.par_iter().progress_with(bar.clone()).map(one).collect());
     bar.finish_and_clear();
-    figures
+    metrics
 }
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -7,7 +7,7 @@
 use std::fs;
 use std::path::Path;
 
-use juniperwing_model::figures::{Figures, Part, QUANTILES};
+use juniperwing_model::metrics::{GroupMetrics, Metrics, QUANTILES};
 use juniperwing_model::{Scenario, scenario};
 
 use crate::file;
@@ -37,31 +37,31 @@
 }
 
 /// Writes the folder of one run.
-pub fn run(folder: &Path, scenario: &Scenario, figures: &Figures) -> Done {
+pub fn run(folder: &Path, scenario: &Scenario, metrics: &Metrics) -> Done {
     fs::create_dir_all(folder)?;
-    let resolved = scenario.resolve(figures.seed);
-    let seed = format!("# Resolved with --seed {}\n", figures.seed);
+    let resolved = scenario.resolve(metrics.seed);
+    let seed = format!("# Resolved with --seed {}\n", metrics.seed);
     fs::write(folder.join("scenario.toml"), seed + &file::write(&resolved)?)?;
-    fs::write(folder.join("figures.json"), serde_json::to_vec_pretty(figures)?)?;
-    seconds(&folder.join("seconds.csv"), figures)?;
+    fs::write(folder.join("figures.json"), serde_json::to_vec_pretty(metrics)?)?;
+    seconds(&folder.join("seconds.csv"), metrics)?;
     // Last, so that a folder with a report is whole.
-    fs::write(folder.join("report.html"), html(&resolved, figures)?)?;
+    fs::write(folder.join("report.html"), html(&resolved, metrics)?)?;
     Ok(())
 }
 
-fn seconds(path: &Path, figures: &Figures) -> Done {
+fn seconds(path: &Path, metrics: &Metrics) -> Done {
     let mut table = csv::Writer::from_path(path)?;
     table.write_record(["second", "offered", "asked", "benefit", "pushes", "refused", "out", "held"])?;
-    for (n, second) in figures.seconds.iter().enumerate() {
+    for (n, second) in metrics.seconds.iter().enumerate() {
         table.serialize((
             n,
             second.offered,
-            second.asked,
-            second.benefit,
+            second.requested_benefit,
+            second.delivered_benefit,
             second.pushes,
-            second.refused,
-            second.out,
-            second.held,
+            second.rejected_pushes,
+            second.in_flight_calls,
+            second.pending_notifications,
         ))?;
     }
     table.flush()?;
@@ -69,38 +69,39 @@
 }
 
 /// One line about a run.
-pub fn summary(figures: &Figures) -> String {
-    let (relays, destinations, endpoints) = figures.size;
-    let broken = match figures.broken {
+pub fn summary(metrics: &Metrics) -> String {
+    let (relays, destinations, endpoints) = metrics.size;
+    let broken = match metrics.violation_count {
         0 => "rules kept".to_owned(),
         n => {
             let rules: std::collections::BTreeSet<String> =
-                figures.breaks.iter().map(|b| b.rule.to_string()).collect();
+                metrics.violations.iter().map(|b| b.rule.to_string()).collect();
             format!("{n} BROKEN ({})", rules.into_iter().collect::<Vec<_>>().join(", "))
         }
     };
-    let cut = if figures.cut { ", CUT OFF: too many events" } else { "" };
+    let cut = if metrics.is_truncated { ", CUT OFF: too many events" } else { "" };
     format!(
         "{:<9} seed {:<4} {relays}x{endpoints} in {destinations}  served {:.4}  worst 10 s {:.4}  worst topic {:.4}  \
          {broken}{cut}",
-        figures.policy, figures.seed, figures.served, figures.worst_window.0, figures.worst_topic
+        metrics.policy, metrics.seed, metrics.served, metrics.worst_window.0, metrics.worst_topic
     )
 }
 
-fn html(scenario: &Scenario, figures: &Figures) -> Done<String> {
-    let mut body = format!("<p>{}</p><p>{}</p>", text(&scenario.about), text(&summary(figures)));
-    breaks(&mut body, figures)?;
-    parts(&mut body, "Topic type", &figures.topics)?;
-    if !figures.accounts.is_empty() {
-        parts(&mut body, "Account", &figures.accounts)?;
+fn html(scenario: &Scenario, metrics: &Metrics) -> Done<String> {
+    let mut body = format!("<p>{}</p><p>{}</p>", text(&scenario.about), text(&summary(metrics)));
+    breaks(&mut body, metrics)?;
+    parts(&mut body, "Topic type", &metrics.topics)?;
+    if !metrics.accounts.is_empty() {
+        parts(&mut body, "Account", &metrics.accounts)?;
     }
     let shaded = shaded(scenario);
     troubles(&mut body, scenario)?;
-    let share =
-        |s: &juniperwing_model::figures::Second| if s.asked > 0.0 { s.benefit / s.asked } else { 1.0 };
+    let share = |s: &juniperwing_model::metrics::SecondMetrics| {
+        if s.requested_benefit > 0.0 { s.delivered_benefit / s.requested_benefit } else { 1.0 }
+    };
     // What is handed in after the end of traffic is nothing.
-    let until = figures.seconds.iter().rposition(|s| s.offered > 0).map_or(0, |n| n + 1);
-    let benefit: Vec<f64> = figures.seconds[..until].iter().map(share).collect();
+    let until = metrics.seconds.iter().rposition(|s| s.offered > 0).map_or(0, |n| n + 1);
+    let benefit: Vec<f64> = metrics.seconds[..until].iter().map(share).collect();
     body += &plots::lines(
         "Benefit served, by when it was handed in",
         "second",
@@ -108,8 +109,8 @@
         &[Line::of("served", &benefit)],
         &shaded,
     )?;
-    let series = |of: fn(&juniperwing_model::figures::Second) -> f64| -> Vec<f64> {
-        figures.seconds.iter().map(of).collect()
+    let series = |of: fn(&juniperwing_model::metrics::SecondMetrics) -> f64| -> Vec<f64> {
+        metrics.seconds.iter().map(of).collect()
     };
     body += &plots::lines(
         "Handed in, pushed, turned away",
@@ -118,7 +119,7 @@
         &[
             Line::of("handed in", &series(|s| s.offered as f64)),
             Line::of("pushes", &series(|s| s.pushes as f64)),
-            Line::of("turned away", &series(|s| s.refused as f64)),
+            Line::of("turned away", &series(|s| s.rejected_pushes as f64)),
         ],
         &shaded,
     )?;
@@ -126,11 +127,14 @@
         "Held, and calls out",
         "second",
         "count",
-        &[Line::of("held", &series(|s| s.held as f64)), Line::of("calls out", &series(|s| s.out as f64))],
+        &[
+            Line::of("held", &series(|s| s.pending_notifications as f64)),
+            Line::of("calls out", &series(|s| s.in_flight_calls as f64)),
+        ],
         &shaded,
     )?;
-    latencies(&mut body, figures)?;
-    for watched in &figures.watched {
+    latencies(&mut body, metrics)?;
+    for watched in &metrics.destination_series {
         let title = format!("Destination {}: what reached it beside what it can do", watched.destination);
         let lines = [
             Line::of("reached", &watched.reached),
@@ -139,7 +143,7 @@
         ];
         body += &plots::lines(&title, "second", "a second", &lines, &shaded)?;
     }
-    let pushes = &figures.pushes;
+    let pushes = &metrics.pushes;
     write!(
         body,
         "<h2>Pushes</h2><table><tr><th>sent<th>calls<th>delivered<th>error<th>turned away<th>timed out<th>no \
@@ -161,25 +165,25 @@
         body,
         "<p>Connections opened {}, requests for the list {}, handed in again {}, turned away at a full hold {}, faults \
          {}, events {}, turns of relays {}.</p><h2>Scenario as resolved</h2><pre>{}</pre>",
-        figures.connections,
-        figures.list_requests,
-        figures.again,
-        figures.hold_full,
-        figures.faults,
-        figures.events,
-        figures.turns,
+        metrics.connections,
+        metrics.list_requests,
+        metrics.resubmissions,
+        metrics.rejected_at_capacity,
+        metrics.invalid_commands,
+        metrics.events,
+        metrics.turns,
         text(&file::write(scenario)?)
     )?;
-    Ok(page(&format!("{}, seed {}, {}", figures.scenario, figures.seed, figures.policy), &body))
+    Ok(page(&format!("{}, seed {}, {}", metrics.scenario, metrics.seed, metrics.policy), &body))
 }
 
-fn breaks(body: &mut String, figures: &Figures) -> Done {
-    if figures.broken == 0 {
+fn breaks(body: &mut String, metrics: &Metrics) -> Done {
+    if metrics.violation_count == 0 {
         *body += "<p class=\"good\">All six rules kept.</p>";
         return Ok(());
     }
-    write!(body, "<h2 class=\"bad\">Broken rules: {}</h2>", figures.broken)?;
-    for broken in &figures.breaks {
+    write!(body, "<h2 class=\"bad\">Broken rules: {}</h2>", metrics.violation_count)?;
+    for broken in &metrics.violations {
         write!(body, "<p><b>{}</b> at {:.3} s", broken.rule, broken.at_s)?;
         if let Some(relay) = broken.relay {
             write!(body, ", relay {relay}")?;
@@ -199,7 +203,7 @@
     Ok(())
 }
 
-fn parts(body: &mut String, what: &str, parts: &[Part]) -> Done {
+fn parts(body: &mut String, what: &str, parts: &[GroupMetrics]) -> Done {
     write!(
         body,
         "<table><tr><th>{what}<th>handed in<th>served<th>in objective<th>throttled<th>expired<th>gone"
@@ -209,16 +213,17 @@
     }
     *body += "</tr>";
     for part in parts {
-        let served = if part.asked > 0.0 { part.benefit / part.asked } else { 1.0 };
+        let served =
+            if part.requested_benefit > 0.0 { part.delivered_benefit / part.requested_benefit } else { 1.0 };
         write!(
             body,
             "<tr><td>{}<td>{}<td>{served:.4}<td>{}<td>{}<td>{}<td>{}",
             text(&part.name),
             part.offered,
-            part.in_objective,
+            part.within_objective,
             part.throttled,
             part.expired,
-            part.gone
+            part.abandoned
         )?;
         for latency in &part.latency_ms {
             write!(body, "<td>{latency:.0}")?;
@@ -229,23 +234,23 @@
     Ok(())
 }
 
-fn latencies(body: &mut String, figures: &Figures) -> Done {
-    let line = |part: &Part| Line {
+fn latencies(body: &mut String, metrics: &Metrics) -> Done {
+    let line = |part: &GroupMetrics| Line {
         name: part.name.clone(),
         points: QUANTILES.iter().zip(&part.latency_ms).map(|(q, ms)| (q * 100.0, *ms)).collect(),
         band: Vec::new(),
     };
-    let lines: Vec<Line> = figures.topics.iter().filter(|p| !p.latency_ms.is_empty()).map(line).collect();
+    let lines: Vec<Line> = metrics.topics.iter().filter(|p| !p.latency_ms.is_empty()).map(line).collect();
     *body += &plots::lines("Latency of what was delivered", "percentile", "ms", &lines, &[])?;
     Ok(())
 }
 
 fn troubles(body: &mut String, scenario: &Scenario) -> Done {
-    if scenario.trouble.is_empty() {
+    if scenario.faults.is_empty() {
         return Ok(());
     }
     *body += "<table><tr><th>Trouble<th>from s<th>to s<th>size<th>extent</tr>";
-    for trouble in &scenario.trouble {
+    for trouble in &scenario.faults {
         let (from, span) = (trouble.start_s.least, trouble.span_s.least);
         write!(
             body,
@@ -261,11 +266,11 @@
 }
 
 /// A trouble's name as scenarios write it.
-pub fn name(woe: scenario::Woe) -> String {
+pub fn name(woe: scenario::FaultKind) -> String {
     serde_json::to_value(woe).ok().and_then(|value| value.as_str().map(str::to_owned)).unwrap_or_default()
 }
 
 fn shaded(scenario: &Scenario) -> Vec<(f64, f64)> {
-    let span = |t: &scenario::Trouble| (t.start_s.least, t.start_s.least + t.span_s.least);
-    scenario.trouble.iter().map(span).filter(|(from, to)| from < to).collect()
+    let span = |t: &scenario::Fault| (t.start_s.least, t.start_s.least + t.span_s.least);
+    scenario.faults.iter().map(span).filter(|(from, to)| from < to).collect()
 }
--- a/crates/model/src/queue.rs
+++ b/crates/model/src/event_queue.rs
@@ -8,13 +8,13 @@
 
 /// An event with its place; the place alone orders it.
 struct Item<E> {
-    place: (Time, u64),
+    key: (Time, u64),
     event: E,
 }
 
 impl<E> PartialEq for Item<E> {
     fn eq(&self, other: &Self) -> bool {
-        self.place == other.place
+        self.key == other.key
     }
 }
 
@@ -28,42 +28,42 @@
 
 impl<E> Ord for Item<E> {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        self.place.cmp(&other.place)
+        self.key.cmp(&other.key)
     }
 }
 
 /// Events to come.
-pub struct Queue<E> {
+pub struct EventQueue<E> {
     heap: BinaryHeap<Reverse<Item<E>>>,
     count: u64,
     now: Time,
 }
 
-impl<E> Default for Queue<E> {
+impl<E> Default for EventQueue<E> {
     fn default() -> Self {
-        Queue { heap: BinaryHeap::new(), count: 0, now: Time::default() }
+        EventQueue { heap: BinaryHeap::new(), count: 0, now: Time::default() }
     }
 }
 
-impl<E> Queue<E> {
+impl<E> EventQueue<E> {
     /// The time of the event taken last.
     pub fn now(&self) -> Time {
         self.now
     }
 
     /// Puts an event. One in the past comes now: time never goes back.
-    pub fn put(&mut self, at: Time, event: E) {
+    pub fn schedule(&mut self, at: Time, event: E) {
         if at < Time::NEVER {
             self.count += 1;
-            self.heap.push(Reverse(Item { place: (at.max(self.now), self.count), event }));
+            self.heap.push(Reverse(Item { key: (at.max(self.now), self.count), event }));
         }
     }
 
     /// The next event, to whose time the clock then moves.
-    pub fn take(&mut self) -> Option<(Time, E)> {
+    pub fn pop(&mut self) -> Option<(Time, E)> {
         let Reverse(item) = self.heap.pop()?;
-        self.now = item.place.0;
-        Some((item.place.0, item.event))
+        self.now = item.key.0;
+        Some((item.key.0, item.event))
     }
 
     /// Events that wait.
@@ -89,21 +89,21 @@
 
     #[test]
     fn an_event_in_the_past_comes_now_and_one_that_never_comes_is_not_kept() {
-        let mut queue = Queue::default();
-        queue.put(at(5), "first");
-        assert_eq!(queue.take(), Some((at(5), "first")));
-        queue.put(at(2), "late");
-        queue.put(Time::NEVER, "never");
-        assert_eq!(queue.take(), Some((at(5), "late")));
-        assert_eq!(queue.take(), None);
+        let mut queue = EventQueue::default();
+        queue.schedule(at(5), "first");
+        assert_eq!(queue.pop(), Some((at(5), "first")));
+        queue.schedule(at(2), "late");
+        queue.schedule(Time::NEVER, "never");
+        assert_eq!(queue.pop(), Some((at(5), "late")));
+        assert_eq!(queue.pop(), None);
     }
 
     #[test]
     fn a_million_pending_events_come_in_order() {
-        let mut queue = Queue::default();
-        (0..1_000_000u64).for_each(|n| queue.put(at(n * 7_919 % 1_000_003), n));
+        let mut queue = EventQueue::default();
+        (0..1_000_000u64).for_each(|n| queue.schedule(at(n * 7_919 % 1_000_003), n));
         let mut last = Time::default();
-        while let Some((time, _)) = queue.take() {
+        while let Some((time, _)) = queue.pop() {
             assert!(last <= time);
             last = time;
         }
@@ -114,13 +114,13 @@
         /// By time, and at one instant in the order put: the same as a stable sort.
         #[test]
         fn events_come_as_a_stable_sort_has_them(times in prop::collection::vec(0u64..20, 0..200)) {
-            let mut queue = Queue::default();
+            let mut queue = EventQueue::default();
             for (n, time) in times.iter().enumerate() {
-                queue.put(at(*time), n);
+                queue.schedule(at(*time), n);
             }
             let mut sorted: Vec<(Time, usize)> = times.iter().enumerate().map(|(n, t)| (at(*t), n)).collect();
             sorted.sort_by_key(|item| item.0);
-            let taken: Vec<(Time, usize)> = std::iter::from_fn(|| queue.take()).collect();
+            let taken: Vec<(Time, usize)> = std::iter::from_fn(|| queue.pop()).collect();
             prop_assert_eq!(taken, sorted);
         }
     }
--- a/crates/model/src/fleet.rs
+++ b/crates/model/src/fleet.rs
@@ -11,9 +11,9 @@
 use rand::Rng;
 use rand::seq::SliceRandom;
 
-use crate::chance::{Chance, Concern, sums};
 use crate::limit::Limit;
-use crate::scenario::{Effect, Law, LimitForm, Scenario};
+use crate::random::{Concern, RngStreams, sums};
+use crate::scenario::{Effect, LatencyDistribution, LimitForm, Scenario};
 
 /// A topic type, for the core and for the model.
 #[derive(Clone, Debug)]
@@ -25,7 +25,7 @@
     /// Its coefficient of variation.
     pub cv: f64,
     /// How it varies.
-    pub law: Law,
+    pub law: LatencyDistribution,
     /// How much one try differs from the next.
     pub try_cv: f64,
 }
@@ -64,7 +64,7 @@
     /// Its destination, by place.
     pub destination: usize,
     /// Its lane, by place.
-    pub lane: usize,
+    pub route: usize,
     /// Its zone, by place.
     pub zone: usize,
     /// Calls that it serves at once.
@@ -83,7 +83,7 @@
 
 /// What limits, waits and outages hold for: a destination or, where routes are apart, one endpoint.
 #[derive(Clone, Debug)]
-pub struct LanePlan {
+pub struct RoutePlan {
     /// The limit at full strength.
     pub limit: Limit,
     /// What it can do when warm, in notifications a second.
@@ -125,11 +125,11 @@
     /// Endpoints at the start.
     pub endpoints: Vec<EndpointPlan>,
     /// Lanes.
-    pub lanes: Vec<LanePlan>,
+    pub routes: Vec<RoutePlan>,
     /// Relays.
     pub relays: Vec<RelayPlan>,
     /// The figures of the rules, as relays are told them.
-    pub figures: RuleFigures,
+    pub rules: RuleFigures,
     /// The shortest gap between two rounds of a relay.
     pub tick: Span,
     /// Whether list entries carry a rate.
@@ -137,13 +137,13 @@
 }
 
 /// The id of the endpoint with that place.
-pub(crate) fn endpoint_id(place: usize) -> EndpointId {
-    EndpointId(Arc::from(format!("e{place}")))
+pub(crate) fn endpoint_id(index: usize) -> EndpointId {
+    EndpointId(Arc::from(format!("e{index}")))
 }
 
 /// The id of the destination with that place.
-pub(crate) fn destination_id(place: usize) -> DestinationId {
-    DestinationId(place as u64)
+pub(crate) fn destination_id(index: usize) -> DestinationId {
+    DestinationId(index as u64)
 }
 
 /// A span of so many milliseconds, whole or not.
@@ -153,7 +153,7 @@
 
 impl Fleet {
     /// Draws what a resolved scenario consists of.
-    pub fn draw(scenario: &Scenario, chance: &Chance) -> Fleet {
+    pub fn draw(scenario: &Scenario, rng: &RngStreams) -> Fleet {
         let zones: Vec<Arc<str>> = scenario.zones.iter().map(|zone| Arc::from(zone.as_str())).collect();
         let mut fleet = Fleet {
             topics: topics(scenario),
@@ -162,14 +162,14 @@
             accounts: accounts(scenario),
             destinations: Vec::new(),
             endpoints: Vec::new(),
-            lanes: Vec::new(),
+            routes: Vec::new(),
             relays: Vec::new(),
-            figures: figures(scenario),
+            rules: rule_figures(scenario),
             tick: span_ms(scenario.relays.tick_ms),
             rates_listed: scenario.list.rates,
         };
-        fleet.draw_destinations(scenario, chance);
-        fleet.draw_relays(scenario, chance);
+        fleet.draw_destinations(scenario, rng);
+        fleet.draw_relays(scenario, rng);
         fleet
     }
 
@@ -183,12 +183,12 @@
             tick: self.tick,
             home: None,
         };
-        Terms { fleet, allowance: self.relays[relay].allowance, figures: self.figures }
+        Terms { fleet, allowance: self.relays[relay].allowance, figures: self.rules }
     }
 
-    fn draw_destinations(&mut self, scenario: &Scenario, chance: &Chance) {
+    fn draw_destinations(&mut self, scenario: &Scenario, rng: &RngStreams) {
         let count = scenario.destinations.count.least as usize;
-        let mut draws = chance.stream(Concern::Destinations, 0);
+        let mut draws = rng.stream(Concern::Destinations, 0);
         let kinds = deal(count, scenario.kind.iter().map(|kind| kind.share));
         let mut order: Vec<usize> = kinds;
         order.shuffle(&mut draws);
@@ -197,13 +197,13 @@
             (0..count).map(|n| ((n + 1) as f64).powf(-scenario.destinations.zipf.least)).collect();
         let rates = rates(scenario, &order, &weights);
         let whole = scenario.destinations.endpoints.least;
-        for (place, kind) in order.into_iter().enumerate() {
+        for (index, kind) in order.into_iter().enumerate() {
             // A stream for each, so that one destination more leaves the others as they are.
-            let mut draws = chance.stream(Concern::Destinations, place + 1);
+            let mut draws = rng.stream(Concern::Destinations, index + 1);
             let plan = &scenario.kind[kind];
-            let (speed, account) = (plan.speed.draw(&mut draws), accounts.get(place).copied());
-            let rate: f64 = rates[place].iter().sum();
-            let works = rates[place].iter().zip(&self.topics).map(|(rate, topic)| rate * topic.work);
+            let (speed, account) = (plan.speed.draw(&mut draws), accounts.get(index).copied());
+            let rate: f64 = rates[index].iter().sum();
+            let works = rates[index].iter().zip(&self.topics).map(|(rate, topic)| rate * topic.work);
             let usual =
                 self.topics.iter().map(|topic| topic.work).sum::<f64>() / self.topics.len().max(1) as f64;
             let work = if rate > 0.0 { works.sum::<f64>() / rate } else { usual } / speed;
@@ -213,24 +213,24 @@
             let served = (servers * ends) as f64 / work;
             let told = (plan.headroom.draw(&mut draws) * rate).max(plan.least_rate.draw(&mut draws));
             let (depth, window) = (plan.depth_s.draw(&mut draws), span_ms(plan.window_ms.draw(&mut draws)));
-            let lanes = if plan.apart { ends } else { 1 };
-            let told = told / lanes as f64;
+            let routes = if plan.apart { ends } else { 1 };
+            let told = told / routes as f64;
             let limit = match plan.limit {
                 LimitForm::None => Limit::None,
                 LimitForm::Rate => Limit::rate(told, depth),
                 LimitForm::Window => Limit::window(told, window),
             };
-            let limited = limit.told(1.0).unwrap_or(f64::INFINITY);
+            let limited = limit.calls_per_s(1.0).unwrap_or(f64::INFINITY);
             let cold = (
                 scenario.rules.cold_from.draw(&mut draws),
                 Span::from_secs_f64(scenario.rules.cold_s.draw(&mut draws)),
             );
             let rough = 0.5 + draws.random::<f64>();
-            let first_lane = self.lanes.len();
-            for _ in 0..lanes {
-                let capacity = (served / lanes as f64).min(limited);
+            let first_lane = self.routes.len();
+            for _ in 0..routes {
+                let capacity = (served / routes as f64).min(limited);
                 let listed = if scenario.list.rates { capacity * rough } else { 1.0 };
-                self.lanes.push(LanePlan { limit: limit.clone(), capacity, cold, listed });
+                self.routes.push(RoutePlan { limit: limit.clone(), capacity, cold, listed });
             }
             let mut endpoints = Vec::new();
             for end in 0..ends {
@@ -240,9 +240,9 @@
                 endpoints.push(self.endpoints.len());
                 self.endpoints.push(EndpointPlan {
                     id: endpoint_id(self.endpoints.len()),
-                    destination: place,
-                    lane: first_lane + if plan.apart { end } else { 0 },
-                    zone: (place + end) % self.zones.len(),
+                    destination: index,
+                    route: first_lane + if plan.apart { end } else { 0 },
+                    zone: (index + end) % self.zones.len(),
                     servers,
                     queue: (plan.queue.draw(&mut draws) * servers as f64).ceil() as usize,
                     connections: most as usize,
@@ -254,8 +254,8 @@
                     distance: draws.random(),
                 });
             }
-            let rate_sums = sums(rates[place].iter().copied());
-            let rates = rates[place].clone();
+            let rate_sums = sums(rates[index].iter().copied());
+            let rates = rates[index].clone();
             self.destinations.push(DestinationPlan {
                 kind,
                 account,
@@ -268,7 +268,7 @@
         }
     }
 
-    fn draw_relays(&mut self, scenario: &Scenario, chance: &Chance) {
+    fn draw_relays(&mut self, scenario: &Scenario, rng: &RngStreams) {
         let (plan, network) = (&scenario.relays, &scenario.network);
         let count = plan.count.least as usize;
         let weights: Vec<f64> = (0..count).map(|n| ((n + 1) as f64).powf(-plan.zipf.least)).collect();
@@ -277,8 +277,8 @@
         let trip = (network.near_ms.least + network.near_ms.most) / 1_000.0;
         let busy: f64 = self.destinations.iter().map(|d| d.rate() * (d.work + trip)).sum();
         let rate = scenario.traffic.rate.least;
-        for (place, weight) in weights.into_iter().enumerate() {
-            let mut draws = chance.stream(Concern::Relays, place);
+        for (index, weight) in weights.into_iter().enumerate() {
+            let mut draws = rng.stream(Concern::Relays, index);
             let part = weight / total;
             let slots = (plan.slots_room.draw(&mut draws) * busy * part).max(plan.least_slots).round();
             let held = (plan.hold_s.draw(&mut draws) * rate * part).max(plan.least_held).round();
@@ -291,8 +291,8 @@
                 cancel: true,
                 idle: Span::from_secs_f64(scenario.network.idle_s),
             };
-            let seed = chance.stream(Concern::Policies, place).random();
-            let (zone, distance) = (place % self.zones.len(), draws.random());
+            let seed = rng.stream(Concern::Policies, index).random();
+            let (zone, distance) = (index % self.zones.len(), draws.random());
             self.relays.push(RelayPlan { part, zone, allowance, distance, seed });
         }
     }
@@ -304,15 +304,15 @@
     let total: f64 = weights.iter().sum();
     let mut given = vec![0.0; weights.len()];
     let next = |given: &Vec<f64>, so_far: usize| {
-        let lacks = |place: &usize| weights[*place] / total * (so_far + 1) as f64 - given[*place];
+        let lacks = |index: &usize| weights[*index] / total * (so_far + 1) as f64 - given[*index];
         (0..weights.len()).max_by(|a, b| lacks(a).total_cmp(&lacks(b)).then(b.cmp(a)))
     };
     let mut dealt = Vec::new();
     for so_far in 0..count {
         let first = if so_far < weights.len() { Some(so_far) } else { next(&given, so_far) };
-        let Some(place) = first else { break };
-        given[place] += 1.0;
-        dealt.push(place);
+        let Some(index) = first else { break };
+        given[index] += 1.0;
+        dealt.push(index);
     }
     dealt
 }
@@ -376,7 +376,7 @@
     scenario.account.iter().map(account).collect()
 }
 
-fn figures(scenario: &Scenario) -> RuleFigures {
+fn rule_figures(scenario: &Scenario) -> RuleFigures {
     let rules = &scenario.rules;
     RuleFigures {
         ask_every: Span::from_secs_f64(rules.ask_every_s),
@@ -395,7 +395,7 @@
     #[test]
     fn things_are_dealt_out_by_weight_and_each_has_one() {
         let dealt = deal(12, [1.0, 2.0, 0.001].into_iter());
-        let count = |which| dealt.iter().filter(|place| **place == which).count();
+        let count = |which| dealt.iter().filter(|index| **index == which).count();
         assert_eq!((count(0), count(1), count(2)), (4, 7, 1));
         assert!(deal(5, std::iter::empty()).is_empty());
     }
--- a/crates/model/src/judge.rs
+++ b/crates/model/src/judge.rs
@@ -41,7 +41,7 @@
 
 /// A broken rule.
 #[derive(Clone, Debug, Serialize)]
-pub struct Break {
+pub struct Violation {
     /// The rule.
     pub rule: Rule,
     /// When, in seconds.
@@ -58,42 +58,52 @@
 
 /// What happens if a notification runs twice, as the judge has it.
 #[derive(Clone, Debug)]
-pub(crate) enum Repeat {
+pub(crate) enum RepeatSemantics {
     Harmless,
     /// Dropped for this long from the first push that may have run; by endpoints of its zone only, if true.
-    Dropped(Span, bool),
-    Never,
+    Deduplicated(Span, bool),
+    Forbidden,
 }
 
 /// What the judge has to know of a notification.
 #[derive(Clone, Debug)]
-pub(crate) struct Taken {
-    pub(crate) repeat: Repeat,
+pub(crate) struct AcceptedNotification {
+    pub(crate) repeat: RepeatSemantics,
     pub(crate) key: Option<String>,
     pub(crate) valid_until: Time,
 }
 
 /// How a push ended, as the judge has it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Ran {
-    Never,
+pub(crate) enum ExecutionStatus {
+    NotExecuted,
     /// It did, or may have, and is over.
-    Maybe,
+    MayHaveExecuted,
     /// It may still be running.
-    Unsure,
+    MayBeExecuting,
+}
+
+impl fmt::Display for ExecutionStatus {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            ExecutionStatus::NotExecuted => "Never",
+            ExecutionStatus::MayHaveExecuted => "Maybe",
+            ExecutionStatus::MayBeExecuting => "Unsure",
+        })
+    }
 }
 
 /// Where a push goes: endpoint, zone and lane, by place.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct To {
+pub(crate) struct PushTarget {
     pub(crate) endpoint: usize,
     pub(crate) zone: usize,
-    pub(crate) lane: usize,
+    pub(crate) route: usize,
 }
 
 /// The figures of the rules, as the judge has them.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Figures {
+pub(crate) struct RuleParameters {
     pub(crate) answer_slack: Span,
     pub(crate) drain_grace: Span,
     pub(crate) settle: Span,
@@ -103,21 +113,23 @@
 }
 
 /// What a relay was seen to do or to hear.
-enum Seen {
+enum Observation {
     /// It pushes a notification to an endpoint.
-    Pushes(u64, usize),
+    Push(u64, usize),
     /// It hears how a push of a notification ended.
-    Hears(u64, u32, Ran),
+    Outcome(u64, u32, ExecutionStatus),
     /// It ends a notification.
-    Ends(u64, &'static str),
+    FinalAnswer(u64, &'static str),
 }
 
-impl fmt::Display for Seen {
+impl fmt::Display for Observation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Seen::Pushes(ntf, endpoint) => write!(f, "pushes {ntf} to endpoint {endpoint}"),
-            Seen::Hears(ntf, push, ran) => write!(f, "hears of push {push} of {ntf}: {ran:?}"),
-            Seen::Ends(ntf, end) => write!(f, "ends {ntf}: {end}"),
+            Observation::Push(ntf, endpoint) => write!(f, "pushes {ntf} to endpoint {endpoint}"),
+            Observation::Outcome(ntf, push, execution) => {
+                write!(f, "hears of push {push} of {ntf}: {execution}")
+            }
+            Observation::FinalAnswer(ntf, end) => write!(f, "ends {ntf}: {end}"),
         }
     }
 }
@@ -126,11 +138,11 @@
     number: u32,
     at: Time,
     zone: usize,
-    ran: Option<Ran>,
+    ran: Option<ExecutionStatus>,
 }
 
-struct Known {
-    taken: Taken,
+struct NotificationRecord {
+    taken: AcceptedNotification,
     relay: usize,
     pushes: Vec<Push>,
     ended: bool,
@@ -139,7 +151,7 @@
 }
 
 /// A lane that came back.
-struct Return {
+struct Recovery {
     at: Time,
     capacity: f64,
     cold: (f64, Span),
@@ -148,11 +160,11 @@
 }
 
 #[derive(Default)]
-struct LaneRecord {
+struct RouteRecord {
     out: bool,
     /// Relays that saw a call fail or be refused there in the outage.
     saw: BTreeSet<usize>,
-    back: Option<Return>,
+    back: Option<Recovery>,
 }
 
 /// Breaks of one rule that are described; more are only counted. One rule must not hide another.
@@ -162,30 +174,30 @@
 
 /// The judge of one run.
 pub(crate) struct Judge {
-    figures: Figures,
-    known: BTreeMap<u64, Known>,
+    parameters: RuleParameters,
+    known: BTreeMap<u64, NotificationRecord>,
     /// Of each relay and key: notifications in the order taken, and until when the key rests.
     lines: BTreeMap<(usize, String), (VecDeque<u64>, Time)>,
     /// When a relay was told that an endpoint drains or is gone.
     drains: BTreeMap<(usize, usize), Time>,
     waits: BTreeMap<(usize, usize), Time>,
-    lanes: Vec<LaneRecord>,
+    routes: Vec<RouteRecord>,
     ran: BTreeMap<usize, Time>,
     /// What was seen last, and of which relay; put into words only where a rule breaks.
-    recent: VecDeque<(Time, usize, Seen)>,
-    breaks: Vec<Break>,
+    recent: VecDeque<(Time, usize, Observation)>,
+    breaks: Vec<Violation>,
     count: usize,
 }
 
 impl Judge {
-    pub(crate) fn new(figures: Figures, lanes: usize) -> Judge {
+    pub(crate) fn new(parameters: RuleParameters, routes: usize) -> Judge {
         Judge {
-            figures,
+            parameters,
             known: BTreeMap::new(),
             lines: BTreeMap::new(),
             drains: BTreeMap::new(),
             waits: BTreeMap::new(),
-            lanes: (0..lanes).map(|_| LaneRecord::default()).collect(),
+            routes: (0..routes).map(|_| RouteRecord::default()).collect(),
             ran: BTreeMap::new(),
             recent: VecDeque::new(),
             breaks: Vec::new(),
@@ -193,7 +205,7 @@
         }
     }
 
-    fn broken(&mut self, rule: Rule, now: Time, relay: Option<usize>, ntf: Option<u64>, what: String) {
+    fn report(&mut self, rule: Rule, now: Time, relay: Option<usize>, ntf: Option<u64>, what: String) {
         self.count += 1;
         if self.breaks.iter().filter(|b| b.rule == rule).count() >= DESCRIBED {
             return;
@@ -206,17 +218,19 @@
                 secs(known.taken.valid_until)
             ));
             before.extend(known.pushes.iter().rev().take(BEFORE).rev().map(|push| {
-                let ran = push.ran.map_or("no outcome".to_owned(), |ran| format!("{ran:?}").to_lowercase());
+                let ran = push
+                    .ran
+                    .map_or("no outcome".to_owned(), |execution| execution.to_string().to_lowercase());
                 format!("push {} at {:.3} s to zone {}: {ran}", push.number, secs(push.at), push.zone)
             }));
         }
         before.extend(
             self.recent.iter().map(|(at, relay, seen)| format!("{:.3} s: relay {relay} {seen}", secs(*at))),
         );
-        self.breaks.push(Break { rule, at_s: secs(now), relay, notification: ntf, what, before });
+        self.breaks.push(Violation { rule, at_s: secs(now), relay, notification: ntf, what, before });
     }
 
-    fn note(&mut self, now: Time, relay: usize, seen: Seen) {
+    fn remember(&mut self, now: Time, relay: usize, seen: Observation) {
         self.recent.push_back((now, relay, seen));
         if self.recent.len() > BEFORE {
             self.recent.pop_front();
@@ -224,35 +238,35 @@
     }
 
     /// A relay took a notification on; from now on it owes it an end.
-    pub(crate) fn taken(&mut self, now: Time, relay: usize, ntf: u64, taken: Taken) {
+    pub(crate) fn handle_accepted(&mut self, now: Time, relay: usize, ntf: u64, taken: AcceptedNotification) {
         if let Some(key) = &taken.key {
             self.lines.entry((relay, key.clone())).or_default().0.push_back(ntf);
         }
-        let due = taken.valid_until + self.figures.answer_slack;
+        let due = taken.valid_until + self.parameters.answer_slack;
         if self.known.contains_key(&ntf) {
-            self.broken(Rule::Lost, now, Some(relay), Some(ntf), "an id was taken twice".to_owned());
+            self.report(Rule::Lost, now, Some(relay), Some(ntf), "an id was taken twice".to_owned());
         }
-        self.known.insert(ntf, Known { taken, relay, pushes: Vec::new(), ended: false, due });
+        self.known.insert(ntf, NotificationRecord { taken, relay, pushes: Vec::new(), ended: false, due });
     }
 
     /// A relay pushes.
-    pub(crate) fn sent(&mut self, now: Time, relay: usize, ntf: u64, push: u32, to: To) {
-        let To { endpoint, zone, lane } = to;
-        self.note(now, relay, Seen::Pushes(ntf, endpoint));
+    pub(crate) fn handle_push(&mut self, now: Time, relay: usize, ntf: u64, push: u32, to: PushTarget) {
+        let PushTarget { endpoint, zone, route } = to;
+        self.remember(now, relay, Observation::Push(ntf, endpoint));
         if let Some(told) = self.drains.get(&(relay, endpoint))
-            && now > *told + self.figures.drain_grace
+            && now > *told + self.parameters.drain_grace
         {
             let what = format!("sent to endpoint {endpoint}, told to drain at {:.3} s", secs(*told));
-            self.broken(Rule::Drain, now, Some(relay), Some(ntf), what);
+            self.report(Rule::Drain, now, Some(relay), Some(ntf), what);
         }
-        if let Some(until) = self.waits.get(&(relay, lane))
+        if let Some(until) = self.waits.get(&(relay, route))
             && now < *until
         {
-            let what = format!("sent to lane {lane} in a wait until {:.3} s", secs(*until));
-            self.broken(Rule::Wait, now, Some(relay), Some(ntf), what);
+            let what = format!("sent to lane {route} in a wait until {:.3} s", secs(*until));
+            self.report(Rule::Wait, now, Some(relay), Some(ntf), what);
         }
         let Some(known) = self.known.get(&ntf) else {
-            return self.broken(
+            return self.report(
                 Rule::Lost,
                 now,
                 Some(relay),
@@ -261,9 +275,9 @@
             );
         };
         if known.ended {
-            self.broken(Rule::Lost, now, Some(relay), Some(ntf), "sent after its final answer".to_owned());
+            self.report(Rule::Lost, now, Some(relay), Some(ntf), "sent after its final answer".to_owned());
         } else if known.relay != relay {
-            self.broken(Rule::Lost, now, Some(relay), Some(ntf), "sent what another relay took".to_owned());
+            self.report(Rule::Lost, now, Some(relay), Some(ntf), "sent what another relay took".to_owned());
         }
         self.check_repeat(now, relay, ntf, zone);
         self.check_order(now, relay, ntf);
@@ -275,13 +289,13 @@
     /// An earlier push may have run, or may yet: does another keep the effect single?
     fn check_repeat(&mut self, now: Time, relay: usize, ntf: u64, zone: usize) {
         let Some(known) = self.known.get(&ntf) else { return };
-        let first = known.pushes.iter().find(|push| push.ran != Some(Ran::Never));
+        let first = known.pushes.iter().find(|push| push.ran != Some(ExecutionStatus::NotExecuted));
         let what = match (&known.taken.repeat, first) {
-            (Repeat::Harmless, _) | (_, None) => return,
-            (Repeat::Never, Some(first)) => {
+            (RepeatSemantics::Harmless, _) | (_, None) => return,
+            (RepeatSemantics::Forbidden, Some(first)) => {
                 format!("a once-only one sent again, though push {} may have run", first.number)
             }
-            (Repeat::Dropped(window, near), Some(first)) => {
+            (RepeatSemantics::Deduplicated(window, near), Some(first)) => {
                 if now >= first.at + *window {
                     format!("sent again outside its window, first sent at {:.3} s", secs(first.at))
                 } else if *near && first.zone != zone {
@@ -291,7 +305,7 @@
                 }
             }
         };
-        self.broken(Rule::Twice, now, Some(relay), Some(ntf), what);
+        self.report(Rule::Twice, now, Some(relay), Some(ntf), what);
     }
 
     /// It must be the first of its key that is not over, no other of the key may be out, and the key must not rest.
@@ -309,22 +323,24 @@
         } else {
             return;
         };
-        self.broken(Rule::Order, now, Some(relay), Some(ntf), what);
+        self.report(Rule::Order, now, Some(relay), Some(ntf), what);
     }
 
     /// A relay is told how a push ended.
-    pub(crate) fn outcome(&mut self, now: Time, relay: usize, ntf: u64, push: u32, ran: Ran) {
-        self.note(now, relay, Seen::Hears(ntf, push, ran));
+    pub(crate) fn handle_outcome(
+        &mut self, now: Time, relay: usize, ntf: u64, push: u32, ran: ExecutionStatus,
+    ) {
+        self.remember(now, relay, Observation::Outcome(ntf, push, ran));
         let Some(known) = self.known.get_mut(&ntf) else { return };
         if let Some(push) = known.pushes.iter_mut().find(|p| p.number == push && p.ran.is_none()) {
             push.ran = Some(ran);
         }
         let (key, ended) = (known.taken.key.clone(), known.ended);
         if let Some(key) = key
-            && ran == Ran::Unsure
+            && ran == ExecutionStatus::MayBeExecuting
             && let Some((_, rests)) = self.lines.get_mut(&(relay, key))
         {
-            *rests = (*rests).max(now + self.figures.settle);
+            *rests = (*rests).max(now + self.parameters.settle);
         }
         if ended {
             self.forget(ntf);
@@ -332,13 +348,13 @@
     }
 
     /// A relay is told to wait: what the answer to this turn sends is excused by calling this after it.
-    pub(crate) fn told_to_wait(&mut self, relay: usize, lane: usize, until: Time) {
-        let known = self.waits.entry((relay, lane)).or_default();
+    pub(crate) fn handle_wait(&mut self, relay: usize, route: usize, until: Time) {
+        let known = self.waits.entry((relay, route)).or_default();
         *known = (*known).max(until);
     }
 
     /// A relay is told that an endpoint drains or is gone, or that it serves.
-    pub(crate) fn told_of(&mut self, now: Time, relay: usize, endpoint: usize, serves: bool) {
+    pub(crate) fn handle_readiness(&mut self, now: Time, relay: usize, endpoint: usize, serves: bool) {
         if serves {
             self.drains.remove(&(relay, endpoint));
         } else {
@@ -347,10 +363,10 @@
     }
 
     /// A final answer: delivered, throttled or expired.
-    pub(crate) fn ended(&mut self, now: Time, relay: usize, ntf: u64, end: &'static str) {
-        self.note(now, relay, Seen::Ends(ntf, end));
+    pub(crate) fn handle_final_answer(&mut self, now: Time, relay: usize, ntf: u64, end: &'static str) {
+        self.remember(now, relay, Observation::FinalAnswer(ntf, end));
         let Some(known) = self.known.get_mut(&ntf) else {
-            return self.broken(
+            return self.report(
                 Rule::Lost,
                 now,
                 Some(relay),
@@ -360,30 +376,30 @@
         };
         if known.ended {
             let what = format!("{end}, after another final answer");
-            return self.broken(Rule::Lost, now, Some(relay), Some(ntf), what);
+            return self.report(Rule::Lost, now, Some(relay), Some(ntf), what);
         }
         known.ended = true;
         let (late, due) = (now > known.due, known.due);
         let unsafe_end = end == "throttled"
-            && known.pushes.iter().any(|push| push.ran != Some(Ran::Never))
+            && known.pushes.iter().any(|push| push.ran != Some(ExecutionStatus::NotExecuted))
             && match known.taken.repeat {
-                Repeat::Harmless => false,
-                Repeat::Dropped(_, near) => near,
-                Repeat::Never => true,
+                RepeatSemantics::Harmless => false,
+                RepeatSemantics::Deduplicated(_, near) => near,
+                RepeatSemantics::Forbidden => true,
             };
         if late {
             let what = format!("{end} too late: its end was due by {:.3} s", secs(due));
-            self.broken(Rule::Lost, now, Some(relay), Some(ntf), what);
+            self.report(Rule::Lost, now, Some(relay), Some(ntf), what);
         }
         if unsafe_end {
             let what = "throttled, as if trying again were harmless, though a push may have run".to_owned();
-            self.broken(Rule::Twice, now, Some(relay), Some(ntf), what);
+            self.report(Rule::Twice, now, Some(relay), Some(ntf), what);
         }
         self.forget(ntf);
     }
 
     /// The client took it back: nothing is owed any more.
-    pub(crate) fn withdrawn(&mut self, ntf: u64) {
+    pub(crate) fn handle_withdrawal(&mut self, ntf: u64) {
         if let Some(known) = self.known.get_mut(&ntf) {
             known.ended = true;
             self.forget(ntf);
@@ -408,29 +424,29 @@
     }
 
     /// An effect took place.
-    pub(crate) fn ran(&mut self, now: Time, message: usize, ntf: u64, once_only: bool) {
+    pub(crate) fn record_effect(&mut self, now: Time, message: usize, ntf: u64, once_only: bool) {
         if let Some(first) = self.ran.get(&message).copied().filter(|_| once_only) {
             let what = format!("a once-only effect took place again, first at {:.3} s", secs(first));
-            self.broken(Rule::Twice, now, None, Some(ntf), what);
+            self.report(Rule::Twice, now, None, Some(ntf), what);
         }
         self.ran.entry(message).or_insert(now);
     }
 
     /// A relay's process ends; `kept` if what it held outlasts it. What was out may be running still.
-    pub(crate) fn stopped(&mut self, now: Time, relay: usize, kept: bool) {
+    pub(crate) fn handle_relay_stop(&mut self, now: Time, relay: usize, kept: bool) {
         let held: Vec<u64> =
             self.known.iter().filter(|(_, k)| k.relay == relay).map(|(ntf, _)| *ntf).collect();
         for ntf in held {
             let Some(known) = self.known.get_mut(&ntf) else { continue };
             let mut unsure = false;
             for push in known.pushes.iter_mut().filter(|push| push.ran.is_none()) {
-                (push.ran, unsure) = (Some(Ran::Unsure), true);
+                (push.ran, unsure) = (Some(ExecutionStatus::MayBeExecuting), true);
             }
             if let Some(key) = known.taken.key.clone()
                 && let Some((_, rests)) = self.lines.get_mut(&(relay, key))
                 && unsure
             {
-                *rests = (*rests).max(now + self.figures.settle);
+                *rests = (*rests).max(now + self.parameters.settle);
             }
             if !kept {
                 known.ended = true;
@@ -439,29 +455,31 @@
         }
         self.drains.retain(|(of, _), _| *of != relay);
         self.waits.retain(|(of, _), _| *of != relay);
-        for lane in &mut self.lanes {
-            lane.saw.remove(&relay);
+        for route in &mut self.routes {
+            route.saw.remove(&relay);
         }
     }
 
     /// A relay's process starts over what it held: ends that fell due in between are due a moment later.
-    pub(crate) fn started(&mut self, now: Time, relay: usize, moment: Span) {
+    pub(crate) fn handle_relay_start(&mut self, now: Time, relay: usize, moment: Span) {
         let due = now + moment;
         self.known.values_mut().filter(|k| k.relay == relay && !k.ended).for_each(|k| k.due = k.due.max(due));
     }
 
     /// A lane falls out of service.
-    pub(crate) fn outage(&mut self, lane: usize) {
-        let record = &mut self.lanes[lane];
+    pub(crate) fn handle_route_outage(&mut self, route: usize) {
+        let record = &mut self.routes[route];
         (record.out, record.saw, record.back) = (true, BTreeSet::new(), None);
     }
 
     /// A lane is back: with so much capacity once warm, from a share of it now to all of it after a span. Nothing is
     /// cold after a brief one.
-    pub(crate) fn returned(&mut self, now: Time, lane: usize, cold: Option<(f64, (f64, Span))>) {
-        let record = &mut self.lanes[lane];
+    pub(crate) fn handle_route_recovery(
+        &mut self, now: Time, route: usize, cold: Option<(f64, (f64, Span))>,
+    ) {
+        let record = &mut self.routes[route];
         record.out = false;
-        record.back = cold.map(|(capacity, cold)| Return {
+        record.back = cold.map(|(capacity, cold)| Recovery {
             at: now,
             capacity,
             cold,
@@ -471,17 +489,17 @@
     }
 
     /// A relay hears of a call there that failed or was refused.
-    pub(crate) fn saw_failure(&mut self, relay: usize, lane: usize) {
-        let record = &mut self.lanes[lane];
+    pub(crate) fn record_failure_seen(&mut self, relay: usize, route: usize) {
+        let record = &mut self.routes[route];
         if record.out {
             record.saw.insert(relay);
         }
     }
 
     /// Work reaches a lane.
-    pub(crate) fn reached(&mut self, now: Time, relay: usize, lane: usize, weight: f64) {
-        let figures = self.figures;
-        let record = &mut self.lanes[lane];
+    pub(crate) fn record_route_load(&mut self, now: Time, relay: usize, route: usize, weight: f64) {
+        let parameters = self.parameters;
+        let record = &mut self.routes[route];
         let Some(back) = record.back.as_mut().filter(|back| !back.judged) else { return };
         let (from, span) = back.cold;
         let passed = now.since(back.at);
@@ -490,11 +508,12 @@
             return;
         }
         back.reached.push_back((now, relay, weight));
-        while back.reached.front().is_some_and(|first| now.since(first.0) > figures.tip_after) {
+        while back.reached.front().is_some_and(|first| now.since(first.0) > parameters.tip_after) {
             back.reached.pop_front();
         }
         let present = back.capacity * (from + (1.0 - from) * passed.as_secs_f64() / span.as_secs_f64());
-        let most = figures.fall_multiple * present * figures.tip_after.as_secs_f64() + figures.fall_slack;
+        let most =
+            parameters.fall_multiple * present * parameters.tip_after.as_secs_f64() + parameters.fall_slack;
         let all: f64 = back.reached.iter().map(|r| r.2).sum();
         if all <= most {
             return;
@@ -507,23 +526,23 @@
         }
         let relays: BTreeSet<usize> = back.reached.iter().map(|r| r.1).collect();
         let what = format!(
-            "lane {lane}, back since {:.3} s, was sent {all:.1} in {:.1} s where {most:.1} would do ({:.1} times its \
+            "lane {route}, back since {:.3} s, was sent {all:.1} in {:.1} s where {most:.1} would do ({:.1} times its \
              present capacity), {:.0} % of it by relays that had seen it fail; {} relays",
             secs(back.at),
-            figures.tip_after.as_secs_f64(),
-            all / (present * figures.tip_after.as_secs_f64()),
+            parameters.tip_after.as_secs_f64(),
+            all / (present * parameters.tip_after.as_secs_f64()),
             blamed / all * 100.0,
             relays.len()
         );
-        self.broken(Rule::Return, now, None, None, what);
+        self.report(Rule::Return, now, None, None, what);
     }
 
     /// The run is over: whatever is still owed is lost.
-    pub(crate) fn finish(mut self, now: Time) -> (Vec<Break>, usize) {
+    pub(crate) fn finish(mut self, now: Time) -> (Vec<Violation>, usize) {
         let owed: Vec<(u64, usize)> =
             self.known.iter().filter(|(_, k)| !k.ended).map(|(ntf, k)| (*ntf, k.relay)).collect();
         for (ntf, relay) in owed {
-            self.broken(Rule::Lost, now, Some(relay), Some(ntf), "never had a final answer".to_owned());
+            self.report(Rule::Lost, now, Some(relay), Some(ntf), "never had a final answer".to_owned());
         }
         (self.breaks, self.count)
     }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -5,21 +5,21 @@
 //! [`scenario::Scenario`] and its seed alone: no I/O, no threads, no wall clock. The figures are those of models,
 //! not measurements of real destinations.
 
-pub mod chance;
-mod clients;
 mod endpoint;
-pub mod figures;
+pub mod event_queue;
+pub mod faults;
 pub mod fleet;
 pub mod judge;
 pub mod limit;
+pub mod metrics;
 pub mod policy;
-pub mod queue;
+pub mod random;
 pub mod scenario;
-pub mod woes;
-pub mod world;
+pub mod simulation;
+mod traffic;
 
-pub use figures::Figures;
-pub use judge::{Break, Rule};
+pub use judge::{Rule, Violation};
+pub use metrics::Metrics;
 pub use policy::{Core, Policies, Policy};
-pub use scenario::{Fault, Scenario};
-pub use world::play;
+pub use scenario::{Scenario, ScenarioError};
+pub use simulation::simulate;
--- a/crates/model/src/limit.rs
+++ b/crates/model/src/limit.rs
@@ -42,7 +42,7 @@
     }
 
     /// The limit in calls a second, at `factor` times the usual; nothing where there is none.
-    pub fn told(&self, factor: f64) -> Option<f64> {
+    pub fn calls_per_s(&self, factor: f64) -> Option<f64> {
         match self {
             Limit::None => None,
             Limit::Rate { rate, .. } | Limit::Window { rate, .. } => Some(rate * factor),
@@ -59,9 +59,9 @@
                 *at = now;
             }
             Limit::Window { span, used, .. } => {
-                let place = now.since(Time::default()).as_nanos() / span.as_nanos().max(1);
-                if used.0 != place {
-                    *used = (place, 0.0);
+                let span_index = now.since(Time::default()).as_nanos() / span.as_nanos().max(1);
+                if used.0 != span_index {
+                    *used = (span_index, 0.0);
                 }
             }
         }
@@ -69,7 +69,7 @@
 
     /// Whether a call is within the limit, at `factor` times the usual. If it is, or if refused calls count too,
     /// it uses the limit up.
-    pub fn take(&mut self, now: Time, factor: f64, refused_count: bool) -> bool {
+    pub fn try_acquire(&mut self, now: Time, factor: f64, refused_count: bool) -> bool {
         self.advance(now, factor);
         match self {
             Limit::None => true,
@@ -94,7 +94,7 @@
     }
 
     /// The share of the limit that is left.
-    pub fn left(&mut self, now: Time, factor: f64) -> f64 {
+    pub fn remaining_fraction(&mut self, now: Time, factor: f64) -> f64 {
         self.advance(now, factor);
         match self {
             Limit::None => 0.0,
@@ -108,7 +108,7 @@
     }
 
     /// How long until a call is within the limit again, unless others come first.
-    pub fn opens(&mut self, now: Time, factor: f64) -> Span {
+    pub fn time_until_available(&mut self, now: Time, factor: f64) -> Span {
         self.advance(now, factor);
         match self {
             Limit::None => Span::ZERO,
@@ -141,7 +141,7 @@
             let (mut now, mut taken) = (0, Vec::new());
             for gap in gaps {
                 now += gap;
-                if limit.take(at(now), 1.0, false) {
+                if limit.try_acquire(at(now), 1.0, false) {
                     taken.push(now);
                 }
             }
@@ -160,7 +160,7 @@
             let (mut now, mut counts) = (0, std::collections::BTreeMap::new());
             for gap in gaps {
                 now += gap;
-                if limit.take(at(now), 1.0, false) {
+                if limit.try_acquire(at(now), 1.0, false) {
                     *counts.entry(now / 1_500).or_insert(0.0) += 1.0;
                 }
             }
@@ -176,11 +176,11 @@
             let span = Span::from_millis(1_300);
             let mut limit = if windowed { Limit::window(rate, span) } else { Limit::rate(rate, 0.7) };
             for call in 0..calls {
-                limit.take(at(call * 10), factor, refused);
+                limit.try_acquire(at(call * 10), factor, refused);
             }
-            let wait = limit.opens(at(calls * 10), factor);
+            let wait = limit.time_until_available(at(calls * 10), factor);
             let then = at(calls * 10) + wait + Span::from_nanos(1_000);
-            prop_assert!(limit.take(then, factor, refused));
+            prop_assert!(limit.try_acquire(then, factor, refused));
         }
     }
 
@@ -188,18 +188,18 @@
     fn refused_calls_use_a_limit_up_only_where_they_count() {
         for (counts, left) in [(false, true), (true, false)] {
             let mut limit = Limit::rate(1.0, 1.0);
-            assert!(limit.take(at(0), 1.0, counts));
-            (0..5).for_each(|_| assert!(!limit.take(at(500), 1.0, counts)));
-            assert_eq!(limit.take(at(1_000), 1.0, counts), left);
+            assert!(limit.try_acquire(at(0), 1.0, counts));
+            (0..5).for_each(|_| assert!(!limit.try_acquire(at(500), 1.0, counts)));
+            assert_eq!(limit.try_acquire(at(1_000), 1.0, counts), left);
         }
     }
 
     #[test]
     fn a_lowered_limit_is_told_and_kept() {
         let mut limit = Limit::window(10.0, Span::from_millis(1_000));
-        let taken = (0..10).filter(|_| limit.take(at(0), 0.3, false)).count();
-        assert_eq!((taken, limit.told(0.3)), (3, Some(3.0)));
-        assert!(limit.left(at(0), 0.3) < 0.01);
-        assert!(limit.left(at(1_000), 0.3) > 0.99);
+        let taken = (0..10).filter(|_| limit.try_acquire(at(0), 0.3, false)).count();
+        assert_eq!((taken, limit.calls_per_s(0.3)), (3, Some(3.0)));
+        assert!(limit.remaining_fraction(at(0), 0.3) < 0.01);
+        assert!(limit.remaining_fraction(at(1_000), 0.3) > 0.99);
     }
 }
--- a/crates/model/src/figures.rs
+++ b/crates/model/src/metrics.rs
@@ -7,7 +7,7 @@
 use juniperwing::time::{Span, Time};
 use serde::Serialize;
 
-use crate::judge::Break;
+use crate::judge::Violation;
 use crate::scenario::{Decay, Topic};
 
 /// Seconds of the windows of which the worst is named.
@@ -17,7 +17,7 @@
 
 /// What is counted for one part of the traffic.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Part {
+pub struct GroupMetrics {
     /// Its name.
     pub name: String,
     /// Notifications handed in for the first time.
@@ -25,17 +25,21 @@
     /// Delivered before their time was up.
     pub delivered: u64,
     /// Delivered within the latency objective.
-    pub in_objective: u64,
+    #[serde(rename = "in_objective")]
+    pub within_objective: u64,
     /// Never delivered: the last answer was a throttling.
     pub throttled: u64,
     /// Never delivered: expired.
     pub expired: u64,
     /// Never delivered: taken back, or lost with a relay.
-    pub gone: u64,
+    #[serde(rename = "gone")]
+    pub abandoned: u64,
     /// The benefit asked for.
-    pub asked: f64,
+    #[serde(rename = "asked")]
+    pub requested_benefit: f64,
     /// The benefit delivered.
-    pub benefit: f64,
+    #[serde(rename = "benefit")]
+    pub delivered_benefit: f64,
     /// Latencies of what was delivered, in milliseconds, at the quantiles of [`QUANTILES`].
     pub latency_ms: Vec<f64>,
 }
@@ -45,7 +49,7 @@
 
 /// How pushes ended.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Pushes {
+pub struct PushMetrics {
     /// All of them.
     pub sent: u64,
     /// Calls that carried them.
@@ -72,26 +76,31 @@
 
 /// One second of a run.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Second {
+pub struct SecondMetrics {
     /// Handed in for the first time.
     pub offered: u64,
     /// The benefit asked for by these.
-    pub asked: f64,
+    #[serde(rename = "asked")]
+    pub requested_benefit: f64,
     /// The benefit that these were delivered for, whenever that was.
-    pub benefit: f64,
+    #[serde(rename = "benefit")]
+    pub delivered_benefit: f64,
     /// Pushes sent.
     pub pushes: u64,
     /// Pushes turned away.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected_pushes: u64,
     /// Calls out at its end.
-    pub out: usize,
+    #[serde(rename = "out")]
+    pub in_flight_calls: usize,
     /// Notifications held at its end.
-    pub held: usize,
+    #[serde(rename = "held")]
+    pub pending_notifications: usize,
 }
 
 /// What reached a destination, second by second, beside what it could do.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Watched {
+pub struct DestinationSeries {
     /// The destination, by place.
     pub destination: usize,
     /// Notifications that reached it.
@@ -104,7 +113,7 @@
 
 /// All figures of a run.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Figures {
+pub struct Metrics {
     /// The scenario's name, the policy's, and the seed.
     pub scenario: String,
     /// Whose decisions they were.
@@ -122,15 +131,17 @@
     /// The same of the worst account.
     pub worst_account: f64,
     /// By topic type.
-    pub topics: Vec<Part>,
+    pub topics: Vec<GroupMetrics>,
     /// By account.
-    pub accounts: Vec<Part>,
+    pub accounts: Vec<GroupMetrics>,
     /// How pushes ended.
-    pub pushes: Pushes,
+    pub pushes: PushMetrics,
     /// Turned away because a relay held all that it may.
-    pub hold_full: u64,
+    #[serde(rename = "hold_full")]
+    pub rejected_at_capacity: u64,
     /// Handed in again after a throttling.
-    pub again: u64,
+    #[serde(rename = "again")]
+    pub resubmissions: u64,
     /// Connections opened.
     pub connections: u64,
     /// Probes sent.
@@ -138,27 +149,33 @@
     /// Requests for the list.
     pub list_requests: u64,
     /// Lanes that came back from an outage, and those that were pushed over.
-    pub returns: (usize, usize),
+    #[serde(rename = "returns")]
+    pub recoveries: (usize, usize),
     /// Commands that nobody could carry out: a push to an endpoint of another destination and the like.
-    pub faults: u64,
+    #[serde(rename = "faults")]
+    pub invalid_commands: u64,
     /// Broken rules; the first are described.
-    pub broken: usize,
+    #[serde(rename = "broken")]
+    pub violation_count: usize,
     /// The first of them.
-    pub breaks: Vec<Break>,
+    #[serde(rename = "breaks")]
+    pub violations: Vec<Violation>,
     /// Second by second.
-    pub seconds: Vec<Second>,
+    pub seconds: Vec<SecondMetrics>,
     /// A few destinations.
-    pub watched: Vec<Watched>,
+    #[serde(rename = "watched")]
+    pub destination_series: Vec<DestinationSeries>,
     /// Events that the model took, and turns of relays.
     pub events: u64,
     /// Turns of relays.
     pub turns: u64,
     /// It was broken off: more events than a run of that size can have.
-    pub cut: bool,
+    #[serde(rename = "cut")]
+    pub is_truncated: bool,
 }
 
 /// The benefit of a delivery after `spent`, as a share of its full benefit.
-pub fn worth(topic: &Topic, spent: Span) -> f64 {
+pub fn value_fraction(topic: &Topic, spent: Span) -> f64 {
     let (spent, objective, ttl) = (spent.as_secs_f64() * 1_000.0, topic.objective_ms, topic.ttl_ms);
     if spent <= objective {
         return 1.0;
@@ -173,78 +190,81 @@
 }
 
 /// Counts as things happen.
-pub(crate) struct Ledger {
-    pub(crate) figures: Figures,
+pub(crate) struct MetricsRecorder {
+    pub(crate) metrics: Metrics,
     latencies: Vec<Histogram<u64>>,
 }
 
-impl Ledger {
-    pub(crate) fn new(topics: &[String], accounts: &[String]) -> Ledger {
-        let part = |name: &String| Part { name: name.clone(), ..Part::default() };
-        let figures = Figures {
+impl MetricsRecorder {
+    pub(crate) fn new(topics: &[String], accounts: &[String]) -> MetricsRecorder {
+        let part = |name: &String| GroupMetrics { name: name.clone(), ..GroupMetrics::default() };
+        let metrics = Metrics {
             topics: topics.iter().map(part).collect(),
             accounts: accounts.iter().map(part).collect(),
-            ..Figures::default()
+            ..Metrics::default()
         };
         // Fails only for bounds that make no sense, which these do.
         let histogram = || Histogram::new_with_bounds(1, LONGEST_US, 3).expect("sound bounds");
         let latencies = topics.iter().chain(accounts).map(|_| histogram()).collect();
-        Ledger { figures, latencies }
+        MetricsRecorder { metrics, latencies }
     }
 
-    pub(crate) fn second(&mut self, at: Time) -> &mut Second {
-        let place = at.since(Time::default()).as_secs_f64() as usize;
-        let seconds = &mut self.figures.seconds;
-        if seconds.len() <= place {
-            seconds.resize(place + 1, Second::default());
+    pub(crate) fn second_at(&mut self, at: Time) -> &mut SecondMetrics {
+        let index = at.since(Time::default()).as_secs_f64() as usize;
+        let seconds = &mut self.metrics.seconds;
+        if seconds.len() <= index {
+            seconds.resize(index + 1, SecondMetrics::default());
         }
-        &mut seconds[place]
+        &mut seconds[index]
     }
 
-    fn parts(&mut self, topic: usize, account: Option<usize>) -> impl Iterator<Item = &mut Part> {
-        let figures = &mut self.figures;
-        let account = account.and_then(|account| figures.accounts.get_mut(account));
-        figures.topics.get_mut(topic).into_iter().chain(account)
+    fn parts(&mut self, topic: usize, account: Option<usize>) -> impl Iterator<Item = &mut GroupMetrics> {
+        let metrics = &mut self.metrics;
+        let account = account.and_then(|account| metrics.accounts.get_mut(account));
+        metrics.topics.get_mut(topic).into_iter().chain(account)
     }
 
-    pub(crate) fn offered(&mut self, at: Time, topic: usize, account: Option<usize>, benefit: f64) {
+    pub(crate) fn record_offered(&mut self, at: Time, topic: usize, account: Option<usize>, benefit: f64) {
         self.parts(topic, account).for_each(|part| {
             part.offered += 1;
-            part.asked += benefit;
+            part.requested_benefit += benefit;
         });
-        let second = self.second(at);
+        let second = self.second_at(at);
         second.offered += 1;
-        second.asked += benefit;
+        second.requested_benefit += benefit;
     }
 
-    pub(crate) fn delivered(
-        &mut self, born: Time, spent: Span, topic: usize, account: Option<usize>, benefit: f64, share: f64,
+    pub(crate) fn record_delivery(
+        &mut self, submitted_at: Time, spent: Span, topic: usize, account: Option<usize>, benefit: f64,
+        share: f64,
     ) {
         self.parts(topic, account).for_each(|part| {
             part.delivered += 1;
-            part.in_objective += u64::from(share >= 1.0);
-            part.benefit += benefit * share;
+            part.within_objective += u64::from(share >= 1.0);
+            part.delivered_benefit += benefit * share;
         });
-        let topics = self.figures.topics.len();
+        let topics = self.metrics.topics.len();
         let us = (spent.as_nanos() / 1_000).clamp(1, LONGEST_US);
-        for place in [Some(topic), account.map(|account| topics + account)].into_iter().flatten() {
-            if let Some(latencies) = self.latencies.get_mut(place) {
+        for index in [Some(topic), account.map(|account| topics + account)].into_iter().flatten() {
+            if let Some(latencies) = self.latencies.get_mut(index) {
                 latencies.saturating_record(us);
             }
         }
-        self.second(born).benefit += benefit * share;
+        self.second_at(submitted_at).delivered_benefit += benefit * share;
     }
 
-    pub(crate) fn undelivered(&mut self, topic: usize, account: Option<usize>, why: Undelivered) {
-        self.parts(topic, account).for_each(|part| match why {
-            Undelivered::Throttled => part.throttled += 1,
-            Undelivered::Expired => part.expired += 1,
-            Undelivered::Gone => part.gone += 1,
+    pub(crate) fn record_undelivered(
+        &mut self, topic: usize, account: Option<usize>, reason: UndeliveredReason,
+    ) {
+        self.parts(topic, account).for_each(|part| match reason {
+            UndeliveredReason::Throttled => part.throttled += 1,
+            UndeliveredReason::Expired => part.expired += 1,
+            UndeliveredReason::Abandoned => part.abandoned += 1,
         });
     }
 
-    pub(crate) fn ended(&mut self, at: Time, status: Status) {
-        let pushes = &mut self.figures.pushes;
+    pub(crate) fn record_push_outcome(&mut self, at: Time, status: Status) {
+        let pushes = &mut self.metrics.pushes;
         let count = match status {
             Status::Delivered => &mut pushes.delivered,
             Status::Error => &mut pushes.error,
@@ -257,45 +277,51 @@
         };
         *count += 1;
         if status == Status::Busy {
-            self.second(at).refused += 1;
+            self.second_at(at).rejected_pushes += 1;
         }
     }
 
-    pub(crate) fn finish(mut self) -> Figures {
-        for (place, latencies) in self.latencies.iter().enumerate() {
-            let topics = self.figures.topics.len();
-            let part = match self.figures.topics.get_mut(place) {
+    pub(crate) fn finish(mut self) -> Metrics {
+        for (index, latencies) in self.latencies.iter().enumerate() {
+            let topics = self.metrics.topics.len();
+            let part = match self.metrics.topics.get_mut(index) {
                 Some(part) => part,
-                None => &mut self.figures.accounts[place - topics],
+                None => &mut self.metrics.accounts[index - topics],
             };
             if !latencies.is_empty() {
                 part.latency_ms =
                     QUANTILES.iter().map(|q| latencies.value_at_quantile(*q) as f64 / 1_000.0).collect();
             }
         }
-        let mut figures = self.figures;
+        let mut metrics = self.metrics;
         let share = |benefit: f64, asked: f64| if asked > 0.0 { benefit / asked } else { 1.0 };
-        let all = |part: fn(&Second) -> f64, seconds: &[Second]| seconds.iter().map(part).sum::<f64>();
-        let of = |seconds: &[Second]| share(all(|s| s.benefit, seconds), all(|s| s.asked, seconds));
-        figures.served = of(&figures.seconds);
-        let busiest = figures.seconds.iter().map(|s| s.asked).fold(0.0, f64::max);
+        let all = |part: fn(&SecondMetrics) -> f64, seconds: &[SecondMetrics]| {
+            seconds.iter().map(part).sum::<f64>()
+        };
+        let of = |seconds: &[SecondMetrics]| {
+            share(all(|s| s.delivered_benefit, seconds), all(|s| s.requested_benefit, seconds))
+        };
+        metrics.served = of(&metrics.seconds);
+        let busiest = metrics.seconds.iter().map(|s| s.requested_benefit).fold(0.0, f64::max);
         // A window at the end with hardly any traffic says nothing.
-        let windows = figures.seconds.windows(WINDOW.min(figures.seconds.len().max(1))).enumerate();
-        let full = windows.filter(|(_, w)| all(|s| s.asked, w) >= busiest);
+        let windows = metrics.seconds.windows(WINDOW.min(metrics.seconds.len().max(1))).enumerate();
+        let full = windows.filter(|(_, w)| all(|s| s.requested_benefit, w) >= busiest);
         let worst = full.map(|(at, w)| (of(w), at)).min_by(|a, b| a.0.total_cmp(&b.0));
-        figures.worst_window = worst.unwrap_or((figures.served, 0));
-        let least = |parts: &[Part]| parts.iter().map(|p| share(p.benefit, p.asked)).fold(1.0, f64::min);
-        (figures.worst_topic, figures.worst_account) = (least(&figures.topics), least(&figures.accounts));
-        figures
+        metrics.worst_window = worst.unwrap_or((metrics.served, 0));
+        let least = |parts: &[GroupMetrics]| {
+            parts.iter().map(|p| share(p.delivered_benefit, p.requested_benefit)).fold(1.0, f64::min)
+        };
+        (metrics.worst_topic, metrics.worst_account) = (least(&metrics.topics), least(&metrics.accounts));
+        metrics
     }
 }
 
 /// How something that was never delivered ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Undelivered {
+pub(crate) enum UndeliveredReason {
     Throttled,
     Expired,
-    Gone,
+    Abandoned,
 }
 
 #[cfg(test)]
@@ -312,7 +338,7 @@
             ordered: false,
             work_ms: 10.0.into(),
             work_cv: 1.0.into(),
-            work_law: crate::scenario::Law::Lognormal,
+            work_law: crate::scenario::LatencyDistribution::Lognormal,
             try_cv: 0.2,
             objective_ms: 2_000.0,
             ttl_ms: 16_000.0,
@@ -325,7 +351,8 @@
 
     #[test]
     fn benefit_falls_after_the_objective_as_the_topic_type_says() {
-        let at = |decay, ms| (worth(&topic(decay), Span::from_millis(ms)) * 1_000.0).round() / 1_000.0;
+        let at =
+            |decay, ms| (value_fraction(&topic(decay), Span::from_millis(ms)) * 1_000.0).round() / 1_000.0;
         assert_eq!(
             [0, 2_000, 9_000, 16_000, 16_001].map(|ms| at(Decay::Even, ms)),
             [1.0, 1.0, 0.6, 0.2, 0.0]
@@ -335,17 +362,17 @@
 
     #[test]
     fn the_worst_window_is_found_and_an_empty_run_serves_all() {
-        assert_eq!(Ledger::new(&[], &[]).finish().served, 1.0);
-        let mut ledger = Ledger::new(&["t".to_owned()], &[]);
+        assert_eq!(MetricsRecorder::new(&[], &[]).finish().served, 1.0);
+        let mut recorder = MetricsRecorder::new(&["t".to_owned()], &[]);
         for second in 0..40u64 {
-            let born = Time::from_nanos(second * 1_000_000_000);
-            ledger.offered(born, 0, None, 1.0);
+            let submitted_at = Time::from_nanos(second * 1_000_000_000);
+            recorder.record_offered(submitted_at, 0, None, 1.0);
             if !(12..17).contains(&second) {
-                ledger.delivered(born, Span::from_millis(100), 0, None, 1.0, 1.0);
+                recorder.record_delivery(submitted_at, Span::from_millis(100), 0, None, 1.0, 1.0);
             }
         }
-        let figures = ledger.finish();
-        assert_eq!((figures.served, figures.worst_window), (35.0 / 40.0, (0.5, 7)));
-        assert_eq!(figures.topics[0].latency_ms[0].round(), 100.0);
+        let metrics = recorder.finish();
+        assert_eq!((metrics.served, metrics.worst_window), (35.0 / 40.0, (0.5, 7)));
+        assert_eq!(metrics.topics[0].latency_ms[0].round(), 100.0);
     }
 }
--- a/crates/model/src/chance.rs
+++ b/crates/model/src/random.rs
@@ -32,21 +32,21 @@
     /// Noise of load reports at an endpoint.
     Reports = 11,
     /// Whom a trouble strikes, and what it adds.
-    Trouble = 12,
+    Faults = 12,
     /// The seeds that relays are started with.
     Policies = 13,
 }
 
 /// The chance of one run.
 #[derive(Clone, Copy, Debug)]
-pub struct Chance {
+pub struct RngStreams {
     seed: u64,
 }
 
-impl Chance {
+impl RngStreams {
     /// All chance that follows from a seed.
-    pub fn new(seed: u64) -> Chance {
-        Chance { seed }
+    pub fn new(seed: u64) -> RngStreams {
+        RngStreams { seed }
     }
 
     /// The stream of one item (a relay, an endpoint, ...) of a concern, from its start.
@@ -58,14 +58,14 @@
 }
 
 /// A number from `least` to `most`.
-pub(crate) fn between(chance: &mut ChaCha8Rng, least: f64, most: f64) -> f64 {
-    least + (most - least) * chance.random::<f64>()
+pub(crate) fn between(rng: &mut ChaCha8Rng, least: f64, most: f64) -> f64 {
+    least + (most - least) * rng.random::<f64>()
 }
 
 /// A place chosen in proportion to `weights`, by running sums that end with their total.
-pub(crate) fn weighted(chance: &mut ChaCha8Rng, sums: &[f64]) -> usize {
+pub(crate) fn weighted(rng: &mut ChaCha8Rng, sums: &[f64]) -> usize {
     let total = sums.last().copied().unwrap_or(0.0);
-    let at = chance.random::<f64>() * total;
+    let at = rng.random::<f64>() * total;
     sums.partition_point(|sum| *sum <= at).min(sums.len().saturating_sub(1))
 }
 
@@ -85,14 +85,14 @@
 
     #[test]
     fn a_stream_is_the_same_each_time_and_no_two_are_alike() {
-        let chance = Chance::new(7);
-        let first = |concern, item| chance.stream(concern, item).random::<u64>();
+        let rng = RngStreams::new(7);
+        let first = |concern, item| rng.stream(concern, item).random::<u64>();
         assert_eq!(first(Concern::Service, 3), first(Concern::Service, 3));
         let all = [
             first(Concern::Service, 3),
             first(Concern::Service, 4),
             first(Concern::Reports, 3),
-            Chance::new(8).stream(Concern::Service, 3).random(),
+            RngStreams::new(8).stream(Concern::Service, 3).random(),
         ];
         let distinct: std::collections::BTreeSet<u64> = all.into_iter().collect();
         assert_eq!(distinct.len(), all.len());
@@ -100,10 +100,10 @@
 
     #[test]
     fn a_weighted_choice_follows_the_weights() {
-        let (mut chance, sums) =
-            (Chance::new(1).stream(Concern::Relays, 0), sums([1.0, 0.0, 3.0].into_iter()));
+        let (mut rng, sums) =
+            (RngStreams::new(1).stream(Concern::Relays, 0), sums([1.0, 0.0, 3.0].into_iter()));
         let mut counts = [0; 3];
-        (0..4_000).for_each(|_| counts[weighted(&mut chance, &sums)] += 1);
+        (0..4_000).for_each(|_| counts[weighted(&mut rng, &sums)] += 1);
         assert_eq!(counts[1], 0);
         assert!((2_850..3_150).contains(&counts[2]), "{counts:?}");
     }
--- a/crates/model/src/scenario.rs
+++ b/crates/model/src/scenario.rs
@@ -7,20 +7,20 @@
 
 mod check;
 mod defaults;
+mod fault;
 mod plan;
 mod range;
 mod resolve;
 mod service;
-mod trouble;
 
 use serde::{Deserialize, Serialize};
 
-pub use check::Fault;
+pub use check::ScenarioError;
 use defaults::one_zone;
+pub use fault::{Fault, FaultKind};
 pub use plan::{Clients, Destinations, List, Network, Relays, Rules, Traffic};
 pub use range::{Each, Once, Range};
-pub use service::{Account, Decay, Effect, Kind, Law, LimitForm, Topic};
-pub use trouble::{Trouble, Woe};
+pub use service::{Account, Decay, Effect, Kind, LatencyDistribution, LimitForm, Topic};
 
 /// All that a run is told but its seed.
 #[derive(Clone, Debug, Deserialize, Serialize)]
@@ -65,6 +65,6 @@
     #[serde(default)]
     pub account: Vec<Account>,
     /// What goes wrong.
-    #[serde(default)]
-    pub trouble: Vec<Trouble>,
+    #[serde(default, rename = "trouble")]
+    pub faults: Vec<Fault>,
 }
--- a/crates/model/src/scenario/check.rs
+++ b/crates/model/src/scenario/check.rs
@@ -1,10 +1,10 @@
 //! The check of a scenario: all that is wrong with it, each with its place.
 
-use super::{Effect, Range, Scenario, Woe};
+use super::{Effect, FaultKind, Range, Scenario};
 
 /// A fault in a scenario: where, as keys and places joined by dots, and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct ScenarioError {
     /// Such as `trouble.2.zone`.
     pub at: String,
     /// A plain reason.
@@ -19,14 +19,14 @@
 
 /// Notes what is wrong in a part of a scenario.
 struct Checker<'a> {
-    faults: &'a mut Vec<Fault>,
+    faults: &'a mut Vec<ScenarioError>,
     at: String,
 }
 
 impl Checker<'_> {
     fn fault(&mut self, key: &str, why: impl Into<String>) {
         let at = if self.at.is_empty() { key.to_owned() } else { format!("{}.{key}", self.at) };
-        self.faults.push(Fault { at, why: why.into() });
+        self.faults.push(ScenarioError { at, why: why.into() });
     }
 
     /// Within bounds, and the right way round.
@@ -59,7 +59,7 @@
 
 impl Scenario {
     /// All that is wrong with it; nothing if it can be run.
-    pub fn check(&self) -> Vec<Fault> {
+    pub fn check(&self) -> Vec<ScenarioError> {
         let mut faults = Vec::new();
         let mut top = Checker { faults: &mut faults, at: String::new() };
         top.range("span_s", self.span_s, 0.0, MOST_SPAN_S);
@@ -88,7 +88,7 @@
         faults
     }
 
-    fn check_plans(&self, faults: &mut Vec<Fault>) {
+    fn check_plans(&self, faults: &mut Vec<ScenarioError>) {
         let mut part = Checker { faults, at: "relays".to_owned() };
         let relays = &self.relays;
         part.range("count", relays.count, 1.0, MOST_RELAYS);
@@ -150,7 +150,7 @@
         part.number("ask_every_s", rules.ask_every_s, 0.1, 3_600.0);
     }
 
-    fn check_topics(&self, faults: &mut Vec<Fault>) {
+    fn check_topics(&self, faults: &mut Vec<ScenarioError>) {
         let kinds = || self.kind.iter().map(|kind| kind.name.as_str());
         for (n, topic) in self.topic.iter().enumerate() {
             let mut part = Checker { faults, at: format!("topic.{n}") };
@@ -171,13 +171,13 @@
             if collapses && topic.window_ms <= 0.0 {
                 part.fault("window_ms", "a collapsible topic type needs a window above 0");
             }
-            for (place, kind) in topic.kinds.iter().enumerate() {
-                part.known(&format!("kinds.{place}"), kind, kinds(), "kind");
+            for (index, kind) in topic.kinds.iter().enumerate() {
+                part.known(&format!("kinds.{index}"), kind, kinds(), "kind");
             }
         }
     }
 
-    fn check_kinds(&self, faults: &mut Vec<Fault>) {
+    fn check_kinds(&self, faults: &mut Vec<ScenarioError>) {
         for (n, kind) in self.kind.iter().enumerate() {
             let mut part = Checker { faults, at: format!("kind.{n}") };
             part.apart("name", &kind.name, self.kind.iter().map(|k| k.name.as_str()));
@@ -202,36 +202,36 @@
         }
     }
 
-    fn check_troubles(&self, faults: &mut Vec<Fault>) {
-        for (n, trouble) in self.trouble.iter().enumerate() {
+    fn check_troubles(&self, faults: &mut Vec<ScenarioError>) {
+        for (n, fault) in self.faults.iter().enumerate() {
             let mut part = Checker { faults, at: format!("trouble.{n}") };
-            part.range("start_s", trouble.start_s, 0.0, MOST_SPAN_S);
-            part.range("span_s", trouble.span_s, 0.0, MOST_SPAN_S);
-            part.range("ramp_s", trouble.ramp_s, 0.0, MOST_SPAN_S);
-            part.range("size", trouble.size, 0.0, 1e6);
-            part.range("extent", trouble.extent, 0.0, 1.0);
-            if let Some(kind) = &trouble.kind {
+            part.range("start_s", fault.start_s, 0.0, MOST_SPAN_S);
+            part.range("span_s", fault.span_s, 0.0, MOST_SPAN_S);
+            part.range("ramp_s", fault.ramp_s, 0.0, MOST_SPAN_S);
+            part.range("size", fault.size, 0.0, 1e6);
+            part.range("extent", fault.extent, 0.0, 1.0);
+            if let Some(kind) = &fault.kind {
                 part.known("kind", kind, self.kind.iter().map(|k| k.name.as_str()), "kind");
             }
-            if let Some(zone) = &trouble.zone {
+            if let Some(zone) = &fault.zone {
                 part.known("zone", zone, self.zones.iter().map(String::as_str), "zone");
             }
-            if let Some(topic) = &trouble.topic {
+            if let Some(topic) = &fault.topic {
                 part.known("topic", topic, self.topic.iter().map(|t| t.name.as_str()), "topic type");
-            } else if trouble.what == Woe::TopicFails {
+            } else if fault.what == FaultKind::TopicFails {
                 part.fault("what", "topic-fails needs the topic type that fails: topic = \"..\"");
             }
-            if let Some(account) = &trouble.account {
+            if let Some(account) = &fault.account {
                 part.known("account", account, self.account.iter().map(|a| a.name.as_str()), "account");
-            } else if trouble.what == Woe::AccountBurst {
+            } else if fault.what == FaultKind::AccountBurst {
                 part.fault("what", "account-burst needs the account: account = \"..\"");
             }
-            if let Some(place) = trouble.destination
-                && place as f64 >= self.destinations.count.least
+            if let Some(index) = fault.destination
+                && index as f64 >= self.destinations.count.least
             {
-                part.fault("destination", format!("there may be no destination {place}"));
+                part.fault("destination", format!("there may be no destination {index}"));
             }
-            if trouble.what == Woe::Pauses && trouble.size.least <= 0.0 {
+            if fault.what == FaultKind::Pauses && fault.size.least <= 0.0 {
                 part.fault("size", "pauses need a length above 0, in seconds");
             }
         }
--- a/crates/model/src/scenario/trouble.rs
+++ b/crates/model/src/scenario/fault.rs
@@ -8,7 +8,7 @@
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Woe {
+pub enum FaultKind {
     /// Answers take `size` times as long.
     Slow,
     /// Calls are taken and never answered.
@@ -60,9 +60,9 @@
 /// A trouble: what, when and whom.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Trouble {
+pub struct Fault {
     /// What goes wrong.
-    pub what: Woe,
+    pub what: FaultKind,
     /// When it begins.
     pub start_s: Once,
     /// How long it lasts.
@@ -71,7 +71,7 @@
     /// Over how long it comes on.
     #[serde(default)]
     pub ramp_s: Once,
-    /// How much; see [`Woe`].
+    /// How much; see [`FaultKind`].
     #[serde(default = "usual")]
     pub size: Once,
     /// The share of the traffic whose destinations it strikes, of those that the rest of it allows; for relays,
--- a/crates/model/src/scenario/range.rs
+++ b/crates/model/src/scenario/range.rs
@@ -3,7 +3,7 @@
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
 
-use crate::chance::between;
+use crate::random::between;
 
 /// A number or a range of numbers, written `3` or `[2, 5]`.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, Serialize)]
@@ -55,8 +55,8 @@
 
 impl Range {
     /// A number from the range.
-    pub fn draw(&self, chance: &mut ChaCha8Rng) -> f64 {
-        between(chance, self.least, self.most)
+    pub fn draw(&self, rng: &mut ChaCha8Rng) -> f64 {
+        between(rng, self.least, self.most)
     }
 }
 
--- a/crates/model/src/scenario/resolve.rs
+++ b/crates/model/src/scenario/resolve.rs
@@ -1,17 +1,17 @@
 //! The draw of the ranges of a scenario that are drawn once for a run.
 
 use super::{Range, Scenario};
-use crate::chance::{Chance, Concern};
+use crate::random::{Concern, RngStreams};
 
 impl Scenario {
     /// The scenario with all that is drawn once drawn; with the same seed it resolves to itself.
     #[must_use]
     pub fn resolve(&self, seed: u64) -> Scenario {
-        let mut chance = Chance::new(seed).stream(Concern::Scenario, 0);
+        let mut rng = RngStreams::new(seed).stream(Concern::Scenario, 0);
         let mut drawn = self.clone();
         let mut fix = |range: &mut Range| {
             // Drawn even where it is one number, so that a fixed figure shifts no other.
-            let value = range.draw(&mut chance);
+            let value = range.draw(&mut rng);
             *range = Range::from(if range.least == range.most { range.least } else { value });
         };
         fix(&mut drawn.span_s);
@@ -32,16 +32,12 @@
             fix(&mut topic.work_cv);
         }
         // Each has a stream of its own: a trouble more or less leaves the others as they were.
-        for (n, trouble) in drawn.trouble.iter_mut().enumerate() {
-            let mut chance = Chance::new(seed).stream(Concern::Trouble, n << 1);
-            for range in [
-                &mut trouble.start_s,
-                &mut trouble.span_s,
-                &mut trouble.ramp_s,
-                &mut trouble.size,
-                &mut trouble.extent,
-            ] {
-                let value = range.draw(&mut chance);
+        for (n, fault) in drawn.faults.iter_mut().enumerate() {
+            let mut rng = RngStreams::new(seed).stream(Concern::Faults, n << 1);
+            for range in
+                [&mut fault.start_s, &mut fault.span_s, &mut fault.ramp_s, &mut fault.size, &mut fault.extent]
+            {
+                let value = range.draw(&mut rng);
                 *range = Range::from(if range.least == range.most { range.least } else { value });
             }
         }
--- a/crates/model/src/scenario/service.rs
+++ b/crates/model/src/scenario/service.rs
@@ -56,7 +56,7 @@
     pub work_cv: Once,
     /// How it varies from one notification to another.
     #[serde(default)]
-    pub work_law: Law,
+    pub work_law: LatencyDistribution,
     /// How much one try for a notification differs from the next, as a coefficient of variation.
     #[serde(default = "fifth")]
     pub try_cv: f64,
@@ -81,7 +81,7 @@
 /// How work varies.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Law {
+pub enum LatencyDistribution {
     /// Lognormal, with a heavy tail.
     #[default]
     Lognormal,
--- a/crates/model/src/clients.rs
+++ b/crates/model/src/traffic.rs
@@ -8,11 +8,11 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1};
 
-use crate::chance::{Chance, Concern, sums, weighted};
 use crate::endpoint::lognormal;
+use crate::faults::{FaultSet, FaultWindow};
 use crate::fleet::Fleet;
-use crate::scenario::{Clients, Law, Range, Scenario, Woe};
-use crate::woes::{Spell, Struck};
+use crate::random::{Concern, RngStreams, sums, weighted};
+use crate::scenario::{Clients, FaultKind, LatencyDistribution, Range, Scenario};
 
 /// Those of one clump come within this long of each other.
 const CLUMP_MS: f64 = 100.0;
@@ -39,7 +39,7 @@
 }
 
 /// What a source brings.
-enum Brings {
+enum SourceKind {
     /// Single ones, in proportion to what each destination gets.
     Single,
     /// Clumps for one destination; those of the clump at hand still to come, the next last.
@@ -47,8 +47,8 @@
 }
 
 struct Source {
-    brings: Brings,
-    chance: ChaCha8Rng,
+    kind: SourceKind,
+    rng: ChaCha8Rng,
     /// Destinations and running sums of what they get from it.
     destinations: Vec<usize>,
     sums: Vec<f64>,
@@ -57,12 +57,12 @@
     at: Time,
     to: Time,
     /// The trouble that it belongs to.
-    spell: Option<usize>,
+    window: Option<usize>,
 }
 
 /// The keys of one destination.
 struct Keys {
-    chance: ChaCha8Rng,
+    rng: ChaCha8Rng,
     slots: usize,
     life: Span,
     drawn: u64,
@@ -75,7 +75,7 @@
         let generation = at.since(Time::default()).as_nanos() / self.life.as_nanos().max(1);
         // One after the other, so that what is drawn for one hangs on no arrival.
         while self.drawn <= generation {
-            let relays = (0..self.slots).map(|_| weighted(&mut self.chance, parts)).collect();
+            let relays = (0..self.slots).map(|_| weighted(&mut self.rng, parts)).collect();
             self.relays.insert(self.drawn, relays);
             self.drawn += 1;
             if self.relays.len() > GENERATIONS {
@@ -103,8 +103,8 @@
 
 impl Traffic {
     pub(crate) fn new(
-        scenario: &Scenario, fleet: &Fleet, chance: &Chance, spells: &[Spell], struck: &[Struck],
-        hot_relays: Vec<(usize, Vec<usize>, ChaCha8Rng)>,
+        scenario: &Scenario, fleet: &Fleet, rng: &RngStreams, fault_windows: &[FaultWindow],
+        destination_faults: &[FaultSet], hot_relays: Vec<(usize, Vec<usize>, ChaCha8Rng)>,
     ) -> Traffic {
         let (plan, span) = (&scenario.traffic, Span::from_secs_f64(scenario.span_s.least));
         let (load, end) = (plan.load.least, Time::default() + span);
@@ -121,41 +121,45 @@
             impatient: scenario.clients.impatient,
             patience: scenario.clients.patience,
             hot_relays,
-            hurries: (0..spells.len()).filter(|n| spells[*n].what == Woe::Hurry).collect(),
+            hurries: (0..fault_windows.len())
+                .filter(|n| fault_windows[*n].kind == FaultKind::Hurry)
+                .collect(),
         };
-        let mut add = |brings, destinations: &[usize], rate, from, to, spell, chance| {
+        let mut add = |kind, destinations: &[usize], rate, from, to, window, rng| {
             let sums = sums(destinations.iter().map(|d| rates[*d]));
             let destinations = destinations.to_vec();
-            traffic.sources.push(Source { brings, chance, destinations, sums, rate, at: from, to, spell });
+            traffic.sources.push(Source { kind, rng, destinations, sums, rate, at: from, to, window });
         };
         let single = peak * (1.0 - plan.clumps.least);
-        add(Brings::Single, &all, single, Time::default(), end, None, chance.stream(Concern::Arrivals, 0));
+        add(SourceKind::Single, &all, single, Time::default(), end, None, rng.stream(Concern::Arrivals, 0));
         // What a clump has in the mean; busy destinations have more and larger ones.
         let squares: f64 = rates.iter().map(|rate| rate * rate).sum();
         let mean =
             (plan.clump_s.least + plan.clump_s.most) / 2.0 * squares / rates.iter().sum::<f64>().max(1e-9);
         let clumps = peak * plan.clumps.least / mean.max(LEAST_CLUMP);
-        let stream = chance.stream(Concern::Clumps, 0);
-        add(Brings::Clumps(Vec::new()), &all, clumps, Time::default(), end, None, stream);
-        for (place, spell) in spells.iter().enumerate() {
-            let hit: Vec<usize> = match spell.what {
-                Woe::Burst => all.clone(),
-                Woe::Hot => all.iter().copied().filter(|d| struck[*d].is_by(place)).collect(),
-                Woe::AccountBurst => {
-                    all.iter().copied().filter(|d| fleet.destinations[*d].account == spell.account).collect()
+        let stream = rng.stream(Concern::Clumps, 0);
+        add(SourceKind::Clumps(Vec::new()), &all, clumps, Time::default(), end, None, stream);
+        for (index, window) in fault_windows.iter().enumerate() {
+            let hit: Vec<usize> = match window.kind {
+                FaultKind::Burst => all.clone(),
+                FaultKind::Hot => {
+                    all.iter().copied().filter(|d| destination_faults[*d].contains(index)).collect()
+                }
+                FaultKind::AccountBurst => {
+                    all.iter().copied().filter(|d| fleet.destinations[*d].account == window.account).collect()
                 }
                 _ => continue,
             };
-            let further = (spell.size - 1.0).max(0.0) * load * hit.iter().map(|d| rates[*d]).sum::<f64>();
-            let stream = chance.stream(Concern::Trouble, place << 1 | 1);
-            add(Brings::Single, &hit, further, spell.from, spell.to.min(end), Some(place), stream);
+            let further = (window.size - 1.0).max(0.0) * load * hit.iter().map(|d| rates[*d]).sum::<f64>();
+            let stream = rng.stream(Concern::Faults, index << 1 | 1);
+            add(SourceKind::Single, &hit, further, window.from, window.to.min(end), Some(index), stream);
         }
         for destination in 0..rates.len() {
-            let mut draws = chance.stream(Concern::Keys, destination);
+            let mut draws = rng.stream(Concern::Keys, destination);
             let slots = (plan.keys.draw(&mut draws).round() as usize).max(1);
             let life = Span::from_secs_f64(plan.key_life_s.draw(&mut draws));
             let relays = BTreeMap::new();
-            traffic.keys.push(Keys { chance: draws, slots, life, drawn: 0, relays });
+            traffic.keys.push(Keys { rng: draws, slots, life, drawn: 0, relays });
         }
         traffic
     }
@@ -167,9 +171,10 @@
 
     /// The next notification of a source; nothing when it has no more.
     pub(crate) fn next(
-        &mut self, source: usize, fleet: &Fleet, spells: &[Spell], struck: &[Struck],
+        &mut self, source: usize, fleet: &Fleet, fault_windows: &[FaultWindow],
+        destination_faults: &[FaultSet],
     ) -> Option<Arrival> {
-        if let Brings::Clumps(rest) = &mut self.sources[source].brings
+        if let SourceKind::Clumps(rest) = &mut self.sources[source].kind
             && let Some(next) = rest.pop()
         {
             return Some(next);
@@ -180,7 +185,7 @@
             if from.rate <= 0.0 || from.sums.last().is_none_or(|sum| *sum <= 0.0) {
                 return None;
             }
-            let gap: f64 = Exp1.sample(&mut from.chance);
+            let gap: f64 = Exp1.sample(&mut from.rng);
             from.at = from.at + Span::from_secs_f64(gap / from.rate);
             if from.at >= from.to {
                 return None;
@@ -188,58 +193,61 @@
             // Thinned to the load of the moment: drawn at the peak, each kept with its share of it.
             let turn = std::f64::consts::TAU * from.at.since(Time::default()).as_secs_f64() / swing_s;
             let (mut now, mut peak) = (1.0 + swing * turn.sin(), 1.0 + swing);
-            if let Some(spell) = from.spell {
-                (now, peak) = (spells[spell].factor(from.at) - 1.0, spells[spell].size - 1.0);
+            if let Some(window) = from.window {
+                (now, peak) = (fault_windows[window].factor(from.at) - 1.0, fault_windows[window].size - 1.0);
             }
-            if from.chance.random::<f64>() * peak >= now {
+            if from.rng.random::<f64>() * peak >= now {
                 continue;
             }
-            let destination = from.destinations[weighted(&mut from.chance, &from.sums)];
-            if matches!(from.brings, Brings::Single) {
+            let destination = from.destinations[weighted(&mut from.rng, &from.sums)];
+            if matches!(from.kind, SourceKind::Single) {
                 let at = from.at;
-                return Some(self.arrival(source, destination, at, fleet, spells, struck));
+                return Some(self.arrival(source, destination, at, fleet, fault_windows, destination_faults));
             }
-            let secs = self.clump_s.draw(&mut from.chance);
+            let secs = self.clump_s.draw(&mut from.rng);
             let start = from.at;
             let size = (secs * fleet.destinations[destination].rate()).max(LEAST_CLUMP) as usize;
             let mut all: Vec<Arrival> = (0..size)
                 .map(|_| {
-                    let late = self.sources[source].chance.random::<f64>() * CLUMP_MS / 1_000.0;
+                    let late = self.sources[source].rng.random::<f64>() * CLUMP_MS / 1_000.0;
                     let at = start + Span::from_secs_f64(late);
-                    self.arrival(source, destination, at, fleet, spells, struck)
+                    self.arrival(source, destination, at, fleet, fault_windows, destination_faults)
                 })
                 .collect();
             all.sort_by_key(|arrival| std::cmp::Reverse(arrival.drawn));
             let next = all.pop();
-            self.sources[source].brings = Brings::Clumps(all);
+            self.sources[source].kind = SourceKind::Clumps(all);
             return next;
         }
     }
 
     fn arrival(
-        &mut self, source: usize, destination: usize, at: Time, fleet: &Fleet, spells: &[Spell],
-        struck: &[Struck],
+        &mut self, source: usize, destination: usize, at: Time, fleet: &Fleet, fault_windows: &[FaultWindow],
+        destination_faults: &[FaultSet],
     ) -> Arrival {
         let plan = &fleet.destinations[destination];
-        let chance = &mut self.sources[source].chance;
-        let topic = weighted(chance, &plan.rate_sums);
-        let (mut relay, slot) = (weighted(chance, &self.parts), chance.random::<u32>() as usize);
+        let rng = &mut self.sources[source].rng;
+        let topic = weighted(rng, &plan.rate_sums);
+        let (mut relay, slot) = (weighted(rng, &self.parts), rng.random::<u32>() as usize);
         let of = &fleet.topics[topic];
         let work = match of.law {
-            Law::Lognormal => lognormal(chance, of.work, of.cv),
-            Law::Exponential => of.work * Distribution::<f64>::sample(&Exp1, chance),
+            LatencyDistribution::Lognormal => lognormal(rng, of.work, of.cv),
+            LatencyDistribution::Exponential => of.work * Distribution::<f64>::sample(&Exp1, rng),
         };
-        let (hurried, impatient): (f64, f64) = (chance.random(), chance.random());
-        let late = self.patience.draw(chance);
+        let (hurried, impatient): (f64, f64) = (rng.random(), rng.random());
+        let late = self.patience.draw(rng);
         let mut key = None;
         if fleet.topics[topic].topic.ordered {
             let keys = &mut self.keys[destination];
             let (name, at_relay) = keys.key(at, slot % keys.slots, destination, &self.parts);
             (key, relay) = (Some(name), at_relay);
         } else {
-            for (spell, relays, chance) in &mut self.hot_relays {
-                let hit: (f64, u32) = (chance.random(), chance.random());
-                if spells[*spell].acts(at) && hit.0 < spells[*spell].size && !relays.is_empty() {
+            for (window, relays, rng) in &mut self.hot_relays {
+                let hit: (f64, u32) = (rng.random(), rng.random());
+                if fault_windows[*window].is_active(at)
+                    && hit.0 < fault_windows[*window].size
+                    && !relays.is_empty()
+                {
                     relay = relays[hit.1 as usize % relays.len()];
                 }
             }
@@ -247,15 +255,17 @@
         // Held back and let go all at once.
         let drawn = at;
         let held = |n: &usize| {
-            spells[*n].what == Woe::Release && spells[*n].acts(at) && struck[destination].is_by(*n)
+            fault_windows[*n].kind == FaultKind::Release
+                && fault_windows[*n].is_active(at)
+                && destination_faults[destination].contains(*n)
         };
-        let at = (0..spells.len()).find(held).map_or(at, |n| spells[n].to.max(at));
+        let at = (0..fault_windows.len()).find(held).map_or(at, |n| fault_windows[n].to.max(at));
         let ttl = fleet.topics[topic].topic.ttl;
         let mut ends = None;
-        for spell in self.hurries.iter().map(|n| &spells[*n]).filter(|spell| spell.acts(at)) {
+        for window in self.hurries.iter().map(|n| &fault_windows[*n]).filter(|window| window.is_active(at)) {
             // Those of the struck share want it in less time, and then no longer.
-            if hurried < spell.extent {
-                ends = Some(ttl.mul_f64(spell.size));
+            if hurried < window.extent {
+                ends = Some(ttl.mul_f64(window.size));
             }
         }
         let taken_back = (impatient < self.impatient).then(|| ttl.mul_f64(late));
@@ -268,10 +278,10 @@
 }
 
 /// How long a client waits before it hands in again, having been told `retry_in` or nothing, for the n-th time.
-pub(crate) fn comes_again(
-    plan: &Clients, chance: &mut ChaCha8Rng, again: u32, retry_in: Option<Span>,
+pub(crate) fn resubmit_delay(
+    plan: &Clients, rng: &mut ChaCha8Rng, again: u32, retry_in: Option<Span>,
 ) -> Option<Span> {
-    let (backoff, heeds) = (plan.backoff_ms.draw(chance), chance.random::<f64>() < plan.honour);
+    let (backoff, heeds) = (plan.backoff_ms.draw(rng), rng.random::<f64>() < plan.honour);
     if again >= plan.again {
         return None;
     }
--- a/crates/model/tests/common/mod.rs
+++ b/crates/model/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use juniperwing::time::Time;
 use juniperwing_model::fleet::Fleet;
 use juniperwing_model::policy::{Policies, Policy, Truth};
-use juniperwing_model::{Figures, Scenario};
+use juniperwing_model::{Metrics, Scenario};
 
 /// Two kinds of destination, a collapsible and an ordered once-only topic type, and whatever is added.
 pub fn scenario(span_s: u32, troubles: &str) -> Scenario {
@@ -77,12 +77,12 @@
 }
 
 /// Notifications by what became of them are all that were handed in.
-pub fn conserves(figures: &Figures) {
-    for part in figures.topics.iter().chain(&figures.accounts) {
-        let ends = part.delivered + part.throttled + part.expired + part.gone;
+pub fn conserves(metrics: &Metrics) {
+    for part in metrics.topics.iter().chain(&metrics.accounts) {
+        let ends = part.delivered + part.throttled + part.expired + part.abandoned;
         assert_eq!(part.offered, ends, "{part:?}");
     }
-    let pushes = &figures.pushes;
+    let pushes = &metrics.pushes;
     let ended = pushes.delivered
         + pushes.error
         + pushes.busy
--- a/crates/model/tests/judge.rs
+++ b/crates/model/tests/judge.rs
@@ -10,7 +10,7 @@
 use juniperwing::time::{Span, Time};
 use juniperwing_model::fleet::Fleet;
 use juniperwing_model::policy::{Policies, Policy, Truth};
-use juniperwing_model::{Core, Rule, Scenario, play};
+use juniperwing_model::{Core, Rule, Scenario, simulate};
 
 /// What is altered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -172,11 +172,11 @@
 fn catches(bend: Bend, troubles: &str, rule: Rule, said: &str) {
     // The core as it is keeps the rule on the same days, so it is the bend that is caught.
     for seed in 1..=2 {
-        let core = play(&day(troubles), seed, &Core);
-        assert!(core.breaks.iter().all(|b| b.rule != rule), "{:#?}", core.breaks);
-        let bent = play(&day(troubles), seed, &Bent(bend));
-        let caught = bent.breaks.iter().any(|b| b.rule == rule && b.what.contains(said));
-        assert!(caught, "{bend:?}, seed {seed}: {:#?}", bent.breaks);
+        let core = simulate(&day(troubles), seed, &Core);
+        assert!(core.violations.iter().all(|b| b.rule != rule), "{:#?}", core.violations);
+        let bent = simulate(&day(troubles), seed, &Bent(bend));
+        let caught = bent.violations.iter().any(|b| b.rule == rule && b.what.contains(said));
+        assert!(caught, "{bend:?}, seed {seed}: {:#?}", bent.violations);
     }
 }
 
--- a/crates/model/tests/model.rs
+++ b/crates/model/tests/model.rs
@@ -7,12 +7,12 @@
 use juniperwing::time::{Span, Time};
 use juniperwing_model::fleet::Fleet;
 use juniperwing_model::policy::{Policies, Policy, Truth};
-use juniperwing_model::scenario::{Law, LimitForm, Range, Scenario};
-use juniperwing_model::{Core, Figures, play};
+use juniperwing_model::scenario::{LatencyDistribution, LimitForm, Range, Scenario};
+use juniperwing_model::{Core, Metrics, simulate};
 use proptest::prelude::*;
 
 /// One destination with one endpoint and no network, at which whatever comes is passed on at once.
-fn queue(rate: f64, work_ms: f64, law: Law, cv: f64, servers: f64) -> Figures {
+fn queue(rate: f64, work_ms: f64, law: LatencyDistribution, cv: f64, servers: f64) -> Metrics {
     let mut plain: Scenario = scenario(3_000, "");
     plain.zones.truncate(1);
     plain.account.clear();
@@ -32,13 +32,13 @@
     (plain.relays.least_slots, plain.relays.least_held, plain.relays.tick_ms) = (1e5, 1e6, 0.0);
     (plain.network.near_ms, plain.network.far_ms) = (0.0.into(), 0.0.into());
     assert_eq!(plain.check(), []);
-    play(&plain, 11, &PassesOn)
+    simulate(&plain, 11, &PassesOn)
 }
 
 /// Mean time in the system, in seconds, from the mean number in it: Little's law, by samples once a second.
-fn mean_number(figures: &Figures) -> f64 {
-    let steady = &figures.seconds[100..3_000];
-    steady.iter().map(|second| second.out as f64).sum::<f64>() / steady.len() as f64
+fn mean_number(metrics: &Metrics) -> f64 {
+    let steady = &metrics.seconds[100..3_000];
+    steady.iter().map(|second| second.in_flight_calls as f64).sum::<f64>() / steady.len() as f64
 }
 
 /// The chance to wait with `servers` servers at offered load `a`.
@@ -56,11 +56,11 @@
 #[test]
 fn one_server_waits_as_theory_says() {
     let (rate, work) = (7.0, 0.1);
-    let figures = queue(rate, work * 1_000.0, Law::Exponential, 1.0, 1.0);
-    let (rho, number) = (rate * work, mean_number(&figures));
+    let metrics = queue(rate, work * 1_000.0, LatencyDistribution::Exponential, 1.0, 1.0);
+    let (rho, number) = (rate * work, mean_number(&metrics));
     let expected = rho / (1.0 - rho);
     assert!((number / expected - 1.0).abs() < 0.10, "{number} for {expected}");
-    let median = figures.topics[0].latency_ms[0] / 1_000.0;
+    let median = metrics.topics[0].latency_ms[0] / 1_000.0;
     let expected = std::f64::consts::LN_2 * work / (1.0 - rho);
     assert!((median / expected - 1.0).abs() < 0.10, "{median} for {expected}");
 }
@@ -69,10 +69,10 @@
 #[test]
 fn several_servers_wait_as_theory_says() {
     let (rate, work, servers) = (32.0, 0.1, 4);
-    let figures = queue(rate, work * 1_000.0, Law::Exponential, 1.0, f64::from(servers));
+    let metrics = queue(rate, work * 1_000.0, LatencyDistribution::Exponential, 1.0, f64::from(servers));
     let a = rate * work;
     let waits = erlang_c(servers, a) * work / (f64::from(servers) - a);
-    let (number, expected) = (mean_number(&figures), rate * (waits + work));
+    let (number, expected) = (mean_number(&metrics), rate * (waits + work));
     assert!((number / expected - 1.0).abs() < 0.10, "{number} for {expected}");
 }
 
@@ -80,10 +80,10 @@
 #[test]
 fn heavy_tailed_work_waits_as_theory_says() {
     let (rate, work, cv) = (6.0, 0.1, 1.5);
-    let figures = queue(rate, work * 1_000.0, Law::Lognormal, cv, 1.0);
+    let metrics = queue(rate, work * 1_000.0, LatencyDistribution::Lognormal, cv, 1.0);
     let rho = rate * work;
     let waits = rho / (1.0 - rho) * (1.0 + cv * cv) / 2.0 * work;
-    let (number, expected) = (mean_number(&figures), rate * (waits + work));
+    let (number, expected) = (mean_number(&metrics), rate * (waits + work));
     assert!((number / expected - 1.0).abs() < 0.15, "{number} for {expected}");
 }
 
@@ -92,7 +92,7 @@
 fn arrivals_come_at_the_rate_asked_for() {
     let mut plain = scenario(400, "");
     (plain.traffic.swing, plain.traffic.clumps) = (0.4.into(), 0.3.into());
-    let offered: u64 = play(&plain, 5, &PassesOn).topics.iter().map(|topic| topic.offered).sum();
+    let offered: u64 = simulate(&plain, 5, &PassesOn).topics.iter().map(|topic| topic.offered).sum();
     let expected = 60.0 * 0.75 * 400.0;
     assert!((offered as f64 / expected - 1.0).abs() < 0.06, "{offered} for {expected}");
 }
@@ -100,7 +100,7 @@
 #[test]
 fn the_same_scenario_and_seed_give_the_same_figures_and_another_seed_others() {
     let troubles = "[[trouble]]\nwhat = \"kill\"\nstart_s = 5\nextent = 0.4\nsize = 2\n";
-    let text = |seed| serde_json::to_string(&play(&scenario(15, troubles), seed, &Core)).expect("JSON");
+    let text = |seed| serde_json::to_string(&simulate(&scenario(15, troubles), seed, &Core)).expect("JSON");
     assert_eq!(text(3), text(3));
     assert_ne!(text(3), text(4));
 }
@@ -114,8 +114,8 @@
     let text = |scenario: &Scenario| toml::to_string(scenario).expect("TOML");
     assert_eq!(text(&resolved), text(&resolved.resolve(9)));
     let read: Scenario = toml::from_str(&text(&resolved)).expect("a scenario");
-    let figures = |scenario: &Scenario| serde_json::to_string(&play(scenario, 9, &Core)).expect("JSON");
-    assert_eq!(figures(&ranged), figures(&read));
+    let metrics = |scenario: &Scenario| serde_json::to_string(&simulate(scenario, 9, &Core)).expect("JSON");
+    assert_eq!(metrics(&ranged), metrics(&read));
 }
 
 /// A trouble that is added leaves what is handed in as it was.
@@ -123,8 +123,8 @@
 fn a_trouble_shifts_no_other_draw() {
     let slow = "[[trouble]]\nwhat = \"slow\"\nstart_s = 4\nspan_s = 4\nsize = 5\nextent = 0.5\n";
     let offered = |troubles| {
-        let figures = play(&scenario(12, troubles), 2, &Core);
-        figures.seconds.iter().map(|second| second.offered).collect::<Vec<_>>()
+        let metrics = simulate(&scenario(12, troubles), 2, &Core);
+        metrics.seconds.iter().map(|second| second.offered).collect::<Vec<_>>()
     };
     let (calm, troubled) = (offered(""), offered(slow));
     assert_eq!(calm[..12], troubled[..12]);
@@ -134,20 +134,23 @@
 fn a_day_of_no_traffic_ends_and_serves_all() {
     let mut idle = scenario(86_400, "");
     idle.traffic.rate = 0.0.into();
-    let figures = play(&idle, 1, &Core);
-    assert_eq!((figures.served, figures.pushes.sent, figures.cut, figures.broken), (1.0, 0, false, 0));
+    let metrics = simulate(&idle, 1, &Core);
+    assert_eq!(
+        (metrics.served, metrics.pushes.sent, metrics.is_truncated, metrics.violation_count),
+        (1.0, 0, false, 0)
+    );
 }
 
 #[test]
 fn relays_that_are_killed_lose_nothing_that_their_folders_keep() {
     let kill = "[[trouble]]\nwhat = \"kill\"\nstart_s = 5\nextent = 1\nsize = 1.5\n";
-    let figures = play(&scenario(15, kill), 1, &Core);
-    conserves(&figures);
-    assert_eq!(figures.broken, 0, "{:#?}", figures.breaks);
+    let metrics = simulate(&scenario(15, kill), 1, &Core);
+    conserves(&metrics);
+    assert_eq!(metrics.violation_count, 0, "{:#?}", metrics.violations);
     let lost = kill.replace("kill", "lose");
-    let figures = play(&scenario(15, &lost), 1, &Core);
-    conserves(&figures);
-    assert_eq!(figures.broken, 0, "{:#?}", figures.breaks);
+    let metrics = simulate(&scenario(15, &lost), 1, &Core);
+    conserves(&metrics);
+    assert_eq!(metrics.violation_count, 0, "{:#?}", metrics.violations);
 }
 
 const WOES: [&str; 17] = [
@@ -186,10 +189,10 @@
                 WOES[*woe]
             );
         }
-        let figures = play(&scenario(8, &troubles), seed, &Core);
-        conserves(&figures);
-        prop_assert!(!figures.cut && figures.faults == 0);
-        let bad: Vec<_> = figures.breaks.iter().filter(|b| b.rule != juniperwing_model::Rule::Return).collect();
+        let metrics = simulate(&scenario(8, &troubles), seed, &Core);
+        conserves(&metrics);
+        prop_assert!(!metrics.is_truncated && metrics.invalid_commands == 0);
+        let bad: Vec<_> = metrics.violations.iter().filter(|b| b.rule != juniperwing_model::Rule::Return).collect();
         prop_assert!(bad.is_empty(), "{:#?}", bad);
     }
 }
@@ -218,8 +221,8 @@
 fn a_relay_that_never_rests_does_not_stop_the_clock() {
     let mut idle = scenario(10, "");
     (idle.traffic.rate, idle.relays.count) = (0.0.into(), 1.0.into());
-    let figures = play(&idle, 1, &Restless);
-    assert!(!figures.cut && (1_990..=2_010).contains(&figures.turns), "{}", figures.turns);
+    let metrics = simulate(&idle, 1, &Restless);
+    assert!(!metrics.is_truncated && (1_990..=2_010).contains(&metrics.turns), "{}", metrics.turns);
     idle.relays.tick_ms = 0.0;
-    assert!(play(&idle, 1, &Restless).cut);
+    assert!(simulate(&idle, 1, &Restless).is_truncated);
 }
