--- a/crates/lab/src/baselines.rs
+++ b/crates/lab/src/baselines.rs
@@ -282,7 +282,10 @@
             let far = zone.is_some_and(|zone| *zone != entry.zone);
             let bad = self.style == Style::Oracle
                 && truth.endpoint(end).is_none_or(|s| {
-                    !s.answers || s.room == 0 && s.waiting > 1 || s.left < 0.02 || s.spare < SPARE
+                    !s.is_answering
+                        || s.free_servers == 0 && s.queued > 1
+                        || s.limit_remaining < 0.02
+                        || s.remaining_load < SPARE
                 });
             if !(waits || open || far || bad) {
                 let end = end.clone();
@@ -361,7 +364,7 @@
         let mut look = Time::NEVER;
         for (id, held) in self.held.iter_mut().filter(|(_, held)| held.out.is_some() && !held.off) {
             let again = held.ntf.topic.effect != Effect::OnceOnly && held.pushes < self.allowed.pushes;
-            if again && truth.endpoint(&held.to).is_some_and(|state| !state.answers) {
+            if again && truth.endpoint(&held.to).is_some_and(|state| !state.is_answering) {
                 held.off = true;
                 commands.push(Command::Cancel { ntf: NtfId(*id), push: held.pushes - 1 });
             } else if again {
--- a/crates/lab/src/file.rs
+++ b/crates/lab/src/file.rs
@@ -57,18 +57,18 @@
             )));
         }
     };
-    let faults = scenario.check();
-    if faults.is_empty() {
+    let errors = scenario.check();
+    if errors.is_empty() {
         return Ok(scenario);
     }
     let document = Document::parse(text).ok();
     let mut said = String::new();
-    for fault in faults {
-        let path: Vec<&str> = fault.at.split('.').collect();
+    for error in errors {
+        let path: Vec<&str> = error.path.split('.').collect();
         let span = document.as_ref().and_then(|document| span_of(document.as_item(), &path));
         let line = span.map_or(1, |start| line_of(text, start));
         // A string takes any text.
-        let _ = writeln!(said, "{file}:{line}: {}: {}", fault.at, fault.why);
+        let _ = writeln!(said, "{file}:{line}: {}: {}", error.path, error.reason);
     }
     Err(Refused(said.trim_end().to_owned()))
 }
--- a/crates/model/src/faults.rs
+++ b/crates/model/src/faults.rs
@@ -1,191 +1,143 @@
-//! What the troubles that act on an endpoint, a destination or the traffic together make of it. A trouble is data:
-//! who is struck by which, with its size and times, is looked up here, and effects are worked out from all that act
-//! at a moment. So troubles may overlap and end in any order. It must never keep what a trouble changed in order
-//! to change it back.
+//! The effect of the faults that act on an endpoint, a destination or the traffic at a moment.
+//!
+//! A fault is data: which faults apply to a thing, with their sizes and times, is looked up here, and the effect is
+//! computed from all that are active. Faults may therefore overlap and end in any order, and nothing that a fault
+//! changed needs to be restored.
 
 use juniperwing::time::{Span, Time};
 
-use crate::scenario::{Fault, FaultKind};
+use crate::scenario::{Fault, FaultKind, Scenario};
 
-/// A trouble of a resolved scenario, with points in time.
+/// A pausing fault stands still for its size in seconds, once in so many times that.
+const PAUSE_PERIOD_SIZES: u64 = 4;
+/// The least factor, so that what is divided by it stays finite.
+const MIN_FACTOR: f64 = 1e-6;
+
+/// A fault of a resolved scenario, with its start and end as points in time.
 #[derive(Clone, Debug)]
 pub struct FaultWindow {
     /// What goes wrong.
     pub kind: FaultKind,
     /// When it begins.
     pub from: Time,
-    /// When it is over.
+    /// When it ends.
     pub to: Time,
-    ramp: Span,
-    /// How much.
+    /// How long its factor takes to rise from 1 to its size.
+    pub ramp: Span,
+    /// How much; see [`FaultKind`] for its meaning and unit.
     pub size: f64,
-    /// The share of what it could strike that it does.
+    /// The fraction affected, of all that it could affect.
     pub extent: f64,
-    /// The topic type concerned, by place.
+    /// Index of the topic type concerned.
     pub topic: Option<usize>,
-    /// The account concerned, by place.
+    /// Index of the account concerned.
     pub account: Option<usize>,
 }
 
 impl FaultWindow {
-    /// A trouble of a resolved scenario.
-    pub fn of(fault: &Fault, topic: Option<usize>, account: Option<usize>) -> FaultWindow {
-        let from = Time::default() + Span::from_secs_f64(fault.start_s.least);
-        let to = from + Span::from_secs_f64(fault.span_s.least);
-        let (ramp, kind) = (Span::from_secs_f64(fault.ramp_s.least), fault.what);
-        FaultWindow {
-            kind,
-            from,
-            to,
-            ramp,
-            size: fault.size.least,
-            extent: fault.extent.least,
-            topic,
-            account,
-        }
+    /// The windows of all faults of a resolved scenario.
+    pub fn all_of(scenario: &Scenario) -> Vec<FaultWindow> {
+        let topic = |name: &String| scenario.topic.iter().position(|topic| topic.name == *name);
+        let account = |name: &String| scenario.account.iter().position(|account| account.name == *name);
+        let window = |fault: &Fault| {
+            let from = Time::default() + Span::from_secs_f64(fault.start_s.least);
+            FaultWindow {
+                kind: fault.what,
+                from,
+                to: from + Span::from_secs_f64(fault.span_s.least),
+                ramp: Span::from_secs_f64(fault.ramp_s.least),
+                size: fault.size.least,
+                extent: fault.extent.least,
+                topic: fault.topic.as_ref().and_then(topic),
+                account: fault.account.as_ref().and_then(account),
+            }
+        };
+        scenario.faults.iter().map(window).collect()
     }
 
-    /// Whether it acts.
+    /// Whether it acts at that time.
     pub fn is_active(&self, now: Time) -> bool {
         self.from <= now && now < self.to
     }
 
-    /// Its factor by now: from 1 to its size over the ramp.
+    /// Its factor at that time: from 1 to its size over the ramp.
     pub fn factor(&self, now: Time) -> f64 {
-        let risen = if self.ramp > Span::ZERO {
+        let progress = if self.ramp > Span::ZERO {
             (now.since(self.from).as_secs_f64() / self.ramp.as_secs_f64()).min(1.0)
         } else {
             1.0
         };
-        1.0 + (self.size - 1.0) * risen
+        1.0 + (self.size - 1.0) * progress
     }
 
-    /// When a trouble that comes and goes goes on again, if it stands still now: it does so for its size, every four
-    /// times that.
-    fn resumes_at(&self, now: Time) -> Option<Time> {
-        let size = Span::from_secs_f64(self.size).as_nanos().max(1);
-        let passed = now.since(self.from).as_nanos() % (4 * size);
-        (passed < size).then(|| now + Span::from_nanos(size - passed))
+    /// The end of the pause that a pausing fault is in; `None` between pauses.
+    fn pause_end(&self, now: Time) -> Option<Time> {
+        let pause = Span::from_secs_f64(self.size).as_nanos().max(1);
+        let elapsed = now.since(self.from).as_nanos() % (PAUSE_PERIOD_SIZES * pause);
+        (elapsed < pause).then(|| now + Span::from_nanos(pause - elapsed))
     }
 }
 
-/// The troubles that a thing is struck by, by their places in the scenario.
+/// The faults that apply to a thing, as indices into the fault windows of the run.
 #[derive(Clone, Debug, Default)]
 pub struct FaultSet(Vec<usize>);
 
 impl FaultSet {
-    /// A further trouble strikes it.
+    /// Adds a fault.
     pub fn insert(&mut self, fault: usize) {
         self.0.push(fault);
     }
 
-    /// Whether nothing ever strikes it.
+    /// Whether no fault ever applies.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Whether a trouble, by its place, ever strikes it.
+    /// Whether a fault ever applies.
     pub fn contains(&self, fault: usize) -> bool {
         self.0.contains(&fault)
     }
 
     fn active<'a>(
-        &'a self, fault_windows: &'a [FaultWindow], kind: FaultKind, now: Time,
+        &'a self, windows: &'a [FaultWindow], kind: FaultKind, now: Time,
     ) -> impl Iterator<Item = &'a FaultWindow> {
-        let acts = move |window: &&FaultWindow| window.kind == kind && window.is_active(now);
-        self.0.iter().map(|index| &fault_windows[*index]).filter(acts)
+        let is_active = move |window: &&FaultWindow| window.kind == kind && window.is_active(now);
+        self.0.iter().map(|index| &windows[*index]).filter(is_active)
     }
 
-    /// Whether a trouble of that kind acts.
-    pub fn is_active(&self, fault_windows: &[FaultWindow], kind: FaultKind, now: Time) -> bool {
-        self.active(fault_windows, kind, now).next().is_some()
+    /// Whether a fault of that kind is active.
+    pub fn is_active(&self, windows: &[FaultWindow], kind: FaultKind, now: Time) -> bool {
+        self.active(windows, kind, now).next().is_some()
     }
 
-    /// The product of the factors of all that act.
-    pub fn factor(&self, fault_windows: &[FaultWindow], kind: FaultKind, now: Time) -> f64 {
-        // In order of size, so that the product does not hang on the order of the scenario by a last bit.
+    /// The product of the factors of all active faults of that kind.
+    pub fn factor(&self, windows: &[FaultWindow], kind: FaultKind, now: Time) -> f64 {
+        // In order of size: the product must not depend on the order of the scenario, not even in its last bit.
         let mut factors: Vec<f64> =
-            self.active(fault_windows, kind, now).map(|window| window.factor(now)).collect();
+            self.active(windows, kind, now).map(|window| window.factor(now)).collect();
         factors.sort_by(f64::total_cmp);
-        factors.into_iter().product::<f64>().max(1e-6)
+        factors.into_iter().product::<f64>().max(MIN_FACTOR)
     }
 
-    /// When it goes on again, if it stands still in a pause.
-    pub fn resumes_at(&self, fault_windows: &[FaultWindow], now: Time) -> Option<Time> {
-        self.active(fault_windows, FaultKind::Pauses, now).filter_map(|window| window.resumes_at(now)).max()
+    /// The time at which service resumes, if it is paused.
+    pub fn resumes_at(&self, windows: &[FaultWindow], now: Time) -> Option<Time> {
+        self.active(windows, FaultKind::Pauses, now).filter_map(|window| window.pause_end(now)).max()
     }
 
     /// Whether a topic type fails.
-    pub fn fails_topic(&self, fault_windows: &[FaultWindow], topic: usize, now: Time) -> bool {
-        self.active(fault_windows, FaultKind::TopicFails, now).any(|window| window.topic == Some(topic))
+    pub fn fails_topic(&self, windows: &[FaultWindow], topic: usize, now: Time) -> bool {
+        self.active(windows, FaultKind::TopicFails, now).any(|window| window.topic == Some(topic))
     }
 
-    /// The chance that none of the troubles of that kind, whose sizes are chances, strikes.
-    pub fn unaffected_probability(&self, fault_windows: &[FaultWindow], kind: FaultKind, now: Time) -> f64 {
-        self.active(fault_windows, kind, now).map(|window| (1.0 - window.size).clamp(0.0, 1.0)).product()
+    /// The probability that no active fault of that kind, whose sizes are probabilities, has an effect.
+    pub fn unaffected_probability(&self, windows: &[FaultWindow], kind: FaultKind, now: Time) -> f64 {
+        self.active(windows, kind, now).map(|window| (1.0 - window.size).clamp(0.0, 1.0)).product()
     }
 
-    /// Whether nothing at all is answered: an outage.
-    pub fn is_outage(&self, fault_windows: &[FaultWindow], now: Time) -> bool {
+    /// Whether no call at all succeeds.
+    pub fn is_outage(&self, windows: &[FaultWindow], now: Time) -> bool {
         [FaultKind::Silent, FaultKind::Errors, FaultKind::Refuses, FaultKind::Down]
             .into_iter()
-            .any(|kind| self.is_active(fault_windows, kind, now))
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use proptest::prelude::*;
-
-    use super::*;
-
-    fn window(kind: FaultKind, from: u64, to: u64, size: f64) -> FaultWindow {
-        let (from, to) = (Time::from_nanos(from), Time::from_nanos(to));
-        FaultWindow { kind, from, to, ramp: Span::ZERO, size, extent: 1.0, topic: None, account: None }
-    }
-
-    proptest! {
-        /// Overlapping troubles of one endpoint: what holds at a moment hangs only on which act then, not on the
-        /// order in which they were written, began or ended.
-        #[test]
-        fn the_order_of_troubles_does_not_matter(
-            spans in prop::collection::vec((0u64..50, 1u64..50, 1u32..9), 1..8), now in 0u64..120,
-        ) {
-            let now = Time::from_nanos(now);
-            let fault_windows: Vec<FaultWindow> =
-                spans.iter().map(|(from, span, size)| window(FaultKind::Slow, *from, from + span, f64::from(*size))).collect();
-            let factor = |order: &mut dyn Iterator<Item = usize>| {
-                let mut faults = FaultSet::default();
-                order.for_each(|index| faults.insert(index));
-                faults.factor(&fault_windows, FaultKind::Slow, now)
-            };
-            let forth = factor(&mut (0..fault_windows.len()));
-            prop_assert_eq!(forth, factor(&mut (0..fault_windows.len()).rev()));
-            let by_hand: f64 = fault_windows.iter().filter(|s| s.from <= now && now < s.to).map(|s| s.size).product();
-            prop_assert!((forth - by_hand).abs() < 1e-9 * by_hand);
-        }
-    }
-
-    #[test]
-    fn one_that_starts_before_another_ends_leaves_the_other_as_it_is() {
-        let fault_windows = [
-            window(FaultKind::Silent, 0, 10, 1.0),
-            window(FaultKind::Silent, 5, 20, 1.0),
-            window(FaultKind::Down, 30, 40, 1.0),
-        ];
-        let mut faults = FaultSet::default();
-        (0..3).for_each(|index| faults.insert(index));
-        let out: Vec<u64> =
-            (0..50).filter(|t| faults.is_outage(&fault_windows, Time::from_nanos(*t))).collect();
-        let expected: Vec<u64> = (0..20).chain(30..40).collect();
-        assert_eq!(out, expected);
-    }
-
-    #[test]
-    fn a_ramp_rises_from_one_to_the_size() {
-        let mut ramped = window(FaultKind::Slow, 100, 1_000, 5.0);
-        ramped.ramp = Span::from_nanos(200);
-        let factors = [100, 150, 200, 300, 900].map(|t| ramped.factor(Time::from_nanos(t)));
-        assert_eq!(factors, [1.0, 2.0, 3.0, 5.0, 5.0]);
+            .any(|kind| self.is_active(windows, kind, now))
     }
 }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -14,6 +14,7 @@
 pub mod metrics;
 pub mod policy;
 pub mod random;
+pub mod route;
 pub mod scenario;
 pub mod simulation;
 mod traffic;
--- a/crates/model/src/policy.rs
+++ b/crates/model/src/policy.rs
@@ -1,5 +1,6 @@
-//! Whose decisions a run plays: the core's, or another's for comparison, behind one small interface. It owns nothing
-//! that happens. A policy that a relay could run must never look at the truth; it is there for oracles.
+//! The interface of decisions: those of the core, or of another policy for comparison.
+//!
+//! A policy that a relay could run must never look at the [`Truth`]; that is for oracles.
 
 use juniperwing::Relay;
 use juniperwing::interface::{Command, EndpointId, Event};
@@ -7,43 +8,44 @@
 
 use crate::fleet::Fleet;
 
-/// What is true of an endpoint, which no relay is told.
+/// The true state of an endpoint, which no relay is told.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TrueState {
-    /// It answers calls just now.
-    pub answers: bool,
-    /// Calls that it could begin to serve at once.
-    pub room: usize,
-    /// Calls that wait there.
-    pub waiting: usize,
-    /// The share of its limit that is left; 1 where there is none.
-    pub left: f64,
-    /// How much more a cold destination may be sent before it falls over, in notifications; infinite for a warm one.
-    pub spare: f64,
+    /// Whether it answers calls now.
+    pub is_answering: bool,
+    /// Calls that it could start to serve at once.
+    pub free_servers: usize,
+    /// Calls in its queue.
+    pub queued: usize,
+    /// The fraction of its rate limit that is left; 1 without a limit.
+    pub limit_remaining: f64,
+    /// How much more a recovering destination may be sent before it is overloaded, in notifications; infinite for a
+    /// warm one.
+    pub remaining_load: f64,
 }
 
 /// The true state of everything.
 pub trait Truth {
-    /// What is true of an endpoint.
+    /// The true state of an endpoint; `None` if there is no such endpoint.
     fn endpoint(&self, endpoint: &EndpointId) -> Option<TrueState>;
 }
 
 /// The decisions of one relay.
 pub trait Policy {
-    /// Takes all that happened up to `now` and gives the commands that follow from it.
+    /// Handles all events up to `now` and returns the commands that follow from them.
     fn handle(&mut self, now: Time, events: Vec<Event>, truth: &dyn Truth) -> Vec<Command>;
 }
 
 /// Starts the policies of a run.
 pub trait Policies {
-    /// What they are called.
+    /// The name of the policy in metrics and reports.
     fn name(&self) -> &str;
 
-    /// The policy of a relay, by place, that starts now with this seed.
+    /// Starts the policy of the relay with that index.
     fn start(&self, now: Time, relay: usize, seed: u64, fleet: &Fleet) -> Box<dyn Policy>;
 }
 
-/// The project's own core.
+/// The decisions of juniperwing's own core.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Core;
 
--- a/crates/model/src/scenario/defaults.rs
+++ b/crates/model/src/scenario/defaults.rs
@@ -1,40 +1,52 @@
-//! What a key of a scenario stands at where it is not written.
+//! The values of keys that a scenario leaves out, named after the key.
 
 use super::range::Range;
 
-pub(super) fn five() -> f64 {
+pub(super) fn tick_ms() -> f64 {
     5.0
 }
 
-pub(super) fn eight() -> u32 {
+pub(super) fn pushes() -> u32 {
     8
 }
 
-pub(super) fn ten() -> Range {
+pub(super) fn notice_ms() -> Range {
     Range::from(10.0)
 }
 
-pub(super) fn half_a_minute() -> Range {
+pub(super) fn swing_s() -> Range {
     Range::from(30.0)
 }
 
-pub(super) fn two() -> Range {
+pub(super) fn clump_s() -> Range {
     Range::from(2.0)
 }
 
-pub(super) fn one() -> f64 {
-    1.0
+pub(super) fn keys() -> Range {
+    Range::from(2.0)
 }
 
-pub(super) fn fifth() -> f64 {
+pub(super) fn key_life_s() -> Range {
+    Range::from(10.0)
+}
+
+pub(super) fn work_cv() -> Range {
+    Range::from(1.0)
+}
+
+pub(super) fn try_cv() -> f64 {
     0.2
 }
 
-pub(super) fn half() -> f64 {
+pub(super) fn benefit() -> f64 {
+    1.0
+}
+
+pub(super) fn late_share() -> f64 {
     0.5
 }
 
-pub(super) fn usual() -> Range {
+pub(super) fn speed() -> Range {
     Range::from(1.0)
 }
 
@@ -42,27 +54,35 @@
     Range { least: 1.2, most: 1.6 }
 }
 
-pub(super) fn depth() -> Range {
+pub(super) fn headroom() -> Range {
+    spare()
+}
+
+pub(super) fn least_rate() -> Range {
+    Range::from(2.0)
+}
+
+pub(super) fn depth_s() -> Range {
     Range { least: 0.3, most: 1.0 }
 }
 
-pub(super) fn window() -> Range {
+pub(super) fn window_ms() -> Range {
     Range { least: 1_000.0, most: 2_000.0 }
 }
 
-pub(super) fn yes() -> bool {
+pub(super) fn reports() -> bool {
     true
 }
 
-pub(super) fn report() -> Range {
+pub(super) fn report_ms() -> Range {
     Range { least: 150.0, most: 600.0 }
 }
 
-pub(super) fn report_late() -> Range {
+pub(super) fn report_late_ms() -> Range {
     Range { least: 20.0, most: 250.0 }
 }
 
-pub(super) fn one_each() -> usize {
+pub(super) fn per_call() -> usize {
     1
 }
 
@@ -74,18 +94,30 @@
     Range { least: 2.0, most: 6.0 }
 }
 
-pub(super) fn eight_connections() -> f64 {
+pub(super) fn least_connections() -> f64 {
     8.0
 }
 
-pub(super) fn tenth() -> f64 {
+pub(super) fn quota() -> f64 {
+    1.0
+}
+
+pub(super) fn over_share() -> f64 {
     0.1
 }
 
-pub(super) fn whole() -> Range {
+pub(super) fn size() -> Range {
     Range::from(1.0)
 }
 
-pub(super) fn one_zone() -> Vec<String> {
+pub(super) fn extent() -> Range {
+    Range::from(1.0)
+}
+
+pub(super) fn whole() -> bool {
+    true
+}
+
+pub(super) fn zones() -> Vec<String> {
     vec!["a".to_owned()]
 }
--- a/crates/model/src/scenario/fault.rs
+++ b/crates/model/src/scenario/fault.rs
@@ -1,63 +1,63 @@
-//! What goes wrong: the vocabulary of troubles.
+//! Faults: what goes wrong, when, and what it affects.
 
 use serde::{Deserialize, Serialize};
 
-use super::defaults::{usual, whole, yes};
+use super::defaults;
 use super::range::Once;
 
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Answers take `size` times as long.
+    /// Service takes `size` times as long.
     Slow,
-    /// Calls are taken and never answered.
+    /// Calls are accepted and never answered.
     Silent,
     /// Calls are answered with an error at once.
     Errors,
-    /// Calls are turned away at once.
+    /// Calls are rejected as busy at once.
     Refuses,
     /// Connections are refused.
     Down,
-    /// Stands still for `size` seconds, again and again, every four times that.
+    /// Service stands still for `size` seconds, again and again, once in four times that.
     Pauses,
     /// One topic type fails.
     TopicFails,
-    /// Limits are `size` times the usual.
+    /// Rate limits are `size` times the usual.
     Limit,
     /// Opening a connection takes `size` times as long.
     Handshakes,
     /// All traffic is `size` times the usual.
     Burst,
-    /// The traffic of the destinations struck is `size` times the usual.
+    /// The traffic of the affected destinations is `size` times the usual.
     Hot,
     /// The traffic of one account is `size` times the usual.
     AccountBurst,
-    /// What comes for the destinations struck is held back and comes all at once at the end.
+    /// The traffic of the affected destinations is held back and comes all at once at the end.
     Release,
-    /// A few relays carry the share `size` of all traffic.
+    /// A few relays get the fraction `size` of all traffic.
     HotRelays,
-    /// The list cannot be reached.
+    /// The endpoint list cannot be reached.
     ListDown,
-    /// News of the list comes `size` seconds later.
+    /// Changes of the endpoint list are reported `size` seconds later.
     ListStale,
-    /// Endpoints drain and are replaced, one after the other, each gone `size` seconds after it drains.
+    /// Endpoints are replaced one after the other; each terminates `size` seconds after it starts to drain.
     Deploy,
-    /// What relays send to the endpoints struck is lost on the way.
+    /// A one-way partition: what relays send to the affected endpoints is lost.
     CutThere,
-    /// What the endpoints struck answer is lost on the way.
+    /// A one-way partition: the answers of the affected endpoints are lost.
     CutBack,
-    /// Connections to the endpoints struck break in the middle of calls, the share `size` of them.
+    /// The fraction `size` of connections to the affected endpoints break during calls.
     Resets,
-    /// TTLs are `size` times the usual, and at their end notifications are taken back.
+    /// TTLs are `size` times the usual, and at their end notifications are withdrawn.
     Hurry,
-    /// Relays are killed and come back over their folders after `size` seconds.
+    /// Relays are killed and start again on their storage after `size` seconds.
     Kill,
-    /// Relays are lost with their folders; new ones come in their place after `size` seconds.
+    /// Relays are lost with their storage; new ones replace them after `size` seconds.
     Lose,
 }
 
-/// A trouble: what, when and whom.
+/// A fault: what, when and where.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
@@ -65,26 +65,26 @@
     pub what: FaultKind,
     /// When it begins.
     pub start_s: Once,
-    /// How long it lasts.
+    /// Its duration.
     #[serde(default)]
     pub span_s: Once,
-    /// Over how long it comes on.
+    /// How long its effect takes to rise to its size.
     #[serde(default)]
     pub ramp_s: Once,
     /// How much; see [`FaultKind`].
-    #[serde(default = "usual")]
+    #[serde(default = "defaults::size")]
     pub size: Once,
-    /// The share of the traffic whose destinations it strikes, of those that the rest of it allows; for relays,
-    /// the share of relays.
-    #[serde(default = "whole")]
+    /// The fraction of the traffic whose destinations it affects, of those that it is restricted to; for relays, the
+    /// fraction of relays.
+    #[serde(default = "defaults::extent")]
     pub extent: Once,
-    /// Whether it strikes whole destinations, or one endpoint of each.
-    #[serde(default = "yes")]
+    /// Whether it affects all endpoints of a destination, or one of each.
+    #[serde(default = "defaults::whole")]
     pub whole: bool,
-    /// Only destinations of that kind.
+    /// Restricts it to destinations of that kind.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub kind: Option<String>,
-    /// Only endpoints in that zone.
+    /// Restricts it to endpoints in that zone.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
     /// The topic type concerned.
@@ -93,7 +93,7 @@
     /// The account concerned.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub account: Option<String>,
-    /// Only the destination with that place by traffic, 0 the busiest.
+    /// Restricts it to the destination with that rank by traffic, 0 being the busiest.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub destination: Option<usize>,
 }
--- a/crates/model/src/scenario/plan.rs
+++ b/crates/model/src/scenario/plan.rs
@@ -1,75 +1,75 @@
-//! How the tier and its traffic are laid out: relays, traffic, destinations, network, list, clients and rules.
+//! The tables that lay out a run: relays, traffic, destinations, network, list, clients and rules.
 
 use serde::{Deserialize, Serialize};
 
-use super::defaults::{eight, five, half_a_minute, ten, two};
+use super::defaults;
 use super::range::{Each, Once, Range};
 
 /// The relays.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Relays {
-    /// How many.
+    /// The number of relays.
     pub count: Once,
-    /// How unequal their traffic is: 0 equal, else the exponent of a Zipf law over them.
+    /// The exponent of the Zipf distribution of traffic over relays; 0: all have the same.
     #[serde(default)]
     pub zipf: Range,
-    /// Slots over what a relay's part of full load keeps busy.
+    /// Slots of a relay, over those that its share of full load keeps busy.
     pub slots_room: Each,
-    /// The least slots that a relay has.
+    /// The minimum of slots.
     pub least_slots: f64,
-    /// What a relay may hold, in seconds of its part of full load.
+    /// Notifications that a relay may hold, in seconds of its share of full load.
     pub hold_s: Each,
-    /// The least that it may hold, in notifications.
+    /// The minimum of notifications that a relay may hold.
     pub least_held: f64,
-    /// The shortest gap between two of its rounds.
-    #[serde(default = "five")]
+    /// The shortest time between two turns of a relay.
+    #[serde(default = "defaults::tick_ms")]
     pub tick_ms: f64,
-    /// Pushes for one notification at most.
-    #[serde(default = "eight")]
+    /// The maximum of pushes of one notification.
+    #[serde(default = "defaults::pushes")]
     pub pushes: u32,
-    /// How long a notice of an end takes to be heard.
-    #[serde(default = "ten")]
+    /// How long it takes until a relay knows that a client has its notice.
+    #[serde(default = "defaults::notice_ms")]
     pub notice_ms: Each,
 }
 
-/// What is handed in.
+/// The notifications that are submitted.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Traffic {
     /// Notifications a second at full load.
     pub rate: Once,
-    /// The share of full load that comes.
+    /// The mean load, as a fraction of full load.
     pub load: Once,
-    /// How much load swings about its mean, and how long a swing takes.
+    /// The amplitude of the sine wave of load about its mean, as a fraction of the mean.
     #[serde(default)]
     pub swing: Once,
-    /// How long a swing takes.
-    #[serde(default = "half_a_minute")]
+    /// The period of that wave.
+    #[serde(default = "defaults::swing_s")]
     pub swing_s: Once,
-    /// The share that comes in clumps for one destination.
+    /// The fraction of notifications that come in clumps for one destination.
     #[serde(default)]
     pub clumps: Once,
-    /// A clump's size, in seconds of what its destination takes.
-    #[serde(default = "two")]
+    /// The size of a clump, in seconds of its destination's traffic.
+    #[serde(default = "defaults::clump_s")]
     pub clump_s: Each,
-    /// How many keys of one destination are in use at a time, for ordered topic types.
-    #[serde(default = "two")]
+    /// Keys of a destination that are in use at a time, for ordered topic types.
+    #[serde(default = "defaults::keys")]
     pub keys: Each,
     /// For how long a key is in use.
-    #[serde(default = "ten")]
+    #[serde(default = "defaults::key_life_s")]
     pub key_life_s: Each,
 }
 
-/// How many destinations and endpoints there are, and who gets how much.
+/// The number of destinations and endpoints, and the distribution of traffic over them.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Destinations {
-    /// How many destinations.
+    /// The number of destinations.
     pub count: Once,
-    /// Endpoints of each; a fraction is the share of destinations with one more.
+    /// Endpoints of each destination; a fractional part is the fraction of destinations with one more.
     pub endpoints: Once,
-    /// The exponent of the Zipf law of their traffic.
+    /// The exponent of the Zipf distribution of traffic over destinations.
     #[serde(default)]
     pub zipf: Once,
 }
@@ -78,17 +78,17 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
-    /// One way within a zone.
+    /// The one-way delay within a zone.
     pub near_ms: Each,
-    /// One way between zones.
+    /// The one-way delay between zones.
     pub far_ms: Each,
-    /// How much one passage differs from another, as a share.
+    /// The largest addition to a one-way delay, as a fraction of it.
     pub jitter: f64,
-    /// Round trips to open a connection.
+    /// Round trips that opening a connection takes.
     pub handshake_rtts: f64,
-    /// A connection that is not up by then is given up.
+    /// A connection that is not open by then is given up.
     pub connect_timeout_ms: f64,
-    /// Idle connections are closed after this long.
+    /// Endpoints close connections that have been idle for this long.
     pub idle_s: f64,
 }
 
@@ -105,15 +105,15 @@
     }
 }
 
-/// The list of endpoints.
+/// The endpoint list.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct List {
-    /// How late a relay hears of a change.
+    /// The delay with which a relay is told of a change.
     pub notice_s: Each,
     /// How long a request for the list takes.
     pub answer_ms: Each,
-    /// Whether entries carry a rate, rough by up to half.
+    /// Whether entries carry a rate, which is wrong by up to a half.
     pub rates: bool,
 }
 
@@ -123,23 +123,23 @@
     }
 }
 
-/// What clients do.
+/// The behaviour of clients.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Clients {
-    /// How often one hands a notification in again after a throttling.
+    /// Resubmissions of a throttled notification, at most.
     pub again: u32,
-    /// How long it waits before it does where it is told no time; doubled each time.
+    /// The first backoff before a resubmission, doubled each time; used where no time was announced.
     pub backoff_ms: Each,
-    /// The share that heeds the time it is told.
+    /// The fraction of clients that heed an announced time.
     pub honour: f64,
-    /// The longest time to come back that it heeds; 0: none may be named.
+    /// The longest time that may be announced; 0: none.
     pub longest_retry_ms: f64,
-    /// The share of notifications that are taken back.
+    /// The fraction of notifications that are withdrawn.
     pub impatient: f64,
-    /// After which share of their TTL.
+    /// After which fraction of their TTL.
     pub patience: Each,
-    /// How long what a dead relay held takes to come again.
+    /// How long until a client of a failed relay submits its notification to another one.
     pub orphan_ms: Each,
 }
 
@@ -157,29 +157,29 @@
     }
 }
 
-/// The figures of the rules.
+/// The tolerances of the rules.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// How long after a notification's TTL its final answer still counts.
+    /// How long after its TTL a notification's final answer is still in time.
     pub answer_slack_ms: f64,
-    /// Nothing new to an endpoint so long after the relay was told that it drains.
+    /// How long after a relay was told that an endpoint drains it may still push to it.
     pub drain_grace_ms: f64,
-    /// The share of its capacity that a destination has right after an outage.
+    /// The fraction of its capacity that a destination has right after an outage.
     pub cold_from: Each,
-    /// How long after its return it has all of it.
+    /// How long after an outage it has its whole capacity.
     pub cold_s: Each,
-    /// An outage shorter than that leaves nothing cold.
+    /// A shorter outage leaves a destination warm.
     pub least_outage_s: f64,
-    /// A cold destination falls over above so many times its present capacity...
+    /// A cold destination is overloaded by more than this multiple of its present capacity...
     pub fall_multiple: f64,
-    /// ...kept up for this long.
+    /// ...over this time.
     pub tip_after_ms: f64,
-    /// Further work allowed beyond that, for chance, in calls.
+    /// Calls allowed beyond that.
     pub fall_slack: f64,
-    /// How long a key rests after a push that might still be running.
+    /// How long a key waits after a push that may still be executing.
     pub settle_ms: f64,
-    /// A relay that has no subscription and has not asked for so long counts as told.
+    /// A relay without subscription that has not asked for the list for this long counts as told of its changes.
     pub ask_every_s: f64,
 }
 
--- a/crates/model/src/scenario/range.rs
+++ b/crates/model/src/scenario/range.rs
@@ -3,15 +3,15 @@
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
 
-use crate::random::between;
+use crate::random::uniform;
 
 /// A number or a range of numbers, written `3` or `[2, 5]`.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(from = "Written", into = "Written")]
 pub struct Range {
-    /// The least it can be.
+    /// The lower end.
     pub least: f64,
-    /// The most it can be.
+    /// The upper end.
     pub most: f64,
 }
 
@@ -54,14 +54,14 @@
 }
 
 impl Range {
-    /// A number from the range.
+    /// Draws a number from the range, also where the range is one number.
     pub fn draw(&self, rng: &mut ChaCha8Rng) -> f64 {
-        between(rng, self.least, self.most)
+        uniform(rng, self.least, self.most)
     }
 }
 
 /// A range that is drawn once for a run; in a resolved scenario it is one number.
 pub type Once = Range;
 
-/// A range that is drawn for each thing it speaks of; a resolved scenario keeps it.
+/// A range that is drawn for each thing that it describes; a resolved scenario keeps it.
 pub type Each = Range;
--- a/crates/model/src/scenario/resolve.rs
+++ b/crates/model/src/scenario/resolve.rs
@@ -3,8 +3,11 @@
 use super::{Range, Scenario};
 use crate::random::{Concern, RngStreams};
 
+/// Ranges of a fault, each of which takes one number of its stream.
+pub(crate) const FAULT_RANGES: usize = 5;
+
 impl Scenario {
-    /// The scenario with all that is drawn once drawn; with the same seed it resolves to itself.
+    /// The scenario with the ranges of type [`Once`](super::Once) drawn. With the same seed it resolves to itself.
     #[must_use]
     pub fn resolve(&self, seed: u64) -> Scenario {
         let mut rng = RngStreams::new(seed).stream(Concern::Scenario, 0);
@@ -31,12 +34,17 @@
             fix(&mut topic.work_ms);
             fix(&mut topic.work_cv);
         }
-        // Each has a stream of its own: a trouble more or less leaves the others as they were.
+        // Each has a stream of its own: a fault more or less leaves the others as they were.
         for (n, fault) in drawn.faults.iter_mut().enumerate() {
-            let mut rng = RngStreams::new(seed).stream(Concern::Faults, n << 1);
-            for range in
-                [&mut fault.start_s, &mut fault.span_s, &mut fault.ramp_s, &mut fault.size, &mut fault.extent]
-            {
+            let mut rng = RngStreams::new(seed).fault(n);
+            let ranges: [&mut Range; FAULT_RANGES] = [
+                &mut fault.start_s,
+                &mut fault.span_s,
+                &mut fault.ramp_s,
+                &mut fault.size,
+                &mut fault.extent,
+            ];
+            for range in ranges {
                 let value = range.draw(&mut rng);
                 *range = Range::from(if range.least == range.most { range.least } else { value });
             }
--- a/crates/model/src/scenario/service.rs
+++ b/crates/model/src/scenario/service.rs
@@ -1,35 +1,32 @@
-//! Topic types, kinds of destination and accounts: what is served, by whom and for whom.
+//! Topic types, kinds of destination and accounts.
 
 use serde::{Deserialize, Serialize};
 
-use super::defaults::{
-    depth, eight_connections, fifth, half, item_cost, one, one_each, queue, report, report_late, spare,
-    tenth, two, usual, window, yes,
-};
+use super::defaults;
 use super::range::{Each, Once};
 
-/// What happens if a notification runs twice.
+/// What a second execution of a notification does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Effect {
-    /// Nothing.
+    /// It has no further effect.
     Repeatable,
-    /// The repeat is dropped, for a window, by all endpoints of the destination.
+    /// All endpoints of the destination drop it for a window.
     Collapsible,
-    /// The repeat is dropped, for a window, by the endpoints of the first one's zone.
+    /// The endpoints in the zone of the first execution drop it for a window.
     CollapsibleInZone,
-    /// It must not.
+    /// It takes effect again and must not happen.
     OnceOnly,
 }
 
-/// How the benefit of a delivery falls after the latency objective.
+/// How the benefit of a delivery decays after the latency objective.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Decay {
-    /// Evenly, down to the late share at the TTL.
+    /// Linearly, to the late share at the TTL.
     #[default]
     Even,
-    /// By half with each further objective, the late share at the least.
+    /// By half with each further objective, to the late share at the lowest.
     Halves,
 }
 
@@ -39,66 +36,66 @@
 pub struct Topic {
     /// Its name.
     pub name: String,
-    /// Its part of the traffic, as a weight.
+    /// The weight of its traffic.
     pub share: Once,
-    /// What a second run would do.
+    /// What a second execution does.
     pub effect: Effect,
-    /// For how long a repeat of a collapsible one is dropped.
+    /// For how long repeats of a collapsible topic type are dropped.
     #[serde(default)]
     pub window_ms: f64,
-    /// Whether notifications with one key go one at a time.
+    /// Whether notifications with one key are delivered one after the other.
     #[serde(default)]
     pub ordered: bool,
-    /// Mean time at an endpoint of usual pace.
+    /// Mean service time at a speed of 1.
     pub work_ms: Once,
-    /// Its coefficient of variation, where it is lognormal.
-    #[serde(default = "usual")]
+    /// Coefficient of variation of the service time, where it is lognormal.
+    #[serde(default = "defaults::work_cv")]
     pub work_cv: Once,
-    /// How it varies from one notification to another.
+    /// The distribution of the service time over notifications.
     #[serde(default)]
     pub work_law: LatencyDistribution,
-    /// How much one try for a notification differs from the next, as a coefficient of variation.
-    #[serde(default = "fifth")]
+    /// Coefficient of variation of the service time over attempts for one notification.
+    #[serde(default = "defaults::try_cv")]
     pub try_cv: f64,
     /// The latency objective.
     pub objective_ms: f64,
     /// The TTL.
     pub ttl_ms: f64,
-    /// The benefit within the objective.
-    #[serde(default = "one")]
+    /// The benefit of a delivery within the objective.
+    #[serde(default = "defaults::benefit")]
     pub benefit: f64,
-    /// The share of it at the TTL.
-    #[serde(default = "half")]
+    /// The fraction of the benefit at the TTL.
+    #[serde(default = "defaults::late_share")]
     pub late_share: f64,
-    /// How it falls between.
+    /// How the benefit decays between.
     #[serde(default)]
     pub decay: Decay,
-    /// The kinds of destination that it goes to; none: all.
+    /// The kinds of destination that it is for; empty: all.
     #[serde(default)]
     pub kinds: Vec<String>,
 }
 
-/// How work varies.
+/// The distribution of service times.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LatencyDistribution {
     /// Lognormal, with a heavy tail.
     #[default]
     Lognormal,
-    /// Exponential, for which queueing theory has plain answers.
+    /// Exponential, for which queueing theory has closed formulas.
     Exponential,
 }
 
-/// How a destination limits calls from all relays together.
+/// How a destination limits the rate of calls of all relays together.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LimitForm {
-    /// Only by its capacity.
+    /// By its capacity alone.
     #[default]
     None,
-    /// A plain rate with some depth.
+    /// By a token bucket.
     Rate,
-    /// A count in each fixed span.
+    /// By a count in fixed windows.
     Window,
 }
 
@@ -108,72 +105,72 @@
 pub struct Kind {
     /// Its name.
     pub name: String,
-    /// Its part of the destinations, as a weight.
+    /// The weight of its number of destinations.
     pub share: f64,
-    /// Its pace: times are divided by it.
-    #[serde(default = "usual")]
+    /// Service times are divided by it.
+    #[serde(default = "defaults::speed")]
     pub speed: Each,
-    /// What its destinations can serve over what comes at full load.
-    #[serde(default = "spare")]
+    /// The capacity of its destinations, over their traffic at full load.
+    #[serde(default = "defaults::spare")]
     pub spare: Each,
-    /// The form of its limit.
+    /// The form of the rate limit.
     #[serde(default)]
     pub limit: LimitForm,
-    /// The limit over what comes at full load.
-    #[serde(default = "spare")]
+    /// The rate limit, over the traffic at full load.
+    #[serde(default = "defaults::headroom")]
     pub headroom: Each,
-    /// The least limit, in calls a second.
-    #[serde(default = "two")]
+    /// The minimum of the rate limit, in calls a second.
+    #[serde(default = "defaults::least_rate")]
     pub least_rate: Each,
-    /// The depth of a rate: how many seconds of it may come at once.
-    #[serde(default = "depth")]
+    /// The depth of a token bucket, in seconds of its rate.
+    #[serde(default = "defaults::depth_s")]
     pub depth_s: Each,
-    /// The span of a window.
-    #[serde(default = "window")]
+    /// The length of a window.
+    #[serde(default = "defaults::window_ms")]
     pub window_ms: Each,
-    /// The chance that a refusal above the limit tells how long to wait.
+    /// The probability that a rejection above the limit announces how long to wait.
     #[serde(default)]
     pub tells_wait: f64,
-    /// Whether refused calls use the limit up.
+    /// Whether rejected calls count towards the limit.
     #[serde(default)]
     pub refused_count: bool,
-    /// Whether load reports come with answers.
-    #[serde(default = "yes")]
+    /// Whether answers carry load reports.
+    #[serde(default = "defaults::reports")]
     pub reports: bool,
-    /// How often a report is made anew.
-    #[serde(default = "report")]
+    /// The time between two load reports.
+    #[serde(default = "defaults::report_ms")]
     pub report_ms: Each,
-    /// How old it is when it counts as made.
-    #[serde(default = "report_late")]
+    /// The age at which a load report is sent.
+    #[serde(default = "defaults::report_late_ms")]
     pub report_late_ms: Each,
-    /// Its noise, as a share.
+    /// The largest error of a load report, as a fraction.
     #[serde(default)]
     pub report_noise: f64,
-    /// Whether endpoints are routes apart, each with its own limit, waits and outages.
+    /// Whether each endpoint is a route of its own, with its own limit, waits and outages.
     #[serde(default)]
     pub apart: bool,
-    /// Notifications in a call at most.
-    #[serde(default = "one_each")]
+    /// The maximum of notifications in a call.
+    #[serde(default = "defaults::per_call")]
     pub per_call: usize,
-    /// What each further one adds to a call's work.
-    #[serde(default = "item_cost")]
+    /// The service time that each further notification adds to a call, as a fraction of its own.
+    #[serde(default = "defaults::item_cost")]
     pub item_cost: Each,
-    /// Calls that may wait, for each one in service.
-    #[serde(default = "queue")]
+    /// The queue of an endpoint, in calls for each call that it serves at once.
+    #[serde(default = "defaults::queue")]
     pub queue: Each,
-    /// Connections that an endpoint takes over the calls it serves at once; 0: no bound.
+    /// The maximum of connections of an endpoint, for each call that it serves at once; 0: no maximum.
     #[serde(default)]
     pub connections: Each,
-    /// The least connections that it takes, where there is a bound.
-    #[serde(default = "eight_connections")]
+    /// The lowest such maximum.
+    #[serde(default = "defaults::least_connections")]
     pub least_connections: f64,
-    /// What opening a connection costs it, in work.
+    /// How long an endpoint works to open a connection.
     #[serde(default)]
     pub handshake_work_ms: f64,
-    /// The share of calls answered with an error.
+    /// The fraction of calls answered with an error.
     #[serde(default)]
     pub error_rate: Each,
-    /// Whether calls that were called off leave the queue.
+    /// Whether cancelled calls leave the queue.
     #[serde(default)]
     pub drops_cancelled: bool,
 }
@@ -184,12 +181,12 @@
 pub struct Account {
     /// Its name.
     pub name: String,
-    /// Its part of the service.
+    /// The weight of its quota and of its number of destinations.
     pub share: f64,
-    /// Its share of full load that it may use, in notifications a second over full load.
-    #[serde(default = "one")]
+    /// Its quota, over its share of full load.
+    #[serde(default = "defaults::quota")]
     pub quota: f64,
-    /// What a notification beyond its share is worth, as a share of its benefit.
-    #[serde(default = "tenth")]
+    /// The fraction of its benefit that a notification beyond the quota earns.
+    #[serde(default = "defaults::over_share")]
     pub over_share: f64,
 }
--- a/crates/model/src/simulation.rs
+++ b/crates/model/src/simulation.rs
@@ -1,56 +1,67 @@
-//! A run: the world in which relays take notifications on and push them, event by event. It owns the clock, the calls
-//! that are out, the connections and what each relay holds in its folder; it hands relays their events and carries
-//! out their commands as the relay on sockets does. It must never decide anything for a relay.
+//! The simulation of a run: relays accept notifications and push them, event by event.
+//!
+//! It keeps the clock, the calls in flight, the connections and the storage of each relay; it gives relays their
+//! events and executes their commands as the relay on sockets does. It decides nothing for a relay.
 
+mod affected;
 mod call_ends;
 mod calls;
 mod clients;
+mod commands;
+mod endpoint_list;
 mod faults;
+mod inputs;
 mod oracle;
 mod relays;
+mod service;
 mod setup;
 mod state;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-use juniperwing::interface::{Readiness, Status};
+use juniperwing::interface::Readiness;
 use juniperwing::time::{Span, Time};
 use rand_chacha::ChaCha8Rng;
 
-use crate::endpoint::{CallId, Endpoint, Route};
+use crate::endpoint::{CallId, Endpoint};
 use crate::event_queue::EventQueue;
 use crate::faults::{FaultSet, FaultWindow};
-use crate::fleet::{Fleet, span_ms as ms};
-use crate::judge::{self, Judge};
+use crate::fleet::{Fleet, span_ms};
+use crate::judge::Judge;
 use crate::metrics::{DestinationSeries, Metrics, MetricsRecorder, UndeliveredReason};
 use crate::policy::Policies;
 use crate::random::RngStreams;
+use crate::route::{OverloadThreshold, Route};
 use crate::scenario::{FaultKind, Scenario};
 use crate::traffic::Traffic;
+use affected::Affected;
 use state::{Call, ClientNotification, QuotaBucket, RelayProcess, SimulationEvent};
 
-/// Idle connections are closed after this share of the time after which their endpoint closes them.
-const RETIRED_AT: f64 = 0.9;
-/// A relay that starts over what it held may take so long to answer what fell due in between.
-const MOMENT: Span = Span::from_millis(1_000);
-/// Destinations whose load is written down.
-const WATCHED: usize = 8;
-/// After the last arrival a run goes on for the longest TTL and this, at the most.
-const TAIL: Span = Span::from_millis(60_000);
-/// Guards against a policy that never rests: so many events for each second of a relay and for each arrival.
-const EVENTS_A_SECOND: f64 = 5_000.0;
-const EVENTS_AN_ARRIVAL: f64 = 2_000.0;
+/// Idle connections are closed after this fraction of the time after which their endpoint closes them.
+const IDLE_CLOSE_FRACTION: f64 = 0.9;
+/// How long a relay that starts on its storage may take for final answers that fell due while it was down.
+const RESTART_ALLOWANCE: Span = Span::from_millis(1_000);
+/// Destinations whose load is recorded.
+const MAX_SERIES: usize = 8;
+/// A run ends this long after the last arrival and the longest TTL at the latest.
+const MAX_TAIL: Span = Span::from_millis(60_000);
+/// Guards against a policy that never rests, for each relay and simulated second.
+const MAX_EVENTS_PER_RELAY_SECOND: f64 = 5_000.0;
+/// The same, for each arrival.
+const MAX_EVENTS_PER_ARRIVAL: f64 = 2_000.0;
 /// The shortest time between two turns of a relay, whatever it asks for.
-const LEAST_TICK: Span = Span::from_nanos(1_000);
+const MIN_TICK: Span = Span::from_nanos(1_000);
+const SAMPLE_INTERVAL: Span = Span::from_millis(1_000);
 
-/// Plays a scenario, resolved with its seed, under a policy.
+/// Runs a scenario, resolved with its seed, under a policy.
 pub fn simulate(scenario: &Scenario, seed: u64, policies: &dyn Policies) -> Metrics {
-    let mut world = Simulation::new(&scenario.resolve(seed), seed, policies);
-    world.run();
-    world.finish()
+    let mut simulation = Simulation::new(&scenario.resolve(seed), seed, policies);
+    simulation.run();
+    simulation.finish()
 }
 
+/// The state of a run. Lists are indexed by relay, endpoint, route, account, notification and fault.
 struct Simulation<'a> {
     scenario: Scenario,
     fleet: Fleet,
@@ -59,58 +70,48 @@
     queue: EventQueue<SimulationEvent>,
     now: Time,
     fault_windows: Vec<FaultWindow>,
-    /// Whom the troubles strike: destinations, and relays for those that act on them.
+    /// What each fault affects.
+    affected: Vec<Affected>,
     destination_faults: Vec<FaultSet>,
-    faulted_relays: Vec<Vec<usize>>,
-    faulted_endpoints: Vec<Vec<usize>>,
     traffic: Traffic,
     nodes: Vec<RelayProcess>,
     endpoints: Vec<Endpoint>,
     routes: Vec<Route>,
+    /// What the endpoint list says of each endpoint.
     readiness: Vec<Readiness>,
     endpoint_indices: HashMap<Arc<str>, usize>,
     notifications: Vec<ClientNotification>,
     quotas: Vec<QuotaBucket>,
     calls: BTreeMap<CallId, Call>,
-    next_call: CallId,
-    next_notification_id: u64,
+    last_call: CallId,
+    last_ntf: u64,
     client_rng: ChaCha8Rng,
-    /// Messages that are neither delivered nor given up.
+    /// Notifications that are neither delivered nor given up.
     unfinished: usize,
+    /// Traffic sources that have more notifications.
     active_sources: usize,
     judge: Judge,
-    rule_parameters: judge::RuleParameters,
+    overload_threshold: OverloadThreshold,
     recorder: MetricsRecorder,
+    /// By destination: the index of its series in the metrics.
     series_index: BTreeMap<usize, usize>,
     events: u64,
     max_events: u64,
 }
 
+/// The second that a time lies in.
+fn second_index(at: Time) -> usize {
+    at.since(Time::default()).as_secs_f64() as usize
+}
+
 impl Simulation<'_> {
     fn run(&mut self) {
-        for relay in 0..self.nodes.len() {
-            self.start_relay(relay);
-        }
-        for source in 0..self.traffic.sources() {
-            self.active_sources += 1;
-            self.schedule_next_arrival(source);
-        }
-        for index in 0..self.fault_windows.len() {
-            self.queue.schedule(self.fault_windows[index].from, SimulationEvent::FaultBoundary(index));
-            self.queue.schedule(self.fault_windows[index].to, SimulationEvent::FaultBoundary(index));
-        }
-        self.queue.schedule(Time::from_nanos(1_000_000_000), SimulationEvent::SampleSecond);
+        self.schedule_first_events();
         let span = Span::from_secs_f64(self.scenario.span_s.least);
-        let longest = self.scenario.topic.iter().map(|topic| topic.ttl_ms).fold(0.0, f64::max);
-        let last = Time::default() + span + ms(longest) + TAIL;
-        let edges = self
-            .fault_windows
-            .iter()
-            .map(|window| window.to)
-            .filter(|to| *to < last)
-            .max()
-            .unwrap_or_default();
-        let end = edges.max(Time::default() + span);
+        let max_ttl_ms = self.scenario.topic.iter().map(|topic| topic.ttl_ms).fold(0.0, f64::max);
+        let latest_end = Time::default() + span + span_ms(max_ttl_ms) + MAX_TAIL;
+        let fault_ends = self.fault_windows.iter().map(|window| window.to).filter(|to| *to < latest_end);
+        let earliest_end = fault_ends.max().unwrap_or_default().max(Time::default() + span);
         while let Some((now, event)) = self.queue.pop() {
             self.now = now;
             self.events += 1;
@@ -119,130 +120,125 @@
                 break;
             }
             self.handle_event(event);
-            let over = self.unfinished == 0 && self.active_sources == 0 && self.calls.is_empty();
-            if now > last || now >= end && over {
+            let is_idle = self.unfinished == 0 && self.active_sources == 0 && self.calls.is_empty();
+            if now > latest_end || now >= earliest_end && is_idle {
                 break;
             }
         }
     }
 
+    fn schedule_first_events(&mut self) {
+        for relay in 0..self.nodes.len() {
+            self.start_relay(relay);
+        }
+        for source in 0..self.traffic.sources() {
+            self.active_sources += 1;
+            self.schedule_next_arrival(source);
+        }
+        for (fault, window) in self.fault_windows.iter().enumerate() {
+            self.queue.schedule(window.from, SimulationEvent::FaultBoundary(fault));
+            self.queue.schedule(window.to, SimulationEvent::FaultBoundary(fault));
+        }
+        self.queue.schedule(Time::default() + SAMPLE_INTERVAL, SimulationEvent::SampleSecond);
+    }
+
     fn finish(mut self) -> Metrics {
-        let left: Vec<usize> =
-            (0..self.notifications.len()).filter(|m| !self.notifications[*m].is_finished).collect();
-        left.into_iter().for_each(|notification| self.give_up(notification, UndeliveredReason::Abandoned));
-        let (breaks, broken) = self.judge.finish(self.now);
+        for notification in 0..self.notifications.len() {
+            self.give_up(notification, UndeliveredReason::Abandoned);
+        }
+        let (violations, violation_count) = self.judge.finish(self.now);
         let metrics = &mut self.recorder.metrics;
-        (metrics.violations, metrics.violation_count, metrics.events) = (breaks, broken, self.events);
+        (metrics.violations, metrics.violation_count) = (violations, violation_count);
+        metrics.events = self.events;
         metrics.recoveries = (
-            self.routes.iter().filter(|l| l.recovered_at.is_some()).count(),
-            self.routes.iter().filter(|l| l.is_overloaded).count(),
+            self.routes.iter().filter(|route| route.has_recovered()).count(),
+            self.routes.iter().filter(|route| route.is_overloaded()).count(),
         );
         self.recorder.finish()
     }
 
     fn handle_event(&mut self, event: SimulationEvent) {
         match event {
-            SimulationEvent::Arrival(source, arrival) => {
+            SimulationEvent::Arrival { source, arrival } => {
                 self.handle_arrival(*arrival);
                 self.schedule_next_arrival(source);
             }
             SimulationEvent::Submit { notification, relay } => self.handle_submission(notification, relay),
             SimulationEvent::Withdraw { notification } => self.handle_withdrawal(notification),
-            SimulationEvent::RelayTurn { relay, incarnation } => {
-                let node = &mut self.nodes[relay];
-                if node.incarnation == incarnation && node.is_running {
-                    self.run_turn(relay);
-                }
-            }
-            SimulationEvent::Wake { relay, incarnation } => {
-                if self.nodes[relay].incarnation == incarnation && self.nodes[relay].wake_at <= self.now {
-                    self.schedule_turn(relay);
-                }
-            }
+            SimulationEvent::RelayTurn { relay, incarnation } => self.handle_turn(relay, incarnation),
+            SimulationEvent::Wake { relay, incarnation } => self.handle_wake(relay, incarnation),
             SimulationEvent::RelayInput { relay, incarnation, input } => {
-                if self.nodes[relay].incarnation == incarnation && self.nodes[relay].is_running {
+                if self.is_current(relay, incarnation) && self.nodes[relay].is_running {
                     self.enqueue_input(relay, input);
                 }
             }
             SimulationEvent::ConnectionRequest(call) => self.handle_connection_request(call),
             SimulationEvent::RequestReceived(call) => self.handle_request(call),
             SimulationEvent::ServiceFinished(call) => self.handle_service_finished(call),
-            SimulationEvent::ResponseReceived { call, status, wait, limit } => {
-                self.handle_response(call, status, wait, limit)
-            }
+            SimulationEvent::ResponseReceived { call, response } => self.handle_response(call, response),
             SimulationEvent::PushTimeout { call, ntf } => self.handle_push_timeout(call, ntf),
-            SimulationEvent::ConnectTimeout(call) => {
-                if self.calls.get(&call).is_some_and(|c| c.is_awaited && !c.is_connected) {
-                    self.abort_call(call, Status::NoConnection);
-                }
-            }
+            SimulationEvent::ConnectTimeout(call) => self.handle_connect_timeout(call),
             SimulationEvent::CloseIdleConnections { relay, endpoint } => {
-                self.close_idle_connections(relay, endpoint)
+                self.close_idle_connections(relay, endpoint);
             }
-            SimulationEvent::FaultBoundary(index) => self.handle_fault_boundary(index),
+            SimulationEvent::FaultBoundary(fault) => self.handle_fault_boundary(fault),
             SimulationEvent::EndpointDrain { endpoint, terminates_after } => {
-                self.replace_endpoint(endpoint, terminates_after)
-            }
-            SimulationEvent::EndpointTerminated(endpoint) => {
-                self.endpoints[endpoint].is_terminated = true;
-                self.publish_readiness(endpoint, Readiness::Deleted);
-                self.update_route_outage(self.endpoints[endpoint].plan.route);
+                self.replace_endpoint(endpoint, terminates_after);
             }
+            SimulationEvent::EndpointTerminated(endpoint) => self.terminate_endpoint(endpoint),
             SimulationEvent::RelayStart(relay) => self.start_relay(relay),
             SimulationEvent::SampleSecond => self.sample_second(),
         }
     }
 
+    /// Records the state at the end of a second.
     fn sample_second(&mut self) {
-        let (out, held) = (self.calls.len(), self.nodes.iter().map(|node| node.pending.len()).sum());
-        let before = self.now - Span::from_nanos(1);
-        let second = self.recorder.second_at(before);
-        (second.in_flight_calls, second.pending_notifications) = (out, held);
-        let index = before.since(Time::default()).as_secs_f64() as usize;
-        for (destination, n) in &self.series_index {
-            let mut routes: BTreeSet<usize> = BTreeSet::new();
-            let ends = &self.fleet.destinations[*destination].endpoints;
-            routes.extend(ends.iter().map(|end| self.fleet.endpoints[*end].route));
-            let mut capacity = 0.0;
-            for route in &routes {
-                let route = &self.routes[*route];
-                let faults = route.endpoints.first().map(|end| &self.endpoints[*end].faults);
-                let limit = faults
-                    .map_or(1.0, |s| s.factor(&self.fault_windows, FaultKind::Limit, self.now).min(1.0));
-                capacity += if route.is_out() {
-                    0.0
-                } else {
-                    route.plan.capacity * route.capacity_fraction(self.now) * limit
-                };
-            }
-            let watched = &mut self.recorder.metrics.destination_series[*n];
-            let least = index + 1;
-            for series in [&mut watched.reached, &mut watched.delivered, &mut watched.capacity] {
-                series.resize(series.len().max(least), 0.0);
+        let in_flight_calls = self.calls.len();
+        let pending_notifications = self.nodes.iter().map(|node| node.pending.len()).sum();
+        let within_second = self.now - Span::from_nanos(1);
+        let second = self.recorder.second_at(within_second);
+        (second.in_flight_calls, second.pending_notifications) = (in_flight_calls, pending_notifications);
+        let index = second_index(within_second);
+        let capacities: Vec<(usize, f64)> = self
+            .series_index
+            .iter()
+            .map(|(destination, series)| (*series, self.present_capacity(*destination)))
+            .collect();
+        for (series, capacity) in capacities {
+            let series = &mut self.recorder.metrics.destination_series[series];
+            for values in [&mut series.reached, &mut series.delivered, &mut series.capacity] {
+                values.resize(values.len().max(index + 1), 0.0);
             }
-            watched.capacity[index] = capacity;
+            series.capacity[index] = capacity;
+        }
+        self.queue.schedule(self.now + SAMPLE_INTERVAL, SimulationEvent::SampleSecond);
+    }
+
+    /// Notifications a second that the routes of a destination can do now.
+    fn present_capacity(&self, destination: usize) -> f64 {
+        let endpoints = self.fleet.destinations[destination].endpoints.iter();
+        let routes: BTreeSet<usize> =
+            endpoints.map(|endpoint| self.fleet.endpoints[*endpoint].route).collect();
+        let mut capacity = 0.0;
+        for route in routes.iter().map(|route| &self.routes[*route]).filter(|route| !route.is_out()) {
+            let faults = route.endpoints.first().map(|endpoint| &self.endpoints[*endpoint].faults);
+            let limit = faults.map_or(1.0, |faults| {
+                faults.factor(&self.fault_windows, FaultKind::Limit, self.now).min(1.0)
+            });
+            capacity += route.plan.capacity * route.capacity_fraction(self.now) * limit;
         }
-        self.queue.schedule(self.now + Span::from_millis(1_000), SimulationEvent::SampleSecond);
+        capacity
     }
 
+    /// Adds to the present second of a series of a destination, if its load is recorded.
     fn add_to_series(
-        &mut self, destination: usize, what: impl Fn(&mut DestinationSeries) -> &mut Vec<f64>, count: f64,
+        &mut self, destination: usize, values: impl Fn(&mut DestinationSeries) -> &mut Vec<f64>, count: f64,
     ) {
-        if let Some(index) = self.series_index.get(&destination) {
-            let second = self.now.since(Time::default()).as_secs_f64() as usize;
-            let series = what(&mut self.recorder.metrics.destination_series[*index]);
-            series.resize(series.len().max(second + 1), 0.0);
-            series[second] += count;
+        if let Some(series) = self.series_index.get(&destination) {
+            let second = second_index(self.now);
+            let values = values(&mut self.recorder.metrics.destination_series[*series]);
+            values.resize(values.len().max(second + 1), 0.0);
+            values[second] += count;
         }
     }
-
-    // ---- Clients ----
-
-    // ---- Relays ----
-
-    // ---- The list ----
-
-    // ---- Troubles ----
-
-    // ---- Calls ----
 }
--- /dev/null
+++ b/crates/model/src/simulation/affected.rs
@@ -0,0 +1,111 @@
+//! The choice of what a fault affects.
+
+use rand::Rng;
+use rand::seq::SliceRandom;
+use rand_chacha::ChaCha8Rng;
+
+use crate::faults::FaultWindow;
+use crate::fleet::Fleet;
+use crate::random::RngStreams;
+use crate::scenario::{FAULT_RANGES, Fault, FaultKind, Scenario};
+
+/// Indices of what a fault affects; its kind says which of them matter.
+pub(super) struct Affected {
+    pub(super) destinations: Vec<usize>,
+    /// Of these destinations; in the order of replacement for a deployment.
+    pub(super) endpoints: Vec<usize>,
+    pub(super) relays: Vec<usize>,
+}
+
+/// A fault with what it may affect.
+struct Scope<'a> {
+    scenario: &'a Scenario,
+    fleet: &'a Fleet,
+    fault: &'a Fault,
+    window: &'a FaultWindow,
+    /// Index of its zone, if it is restricted to one.
+    zone: Option<usize>,
+}
+
+impl Affected {
+    /// Chooses what the fault with that index affects.
+    pub(super) fn select(
+        scenario: &Scenario, fleet: &Fleet, index: usize, window: &FaultWindow, rng: &RngStreams,
+    ) -> Affected {
+        let fault = &scenario.faults[index];
+        let zone = fault.zone.as_ref().and_then(|name| scenario.zones.iter().position(|zone| zone == name));
+        let scope = Scope { scenario, fleet, fault, window, zone };
+        let mut draws = rng.fault(index);
+        // The first draws of this stream were the ranges of the fault.
+        for _ in 0..FAULT_RANGES {
+            let _: f64 = draws.random();
+        }
+        let destinations = scope.select_destinations(&mut draws);
+        let endpoints = scope.select_endpoints(&destinations, &mut draws);
+        let relays = scope.select_relays(&mut draws);
+        Affected { destinations, endpoints, relays }
+    }
+}
+
+impl Scope<'_> {
+    fn allows(&self, destination: usize) -> bool {
+        let plan = &self.fleet.destinations[destination];
+        let kind = &self.scenario.kind[plan.kind].name;
+        self.fault.kind.as_ref().is_none_or(|name| name == kind)
+            && self.window.account.is_none_or(|account| plan.account == Some(account))
+            && self.window.topic.is_none_or(|topic| plan.rates[topic] > 0.0)
+            && self.fault.destination.is_none_or(|only| only == destination)
+            && (self.zone.is_none() || plan.endpoints.iter().any(|endpoint| self.is_in_zone(*endpoint)))
+    }
+
+    fn is_in_zone(&self, endpoint: usize) -> bool {
+        self.zone.is_none_or(|zone| self.fleet.endpoints[endpoint].zone == zone)
+    }
+
+    /// Destinations that together carry about the extent of the traffic, in order of index.
+    fn select_destinations(&self, draws: &mut ChaCha8Rng) -> Vec<usize> {
+        let rate = |destination: usize| self.fleet.destinations[destination].rate();
+        let extent = self.fault.extent.least;
+        let mut candidates: Vec<usize> =
+            (0..self.fleet.destinations.len()).filter(|destination| self.allows(*destination)).collect();
+        candidates.shuffle(draws);
+        let total: f64 = candidates.iter().map(|destination| rate(*destination)).sum();
+        let (mut wanted, mut selected) = (extent * total, Vec::new());
+        for destination in candidates {
+            // One that would exceed the extent by more than half of its rate is left out, unless it is the only one.
+            if selected.is_empty() || wanted >= rate(destination) / 2.0 {
+                wanted -= rate(destination);
+                selected.push(destination);
+            }
+        }
+        if extent <= 0.0 {
+            selected.clear();
+        }
+        selected.sort_unstable();
+        selected
+    }
+
+    /// All endpoints of the destinations, or one of each.
+    fn select_endpoints(&self, destinations: &[usize], draws: &mut ChaCha8Rng) -> Vec<usize> {
+        let mut selected = Vec::new();
+        for destination in destinations {
+            let all = &self.fleet.destinations[*destination].endpoints;
+            let one = draws.random::<u32>() as usize % all.len();
+            let chosen = if self.fault.whole { &all[..] } else { &all[one..=one] };
+            selected.extend(chosen.iter().copied().filter(|endpoint| self.is_in_zone(*endpoint)));
+        }
+        if self.fault.what == FaultKind::Deploy {
+            selected.shuffle(draws);
+        }
+        selected
+    }
+
+    /// The extent of all relays, one at least.
+    fn select_relays(&self, draws: &mut ChaCha8Rng) -> Vec<usize> {
+        let mut relays: Vec<usize> = (0..self.fleet.relays.len()).collect();
+        relays.shuffle(draws);
+        let count = (self.fault.extent.least * relays.len() as f64).round() as usize;
+        relays.truncate(count.max(1));
+        relays
+    }
+}
--- /dev/null
+++ b/crates/model/src/simulation/inputs.rs
@@ -0,0 +1,181 @@
+//! The inputs of relays as events of the core; the judge and the relay's storage take note of them.
+
+use juniperwing::interface::{Entry, Event, News, Notification, NtfId, Outcome, Past, Readiness, Status};
+use juniperwing::time::Time;
+
+use super::Simulation;
+use super::state::{PendingNotification, RelayInput, SentPush};
+use crate::fleet::{destination_id, span_ms};
+use crate::judge::{AcceptedNotification, ExecutionStatus, FinalAnswer, RepeatSemantics};
+use crate::metrics::UndeliveredReason;
+use crate::scenario::Effect;
+
+/// What takes effect at the end of the turn that the inputs are for.
+#[derive(Default)]
+pub(super) struct TurnEffects {
+    /// Waits that the relay is told, by route.
+    pub(super) waits: Vec<(usize, Time)>,
+    /// Submissions that the relay answers with this turn.
+    pub(super) accepted: Vec<u64>,
+}
+
+fn execution_status(status: Status) -> ExecutionStatus {
+    match status {
+        Status::Busy | Status::NoConnection | Status::Crowded | Status::Skipped => {
+            ExecutionStatus::NotExecuted
+        }
+        Status::TimedOut | Status::Reset | Status::Cancelled => ExecutionStatus::MayBeExecuting,
+        Status::Delivered | Status::Error => ExecutionStatus::MayHaveExecuted,
+    }
+}
+
+impl Simulation<'_> {
+    /// The event for an input; `None` for a notification that is not pending any more.
+    pub(super) fn convert_input(
+        &mut self, relay: usize, input: RelayInput, effects: &mut TurnEffects,
+    ) -> Option<Event> {
+        Some(match input {
+            RelayInput::Accepted(ntf) => return self.convert_accepted(relay, ntf, effects),
+            RelayInput::PushEnded { mut outcome, route } => {
+                self.handle_push_outcome(relay, route, &mut outcome, effects);
+                Event::Ended(*outcome)
+            }
+            RelayInput::EndpointChanges(changes) => {
+                Event::List(News::Changes(self.report_endpoints(relay, &changes)))
+            }
+            RelayInput::EndpointSnapshot => {
+                let endpoints = self.readiness.iter().copied().enumerate();
+                let listed: Vec<(usize, Readiness)> =
+                    endpoints.filter(|(_, readiness)| *readiness != Readiness::Deleted).collect();
+                Event::List(News::Whole(self.report_endpoints(relay, &listed)))
+            }
+            RelayInput::SubscriptionLost => Event::List(News::Broken),
+            RelayInput::Withdrawn(ntf) => Event::Withdrawn(NtfId(ntf)),
+            RelayInput::NoticeDelivered(ntf) => {
+                self.nodes[relay].pending.remove(&ntf);
+                Event::Heard(NtfId(ntf))
+            }
+        })
+    }
+
+    /// A submission, or after a restart what the storage holds of one.
+    fn convert_accepted(&mut self, relay: usize, ntf: u64, effects: &mut TurnEffects) -> Option<Event> {
+        let pending = self.nodes[relay].pending.get_mut(&ntf)?;
+        if pending.is_unanswered {
+            let notification = pending.notification;
+            effects.accepted.push(ntf);
+            let accepted = self.accepted_notification(notification);
+            self.judge.handle_accepted(self.now, relay, ntf, accepted);
+        } else {
+            // An earlier process pushed it: what was in flight then may have been executed and may execute still.
+            pending.first_executed = pending.first_executed.or(pending.in_flight);
+            if pending.in_flight.take().is_some() {
+                pending.uncertain_since = Some(self.now);
+            }
+        }
+        Some(Event::Accepted(self.core_notification(ntf, &self.nodes[relay].pending[&ntf])))
+    }
+
+    /// A relay is told the outcome of a push; sets whether the notification is settled by it.
+    fn handle_push_outcome(
+        &mut self, relay: usize, route: usize, outcome: &mut Outcome, effects: &mut TurnEffects,
+    ) {
+        let (ntf, status) = (outcome.ntf.0, outcome.status);
+        let execution = execution_status(status);
+        self.judge.handle_outcome(self.now, relay, ntf, outcome.push, execution);
+        if !matches!(status, Status::Delivered | Status::Cancelled | Status::Skipped) {
+            self.judge.record_failure_seen(relay, route);
+        }
+        if let Some(wait) = outcome.wait {
+            effects.waits.push((route, self.now + wait));
+        }
+        self.recorder.record_push_outcome(self.now, status);
+        let Some(pending) = self.nodes[relay].pending.get_mut(&ntf) else {
+            outcome.settled = true;
+            return;
+        };
+        let sent = pending.in_flight.take();
+        if execution != ExecutionStatus::NotExecuted {
+            pending.first_executed = pending.first_executed.or(sent);
+        }
+        if execution == ExecutionStatus::MayBeExecuting {
+            pending.uncertain_since = Some(self.now);
+        }
+        outcome.settled = pending.has_final_answer || status == Status::Delivered;
+        if status == Status::Delivered {
+            self.handle_delivery(relay, ntf);
+        }
+    }
+
+    /// A relay is told that a notification was delivered.
+    fn handle_delivery(&mut self, relay: usize, ntf: u64) {
+        let Some(pending) = self.nodes[relay].pending.remove(&ntf) else { return };
+        self.notifications[pending.notification].pending_at = None;
+        if !pending.has_final_answer {
+            self.judge.handle_final_answer(self.now, relay, ntf, FinalAnswer::Delivered);
+        }
+        self.give_up(pending.notification, UndeliveredReason::Abandoned);
+    }
+
+    /// Entries of the endpoint list; the judge takes note of what the relay is told.
+    fn report_endpoints(&mut self, relay: usize, changes: &[(usize, Readiness)]) -> Vec<Entry> {
+        for (endpoint, readiness) in changes {
+            let is_serving = *readiness == Readiness::Serving;
+            self.judge.handle_readiness(self.now, relay, *endpoint, is_serving);
+        }
+        changes.iter().map(|(endpoint, readiness)| self.list_entry(*endpoint, *readiness)).collect()
+    }
+
+    fn list_entry(&self, endpoint: usize, readiness: Readiness) -> Entry {
+        let plan = &self.endpoints[endpoint].plan;
+        Entry {
+            endpoint: plan.id.clone(),
+            destination: destination_id(plan.destination),
+            kind: self.fleet.kinds[self.fleet.destinations[plan.destination].kind].clone(),
+            zone: self.fleet.zones[plan.zone].clone(),
+            readiness,
+            rate: self.routes[plan.route].plan.listed_rate,
+        }
+    }
+
+    /// A notification as the judge has it.
+    fn accepted_notification(&self, notification: usize) -> AcceptedNotification {
+        let notification = &self.notifications[notification];
+        let topic = &self.scenario.topic[notification.submission.topic];
+        let deduplicated = |same_zone_only| RepeatSemantics::Deduplicated {
+            window: span_ms(topic.window_ms),
+            same_zone_only,
+        };
+        AcceptedNotification {
+            repeat: match topic.effect {
+                Effect::Repeatable => RepeatSemantics::Harmless,
+                Effect::Collapsible => deduplicated(false),
+                Effect::CollapsibleInZone => deduplicated(true),
+                Effect::OnceOnly => RepeatSemantics::Forbidden,
+            },
+            key: notification.key.clone().filter(|_| topic.ordered),
+            valid_until: notification.valid_until,
+        }
+    }
+
+    /// A notification as the core has it.
+    fn core_notification(&self, ntf: u64, pending: &PendingNotification) -> Notification {
+        let notification = &self.notifications[pending.notification];
+        let submission = &notification.submission;
+        Notification {
+            id: NtfId(ntf),
+            destination: destination_id(notification.destination),
+            topic: self.fleet.topics[submission.topic].topic.clone(),
+            account: submission.account.map(|account| self.fleet.accounts[account].clone()),
+            key: notification.key.clone(),
+            valid_until: notification.valid_until,
+            past: Past {
+                taken_up: true,
+                pushes: pending.push_count,
+                ran: pending.first_executed.map(|SentPush { at, zone }| (at, self.fleet.zones[zone].clone())),
+                doubt: pending.uncertain_since,
+                ended: pending.has_final_answer,
+            },
+        }
+    }
+}
--- a/crates/model/src/simulation/state.rs
+++ b/crates/model/src/simulation/state.rs
@@ -1,4 +1,4 @@
-//! What the world keeps of events to come, messages, calls and relays.
+//! The state that a simulation keeps of events to come, notifications, calls and relays.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,16 +8,23 @@
 
 use crate::endpoint::CallId;
 use crate::fleet::RelayPlan;
+use crate::metrics::Submission;
 use crate::policy::Policy;
 use crate::traffic::Arrival;
 
+/// An event of the simulation. Relays, endpoints, notifications and faults are named by index.
 pub(super) enum SimulationEvent {
-    /// A source brings its next notification.
-    Arrival(usize, Box<Arrival>),
+    /// A traffic source yields its next notification.
+    Arrival {
+        source: usize,
+        arrival: Box<Arrival>,
+    },
+    /// A client submits a notification, for the first time or again.
     Submit {
         notification: usize,
         relay: usize,
     },
+    /// A client withdraws a notification.
     Withdraw {
         notification: usize,
     },
@@ -25,35 +32,38 @@
         relay: usize,
         incarnation: u32,
     },
+    /// The time at which a relay asked to be woken.
     Wake {
         relay: usize,
         incarnation: u32,
     },
+    /// An input reaches a relay.
     RelayInput {
         relay: usize,
         incarnation: u32,
         input: RelayInput,
     },
-    /// A connection is asked for, and then the call reaches the endpoint.
+    /// A connection request reaches its endpoint.
     ConnectionRequest(CallId),
+    /// The last byte of a call reaches its endpoint.
     RequestReceived(CallId),
     ServiceFinished(CallId),
+    /// An answer or the break of a connection reaches the relay.
     ResponseReceived {
         call: CallId,
-        status: Status,
-        wait: Option<Span>,
-        limit: Option<LimitReport>,
+        response: Response,
     },
     PushTimeout {
         call: CallId,
         ntf: u64,
     },
     ConnectTimeout(CallId),
+    /// Connections between a relay and an endpoint may have been idle for too long.
     CloseIdleConnections {
         relay: usize,
         endpoint: usize,
     },
-    /// A trouble begins or ends.
+    /// A fault begins or ends.
     FaultBoundary(usize),
     EndpointDrain {
         endpoint: usize,
@@ -65,64 +75,124 @@
     SampleSecond,
 }
 
-/// What a relay is told with its next turn.
+/// How an endpoint answers a call.
+#[derive(Clone, Copy)]
+pub(super) struct Response {
+    pub(super) status: Status,
+    /// How long the relay is asked to wait.
+    pub(super) wait: Option<Span>,
+    pub(super) limit: Option<LimitReport>,
+}
+
+impl Response {
+    /// A response that carries nothing but its status.
+    pub(super) fn of(status: Status) -> Response {
+        Response { status, wait: None, limit: None }
+    }
+}
+
+/// What a relay is given with its next turn.
 pub(super) enum RelayInput {
     Accepted(u64),
-    Ended { outcome: Box<Outcome>, route: usize },
+    PushEnded {
+        outcome: Box<Outcome>,
+        route: usize,
+    },
     EndpointChanges(Vec<(usize, Readiness)>),
     EndpointSnapshot,
     SubscriptionLost,
     Withdrawn(u64),
+    /// The client has the final answer.
     NoticeDelivered(u64),
 }
 
-/// A notification as its client has it, over all times that it is handed in.
+/// Where a notification is pending.
+#[derive(Clone, Copy)]
+pub(super) struct PendingAt {
+    pub(super) relay: usize,
+    pub(super) ntf: u64,
+}
+
+/// A notification as its client has it, over all its submissions.
 pub(super) struct ClientNotification {
-    pub(super) topic: usize,
+    pub(super) submission: Submission,
     pub(super) destination: usize,
-    pub(super) account: Option<usize>,
-    pub(super) benefit: f64,
-    pub(super) submitted_at: Time,
     pub(super) valid_until: Time,
     pub(super) key: Option<String>,
-    pub(super) work: f64,
+    /// Service time at a speed of 1, in seconds.
+    pub(super) work_s: f64,
     pub(super) resubmissions: u32,
     /// It was delivered, or its client has given up.
     pub(super) is_finished: bool,
     pub(super) is_delivered: bool,
-    /// Under which id it is held, and where.
-    pub(super) pending_as: Option<(usize, u64)>,
+    pub(super) pending_at: Option<PendingAt>,
+}
+
+/// When a push was sent, and the zone that it was sent to.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct SentPush {
+    pub(super) at: Time,
+    pub(super) zone: usize,
 }
 
-/// What a relay's folder holds of a notification.
+/// What the storage of a relay keeps of a notification.
 #[derive(Clone, Debug)]
 pub(super) struct PendingNotification {
     pub(super) notification: usize,
     pub(super) push_count: u32,
-    pub(super) first_executed: Option<(Time, usize)>,
-    pub(super) in_flight: Option<(Time, usize)>,
+    /// The first push that may have been executed.
+    pub(super) first_executed: Option<SentPush>,
+    pub(super) in_flight: Option<SentPush>,
+    /// When a push ended that may still be executing.
     pub(super) uncertain_since: Option<Time>,
     pub(super) has_final_answer: bool,
-    /// Handed in in this turn and not answered yet.
+    /// The relay has not answered the submission yet.
     pub(super) is_unanswered: bool,
 }
 
+impl PendingNotification {
+    pub(super) fn new(notification: usize) -> PendingNotification {
+        PendingNotification {
+            notification,
+            push_count: 0,
+            first_executed: None,
+            in_flight: None,
+            uncertain_since: None,
+            has_final_answer: false,
+            is_unanswered: true,
+        }
+    }
+}
+
+/// A push that a relay commands.
+#[derive(Clone, Copy)]
+pub(super) struct PushRequest {
+    pub(super) ntf: u64,
+    pub(super) timeout: Span,
+}
+
+/// One notification in a call.
 pub(super) struct CallItem {
     pub(super) ntf: u64,
     pub(super) notification: usize,
     pub(super) push: u32,
+    /// The relay has no outcome of the push yet.
     pub(super) is_in_flight: bool,
     pub(super) is_ordered: bool,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum CallState {
+    /// Between relay and endpoint.
     InTransit,
+    /// In the queue of the endpoint.
     Queued,
     Running,
+    /// The endpoint has no part in it any more.
     Done,
 }
 
+/// A call: pushes that travel together.
 pub(super) struct Call {
     pub(super) relay: usize,
     pub(super) endpoint: usize,
@@ -130,40 +200,91 @@
     pub(super) items: Vec<CallItem>,
     pub(super) sent_at: Time,
     pub(super) one_way_delay: Span,
-    /// Its connection is up.
+    /// It has a connection.
     pub(super) is_connected: bool,
     /// The relay still waits for it.
     pub(super) is_awaited: bool,
     pub(super) state: CallState,
-    /// Its connection breaks once it has run.
+    /// Its connection breaks once it has been executed.
     pub(super) breaks_after_service: bool,
 }
 
+/// A relay with its process, storage and connections.
 pub(super) struct RelayProcess {
     pub(super) plan: RelayPlan,
+    /// `None` while the process is down.
     pub(super) policy: Option<Box<dyn Policy>>,
+    /// Rises with each end of the process; events for an earlier one are dropped.
     pub(super) incarnation: u32,
     pub(super) is_running: bool,
+    /// Inputs for the next turn.
     pub(super) inputs: Vec<RelayInput>,
     pub(super) next_turn_at: Option<Time>,
     pub(super) last_turn_at: Option<Time>,
     pub(super) wake_at: Time,
+    /// Outlasts the process unless its storage is lost.
     pub(super) pending: BTreeMap<u64, PendingNotification>,
     pub(super) calls: BTreeSet<CallId>,
-    /// Idle connections by endpoint, each with the time since when.
+    /// By endpoint: since when each idle connection has been idle, the oldest first.
     pub(super) idle_connections: BTreeMap<usize, Vec<Time>>,
     pub(super) network_rng: ChaCha8Rng,
     pub(super) list_rng: ChaCha8Rng,
+    /// It is subscribed to changes of the endpoint list.
     pub(super) is_subscribed: bool,
-    /// Changes of the list that could not be told.
+    /// Endpoints whose changes could not be reported.
     pub(super) unreported_changes: BTreeSet<usize>,
+    /// When the latest change of the list reaches it: changes arrive in order.
     pub(super) last_list_update_at: Time,
 }
 
-/// A token bucket for an account's share.
+impl RelayProcess {
+    pub(super) fn new(plan: RelayPlan, network_rng: ChaCha8Rng, list_rng: ChaCha8Rng) -> RelayProcess {
+        RelayProcess {
+            plan,
+            policy: None,
+            incarnation: 0,
+            is_running: false,
+            inputs: Vec::new(),
+            next_turn_at: None,
+            last_turn_at: None,
+            wake_at: Time::NEVER,
+            pending: BTreeMap::new(),
+            calls: BTreeSet::new(),
+            idle_connections: BTreeMap::new(),
+            network_rng,
+            list_rng,
+            is_subscribed: false,
+            unreported_changes: BTreeSet::new(),
+            last_list_update_at: Time::default(),
+        }
+    }
+}
+
+/// The token bucket of an account's quota.
 pub(super) struct QuotaBucket {
+    /// Notifications a second.
     pub(super) rate_per_s: f64,
     pub(super) tokens: f64,
     pub(super) refilled_at: Time,
+    /// The fraction of its benefit that a notification beyond the quota earns.
     pub(super) over_quota_value: f64,
 }
+
+impl QuotaBucket {
+    /// A full bucket.
+    pub(super) fn new(rate_per_s: f64, over_quota_value: f64) -> QuotaBucket {
+        QuotaBucket { rate_per_s, tokens: rate_per_s, refilled_at: Time::default(), over_quota_value }
+    }
+
+    /// Counts a notification and returns the fraction of its benefit that it earns.
+    pub(super) fn take(&mut self, at: Time) -> f64 {
+        let refill = self.rate_per_s * at.since(self.refilled_at).as_secs_f64();
+        self.tokens = (self.tokens + refill).min(self.rate_per_s.max(1.0));
+        self.refilled_at = self.refilled_at.max(at);
+        if self.tokens < 1.0 {
+            return self.over_quota_value;
+        }
+        self.tokens -= 1.0;
+        1.0
+    }
+}
--- a/crates/model/src/traffic.rs
+++ b/crates/model/src/traffic.rs
@@ -1,6 +1,8 @@
-//! What clients hand in, drawn ahead: arrivals never wait for an answer. It owns the sources of traffic and the keys in
-//! use. What a client does after an answer is drawn here too. It must never look at how a notification fares.
+//! The notifications that clients submit, drawn ahead: arrivals never wait for an answer.
+//!
+//! What a client does after an answer is drawn here too; the outcome of a notification is never looked at.
 
+use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
 use juniperwing::time::{Span, Time};
@@ -8,77 +10,84 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1};
 
-use crate::endpoint::lognormal;
 use crate::faults::{FaultSet, FaultWindow};
-use crate::fleet::Fleet;
-use crate::random::{Concern, RngStreams, sums, weighted};
+use crate::fleet::{Fleet, TopicPlan};
+use crate::random::{Concern, RngStreams, cumulative_sums, lognormal, weighted_index};
 use crate::scenario::{Clients, FaultKind, LatencyDistribution, Range, Scenario};
 
-/// Those of one clump come within this long of each other.
-const CLUMP_MS: f64 = 100.0;
-/// A clump has so many at least.
-const LEAST_CLUMP: f64 = 2.0;
-/// Generations of keys remembered: sources draw ahead of each other, though never that far.
-const GENERATIONS: usize = 4;
+/// The arrivals of one clump come within this time.
+const CLUMP_SPREAD_MS: f64 = 100.0;
+/// A clump has this many arrivals at least.
+const MIN_CLUMP_SIZE: f64 = 2.0;
+/// Generations of keys that are kept: sources draw ahead of each other, but never so far.
+const KEY_GENERATIONS: usize = 4;
+/// A client's backoff doubles with each resubmission up to this one.
+const MAX_BACKOFF_DOUBLINGS: u32 = 8;
 
-/// A notification that is to be handed in.
+/// A notification that is to be submitted.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Arrival {
-    /// When its source drew it, and when it is handed in: later where it was held back.
-    pub(crate) drawn: Time,
-    pub(crate) at: Time,
+    /// When its source drew it.
+    pub(crate) drawn_at: Time,
+    /// When it is submitted: later than drawn while a fault holds traffic back.
+    pub(crate) submitted_at: Time,
     pub(crate) destination: usize,
     pub(crate) topic: usize,
     pub(crate) relay: usize,
     pub(crate) key: Option<String>,
-    /// Its work at an endpoint of usual pace, in seconds.
-    pub(crate) work: f64,
+    /// Service time at a speed of 1, in seconds.
+    pub(crate) work_s: f64,
     pub(crate) ttl: Span,
-    /// After so long it is taken back.
-    pub(crate) patience: Option<Span>,
+    /// How long after its submission its client withdraws it.
+    pub(crate) withdrawn_after: Option<Span>,
 }
 
-/// What a source brings.
+/// What a source yields.
 enum SourceKind {
-    /// Single ones, in proportion to what each destination gets.
+    /// Single arrivals.
     Single,
-    /// Clumps for one destination; those of the clump at hand still to come, the next last.
+    /// Clumps for one destination: the rest of the present clump, the next arrival last.
     Clumps(Vec<Arrival>),
 }
 
+/// A Poisson process of arrivals.
 struct Source {
     kind: SourceKind,
     rng: ChaCha8Rng,
-    /// Destinations and running sums of what they get from it.
+    /// The destinations that it is for...
     destinations: Vec<usize>,
-    sums: Vec<f64>,
-    /// Arrivals (clumps) a second at most, and until when.
-    rate: f64,
+    /// ...and running sums of their rates.
+    cumulative_rates: Vec<f64>,
+    /// Arrivals or clumps a second at the peak.
+    peak_rate: f64,
+    /// The time of the latest arrival.
     at: Time,
     to: Time,
-    /// The trouble that it belongs to.
-    window: Option<usize>,
+    /// The fault that adds this traffic.
+    fault: Option<usize>,
 }
 
-/// The keys of one destination.
+/// The keys of one destination. Each of its slots has one key at a time; all keys change together.
 struct Keys {
     rng: ChaCha8Rng,
     slots: usize,
-    life: Span,
-    drawn: u64,
-    /// The relays of the latest generations.
+    lifetime: Span,
+    /// Generations drawn so far.
+    generations: u64,
+    /// The relay of each slot, by generation; the latest ones only.
     relays: BTreeMap<u64, Vec<usize>>,
 }
 
 impl Keys {
-    fn key(&mut self, at: Time, slot: usize, destination: usize, parts: &[f64]) -> (String, usize) {
-        let generation = at.since(Time::default()).as_nanos() / self.life.as_nanos().max(1);
-        // One after the other, so that what is drawn for one hangs on no arrival.
-        while self.drawn <= generation {
-            let relays = (0..self.slots).map(|_| weighted(&mut self.rng, parts)).collect();
-            self.relays.insert(self.drawn, relays);
-            self.drawn += 1;
-            if self.relays.len() > GENERATIONS {
+    /// The key that a slot has at a time, and its relay.
+    fn key(&mut self, at: Time, slot: usize, destination: usize, relay_sums: &[f64]) -> (String, usize) {
+        let generation = at.since(Time::default()).as_nanos() / self.lifetime.as_nanos().max(1);
+        // Drawn one after the other, so that the draws of one generation do not depend on arrivals.
+        while self.generations <= generation {
+            let relays = (0..self.slots).map(|_| weighted_index(&mut self.rng, relay_sums)).collect();
+            self.relays.insert(self.generations, relays);
+            self.generations += 1;
+            if self.relays.len() > KEY_GENERATIONS {
                 self.relays.pop_first();
             }
         }
@@ -87,204 +96,286 @@
     }
 }
 
-/// All traffic.
+/// A fault that moves a fraction of all traffic to a few relays.
+pub(crate) struct HotRelays {
+    pub(crate) fault: usize,
+    pub(crate) relays: Vec<usize>,
+    pub(crate) rng: ChaCha8Rng,
+}
+
+impl HotRelays {
+    /// The relay that the fault moves an arrival to. It draws for each arrival, whether or not the fault is active.
+    fn draw_relay(&mut self, at: Time, window: &FaultWindow) -> Option<usize> {
+        let (chance, choice): (f64, u32) = (self.rng.random(), self.rng.random());
+        let is_moved = window.is_active(at) && chance < window.size && !self.relays.is_empty();
+        is_moved.then(|| self.relays[choice as usize % self.relays.len()])
+    }
+}
+
+/// A change of load about its mean as a sine wave.
+struct Swing {
+    amplitude: f64,
+    period_s: f64,
+}
+
+impl Swing {
+    /// The load at a time, over its mean.
+    fn factor(&self, at: Time) -> f64 {
+        let phase = std::f64::consts::TAU * at.since(Time::default()).as_secs_f64() / self.period_s;
+        1.0 + self.amplitude * phase.sin()
+    }
+
+    fn peak(&self) -> f64 {
+        1.0 + self.amplitude
+    }
+}
+
+/// The faults of a run as traffic needs them.
+struct Faults<'a> {
+    windows: &'a [FaultWindow],
+    of_destinations: &'a [FaultSet],
+}
+
+/// All traffic of a run.
 pub(crate) struct Traffic {
     sources: Vec<Source>,
+    /// By destination.
     keys: Vec<Keys>,
-    parts: Vec<f64>,
-    swing: (f64, f64),
+    /// Running sums of the relays' shares of the traffic.
+    relay_sums: Vec<f64>,
+    swing: Swing,
+    /// The size of a clump, in seconds of what its destination gets.
     clump_s: Range,
-    impatient: f64,
-    patience: Range,
-    /// Troubles that send traffic to few relays, with these and a stream of chance.
-    hot_relays: Vec<(usize, Vec<usize>, ChaCha8Rng)>,
-    hurries: Vec<usize>,
+    /// The fraction of notifications that is withdrawn.
+    withdrawn_fraction: f64,
+    /// After which fraction of the TTL.
+    withdrawn_after: Range,
+    hot_relays: Vec<HotRelays>,
+    /// Faults that shorten TTLs.
+    hurry_faults: Vec<usize>,
 }
 
 impl Traffic {
     pub(crate) fn new(
-        scenario: &Scenario, fleet: &Fleet, rng: &RngStreams, fault_windows: &[FaultWindow],
-        destination_faults: &[FaultSet], hot_relays: Vec<(usize, Vec<usize>, ChaCha8Rng)>,
+        scenario: &Scenario, fleet: &Fleet, rng: &RngStreams, windows: &[FaultWindow],
+        destination_faults: &[FaultSet], hot_relays: Vec<HotRelays>,
     ) -> Traffic {
-        let (plan, span) = (&scenario.traffic, Span::from_secs_f64(scenario.span_s.least));
-        let (load, end) = (plan.load.least, Time::default() + span);
-        let rates: Vec<f64> = fleet.destinations.iter().map(|d| d.rate()).collect();
-        let all: Vec<usize> = (0..rates.len()).collect();
-        let total: f64 = rates.iter().sum::<f64>() * load;
-        let peak = total * (1.0 + plan.swing.least);
+        let plan = &scenario.traffic;
+        let is_hurry = |fault: &usize| windows[*fault].kind == FaultKind::Hurry;
         let mut traffic = Traffic {
             sources: Vec::new(),
-            keys: Vec::new(),
-            parts: sums(fleet.relays.iter().map(|relay| relay.part)),
-            swing: (plan.swing.least, plan.swing_s.least),
+            keys: (0..fleet.destinations.len()).map(|index| keys(scenario, index, rng)).collect(),
+            relay_sums: cumulative_sums(fleet.relays.iter().map(|relay| relay.traffic_share)),
+            swing: Swing { amplitude: plan.swing.least, period_s: plan.swing_s.least },
             clump_s: plan.clump_s,
-            impatient: scenario.clients.impatient,
-            patience: scenario.clients.patience,
+            withdrawn_fraction: scenario.clients.impatient,
+            withdrawn_after: scenario.clients.patience,
             hot_relays,
-            hurries: (0..fault_windows.len())
-                .filter(|n| fault_windows[*n].kind == FaultKind::Hurry)
-                .collect(),
+            hurry_faults: (0..windows.len()).filter(is_hurry).collect(),
         };
-        let mut add = |kind, destinations: &[usize], rate, from, to, window, rng| {
-            let sums = sums(destinations.iter().map(|d| rates[*d]));
-            let destinations = destinations.to_vec();
-            traffic.sources.push(Source { kind, rng, destinations, sums, rate, at: from, to, window });
-        };
-        let single = peak * (1.0 - plan.clumps.least);
-        add(SourceKind::Single, &all, single, Time::default(), end, None, rng.stream(Concern::Arrivals, 0));
-        // What a clump has in the mean; busy destinations have more and larger ones.
+        traffic.add_ordinary_sources(scenario, fleet, rng);
+        let faults = Faults { windows, of_destinations: destination_faults };
+        traffic.add_fault_sources(scenario, fleet, rng, &faults);
+        traffic
+    }
+
+    /// Single arrivals and clumps over the whole run.
+    fn add_ordinary_sources(&mut self, scenario: &Scenario, fleet: &Fleet, rng: &RngStreams) {
+        let plan = &scenario.traffic;
+        let rates: Vec<f64> = fleet.destinations.iter().map(|destination| destination.rate()).collect();
+        let total: f64 = rates.iter().sum();
+        let peak = total * plan.load.least * self.swing.peak();
+        // Busy destinations have more clumps and larger ones.
         let squares: f64 = rates.iter().map(|rate| rate * rate).sum();
-        let mean =
-            (plan.clump_s.least + plan.clump_s.most) / 2.0 * squares / rates.iter().sum::<f64>().max(1e-9);
-        let clumps = peak * plan.clumps.least / mean.max(LEAST_CLUMP);
-        let stream = rng.stream(Concern::Clumps, 0);
-        add(SourceKind::Clumps(Vec::new()), &all, clumps, Time::default(), end, None, stream);
-        for (index, window) in fault_windows.iter().enumerate() {
-            let hit: Vec<usize> = match window.kind {
-                FaultKind::Burst => all.clone(),
-                FaultKind::Hot => {
-                    all.iter().copied().filter(|d| destination_faults[*d].contains(index)).collect()
-                }
-                FaultKind::AccountBurst => {
-                    all.iter().copied().filter(|d| fleet.destinations[*d].account == window.account).collect()
-                }
-                _ => continue,
+        let mean_clump_size = (plan.clump_s.least + plan.clump_s.most) / 2.0 * squares / total.max(1e-9);
+        let clump_rate = peak * plan.clumps.least / mean_clump_size.max(MIN_CLUMP_SIZE);
+        let source = |kind, peak_rate, rng| Source {
+            kind,
+            rng,
+            destinations: (0..rates.len()).collect(),
+            cumulative_rates: cumulative_sums(rates.iter().copied()),
+            peak_rate,
+            at: Time::default(),
+            to: Time::default() + Span::from_secs_f64(scenario.span_s.least),
+            fault: None,
+        };
+        let single_rate = peak * (1.0 - plan.clumps.least);
+        self.sources.push(source(SourceKind::Single, single_rate, rng.stream(Concern::Arrivals, 0)));
+        let clumps = SourceKind::Clumps(Vec::new());
+        self.sources.push(source(clumps, clump_rate, rng.stream(Concern::Clumps, 0)));
+    }
+
+    /// The traffic that faults add.
+    fn add_fault_sources(
+        &mut self, scenario: &Scenario, fleet: &Fleet, rng: &RngStreams, faults: &Faults<'_>,
+    ) {
+        let end = Time::default() + Span::from_secs_f64(scenario.span_s.least);
+        for (fault, window) in faults.windows.iter().enumerate() {
+            let is_affected = |destination: &usize| match window.kind {
+                FaultKind::Burst => true,
+                FaultKind::Hot => faults.of_destinations[*destination].contains(fault),
+                FaultKind::AccountBurst => fleet.destinations[*destination].account == window.account,
+                _ => false,
             };
-            let further = (window.size - 1.0).max(0.0) * load * hit.iter().map(|d| rates[*d]).sum::<f64>();
-            let stream = rng.stream(Concern::Faults, index << 1 | 1);
-            add(SourceKind::Single, &hit, further, window.from, window.to.min(end), Some(index), stream);
-        }
-        for destination in 0..rates.len() {
-            let mut draws = rng.stream(Concern::Keys, destination);
-            let slots = (plan.keys.draw(&mut draws).round() as usize).max(1);
-            let life = Span::from_secs_f64(plan.key_life_s.draw(&mut draws));
-            let relays = BTreeMap::new();
-            traffic.keys.push(Keys { rng: draws, slots, life, drawn: 0, relays });
+            if !matches!(window.kind, FaultKind::Burst | FaultKind::Hot | FaultKind::AccountBurst) {
+                continue;
+            }
+            let destinations: Vec<usize> = (0..fleet.destinations.len()).filter(is_affected).collect();
+            let rates = || destinations.iter().map(|destination| fleet.destinations[*destination].rate());
+            let added = (window.size - 1.0).max(0.0) * scenario.traffic.load.least;
+            self.sources.push(Source {
+                kind: SourceKind::Single,
+                rng: rng.fault_traffic(fault),
+                cumulative_rates: cumulative_sums(rates()),
+                peak_rate: added * rates().sum::<f64>(),
+                destinations,
+                at: window.from,
+                to: window.to.min(end),
+                fault: Some(fault),
+            });
         }
-        traffic
     }
 
-    /// How many sources there are.
+    /// The number of sources.
     pub(crate) fn sources(&self) -> usize {
         self.sources.len()
     }
 
-    /// The next notification of a source; nothing when it has no more.
+    /// The next notification of a source; `None` when it has no more.
     pub(crate) fn next(
-        &mut self, source: usize, fleet: &Fleet, fault_windows: &[FaultWindow],
-        destination_faults: &[FaultSet],
+        &mut self, source: usize, fleet: &Fleet, windows: &[FaultWindow], destination_faults: &[FaultSet],
     ) -> Option<Arrival> {
         if let SourceKind::Clumps(rest) = &mut self.sources[source].kind
             && let Some(next) = rest.pop()
         {
             return Some(next);
         }
-        let (swing, swing_s) = self.swing;
-        loop {
-            let from = &mut self.sources[source];
-            if from.rate <= 0.0 || from.sums.last().is_none_or(|sum| *sum <= 0.0) {
-                return None;
-            }
-            let gap: f64 = Exp1.sample(&mut from.rng);
-            from.at = from.at + Span::from_secs_f64(gap / from.rate);
-            if from.at >= from.to {
-                return None;
-            }
-            // Thinned to the load of the moment: drawn at the peak, each kept with its share of it.
-            let turn = std::f64::consts::TAU * from.at.since(Time::default()).as_secs_f64() / swing_s;
-            let (mut now, mut peak) = (1.0 + swing * turn.sin(), 1.0 + swing);
-            if let Some(window) = from.window {
-                (now, peak) = (fault_windows[window].factor(from.at) - 1.0, fault_windows[window].size - 1.0);
-            }
-            if from.rng.random::<f64>() * peak >= now {
-                continue;
-            }
-            let destination = from.destinations[weighted(&mut from.rng, &from.sums)];
-            if matches!(from.kind, SourceKind::Single) {
-                let at = from.at;
-                return Some(self.arrival(source, destination, at, fleet, fault_windows, destination_faults));
-            }
-            let secs = self.clump_s.draw(&mut from.rng);
-            let start = from.at;
-            let size = (secs * fleet.destinations[destination].rate()).max(LEAST_CLUMP) as usize;
-            let mut all: Vec<Arrival> = (0..size)
-                .map(|_| {
-                    let late = self.sources[source].rng.random::<f64>() * CLUMP_MS / 1_000.0;
-                    let at = start + Span::from_secs_f64(late);
-                    self.arrival(source, destination, at, fleet, fault_windows, destination_faults)
-                })
-                .collect();
-            all.sort_by_key(|arrival| std::cmp::Reverse(arrival.drawn));
-            let next = all.pop();
-            self.sources[source].kind = SourceKind::Clumps(all);
-            return next;
+        let faults = Faults { windows, of_destinations: destination_faults };
+        let (at, destination) = self.sources[source].next_arrival(&self.swing, windows)?;
+        if matches!(self.sources[source].kind, SourceKind::Single) {
+            return Some(self.draw_arrival(source, destination, at, fleet, &faults));
         }
+        let clump_s = self.clump_s.draw(&mut self.sources[source].rng);
+        let size = (clump_s * fleet.destinations[destination].rate()).max(MIN_CLUMP_SIZE) as usize;
+        let mut clump: Vec<Arrival> = (0..size)
+            .map(|_| {
+                let delay_s = self.sources[source].rng.random::<f64>() * CLUMP_SPREAD_MS / 1_000.0;
+                let at = at + Span::from_secs_f64(delay_s);
+                self.draw_arrival(source, destination, at, fleet, &faults)
+            })
+            .collect();
+        clump.sort_by_key(|arrival| Reverse(arrival.drawn_at));
+        let next = clump.pop();
+        self.sources[source].kind = SourceKind::Clumps(clump);
+        next
     }
 
-    fn arrival(
-        &mut self, source: usize, destination: usize, at: Time, fleet: &Fleet, fault_windows: &[FaultWindow],
-        destination_faults: &[FaultSet],
+    fn draw_arrival(
+        &mut self, source: usize, destination: usize, at: Time, fleet: &Fleet, faults: &Faults<'_>,
     ) -> Arrival {
-        let plan = &fleet.destinations[destination];
         let rng = &mut self.sources[source].rng;
-        let topic = weighted(rng, &plan.rate_sums);
-        let (mut relay, slot) = (weighted(rng, &self.parts), rng.random::<u32>() as usize);
-        let of = &fleet.topics[topic];
-        let work = match of.law {
-            LatencyDistribution::Lognormal => lognormal(rng, of.work, of.cv),
-            LatencyDistribution::Exponential => of.work * Distribution::<f64>::sample(&Exp1, rng),
-        };
-        let (hurried, impatient): (f64, f64) = (rng.random(), rng.random());
-        let late = self.patience.draw(rng);
+        let topic = weighted_index(rng, &fleet.destinations[destination].cumulative_rates);
+        let (mut relay, slot) = (weighted_index(rng, &self.relay_sums), rng.random::<u32>() as usize);
+        let work_s = draw_work_s(&fleet.topics[topic], rng);
+        let (hurry, withdrawal): (f64, f64) = (rng.random(), rng.random());
+        let withdrawn_after = self.withdrawn_after.draw(rng);
         let mut key = None;
         if fleet.topics[topic].topic.ordered {
             let keys = &mut self.keys[destination];
-            let (name, at_relay) = keys.key(at, slot % keys.slots, destination, &self.parts);
-            (key, relay) = (Some(name), at_relay);
+            let (name, relay_of_key) = keys.key(at, slot % keys.slots, destination, &self.relay_sums);
+            (key, relay) = (Some(name), relay_of_key);
         } else {
-            for (window, relays, rng) in &mut self.hot_relays {
-                let hit: (f64, u32) = (rng.random(), rng.random());
-                if fault_windows[*window].is_active(at)
-                    && hit.0 < fault_windows[*window].size
-                    && !relays.is_empty()
-                {
-                    relay = relays[hit.1 as usize % relays.len()];
-                }
+            for hot in &mut self.hot_relays {
+                relay = hot.draw_relay(at, &faults.windows[hot.fault]).unwrap_or(relay);
             }
         }
-        // Held back and let go all at once.
-        let drawn = at;
-        let held = |n: &usize| {
-            fault_windows[*n].kind == FaultKind::Release
-                && fault_windows[*n].is_active(at)
-                && destination_faults[destination].contains(*n)
-        };
-        let at = (0..fault_windows.len()).find(held).map_or(at, |n| fault_windows[n].to.max(at));
+        let submitted_at = faults.release_time(destination, at);
         let ttl = fleet.topics[topic].topic.ttl;
-        let mut ends = None;
-        for window in self.hurries.iter().map(|n| &fault_windows[*n]).filter(|window| window.is_active(at)) {
-            // Those of the struck share want it in less time, and then no longer.
-            if hurried < window.extent {
-                ends = Some(ttl.mul_f64(window.size));
+        let hurried_ttl = self.hurried_ttl(ttl, hurry, submitted_at, faults);
+        let withdrawal = (withdrawal < self.withdrawn_fraction).then(|| ttl.mul_f64(withdrawn_after));
+        Arrival {
+            drawn_at: at,
+            submitted_at,
+            destination,
+            topic,
+            relay,
+            key,
+            work_s,
+            ttl: hurried_ttl.unwrap_or(ttl),
+            withdrawn_after: [hurried_ttl, withdrawal].into_iter().flatten().min(),
+        }
+    }
+
+    /// The TTL of a notification that a fault affects, by a number drawn from 0 to 1.
+    fn hurried_ttl(&self, ttl: Span, drawn: f64, at: Time, faults: &Faults<'_>) -> Option<Span> {
+        let windows = self.hurry_faults.iter().map(|fault| &faults.windows[*fault]);
+        let mut affecting = windows.filter(|window| window.is_active(at) && drawn < window.extent);
+        affecting.next_back().map(|window| ttl.mul_f64(window.size))
+    }
+}
+
+impl Source {
+    /// Draws the time and the destination of the next arrival.
+    fn next_arrival(&mut self, swing: &Swing, windows: &[FaultWindow]) -> Option<(Time, usize)> {
+        if self.peak_rate <= 0.0 || self.cumulative_rates.last().is_none_or(|sum| *sum <= 0.0) {
+            return None;
+        }
+        loop {
+            let gap: f64 = Exp1.sample(&mut self.rng);
+            self.at = self.at + Span::from_secs_f64(gap / self.peak_rate);
+            if self.at >= self.to {
+                return None;
+            }
+            // Thinning: drawn at the peak, each is kept with the present load's fraction of it.
+            let (present, peak) = match self.fault.map(|fault| &windows[fault]) {
+                Some(window) => (window.factor(self.at) - 1.0, window.size - 1.0),
+                None => (swing.factor(self.at), swing.peak()),
+            };
+            if self.rng.random::<f64>() * peak < present {
+                let destination = weighted_index(&mut self.rng, &self.cumulative_rates);
+                return Some((self.at, self.destinations[destination]));
             }
         }
-        let taken_back = (impatient < self.impatient).then(|| ttl.mul_f64(late));
-        let patience = match (ends, taken_back) {
-            (Some(a), Some(b)) => Some(a.min(b)),
-            (a, b) => a.or(b),
+    }
+}
+
+impl Faults<'_> {
+    /// When an arrival is submitted: at the end of a fault that holds its destination's traffic back, else at once.
+    fn release_time(&self, destination: usize, at: Time) -> Time {
+        let is_held = |(fault, window): &(usize, &FaultWindow)| {
+            window.kind == FaultKind::Release
+                && window.is_active(at)
+                && self.of_destinations[destination].contains(*fault)
         };
-        Arrival { drawn, at, destination, topic, relay, key, work, ttl: ends.unwrap_or(ttl), patience }
+        self.windows.iter().enumerate().find(is_held).map_or(at, |(_, window)| window.to.max(at))
+    }
+}
+
+fn keys(scenario: &Scenario, destination: usize, rng: &RngStreams) -> Keys {
+    let plan = &scenario.traffic;
+    let mut rng = rng.stream(Concern::Keys, destination);
+    let slots = (plan.keys.draw(&mut rng).round() as usize).max(1);
+    let lifetime = Span::from_secs_f64(plan.key_life_s.draw(&mut rng));
+    Keys { rng, slots, lifetime, generations: 0, relays: BTreeMap::new() }
+}
+
+fn draw_work_s(topic: &TopicPlan, rng: &mut ChaCha8Rng) -> f64 {
+    match topic.work_distribution {
+        LatencyDistribution::Lognormal => lognormal(rng, topic.mean_work_s, topic.work_cv),
+        LatencyDistribution::Exponential => topic.mean_work_s * Distribution::<f64>::sample(&Exp1, rng),
     }
 }
 
-/// How long a client waits before it hands in again, having been told `retry_in` or nothing, for the n-th time.
+/// How long a client waits before it submits a throttled notification again. `announced` is the time that it was told;
+/// `None` if it gives up after so many resubmissions.
 pub(crate) fn resubmit_delay(
-    plan: &Clients, rng: &mut ChaCha8Rng, again: u32, retry_in: Option<Span>,
+    plan: &Clients, rng: &mut ChaCha8Rng, resubmissions: u32, announced: Option<Span>,
 ) -> Option<Span> {
-    let (backoff, heeds) = (plan.backoff_ms.draw(rng), rng.random::<f64>() < plan.honour);
-    if again >= plan.again {
+    let (backoff_ms, heeds) = (plan.backoff_ms.draw(rng), rng.random::<f64>() < plan.honour);
+    if resubmissions >= plan.again {
         return None;
     }
-    let own = Span::from_secs_f64(backoff / 1_000.0 * f64::from(1u32 << again.min(8)));
-    Some(retry_in.filter(|span| heeds && *span > Span::ZERO).unwrap_or(own))
+    let doublings = f64::from(1u32 << resubmissions.min(MAX_BACKOFF_DOUBLINGS));
+    let backoff = Span::from_secs_f64(backoff_ms / 1_000.0 * doublings);
+    Some(announced.filter(|span| heeds && *span > Span::ZERO).unwrap_or(backoff))
 }
