--- a/crates/model/src/endpoint.rs
+++ b/crates/model/src/endpoint.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use juniperwing::interface::LimitReport;
+use juniperwing::interface::RateLimitReport;
 use juniperwing::time::Time;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -32,7 +32,7 @@
     pub(crate) is_terminated: bool,
     service_rng: ChaCha8Rng,
     noise_rng: ChaCha8Rng,
-    reports: VecDeque<(Time, LimitReport)>,
+    reports: VecDeque<(Time, RateLimitReport)>,
 }
 
 /// What an endpoint does with a call that is within the limit.
@@ -99,7 +99,10 @@
         let Some(rate) = limit.calls_per_s(factor).filter(|_| is_due) else { return };
         let remaining = limit.remaining_fraction(now, factor);
         let mut blur = |value: f64| value * (1.0 + noise * (2.0 * self.noise_rng.random::<f64>() - 1.0));
-        let report = LimitReport { left: blur(remaining).clamp(0.0, 1.0), rate: blur(rate) };
+        let report = RateLimitReport {
+            remaining_fraction: blur(remaining).clamp(0.0, 1.0),
+            rate_per_second: blur(rate),
+        };
         self.reports.push_back((now, report));
         if self.reports.len() > MAX_REPORTS {
             self.reports.pop_front();
@@ -107,7 +110,7 @@
     }
 
     /// The latest report that is as old as the report delay.
-    pub(crate) fn latest_report(&self, now: Time) -> Option<LimitReport> {
+    pub(crate) fn latest_report(&self, now: Time) -> Option<RateLimitReport> {
         let is_published = |at: &Time| now.since(*at) >= self.plan.report_delay;
         self.reports.iter().rev().find(|(at, _)| is_published(at)).map(|(_, report)| *report)
     }
--- a/crates/model/src/fleet.rs
+++ b/crates/model/src/fleet.rs
@@ -9,7 +9,9 @@
 
 use std::sync::Arc;
 
-use juniperwing::interface::{self, Allowance, DestinationId, EndpointId, RuleFigures, Terms, TopicType};
+use juniperwing::interface::{
+    self, DestinationId, EndpointId, RelayConfig, RelayLimits, RuleParameters, TopicType,
+};
 use juniperwing::time::Span;
 
 pub use allocation::allocate_by_weight;
@@ -116,8 +118,8 @@
     pub traffic_share: f64,
     /// Index of its zone.
     pub zone: usize,
-    /// The resources that it may use.
-    pub allowance: Allowance,
+    /// Its limits.
+    pub limits: RelayLimits,
     /// Its position between the nearest and the farthest, from 0 to 1.
     pub distance: f64,
     /// The seed that it is started with.
@@ -130,7 +132,7 @@
     /// Topic types.
     pub topics: Vec<TopicPlan>,
     /// Kinds of destination, as the core has them.
-    pub kinds: Vec<Arc<interface::Kind>>,
+    pub kinds: Vec<Arc<interface::DestinationKind>>,
     /// Names of zones.
     pub zones: Vec<Arc<str>>,
     /// Accounts, as the core has them.
@@ -143,12 +145,12 @@
     pub routes: Vec<RoutePlan>,
     /// Relays.
     pub relays: Vec<RelayPlan>,
-    /// The figures of the rules as relays are told them.
-    pub rules: RuleFigures,
+    /// The parameters of the rules as relays are told them.
+    pub rules: RuleParameters,
     /// The shortest time between two turns of a relay.
     pub tick: Span,
     /// Whether entries of the endpoint list carry a rate.
-    pub rates_listed: bool,
+    pub has_listed_rates: bool,
 }
 
 /// The id of the endpoint with that index.
@@ -178,25 +180,25 @@
             endpoints: Vec::new(),
             routes: Vec::new(),
             relays: Vec::new(),
-            rules: convert::rule_figures(scenario),
+            rules: convert::rule_parameters(scenario),
             tick: span_ms(scenario.relays.tick_ms),
-            rates_listed: scenario.list.rates,
+            has_listed_rates: scenario.list.rates,
         };
         fleet.draw_destinations(scenario, rng);
         fleet.draw_relays(scenario, rng);
         fleet
     }
 
-    /// What the relay with that index is told of where it serves. Crossing zones has no price in the model.
-    pub fn terms(&self, relay: usize) -> Terms {
+    /// The configuration of the relay with that index. Crossing zones has no price in the model.
+    pub fn relay_config(&self, relay: usize) -> RelayConfig {
         let fleet = interface::Fleet {
-            relays: self.relays.len(),
-            rates_listed: self.rates_listed,
-            list_on_request: true,
-            list_pushed: false,
+            relay_count: self.relays.len(),
+            has_listed_rates: self.has_listed_rates,
+            is_list_on_request: true,
+            is_list_pushed: false,
             tick: self.tick,
-            home: None,
+            home_zone: None,
         };
-        Terms { fleet, allowance: self.relays[relay].allowance, figures: self.rules }
+        RelayConfig { fleet, limits: self.relays[relay].limits, rules: self.rules }
     }
 }
--- a/crates/model/src/fleet/draw.rs
+++ b/crates/model/src/fleet/draw.rs
@@ -3,7 +3,7 @@
 //! The order of the draws within a stream is part of what a seed means: a reordered draw changes the results of every
 //! seed.
 
-use juniperwing::interface::Allowance;
+use juniperwing::interface::RelayLimits;
 use juniperwing::time::Span;
 use rand::Rng;
 use rand::seq::SliceRandom;
@@ -119,19 +119,20 @@
             let traffic_share = weight / total;
             let slots =
                 (plan.slots_room.draw(&mut draws) * busy_slots * traffic_share).max(plan.least_slots).round();
-            let held = (plan.hold_s.draw(&mut draws) * rate * traffic_share).max(plan.least_held).round();
-            let allowance = Allowance {
+            let max_pending =
+                (plan.hold_s.draw(&mut draws) * rate * traffic_share).max(plan.least_held).round();
+            let limits = RelayLimits {
                 slots: slots as usize,
-                pushes: plan.pushes,
-                held: held as usize,
-                longest_retry: span_ms(scenario.clients.longest_retry_ms),
-                probes: false,
-                cancel: true,
-                idle: Span::from_secs_f64(network.idle_s),
+                max_pushes: plan.pushes,
+                max_pending: max_pending as usize,
+                max_retry_after: span_ms(scenario.clients.longest_retry_ms),
+                can_probe: false,
+                can_cancel: true,
+                idle_timeout: Span::from_secs_f64(network.idle_s),
             };
             let seed = rng.stream(Concern::Policies, index).random();
             let (zone, distance) = (index % self.zones.len(), draws.random());
-            self.relays.push(RelayPlan { traffic_share, zone, allowance, distance, seed });
+            self.relays.push(RelayPlan { traffic_share, zone, limits, distance, seed });
         }
     }
 }
--- a/crates/model/src/judge.rs
+++ b/crates/model/src/judge.rs
@@ -25,17 +25,17 @@
 
 /// The tolerances of the rules.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct RuleParameters {
+pub(crate) struct RuleTolerances {
     /// How long after the end of its validity a final answer is still in time.
     pub(crate) answer_slack: Span,
     /// How long after the notice of a drain a push is still allowed.
     pub(crate) drain_grace: Span,
     /// How long a key waits after a push that may still be executing.
-    pub(crate) key_settle_delay: Span,
+    pub(crate) key_cooldown: Span,
     /// A recovering route is overloaded by more than this multiple of its present capacity...
-    pub(crate) overload_multiple: f64,
+    pub(crate) overload_factor: f64,
     /// ...within this time...
-    pub(crate) overload_window: Span,
+    pub(crate) overload_duration: Span,
     /// ...and this many calls.
     pub(crate) overload_slack: f64,
 }
@@ -51,7 +51,7 @@
 
 /// The judge of one run.
 pub(crate) struct Judge {
-    parameters: RuleParameters,
+    tolerances: RuleTolerances,
     notifications: BTreeMap<u64, NotificationRecord>,
     /// By relay and key.
     key_queues: BTreeMap<(usize, String), KeyQueue>,
@@ -69,9 +69,9 @@
 }
 
 impl Judge {
-    pub(crate) fn new(parameters: RuleParameters, routes: usize) -> Judge {
+    pub(crate) fn new(tolerances: RuleTolerances, routes: usize) -> Judge {
         Judge {
-            parameters,
+            tolerances,
             notifications: BTreeMap::new(),
             key_queues: BTreeMap::new(),
             draining_since: BTreeMap::new(),
--- a/crates/model/src/judge/deliveries.rs
+++ b/crates/model/src/judge/deliveries.rs
@@ -16,7 +16,7 @@
         if let Some(key) = &accepted.key {
             self.key_queues.entry((relay, key.clone())).or_default().notifications.push_back(ntf);
         }
-        let due_at = accepted.valid_until + self.parameters.answer_slack;
+        let due_at = accepted.valid_until + self.tolerances.answer_slack;
         if self.notifications.contains_key(&ntf) {
             self.report_for(Rule::Lost, now, relay, ntf, "an id was taken twice");
         }
@@ -48,7 +48,7 @@
 
     fn check_drain(&mut self, now: Time, relay: usize, ntf: u64, endpoint: usize) {
         if let Some(since) = self.draining_since.get(&(relay, endpoint))
-            && now > *since + self.parameters.drain_grace
+            && now > *since + self.tolerances.drain_grace
         {
             let what = format!("sent to endpoint {endpoint}, told to drain at {:.3} s", as_secs(*since));
             self.report_for(Rule::Drain, now, relay, ntf, what);
@@ -129,7 +129,7 @@
         if let Some(key) = key
             && let Some(queue) = self.key_queues.get_mut(&(relay, key))
         {
-            queue.settles_at = queue.settles_at.max(now + self.parameters.key_settle_delay);
+            queue.settles_at = queue.settles_at.max(now + self.tolerances.key_cooldown);
         }
     }
 
--- a/crates/model/src/judge/recovery.rs
+++ b/crates/model/src/judge/recovery.rs
@@ -4,7 +4,7 @@
 
 use juniperwing::time::Time;
 
-use super::{Judge, Rule, RuleParameters, as_secs};
+use super::{Judge, Rule, RuleTolerances, as_secs};
 use crate::fleet::{RoutePlan, WarmUp};
 
 /// A violation needs this fraction of the load to come from relays that had seen the outage: two of three.
@@ -50,23 +50,23 @@
 }
 
 impl Recovery {
-    fn record(&mut self, sample: LoadSample, parameters: &RuleParameters) {
+    fn record(&mut self, sample: LoadSample, tolerances: &RuleTolerances) {
         let now = sample.at;
         self.recent.push_back(sample);
-        while self.recent.front().is_some_and(|first| now.since(first.at) > parameters.overload_window) {
+        while self.recent.front().is_some_and(|first| now.since(first.at) > tolerances.overload_duration) {
             self.recent.pop_front();
         }
     }
 
     /// The overload of the window that ends now, if there is one.
     fn overload(
-        &self, now: Time, witnesses: &BTreeSet<usize>, parameters: &RuleParameters,
+        &self, now: Time, witnesses: &BTreeSet<usize>, tolerances: &RuleTolerances,
     ) -> Option<Overload> {
         let WarmUp { initial_fraction: from, duration } = self.warm_up;
         let warmed = (1.0 - from) * now.since(self.since).as_secs_f64() / duration.as_secs_f64();
         let capacity = self.capacity * (from + warmed);
-        let window_s = parameters.overload_window.as_secs_f64();
-        let limit = parameters.overload_multiple * capacity * window_s + parameters.overload_slack;
+        let window_s = tolerances.overload_duration.as_secs_f64();
+        let limit = tolerances.overload_factor * capacity * window_s + tolerances.overload_slack;
         let total: f64 = self.recent.iter().map(|sample| sample.weight).sum();
         let seen = self.recent.iter().filter(|sample| witnesses.contains(&sample.relay));
         let relays: BTreeSet<usize> = self.recent.iter().map(|sample| sample.relay).collect();
@@ -87,13 +87,13 @@
         self.from_witnesses * of >= self.total * part
     }
 
-    fn describe(&self, route: usize, parameters: &RuleParameters) -> String {
+    fn describe(&self, route: usize, tolerances: &RuleTolerances) -> String {
         format!(
             "lane {route}, back since {:.3} s, was sent {:.1} in {:.1} s where {:.1} would do ({:.1} times its \
              present capacity), {:.0} % of it by relays that had seen it fail; {} relays",
             as_secs(self.since),
             self.total,
-            parameters.overload_window.as_secs_f64(),
+            tolerances.overload_duration.as_secs_f64(),
             self.limit,
             self.total / self.capacity,
             self.from_witnesses / self.total * 100.0,
@@ -139,11 +139,11 @@
             record.recovery = None;
             return;
         }
-        recovery.record(LoadSample { at: now, relay, weight }, &self.parameters);
-        let Some(overload) = recovery.overload(now, &record.witnesses, &self.parameters) else { return };
+        recovery.record(LoadSample { at: now, relay, weight }, &self.tolerances);
+        let Some(overload) = recovery.overload(now, &record.witnesses, &self.tolerances) else { return };
         recovery.is_reported = true;
         if overload.is_by_witnesses() {
-            let what = overload.describe(route, &self.parameters);
+            let what = overload.describe(route, &self.tolerances);
             self.report(Rule::Return, now, None, None, what);
         }
     }
--- a/crates/model/src/metrics/recorder.rs
+++ b/crates/model/src/metrics/recorder.rs
@@ -1,7 +1,7 @@
 //! Counting of metrics while a run goes on.
 
 use hdrhistogram::Histogram;
-use juniperwing::interface::Status;
+use juniperwing::interface::CallStatus;
 use juniperwing::time::{Span, Time};
 
 use super::{GroupMetrics, Metrics, QUANTILES, SecondMetrics};
@@ -119,20 +119,20 @@
     }
 
     /// A relay is told the outcome of a push.
-    pub fn record_push_outcome(&mut self, at: Time, status: Status) {
+    pub fn record_push_outcome(&mut self, at: Time, status: CallStatus) {
         let pushes = &mut self.metrics.pushes;
         let count = match status {
-            Status::Delivered => &mut pushes.delivered,
-            Status::Error => &mut pushes.error,
-            Status::Busy => &mut pushes.busy,
-            Status::TimedOut => &mut pushes.timed_out,
-            Status::NoConnection | Status::Crowded => &mut pushes.no_connection,
-            Status::Reset => &mut pushes.reset,
-            Status::Cancelled => &mut pushes.cancelled,
-            Status::Skipped => &mut pushes.skipped,
+            CallStatus::Delivered => &mut pushes.delivered,
+            CallStatus::Error => &mut pushes.error,
+            CallStatus::Busy => &mut pushes.busy,
+            CallStatus::TimedOut => &mut pushes.timed_out,
+            CallStatus::NoConnection | CallStatus::ConnectionLimitReached => &mut pushes.no_connection,
+            CallStatus::Reset => &mut pushes.reset,
+            CallStatus::Cancelled => &mut pushes.cancelled,
+            CallStatus::Skipped => &mut pushes.skipped,
         };
         *count += 1;
-        if status == Status::Busy {
+        if status == CallStatus::Busy {
             self.second_at(at).rejected_pushes += 1;
         }
     }
--- a/crates/model/src/policy.rs
+++ b/crates/model/src/policy.rs
@@ -55,7 +55,7 @@
     }
 
     fn start(&self, now: Time, relay: usize, seed: u64, fleet: &Fleet) -> Box<dyn Policy> {
-        Box::new(Relay::new(now, seed, fleet.terms(relay)))
+        Box::new(Relay::new(now, seed, fleet.relay_config(relay)))
     }
 }
 
--- a/crates/model/src/route.rs
+++ b/crates/model/src/route.rs
@@ -11,9 +11,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct OverloadThreshold {
     /// The multiple of the present capacity...
-    pub multiple: f64,
+    pub factor: f64,
     /// ...that it may receive within this time...
-    pub window: Span,
+    pub duration: Span,
     /// ...and this many calls more.
     pub slack: f64,
 }
@@ -118,8 +118,8 @@
 
     /// What it may receive within the overload window now, without slack.
     fn load_limit(&self, now: Time, threshold: &OverloadThreshold) -> f64 {
-        let capacity = threshold.multiple * self.plan.capacity * self.capacity_fraction(now);
-        capacity * threshold.window.as_secs_f64()
+        let capacity = threshold.factor * self.plan.capacity * self.capacity_fraction(now);
+        capacity * threshold.duration.as_secs_f64()
     }
 
     /// How much more it may be sent now; infinite for a warm route.
@@ -127,7 +127,7 @@
         if self.is_warm(now) {
             return f64::INFINITY;
         }
-        let recent = self.recent_load.iter().filter(|sample| now.since(sample.at) <= threshold.window);
+        let recent = self.recent_load.iter().filter(|sample| now.since(sample.at) <= threshold.duration);
         self.load_limit(now, threshold) - recent.map(|sample| sample.weight).sum::<f64>()
     }
 
@@ -139,7 +139,7 @@
         self.recent_load.push_back(LoadSample { at: now, weight });
         self.recent_weight += weight;
         while let Some(first) =
-            self.recent_load.front().filter(|first| now.since(first.at) > threshold.window)
+            self.recent_load.front().filter(|first| now.since(first.at) > threshold.duration)
         {
             self.recent_weight -= first.weight;
             self.recent_load.pop_front();
--- a/crates/model/src/simulation/call_ends.rs
+++ b/crates/model/src/simulation/call_ends.rs
@@ -1,6 +1,6 @@
 //! Ends of calls and pushes as the relay sees them, and its connections.
 
-use juniperwing::interface::{NtfId, Outcome, Status};
+use juniperwing::interface::{CallStatus, NotificationId, PushOutcome};
 use juniperwing::time::Span;
 
 use super::state::{CallItem, CallState, RelayInput, Response, SimulationEvent};
@@ -14,7 +14,10 @@
             self.finish_all_items(id, response);
             let keeps_connection = !matches!(
                 response.status,
-                Status::NoConnection | Status::Crowded | Status::Reset | Status::Skipped
+                CallStatus::NoConnection
+                    | CallStatus::ConnectionLimitReached
+                    | CallStatus::Reset
+                    | CallStatus::Skipped
             );
             self.close_call(id, keeps_connection);
         }
@@ -32,15 +35,15 @@
         let Some(call) = self.calls.get_mut(&id) else { return };
         let item = &mut call.items[item];
         item.is_in_flight = false;
-        let outcome = Outcome {
-            ntf: NtfId(item.ntf),
-            push: item.push,
+        let outcome = PushOutcome {
+            notification: NotificationId(item.ntf),
+            push_index: item.push,
             endpoint: self.endpoints[call.endpoint].plan.id.clone(),
             status: response.status,
-            spent: self.now.since(call.sent_at),
-            settled: false,
-            wait: response.wait,
-            limit: response.limit,
+            elapsed: self.now.since(call.sent_at),
+            has_final_answer: false,
+            retry_after: response.wait,
+            rate_limit: response.limit,
         };
         let (relay, route) = (call.relay, call.route);
         self.enqueue_input(relay, RelayInput::PushEnded { outcome: Box::new(outcome), route });
@@ -50,13 +53,13 @@
         let Some(call) = self.calls.get(&id).filter(|call| call.is_awaited) else { return };
         let is_of = |item: &CallItem| item.ntf == ntf && item.is_in_flight;
         let Some(item) = call.items.iter().position(is_of) else { return };
-        let status = if call.is_connected { Status::TimedOut } else { Status::NoConnection };
+        let status = if call.is_connected { CallStatus::TimedOut } else { CallStatus::NoConnection };
         self.abort_item(id, item, status);
     }
 
     pub(super) fn handle_connect_timeout(&mut self, id: CallId) {
         if self.calls.get(&id).is_some_and(|call| call.is_awaited && !call.is_connected) {
-            self.abort_call(id, Status::NoConnection);
+            self.abort_call(id, CallStatus::NoConnection);
         }
     }
 
@@ -65,22 +68,22 @@
         let is_of = |item: &CallItem| item.ntf == ntf && item.push == push && item.is_in_flight;
         for id in &self.nodes[relay].calls {
             if let Some(item) = self.calls.get(id).and_then(|call| call.items.iter().position(is_of)) {
-                return self.abort_item(*id, item, Status::Cancelled);
+                return self.abort_item(*id, item, CallStatus::Cancelled);
             }
         }
     }
 
     /// Ends a push before its call. The call ends with its last push in flight, and with an ordered one.
-    fn abort_item(&mut self, id: CallId, item: usize, status: Status) {
+    fn abort_item(&mut self, id: CallId, item: usize, status: CallStatus) {
         self.finish_item(id, item, Response::of(status));
         let Some(call) = self.calls.get(&id) else { return };
         if call.items[item].is_ordered || !call.items.iter().any(|item| item.is_in_flight) {
-            self.abort_call(id, Status::Cancelled);
+            self.abort_call(id, CallStatus::Cancelled);
         }
     }
 
     /// Ends a call that has no response.
-    fn abort_call(&mut self, id: CallId, status: Status) {
+    fn abort_call(&mut self, id: CallId, status: CallStatus) {
         self.finish_all_items(id, Response::of(status));
         self.close_call(id, false);
     }
--- a/crates/model/src/simulation/calls.rs
+++ b/crates/model/src/simulation/calls.rs
@@ -1,6 +1,6 @@
 //! Calls on their way from a relay to an endpoint.
 
-use juniperwing::interface::{EndpointId, Status};
+use juniperwing::interface::{CallStatus, EndpointId};
 use juniperwing::time::Span;
 use rand::Rng;
 
@@ -42,13 +42,13 @@
             breaks_after_service: false,
         };
         let node = &mut self.nodes[relay];
-        let has_slot = node.calls.len() < node.plan.allowance.slots;
+        let has_slot = node.calls.len() < node.plan.limits.slots;
         node.calls.insert(id);
         if has_slot {
             self.send_call(id, call, pushes);
         } else {
             self.calls.insert(id, Call { state: CallState::Done, ..call });
-            self.schedule_response(id, self.now, Response::of(Status::Skipped));
+            self.schedule_response(id, self.now, Response::of(CallStatus::Skipped));
         }
     }
 
@@ -121,7 +121,7 @@
         let is_down =
             endpoint.is_terminated || faults.is_active(&self.fault_windows, FaultKind::Down, self.now);
         if is_down || endpoint.connections >= endpoint.plan.max_connections {
-            let status = if is_down { Status::NoConnection } else { Status::Crowded };
+            let status = if is_down { CallStatus::NoConnection } else { CallStatus::ConnectionLimitReached };
             let at = self.now + call.one_way_delay;
             self.schedule_response(id, at, Response::of(status));
             return self.set_call_state(id, CallState::Done);
--- a/crates/model/src/simulation/clients.rs
+++ b/crates/model/src/simulation/clients.rs
@@ -60,7 +60,7 @@
         if !node.is_running {
             return self.resubmit_elsewhere(notification);
         }
-        if node.pending.len() >= node.plan.allowance.held {
+        if node.pending.len() >= node.plan.limits.max_pending {
             self.recorder.metrics.rejected_at_capacity += 1;
             return self.resubmit_or_give_up(notification, relay, None);
         }
@@ -84,7 +84,9 @@
     }
 
     /// The relay has throttled a notification: its client submits it again, or gives up.
-    pub(super) fn resubmit_or_give_up(&mut self, notification: usize, relay: usize, retry_in: Option<Span>) {
+    pub(super) fn resubmit_or_give_up(
+        &mut self, notification: usize, relay: usize, retry_after: Option<Span>,
+    ) {
         let throttled = &mut self.notifications[notification];
         throttled.pending_at = None;
         if throttled.is_finished {
@@ -92,7 +94,7 @@
         }
         let plan = &self.scenario.clients;
         let max_retry = span_ms(plan.longest_retry_ms);
-        let announced = retry_in.filter(|_| max_retry > Span::ZERO).map(|span| span.min(max_retry));
+        let announced = retry_after.filter(|_| max_retry > Span::ZERO).map(|span| span.min(max_retry));
         match resubmit_delay(plan, &mut self.client_rng, throttled.resubmissions, announced) {
             Some(after) if self.now + after < throttled.valid_until => {
                 throttled.resubmissions += 1;
--- a/crates/model/src/simulation/commands.rs
+++ b/crates/model/src/simulation/commands.rs
@@ -27,8 +27,8 @@
     /// The pushes at the start of `commands` that travel to one endpoint in one call.
     fn pushes_of_call(&self, to: &EndpointId, commands: &[Command]) -> Vec<PushRequest> {
         let pushes = commands.iter().map_while(|command| match command {
-            Command::Push { ntf, endpoint, time_out, .. } if endpoint == to => {
-                Some(PushRequest { ntf: ntf.0, timeout: *time_out })
+            Command::Push { notification, endpoint, timeout, .. } if endpoint == to => {
+                Some(PushRequest { ntf: notification.0, timeout: *timeout })
             }
             _ => None,
         });
@@ -39,25 +39,29 @@
     fn max_pushes_per_call(&self, endpoint: &EndpointId) -> usize {
         let Some(endpoint) = self.endpoint_indices.get(&endpoint.0) else { return 1 };
         let destination = self.endpoints[*endpoint].plan.destination;
-        self.fleet.kinds[self.fleet.destinations[destination].kind].per_call.max(1)
+        self.fleet.kinds[self.fleet.destinations[destination].kind].max_notifications_per_call.max(1)
     }
 
     fn execute_command(&mut self, relay: usize, command: &Command) {
         match command {
-            Command::Cancel { ntf, push } => self.cancel_push(relay, ntf.0, *push),
-            Command::Throttle { ntf, retry_in } => self.throttle(relay, ntf.0, *retry_in),
+            Command::Cancel { notification, push_index } => {
+                self.cancel_push(relay, notification.0, *push_index)
+            }
+            Command::Throttle { notification, retry_after } => {
+                self.throttle(relay, notification.0, *retry_after)
+            }
             Command::Expire(ntf) => self.expire(relay, ntf.0),
-            Command::Wake(after) => self.schedule_wake(relay, *after),
-            Command::Subscribe => self.subscribe(relay),
+            Command::WakeAfter(after) => self.schedule_wake(relay, *after),
+            Command::SubscribeToEndpointList => self.subscribe(relay),
             Command::Probe(_) => self.recorder.metrics.probes += 1,
-            Command::CloseIdle(endpoint) => {
+            Command::CloseIdleConnections(endpoint) => {
                 if let Some(endpoint) = self.endpoint_indices.get(&endpoint.0).copied() {
                     let idle = self.nodes[relay].idle_connections.remove(&endpoint).unwrap_or_default();
                     self.endpoints[endpoint].connections -= idle.len();
                 }
             }
-            // Pushes are sent in batches, and a call is in flight at once: there is none to recall.
-            Command::Push { .. } | Command::Log(_) | Command::Recall(_) => {}
+            // Pushes are sent in batches, and a call is in flight at once: there is none to withhold.
+            Command::Push { .. } | Command::Log(_) | Command::CancelUnsent(_) => {}
         }
     }
 
@@ -71,9 +75,9 @@
         }
     }
 
-    fn throttle(&mut self, relay: usize, ntf: u64, retry_in: Span) {
+    fn throttle(&mut self, relay: usize, ntf: u64, retry_after: Span) {
         if let Some(notification) = self.answer(relay, ntf, FinalAnswer::Throttled) {
-            self.resubmit_or_give_up(notification, relay, Some(retry_in));
+            self.resubmit_or_give_up(notification, relay, Some(retry_after));
         }
     }
 
--- a/crates/model/src/simulation/inputs.rs
+++ b/crates/model/src/simulation/inputs.rs
@@ -1,6 +1,9 @@
 //! The inputs of relays as events of the core; the judge and the relay's storage take note of them.
 
-use juniperwing::interface::{Entry, Event, News, Notification, NtfId, Outcome, Past, Readiness, Status};
+use juniperwing::interface::{
+    CallStatus, EndpointEntry, EndpointListUpdate, Event, Notification, NotificationHistory, NotificationId,
+    PossibleRun, PushOutcome, Readiness,
+};
 use juniperwing::time::Time;
 
 use super::Simulation;
@@ -19,13 +22,14 @@
     pub(super) accepted: Vec<u64>,
 }
 
-fn execution_status(status: Status) -> ExecutionStatus {
+fn execution_status(status: CallStatus) -> ExecutionStatus {
     match status {
-        Status::Busy | Status::NoConnection | Status::Crowded | Status::Skipped => {
-            ExecutionStatus::NotExecuted
-        }
-        Status::TimedOut | Status::Reset | Status::Cancelled => ExecutionStatus::MayBeExecuting,
-        Status::Delivered | Status::Error => ExecutionStatus::MayHaveExecuted,
+        CallStatus::Busy
+        | CallStatus::NoConnection
+        | CallStatus::ConnectionLimitReached
+        | CallStatus::Skipped => ExecutionStatus::NotExecuted,
+        CallStatus::TimedOut | CallStatus::Reset | CallStatus::Cancelled => ExecutionStatus::MayBeExecuting,
+        CallStatus::Delivered | CallStatus::Error => ExecutionStatus::MayHaveExecuted,
     }
 }
 
@@ -38,22 +42,24 @@
             RelayInput::Accepted(ntf) => return self.convert_accepted(relay, ntf, effects),
             RelayInput::PushEnded { mut outcome, route } => {
                 self.handle_push_outcome(relay, route, &mut outcome, effects);
-                Event::Ended(*outcome)
-            }
-            RelayInput::EndpointChanges(changes) => {
-                Event::List(News::Changes(self.report_endpoints(relay, &changes)))
+                Event::PushEnded(*outcome)
             }
+            RelayInput::EndpointChanges(changes) => Event::EndpointListUpdated(EndpointListUpdate::Changes(
+                self.report_endpoints(relay, &changes),
+            )),
             RelayInput::EndpointSnapshot => {
                 let endpoints = self.readiness.iter().copied().enumerate();
                 let listed: Vec<(usize, Readiness)> =
                     endpoints.filter(|(_, readiness)| *readiness != Readiness::Deleted).collect();
-                Event::List(News::Whole(self.report_endpoints(relay, &listed)))
+                Event::EndpointListUpdated(EndpointListUpdate::Snapshot(
+                    self.report_endpoints(relay, &listed),
+                ))
             }
-            RelayInput::SubscriptionLost => Event::List(News::Broken),
-            RelayInput::Withdrawn(ntf) => Event::Withdrawn(NtfId(ntf)),
+            RelayInput::SubscriptionLost => Event::EndpointListUpdated(EndpointListUpdate::Failed),
+            RelayInput::Withdrawn(ntf) => Event::Withdrawn(NotificationId(ntf)),
             RelayInput::NoticeDelivered(ntf) => {
                 self.nodes[relay].pending.remove(&ntf);
-                Event::Heard(NtfId(ntf))
+                Event::FinalAnswerAcknowledged(NotificationId(ntf))
             }
         })
     }
@@ -76,22 +82,22 @@
         Some(Event::Accepted(self.core_notification(ntf, &self.nodes[relay].pending[&ntf])))
     }
 
-    /// A relay is told the outcome of a push; sets whether the notification is settled by it.
+    /// A relay is told the outcome of a push; sets whether the notification has its final answer.
     fn handle_push_outcome(
-        &mut self, relay: usize, route: usize, outcome: &mut Outcome, effects: &mut TurnEffects,
+        &mut self, relay: usize, route: usize, outcome: &mut PushOutcome, effects: &mut TurnEffects,
     ) {
-        let (ntf, status) = (outcome.ntf.0, outcome.status);
+        let (ntf, status) = (outcome.notification.0, outcome.status);
         let execution = execution_status(status);
-        self.judge.handle_outcome(self.now, relay, ntf, outcome.push, execution);
-        if !matches!(status, Status::Delivered | Status::Cancelled | Status::Skipped) {
+        self.judge.handle_outcome(self.now, relay, ntf, outcome.push_index, execution);
+        if !matches!(status, CallStatus::Delivered | CallStatus::Cancelled | CallStatus::Skipped) {
             self.judge.record_failure_seen(relay, route);
         }
-        if let Some(wait) = outcome.wait {
+        if let Some(wait) = outcome.retry_after {
             effects.waits.push((route, self.now + wait));
         }
         self.recorder.record_push_outcome(self.now, status);
         let Some(pending) = self.nodes[relay].pending.get_mut(&ntf) else {
-            outcome.settled = true;
+            outcome.has_final_answer = true;
             return;
         };
         let sent = pending.in_flight.take();
@@ -101,8 +107,8 @@
         if execution == ExecutionStatus::MayBeExecuting {
             pending.uncertain_since = Some(self.now);
         }
-        outcome.settled = pending.has_final_answer || status == Status::Delivered;
-        if status == Status::Delivered {
+        outcome.has_final_answer = pending.has_final_answer || status == CallStatus::Delivered;
+        if status == CallStatus::Delivered {
             self.handle_delivery(relay, ntf);
         }
     }
@@ -118,7 +124,7 @@
     }
 
     /// Entries of the endpoint list; the judge takes note of what the relay is told.
-    fn report_endpoints(&mut self, relay: usize, changes: &[(usize, Readiness)]) -> Vec<Entry> {
+    fn report_endpoints(&mut self, relay: usize, changes: &[(usize, Readiness)]) -> Vec<EndpointEntry> {
         for (endpoint, readiness) in changes {
             let is_serving = *readiness == Readiness::Serving;
             self.judge.handle_readiness(self.now, relay, *endpoint, is_serving);
@@ -126,15 +132,15 @@
         changes.iter().map(|(endpoint, readiness)| self.list_entry(*endpoint, *readiness)).collect()
     }
 
-    fn list_entry(&self, endpoint: usize, readiness: Readiness) -> Entry {
+    fn list_entry(&self, endpoint: usize, readiness: Readiness) -> EndpointEntry {
         let plan = &self.endpoints[endpoint].plan;
-        Entry {
+        EndpointEntry {
             endpoint: plan.id.clone(),
             destination: destination_id(plan.destination),
             kind: self.fleet.kinds[self.fleet.destinations[plan.destination].kind].clone(),
             zone: self.fleet.zones[plan.zone].clone(),
             readiness,
-            rate: self.routes[plan.route].plan.listed_rate,
+            rate_per_second: self.routes[plan.route].plan.listed_rate,
         }
     }
 
@@ -163,18 +169,21 @@
         let notification = &self.notifications[pending.notification];
         let submission = &notification.submission;
         Notification {
-            id: NtfId(ntf),
+            id: NotificationId(ntf),
             destination: destination_id(notification.destination),
             topic: self.fleet.topics[submission.topic].topic.clone(),
             account: submission.account.map(|account| self.fleet.accounts[account].clone()),
             key: notification.key.clone(),
             valid_until: notification.valid_until,
-            past: Past {
-                taken_up: true,
-                pushes: pending.push_count,
-                ran: pending.first_executed.map(|SentPush { at, zone }| (at, self.fleet.zones[zone].clone())),
-                doubt: pending.uncertain_since,
-                ended: pending.has_final_answer,
+            history: NotificationHistory {
+                is_recovered: true,
+                push_count: pending.push_count,
+                first_possible_run: pending.first_executed.map(|SentPush { at, zone }| PossibleRun {
+                    sent_at: at,
+                    zone: self.fleet.zones[zone].clone(),
+                }),
+                last_doubtful_end: pending.uncertain_since,
+                has_final_answer: pending.has_final_answer,
             },
         }
     }
--- a/crates/model/src/simulation/relays.rs
+++ b/crates/model/src/simulation/relays.rs
@@ -167,7 +167,7 @@
         let node = &mut self.nodes[relay];
         if node.wake_at <= self.now {
             node.wake_at = Time::NEVER;
-            events.push(Event::Woken);
+            events.push(Event::WakeUp);
         }
         events
     }
--- a/crates/model/src/simulation/service.rs
+++ b/crates/model/src/simulation/service.rs
@@ -1,6 +1,6 @@
 //! Calls at an endpoint: admission, service and response.
 
-use juniperwing::interface::Status;
+use juniperwing::interface::CallStatus;
 use juniperwing::time::{Span, Time};
 
 use super::Simulation;
@@ -14,7 +14,7 @@
     None,
     /// It is never answered.
     NoResponse,
-    Response(Status),
+    Response(CallStatus),
     /// It is served, and then its connection breaks.
     BreaksAfterService,
 }
@@ -38,7 +38,7 @@
         let destination = self.endpoints[endpoint].plan.destination;
         self.add_to_series(destination, |series| &mut series.reached, count as f64);
         if self.endpoints[endpoint].is_terminated || self.has_fault(endpoint, FaultKind::Down) {
-            return self.respond(id, Status::Reset, None);
+            return self.respond(id, CallStatus::Reset, None);
         }
         if !self.routes[route].is_out() {
             self.judge.record_route_load(self.now, relay, route, weight);
@@ -62,10 +62,10 @@
             return FaultEffect::NoResponse;
         }
         if self.has_fault(endpoint, FaultKind::Errors) || self.has_failing_topic(id, endpoint) {
-            return FaultEffect::Response(Status::Error);
+            return FaultEffect::Response(CallStatus::Error);
         }
         if self.has_fault(endpoint, FaultKind::Refuses) {
-            return FaultEffect::Response(Status::Busy);
+            return FaultEffect::Response(CallStatus::Busy);
         }
         let endpoint = &mut self.endpoints[endpoint];
         let unaffected =
@@ -76,7 +76,7 @@
         // Of the connections that break, one half break before the service and one half after it.
         let (affected, drawn) = (1.0 - unaffected, endpoint.draw_fraction());
         if drawn < affected / 2.0 {
-            FaultEffect::Response(Status::Reset)
+            FaultEffect::Response(CallStatus::Reset)
         } else if drawn < affected {
             FaultEffect::BreaksAfterService
         } else {
@@ -108,12 +108,12 @@
         if !is_within_limit {
             let is_announced = endpoint.draw_fraction() < announces_wait;
             let wait = is_announced.then(|| route.limit.time_until_available(now, factor));
-            return self.respond(id, Status::Busy, wait.filter(|wait| *wait > Span::ZERO));
+            return self.respond(id, CallStatus::Busy, wait.filter(|wait| *wait > Span::ZERO));
         }
         match endpoint.admit(id) {
             Admission::Started => self.start_service(id),
             Admission::Queued => self.set_call_state(id, CallState::Queued),
-            Admission::Rejected => self.respond(id, Status::Busy, None),
+            Admission::Rejected => self.respond(id, CallStatus::Busy, None),
         }
     }
 
@@ -165,8 +165,8 @@
         if !is_error {
             self.record_executions(id);
         }
-        let status = if is_error { Status::Error } else { Status::Delivered };
-        self.respond(id, if breaks_after_service { Status::Reset } else { status }, None);
+        let status = if is_error { CallStatus::Error } else { CallStatus::Delivered };
+        self.respond(id, if breaks_after_service { CallStatus::Reset } else { status }, None);
     }
 
     /// All notifications of a call have been executed.
@@ -199,10 +199,10 @@
     }
 
     /// The endpoint answers a call, or its connection breaks.
-    fn respond(&mut self, id: CallId, status: Status, wait: Option<Span>) {
+    fn respond(&mut self, id: CallId, status: CallStatus, wait: Option<Span>) {
         let Some(call) = self.calls.get(&id) else { return };
         let (is_awaited, at) = (call.is_awaited, self.now + call.one_way_delay);
-        let reports = self.kind_of(call.endpoint).reports && status != Status::Reset;
+        let reports = self.kind_of(call.endpoint).reports && status != CallStatus::Reset;
         let limit = if reports { self.endpoints[call.endpoint].latest_report(self.now) } else { None };
         if is_awaited && !self.has_fault(call.endpoint, FaultKind::CutBack) {
             self.schedule_response(id, at, Response { status, wait, limit });
--- a/crates/model/src/simulation/setup.rs
+++ b/crates/model/src/simulation/setup.rs
@@ -12,7 +12,7 @@
 use crate::event_queue::EventQueue;
 use crate::faults::{FaultSet, FaultWindow};
 use crate::fleet::{Fleet, span_ms};
-use crate::judge::{Judge, RuleParameters};
+use crate::judge::{Judge, RuleTolerances};
 use crate::metrics::{DestinationSeries, MetricsRecorder};
 use crate::policy::Policies;
 use crate::random::{Concern, RngStreams};
@@ -41,7 +41,7 @@
         Simulation {
             readiness: vec![Readiness::Serving; fleet.endpoints.len()],
             endpoint_indices: endpoint_indices(&fleet),
-            judge: Judge::new(rule_parameters(&scenario.rules), fleet.routes.len()),
+            judge: Judge::new(rule_tolerances(&scenario.rules), fleet.routes.len()),
             overload_threshold: overload_threshold(&scenario.rules),
             client_rng: rng.stream(Concern::Clients, 0),
             scenario: scenario.clone(),
@@ -110,7 +110,7 @@
 
 fn quotas(scenario: &Scenario, fleet: &Fleet) -> Vec<QuotaBucket> {
     let accounts = fleet.accounts.iter().zip(&scenario.account);
-    accounts.map(|(account, plan)| QuotaBucket::new(account.quota, plan.over_share)).collect()
+    accounts.map(|(account, plan)| QuotaBucket::new(account.quota_per_second, plan.over_share)).collect()
 }
 
 fn endpoint_indices(fleet: &Fleet) -> HashMap<std::sync::Arc<str>, usize> {
@@ -147,21 +147,21 @@
     order
 }
 
-fn rule_parameters(rules: &Rules) -> RuleParameters {
-    RuleParameters {
+fn rule_tolerances(rules: &Rules) -> RuleTolerances {
+    RuleTolerances {
         answer_slack: span_ms(rules.answer_slack_ms),
         drain_grace: span_ms(rules.drain_grace_ms),
-        key_settle_delay: span_ms(rules.settle_ms),
-        overload_multiple: rules.fall_multiple,
-        overload_window: span_ms(rules.tip_after_ms),
+        key_cooldown: span_ms(rules.settle_ms),
+        overload_factor: rules.fall_multiple,
+        overload_duration: span_ms(rules.tip_after_ms),
         overload_slack: rules.fall_slack,
     }
 }
 
 fn overload_threshold(rules: &Rules) -> OverloadThreshold {
     OverloadThreshold {
-        multiple: rules.fall_multiple,
-        window: span_ms(rules.tip_after_ms),
+        factor: rules.fall_multiple,
+        duration: span_ms(rules.tip_after_ms),
         slack: rules.fall_slack,
     }
 }
--- a/crates/model/src/simulation/state.rs
+++ b/crates/model/src/simulation/state.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use juniperwing::interface::{LimitReport, Outcome, Readiness, Status};
+use juniperwing::interface::{CallStatus, PushOutcome, RateLimitReport, Readiness};
 use juniperwing::time::{Span, Time};
 use rand_chacha::ChaCha8Rng;
 
@@ -78,15 +78,15 @@
 /// How an endpoint answers a call.
 #[derive(Clone, Copy)]
 pub(super) struct Response {
-    pub(super) status: Status,
+    pub(super) status: CallStatus,
     /// How long the relay is asked to wait.
     pub(super) wait: Option<Span>,
-    pub(super) limit: Option<LimitReport>,
+    pub(super) limit: Option<RateLimitReport>,
 }
 
 impl Response {
     /// A response that carries nothing but its status.
-    pub(super) fn of(status: Status) -> Response {
+    pub(super) fn of(status: CallStatus) -> Response {
         Response { status, wait: None, limit: None }
     }
 }
@@ -95,7 +95,7 @@
 pub(super) enum RelayInput {
     Accepted(u64),
     PushEnded {
-        outcome: Box<Outcome>,
+        outcome: Box<PushOutcome>,
         route: usize,
     },
     EndpointChanges(Vec<(usize, Readiness)>),
--- a/crates/model/src/traffic.rs
+++ b/crates/model/src/traffic.rs
@@ -280,7 +280,7 @@
         let (hurry, withdrawal): (f64, f64) = (rng.random(), rng.random());
         let withdrawn_after = self.withdrawn_after.draw(rng);
         let mut key = None;
-        if fleet.topics[topic].topic.ordered {
+        if fleet.topics[topic].topic.is_ordered {
             let keys = &mut self.keys[destination];
             let (name, relay_of_key) = keys.key(at, slot % keys.slots, destination, &self.relay_sums);
             (key, relay) = (Some(name), relay_of_key);
--- a/crates/model/tests/route.rs
+++ b/crates/model/tests/route.rs
@@ -31,7 +31,7 @@
 
 #[test]
 fn cold_route_is_overloaded_only_by_sustained_load() {
-    let threshold = OverloadThreshold { multiple: 2.0, window: Span::from_millis(1_500), slack: 2.0 };
+    let threshold = OverloadThreshold { factor: 2.0, duration: Span::from_millis(1_500), slack: 2.0 };
     let min_outage = Span::from_millis(1_000);
     for (gap_ms, is_too_much) in [(500, false), (100, true)] {
         let mut route = route();
