--- a/crates/lab/src/adapter.rs
+++ b/crates/lab/src/adapter.rs
@@ -239,7 +239,7 @@
 
 /// What a relay is started with, as the wire has it.
 fn settings(fleet: &Fleet, relay: usize) -> Value {
-    let RelayConfig { fleet: facts, limits: allowed, rules } = fleet.terms(relay);
+    let RelayConfig { fleet: facts, limits: allowed, rules } = fleet.relay_config(relay);
     let class = |plan: &juniperwing_model::fleet::TopicPlan| {
         let topic = &plan.topic;
         let (semantics, scope) = match topic.semantics {
--- a/crates/lab/src/baselines.rs
+++ b/crates/lab/src/baselines.rs
@@ -57,7 +57,7 @@
             }
 
             fn start(&self, _: Time, relay: usize, seed: u64, fleet: &Fleet) -> Box<dyn Policy> {
-                Box::new(Plain::new(Style::$name, seed, fleet.relays[relay].allowance, fleet.figures))
+                Box::new(Plain::new(Style::$name, seed, fleet.relays[relay].limits, fleet.rules))
             }
         }
     )*};
@@ -287,7 +287,10 @@
             let far = zone.is_some_and(|zone| *zone != entry.zone);
             let bad = self.style == Style::Oracle
                 && truth.endpoint(end).is_none_or(|s| {
-                    !s.answers || s.room == 0 && s.waiting > 1 || s.left < 0.02 || s.spare < SPARE
+                    !s.is_answering
+                        || s.free_servers == 0 && s.queued > 1
+                        || s.limit_remaining < 0.02
+                        || s.remaining_load < SPARE
                 });
             if !(waits || open || far || bad) {
                 let end = end.clone();
@@ -368,7 +371,7 @@
         for (id, held) in self.held.iter_mut().filter(|(_, held)| held.out.is_some() && !held.off) {
             let again =
                 held.ntf.topic.semantics != Semantics::NonIdempotent && held.pushes < self.allowed.max_pushes;
-            if again && truth.endpoint(&held.to).is_some_and(|state| !state.answers) {
+            if again && truth.endpoint(&held.to).is_some_and(|state| !state.is_answering) {
                 held.off = true;
                 commands
                     .push(Command::Cancel { notification: NotificationId(*id), push_index: held.pushes - 1 });
--- /dev/null
+++ b/crates/model/src/faults.rs
@@ -0,0 +1,143 @@
+//! The effect of the faults that act on an endpoint, a destination or the traffic at a moment.
+//!
+//! A fault is data: which faults apply to a thing, with their sizes and times, is looked up here, and the effect is
+//! computed from all that are active. Faults may therefore overlap and end in any order, and nothing that a fault
+//! changed needs to be restored.
+
+use juniperwing::time::{Span, Time};
+
+use crate::scenario::{Fault, FaultKind, Scenario};
+
+/// A pausing fault stands still for its size in seconds, once in so many times that.
+const PAUSE_PERIOD_SIZES: u64 = 4;
+/// The least factor, so that what is divided by it stays finite.
+const MIN_FACTOR: f64 = 1e-6;
+
+/// A fault of a resolved scenario, with its start and end as points in time.
+#[derive(Clone, Debug)]
+pub struct FaultWindow {
+    /// What goes wrong.
+    pub kind: FaultKind,
+    /// When it begins.
+    pub from: Time,
+    /// When it ends.
+    pub to: Time,
+    /// How long its factor takes to rise from 1 to its size.
+    pub ramp: Span,
+    /// How much; see [`FaultKind`] for its meaning and unit.
+    pub size: f64,
+    /// The fraction affected, of all that it could affect.
+    pub extent: f64,
+    /// Index of the topic type concerned.
+    pub topic: Option<usize>,
+    /// Index of the account concerned.
+    pub account: Option<usize>,
+}
+
+impl FaultWindow {
+    /// The windows of all faults of a resolved scenario.
+    pub fn all_of(scenario: &Scenario) -> Vec<FaultWindow> {
+        let topic = |name: &String| scenario.topic.iter().position(|topic| topic.name == *name);
+        let account = |name: &String| scenario.account.iter().position(|account| account.name == *name);
+        let window = |fault: &Fault| {
+            let from = Time::default() + Span::from_secs_f64(fault.start_s.least);
+            FaultWindow {
+                kind: fault.what,
+                from,
+                to: from + Span::from_secs_f64(fault.span_s.least),
+                ramp: Span::from_secs_f64(fault.ramp_s.least),
+                size: fault.size.least,
+                extent: fault.extent.least,
+                topic: fault.topic.as_ref().and_then(topic),
+                account: fault.account.as_ref().and_then(account),
+            }
+        };
+        scenario.faults.iter().map(window).collect()
+    }
+
+    /// Whether it acts at that time.
+    pub fn is_active(&self, now: Time) -> bool {
+        self.from <= now && now < self.to
+    }
+
+    /// Its factor at that time: from 1 to its size over the ramp.
+    pub fn factor(&self, now: Time) -> f64 {
+        let progress = if self.ramp > Span::ZERO {
+            (now.since(self.from).as_secs_f64() / self.ramp.as_secs_f64()).min(1.0)
+        } else {
+            1.0
+        };
+        1.0 + (self.size - 1.0) * progress
+    }
+
+    /// The end of the pause that a pausing fault is in; `None` between pauses.
+    fn pause_end(&self, now: Time) -> Option<Time> {
+        let pause = Span::from_secs_f64(self.size).as_nanos().max(1);
+        let elapsed = now.since(self.from).as_nanos() % (PAUSE_PERIOD_SIZES * pause);
+        (elapsed < pause).then(|| now + Span::from_nanos(pause - elapsed))
+    }
+}
+
+/// The faults that apply to a thing, as indices into the fault windows of the run.
+#[derive(Clone, Debug, Default)]
+pub struct FaultSet(Vec<usize>);
+
+impl FaultSet {
+    /// Adds a fault.
+    pub fn insert(&mut self, fault: usize) {
+        self.0.push(fault);
+    }
+
+    /// Whether no fault ever applies.
+    pub fn is_empty(&self) -> bool {
+        self.0.is_empty()
+    }
+
+    /// Whether a fault ever applies.
+    pub fn contains(&self, fault: usize) -> bool {
+        self.0.contains(&fault)
+    }
+
+    fn active<'a>(
+        &'a self, windows: &'a [FaultWindow], kind: FaultKind, now: Time,
+    ) -> impl Iterator<Item = &'a FaultWindow> {
+        let is_active = move |window: &&FaultWindow| window.kind == kind && window.is_active(now);
+        self.0.iter().map(|index| &windows[*index]).filter(is_active)
+    }
+
+    /// Whether a fault of that kind is active.
+    pub fn is_active(&self, windows: &[FaultWindow], kind: FaultKind, now: Time) -> bool {
+        self.active(windows, kind, now).next().is_some()
+    }
+
+    /// The product of the factors of all active faults of that kind.
+    pub fn factor(&self, windows: &[FaultWindow], kind: FaultKind, now: Time) -> f64 {
+        // In order of size: the product must not depend on the order of the scenario, not even in its last bit.
+        let mut factors: Vec<f64> =
+            self.active(windows, kind, now).map(|window| window.factor(now)).collect();
+        factors.sort_by(f64::total_cmp);
+        factors.into_iter().product::<f64>().max(MIN_FACTOR)
+    }
+
+    /// The time at which service resumes, if it is paused.
+    pub fn resumes_at(&self, windows: &[FaultWindow], now: Time) -> Option<Time> {
+        self.active(windows, FaultKind::Pauses, now).filter_map(|window| window.pause_end(now)).max()
+    }
+
+    /// Whether a topic type fails.
+    pub fn fails_topic(&self, windows: &[FaultWindow], topic: usize, now: Time) -> bool {
+        self.active(windows, FaultKind::TopicFails, now).any(|window| window.topic == Some(topic))
+    }
+
+    /// The probability that no active fault of that kind, whose sizes are probabilities, has an effect.
+    pub fn unaffected_probability(&self, windows: &[FaultWindow], kind: FaultKind, now: Time) -> f64 {
+        self.active(windows, kind, now).map(|window| (1.0 - window.size).clamp(0.0, 1.0)).product()
+    }
+
+    /// Whether no call at all succeeds.
+    pub fn is_outage(&self, windows: &[FaultWindow], now: Time) -> bool {
+        [FaultKind::Silent, FaultKind::Errors, FaultKind::Refuses, FaultKind::Down]
+            .into_iter()
+            .any(|kind| self.is_active(windows, kind, now))
+    }
+}
--- /dev/null
+++ b/crates/model/src/simulation/clients.rs
@@ -0,0 +1,133 @@
+//! Notifications as their clients have them: drawn, submitted, submitted again, withdrawn and given up.
+
+use juniperwing::time::Span;
+use rand::Rng;
+
+use super::Simulation;
+use super::state::{ClientNotification, PendingAt, PendingNotification, RelayInput, SimulationEvent};
+use crate::fleet::span_ms;
+use crate::metrics::{Submission, UndeliveredReason};
+use crate::traffic::{Arrival, resubmit_delay};
+
+impl Simulation<'_> {
+    pub(super) fn schedule_next_arrival(&mut self, source: usize) {
+        match self.traffic.next(source, &self.fleet, &self.fault_windows, &self.destination_faults) {
+            Some(arrival) => {
+                let at = arrival.drawn_at;
+                self.queue.schedule(at, SimulationEvent::Arrival { source, arrival: Box::new(arrival) });
+            }
+            None => self.active_sources -= 1,
+        }
+    }
+
+    pub(super) fn handle_arrival(&mut self, arrival: Arrival) {
+        let Arrival { submitted_at: at, destination, topic, relay, .. } = arrival;
+        let account = self.fleet.destinations[destination].account;
+        let mut benefit = self.scenario.topic[topic].benefit;
+        if let Some(account) = account {
+            benefit *= self.quotas[account].take(at);
+        }
+        let submission = Submission { at, topic, account, benefit };
+        let notification = self.notifications.len();
+        self.notifications.push(ClientNotification {
+            submission,
+            destination,
+            valid_until: at + arrival.ttl,
+            key: arrival.key,
+            work_s: arrival.work_s,
+            resubmissions: 0,
+            is_finished: false,
+            is_delivered: false,
+            pending_at: None,
+        });
+        self.unfinished += 1;
+        self.recorder.record_submission(&submission);
+        self.queue.schedule(at, SimulationEvent::Submit { notification, relay });
+        if let Some(after) = arrival.withdrawn_after {
+            self.queue.schedule(at + after, SimulationEvent::Withdraw { notification });
+        }
+    }
+
+    pub(super) fn handle_submission(&mut self, notification: usize, relay: usize) {
+        let submitted = &self.notifications[notification];
+        if submitted.is_finished {
+            return;
+        }
+        if self.now >= submitted.valid_until {
+            return self.give_up(notification, UndeliveredReason::Abandoned);
+        }
+        let node = &mut self.nodes[relay];
+        if !node.is_running {
+            return self.resubmit_elsewhere(notification);
+        }
+        if node.pending.len() >= node.plan.limits.max_pending {
+            self.recorder.metrics.rejected_at_capacity += 1;
+            return self.resubmit_or_give_up(notification, relay, None);
+        }
+        self.last_ntf += 1;
+        let ntf = self.last_ntf;
+        node.pending.insert(ntf, PendingNotification::new(notification));
+        self.notifications[notification].pending_at = Some(PendingAt { relay, ntf });
+        self.enqueue_input(relay, RelayInput::Accepted(ntf));
+    }
+
+    /// The relay is down: the client submits the notification to one that runs after a while.
+    pub(super) fn resubmit_elsewhere(&mut self, notification: usize) {
+        let running: Vec<usize> =
+            (0..self.nodes.len()).filter(|relay| self.nodes[*relay].is_running).collect();
+        let after = span_ms(self.scenario.clients.orphan_ms.draw(&mut self.client_rng));
+        let choice = self.client_rng.random::<u32>() as usize;
+        // With none running any relay will do: its client tries again.
+        let relay =
+            if running.is_empty() { choice % self.nodes.len() } else { running[choice % running.len()] };
+        self.queue.schedule(self.now + after, SimulationEvent::Submit { notification, relay });
+    }
+
+    /// The relay has throttled a notification: its client submits it again, or gives up.
+    pub(super) fn resubmit_or_give_up(
+        &mut self, notification: usize, relay: usize, retry_after: Option<Span>,
+    ) {
+        let throttled = &mut self.notifications[notification];
+        throttled.pending_at = None;
+        if throttled.is_finished {
+            return;
+        }
+        let plan = &self.scenario.clients;
+        let max_retry = span_ms(plan.longest_retry_ms);
+        let announced = retry_after.filter(|_| max_retry > Span::ZERO).map(|span| span.min(max_retry));
+        match resubmit_delay(plan, &mut self.client_rng, throttled.resubmissions, announced) {
+            Some(after) if self.now + after < throttled.valid_until => {
+                throttled.resubmissions += 1;
+                self.recorder.metrics.resubmissions += 1;
+                self.queue.schedule(self.now + after, SimulationEvent::Submit { notification, relay });
+            }
+            _ => self.give_up(notification, UndeliveredReason::Throttled),
+        }
+    }
+
+    /// The client is done with a notification, which counts as undelivered unless it was delivered.
+    pub(super) fn give_up(&mut self, notification: usize, reason: UndeliveredReason) {
+        let notification = &mut self.notifications[notification];
+        if !std::mem::replace(&mut notification.is_finished, true) {
+            self.unfinished -= 1;
+            if !notification.is_delivered {
+                let Submission { topic, account, .. } = notification.submission;
+                self.recorder.record_undelivered(topic, account, reason);
+            }
+        }
+    }
+
+    /// The client withdraws a notification.
+    pub(super) fn handle_withdrawal(&mut self, notification: usize) {
+        if let Some(PendingAt { relay, ntf }) = self.notifications[notification].pending_at.take() {
+            let node = &mut self.nodes[relay];
+            let is_owed = node.pending.get(&ntf).is_some_and(|pending| !pending.has_final_answer);
+            if is_owed && node.is_running {
+                node.pending.remove(&ntf);
+                self.judge.handle_withdrawal(ntf);
+                self.enqueue_input(relay, RelayInput::Withdrawn(ntf));
+            }
+        }
+        self.give_up(notification, UndeliveredReason::Abandoned);
+    }
+}
