--- /dev/null
+++ b/crates/model/src/event_queue.rs
@@ -0,0 +1,78 @@
+//! The queue of events to come, ordered by time and, at one instant, by the order in which they were scheduled.
+
+use std::cmp::{Ordering, Reverse};
+use std::collections::BinaryHeap;
+
+use juniperwing::time::Time;
+
+/// An event with its key, which alone orders it.
+struct Item<E> {
+    /// Its time, and a number that rises with each event scheduled.
+    key: (Time, u64),
+    event: E,
+}
+
+impl<E> PartialEq for Item<E> {
+    fn eq(&self, other: &Self) -> bool {
+        self.key == other.key
+    }
+}
+
+impl<E> Eq for Item<E> {}
+
+impl<E> PartialOrd for Item<E> {
+    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
+        Some(self.cmp(other))
+    }
+}
+
+impl<E> Ord for Item<E> {
+    fn cmp(&self, other: &Self) -> Ordering {
+        self.key.cmp(&other.key)
+    }
+}
+
+/// Events to come, and the time of the latest one that was taken.
+pub struct EventQueue<E> {
+    heap: BinaryHeap<Reverse<Item<E>>>,
+    scheduled: u64,
+    now: Time,
+}
+
+impl<E> Default for EventQueue<E> {
+    fn default() -> Self {
+        EventQueue { heap: BinaryHeap::new(), scheduled: 0, now: Time::default() }
+    }
+}
+
+impl<E> EventQueue<E> {
+    /// The time of the latest event that was taken.
+    pub fn now(&self) -> Time {
+        self.now
+    }
+
+    /// Schedules an event. One in the past comes now: time never goes back. One at [`Time::NEVER`] is dropped.
+    pub fn schedule(&mut self, at: Time, event: E) {
+        if at < Time::NEVER {
+            self.scheduled += 1;
+            self.heap.push(Reverse(Item { key: (at.max(self.now), self.scheduled), event }));
+        }
+    }
+
+    /// Takes the next event and moves the clock to its time.
+    pub fn pop(&mut self) -> Option<(Time, E)> {
+        let Reverse(item) = self.heap.pop()?;
+        self.now = item.key.0;
+        Some((self.now, item.event))
+    }
+
+    /// The number of events to come.
+    pub fn len(&self) -> usize {
+        self.heap.len()
+    }
+
+    /// Whether there are no events to come.
+    pub fn is_empty(&self) -> bool {
+        self.heap.is_empty()
+    }
+}
--- a/crates/node/src/keeper/subscription_confirmation.rs
+++ b/crates/node/src/keeper/subscription_confirmation.rs
@@ -14,8 +14,8 @@
 use juniperwing_protocol::replication::Version;
 use tokio::time::{Instant, sleep, timeout};
 
-use super::Controller;
 use super::consensus::PrimaryLocation;
+use super::controller::Controller;
 
 /// Between two questions while no majority confirms.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
@@ -44,12 +44,12 @@
     /// Whether the committed state here has every change that was committed before this was called. `false`
     /// if it is not known within the time for it.
     async fn is_committed_state_current(self: &Arc<Self>) -> bool {
-        let until = Instant::now() + self.control_times.confirmation_timeout;
+        let until = Instant::now() + self.control_timings.confirmation_timeout;
         if !self.is_voter(&self.lock()) {
             return false;
         }
         let Some(version) = self.confirmed_version().await else { return false };
-        let has_reached = |state: &super::State| {
+        let has_reached = |state: &super::controller::State| {
             state.consensus.committed().is_some_and(|committed| committed.version >= version)
         };
         self.wait_until(until, has_reached).await
@@ -61,7 +61,7 @@
             PrimaryLocation::Local => self.confirmed_version_as_primary().await,
             PrimaryLocation::Remote(address) => {
                 let question = Message::Registry(RegistryMessage::ReadCommittedVersion);
-                match self.peers.call(address, question, self.control_times.confirmation_timeout).await {
+                match self.peers.call(address, question, self.control_timings.confirmation_timeout).await {
                     Ok(Message::Registry(RegistryMessage::CommittedVersion { version })) => version,
                     _ => None,
                 }
@@ -72,7 +72,8 @@
 
     /// As primary: the committed version, confirmed by a majority after this was called.
     pub(super) async fn confirmed_version_as_primary(self: &Arc<Self>) -> Option<Version> {
-        let confirmed = timeout(self.control_times.confirmation_timeout, self.read_confirmed()).await.ok()?;
+        let confirmed =
+            timeout(self.control_timings.confirmation_timeout, self.read_confirmed()).await.ok()?;
         confirmed.ok().map(|committed| committed.version)
     }
 }
