--- a/src/rules/destination.rs
+++ b/src/rules/destination.rs
@@ -4,7 +4,7 @@
 use crate::interface::{CallStatus, Command, Notification, PushOutcome};
 use crate::message::{Component, Message};
 use crate::outbox::Outbox;
-use crate::state::{Destination, PendingNotification};
+use crate::state::{Destination, PendingNotification, TopicAtEndpoint};
 use crate::time::{Span, Time};
 
 impl Destination {
@@ -168,7 +168,8 @@
         let run = pending.in_flight.take();
         pending.is_finished |= outcome.has_final_answer;
         if status.may_have_run() {
-            let key = (outcome.endpoint.clone(), pending.notification.topic.name.clone());
+            let topic = pending.notification.topic.name.clone();
+            let key = TopicAtEndpoint { endpoint: outcome.endpoint.clone(), topic };
             let failures = self.topic_failures.entry(key).or_default();
             failures.count = if was_delivered { 0 } else { failures.count + 1 };
             failures.last_at = now;
--- a/src/rules/selection.rs
+++ b/src/rules/selection.rs
@@ -3,7 +3,7 @@
 use super::tuning::*;
 use crate::interface::{DeduplicationScope, EndpointId, PossibleRun, Semantics};
 use crate::message::{Call, PlannedPush, RecentLoad};
-use crate::state::{Destination, PendingNotification, ServingEndpoint};
+use crate::state::{Destination, PendingNotification, ServingEndpoint, TopicAtEndpoint};
 use crate::time::{Span, Time};
 
 impl Destination {
@@ -111,7 +111,8 @@
     /// each failure.
     fn is_failing_topic(&self, pending: &PendingNotification, endpoint: &EndpointId, now: Time) -> bool {
         let topic = &pending.notification.topic.name;
-        let failures = self.topic_failures.get(&(endpoint.clone(), topic.clone()));
+        let key = TopicAtEndpoint { endpoint: endpoint.clone(), topic: topic.clone() };
+        let failures = self.topic_failures.get(&key);
         let avoidance = |failures: u32| TOPIC_AVOIDANCE_PER_FAILURE.mul_f64(f64::from(failures));
         let is_overdue_there = |other: &PendingNotification| {
             other.last_endpoint.as_ref() == Some(endpoint)
--- a/src/state.rs
+++ b/src/state.rs
@@ -8,9 +8,9 @@
 mod key_queues;
 mod slots;
 
-pub(crate) use destination::{Destination, PendingNotification, ServingEndpoint};
+pub(crate) use destination::{Destination, PendingNotification, ServingEndpoint, TopicAtEndpoint};
 pub(crate) use destination_limiter::{DestinationLimiter, Recovery};
 pub(crate) use endpoint::{Endpoint, IdleLimit};
 pub(crate) use endpoint_list::EndpointList;
-pub(crate) use key_queues::KeyQueues;
+pub(crate) use key_queues::{KeyQueues, QueuedNotification};
 pub(crate) use slots::Slots;
--- a/src/state/destination.rs
+++ b/src/state/destination.rs
@@ -49,6 +49,14 @@
     pub(crate) zone: Arc<str>,
 }
 
+/// A topic type as delivered by one endpoint.
+#[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct TopicAtEndpoint {
+    pub(crate) endpoint: EndpointId,
+    /// The name of the topic type.
+    pub(crate) topic: String,
+}
+
 /// Pushes of one topic type that may have been executed, with no delivery since.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct TopicFailures {
@@ -77,8 +85,7 @@
     /// Since when acceptances are recorded.
     pub(crate) first_seen_at: Option<Time>,
     pub(crate) latencies: LatencyModel,
-    /// By endpoint and name of the topic type.
-    pub(crate) topic_failures: BTreeMap<(EndpointId, String), TopicFailures>,
+    pub(crate) topic_failures: BTreeMap<TopicAtEndpoint, TopicFailures>,
 }
 
 impl Destination {
@@ -94,7 +101,8 @@
             self.endpoints.push(ServingEndpoint { id: entry.endpoint, zone: entry.zone });
             self.endpoints.sort();
         }
-        self.topic_failures.retain(|key, _| self.endpoints.iter().any(|endpoint| endpoint.id == key.0));
+        self.topic_failures
+            .retain(|key, _| self.endpoints.iter().any(|endpoint| endpoint.id == key.endpoint));
     }
 
     /// Adds a notification accepted now.
