--- /dev/null
+++ b/crates/emulator/src/arguments.rs
@@ -0,0 +1,87 @@
+//! The command line of the emulator.
+
+use std::num::ParseIntError;
+
+use getopts::Options;
+use snafu::{ResultExt, Snafu};
+
+/// The parsed command line.
+#[derive(Debug)]
+pub struct Arguments {
+    /// The seed of the first scenario.
+    pub first_seed: u64,
+    /// How many scenarios with consecutive seeds to run.
+    pub scenarios: u64,
+    /// How many threads run scenarios; at least 1.
+    pub threads: usize,
+    /// Run the first scenario only and print its whole history.
+    pub log: bool,
+    /// Print violations without shrinking their scenarios.
+    pub brief: bool,
+}
+
+/// Why a command line was not accepted. The message ends with the usage text.
+#[derive(Debug, Snafu)]
+pub enum ArgumentsError {
+    /// The help was asked for, or there are arguments besides the options.
+    #[snafu(display("{usage}"))]
+    Usage {
+        /// The usage text.
+        usage: String,
+    },
+    /// An unknown option, or an option without its value.
+    #[snafu(display("{source}\n{usage}"))]
+    Option {
+        /// What is wrong with the option.
+        source: getopts::Fail,
+        /// The usage text.
+        usage: String,
+    },
+    /// The value of an option is not a number.
+    #[snafu(display("--{name}: {source}\n{usage}"))]
+    Number {
+        /// The option.
+        name: &'static str,
+        /// What is wrong with the number.
+        source: ParseIntError,
+        /// The usage text.
+        usage: String,
+    },
+}
+
+impl Arguments {
+    /// Parses the arguments of the program (without its name).
+    ///
+    /// # Errors
+    ///
+    /// If the help is asked for, or if an argument is unknown or not valid.
+    pub fn parse(arguments: &[String]) -> Result<Arguments, ArgumentsError> {
+        let options = options();
+        let usage = options.usage("Usage: juniperwing-emulator [OPTIONS]");
+        let matches = options.parse(arguments).context(OptionSnafu { usage: &usage })?;
+        if matches.opt_present("help") || !matches.free.is_empty() {
+            return UsageSnafu { usage }.fail();
+        }
+        let number = |name: &'static str, default: u64| {
+            matches.opt_get_default(name, default).context(NumberSnafu { name, usage: &usage })
+        };
+        Ok(Arguments {
+            first_seed: number("seed", 1)?,
+            scenarios: number("days", 1_000)?,
+            threads: number("jobs", 4)?.max(1) as usize,
+            log: matches.opt_present("log"),
+            brief: matches.opt_present("brief"),
+        })
+    }
+}
+
+fn options() -> Options {
+    let mut options = Options::new();
+    options.optopt("", "days", "how many days to play [default: 1000]", "COUNT");
+    options.optopt("", "jobs", "on how many cores [default: 4]", "COUNT");
+    options.optopt("", "seed", "the seed of the first day [default: 1]", "SEED");
+    options.optflag("", "log", "play the first day only and print all that was seen");
+    options.optflag("", "brief", "count findings only; don't look for the least troubles");
+    options.optflag("h", "help", "print this");
+    options
+}
--- a/crates/emulator/src/clock.rs
+++ b/crates/emulator/src/clock.rs
@@ -1,4 +1,4 @@
-//! Virtual time as one simulated machine sees it.
+//! Virtual time, of the whole simulation and of one machine.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -9,54 +9,54 @@
 use tokio::runtime::Handle;
 use tokio::time::Instant;
 
-/// The time up to which the whole simulation has been played, shared by all machines.
+/// The time up to which all machines have run. Clones share the time.
 #[derive(Clone, Debug, Default)]
-pub struct WorldTime(Arc<AtomicU64>);
+pub struct SimulationTime(Arc<AtomicU64>);
 
-impl WorldTime {
-    /// The time.
+impl SimulationTime {
+    /// Returns the time.
     pub fn now(&self) -> Time {
         Time::from_nanos(self.0.load(Ordering::Relaxed))
     }
 
-    /// The simulation has been played up to `time`.
+    /// Sets the time.
     pub fn set(&self, time: Time) {
         self.0.store(time.since(Time::default()).as_nanos(), Ordering::Relaxed);
     }
 }
 
-/// A moment at which the paused clock of a process and the simulated time were read together.
+/// The start of a process, on the paused clock of its runtime and in simulation time.
 #[derive(Clone, Copy, Debug)]
-struct Started {
+struct ProcessStart {
     instant: Instant,
     at: Time,
 }
 
-/// The clock of one machine. Within a step of the simulation it runs ahead of the world's time.
+/// The clock of one machine. Within a step of the simulation it runs ahead of the simulation time.
 #[derive(Debug)]
 pub struct MachineClock {
-    world: WorldTime,
-    started: Mutex<Option<Started>>,
+    simulation_time: SimulationTime,
+    started: Mutex<Option<ProcessStart>>,
 }
 
 impl MachineClock {
-    /// A clock that shows the world's time.
-    pub fn new(world: WorldTime) -> MachineClock {
-        MachineClock { world, started: Mutex::default() }
+    /// Creates a clock that shows the simulation time.
+    pub fn new(simulation_time: SimulationTime) -> MachineClock {
+        MachineClock { simulation_time, started: Mutex::default() }
     }
 
-    /// A process has started; called in its runtime.
+    /// Marks the start of a process. Must be called in the context of its runtime.
     pub fn start_process(&self) {
-        let started = Started { instant: Instant::now(), at: self.world.now() };
+        let started = ProcessStart { instant: Instant::now(), at: self.simulation_time.now() };
         *lock(&self.started) = Some(started);
     }
 
-    /// The process has ended.
+    /// Marks the end of the process.
     pub fn end_process(&self) {
         *lock(&self.started) = None;
     }
 
-    /// Now: in the runtime of the process its own time, elsewhere the world's.
+    /// Returns the time of the process in the context of its runtime, and the simulation time elsewhere.
     pub fn now(&self) -> Time {
         let started = *lock(&self.started);
         match started {
@@ -64,11 +64,11 @@
                 let elapsed = Instant::now().saturating_duration_since(started.instant);
                 Time::from_nanos(started.at.since(Time::default()).as_nanos() + elapsed.as_nanos() as u64)
             }
-            _ => self.world.now(),
+            _ => self.simulation_time.now(),
         }
     }
 
-    /// From now until `time`.
+    /// Returns the duration from now until `time`; zero if it has passed.
     pub fn until(&self, time: Time) -> Duration {
         Duration::from_nanos(time.since(self.now()).as_nanos())
     }
--- a/crates/emulator/src/disk.rs
+++ b/crates/emulator/src/disk.rs
@@ -1,9 +1,9 @@
-//! A disk that loses what was not synced.
+//! A simulated disk that loses unsynced writes when its machine loses power.
 //!
-//! Every operation has a time. A process sees its operations at once; a kill undoes those that had not begun by
-//! then, and a loss of power leaves of the unsynced ones some whole, some torn and some not at all, each on its
-//! own. As the operators' pages say, a new file lasts with its own sync, and renamed and removed names last with
-//! the sync of their folder.
+//! Every operation has a start and a completion time. A process sees its operations at once. When it is killed, the
+//! operations that had not started by then are undone. When the machine loses power, each unsynced operation is, on its
+//! own, kept, torn or lost. As the operators' pages define it, a new file is durable after its own sync, and a rename or
+//! removal after a sync of the directory.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ffi::OsString;
@@ -19,51 +19,54 @@
 use crate::clock::MachineClock;
 use juniperwing_random::Rng;
 
-/// How long a call takes that does not wait for the disk.
-const CALL: Span = Span::from_nanos(50_000);
-/// How long a sync takes on a disk that is not slowed.
-const SYNC: Span = Span::from_millis(5);
+/// The latency of an operation other than a sync.
+const CALL_LATENCY: Span = Span::from_nanos(50_000);
+/// The latency of a sync with a slowdown factor of 1.
+const SYNC_LATENCY: Span = Span::from_millis(5);
 
-/// Tells files apart, whatever their names.
-type FileNumber = u64;
+/// Identifies a file independent of its name, as an inode number does.
+type FileId = u64;
 
+/// An operation on the disk.
 #[derive(Clone, Debug)]
 enum Operation {
-    Create { path: PathBuf, file: FileNumber },
-    Append { file: FileNumber, offset: usize, bytes: Vec<u8> },
-    SyncFile(FileNumber),
-    SyncFolder(PathBuf),
+    Create { path: PathBuf, file: FileId },
+    Append { file: FileId, offset: usize, bytes: Vec<u8> },
+    SyncFile(FileId),
+    SyncDirectory(PathBuf),
     Rename { from: PathBuf, to: PathBuf },
     Remove { path: PathBuf },
 }
 
+/// A journal entry.
 #[derive(Clone, Debug)]
 struct Entry {
-    begun: Time,
-    done: Time,
+    started_at: Time,
+    completed_at: Time,
     operation: Operation,
 }
 
-/// What a disk holds.
+/// The contents of a disk.
 #[derive(Clone, Debug, Default)]
 struct Contents {
-    names: BTreeMap<PathBuf, FileNumber>,
-    files: BTreeMap<FileNumber, Vec<u8>>,
-    folders: BTreeSet<PathBuf>,
+    names: BTreeMap<PathBuf, FileId>,
+    files: BTreeMap<FileId, Vec<u8>>,
+    directories: BTreeSet<PathBuf>,
 }
 
+/// What the lock guards.
 #[derive(Debug)]
 struct State {
-    /// As processes see it.
-    seen: Contents,
-    /// What lasts for certain.
-    lasting: Contents,
-    /// What was done to `lasting` since.
+    /// The contents as processes see them.
+    visible: Contents,
+    /// The contents that survive a loss of power for certain.
+    durable: Contents,
+    /// The operations that lead from `durable` to `visible`.
     journal: Vec<Entry>,
-    next_file: FileNumber,
-    slowness: u32,
-    /// How far the calls made since the last question have come.
-    spent: Span,
+    next_file: FileId,
+    slowdown_factor: u32,
+    /// The latency of the operations since the last [`SimulatedDisk::take_elapsed`].
+    elapsed: Span,
     rng: Rng,
 }
 
@@ -75,66 +78,66 @@
 }
 
 impl SimulatedDisk {
-    /// An empty disk. `rng` decides what a loss of power leaves.
+    /// Creates an empty disk. `rng` decides what a loss of power leaves.
     pub fn new(clock: Arc<MachineClock>, rng: Rng) -> SimulatedDisk {
         let state = State {
-            seen: Contents::default(),
-            lasting: Contents::default(),
+            visible: Contents::default(),
+            durable: Contents::default(),
             journal: Vec::new(),
             next_file: 1,
-            slowness: 1,
-            spent: Span::ZERO,
+            slowdown_factor: 1,
+            elapsed: Span::ZERO,
             rng,
         };
         SimulatedDisk { clock, state: Mutex::new(state) }
     }
 
-    /// Makes syncs take so many times as long as usual.
-    pub fn set_slowness(&self, factor: u32) {
-        self.lock().slowness = factor;
+    /// Sets how many times longer than usual syncs take.
+    pub fn set_slowdown_factor(&self, factor: u32) {
+        self.lock().slowdown_factor = factor;
     }
 
-    /// How long the calls took since this was last asked.
-    pub fn take_time(&self) -> Duration {
-        Duration::from_nanos(std::mem::replace(&mut self.lock().spent, Span::ZERO).as_nanos())
+    /// Returns and resets the latency of the operations since the last call.
+    pub fn take_elapsed(&self) -> Duration {
+        Duration::from_nanos(std::mem::replace(&mut self.lock().elapsed, Span::ZERO).as_nanos())
     }
 
-    /// The process is killed: what it had not begun by `now` is not done.
+    /// Undoes the operations that had not started by `now`, when the process is killed.
     pub fn kill_process(&self, now: Time) {
         let mut state = self.lock();
-        state.forget_unbegun(now);
-        let mut seen = state.lasting.clone();
+        state.discard_unstarted(now);
+        let mut visible = state.durable.clone();
         for entry in &state.journal {
-            seen.apply(&entry.operation);
+            visible.apply(&entry.operation);
         }
-        state.seen = seen;
+        state.visible = visible;
     }
 
-    /// The machine loses power.
+    /// Drops or tears unsynced operations, when the machine loses power.
     pub fn lose_power(&self, now: Time) {
         let mut state = self.lock();
-        state.forget_unbegun(now);
+        state.discard_unstarted(now);
         let journal = std::mem::take(&mut state.journal);
-        let all_gone = state.rng.one_in(4);
-        let mut left = std::mem::take(&mut state.lasting);
+        let loses_all = state.rng.one_in(4);
+        let mut remaining = std::mem::take(&mut state.durable);
         for (index, entry) in journal.iter().enumerate() {
-            if lasts(&journal[index..], now) {
-                left.apply(&entry.operation);
-            } else if !all_gone {
-                apply_in_part(&mut left, &entry.operation, &mut state.rng);
+            if is_durable(&journal[index..], now) {
+                remaining.apply(&entry.operation);
+            } else if !loses_all {
+                apply_partially(&mut remaining, &entry.operation, &mut state.rng);
             }
         }
-        state.lasting = left.clone();
-        state.seen = left;
+        state.durable = remaining.clone();
+        state.visible = remaining;
     }
 
-    /// The disk is replaced by an empty one.
+    /// Replaces the disk by an empty one.
     pub fn wipe(&self) {
         let mut state = self.lock();
-        state.seen = Contents::default();
-        state.lasting = Contents::default();
+        state.visible = Contents::default();
+        state.durable = Contents::default();
         state.journal.clear();
-        state.spent = Span::ZERO;
+        state.elapsed = Span::ZERO;
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -145,70 +148,75 @@
         let now = self.clock.now();
         let mut state = self.lock();
         let operation = operation(&mut state)?;
-        let begun = now + state.spent;
-        state.spent = state.spent + state.cost_of(&operation);
-        let done = now + state.spent;
-        state.seen.apply(&operation);
-        state.journal.push(Entry { begun, done, operation });
-        state.settle(now);
+        let started_at = now + state.elapsed;
+        state.elapsed = state.elapsed + state.latency_of(&operation);
+        let completed_at = now + state.elapsed;
+        state.visible.apply(&operation);
+        state.journal.push(Entry { started_at, completed_at, operation });
+        state.apply_durable(now);
         Ok(())
     }
 }
 
 impl State {
-    fn cost_of(&self, operation: &Operation) -> Span {
+    fn latency_of(&self, operation: &Operation) -> Span {
         match operation {
-            Operation::SyncFile(_) | Operation::SyncFolder(_) => SYNC.mul_f64(f64::from(self.slowness)),
-            _ => CALL,
+            Operation::SyncFile(_) | Operation::SyncDirectory(_) => {
+                SYNC_LATENCY.mul_f64(f64::from(self.slowdown_factor))
+            }
+            _ => CALL_LATENCY,
         }
     }
 
-    fn forget_unbegun(&mut self, now: Time) {
-        self.journal.retain(|entry| entry.begun < now);
-        self.spent = Span::ZERO;
+    fn discard_unstarted(&mut self, now: Time) {
+        self.journal.retain(|entry| entry.started_at < now);
+        self.elapsed = Span::ZERO;
     }
 
-    /// Moves what lasts for certain out of the journal.
-    fn settle(&mut self, now: Time) {
+    /// Moves durable operations from the journal into `durable`, and drops files without a name.
+    fn apply_durable(&mut self, now: Time) {
         let journal = &self.journal;
-        let settled = (0..journal.len()).take_while(|index| lasts(&journal[*index..], now)).count();
-        for entry in self.journal.drain(..settled) {
-            self.lasting.apply(&entry.operation);
+        let durable_count =
+            (0..journal.len()).take_while(|index| is_durable(&journal[*index..], now)).count();
+        for entry in self.journal.drain(..durable_count) {
+            self.durable.apply(&entry.operation);
         }
-        let named: BTreeSet<FileNumber> =
-            self.lasting.names.values().chain(self.seen.names.values()).copied().collect();
+        let named: BTreeSet<FileId> =
+            self.durable.names.values().chain(self.visible.names.values()).copied().collect();
         let pending = !self.journal.is_empty();
-        self.lasting.files.retain(|file, _| pending || named.contains(file));
-        self.seen.files.retain(|file, _| pending || named.contains(file));
+        self.durable.files.retain(|file, _| pending || named.contains(file));
+        self.visible.files.retain(|file, _| pending || named.contains(file));
     }
 
-    fn file(&self, path: &Path) -> io::Result<FileNumber> {
-        self.seen.names.get(path).copied().ok_or_else(|| io::ErrorKind::NotFound.into())
+    fn file(&self, path: &Path) -> io::Result<FileId> {
+        self.visible.names.get(path).copied().ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 }
 
-/// Whether the first of the entries lasts by what follows it up to `now`.
-fn lasts(entries: &[Entry], now: Time) -> bool {
+/// Whether the first of the entries is durable, given the syncs that completed after it by `now`.
+fn is_durable(entries: &[Entry], now: Time) -> bool {
     let Some((first, later)) = entries.split_first() else { return false };
-    let followed_by = |wanted: &dyn Fn(&Operation) -> bool| {
-        later.iter().any(|entry| entry.done <= now && wanted(&entry.operation))
+    let followed_by = |predicate: &dyn Fn(&Operation) -> bool| {
+        later.iter().any(|entry| entry.completed_at <= now && predicate(&entry.operation))
     };
-    let folder_synced = |path: &Path| {
-        let folder = path.parent().unwrap_or(path).to_owned();
-        followed_by(&|operation| matches!(operation, Operation::SyncFolder(synced) if *synced == folder))
+    let is_directory_synced = |path: &Path| {
+        let directory = path.parent().unwrap_or(path).to_owned();
+        followed_by(
+            &|operation| matches!(operation, Operation::SyncDirectory(synced) if *synced == directory),
+        )
     };
     match &first.operation {
-        Operation::SyncFile(_) | Operation::SyncFolder(_) => first.done <= now,
+        Operation::SyncFile(_) | Operation::SyncDirectory(_) => first.completed_at <= now,
         Operation::Create { file, .. } | Operation::Append { file, .. } => {
             followed_by(&|operation| matches!(operation, Operation::SyncFile(synced) if synced == file))
         }
-        Operation::Rename { from, .. } => folder_synced(from),
-        Operation::Remove { path } => folder_synced(path),
+        Operation::Rename { from, .. } => is_directory_synced(from),
+        Operation::Remove { path } => is_directory_synced(path),
     }
 }
 
-/// Leaves of an operation that does not last for certain all, a part or nothing.
-fn apply_in_part(contents: &mut Contents, operation: &Operation, rng: &mut Rng) {
+/// Applies an operation that is not durable in full, in part or not at all.
+fn apply_partially(contents: &mut Contents, operation: &Operation, rng: &mut Rng) {
     match (rng.below(3), operation) {
         (0, _) => contents.apply(operation),
         (1, Operation::Append { file, offset, bytes }) => {
@@ -227,12 +235,12 @@
                 self.files.entry(*file).or_default();
             }
             Operation::Append { file, offset, bytes } => {
-                let held = self.files.entry(*file).or_default();
+                let content = self.files.entry(*file).or_default();
                 let end = offset + bytes.len();
-                held.resize(held.len().max(end), 0);
-                held[*offset..end].copy_from_slice(bytes);
+                content.resize(content.len().max(end), 0);
+                content[*offset..end].copy_from_slice(bytes);
             }
-            Operation::SyncFile(_) | Operation::SyncFolder(_) => {}
+            Operation::SyncFile(_) | Operation::SyncDirectory(_) => {}
             Operation::Rename { from, to } => {
                 if let Some(file) = self.names.remove(from) {
                     self.names.insert(to.clone(), file);
@@ -244,23 +252,23 @@
 }
 
 impl FileSystem for SimulatedDisk {
-    fn create_dir_all(&self, folder: &Path) -> io::Result<()> {
-        // Folders are made at the first start; that their own names may be lost is not simulated.
+    fn create_dir_all(&self, directory: &Path) -> io::Result<()> {
+        // Directories are created at the first start; the loss of their own names is not simulated.
         let mut state = self.lock();
-        state.seen.folders.insert(folder.to_owned());
-        state.lasting.folders.insert(folder.to_owned());
+        state.visible.directories.insert(directory.to_owned());
+        state.durable.directories.insert(directory.to_owned());
         Ok(())
     }
 
     fn read(&self, path: &Path) -> io::Result<Vec<u8>> {
         let state = self.lock();
         let file = state.file(path)?;
-        Ok(state.seen.files.get(&file).cloned().unwrap_or_default())
+        Ok(state.visible.files.get(&file).cloned().unwrap_or_default())
     }
 
-    fn read_dir(&self, folder: &Path) -> io::Result<Vec<OsString>> {
+    fn read_dir(&self, directory: &Path) -> io::Result<Vec<OsString>> {
         let state = self.lock();
-        let inside = state.seen.names.keys().filter(|path| path.parent() == Some(folder));
+        let inside = state.visible.names.keys().filter(|path| path.parent() == Some(directory));
         Ok(inside.filter_map(|path| path.file_name().map(ToOwned::to_owned)).collect())
     }
 
@@ -275,7 +283,7 @@
     fn append(&self, path: &Path, bytes: &[u8]) -> io::Result<()> {
         self.operate(|state| {
             let file = state.file(path)?;
-            let offset = state.seen.files.get(&file).map_or(0, Vec::len);
+            let offset = state.visible.files.get(&file).map_or(0, Vec::len);
             Ok(Operation::Append { file, offset, bytes: bytes.to_vec() })
         })
     }
@@ -283,7 +291,7 @@
     fn sync(&self, path: &Path) -> io::Result<()> {
         self.operate(|state| match state.file(path) {
             Ok(file) => Ok(Operation::SyncFile(file)),
-            Err(_) => Ok(Operation::SyncFolder(path.to_owned())),
+            Err(_) => Ok(Operation::SyncDirectory(path.to_owned())),
         })
     }
 
--- a/crates/emulator/src/endpoints.rs
+++ b/crates/emulator/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints: heartbeats with rising sequence, drains, ends, and some that fall silent.
+//! Endpoints: send heartbeats with rising sequence numbers, drain, terminate, or stop without notice.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,26 +10,27 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-use crate::history::{History, Seen};
-use crate::http::Call;
-use crate::operators::number_of;
+use crate::history::{Event, History};
+use crate::http::Request;
+use crate::operators::keeper_number;
 use juniperwing_random::Rng;
 
-/// From one heartbeat to the next.
-pub const HEARTBEAT: Duration = Duration::from_millis(1_200);
-/// A caller moves on after this much silence.
-const SILENCE: Duration = Duration::from_secs(1);
-/// How long an endpoint tries to have its end acknowledged.
-const END_WITHIN: Span = Span::from_millis(6_000);
-/// How long it serves on after the acknowledgement.
-const SERVE_ON: Duration = Duration::from_millis(2_000);
+/// The interval between heartbeats.
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_200);
+/// The time-out of a request, after which another keeper is tried.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long an endpoint retries to have its draining or termination acknowledged.
+const MAX_TERMINATION_DURATION: Span = Span::from_millis(6_000);
+/// How long an endpoint drains before it terminates.
+const DRAINING_DURATION: Duration = Duration::from_millis(2_000);
 
-/// One endpoint, life after life.
+/// An endpoint, which runs one incarnation after the other.
 struct Endpoint {
     number: u64,
-    life: u64,
+    incarnation: u64,
     sequence: u64,
-    turn: usize,
+    /// The index of the keeper to use, which wraps around.
+    keeper_index: usize,
     keepers: watch::Receiver<Vec<SocketAddr>>,
     history: History,
     rng: Rng,
@@ -40,83 +41,89 @@
     let mut endpoints = JoinSet::new();
     for number in 0..count {
         let mut rng = Rng::for_purpose(seed, 2_000 + number);
-        let turn = rng.below(16) as usize;
+        let keeper_index = rng.below(16) as usize;
         let (keepers, history) = (keepers.clone(), history.clone());
-        let endpoint = Endpoint { number, life: 0, sequence: 0, turn, keepers, history, rng };
-        endpoints.spawn(endpoint.live());
+        let endpoint = Endpoint { number, incarnation: 0, sequence: 0, keeper_index, keepers, history, rng };
+        endpoints.spawn(endpoint.run());
     }
     while endpoints.join_next().await.is_some() {}
 }
 
 impl Endpoint {
-    async fn live(mut self) {
+    async fn run(mut self) {
         sleep(Duration::from_millis(self.rng.below(1_500))).await;
         loop {
-            let lives_for = Span::from_millis(self.rng.between(4_000, 25_000));
-            let until = clock::now() + lives_for;
+            let lifetime = Span::from_millis(self.rng.between(4_000, 25_000));
+            let until = clock::now() + lifetime;
             while clock::now() < until {
-                self.say(InstanceState::Ready).await;
-                sleep(HEARTBEAT).await;
+                self.report(InstanceState::Ready).await;
+                sleep(HEARTBEAT_INTERVAL).await;
             }
             match self.rng.below(4) {
                 0 => {}
-                1 => self.insist(InstanceState::Terminated).await,
+                1 => self.report_until_acknowledged(InstanceState::Terminated).await,
                 _ => {
-                    self.insist(InstanceState::Draining).await;
-                    sleep(SERVE_ON).await;
-                    self.insist(InstanceState::Terminated).await;
+                    self.report_until_acknowledged(InstanceState::Draining).await;
+                    sleep(DRAINING_DURATION).await;
+                    self.report_until_acknowledged(InstanceState::Terminated).await;
                 }
             }
-            self.history.add(clock::now(), Seen::EndpointSilent { id: self.id() });
-            self.life += 1;
+            self.history.record(clock::now(), Event::EndpointStopped { id: self.id() });
+            self.incarnation += 1;
             sleep(Duration::from_millis(self.rng.between(500, 3_000))).await;
         }
     }
 
+    /// The identifier of this incarnation.
     fn id(&self) -> String {
-        format!("i-{}-{}", self.number, self.life)
+        format!("i-{}-{}", self.number, self.incarnation)
     }
 
-    /// Says it until it is acknowledged, for a while.
-    async fn insist(&mut self, state: InstanceState) {
-        let until: Time = clock::now() + END_WITHIN;
-        while clock::now() < until && !self.say(state).await {
+    /// Reports a state until it is acknowledged, for [`MAX_TERMINATION_DURATION`] at most.
+    async fn report_until_acknowledged(&mut self, state: InstanceState) {
+        let until: Time = clock::now() + MAX_TERMINATION_DURATION;
+        while clock::now() < until && !self.report(state).await {
             sleep(Duration::from_millis(100)).await;
         }
     }
 
-    /// Says it once; whether it was acknowledged.
-    async fn say(&mut self, said: InstanceState) -> bool {
+    /// Reports a state once and returns whether it was acknowledged.
+    async fn report(&mut self, state: InstanceState) -> bool {
         self.sequence += 1;
         let keepers = self.keepers.borrow().clone();
-        let Some(address) = keepers.get(self.turn % keepers.len().max(1)).copied() else { return false };
-        let answer = self.call(said).make(address, SILENCE).await;
+        let Some(address) = keepers.get(self.keeper_index % keepers.len().max(1)).copied() else {
+            return false;
+        };
+        let response = self.request(state).send(address, RESPONSE_TIMEOUT).await;
         let id = self.id();
-        let seen = match &answer {
-            Some(answer) => {
-                Seen::BeatAnswered { id, said, status: answer.status, keeper: number_of(&address) }
-            }
-            None => Seen::BeatFailed { id, said },
+        let event = match &response {
+            Some(response) => Event::HeartbeatReplied {
+                id,
+                state,
+                status: response.status,
+                keeper: keeper_number(&address),
+            },
+            None => Event::HeartbeatFailed { id, state },
         };
-        self.history.add(clock::now(), seen);
-        let acknowledged = answer.is_some_and(|answer| answer.status == 200);
-        if !acknowledged {
-            self.turn += 1;
+        self.history.record(clock::now(), event);
+        let is_acknowledged = response.is_some_and(|response| response.status == 200);
+        if !is_acknowledged {
+            self.keeper_index += 1;
         }
-        acknowledged
+        is_acknowledged
     }
 
-    fn call(&self, said: InstanceState) -> Call {
+    fn request(&self, state: InstanceState) -> Request {
         let (id, sequence) = (self.id(), self.sequence);
-        if said == InstanceState::Terminated {
-            return Call { line: format!("DELETE /instances/{id}"), body: Vec::new(), base: None };
+        if state == InstanceState::Terminated {
+            return Request { target: format!("DELETE /instances/{id}"), body: Vec::new(), if_match: None };
         }
-        let state = if said == InstanceState::Draining { "draining" } else { "ready" };
-        // Addresses are taken over by the next life of the same endpoint, as on the operators' machines.
+        let state = if state == InstanceState::Draining { "draining" } else { "ready" };
+        // The next incarnation of an endpoint reuses its address, as on the operators' machines.
         let port = 9_000 + self.number;
         let body = format!(
             r#"{{"backend":"b","address":"10.9.0.1:{port}","zone":"a","generation":"v1","capacity":4,"state":"{state}","warmupRemainingMs":0,"sequence":{sequence}}}"#
         );
-        Call { line: format!("PUT /instances/{id}"), body: body.into_bytes(), base: None }
+        Request { target: format!("PUT /instances/{id}"), body: body.into_bytes(), if_match: None }
     }
 }
--- a/crates/emulator/src/history.rs
+++ b/crates/emulator/src/history.rs
@@ -1,4 +1,4 @@
-//! What callers saw, in order.
+//! The history of a simulation: what its clients did and observed, in order of time.
 
 use std::sync::{Arc, Mutex};
 
@@ -6,128 +6,128 @@
 use juniperwing_node::sync::lock;
 use juniperwing_protocol::registry::InstanceState;
 
-/// Tells orders apart; it stands in the body of each.
+/// Identifies an order; its body contains it.
 pub type OrderId = usize;
 
-/// Something that a caller did or saw.
+/// Something that a client did or observed, or that happened to a process.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Seen {
-    /// An operator sends a configuration for the first time.
-    OrderMade {
-        /// Which.
+pub enum Event {
+    /// An operator submitted a configuration for the first time.
+    OrderSubmitted {
+        /// The order.
         order: OrderId,
-        /// The version that it builds on.
+        /// The configuration version that it replaces.
         base: u64,
-        /// Its own number.
+        /// Its own configuration version.
         generation: u64,
     },
-    /// An order was answered.
-    OrderAnswered {
-        /// Which.
+    /// A submission of an order had a response.
+    OrderReplied {
+        /// The order.
         order: OrderId,
-        /// With what.
+        /// The HTTP status.
         status: u16,
-        /// When this call was made.
-        asked: Time,
-        /// Whom it asked.
+        /// When the request was sent.
+        requested_at: Time,
+        /// The number of the keeper that responded.
         keeper: usize,
     },
-    /// The operator no longer sends it, without a clear answer.
-    OrderGivenUp {
-        /// Which.
+    /// The operator no longer retries the order, which had no conclusive response.
+    OrderAbandoned {
+        /// The order.
         order: OrderId,
     },
-    /// The configuration was read.
-    Read {
-        /// With what status.
+    /// A read of the configuration had a response.
+    ConfigurationRead {
+        /// The HTTP status.
         status: u16,
-        /// When this call was made.
-        asked: Time,
-        /// Whom it asked.
+        /// When the request was sent.
+        requested_at: Time,
+        /// The number of the keeper that responded.
         keeper: usize,
-        /// Whose body it is; `None` if no such body was ever sent.
+        /// The order that the body belongs to; `None` if the body contains no order.
         order: Option<OrderId>,
     },
-    /// A relay has started and knows nothing.
+    /// A relay has started, without any state.
     RelayStarted {
-        /// Which.
+        /// The relay's number, from 1.
         relay: usize,
     },
-    /// A relay's process has ended.
-    RelayEnded {
-        /// Which.
+    /// A relay was killed.
+    RelayStopped {
+        /// The relay's number, from 1.
         relay: usize,
     },
-    /// A relay applies a configuration.
-    RelayConfiguration {
-        /// Which.
+    /// A relay applied a configuration.
+    RelayConfigurationApplied {
+        /// The relay's number, from 1.
         relay: usize,
-        /// Whose body it is.
+        /// The order that the body belongs to.
         order: Option<OrderId>,
     },
-    /// A relay applies what it is told of an endpoint.
-    RelayInstance {
-        /// Which.
+    /// A relay applied a change of an endpoint's state.
+    RelayInstanceApplied {
+        /// The relay's number, from 1.
         relay: usize,
-        /// The endpoint's life.
+        /// The identifier of the endpoint's incarnation.
         id: String,
-        /// The state that it has there from now on.
+        /// The new state.
         state: InstanceState,
     },
-    /// A heartbeat was answered.
-    BeatAnswered {
-        /// The endpoint's life.
+    /// A heartbeat (or deregistration) had a response.
+    HeartbeatReplied {
+        /// The identifier of the endpoint's incarnation.
         id: String,
-        /// What it said.
-        said: InstanceState,
-        /// With what.
+        /// The state that it reported.
+        state: InstanceState,
+        /// The HTTP status.
         status: u16,
-        /// Whom it asked.
+        /// The number of the keeper that responded.
         keeper: usize,
     },
-    /// A heartbeat had no answer in time, or none that is one.
-    BeatFailed {
-        /// The endpoint's life.
+    /// A heartbeat (or deregistration) had no valid response in time.
+    HeartbeatFailed {
+        /// The identifier of the endpoint's incarnation.
         id: String,
-        /// What it said.
-        said: InstanceState,
+        /// The state that it reported.
+        state: InstanceState,
     },
-    /// The endpoint sends nothing more.
-    EndpointSilent {
-        /// The endpoint's life.
+    /// This incarnation of the endpoint sends nothing more.
+    EndpointStopped {
+        /// The identifier of the endpoint's incarnation.
         id: String,
     },
-    /// A keeper's process has ended by itself.
-    KeeperEnded {
-        /// Which.
+    /// A keeper's process exited although nothing had asked it to.
+    KeeperExited {
+        /// The keeper's number, from 1.
         keeper: usize,
     },
-    /// A keeper's process that was told to end has ended, in its own time.
+    /// A keeper's process that was asked to shut down has exited.
     KeeperStopped {
-        /// Which.
+        /// The keeper's number, from 1.
         keeper: usize,
     },
     /// A keeper's process has started.
     KeeperStarted {
-        /// Which.
+        /// The keeper's number, from 1.
         keeper: usize,
     },
-    /// Something that happened to a machine, or that its log says; not judged.
-    Note(String),
+    /// A log line of a process, or the begin or end of a fault; ignored by the checker.
+    Log(String),
 }
 
-/// All that was seen, with its times. Cheap to clone.
+/// The events so far, with their times. Clones share the events.
 #[derive(Clone, Debug, Default)]
-pub struct History(Arc<Mutex<Vec<(Time, Seen)>>>);
+pub struct History(Arc<Mutex<Vec<(Time, Event)>>>);
 
 impl History {
-    /// Adds what was seen at `now`.
-    pub fn add(&self, now: Time, seen: Seen) {
-        lock(&self.0).push((now, seen));
+    /// Appends an event.
+    pub fn record(&self, now: Time, event: Event) {
+        lock(&self.0).push((now, event));
     }
 
-    /// All, in order of time.
-    pub fn take(&self) -> Vec<(Time, Seen)> {
+    /// Removes and returns all events, in order of time.
+    pub fn take(&self) -> Vec<(Time, Event)> {
         let mut all = std::mem::take(&mut *lock(&self.0));
         all.sort_by_key(|(at, _)| *at);
         all
--- a/crates/emulator/src/host.rs
+++ b/crates/emulator/src/host.rs
@@ -1,4 +1,4 @@
-//! A simulated machine as the processes on it see it.
+//! The simulated host: what a process on a simulated machine reaches of its environment.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -10,41 +10,41 @@
 use juniperwing_node::sync::lock;
 use juniperwing_storage::file_system::FileSystem;
 
-use crate::clock::{MachineClock, WorldTime};
+use crate::clock::{MachineClock, SimulationTime};
 use crate::disk::SimulatedDisk;
-use crate::network::{Network, Opened};
-use crate::stream::{Datagrams, Listener, Ports, sleep_until, stream};
+use crate::network::{ConnectOutcome, Network};
+use crate::sockets::{DatagramSocket, SocketContext, SocketListener, sleep_until, stream};
 use juniperwing_random::Rng;
 
-/// When the opening packet of a connection is sent again.
-const OPEN_AGAIN: Duration = Duration::from_secs(1);
-/// The time of day at the beginning of a simulation, in milliseconds.
-const DAYBREAK_MS: u64 = 1_700_000_000_000;
+/// The interval at which the first packet of a connection is resent.
+const CONNECT_RETRY_INTERVAL: Duration = Duration::from_secs(1);
+/// The Unix time at the start of a simulation, in milliseconds.
+const START_UNIX_TIME_MS: u64 = 1_700_000_000_000;
 
 /// A simulated machine.
 #[derive(Debug)]
 pub struct SimulatedHost {
-    /// Its address.
+    /// The address of the machine.
     pub address: IpAddr,
-    /// Its clock.
+    /// The clock of the machine.
     pub clock: Arc<MachineClock>,
-    /// Its disk.
+    /// The disk of the machine.
     pub disk: Arc<SimulatedDisk>,
-    ports: Ports,
+    context: SocketContext,
     rng: Mutex<Rng>,
 }
 
 impl SimulatedHost {
-    /// A machine with an empty disk. `purpose` tells its random numbers from those of others.
+    /// Creates a machine with an empty disk. `seed` and `purpose` together select its random stream.
     pub fn new(
-        address: IpAddr, network: Arc<Network>, world: WorldTime, seed: u64, purpose: u64,
+        address: IpAddr, network: Arc<Network>, simulation_time: SimulationTime, seed: u64, purpose: u64,
     ) -> Arc<SimulatedHost> {
-        let clock = Arc::new(MachineClock::new(world));
+        let clock = Arc::new(MachineClock::new(simulation_time));
         let disk =
             SimulatedDisk::new(Arc::clone(&clock), Rng::for_purpose(seed, purpose.wrapping_add(1 << 32)));
-        let ports = Ports { network, clock: Arc::clone(&clock) };
+        let context = SocketContext { network, clock: Arc::clone(&clock) };
         let rng = Mutex::new(Rng::for_purpose(seed, purpose));
-        Arc::new(SimulatedHost { address, clock, disk: Arc::new(disk), ports, rng })
+        Arc::new(SimulatedHost { address, clock, disk: Arc::new(disk), context, rng })
     }
 }
 
@@ -54,7 +54,7 @@
     }
 
     fn unix_time_ms(&self) -> u64 {
-        DAYBREAK_MS + self.clock.now().since(Time::default()).as_nanos() / 1_000_000
+        START_UNIX_TIME_MS + self.clock.now().since(Time::default()).as_nanos() / 1_000_000
     }
 
     fn random(&self) -> u64 {
@@ -62,33 +62,33 @@
     }
 
     fn listen(&self, address: SocketAddr) -> io::Result<Arc<dyn SimulatedListener>> {
-        let accepting = self.ports.network.listen(address)?;
-        Ok(Arc::new(Listener { ports: self.ports.clone(), address, accepting }))
+        let accept_queue = self.context.network.listen(address)?;
+        Ok(Arc::new(SocketListener { context: self.context.clone(), address, accept_queue }))
     }
 
     fn connect(&self, address: SocketAddr) -> IoFuture<'static, SimulatedStream> {
-        let (ports, from) = (self.ports.clone(), self.address);
+        let (context, from) = (self.context.clone(), self.address);
         Box::pin(async move {
             loop {
-                match ports.network.open(ports.clock.now(), from, address) {
-                    Opened::Up(at, connection) => {
-                        let stream = stream(&ports, connection);
-                        sleep_until(&ports.clock, at).await;
+                match context.network.connect(context.clock.now(), from, address) {
+                    ConnectOutcome::Established(at, connection) => {
+                        let stream = stream(&context, connection);
+                        sleep_until(&context.clock, at).await;
                         return Ok(stream);
                     }
-                    Opened::Refused(at) => {
-                        sleep_until(&ports.clock, at).await;
+                    ConnectOutcome::Refused(at) => {
+                        sleep_until(&context.clock, at).await;
                         return Err(io::ErrorKind::ConnectionRefused.into());
                     }
-                    Opened::Silent => tokio::time::sleep(OPEN_AGAIN).await,
+                    ConnectOutcome::NoResponse => tokio::time::sleep(CONNECT_RETRY_INTERVAL).await,
                 }
             }
         })
     }
 
     fn bind(&self, address: SocketAddr) -> io::Result<Arc<dyn SimulatedDatagrams>> {
-        let mailbox = self.ports.network.bind(address)?;
-        Ok(Arc::new(Datagrams { ports: self.ports.clone(), address, mailbox }))
+        let datagram_queue = self.context.network.bind(address)?;
+        Ok(Arc::new(DatagramSocket { context: self.context.clone(), address, datagram_queue }))
     }
 
     fn disk(&self) -> Arc<dyn FileSystem> {
@@ -96,6 +96,6 @@
     }
 
     fn take_disk_time(&self) -> Duration {
-        self.disk.take_time()
+        self.disk.take_elapsed()
     }
 }
--- a/crates/emulator/src/http.rs
+++ b/crates/emulator/src/http.rs
@@ -1,4 +1,4 @@
-//! A caller of the control listener: one call on each connection.
+//! An HTTP client of the control listener, with one request per connection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,70 +7,72 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::timeout;
 
-/// Bytes of an answer that are read at the most.
-const MAX_ANSWER_BYTES: usize = 1 << 20;
+/// The maximum size of a response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
-/// An answer.
+/// A response.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
-    /// Its status.
+pub struct Response {
+    /// The HTTP status.
     pub status: u16,
-    /// Its body.
+    /// The body.
     pub body: Vec<u8>,
 }
 
-/// A call.
+/// A request.
 #[derive(Clone, Debug)]
-pub struct Call {
-    /// Method and path.
-    pub line: String,
-    /// Its body.
+pub struct Request {
+    /// The method and the path.
+    pub target: String,
+    /// The body.
     pub body: Vec<u8>,
-    /// The version that an order builds on.
-    pub base: Option<u64>,
+    /// The configuration version that an order replaces (`If-Match`).
+    pub if_match: Option<u64>,
 }
 
-impl Call {
+impl Request {
+    /// Encodes the request.
     fn message(&self) -> Vec<u8> {
-        let Call { line, body, base } = self;
-        let base = base.map_or_else(String::new, |base| format!("If-Match: {base}\r\n"));
+        let Request { target, body, if_match } = self;
+        let if_match = if_match.map_or_else(String::new, |version| format!("If-Match: {version}\r\n"));
         let length = body.len();
         let mut message = format!(
-            "{line} HTTP/1.1\r\nHost: control\r\nConnection: close\r\n{base}Content-Length: {length}\r\n\r\n"
+            "{target} HTTP/1.1\r\nHost: control\r\nConnection: close\r\n{if_match}Content-Length: {length}\r\n\r\n"
         )
         .into_bytes();
         message.extend_from_slice(body);
         message
     }
 
-    /// Makes the call; `None` if there is no whole answer within the time.
-    pub async fn make(&self, address: SocketAddr, within: Duration) -> Option<Answer> {
-        timeout(within, self.make_once(address, within)).await.ok()?
+    /// Sends the request; `None` if there is no complete response within the time limit.
+    pub async fn send(&self, address: SocketAddr, time_limit: Duration) -> Option<Response> {
+        timeout(time_limit, self.exchange(address, time_limit)).await.ok()?
     }
 
-    async fn make_once(&self, address: SocketAddr, within: Duration) -> Option<Answer> {
-        let (mut reader, mut writer) = Stream::connect(address, within).await.ok()?.into_split();
+    async fn exchange(&self, address: SocketAddr, time_limit: Duration) -> Option<Response> {
+        let (mut reader, mut writer) = Stream::connect(address, time_limit).await.ok()?.into_split();
         writer.write_all(&self.message()).await.ok()?;
         let mut received = Vec::new();
         loop {
-            if let Some(answer) = parse(&received) {
-                return Some(answer);
+            if let Some(response) = parse(&received) {
+                return Some(response);
             }
-            if received.len() > MAX_ANSWER_BYTES || reader.read_buf(&mut received).await.ok()? == 0 {
+            if received.len() > MAX_RESPONSE_BYTES || reader.read_buf(&mut received).await.ok()? == 0 {
                 return None;
             }
         }
     }
 }
 
-fn parse(received: &[u8]) -> Option<Answer> {
-    let end = received.windows(4).position(|window| window == b"\r\n\r\n")?;
-    let head = std::str::from_utf8(&received[..end]).ok()?;
+/// Parses a response; `None` while it is incomplete.
+fn parse(received: &[u8]) -> Option<Response> {
+    let head_length = received.windows(4).position(|window| window == b"\r\n\r\n")?;
+    let head = std::str::from_utf8(&received[..head_length]).ok()?;
     let status = head.split(' ').nth(1)?.parse().ok()?;
     let length = head.lines().find_map(|line| {
         let (name, value) = line.split_once(':')?;
         name.eq_ignore_ascii_case("content-length").then(|| value.trim().parse::<usize>().ok())?
     });
-    let body = &received[end + 4..];
-    (body.len() >= length.unwrap_or(0)).then(|| Answer { status, body: body.to_vec() })
+    let body = &received[head_length + 4..];
+    (body.len() >= length.unwrap_or(0)).then(|| Response { status, body: body.to_vec() })
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,13 +1,13 @@
-//! Real keepers in virtual time.
+//! Deterministic simulation of keepers in virtual time.
 //!
-//! A [`Day`](day::Day) is drawn from a seed: which machines are cut off, frozen, killed, wiped or replaced, and
-//! when. [`play`](world::play) runs keepers as they are (`juniperwing_node::keeper`) on simulated machines through
-//! that day, with operators, endpoints and relays as callers, and records what these saw. The
-//! [`oracle`] judges this record alone. [`shrink`] removes what a finding doesn't need.
+//! A [`Scenario`](scenario::Scenario) is generated from a seed: which machines are partitioned, frozen, killed, wiped
+//! or replaced, and when. [`run`](simulation::run) runs the real keepers (`juniperwing_node::keeper`) on simulated
+//! machines through the scenario, with operators, endpoints and relays as clients, and records a
+//! [`History`](history::History) of what the clients observed. The [`checker`] searches this history alone for
+//! violated properties. [`shrink`] removes faults that a violation does not need.
 
-pub mod aim;
+pub mod checker;
 pub mod clock;
-pub mod day;
 pub mod disk;
 pub mod endpoints;
 pub mod history;
@@ -17,9 +17,10 @@
 pub mod machine;
 pub mod network;
 pub mod operators;
-pub mod oracle;
 pub mod relay;
+pub mod scenario;
 pub mod shrink;
+pub mod simulation;
+mod sockets;
 pub mod stability;
-mod stream;
-pub mod world;
+pub mod targeting;
--- a/crates/emulator/src/machine.rs
+++ b/crates/emulator/src/machine.rs
@@ -1,4 +1,4 @@
-//! A machine with its process: started, run step by step, frozen, stopped, killed.
+//! A simulated machine and its process, which is run step by step.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -13,38 +13,39 @@
 
 use crate::host::SimulatedHost;
 
-/// A machine and what runs on it.
+/// A machine and the process that runs on it, if any.
 pub struct Machine {
-    /// What its process sees.
+    /// The environment of the process.
     pub host: Arc<SimulatedHost>,
     process: Option<Process>,
     frozen: bool,
 }
 
+/// A running process.
 struct Process {
     runtime: Runtime,
     started: Instant,
     started_at: Time,
     main: JoinHandle<()>,
-    stop: Option<oneshot::Sender<()>>,
+    shutdown: Option<oneshot::Sender<()>>,
 }
 
 impl Machine {
-    /// A machine on which nothing runs.
+    /// Creates a machine without a process.
     pub fn new(host: Arc<SimulatedHost>) -> Machine {
         Machine { host, process: None, frozen: false }
     }
 
-    /// Whether a process runs, frozen or not.
+    /// Whether there is a process, frozen or not.
     pub fn is_running(&self) -> bool {
         self.process.is_some()
     }
 
-    /// Starts a process; it is handed what tells it to end.
+    /// Starts a process; `main` receives the request to shut down.
     ///
     /// # Panics
     ///
-    /// If no runtime can be made.
+    /// If the runtime cannot be created.
     pub fn start<Main>(&mut self, now: Time, main: impl FnOnce(oneshot::Receiver<()>) -> Main)
     where
         Main: Future<Output = ()> + Send + 'static,
@@ -52,34 +53,34 @@
         let mut builder = tokio::runtime::Builder::new_current_thread();
         let runtime = builder.enable_time().start_paused(true).build().expect("memory for a runtime");
         let _entered = simulate(Arc::<SimulatedHost>::clone(&self.host) as Arc<dyn Host>);
-        let (stop, stopped) = oneshot::channel();
+        let (shutdown, shutdown_requested) = oneshot::channel();
         let context = runtime.enter();
         self.host.clock.start_process();
         let started = Instant::now();
-        let main = runtime.spawn(main(stopped));
+        let main = runtime.spawn(main(shutdown_requested));
         drop(context);
-        self.process = Some(Process { runtime, started, started_at: now, main, stop: Some(stop) });
+        self.process = Some(Process { runtime, started, started_at: now, main, shutdown: Some(shutdown) });
     }
 
-    /// Runs the process up to `until`. Returns whether it has ended by itself.
+    /// Runs the process up to `until`. Returns whether it has exited.
     pub fn run(&mut self, until: Time) -> bool {
         let Some(process) = self.process.as_mut().filter(|_| !self.frozen) else { return false };
         let _entered = simulate(Arc::<SimulatedHost>::clone(&self.host) as Arc<dyn Host>);
         let end = process.started + Duration::from_nanos(until.since(process.started_at).as_nanos());
         process.runtime.block_on(async move { tokio::time::sleep_until(end).await });
-        let ended = process.main.is_finished();
-        if ended {
+        let has_exited = process.main.is_finished();
+        if has_exited {
             self.end_process();
         }
-        ended
+        has_exited
     }
 
-    /// The process stands still; its clock runs on.
+    /// Freezes the process; its clock runs on.
     pub fn freeze(&mut self) {
         self.frozen = true;
     }
 
-    /// The process goes on at `now`: all that became due meanwhile is due at once.
+    /// Resumes the process at `now`: timers that expired in the meantime fire at once.
     pub fn thaw(&mut self, now: Time) {
         self.frozen = false;
         let Some(process) = &mut self.process else { return };
@@ -91,14 +92,14 @@
         });
     }
 
-    /// Tells the process to end in an orderly way.
+    /// Asks the process to shut down.
     pub fn stop(&mut self) {
-        let stop = self.process.as_mut().and_then(|process| process.stop.take());
-        // One that ends already no longer listens.
-        let _ = stop.map(|stop| stop.send(()));
+        let shutdown = self.process.as_mut().and_then(|process| process.shutdown.take());
+        // The process may have dropped the receiver.
+        let _ = shutdown.map(|shutdown| shutdown.send(()));
     }
 
-    /// Ends the process at once. Its connections are closed as the operating system does.
+    /// Kills the process. Its connections are closed, as an operating system does.
     pub fn kill(&mut self, now: Time) {
         self.frozen = false;
         self.end_process();
--- /dev/null
+++ b/crates/emulator/src/network/machines.rs
@@ -0,0 +1,61 @@
+//! State of the machines on the network: power, freezes and boot counts.
+
+use std::net::IpAddr;
+
+use juniperwing_clock::Time;
+
+use super::{Network, PipeId, State};
+
+/// The network's view of one machine.
+#[derive(Debug, Default)]
+pub(super) struct MachineState {
+    has_no_power: bool,
+    pub(super) is_frozen: bool,
+    /// How often the machine has lost power.
+    boot_count: u64,
+    /// Counts the ephemeral ports given out.
+    pub(super) next_port: u16,
+}
+
+impl Network {
+    /// Sets whether a machine is frozen; a frozen machine does not answer new connections.
+    pub fn set_frozen(&self, machine: IpAddr, frozen: bool) {
+        self.lock().machines.entry(machine).or_default().is_frozen = frozen;
+    }
+
+    /// Cuts the power of a machine: it sends nothing more on any connection.
+    pub fn power_off(&self, machine: IpAddr) {
+        let mut state = self.lock();
+        let machine_state = state.machines.entry(machine).or_default();
+        machine_state.has_no_power = true;
+        machine_state.boot_count += 1;
+        for pipe in state.pipes.values_mut().filter(|pipe| pipe.from == machine) {
+            pipe.blocked.clear();
+        }
+    }
+
+    /// Restores the power of a machine, which has lost the state of its earlier connections and resets them.
+    pub fn power_on(&self, now: Time, machine: IpAddr) {
+        self.change(|state| {
+            state.machines.entry(machine).or_default().has_no_power = false;
+            let unacknowledged: Vec<PipeId> = state
+                .pipes
+                .iter()
+                .filter(|(_, pipe)| pipe.to == machine && pipe.unacknowledged_since.is_some())
+                .map(|(id, _)| *id)
+                .collect();
+            unacknowledged.into_iter().for_each(|pipe| state.reset(now, pipe));
+        });
+    }
+}
+
+impl State {
+    pub(super) fn has_power(&self, machine: IpAddr) -> bool {
+        self.machines.get(&machine).is_none_or(|machine_state| !machine_state.has_no_power)
+    }
+
+    /// How often the machine has lost power.
+    pub(super) fn boot_count(&self, machine: IpAddr) -> u64 {
+        self.machines.get(&machine).map_or(0, |machine_state| machine_state.boot_count)
+    }
+}
--- a/crates/emulator/src/relay.rs
+++ b/crates/emulator/src/relay.rs
@@ -1,4 +1,4 @@
-//! A relay as keepers see it: the real subscriptions, and a record of what they bring into force.
+//! A relay as keepers see it: the real subscriber, and a sink that records what it applies.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,44 +10,45 @@
 use juniperwing_protocol::NodeName;
 use juniperwing_protocol::registry::Instance;
 use juniperwing_protocol::replication::Version;
-use juniperwing_protocol::subscription::{AppliedVersions, Subscribe, Update};
+use juniperwing_protocol::subscription::{AppliedVersions, Subscribe, SubscriberKind, Update};
 use tokio::sync::watch;
 
-use crate::history::{History, Seen};
-use crate::operators::order_of;
+use crate::history::{Event, History};
+use crate::operators::order_in_body;
 
-/// Subscriptions at a time, as a relay keeps them where one machine may be lost.
-const SUBSCRIPTIONS: usize = 2;
+/// The number of concurrent subscriptions, as in a relay that tolerates the loss of one machine.
+const SUBSCRIPTION_COUNT: usize = 2;
 
+/// The state that a relay has applied.
 #[derive(Default)]
-struct Held {
+struct AppliedState {
     configuration: Version,
     instances: BTreeMap<String, Instance>,
     stores: u64,
 }
 
-/// Holds what a relay would and records it.
+/// Applies updates as a relay does and records the changes.
 struct Recorder {
     relay: usize,
     history: History,
-    held: Mutex<Held>,
+    applied: Mutex<AppliedState>,
 }
 
-/// Subscribes until the machine is killed.
+/// Runs the relay until its machine is killed.
 pub async fn run(
     relay: usize, address: SocketAddr, mut seeds: watch::Receiver<Vec<SocketAddr>>, history: History,
 ) {
-    history.add(clock::now(), Seen::RelayStarted { relay });
-    let recorder = Recorder { relay, history, held: Mutex::default() };
+    history.record(clock::now(), Event::RelayStarted { relay });
+    let recorder = Recorder { relay, history, applied: Mutex::default() };
     let subscribe = Subscribe {
         node: NodeName::from(format!("edge-{relay}").as_str()),
         zone: "a".into(),
         address,
-        subscriber: juniperwing_protocol::subscription::SubscriberKind::Relay,
+        subscriber: SubscriberKind::Relay,
         configuration: Version::default(),
     };
     let first = seeds.borrow_and_update().clone();
-    let subscriber = Subscriber::start(subscribe, first, SUBSCRIPTIONS, Arc::new(recorder));
+    let subscriber = Subscriber::start(subscribe, first, SUBSCRIPTION_COUNT, Arc::new(recorder));
     while seeds.changed().await.is_ok() {
         let changed = seeds.borrow_and_update().clone();
         subscriber.set_seeds(changed);
@@ -55,53 +56,53 @@
 }
 
 impl Recorder {
-    fn record(&self, seen: Seen) {
-        self.history.add(clock::now(), seen);
+    fn record(&self, event: Event) {
+        self.history.record(clock::now(), event);
     }
 
-    fn apply_instance(&self, held: &mut Held, instance: Instance) {
+    fn apply_instance(&self, applied: &mut AppliedState, instance: Instance) {
         let id = instance.id.0.to_string();
-        if held.instances.get(&id).is_some_and(|known| !instance.supersedes(known)) {
+        if applied.instances.get(&id).is_some_and(|known| !instance.supersedes(known)) {
             return;
         }
-        let changes = held.instances.get(&id).is_none_or(|known| known.state != instance.state);
+        let is_changed = applied.instances.get(&id).is_none_or(|known| known.state != instance.state);
         let state = instance.state;
-        held.instances.insert(id.clone(), instance);
-        if changes {
-            self.record(Seen::RelayInstance { relay: self.relay, id, state });
+        applied.instances.insert(id.clone(), instance);
+        if is_changed {
+            self.record(Event::RelayInstanceApplied { relay: self.relay, id, state });
         }
     }
 }
 
 impl UpdateSink for Recorder {
     fn apply(&self, update: Update) {
-        let mut held = lock(&self.held);
+        let mut applied = lock(&self.applied);
         match update {
-            Update::Configuration { version, body } if version > held.configuration => {
-                held.configuration = version;
-                let order = order_of(&body);
-                self.record(Seen::RelayConfiguration { relay: self.relay, order });
+            Update::Configuration { version, body } if version > applied.configuration => {
+                applied.configuration = version;
+                let order = order_in_body(&body);
+                self.record(Event::RelayConfigurationApplied { relay: self.relay, order });
             }
             Update::Instances(update) => {
                 for instance in update.instances {
-                    self.apply_instance(&mut held, instance);
+                    self.apply_instance(&mut applied, instance);
                 }
             }
-            Update::Stores(map) => held.stores = held.stores.max(map.version),
+            Update::Stores(map) => applied.stores = applied.stores.max(map.version),
             Update::Configuration { .. } | Update::Keepers(_) => {}
         }
     }
 
     fn applied_versions(&self) -> AppliedVersions {
-        let held = lock(&self.held);
+        let applied = lock(&self.applied);
         AppliedVersions {
-            configuration: held.configuration,
-            stores: held.stores,
+            configuration: applied.configuration,
+            stores: applied.stores,
             ..AppliedVersions::default()
         }
     }
 
     fn configuration_version(&self) -> Version {
-        lock(&self.held).configuration
+        lock(&self.applied).configuration
     }
 }
--- a/crates/emulator/src/shrink.rs
+++ b/crates/emulator/src/shrink.rs
@@ -1,34 +1,35 @@
-//! Removes what a finding does not need.
+//! Shrinks scenarios: removes faults that a violation does not need.
 
-use crate::day::{Day, Trouble};
-use crate::oracle::{Finding, Property, judge};
-use crate::world::play;
+use crate::checker::{Property, Violation, check};
+use crate::scenario::{Fault, Scenario};
+use crate::simulation::run;
 
-/// Plays a day and judges it.
-pub fn findings(day: &Day) -> Vec<Finding> {
-    judge(day, &play(day, false))
+/// Runs a scenario and returns its violations in order of time.
+pub fn run_and_check(scenario: &Scenario) -> Vec<Violation> {
+    check(scenario, &run(scenario, false))
 }
 
-/// A day with as few and as short troubles as this finds that still breaks the property.
-pub fn shrink(day: &Day, property: Property) -> Day {
-    let breaks = |day: &Day| findings(day).iter().any(|finding| finding.property == property);
-    let mut least = day.clone();
+/// Removes faults one by one as long as the scenario still violates the property.
+pub fn shrink(scenario: &Scenario, property: Property) -> Scenario {
+    let is_violated_by =
+        |scenario: &Scenario| run_and_check(scenario).iter().any(|violation| violation.property == property);
+    let mut smallest = scenario.clone();
     loop {
-        let smaller = candidates(&least).into_iter().find(|candidate| breaks(candidate));
+        let smaller = candidates(&smallest).into_iter().find(|candidate| is_violated_by(candidate));
         match smaller {
-            Some(smaller) => least = smaller,
-            None => return least,
+            Some(smaller) => smallest = smaller,
+            None => return smallest,
         }
     }
 }
 
-/// Days with one trouble less.
-fn candidates(day: &Day) -> Vec<Day> {
+/// The scenarios with one fault less.
+fn candidates(scenario: &Scenario) -> Vec<Scenario> {
     let without = |index: usize| {
-        let mut troubles: Vec<Trouble> = day.troubles.clone();
-        troubles.remove(index);
-        // The length stays, so that callers draw as before.
-        Day { troubles, ..day.clone() }
+        let mut faults: Vec<Fault> = scenario.faults.clone();
+        faults.remove(index);
+        // The duration stays, so that clients draw the same random numbers.
+        Scenario { faults, ..scenario.clone() }
     };
-    (0..day.troubles.len()).map(without).collect()
+    (0..scenario.faults.len()).map(without).collect()
 }
--- a/crates/emulator/src/stability.rs
+++ b/crates/emulator/src/stability.rs
@@ -1,60 +1,66 @@
-//! When the core is stable, as the operators' pages define it; computed from the day, and from when the processes
-//! ended that were told to: how long each takes is its own decision.
+//! The periods in which the core is stable, as the operators' pages define it. They are computed from the scenario, and
+//! from the exits of processes that were asked to shut down, since these choose how long they take.
 
 use std::collections::BTreeMap;
 
 use juniperwing_clock::Time;
 
-use crate::day::{Day, Kind, Trouble};
-use crate::history::Seen;
+use crate::history::Event;
+use crate::scenario::{Fault, FaultKind, Scenario};
 
-/// How long the core must have been left alone (`contactMs`).
+/// How long the core must have been without a change to be stable (`contactMs`), in milliseconds.
 const CONTACT_MS: u64 = 3_000;
-/// The grid on which stability is computed.
-const GRID_MS: u64 = 50;
+/// The interval at which stability is sampled, in milliseconds.
+const SAMPLE_INTERVAL_MS: u64 = 50;
 
-/// When the core is stable.
+/// The periods in which the core is stable.
 #[derive(Clone, Debug)]
 pub struct Stability {
-    stable: Vec<bool>,
+    /// One sample per [`SAMPLE_INTERVAL_MS`].
+    samples: Vec<bool>,
 }
 
 impl Stability {
-    /// Of a day that was played.
-    pub fn of(day: &Day, history: &[(Time, Seen)]) -> Stability {
-        let cells = day.length_ms / GRID_MS + 1;
-        let absences = absences(history);
-        Stability { stable: (0..cells).map(|cell| is_stable(day, &absences, cell * GRID_MS)).collect() }
+    /// Computes the stability of a scenario that was run.
+    pub fn compute(scenario: &Scenario, history: &[(Time, Event)]) -> Stability {
+        let sample_count = scenario.duration_ms / SAMPLE_INTERVAL_MS + 1;
+        let downtimes = downtimes(history);
+        Stability {
+            samples: (0..sample_count)
+                .map(|sample| is_stable(scenario, &downtimes, sample * SAMPLE_INTERVAL_MS))
+                .collect(),
+        }
     }
 
-    /// Whether it is stable all the time between two moments.
-    pub fn through(&self, from_ms: u64, until_ms: u64) -> bool {
-        let (first, last) = ((from_ms / GRID_MS) as usize, (until_ms / GRID_MS) as usize);
-        self.stable.get(first..=last).is_some_and(|cells| cells.iter().all(|stable| *stable))
+    /// Whether the core is stable throughout a period, in milliseconds from the start of the scenario.
+    pub fn is_stable_throughout(&self, from_ms: u64, until_ms: u64) -> bool {
+        let (first, last) =
+            ((from_ms / SAMPLE_INTERVAL_MS) as usize, (until_ms / SAMPLE_INTERVAL_MS) as usize);
+        self.samples.get(first..=last).is_some_and(|samples| samples.iter().all(|stable| *stable))
     }
 }
 
-/// Milliseconds from the beginning of the day.
+/// Converts a time to milliseconds from the start of the scenario.
 pub fn millis(time: Time) -> u64 {
     time.since(Time::default()).as_nanos() / 1_000_000
 }
 
-/// A process that was told to end was away.
-struct Absence {
+/// A period in which a process that was asked to shut down was not running.
+struct Downtime {
     machine: usize,
     from_ms: u64,
     until_ms: u64,
 }
 
-fn absences(history: &[(Time, Seen)]) -> Vec<Absence> {
+fn downtimes(history: &[(Time, Event)]) -> Vec<Downtime> {
     let mut stopped = BTreeMap::new();
-    let mut absences = Vec::new();
-    for (at, seen) in history {
-        match seen {
-            Seen::KeeperStopped { keeper } => drop(stopped.insert(*keeper, millis(*at))),
-            Seen::KeeperStarted { keeper } => {
+    let mut downtimes = Vec::new();
+    for (at, event) in history {
+        match event {
+            Event::KeeperStopped { keeper } => drop(stopped.insert(*keeper, millis(*at))),
+            Event::KeeperStarted { keeper } => {
                 let from = stopped.remove(keeper);
-                absences.extend(from.map(|from_ms| Absence {
+                downtimes.extend(from.map(|from_ms| Downtime {
                     machine: *keeper,
                     from_ms,
                     until_ms: millis(*at),
@@ -63,40 +69,51 @@
             _ => {}
         }
     }
-    let left = stopped.into_iter();
-    absences.extend(left.map(|(machine, from_ms)| Absence { machine, from_ms, until_ms: u64::MAX }));
-    absences
+    let not_restarted = stopped.into_iter();
+    downtimes.extend(not_restarted.map(|(machine, from_ms)| Downtime {
+        machine,
+        from_ms,
+        until_ms: u64::MAX,
+    }));
+    downtimes
 }
 
-fn is_stable(day: &Day, absences: &[Absence], now_ms: u64) -> bool {
-    let core: Vec<&Trouble> =
-        day.troubles.iter().filter(|trouble| trouble.kind != Kind::RestartRelay).collect();
-    let recent = |moment: u64, span: u64| moment <= now_ms && now_ms < moment.saturating_add(span);
-    let disturbed = |trouble: &&Trouble| {
-        // Twice the span after a blow to most of the core.
-        let span = match trouble.kind {
-            Kind::KillCore | Kind::LoseCorePower | Kind::WipeAndLoseCorePower => 2 * CONTACT_MS,
+/// Whether the core is stable at a moment.
+fn is_stable(scenario: &Scenario, downtimes: &[Downtime], now_ms: u64) -> bool {
+    let core_faults: Vec<&Fault> =
+        scenario.faults.iter().filter(|fault| fault.kind != FaultKind::RestartRelay).collect();
+    let is_recent = |moment: u64, span: u64| moment <= now_ms && now_ms < moment.saturating_add(span);
+    let is_disturbed = |fault: &&Fault| {
+        // Twice the period after a fault that hit most of the core.
+        let span = match fault.kind {
+            FaultKind::KillCore | FaultKind::LoseCorePower | FaultKind::WipeAndLoseCorePower => {
+                2 * CONTACT_MS
+            }
             _ => CONTACT_MS,
         };
-        recent(trouble.at_ms, span) || recent(trouble.end_ms(), span)
+        is_recent(fault.start_ms, span) || is_recent(fault.end_ms(), span)
     };
-    let active = |trouble: &&&Trouble| trouble.at_ms <= now_ms && now_ms < trouble.end_ms();
-    let ends_and_starts = absences.iter().flat_map(|absence| [absence.from_ms, absence.until_ms]);
-    let disturbed_by_ends = ends_and_starts.into_iter().any(|moment| recent(moment, CONTACT_MS));
-    if core.iter().any(disturbed) || disturbed_by_ends || now_ms < CONTACT_MS {
+    let is_active = |fault: &&&Fault| fault.start_ms <= now_ms && now_ms < fault.end_ms();
+    let exits_and_starts = downtimes.iter().flat_map(|downtime| [downtime.from_ms, downtime.until_ms]);
+    let is_disturbed_by_restart = exits_and_starts.into_iter().any(|moment| is_recent(moment, CONTACT_MS));
+    if core_faults.iter().any(is_disturbed) || is_disturbed_by_restart || now_ms < CONTACT_MS {
         return false;
     }
-    let is_away = |absence: &&Absence| absence.from_ms <= now_ms && now_ms < absence.until_ms;
-    let mut away: Vec<usize> = absences.iter().filter(is_away).map(|absence| absence.machine).collect();
-    for trouble in core.iter().filter(active) {
-        match trouble.kind {
-            Kind::KillCore | Kind::LoseCorePower | Kind::WipeAndLoseCorePower | Kind::SlowDisk => {
+    let is_down = |downtime: &&Downtime| downtime.from_ms <= now_ms && now_ms < downtime.until_ms;
+    let mut unavailable: Vec<usize> =
+        downtimes.iter().filter(is_down).map(|downtime| downtime.machine).collect();
+    for fault in core_faults.iter().filter(is_active) {
+        match fault.kind {
+            FaultKind::KillCore
+            | FaultKind::LoseCorePower
+            | FaultKind::WipeAndLoseCorePower
+            | FaultKind::SlowDisk => {
                 return false;
             }
-            _ => away.push(trouble.machine),
+            _ => unavailable.push(fault.machine),
         }
     }
-    away.sort_unstable();
-    away.dedup();
-    2 * (day.keepers - away.len().min(day.keepers)) > day.keepers
+    unavailable.sort_unstable();
+    unavailable.dedup();
+    2 * (scenario.keepers - unavailable.len().min(scenario.keepers)) > scenario.keepers
 }
--- /dev/null
+++ b/crates/emulator/src/targeting.rs
@@ -0,0 +1,43 @@
+//! Scenarios whose first fault starts while an order is being decided.
+//!
+//! The time between a write, its acknowledgement by other keepers and the response is a few milliseconds, and a fault
+//! at a random time rarely falls into it. Since a scenario runs the same until its first fault, it is run once without
+//! faults, and then all faults are shifted so that the first one starts shortly before or at an acknowledgement.
+
+use crate::history::Event;
+use crate::scenario::{Fault, Scenario};
+use crate::simulation::run;
+use crate::stability::millis;
+use juniperwing_random::Rng;
+
+/// One seed in this many has a targeted scenario.
+const TARGETED_SEED_INTERVAL: u64 = 3;
+/// How long before the acknowledgement the first fault starts at most, in milliseconds.
+const MAX_LEAD_MS: u64 = 45;
+
+/// The scenario of a seed; every third one is targeted.
+pub fn scenario_for_seed(seed: u64) -> Scenario {
+    let scenario = Scenario::generate(seed);
+    if seed.is_multiple_of(TARGETED_SEED_INTERVAL) { target_acknowledgement(&scenario) } else { scenario }
+}
+
+/// Shifts all faults so that the first one starts at an acknowledgement, or shortly before.
+fn target_acknowledgement(scenario: &Scenario) -> Scenario {
+    let mut rng = Rng::for_purpose(scenario.seed, 3_002);
+    let Some(first) = scenario.faults.first() else { return scenario.clone() };
+    let fault_free = Scenario { faults: Vec::new(), ..scenario.clone() };
+    let acknowledged: Vec<u64> = run(&fault_free, false)
+        .iter()
+        .filter(|(_, event)| matches!(event, Event::OrderReplied { status: 200, .. }))
+        .map(|(at, _)| millis(*at))
+        .filter(|at_ms| *at_ms > first.start_ms + MAX_LEAD_MS)
+        .collect();
+    // Only the next few, to keep the scenario short.
+    let candidates = &acknowledged[..acknowledged.len().min(8)];
+    let Some(target_ms) = rng.choose(candidates) else { return scenario.clone() };
+    let shift_ms = target_ms - rng.below(MAX_LEAD_MS) - first.start_ms;
+    let shifted = |fault: &Fault| Fault { start_ms: fault.start_ms + shift_ms, ..*fault };
+    let faults = scenario.faults.iter().map(shifted).collect();
+    // The fault-free tail keeps its duration; operators become read-only later, so nothing before the fault changes.
+    Scenario { faults, duration_ms: scenario.duration_ms + shift_ms, ..scenario.clone() }
+}
--- /dev/null
+++ b/crates/emulator/tests/scenarios.rs
@@ -0,0 +1,79 @@
+//! Scenarios of fixed seeds violate no property.
+
+use juniperwing_emulator::checker::Violation;
+use juniperwing_emulator::scenario::{Fault, FaultKind, Scenario};
+use juniperwing_emulator::shrink::run_and_check;
+use juniperwing_emulator::simulation::run;
+use juniperwing_emulator::targeting::scenario_for_seed;
+
+/// Runs the scenarios of consecutive seeds on several threads and returns those with violations.
+fn violations_by_seed(first_seed: u64, count: u64) -> Vec<(u64, Vec<Violation>)> {
+    const THREADS: u64 = 3;
+    let mut found = Vec::new();
+    std::thread::scope(|scope| {
+        let threads: Vec<_> = (0..THREADS)
+            .map(|thread| {
+                let seeds = (first_seed..first_seed + count).filter(move |seed| seed % THREADS == thread);
+                scope.spawn(|| {
+                    seeds.map(|seed| (seed, run_and_check(&scenario_for_seed(seed)))).collect::<Vec<_>>()
+                })
+            })
+            .collect();
+        for thread in threads {
+            found.extend(thread.join().unwrap());
+        }
+    });
+    found.retain(|(_, violations)| !violations.is_empty());
+    found
+}
+
+#[test]
+fn fixed_seeds_violate_no_property() {
+    let found = violations_by_seed(1, 24);
+    assert!(found.is_empty(), "{found:#?}");
+}
+
+#[test]
+fn same_seed_gives_same_history() {
+    for seed in [7, 8] {
+        let scenario = scenario_for_seed(seed);
+        let (first, second) = (run(&scenario, true), run(&scenario, true));
+        let difference = first.iter().zip(&second).find(|(one, other)| one != other);
+        assert_eq!(difference, None, "seed {seed}");
+        assert_eq!(first.len(), second.len(), "seed {seed}");
+    }
+}
+
+/// A keeper takes some time to shut down while another one is partitioned. The core is not stable around its exit and
+/// its start, whatever the scenario had planned.
+#[test]
+fn shutdown_time_of_keeper_counts_as_unstable() {
+    for seed in [30_635, 32_832] {
+        assert_eq!(run_and_check(&scenario_for_seed(seed)), [], "seed {seed}");
+    }
+}
+
+/// Seeds in which a keeper that had just lost contact told relays that live endpoints had expired. Guards:
+/// `Registry::refutation_of`, and `Contact::confirmed_until` in the keeper's `expire_instances`.
+#[test]
+fn endpoints_stay_known_while_keeper_loses_contact() {
+    for seed in [124, 233] {
+        assert_eq!(run_and_check(&scenario_for_seed(seed)), [], "seed {seed}");
+    }
+}
+
+/// The tolerated number of disks is lost, and all other keepers lose power at the same moment; operators then read the
+/// configuration repeatedly. It is the newest acknowledged one, complete.
+#[test]
+fn acknowledged_orders_survive_disk_loss_with_power_loss() {
+    for (seed, keepers) in (1_u64..).zip([3, 3, 3, 5, 5, 5]) {
+        for first in 1..=keepers {
+            // At various moments of the orders in progress.
+            let start_ms = 9_000 + 137 * seed + 61 * first as u64;
+            let kind = FaultKind::WipeAndLoseCorePower;
+            let fault = Fault { start_ms, duration_ms: 900 + 100 * seed, machine: first, kind };
+            let scenario = Scenario::new(9_000 + seed, keepers, vec![fault]);
+            assert_eq!(run_and_check(&scenario), [], "{scenario}");
+        }
+    }
+}
