--- a/crates/node/src/keeper.rs
+++ b/crates/node/src/keeper.rs
@@ -6,13 +6,17 @@
 //! - `publishing` sends what is in force to `subscribers`: relays and stores.
 //! - `controller` holds the shared state; `startup`, `housekeeping` and `shutdown` are the phases of its life.
 
+mod configuration_distribution;
 mod consensus;
+mod control_api;
 mod control_listener;
 mod controller;
 mod endpoints;
 mod housekeeping;
 mod message_handler;
 mod metrics;
+mod order_execution;
+mod order_replies;
 mod orders;
 mod peer_discovery;
 mod peers;
@@ -55,7 +59,7 @@
         while signals.next().await == ShutdownOrReload::Reload {
             match Settings::read(settings_file.as_deref()) {
                 Ok(settings) => drop(changed.send_replace(settings)),
-                Err(error) => warn!(reload_log, "settings not read again"; "why" => error.to_string()),
+                Err(error) => warn!(reload_log, "settings reload failed"; "error" => error.to_string()),
             }
         }
     };
--- a/crates/node/src/keeper/consensus.rs
+++ b/crates/node/src/keeper/consensus.rs
@@ -1,5 +1,5 @@
-//! Drives the replica: hands it events, carries out its commands, and gives proposals and reads to those that
-//! wait for them.
+//! Drives the replica of the control state: passes events to it, executes its commands, and completes proposals
+//! and reads.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,45 +21,47 @@
 use crate::host::run_disk_write;
 use crate::panics::critical_section;
 
-/// Records on their way to the disk; the replica hands out one at a time.
+/// The capacity of the queue of records to be written; the replica submits one at a time.
 pub(super) const MAX_QUEUED_WRITES: usize = 4;
 
-/// A record to be written.
+/// A record to be written to the disk.
 pub(super) struct RecordWrite {
     pub(super) token: PersistToken,
     pub(super) record: Record,
 }
 
-/// Where orders are decided.
+/// The location of the primary, which decides orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PrimaryLocation {
-    /// Here.
+    /// This keeper.
     Local,
-    /// At another keeper.
+    /// Another keeper, at this address.
     Remote(SocketAddr),
-    /// Nobody knows at present.
+    /// No primary is known at present.
     Unknown,
 }
 
-/// The replica, and who waits for what.
+/// The replica, with the proposals and reads that wait for it.
 pub(super) struct Consensus {
     pub(super) replica: Replica<ControlState>,
     proposals: PendingOutcomes<Result<Version, ProposeError>>,
     reads: PendingOutcomes<Result<Versioned<ControlState>, ReadError>>,
     record_writes: mpsc::Sender<RecordWrite>,
+    /// The time at which the replica wants its next tick.
     replica_timer: watch::Sender<Time>,
 }
 
 impl Consensus {
     pub(super) fn new(
-        replica: Replica<ControlState>, writes: mpsc::Sender<RecordWrite>, wake: watch::Sender<Time>,
+        replica: Replica<ControlState>, record_writes: mpsc::Sender<RecordWrite>,
+        replica_timer: watch::Sender<Time>,
     ) -> Self {
         Consensus {
             replica,
             proposals: PendingOutcomes::default(),
             reads: PendingOutcomes::default(),
-            record_writes: writes,
-            replica_timer: wake,
+            record_writes,
+            replica_timer,
         }
     }
 
@@ -70,7 +72,7 @@
 }
 
 impl Controller {
-    /// Hands the replica an event and carries out what it says.
+    /// Passes an event to the replica and executes the resulting commands.
     pub(super) fn step_replica(self: &Arc<Self>, event: Event<ControlState>) {
         let commands = critical_section(|| self.lock().consensus.replica.handle(clock::now(), event));
         for command in commands {
@@ -78,25 +80,26 @@
         }
     }
 
-    /// Where the primary is. Another keeper counts only if it was heard of a short while ago.
+    /// The location of the primary. Another keeper counts only if it sent a message recently.
     pub(super) fn primary_location(&self) -> PrimaryLocation {
         let state = self.lock();
         let replica = &state.consensus.replica;
         if replica.is_primary() {
             return PrimaryLocation::Local;
         }
-        let heard = state.contact.has_recent_message(clock::now(), replica.epoch().primary);
-        match replica.primary_address().filter(|address| heard && *address != self.local_voter.address) {
+        let is_reachable = state.contact.has_recent_message(clock::now(), replica.epoch().primary);
+        match replica.primary_address().filter(|address| is_reachable && *address != self.local_voter.address)
+        {
             Some(address) => PrimaryLocation::Remote(address),
             None => PrimaryLocation::Unknown,
         }
     }
 
-    /// Makes a change that was computed on version `base` of the committed state.
+    /// Proposes a change that was computed on version `base` of the committed state. Returns the committed version.
     ///
     /// # Errors
     ///
-    /// If it is not in force, or not known to be.
+    /// If the change is not committed, or not known to be.
     pub(super) async fn propose(
         self: &Arc<Self>, base: Version, change: ControlChange,
     ) -> Result<Version, ProposeError> {
@@ -105,11 +108,11 @@
         receiver.await.unwrap_or(Err(ProposeError::Unknown))
     }
 
-    /// The committed state, confirmed to be the newest by a majority after this was called.
+    /// Reads the committed state, which a majority confirmed to be the newest after this call.
     ///
     /// # Errors
     ///
-    /// If this keeper is not primary or no majority answers.
+    /// If this keeper is not primary or no majority replies.
     pub(super) async fn read_confirmed(self: &Arc<Self>) -> Result<Versioned<ControlState>, ReadError> {
         let (token, receiver) = self.lock().consensus.reads.register();
         self.step_replica(Event::Read { token: ReadToken(token) });
@@ -125,7 +128,7 @@
             Command::ProposeCompleted { token, outcome } => {
                 self.lock().consensus.proposals.complete(token.0, outcome)
             }
-            Command::ReadCompleted { token, outcome } => self.handle_read_done(token, outcome),
+            Command::ReadCompleted { token, outcome } => self.handle_read_completed(token, outcome),
             Command::RoleChanged(role) => self.handle_role_change(role),
         }
     }
@@ -144,21 +147,21 @@
         }
     }
 
-    fn handle_read_done(&self, token: ReadToken, outcome: Result<(), ReadError>) {
+    fn handle_read_completed(&self, token: ReadToken, outcome: Result<(), ReadError>) {
         let mut state = self.lock();
         let committed = state.consensus.committed().cloned();
-        let answer = outcome.and_then(|()| committed.ok_or(ReadError::Unavailable));
-        state.consensus.reads.complete(token.0, answer);
+        let outcome = outcome.and_then(|()| committed.ok_or(ReadError::Unavailable));
+        state.consensus.reads.complete(token.0, outcome);
     }
 
     fn handle_role_change(self: &Arc<Self>, role: Role) {
         let epoch = self.lock().consensus.replica.epoch().number.0;
-        info!(self.log, "role"; "role" => format!("{role:?}"), "epoch" => epoch);
+        info!(self.log, "role changed"; "role" => format!("{role:?}"), "epoch" => epoch);
         self.state_changed.notify_waiters();
         self.planning_requested.notify_one();
     }
 
-    /// The committed state is another one: subscribers are told, those that wait for it look again.
+    /// The committed state changed: subscribers are updated, and waiting tasks check their condition again.
     fn handle_commit(self: &Arc<Self>) {
         self.log_committed();
         self.push_requested.notify_one();
@@ -167,7 +170,7 @@
     }
 }
 
-/// Writes records one after the other, for as long as the keeper lives.
+/// Writes records one after the other for the lifetime of the keeper.
 pub(super) async fn run_record_writer(
     controller: Arc<Controller>, mut file: super::record_file::RecordFile,
     mut writes: mpsc::Receiver<RecordWrite>,
@@ -177,33 +180,33 @@
             let outcome = file.write(&record);
             (file, outcome)
         });
-        // The task ends early only if the write panicked, and then the disk is of no more use.
+        // The task ends early only if the write panicked, and then the disk cannot be used any more.
         let Ok((returned, outcome)) = written.await else { return };
         file = returned;
         match outcome {
             Ok(()) => controller.step_replica(Event::Persisted(token)),
             Err(error) => {
-                slog::warn!(controller.log, "the disk refuses"; "why" => error.to_string());
+                slog::warn!(controller.log, "disk write failed"; "error" => error.to_string());
                 controller.step_replica(Event::PersistFailed(token));
             }
         }
     }
 }
 
-/// Wakes the replica at the times that it names.
-pub(super) async fn run_replica_timer(controller: Arc<Controller>, mut wake: watch::Receiver<Time>) {
+/// Ticks the replica at the times that it requests.
+pub(super) async fn run_replica_timer(controller: Arc<Controller>, mut timer_changes: watch::Receiver<Time>) {
     loop {
-        let at = *wake.borrow_and_update();
-        let pause = clock::duration(at.since(clock::now()));
+        let tick_at = *timer_changes.borrow_and_update();
+        let delay = clock::duration(tick_at.since(clock::now()));
         tokio::select! {
             biased;
-            () = tokio::time::sleep(pause) => {
-                // The next time to wake is set before anything is awaited.
+            () = tokio::time::sleep(delay) => {
+                // Reset before the tick, which may request another time.
                 controller.lock().consensus.replica_timer.send_replace(Time::NEVER);
-                wake.mark_unchanged();
+                timer_changes.mark_unchanged();
                 controller.step_replica(Event::Tick);
             }
-            changed = wake.changed() => if changed.is_err() { return },
+            changed = timer_changes.changed() => if changed.is_err() { return },
         }
     }
 }
--- a/crates/node/src/keeper/endpoints.rs
+++ b/crates/node/src/keeper/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints: their heartbeats, and what keepers tell each other of them.
+//! Endpoints: their heartbeats, their expiry, and the exchange of instances between keepers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,28 +14,30 @@
 use crate::clock;
 use crate::link::{LinkId, ReplySender};
 
-/// The answer to an endpoint.
+/// The reply to an endpoint's call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EndpointReply {
-    /// Heard, by a keeper that a majority of the keepers answers. Where the endpoint leaves, enough keepers for
-    /// every relay to hear of it have taken it, a majority at least, and the relays subscribed there applied it.
+    /// Recorded by a keeper with contact to a majority. Where the endpoint leaves, at least a majority, and enough
+    /// keepers for every relay to learn of it, have recorded the end, and the relays subscribed there applied it.
     Accepted,
-    /// This keeper is cut off or full, or could not spread an end in time: another one should be called.
+    /// This keeper is partitioned or full, or could not propagate an end in time: call another keeper.
     Unavailable,
 }
 
-/// What has to be confirmed before an endpoint that leaves is answered.
+/// What must be confirmed before the call of a leaving endpoint is acknowledged.
 struct Propagation {
+    /// The revision of the instances that the relays subscribed here must apply.
     revision: u64,
+    /// The change that other keepers must confirm.
     change_number: ChangeNumber,
 }
 
 impl Controller {
-    /// An endpoint's heartbeat.
+    /// Records an endpoint's heartbeat.
     pub(super) async fn handle_heartbeat(self: &Arc<Self>, instance: Instance) -> EndpointReply {
-        let leaves = instance.state != InstanceState::Ready;
+        let is_leaving = instance.state != InstanceState::Ready;
         let id = instance.id.clone();
-        let spread = {
+        let propagation = {
             let state = &mut *self.lock();
             let now = clock::now();
             if !self.has_majority_contact(state) {
@@ -47,51 +49,51 @@
                 HeartbeatOutcome::Refreshed(refresh) => state.exchange.record_refresh(&refresh),
                 HeartbeatOutcome::Changed(changed) => self.publish_instances(state, &changed),
             }
-            if !leaves {
+            if !is_leaving {
                 return EndpointReply::Accepted;
             }
             self.propagate(state, &id)
         };
-        info!(self.log, "endpoint drains"; "endpoint" => %id.0);
-        self.wait_until_propagated(spread).await
+        info!(self.log, "endpoint draining"; "endpoint" => %id.0);
+        self.wait_until_propagated(propagation).await
     }
 
-    /// An endpoint says that it ends.
+    /// Records that an endpoint ends.
     pub(super) async fn handle_instance_end(self: &Arc<Self>, id: InstanceId) -> EndpointReply {
-        let spread = {
+        let propagation = {
             let state = &mut *self.lock();
             if !self.has_majority_contact(state) {
                 return EndpointReply::Unavailable;
             }
-            let gone = state.registry.deregister(clock::now(), &id);
-            self.publish_instances(state, gone.as_slice());
+            let deregistered = state.registry.deregister(clock::now(), &id);
+            self.publish_instances(state, deregistered.as_slice());
             self.propagate(state, &id)
         };
-        info!(self.log, "endpoint ends"; "endpoint" => %id.0);
-        self.wait_until_propagated(spread).await
+        info!(self.log, "endpoint terminated"; "endpoint" => %id.0);
+        self.wait_until_propagated(propagation).await
     }
 
-    /// Another keeper tells of instances. If it wants them confirmed, it is answered when the subscribers here
-    /// have applied them.
+    /// Merges instances from another keeper. If it requests confirmation, the reply is sent when the relays
+    /// subscribed here have applied them.
     pub(super) fn handle_instances(
         self: &Arc<Self>, changed: Vec<Instance>, refreshed: &[Refresh], confirm: bool, reply: ReplySender,
     ) {
         let revision = {
             let mut state = self.lock();
-            let news = state.registry.merge(clock::now(), changed, refreshed);
-            if !news.is_empty() {
+            let updated = state.registry.merge(clock::now(), changed, refreshed);
+            if !updated.is_empty() {
                 self.push_requested.notify_one();
             }
-            state.subscribers.record_changed(&news)
+            state.subscribers.record_changed(&updated)
         };
         let controller = Arc::clone(self);
         if !confirm {
             return reply.send(controller.instances_merged(false));
         }
         tokio::spawn(async move {
-            let until = Instant::now() + controller.control_timings.subscriber_apply_timeout;
+            let deadline = Instant::now() + controller.control_timings.subscriber_apply_timeout;
             let applied = controller
-                .wait_until(until, |state| state.subscribers.have_applied_instances(revision))
+                .wait_until(deadline, |state| state.subscribers.have_applied_instances(revision))
                 .await;
             reply.send(controller.instances_merged(applied));
         });
@@ -102,7 +104,7 @@
         Message::Registry(RegistryMessage::InstancesMerged { epoch, applied })
     }
 
-    /// Expires endpoints that nobody hears of, while this keeper hears what the others hear.
+    /// Expires endpoints that sent no heartbeat to any keeper, while this keeper receives what the others receive.
     pub(super) fn expire_instances(&self, state: &mut State) {
         let now = clock::now();
         let epoch = state.consensus.replica.epoch();
@@ -112,17 +114,17 @@
         };
         let expired = state.registry.expire(now, confirmed_at);
         for instance in &expired {
-            info!(self.log, "endpoint lost"; "endpoint" => %instance.id.0, "service" => %instance.service.0);
+            info!(self.log, "endpoint expired"; "endpoint" => %instance.id.0, "service" => %instance.service.0);
         }
         self.publish_instances(state, &expired);
     }
 
-    /// Sends the other keepers what they have to be told now.
-    pub(super) fn send_instance_batches(self: &Arc<Self>, regular: bool) {
+    /// Sends the other keepers the batches of instances that are due. `is_periodic` includes plain heartbeats.
+    pub(super) fn send_instance_batches(self: &Arc<Self>, is_periodic: bool) {
         let batches = {
             let state = &mut *self.lock();
             let registry = &state.registry;
-            state.exchange.next_batches(regular, || registry.instances().collect())
+            state.exchange.next_batches(is_periodic, || registry.instances().collect())
         };
         for batch in batches {
             tokio::spawn(Arc::clone(self).send_instance_batch(batch));
@@ -138,13 +140,13 @@
             refreshed,
             confirm: needs_confirmation,
         });
-        let asked_at = clock::now();
-        let answer = self.call_peer(to.address, message).await;
+        let sent_at = clock::now();
+        let reply = self.call_peer(to.address, message).await;
         {
             let state = &mut *self.lock();
-            match answer {
+            match reply {
                 Some((link, RegistryMessage::InstancesMerged { epoch, applied })) => {
-                    state.contact.record_reply(clock::now(), to.disk, asked_at, epoch);
+                    state.contact.record_reply(clock::now(), to.disk, sent_at, epoch);
                     if applied || !needs_confirmation {
                         state.exchange.handle_reply(to.disk, number, link);
                     } else {
@@ -152,7 +154,7 @@
                     }
                 }
                 _ => {
-                    debug!(self.log, "a keeper does not answer"; "keeper" => %to.node.0);
+                    debug!(self.log, "keeper not responding"; "keeper" => %to.node.0);
                     state.exchange.handle_failure(to.disk, number);
                 }
             }
@@ -160,29 +162,29 @@
         self.state_changed.notify_waiters();
     }
 
-    /// Another keeper's answer, with the link over which it came.
+    /// Calls another keeper. Returns its reply and the link over which it came.
     async fn call_peer(&self, address: SocketAddr, message: Message) -> Option<(LinkId, RegistryMessage)> {
         let link = self.peers.link(address).await.ok()?;
         match link.call(message, self.control_timings.peer_reply_timeout).await {
-            Ok(Message::Registry(answer)) => Some((link.id(), answer)),
+            Ok(Message::Registry(reply)) => Some((link.id(), reply)),
             _ => None,
         }
     }
 
-    /// Tells subscribers and keepers of changes, with the next push.
+    /// Sends changed instances to subscribers and keepers with the next push.
     fn publish_instances(&self, state: &mut State, changed: &[Instance]) {
         if changed.is_empty() {
             return;
         }
         state.subscribers.record_changed(changed);
-        // A voter of this moment must not be missed by what is acknowledged in it.
+        // An acknowledgement must cover all present voters.
         self.update_exchange_peers(state);
         state.exchange.record_changes(changed);
         self.push_requested.notify_one();
     }
 
-    /// Has an end that was taken here confirmed by the other keepers, also if they or this keeper knew of it: an
-    /// earlier call may have been refused because it did not reach a majority.
+    /// Requests the other keepers to confirm an end that was recorded here, even if they or this keeper knew of it:
+    /// an earlier call may have been rejected because the end did not reach a majority.
     fn propagate(&self, state: &mut State, id: &InstanceId) -> Propagation {
         self.update_exchange_peers(state);
         if let Some(instance) = state.registry.get(id).cloned() {
@@ -195,36 +197,39 @@
         }
     }
 
-    /// Waits until every keeper in reach has confirmed, for a limited time. Enough have to have confirmed in any
-    /// case, so that every relay has a subscription to one that has.
-    async fn wait_until_propagated(&self, spread: Propagation) -> EndpointReply {
-        let until = Instant::now() + self.control_timings.propagation_timeout;
-        self.wait_until(until, |state| {
-            self.is_propagated_to_enough(state, &spread) && state.is_propagated_to_reachable(&spread)
+    /// Waits a limited time until every reachable keeper has confirmed. Enough keepers must have confirmed in any
+    /// case, so that every relay is subscribed to one of them.
+    async fn wait_until_propagated(&self, propagation: Propagation) -> EndpointReply {
+        let deadline = Instant::now() + self.control_timings.propagation_timeout;
+        self.wait_until(deadline, |state| {
+            self.is_propagated_to_enough(state, &propagation)
+                && state.is_propagated_to_reachable(&propagation)
         })
         .await;
-        if self.is_propagated_to_enough(&self.lock(), &spread) {
+        if self.is_propagated_to_enough(&self.lock(), &propagation) {
             return EndpointReply::Accepted;
         }
         EndpointReply::Unavailable
     }
 
-    /// Whether the relays subscribed here have confirmed, and enough keepers for every relay to hear of it.
-    fn is_propagated_to_enough(&self, state: &State, spread: &Propagation) -> bool {
+    /// Whether the relays subscribed here have applied the end, and enough keepers for every relay to learn of it have
+    /// confirmed it.
+    fn is_propagated_to_enough(&self, state: &State, propagation: &Propagation) -> bool {
         let epoch = state.consensus.replica.epoch();
-        let confirmed: Vec<DiskId> = state.exchange.confirmed_peers(spread.change_number).collect();
-        let has = |voter: &&Voter| voter.disk == self.local_voter.disk || confirmed.contains(&voter.disk);
+        let confirmed: Vec<DiskId> = state.exchange.confirmed_peers(propagation.change_number).collect();
+        let has_confirmed =
+            |voter: &&Voter| voter.disk == self.local_voter.disk || confirmed.contains(&voter.disk);
         let needed = needed_confirmations(epoch.voters.len(), self.required_replicas - 1);
-        let is_enough = epoch.voters.iter().filter(has).count() >= needed;
-        is_enough && state.subscribers.have_applied_instances(spread.revision)
+        let is_enough = epoch.voters.iter().filter(has_confirmed).count() >= needed;
+        is_enough && state.subscribers.have_applied_instances(propagation.revision)
     }
 }
 
 impl State {
-    /// Whether every keeper that answers, or was heard of a short while ago, has confirmed.
-    fn is_propagated_to_reachable(&self, spread: &Propagation) -> bool {
+    /// Whether every keeper that replies, or sent a message recently, has confirmed.
+    fn is_propagated_to_reachable(&self, propagation: &Propagation) -> bool {
         let now = clock::now();
-        self.exchange.is_confirmed_by_reachable_peers(spread.change_number, |disk| {
+        self.exchange.is_confirmed_by_reachable_peers(propagation.change_number, |disk| {
             self.contact.has_recent_message(now, disk)
         })
     }
--- a/crates/node/src/keeper/message_handler.rs
+++ b/crates/node/src/keeper/message_handler.rs
@@ -1,5 +1,6 @@
-//! Sorts the messages that reach a keeper over links.
+//! Dispatches the messages that a keeper receives over its links.
 
+use std::future::Future;
 use std::sync::{Arc, Weak};
 use std::time::Duration;
 
@@ -16,10 +17,10 @@
 use crate::clock;
 use crate::link::{Link, ReplySender, Service};
 
-/// The longest that a keeper waits for its subscribers, whatever it is asked.
+/// The maximum time for which a keeper waits for its subscribers on another keeper's request.
 const MAX_DISTRIBUTION_WAIT_MS: u32 = 1_000;
 
-/// The receiving end of a keeper's links.
+/// The receiver of messages on a keeper's links.
 pub(super) struct MessageHandler {
     controller: Weak<Controller>,
 }
@@ -38,7 +39,7 @@
             Message::Registry(message) => controller.handle_registry_message(message, reply),
             Message::Subscribe(subscribe) => controller.handle_subscribe(link, subscribe),
             Message::Applied(applied) => controller.handle_applied(link, applied),
-            // Nothing else is said to a keeper.
+            // No other message is addressed to a keeper.
             _ => {}
         }
     }
@@ -63,25 +64,20 @@
                 self.handle_instances(changed, &refreshed, confirm, reply);
             }
             RegistryMessage::DistributeConfiguration { version, wait_ms } => {
-                let controller = Arc::clone(self);
                 let wait = Duration::from_millis(u64::from(wait_ms.min(MAX_DISTRIBUTION_WAIT_MS)));
-                tokio::spawn(async move {
+                self.spawn_reply(reply, async move |controller| {
                     controller.distribute_to_own_subscribers(version, Instant::now() + wait).await;
-                    reply.send(Message::Registry(RegistryMessage::ConfigurationDistributed));
+                    RegistryMessage::ConfigurationDistributed
                 });
             }
             RegistryMessage::Order(order) => {
-                let controller = Arc::clone(self);
-                tokio::spawn(async move {
-                    let answer = controller.handle_forwarded_order(order).await;
-                    reply.send(Message::Registry(RegistryMessage::OrderReply(answer)));
+                self.spawn_reply(reply, async move |controller| {
+                    RegistryMessage::OrderReply(controller.handle_forwarded_order(order).await)
                 });
             }
             RegistryMessage::ReadCommittedVersion => {
-                let controller = Arc::clone(self);
-                tokio::spawn(async move {
-                    let version = controller.confirmed_version_as_primary().await;
-                    reply.send(Message::Registry(RegistryMessage::CommittedVersion { version }));
+                self.spawn_reply(reply, async move |controller| RegistryMessage::CommittedVersion {
+                    version: controller.confirmed_version_as_primary().await,
                 });
             }
             RegistryMessage::ReachableStores { from, stores } => {
@@ -89,7 +85,7 @@
                 reply.send(Message::Registry(RegistryMessage::ReachableStoresReply { epoch }));
             }
             RegistryMessage::CaughtUp(reports) => self.handle_caught_up_reports(reports),
-            // Answers come to those that called.
+            // Replies are delivered to their callers by the link.
             RegistryMessage::InstancesMerged { .. }
             | RegistryMessage::ConfigurationDistributed
             | RegistryMessage::CommittedVersion { .. }
@@ -98,12 +94,22 @@
         }
     }
 
+    /// Handles a request in a task of its own, and sends its result as the reply.
+    fn spawn_reply<F>(
+        self: &Arc<Self>, reply: ReplySender, handle: impl FnOnce(Arc<Controller>) -> F + Send + 'static,
+    ) where
+        F: Future<Output = RegistryMessage> + Send,
+    {
+        let controller = Arc::clone(self);
+        tokio::spawn(async move { reply.send(Message::Registry(handle(controller).await)) });
+    }
+
     fn handle_subscribe(self: &Arc<Self>, link: &Link, subscribe: Subscribe) {
         let store = subscribing_store(&subscribe);
         self.lock().subscribers.add(link, subscribe);
         self.confirmation_requested.notify_one();
         if let Some(store) = store {
-            info!(self.log, "store seen"; "store" => %store.node.0, "disk" => store.disk.0);
+            info!(self.log, "store subscribed"; "store" => %store.node.0, "disk" => store.disk.0);
             self.report_reachable_stores();
         }
     }
--- a/crates/node/src/keeper/metrics.rs
+++ b/crates/node/src/keeper/metrics.rs
@@ -1,11 +1,11 @@
-//! What a keeper tells of itself in figures.
+//! The metrics of a keeper.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use super::controller::Controller;
+use super::controller::{Controller, State};
 use crate::metrics::{Metric, MetricSource};
 
-/// Answers to orders and questions of operators, by what their status says.
+/// Counters of replies to operators, by status.
 #[derive(Debug, Default)]
 pub(super) struct OrderReplyCounters {
     accepted: AtomicU64,
@@ -14,7 +14,7 @@
 }
 
 impl OrderReplyCounters {
-    /// Counts an answer.
+    /// Counts a reply.
     pub(super) fn count(&self, status: u16) {
         let counter = match status {
             200..300 => &self.accepted,
@@ -35,18 +35,26 @@
 impl MetricSource for Controller {
     fn metrics(&self) -> Vec<Metric> {
         let state = self.lock();
+        let mut metrics = self.replication_metrics(&state);
+        metrics.extend(committed_metrics(&state));
+        metrics.extend(registry_metrics(&state));
+        metrics.push(self.order_replies.metric());
+        metrics
+    }
+}
+
+impl Controller {
+    fn replication_metrics(&self, state: &State) -> Vec<Metric> {
         let replica = &state.consensus.replica;
-        let committed = state.consensus.committed();
-        let configuration = committed.map(|held| held.state.configuration_version().sequence);
-        let flag = u64::from;
+        let as_gauge = u64::from;
         vec![
             Metric::gauge("epoch", "The highest epoch known", replica.epoch().number.0),
-            Metric::gauge("is_primary", "Whether this keeper is primary", flag(replica.is_primary())),
-            Metric::gauge("is_voter", "Whether this keeper is a voter", flag(self.is_voter(&state))),
+            Metric::gauge("is_primary", "Whether this keeper is primary", as_gauge(replica.is_primary())),
+            Metric::gauge("is_voter", "Whether this keeper is a voter", as_gauge(self.is_voter(state))),
             Metric::gauge(
                 "is_in_contact",
                 "Whether a majority has answered a short while ago",
-                flag(self.has_majority_contact(&state)),
+                as_gauge(self.has_majority_contact(state)),
             ),
             Metric::gauge("voters", "Voters of the highest epoch", replica.epoch().voters.len() as u64),
             Metric::gauge(
@@ -54,28 +62,32 @@
                 "In-sync replicas of the highest epoch",
                 replica.epoch().in_sync.len() as u64,
             ),
-            Metric::gauge(
-                "configuration_sequence",
-                "The number of the committed configuration",
-                configuration.unwrap_or_default(),
-            ),
-            Metric::gauge(
-                "store_map_version",
-                "The version of the committed store map",
-                committed.map_or(0, |held| held.state.store_map.version),
-            ),
-            Metric::gauge("subscriptions", "Relays and stores subscribed", state.subscribers.count() as u64),
-            Metric::gauge(
-                "instances",
-                "Endpoints known, those that are gone included",
-                state.registry.instances().count() as u64,
-            ),
-            Metric::gauge(
-                "partitions_without_copy",
-                "Partitions of which no copy is left",
-                state.unrecoverable_partitions as u64,
-            ),
-            self.order_replies.metric(),
         ]
     }
 }
+
+fn committed_metrics(state: &State) -> [Metric; 2] {
+    let committed = state.consensus.committed().map(|committed| &committed.state);
+    let configuration = committed.map_or(0, |state| state.configuration_version().sequence);
+    let store_map = committed.map_or(0, |state| state.store_map.version);
+    [
+        Metric::gauge("configuration_sequence", "The number of the committed configuration", configuration),
+        Metric::gauge("store_map_version", "The version of the committed store map", store_map),
+    ]
+}
+
+fn registry_metrics(state: &State) -> [Metric; 3] {
+    [
+        Metric::gauge("subscriptions", "Relays and stores subscribed", state.subscribers.count() as u64),
+        Metric::gauge(
+            "instances",
+            "Endpoints known, those that are gone included",
+            state.registry.instances().count() as u64,
+        ),
+        Metric::gauge(
+            "partitions_without_copy",
+            "Partitions of which no copy is left",
+            state.unrecoverable_partitions as u64,
+        ),
+    ]
+}
--- a/crates/node/src/keeper/peer_discovery.rs
+++ b/crates/node/src/keeper/peer_discovery.rs
@@ -1,5 +1,6 @@
-//! Where a keeper that is no voter may find the others: changed settings and the membership, beside the seeds of
-//! its start.
+//! Discovery of the other keepers: from the membership and from reloaded settings, beside the seeds at start.
+//!
+//! A keeper that is not a voter asks these addresses to join.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,14 +15,14 @@
 use crate::settings::Settings;
 use crate::sync::lock;
 
-/// The membership of a keeper and the seeds of its present settings.
+/// Tracks the addresses of other keepers.
 pub(super) struct PeerDiscovery {
     controller: Arc<Controller>,
     gossip: Gossip,
     known: Arc<Mutex<KnownAddresses>>,
 }
 
-/// What was heard, by its source.
+/// The known addresses, by source.
 #[derive(Default)]
 struct KnownAddresses {
     seeds: Vec<SocketAddr>,
@@ -29,7 +30,7 @@
 }
 
 impl KnownAddresses {
-    /// Found members first: they are alive.
+    /// All addresses; members first, since they are alive.
     fn all(&self) -> Vec<SocketAddr> {
         let mut all = self.members.clone();
         all.extend(self.seeds.iter().filter(|seed| !self.members.contains(seed)));
@@ -43,9 +44,9 @@
         settings: &Settings, controller: &Arc<Controller>,
     ) -> io::Result<Arc<PeerDiscovery>> {
         let known: Arc<Mutex<KnownAddresses>> = Arc::default();
-        let (heard, receiver) = (Arc::clone(&known), Arc::clone(controller));
-        let observer = Box::new(move |found| {
-            let all = update(&heard, |known| known.members = found);
+        let (known_to_observer, receiver) = (Arc::clone(&known), Arc::clone(controller));
+        let observer = Box::new(move |members| {
+            let all = update(&known_to_observer, |known| known.members = members);
             receiver.step_replica(Event::ContactsChanged(all));
         });
         let local_process = LocalProcess { role: Role::Keeper, disk: Some(controller.local_voter.disk) };
@@ -53,7 +54,7 @@
         Ok(Arc::new(PeerDiscovery { controller: Arc::clone(controller), gossip, known }))
     }
 
-    /// Takes the seeds of settings as they change.
+    /// Follows the seeds of changed settings.
     pub(super) async fn follow_settings(self: Arc<Self>, mut changes: watch::Receiver<Settings>) {
         while changes.changed().await.is_ok() {
             let settings = changes.borrow_and_update().clone();
@@ -61,16 +62,17 @@
             self.controller.step_replica(Event::ContactsChanged(all));
             self.gossip.reload(&settings);
         }
-        // Nobody changes the settings any more.
+        // The settings do not change any more.
         std::future::pending().await
     }
 
-    /// Tells the other members that this keeper ends.
+    /// Announces to the other members that this keeper ends.
     pub(super) fn leave(&self) {
         self.gossip.leave();
     }
 }
 
+/// Changes the known addresses and returns all of them.
 fn update(known: &Mutex<KnownAddresses>, change: impl FnOnce(&mut KnownAddresses)) -> Vec<SocketAddr> {
     let mut known = lock(known);
     change(&mut known);
--- a/crates/node/src/keeper/peers.rs
+++ b/crates/node/src/keeper/peers.rs
@@ -1,4 +1,4 @@
-//! Links to the other keepers. Messages to one that cannot be reached are dropped, not piled up.
+//! Links to the other keepers. Messages to an unreachable keeper are dropped, not queued without limit.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -10,9 +10,9 @@
 use crate::link::{CallError, Link, LinkPool, Service};
 use crate::sync::lock;
 
-/// Messages that wait for a connection to come up; the oldest give way.
+/// The number of messages that are queued until a link is up; the oldest are dropped.
 const MAX_QUEUED_MESSAGES: usize = 64;
-/// Keepers that are remembered; more than ever take part.
+/// The number of keepers above which unconnected ones are forgotten; more than a tier ever has.
 const MAX_PEERS: usize = 64;
 
 /// The links to other keepers.
@@ -21,20 +21,22 @@
     peers: Mutex<HashMap<SocketAddr, Peer>>,
 }
 
+/// Another keeper.
 #[derive(Default)]
 struct Peer {
     link: Option<Link>,
+    /// Messages that are sent when the link is up.
     queued: VecDeque<Message>,
     is_connecting: bool,
 }
 
 impl Peers {
-    /// No links yet; what the others send goes to `service`.
+    /// Starts without links; messages from other keepers go to `service`.
     pub(super) fn new(service: Arc<dyn Service>) -> Self {
         Peers { pool: LinkPool::new(service), peers: Mutex::default() }
     }
 
-    /// Sends a message that nobody answers. It may be lost.
+    /// Sends a message without a reply. It may be lost.
     pub(super) fn send(self: &Arc<Self>, address: SocketAddr, message: Message) {
         let mut peers = self.lock();
         if peers.len() >= MAX_PEERS {
@@ -54,14 +56,22 @@
         }
     }
 
-    /// Calls another keeper and waits for its answer.
+    /// Calls another keeper and waits for its reply.
+    ///
+    /// # Errors
+    ///
+    /// If there is no link, or no reply within `timeout`.
     pub(super) async fn call(
-        &self, address: SocketAddr, message: Message, within: Duration,
+        &self, address: SocketAddr, message: Message, timeout: Duration,
     ) -> Result<Message, CallError> {
-        self.pool.call(address, message, within).await
+        self.pool.call(address, message, timeout).await
     }
 
-    /// The link to a keeper, which comes up if there is none.
+    /// The link to a keeper, which is established if there is none.
+    ///
+    /// # Errors
+    ///
+    /// If the keeper cannot be connected.
     pub(super) async fn link(&self, address: SocketAddr) -> Result<Link, CallError> {
         self.pool.link(address).await
     }
@@ -71,9 +81,9 @@
         let mut peers = self.lock();
         let Some(peer) = peers.get_mut(&address) else { return };
         peer.is_connecting = false;
-        let waiting = std::mem::take(&mut peer.queued);
+        let queued = std::mem::take(&mut peer.queued);
         if let Some(link) = &link {
-            waiting.into_iter().for_each(|message| link.send(message));
+            queued.into_iter().for_each(|message| link.send(message));
         }
         peer.link = link;
     }
--- a/crates/node/src/keeper/pending_outcomes.rs
+++ b/crates/node/src/keeper/pending_outcomes.rs
@@ -1,10 +1,10 @@
-//! Those that wait for an outcome of the replica.
+//! Outcomes of the replica that tasks wait for.
 
 use std::collections::HashMap;
 
 use tokio::sync::oneshot;
 
-/// Who waits for which outcome, by token. Bounded by what the replica lets wait: it tells every outcome.
+/// The waiting tasks, by token. Bounded by the replica, which limits its pending work and completes every token.
 #[derive(Debug)]
 pub(super) struct PendingOutcomes<T> {
     next_token: u64,
@@ -18,7 +18,7 @@
 }
 
 impl<T> PendingOutcomes<T> {
-    /// Draws a token, and gives the end at which its outcome comes in.
+    /// Registers a waiting task. Returns its token and the receiver of the outcome.
     pub(super) fn register(&mut self) -> (u64, oneshot::Receiver<T>) {
         self.next_token += 1;
         let (sender, receiver) = oneshot::channel();
@@ -26,11 +26,11 @@
         (self.next_token, receiver)
     }
 
-    /// Tells an outcome to the one that waits for it.
+    /// Sends an outcome to the task that waits for it, if any.
     pub(super) fn complete(&mut self, token: u64, outcome: T) {
-        if let Some(waiting) = self.senders.remove(&token) {
-            // One that no longer waits has dropped its end.
-            let _ = waiting.send(outcome);
+        if let Some(sender) = self.senders.remove(&token) {
+            // A task that no longer waits has dropped the receiver.
+            let _ = sender.send(outcome);
         }
     }
 }
--- a/crates/node/src/keeper/publishing.rs
+++ b/crates/node/src/keeper/publishing.rs
@@ -40,12 +40,12 @@
         let version = committed.configuration_version();
         if version != state.logged_configuration {
             state.logged_configuration = version;
-            info!(self.log, "configuration"; "generation" => committed.generation());
+            info!(self.log, "configuration committed"; "generation" => committed.generation());
         }
         let store_map = &committed.store_map;
         if store_map.version != state.logged_store_map {
             state.logged_store_map = store_map.version;
-            info!(self.log, "store map"; "version" => store_map.version, "stores" => store_map.stores.len());
+            info!(self.log, "store map committed"; "version" => store_map.version, "stores" => store_map.stores.len());
         }
     }
 }
--- a/crates/node/src/keeper/record_file.rs
+++ b/crates/node/src/keeper/record_file.rs
@@ -1,12 +1,12 @@
-//! The keeper's disk: its identity, and all that a replica must remember.
+//! Persistence of a keeper: the identity of its disk and the durable record of its replica.
 //!
-//! A record is one file, replaced whole. Where only the ballot has changed, it goes into a small file of its own
-//! that names the record it belongs to, so that elections don't write the state.
+//! A record is one file, replaced as a whole. Where only the acceptor state has changed, it is written to a small
+//! file of its own that names the record it belongs to, so that elections do not write the state.
 //!
-//! Both carry the identity of their folder. A folder whose newest record is torn, is an older one under the
-//! newest name, or is that of another folder, counts as lost: the keeper comes back with a new identity and
-//! nothing else, as after the loss of the disk, since it may have promised or confirmed more than it finds. No
-//! loss of power leads there, see `juniperwing_storage::SnapshotFiles`.
+//! Both carry the identity of their directory. A directory whose newest record is torn, is an older one under the
+//! newest name, or belongs to another directory, counts as lost: the keeper starts with a new identity and an empty
+//! record, as after the loss of the disk, since it may have promised or acknowledged more than it finds. No power
+//! loss leads there, see `juniperwing_storage::SnapshotFiles`.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -18,37 +18,37 @@
 use serde::{Deserialize, Serialize};
 use snafu::{ResultExt, Snafu};
 
-/// The layout of records and ballots; another number with every change of what is in them.
+/// The layout version of records and acceptor states; it changes with every change of their contents.
 const LAYOUT_VERSION: u32 = 1;
-/// The name of the state in the data directory.
+/// The name of the record files in the data directory.
 const STATE_NAME: &str = "control";
-/// The name of the ballots that came after it.
+/// The name of the acceptor-state files in the data directory.
 const ACCEPTOR_STATE_NAME: &str = "ballot";
 
-/// Why the disk cannot be used.
+/// The reason why the disk cannot be used.
 #[derive(Debug, Snafu)]
 pub enum DiskError {
-    /// It refuses.
+    /// An operation on the disk failed.
     #[snafu(display("{source}"))]
     Storage {
-        /// What was tried.
+        /// The failed operation.
         source: StorageError,
     },
-    /// What it holds is not a record.
+    /// The file is not a record.
     #[snafu(display("the record on disk cannot be read: {source}"))]
     Malformed {
-        /// What the decoder says.
+        /// The error of the decoder.
         source: postcard::Error,
     },
-    /// A ballot belongs to a record that is not there.
-    #[snafu(display("the record of the last ballot is missing"))]
+    /// The record of the newest acceptor state does not exist.
+    #[snafu(display("the record of the newest acceptor state is missing"))]
     MissingRecord,
-    /// The record was written by the keeper of another folder.
+    /// The record belongs to another data directory.
     #[snafu(display("the record on disk is that of disk {}, not of {}", found.0, expected.0))]
     ForeignRecord {
         /// The identity in the record.
         found: DiskId,
-        /// The identity of the folder.
+        /// The identity of the directory.
         expected: DiskId,
     },
 }
@@ -64,7 +64,7 @@
     }
 }
 
-/// The layout of a record on disk.
+/// A record as encoded on disk.
 #[derive(Serialize, Deserialize)]
 struct StoredRecord {
     disk: DiskId,
@@ -74,99 +74,98 @@
     state: Arc<Vec<u8>>,
 }
 
-/// The layout of a ballot on disk.
+/// An acceptor state as encoded on disk.
 #[derive(Serialize, Deserialize)]
 struct StoredAcceptorState {
     disk: DiskId,
-    /// The number of the record that it belongs to.
+    /// The number of the record file that it belongs to.
     record: u64,
     promised: EpochNumber,
     accepted: Epoch,
 }
 
-/// What a keeper finds on its disk.
+/// An opened data directory.
 #[derive(Debug)]
 pub struct OpenedRecordFile {
-    /// The identity of its folder.
+    /// The identity of the directory.
     pub disk: DiskId,
-    /// Where its records go.
+    /// The file that records are written to.
     pub record_file: RecordFile,
     /// The newest record; `None` if there is none yet.
     pub record: Option<Record>,
-    /// Why what was there counts as lost, if it does; the identity is a new one then.
+    /// Why the previous contents count as lost, if they do; the identity is a new one then.
     pub loss: Option<DiskError>,
 }
 
-/// Opens the keeper's folder. New identities are drawn where they are needed.
+/// Opens the keeper's data directory. `draw` generates new identities where they are needed.
 ///
 /// # Errors
 ///
-/// If the disk refuses, or holds what another release wrote.
-pub fn open(folder: &Path, draw: impl Fn() -> u64) -> Result<OpenedRecordFile, DiskError> {
-    let (disk, _) = identity::open(folder, draw()).context(StorageSnafu)?;
-    let disk = DiskId(disk);
-    layout::check(folder, STATE_NAME, LAYOUT_VERSION).context(StorageSnafu)?;
-    match RecordFile::open(folder, disk) {
-        Ok((file, record)) => Ok(OpenedRecordFile { disk, record_file: file, record, loss: None }),
-        Err(loss) if loss.is_loss() => reset_identity(folder, DiskId(draw()), loss),
+/// If an operation on the disk fails, or the files have the layout of another release.
+pub fn open(directory: &Path, draw: impl Fn() -> u64) -> Result<OpenedRecordFile, DiskError> {
+    let (identity, _) = identity::open(directory, draw()).context(StorageSnafu)?;
+    let disk = DiskId(identity);
+    layout::check(directory, STATE_NAME, LAYOUT_VERSION).context(StorageSnafu)?;
+    match RecordFile::open(directory, disk) {
+        Ok((record_file, record)) => Ok(OpenedRecordFile { disk, record_file, record, loss: None }),
+        Err(loss) if loss.is_loss() => reset_identity(directory, DiskId(draw()), loss),
         Err(error) => Err(error),
     }
 }
 
-/// The identity goes first: a record that is still there after a loss of power is a foreign one then.
-fn reset_identity(folder: &Path, disk: DiskId, loss: DiskError) -> Result<OpenedRecordFile, DiskError> {
-    identity::renew(folder, disk.0).context(StorageSnafu)?;
-    let files = SnapshotFiles::clear(folder, STATE_NAME).context(StorageSnafu)?;
-    let ballots = SnapshotFiles::clear(folder, ACCEPTOR_STATE_NAME).context(StorageSnafu)?;
-    let file = RecordFile { disk, record_files: files, acceptor_files: ballots, newest_written: None };
-    Ok(OpenedRecordFile { disk, record_file: file, record: None, loss: Some(loss) })
+/// Starts with a new identity and no record. The identity is replaced first: a record that remains after a power
+/// loss is then a foreign one.
+fn reset_identity(directory: &Path, disk: DiskId, loss: DiskError) -> Result<OpenedRecordFile, DiskError> {
+    identity::renew(directory, disk.0).context(StorageSnafu)?;
+    let record_files = SnapshotFiles::clear(directory, STATE_NAME).context(StorageSnafu)?;
+    let acceptor_files = SnapshotFiles::clear(directory, ACCEPTOR_STATE_NAME).context(StorageSnafu)?;
+    let record_file = RecordFile { disk, record_files, acceptor_files, newest_written: None };
+    Ok(OpenedRecordFile { disk, record_file, record: None, loss: Some(loss) })
 }
 
-/// The files. All calls block on the disk.
+/// The record files of a keeper. All calls block on the disk.
 #[derive(Debug)]
 pub struct RecordFile {
     disk: DiskId,
     record_files: SnapshotFiles,
     acceptor_files: SnapshotFiles,
-    /// The state that the newest record holds.
+    /// The version and the state of the newest record.
     newest_written: Option<(Version, Arc<Vec<u8>>)>,
 }
 
 impl RecordFile {
-    /// Opens the files and reads the newest record of this disk with its newest ballot.
-    fn open(folder: &Path, disk: DiskId) -> Result<(Self, Option<Record>), DiskError> {
-        let (files, newest) = SnapshotFiles::open(folder, STATE_NAME).context(StorageSnafu)?;
-        let (ballots, newest_ballot) =
-            SnapshotFiles::open(folder, ACCEPTOR_STATE_NAME).context(StorageSnafu)?;
-        let mut record = newest.map(|bytes| decode_record(&bytes, disk)).transpose()?;
-        let later = newest_ballot.map(|bytes| decode_acceptor_state(&bytes, disk)).transpose()?;
-        if let Some((number, ballot)) = later {
+    /// Opens the files and reads the newest record of this disk with its newest acceptor state.
+    fn open(directory: &Path, disk: DiskId) -> Result<(Self, Option<Record>), DiskError> {
+        let (record_files, newest_record) =
+            SnapshotFiles::open(directory, STATE_NAME).context(StorageSnafu)?;
+        let (acceptor_files, newest_acceptor) =
+            SnapshotFiles::open(directory, ACCEPTOR_STATE_NAME).context(StorageSnafu)?;
+        let mut record = newest_record.map(|bytes| decode_record(&bytes, disk)).transpose()?;
+        let acceptor = newest_acceptor.map(|bytes| decode_acceptor_state(&bytes, disk)).transpose()?;
+        if let Some((record_number, acceptor)) = acceptor {
             match &mut record {
-                Some(record) if number == files.newest_number() => record.acceptor = ballot,
-                // The record that came after it holds a later one.
-                Some(_) if number < files.newest_number() => {}
+                Some(record) if record_number == record_files.newest_number() => record.acceptor = acceptor,
+                // The record was written later and contains a newer acceptor state.
+                Some(_) if record_number < record_files.newest_number() => {}
                 _ => return MissingRecordSnafu.fail(),
             }
         }
-        let written = record.as_ref().map(|record| (record.version, Arc::clone(&record.state)));
-        Ok((
-            RecordFile { disk, record_files: files, acceptor_files: ballots, newest_written: written },
-            record,
-        ))
+        let newest_written = record.as_ref().map(|record| (record.version, Arc::clone(&record.state)));
+        Ok((RecordFile { disk, record_files, acceptor_files, newest_written }, record))
     }
 
-    /// Writes a record. When this returns, it outlasts a loss of power.
+    /// Writes a record durably: once this returns, the record survives a power loss.
     ///
     /// # Errors
     ///
-    /// If the disk refuses; the record before is untouched then. The new one may come back after a start.
+    /// If the write fails; the previous record is untouched then. The new one may still be found at the next start.
     pub fn write(&mut self, record: &Record) -> Result<(), DiskError> {
-        let holds =
+        let is_written =
             |(version, state): &(Version, Arc<Vec<u8>>)| *version == record.version && *state == record.state;
-        if self.newest_written.as_ref().is_some_and(holds) {
+        if self.newest_written.as_ref().is_some_and(is_written) {
             return self.write_acceptor_state(&record.acceptor);
         }
-        // Where this fails, the newest number is not known to be that of a record.
+        // If the write fails, it is unknown which record the newest file contains.
         self.newest_written = None;
         let stored = StoredRecord {
             disk: self.disk,
@@ -181,12 +180,12 @@
         Ok(())
     }
 
-    fn write_acceptor_state(&mut self, ballot: &AcceptorState) -> Result<(), DiskError> {
+    fn write_acceptor_state(&mut self, acceptor: &AcceptorState) -> Result<(), DiskError> {
         let stored = StoredAcceptorState {
             disk: self.disk,
             record: self.record_files.newest_number(),
-            promised: ballot.promised,
-            accepted: ballot.accepted.clone(),
+            promised: acceptor.promised,
+            accepted: acceptor.accepted.clone(),
         };
         let bytes = postcard::to_stdvec(&stored).context(MalformedSnafu)?;
         self.acceptor_files.write(&bytes).context(StorageSnafu)
@@ -196,11 +195,11 @@
 fn decode_record(bytes: &[u8], expected: DiskId) -> Result<Record, DiskError> {
     let stored: StoredRecord = postcard::from_bytes(bytes).context(MalformedSnafu)?;
     check_disk(stored.disk, expected)?;
-    let ballot = AcceptorState { promised: stored.promised, accepted: stored.accepted };
-    Ok(Record { acceptor: ballot, version: stored.version, state: stored.state })
+    let acceptor = AcceptorState { promised: stored.promised, accepted: stored.accepted };
+    Ok(Record { acceptor, version: stored.version, state: stored.state })
 }
 
-/// A ballot with the number of its record.
+/// Decodes an acceptor state and the number of its record file.
 fn decode_acceptor_state(bytes: &[u8], expected: DiskId) -> Result<(u64, AcceptorState), DiskError> {
     let stored: StoredAcceptorState = postcard::from_bytes(bytes).context(MalformedSnafu)?;
     check_disk(stored.disk, expected)?;
--- a/crates/node/src/keeper/shutdown.rs
+++ b/crates/node/src/keeper/shutdown.rs
@@ -30,7 +30,7 @@
 impl RunningKeeper {
     /// Leaves the membership, waits until other voters have taken over, and finishes open calls.
     pub(super) async fn shut_down(self) {
-        info!(self.controller.log, "ending");
+        info!(self.controller.log, "shutting down");
         self.peer_discovery.leave();
         self.controller.step_down_and_wait(self.grace_period).await;
         self.control_server.drain().await;
@@ -47,6 +47,6 @@
         while !self.lock().consensus.replica.can_shut_down() && Instant::now() < deadline {
             sleep(SHUTDOWN_POLL_INTERVAL).await;
         }
-        info!(self.log, "handed over"; "may_end" => self.lock().consensus.replica.can_shut_down());
+        info!(self.log, "leadership handover finished"; "can_shut_down" => self.lock().consensus.replica.can_shut_down());
     }
 }
--- a/crates/node/src/keeper/startup.rs
+++ b/crates/node/src/keeper/startup.rs
@@ -86,7 +86,7 @@
     ) -> io::Result<RunningKeeper> {
         let RestoredReplica { replica, record_file, local_voter } = self.restored;
         for finding in settings.bounds.too_short() {
-            warn!(log, "a bound cannot be met"; "bound" => finding);
+            warn!(log, "configured bound cannot be met"; "bound" => finding);
         }
         info!(log, "starting"; "disk" => local_voter.disk.0, "seeds" => settings.seed_nodes.len());
 
@@ -132,7 +132,7 @@
     let OpenedRecordFile { disk, record_file, record, loss } =
         record_file::open(data_directory, clock::random).map_err(io::Error::other)?;
     if let Some(loss) = &loss {
-        warn!(log, "the disk counts as lost"; "why" => loss.to_string());
+        warn!(log, "disk contents lost, starting with a new identity"; "reason" => loss.to_string());
     }
     let local_voter = Voter {
         disk,
--- a/crates/node/src/keeper/store_placement.rs
+++ b/crates/node/src/keeper/store_placement.rs
@@ -1,4 +1,4 @@
-//! Store machines: who is alive, what has caught up, and the map that follows from it.
+//! Placement of partitions on stores: which stores are alive, which replicas caught up, and the resulting map.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
     unrecoverable_partitions,
 };
 use juniperwing_protocol::registry::RegistryMessage;
-use juniperwing_protocol::replication::Voter;
+use juniperwing_protocol::replication::{Version, Voter};
 use juniperwing_protocol::subscription::{CaughtUp, StoreNode};
 use juniperwing_protocol::{DiskId, EpochNumber, Message};
 use slog::{info, warn};
@@ -17,11 +17,17 @@
 use super::controller::{Controller, State};
 use crate::clock;
 
-/// Reports of primaries that wait to be used.
+/// The number of caught-up reports that are kept until they are used.
 const MAX_CAUGHT_UP_REPORTS: usize = 1_024;
 
+/// A change to propose, and the committed version that it was computed on.
+struct PlannedChange {
+    base: Version,
+    change: ControlChange,
+}
+
 impl Controller {
-    /// Another keeper tells which stores it sees. Returns the highest epoch known here, for the answer.
+    /// Records which stores another keeper can reach. Returns the highest epoch known here, for the reply.
     pub(super) fn handle_reachable_stores(&self, keeper: DiskId, stores: Vec<StoreNode>) -> EpochNumber {
         let mut state = self.lock();
         let now = clock::now();
@@ -33,7 +39,7 @@
         epoch
     }
 
-    /// Tells the others which stores this keeper sees. Their answers are evidence of contact.
+    /// Reports to the other voters which stores this keeper can reach. Their replies are evidence of contact.
     pub(super) fn report_reachable_stores(self: &Arc<Self>) {
         let from = self.local_voter.disk;
         let stores = {
@@ -52,16 +58,16 @@
     }
 
     async fn send_reachable_stores(self: Arc<Self>, voter: Voter, report: RegistryMessage) {
-        let asked_at = clock::now();
-        let within = self.control_timings.peer_reply_timeout;
-        let answer = self.peers.call(voter.address, Message::Registry(report), within).await;
-        if let Ok(Message::Registry(RegistryMessage::ReachableStoresReply { epoch })) = answer {
-            self.lock().contact.record_reply(clock::now(), voter.disk, asked_at, epoch);
+        let sent_at = clock::now();
+        let timeout = self.control_timings.peer_reply_timeout;
+        let reply = self.peers.call(voter.address, Message::Registry(report), timeout).await;
+        if let Ok(Message::Registry(RegistryMessage::ReachableStoresReply { epoch })) = reply {
+            self.lock().contact.record_reply(clock::now(), voter.disk, sent_at, epoch);
         }
     }
 
-    /// Primaries of partitions report replicas that have caught up. Such a report is true until the partition's
-    /// epoch changes, so it is kept until then, whoever is primary keeper meanwhile.
+    /// Records replicas that caught up, as reported by the partitions' primaries. A report holds until the
+    /// partition's epoch changes, so it is kept until then, whichever keeper is primary.
     pub(super) fn handle_caught_up_reports(self: &Arc<Self>, reports: Vec<CaughtUp>) {
         let mut state = self.lock();
         for report in reports {
@@ -75,7 +81,7 @@
         self.planning_requested.notify_one();
     }
 
-    /// Passes the reports that still count on to the primary keeper, if that is another one.
+    /// Forwards the current reports to the primary keeper, if that is another one.
     pub(super) fn forward_caught_up_reports(self: &Arc<Self>) {
         let PrimaryLocation::Remote(address) = self.primary_location() else { return };
         let reports = self.lock().caught_up_reports.clone();
@@ -95,31 +101,31 @@
         }
     }
 
-    /// Brings the view of the stores up to date and, as primary, changes the map where it has to change.
+    /// Updates the view of the stores and, as primary, proposes the next change of the store map or a retirement.
     async fn plan_store_map_change(self: &Arc<Self>) {
-        let Some((base, change)) = self.next_store_change() else { return };
+        let Some(PlannedChange { base, change }) = self.next_store_change() else { return };
         match self.propose(base, change).await {
             Ok(_) => self.planning_requested.notify_one(),
-            // The next look at the stores computes it anew.
-            Err(error) => info!(self.log, "the store map stays"; "why" => error.to_string()),
+            // The next planning round computes the change again.
+            Err(error) => info!(self.log, "store map change failed"; "error" => error.to_string()),
         }
     }
 
-    fn next_store_change(&self) -> Option<(juniperwing_protocol::replication::Version, ControlChange)> {
+    fn next_store_change(&self) -> Option<PlannedChange> {
         let state = &mut *self.lock();
         let committed = state.consensus.committed()?.clone();
         state.store_view = state.tracker.tick(clock::now(), &committed.state.store_map.stores);
         let placed = &committed.state.store_map;
-        // A report of an epoch that this keeper does not know yet is kept.
+        // A report of an epoch that this keeper does not know yet is retained.
         state.caught_up_reports.retain(|report| {
-            placed.assignment(report.partition).is_some_and(|held| held.epoch <= report.epoch)
+            placed.assignment(report.partition).is_some_and(|assignment| assignment.epoch <= report.epoch)
         });
         let replica = &state.consensus.replica;
         if !replica.is_primary() || replica.latest().version != committed.version {
             return None;
         }
         if let Some(change) = retirement_of_replaced_disk(&committed.state, &state.store_view) {
-            return Some((committed.version, change));
+            return Some(PlannedChange { base: committed.version, change });
         }
         self.log_unrecoverable_partitions(state);
         let input = PlanInput {
@@ -129,17 +135,19 @@
             required_replicas: self.required_replicas,
         };
         if let Some(map) = plan_store_map(input) {
-            return Some((committed.version, ControlChange::SetStoreMap(map)));
+            let change = ControlChange::SetStoreMap(map);
+            return Some(PlannedChange { base: committed.version, change });
         }
-        let empty = completed_retirements(&committed.state, self.required_replicas).into_iter().next()?;
-        Some((committed.version, ControlChange::CompleteRetirement(empty)))
+        let retired = completed_retirements(&committed.state, self.required_replicas).into_iter().next()?;
+        let change = ControlChange::CompleteRetirement(retired);
+        Some(PlannedChange { base: committed.version, change })
     }
 
     fn log_unrecoverable_partitions(&self, state: &mut State) {
         let Some(committed) = state.consensus.committed() else { return };
         let lost = unrecoverable_partitions(&committed.state, &state.store_view).len();
         if lost > 0 && lost != state.unrecoverable_partitions {
-            warn!(self.log, "every copy of some partitions is gone"; "partitions" => lost);
+            warn!(self.log, "partitions lost all replicas"; "partitions" => lost);
         }
         state.unrecoverable_partitions = lost;
     }
--- a/crates/node/src/keeper/subscribers.rs
+++ b/crates/node/src/keeper/subscribers.rs
@@ -1,8 +1,7 @@
-//! The subscribers of a keeper: what each was told and what it has applied.
+//! The subscribers of a keeper: what was sent to each and what each has applied.
 //!
-//! A new subscription waits until this keeper is confirmed to be current, and is told nothing before that: the
-//! first update tells the subscriber that what follows was in force when it asked. Later changes are newer than
-//! that, so they are told at once.
+//! A new subscription is sent nothing until this keeper is confirmed to be current: the first update promises the
+//! subscriber a state that was in force when it subscribed. Later changes are newer, so they are sent at once.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,38 +17,40 @@
 
 use crate::link::{Link, LinkId};
 
-/// Subscriptions at a time; further ones are closed.
+/// The maximum number of subscriptions; the links of further ones are closed.
 const MAX_SUBSCRIPTIONS: usize = 4_000;
 
-/// All that a subscriber may be told, at one moment.
+/// The state that is published to subscribers.
 pub(super) struct PublishedState<'state> {
-    /// The committed state; `None` while none is known.
+    /// The committed control state; `None` while none is known.
     pub(super) committed: Option<&'state ControlState>,
-    /// Where the keepers listen.
+    /// The addresses of the voters.
     pub(super) controller_addresses: &'state [SocketAddr],
-    /// Whether the keeper has heard of every live endpoint.
+    /// Whether the registry contains every live endpoint.
     pub(super) is_registry_complete: bool,
 }
 
-/// Counts subscriptions in the order in which they came.
+/// The number of a subscription, in the order of arrival.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct SubscriptionNumber(u64);
 
-/// Whether a subscriber may be told anything.
+/// The progress of a subscription.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SubscriptionStage {
-    /// This keeper is not confirmed to be current since the subscription came.
+    /// This keeper has not been confirmed to be current since the subscription arrived; nothing is sent.
     Unconfirmed(SubscriptionNumber),
-    /// Confirmed; the first updates go with the next push.
+    /// Confirmed; a snapshot is sent with the next push.
     Confirmed,
-    /// Told everything; changes follow.
+    /// The snapshot was sent; changes follow.
     Active,
 }
 
+/// A subscription, what was sent over it, and what the subscriber has applied.
 struct Subscription {
     link: Link,
     stage: SubscriptionStage,
     subscribe: Subscribe,
+    /// The versions that the subscriber has confirmed; they never decrease.
     applied: AppliedVersions,
     sent_addresses: Vec<SocketAddr>,
     sent_configuration: Version,
@@ -57,65 +58,65 @@
     sent_registry_complete: bool,
 }
 
-/// The subscribers.
+/// All subscriptions, with the instances to be sent at the next push.
 #[derive(Default)]
 pub(super) struct Subscribers {
     subscriptions: BTreeMap<LinkId, Subscription>,
-    /// Instances that changed since the last push, the newest state of each.
+    /// The newest state of every instance that changed since the last push.
     changed: BTreeMap<InstanceId, Instance>,
-    /// Counts pushes of instances.
+    /// The number of pushes with changed instances.
     revision: u64,
     newest_number: SubscriptionNumber,
 }
 
 impl Subscribers {
-    /// Takes a subscriber in. It is told nothing until it is confirmed.
+    /// Adds an unconfirmed subscription.
     pub(super) fn add(&mut self, link: &Link, subscribe: Subscribe) {
         if self.subscriptions.len() >= MAX_SUBSCRIPTIONS {
             return link.close();
         }
         self.newest_number.0 += 1;
-        let told_configuration = subscribe.configuration;
-        let applied = AppliedVersions { configuration: told_configuration, ..AppliedVersions::default() };
+        let sent_configuration = subscribe.configuration;
+        let applied = AppliedVersions { configuration: sent_configuration, ..AppliedVersions::default() };
         let subscription = Subscription {
             link: link.clone(),
             stage: SubscriptionStage::Unconfirmed(self.newest_number),
             subscribe,
             applied,
             sent_addresses: Vec::new(),
-            sent_configuration: told_configuration,
+            sent_configuration,
             sent_store_map: 0,
             sent_registry_complete: false,
         };
         self.subscriptions.insert(link.id(), subscription);
     }
 
-    /// How many there are.
+    /// The number of subscriptions.
     pub(super) fn count(&self) -> usize {
         self.subscriptions.len()
     }
 
-    /// The newest subscription that waits to be confirmed.
+    /// The newest unconfirmed subscription.
     pub(super) fn newest_unconfirmed(&self) -> Option<SubscriptionNumber> {
-        let open = self.subscriptions.values().filter(|subscription| !subscription.link.is_closed());
-        open.filter_map(Subscription::unconfirmed).max()
+        let live = self.subscriptions.values().filter(|subscription| !subscription.link.is_closed());
+        live.filter_map(Subscription::unconfirmed_number).max()
     }
 
-    /// This keeper is current: all subscriptions up to `newest` may be told so with the next push.
+    /// Confirms all subscriptions up to `newest`.
     pub(super) fn confirm(&mut self, newest: SubscriptionNumber) {
         for subscription in self.subscriptions.values_mut() {
-            if subscription.unconfirmed().is_some_and(|number| number <= newest) {
+            if subscription.unconfirmed_number().is_some_and(|number| number <= newest) {
                 subscription.stage = SubscriptionStage::Confirmed;
             }
         }
     }
 
-    /// A subscriber is gone. Returns its node's subscription, if it was one.
+    /// Removes the subscription of a closed link, if it had one.
     pub(super) fn remove(&mut self, link: LinkId) -> Option<Subscribe> {
         self.subscriptions.remove(&link).map(|subscription| subscription.subscribe)
     }
 
-    /// A subscriber confirms what it has applied. It never goes back.
+    /// Records the versions that a subscriber has applied. They never decrease.
     pub(super) fn record_applied(&mut self, link: LinkId, applied: &AppliedVersions) {
         let Some(subscription) = self.subscriptions.get_mut(&link) else { return };
         let known = &mut subscription.applied;
@@ -124,7 +125,7 @@
         known.stores = known.stores.max(applied.stores);
     }
 
-    /// Instances that subscribers have to be told of. Returns the revision with which they will be told.
+    /// Queues changed instances for the next push. Returns the revision with which they will be sent.
     pub(super) fn record_changed(&mut self, instances: &[Instance]) -> u64 {
         for instance in instances {
             self.changed.insert(instance.id.clone(), instance.clone());
@@ -132,13 +133,13 @@
         self.pending_revision()
     }
 
-    /// The revision with which all that was noted so far is told, or was.
+    /// The revision with which all changes recorded so far will be sent, or were sent.
     pub(super) fn pending_revision(&self) -> u64 {
         if self.changed.is_empty() { self.revision } else { self.revision + 1 }
     }
 
-    /// Tells every confirmed subscriber what it does not know yet. `all` gives all instances.
-    pub(super) fn push(&mut self, tellable: &PublishedState, all: impl Fn() -> Vec<Instance>) {
+    /// Sends every confirmed subscriber what it does not have yet. `all_instances` returns the whole registry.
+    pub(super) fn push(&mut self, published: &PublishedState, all_instances: impl Fn() -> Vec<Instance>) {
         let changed: Vec<Instance> = std::mem::take(&mut self.changed).into_values().collect();
         if !changed.is_empty() {
             self.revision += 1;
@@ -148,20 +149,25 @@
                 SubscriptionStage::Unconfirmed(_) => continue,
                 SubscriptionStage::Confirmed => {
                     subscription.stage = SubscriptionStage::Active;
-                    subscription.send_instance_snapshot(all(), self.revision, tellable.is_registry_complete);
-                }
-                SubscriptionStage::Active => {
-                    subscription.send_instance_changes(&changed, self.revision, tellable.is_registry_complete)
+                    subscription.send_instance_snapshot(
+                        all_instances(),
+                        self.revision,
+                        published.is_registry_complete,
+                    );
                 }
+                SubscriptionStage::Active => subscription.send_instance_changes(
+                    &changed,
+                    self.revision,
+                    published.is_registry_complete,
+                ),
             }
-            subscription.send_controller_addresses(tellable);
-            subscription.send_configuration(tellable);
-            subscription.send_store_map(tellable);
+            subscription.send_controller_addresses(published);
+            subscription.send_configuration(published);
+            subscription.send_store_map(published);
         }
     }
 
-    /// Whether all relays subscribed have applied the instances up to a revision. One that waits to be
-    /// confirmed has not.
+    /// Whether all subscribed relays have applied the instances up to a revision. An unconfirmed one has not.
     pub(super) fn have_applied_instances(&self, revision: u64) -> bool {
         let has_applied = |relay: &Subscription| {
             relay.stage == SubscriptionStage::Active && relay.applied.instances >= revision
@@ -169,12 +175,12 @@
         self.revision >= revision && self.relays().all(has_applied)
     }
 
-    /// Whether all relays subscribed have applied the configuration.
+    /// Whether all subscribed relays have applied the configuration.
     pub(super) fn have_applied_configuration(&self, version: Version) -> bool {
         self.relays().all(|relay| relay.applied.configuration >= version)
     }
 
-    /// The stores that are subscribed, those included that wait to be confirmed: their links are alive.
+    /// The subscribed stores, including unconfirmed ones: their links are alive.
     pub(super) fn subscribed_stores(&self) -> Vec<StoreNode> {
         let subscriptions = self.subscriptions.values().filter(|subscription| !subscription.link.is_closed());
         subscriptions.filter_map(|subscription| subscribing_store(&subscription.subscribe)).collect()
@@ -188,7 +194,7 @@
 }
 
 impl Subscription {
-    fn unconfirmed(&self) -> Option<SubscriptionNumber> {
+    fn unconfirmed_number(&self) -> Option<SubscriptionNumber> {
         match self.stage {
             SubscriptionStage::Unconfirmed(number) => Some(number),
             SubscriptionStage::Confirmed | SubscriptionStage::Active => None,
@@ -199,16 +205,17 @@
         self.link.send(Message::Update(update));
     }
 
-    fn send_controller_addresses(&mut self, tellable: &PublishedState) {
-        if tellable.controller_addresses.is_empty() || self.sent_addresses == tellable.controller_addresses {
+    fn send_controller_addresses(&mut self, published: &PublishedState) {
+        if published.controller_addresses.is_empty() || self.sent_addresses == published.controller_addresses
+        {
             return;
         }
-        self.sent_addresses = tellable.controller_addresses.to_vec();
+        self.sent_addresses = published.controller_addresses.to_vec();
         self.send(Update::Keepers(self.sent_addresses.clone()));
     }
 
-    fn send_configuration(&mut self, tellable: &PublishedState) {
-        let Some(state) = tellable.committed else { return };
+    fn send_configuration(&mut self, published: &PublishedState) {
+        let Some(state) = published.committed else { return };
         let Some(configuration) = &state.configuration else { return };
         let version = state.configuration_version();
         if !is_relay(&self.subscribe) || version <= self.sent_configuration {
@@ -228,8 +235,8 @@
     }
 
     fn send_instance_changes(&mut self, changed: &[Instance], revision: u64, complete: bool) {
-        let newly_complete = complete && !self.sent_registry_complete;
-        if !is_relay(&self.subscribe) || (changed.is_empty() && !newly_complete) {
+        let is_newly_complete = complete && !self.sent_registry_complete;
+        if !is_relay(&self.subscribe) || (changed.is_empty() && !is_newly_complete) {
             return;
         }
         self.sent_registry_complete = complete;
@@ -242,8 +249,8 @@
         }));
     }
 
-    fn send_store_map(&mut self, tellable: &PublishedState) {
-        let Some(state) = tellable.committed else { return };
+    fn send_store_map(&mut self, published: &PublishedState) {
+        let Some(state) = published.committed else { return };
         if state.store_map.version <= self.sent_store_map {
             return;
         }
@@ -256,7 +263,7 @@
     subscribe.subscriber == SubscriberKind::Relay
 }
 
-/// The store that subscribes, if it is one.
+/// The subscribing store; `None` for other subscribers.
 pub(super) fn subscribing_store(subscribe: &Subscribe) -> Option<StoreNode> {
     let SubscriberKind::Store { disk } = subscribe.subscriber else { return None };
     Some(StoreNode {
--- a/crates/node/src/keeper/subscription_confirmation.rs
+++ b/crates/node/src/keeper/subscription_confirmation.rs
@@ -1,10 +1,10 @@
-//! Confirms new subscriptions: a subscriber is told nothing before a majority of the keepers, asked after the
-//! subscription came, has shown that the committed state of this keeper is current.
+//! Confirmation of new subscriptions: nothing is sent to a subscriber before a majority of the keepers, asked after
+//! the subscription arrived, has confirmed that the committed state of this keeper is current.
 //!
-//! The primary confirms its committed version by a round of heartbeats; a backup asks the primary and waits
-//! until it has reached that version itself. A keeper that is no voter confirms nothing: the others do not tell it
-//! of endpoints. All subscriptions that wait at one moment share one question, and
-//! nothing is asked while none waits.
+//! The primary confirms its committed version by a round of heartbeats; a backup reads the primary's version and
+//! waits until it has reached that version itself. A keeper that is not a voter confirms nothing: the others do not
+//! send it endpoints. All subscriptions that wait at one time share one confirmation, and none is requested while
+//! no subscription waits.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,11 +17,11 @@
 use super::consensus::PrimaryLocation;
 use super::controller::Controller;
 
-/// Between two questions while no majority confirms.
+/// The interval between two confirmations while no majority replies.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 impl Controller {
-    /// Confirms subscriptions, for as long as the keeper lives.
+    /// Confirms subscriptions for the lifetime of the keeper.
     pub(super) async fn run_subscription_confirmation(self: Arc<Self>) {
         loop {
             self.confirmation_requested.notified().await;
@@ -36,15 +36,15 @@
         }
     }
 
-    /// The newest subscription that waits; all before it wait too or are confirmed.
+    /// The newest unconfirmed subscription; all before it are unconfirmed too, or confirmed.
     fn newest_unconfirmed(&self) -> Option<super::subscribers::SubscriptionNumber> {
         self.lock().subscribers.newest_unconfirmed()
     }
 
-    /// Whether the committed state here has every change that was committed before this was called. `false`
-    /// if it is not known within the time for it.
+    /// Whether the committed state here contains every change that was committed before this call. `false` if this is
+    /// not known within the time limit.
     async fn is_committed_state_current(self: &Arc<Self>) -> bool {
-        let until = Instant::now() + self.control_timings.confirmation_timeout;
+        let deadline = Instant::now() + self.control_timings.confirmation_timeout;
         if !self.is_voter(&self.lock()) {
             return false;
         }
@@ -52,16 +52,16 @@
         let has_reached = |state: &super::controller::State| {
             state.consensus.committed().is_some_and(|committed| committed.version >= version)
         };
-        self.wait_until(until, has_reached).await
+        self.wait_until(deadline, has_reached).await
     }
 
-    /// The newest committed version, confirmed by a majority after this was called.
+    /// The newest committed version, confirmed by a majority after this call.
     async fn confirmed_version(self: &Arc<Self>) -> Option<Version> {
         match self.primary_location() {
             PrimaryLocation::Local => self.confirmed_version_as_primary().await,
             PrimaryLocation::Remote(address) => {
-                let question = Message::Registry(RegistryMessage::ReadCommittedVersion);
-                match self.peers.call(address, question, self.control_timings.confirmation_timeout).await {
+                let request = Message::Registry(RegistryMessage::ReadCommittedVersion);
+                match self.peers.call(address, request, self.control_timings.confirmation_timeout).await {
                     Ok(Message::Registry(RegistryMessage::CommittedVersion { version })) => version,
                     _ => None,
                 }
@@ -70,7 +70,7 @@
         }
     }
 
-    /// As primary: the committed version, confirmed by a majority after this was called.
+    /// As primary: the committed version, confirmed by a majority after this call.
     pub(super) async fn confirmed_version_as_primary(self: &Arc<Self>) -> Option<Version> {
         let confirmed =
             timeout(self.control_timings.confirmation_timeout, self.read_confirmed()).await.ok()?;
