--- a/crates/node/src/keeper.rs
+++ b/crates/node/src/keeper.rs
@@ -36,7 +36,7 @@
 use tokio::sync::watch;
 
 use self::startup::StartupResources;
-use crate::command::Process;
+use crate::process::Process;
 use crate::settings::Settings;
 use crate::signals::ShutdownOrReload;
 
--- a/crates/node/tests/relay/turns.rs
+++ b/crates/node/tests/relay/turns.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::{Request, StatusCode};
 use http_body_util::Full;
-use juniperwing_node::relay::sessions::TurnError;
+use juniperwing_node::relay::TurnError;
 use juniperwing_node::sessions_client::StoreFailureReason;
 use juniperwing_protocol::identity::RequestId;
 use tokio::sync::Notify;
@@ -116,7 +116,7 @@
         (TurnError::BudgetExhausted, StatusCode::PAYMENT_REQUIRED),
         (TurnError::UnknownTurn, StatusCode::NOT_FOUND),
         (
-            TurnError::Unavailable { trouble: StoreFailureReason::TimedOut.into() },
+            TurnError::Unavailable { cause: StoreFailureReason::TimedOut.into() },
             StatusCode::SERVICE_UNAVAILABLE,
         ),
     ];
