--- a/crates/node/tests/golden_state.rs
+++ b/crates/node/tests/golden_state.rs
@@ -65,13 +65,13 @@
     assert_eq!(keepers.put(0, 3, &configuration(7)).await.status, 200);
     let address = keepers.internal(0);
     let mut first = Observer::subscribe(address, SubscriberKind::Store { disk: DiskId(1) });
-    first.until_stores(|map| !map.partitions.is_empty()).await;
+    first.wait_for_store_map(|map| !map.partitions.is_empty()).await;
     let _second = Observer::subscribe(address, SubscriberKind::Store { disk: DiskId(2) });
     let joining =
-        first.until_stores(|map| map.partitions.iter().all(|held| held.joining == [DiskId(2)])).await;
+        first.wait_for_store_map(|map| map.partitions.iter().all(|held| held.joining == [DiskId(2)])).await;
     assert_eq!(keepers.retire(0, RETIRED).await.status, 200);
     first.report_caught_up(&joining, DiskId(2));
-    keepers.until_retired(0, RETIRED).await;
+    keepers.wait_until_retired(0, RETIRED).await;
     keepers.stop(0).await;
     copy(keepers.settings(0).data_directory.as_ref().unwrap(), folder);
 }
@@ -91,8 +91,8 @@
     assert_eq!(keepers.put(0, 9, &configuration(10)).await.status, 412, "an order refused before");
     assert_eq!(keepers.put(0, 3, &configuration(8)).await.status, 412, "an order on a base of before");
     let mut relay = Observer::subscribe(keepers.internal(0), SubscriberKind::Relay);
-    relay.until_configuration(&configuration(7)).await;
-    let map = relay.until_stores(|map| !map.partitions.is_empty()).await;
+    relay.wait_for_configuration(&configuration(7)).await;
+    let map = relay.wait_for_store_map(|map| !map.partitions.is_empty()).await;
     assert!(map.partitions.iter().all(|held| held.primary == DiskId(2)), "the store map: {map:?}");
     let retired = keepers.retire_state(0, RETIRED).await;
     assert!(retired.body.contains("completed"), "the emptied store: {}", retired.body);
--- a/crates/node/tests/gossip.rs
+++ b/crates/node/tests/gossip.rs
@@ -171,7 +171,7 @@
     let running = tokio::spawn(run_with(stale, changes, log, std::future::pending()));
     changed.send_replace(fresh);
     let mut relay = Observer::subscribe(address, Kind::Relay);
-    relay.until_configuration(&configuration(3)).await;
+    relay.wait_for_configuration(&configuration(3)).await;
     running.abort();
 }
 
--- a/crates/node/tests/keeper.rs
+++ b/crates/node/tests/keeper.rs
@@ -1,4 +1,4 @@
-//! Keepers over loopback: one alone, and three of which one may be lost.
+//! Keepers over loopback: a single one, and three of which one may be lost.
 
 mod keepers;
 
@@ -9,7 +9,7 @@
 use keepers::{Keepers, Observer, configuration, heartbeat};
 
 #[tokio::test]
-async fn one_keeper_takes_a_first_configuration_and_gives_it_back() {
+async fn one_keeper_accepts_a_first_configuration_and_returns_it() {
     let keepers = Keepers::start(1).await;
     assert_eq!(keepers.put(0, 0, &configuration(3)).await.status, 200);
     let read = keepers.get(0).await;
@@ -17,7 +17,7 @@
 }
 
 #[tokio::test]
-async fn the_same_order_is_acknowledged_again_whatever_came_after() {
+async fn a_repeated_order_is_acknowledged_after_later_orders() {
     let keepers = Keepers::start(1).await;
     assert_eq!(keepers.put(0, 0, &configuration(3)).await.status, 200);
     assert_eq!(keepers.put(0, 3, &configuration(7)).await.status, 200);
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test]
-async fn another_base_than_the_current_one_is_stale() {
+async fn an_order_on_another_base_than_the_current_one_is_stale() {
     let keepers = Keepers::start(1).await;
     assert_eq!(keepers.put(0, 0, &configuration(3)).await.status, 200);
     assert_eq!(keepers.put(0, 0, &configuration(4)).await.status, 412);
@@ -34,17 +34,17 @@
 }
 
 #[tokio::test]
-async fn an_invalid_configuration_is_refused_with_findings_and_is_not_in_force() {
+async fn an_invalid_configuration_is_rejected_with_findings_and_is_not_in_force() {
     let keepers = Keepers::start(1).await;
-    let refused = keepers.put(0, 0, &configuration(0)).await;
-    assert_eq!(refused.status, 400);
-    assert!(refused.body.contains("generation"), "{}", refused.body);
+    let rejected = keepers.put(0, 0, &configuration(0)).await;
+    assert_eq!(rejected.status, 400);
+    assert!(rejected.body.contains("generation"), "{}", rejected.body);
     assert_eq!(keepers.put(0, 0, "{\"generation\":").await.status, 400);
     assert_eq!(keepers.get(0).await.status, 404);
 }
 
 #[tokio::test]
-async fn what_was_taken_is_there_after_a_restart() {
+async fn an_accepted_configuration_survives_a_restart() {
     let mut keepers = Keepers::start(1).await;
     assert_eq!(keepers.put(0, 0, &configuration(3)).await.status, 200);
     keepers.stop(0).await;
@@ -54,7 +54,7 @@
 }
 
 #[tokio::test]
-async fn three_keepers_take_orders_at_any_of_them() {
+async fn three_keepers_accept_orders_at_any_of_them() {
     let keepers = Keepers::start(3).await;
     assert_eq!(keepers.put(0, 0, &configuration(3)).await.status, 200);
     assert_eq!(keepers.put(1, 3, &configuration(4)).await.status, 200);
@@ -65,7 +65,7 @@
 }
 
 #[tokio::test]
-async fn of_two_orders_on_one_base_exactly_one_is_taken() {
+async fn of_two_orders_on_one_base_exactly_one_is_accepted() {
     let keepers = Keepers::start(3).await;
     assert_eq!(keepers.put(0, 0, &configuration(3)).await.status, 200);
     let (five, six) = (configuration(5), configuration(6));
@@ -78,7 +78,7 @@
 }
 
 #[tokio::test]
-async fn the_loss_of_any_one_keeper_loses_nothing() {
+async fn the_loss_of_any_one_keeper_loses_no_configuration() {
     let mut keepers = Keepers::start(3).await;
     let mut base = 0;
     for lost in 0..3 {
@@ -95,84 +95,86 @@
 }
 
 #[tokio::test]
-async fn a_keeper_in_a_minority_answers_neither_operators_nor_endpoints() {
+async fn a_keeper_in_a_minority_serves_neither_operators_nor_endpoints() {
     let mut keepers = Keepers::start(3).await;
     assert_eq!(keepers.put(0, 0, &configuration(3)).await.status, 200);
     keepers.kill(1).await;
     keepers.kill(2).await;
     assert_eq!(keepers.try_get(0).await.map(|answer| answer.status), Some(503));
-    keepers.until_heartbeat_status(0, 503).await;
+    keepers.heartbeat_until_status(0, 503).await;
 }
 
 #[tokio::test]
-async fn a_relay_is_told_what_is_in_force_and_what_changes() {
+async fn a_relay_receives_the_configuration_in_force_and_its_changes() {
     let keepers = Keepers::start(3).await;
     assert_eq!(keepers.put(0, 0, &configuration(3)).await.status, 200);
     let mut relay = Observer::subscribe(keepers.internal(1), SubscriberKind::Relay);
-    relay.until_configuration(&configuration(3)).await;
+    relay.wait_for_configuration(&configuration(3)).await;
     assert_eq!(keepers.put(2, 3, &configuration(4)).await.status, 200);
-    // Acknowledged means that the relay has confirmed it.
+    // The acknowledgement implies that the relay has applied it.
     assert!(relay.has_configuration(&configuration(4)));
 }
 
 #[tokio::test]
-async fn a_drain_is_acknowledged_when_relays_of_other_keepers_know() {
+async fn a_drain_is_acknowledged_after_relays_of_other_keepers_applied_it() {
     let keepers = Keepers::start(3).await;
     assert_eq!(keepers.put(0, 0, &configuration(3)).await.status, 200);
     let mut relay = Observer::subscribe(keepers.internal(1), SubscriberKind::Relay);
-    keepers.until_heartbeat(0, "i-1", &heartbeat("ready", 1)).await;
-    relay.until_instance("i-1", InstanceState::Ready).await;
-    keepers.until_heartbeat(0, "i-1", &heartbeat("draining", 2)).await;
+    keepers.heartbeat_until_accepted(0, "i-1", &heartbeat("ready", 1)).await;
+    relay.wait_for_instance("i-1", InstanceState::Ready).await;
+    keepers.heartbeat_until_accepted(0, "i-1", &heartbeat("draining", 2)).await;
     assert_eq!(relay.instance_state("i-1"), Some(InstanceState::Draining));
-    keepers.until_heartbeat(2, "i-1", &heartbeat("ready", 1)).await;
+    keepers.heartbeat_until_accepted(2, "i-1", &heartbeat("ready", 1)).await;
     assert_eq!(relay.instance_state("i-1"), Some(InstanceState::Draining));
-    keepers.until_deleted(2, "i-1").await;
+    keepers.delete_until_accepted(2, "i-1").await;
     assert_eq!(relay.instance_state("i-1"), Some(InstanceState::Terminated));
 }
 
 // Guard: `handle_instance_end` waits until what it changed has propagated.
 #[tokio::test]
-async fn an_end_without_a_drain_is_acknowledged_when_relays_of_other_keepers_know() {
+async fn an_end_without_a_drain_is_acknowledged_after_relays_of_other_keepers_applied_it() {
     let keepers = Keepers::start(3).await;
     assert_eq!(keepers.put(0, 0, &configuration(3)).await.status, 200);
     let mut relay = Observer::subscribe(keepers.internal(1), SubscriberKind::Relay);
-    keepers.until_heartbeat(0, "i-1", &heartbeat("ready", 1)).await;
-    relay.until_instance("i-1", InstanceState::Ready).await;
-    keepers.until_deleted(2, "i-1").await;
+    keepers.heartbeat_until_accepted(0, "i-1", &heartbeat("ready", 1)).await;
+    relay.wait_for_instance("i-1", InstanceState::Ready).await;
+    keepers.delete_until_accepted(2, "i-1").await;
     assert_eq!(relay.instance_state("i-1"), Some(InstanceState::Terminated));
-    // It serves on for a while, and a heartbeat that it sent before may come seconds late.
-    keepers.until_heartbeat(0, "i-1", &heartbeat("ready", 2)).await;
+    // The endpoint serves on for a while, and a heartbeat that it sent before may arrive seconds late.
+    keepers.heartbeat_until_accepted(0, "i-1", &heartbeat("ready", 2)).await;
     assert_eq!(relay.instance_state("i-1"), Some(InstanceState::Terminated));
 }
 
 #[tokio::test]
-async fn bad_heartbeats_are_refused_with_findings() {
+async fn invalid_heartbeats_are_rejected_with_findings() {
     let keepers = Keepers::start(1).await;
     assert_eq!(keepers.put(0, 0, &configuration(3)).await.status, 200);
-    let refused = keepers.heartbeat(0, "i-1", "{\"backend\":\"\",\"state\":\"asleep\"}").await.unwrap();
-    assert_eq!(refused.status, 400);
+    let rejected = keepers.heartbeat(0, "i-1", "{\"backend\":\"\",\"state\":\"asleep\"}").await.unwrap();
+    assert_eq!(rejected.status, 400);
     for place in ["backend", "address", "state", "sequence"] {
-        assert!(refused.body.contains(place), "{}", refused.body);
+        assert!(rejected.body.contains(place), "{}", rejected.body);
     }
 }
 
 #[tokio::test]
-async fn stores_are_placed_and_a_lost_one_is_taken_out() {
+async fn partitions_are_placed_on_stores_and_a_lost_store_is_removed() {
     let keepers = Keepers::start(3).await;
     let mut stores = Vec::new();
     for number in 1..=3 {
         let subscriber = SubscriberKind::Store { disk: DiskId(number) };
         stores.push(Observer::subscribe(keepers.internal(number as usize - 1), subscriber));
     }
-    let first = stores[0].until_in_sync(3).await;
+    let first = stores[0].wait_until_in_sync(3).await;
     assert_eq!(first.partitions.len(), 32);
     for assignment in &first.partitions {
         assert!(assignment.in_sync.contains(&assignment.primary));
     }
-    let lost = stores.pop().unwrap();
-    lost.close();
+    let lost_store = stores.pop().unwrap();
+    lost_store.close();
     let next = stores[0]
-        .until_stores(|map| map.partitions.iter().all(|held| !held.in_sync.contains(&DiskId(3))))
+        .wait_for_store_map(|map| {
+            map.partitions.iter().all(|assignment| !assignment.in_sync.contains(&DiskId(3)))
+        })
         .await;
     for (after, before) in next.partitions.iter().zip(&first.partitions) {
         assert!(after.epoch > before.epoch);
@@ -188,20 +190,23 @@
 }
 
 #[tokio::test]
-async fn a_store_is_emptied_only_while_enough_others_remain() {
+async fn a_store_is_retired_only_while_enough_others_remain() {
     let keepers = Keepers::start(1).await;
     let address = keepers.internal(0);
     let mut first = Observer::subscribe(address, SubscriberKind::Store { disk: DiskId(1) });
-    first.until_stores(|map| !map.partitions.is_empty()).await;
+    first.wait_for_store_map(|map| !map.partitions.is_empty()).await;
     let node = keepers::node_name(&SubscriberKind::Store { disk: DiskId(1) });
     assert_eq!(keepers.retire(0, &node).await.status, 409);
     let _second = Observer::subscribe(address, SubscriberKind::Store { disk: DiskId(2) });
-    let joining =
-        first.until_stores(|map| map.partitions.iter().all(|held| held.joining == [DiskId(2)])).await;
+    let joining = first
+        .wait_for_store_map(|map| map.partitions.iter().all(|assignment| assignment.joining == [DiskId(2)]))
+        .await;
     assert_eq!(keepers.retire(0, &node).await.status, 200);
     assert!(keepers.retire_state(0, &node).await.body.contains("active"));
     first.report_caught_up(&joining, DiskId(2));
-    first.until_stores(|map| map.partitions.iter().all(|held| held.in_sync == [DiskId(2)])).await;
-    keepers.until_retired(0, &node).await;
+    first
+        .wait_for_store_map(|map| map.partitions.iter().all(|assignment| assignment.in_sync == [DiskId(2)]))
+        .await;
+    keepers.wait_until_retired(0, &node).await;
     assert_eq!(keepers.retire(0, &node).await.status, 200);
 }
--- a/crates/node/tests/keepers/http.rs
+++ b/crates/node/tests/keepers/http.rs
@@ -1,11 +1,11 @@
-//! One call over a connection of its own.
+//! A minimal HTTP client: one call for each connection.
 
 use std::net::SocketAddr;
 
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// An answer.
+/// An HTTP response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// The HTTP status.
@@ -14,7 +14,7 @@
     pub body: String,
 }
 
-/// Sends a call, of which `head` is the first line and headers; `None` if no whole answer comes back.
+/// Sends a call with the request line and headers in `head`; `None` without a complete response.
 pub async fn call(address: SocketAddr, head: &str, body: &str) -> Option<Answer> {
     let mut stream = TcpStream::connect(address).await.ok()?;
     let length = body.len();
--- a/crates/node/tests/keepers/mod.rs
+++ b/crates/node/tests/keepers/mod.rs
@@ -1,6 +1,6 @@
-//! Keepers for tests, each on a thread and a loopback address of its own, and those that talk to them.
+//! Test harness: keepers on threads and loopback addresses of their own, with clients, subscribers and peers.
 
-// Each test file uses a part of this.
+// Each test file uses only some items.
 #![allow(dead_code)]
 
 mod http;
@@ -26,7 +26,7 @@
 #[allow(unused_imports)]
 pub use peer::{Gate, Peer};
 
-/// The longest that anything may take, on a machine that does much else.
+/// The time-out of every wait, long enough for a busy machine.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(40);
 
 const CONTROL_PORT: u16 = 8_144;
@@ -58,25 +58,25 @@
     thread: std::thread::JoinHandle<()>,
 }
 
-/// Has a keeper stand still until the other end is dropped.
+/// Freezes a keeper until the sender of `resume` is dropped.
 struct FreezeRequest {
     frozen: oneshot::Sender<()>,
     resume: std::sync::mpsc::Receiver<()>,
 }
 
-/// A keeper stands still for as long as this is held.
+/// Keeps a keeper frozen until it is dropped.
 pub struct Frozen {
     _resume: std::sync::mpsc::Sender<()>,
 }
 
-/// How a keeper is brought to its end.
+/// How a keeper ends.
 enum End {
     Graceful,
     Kill,
 }
 
 impl Keepers {
-    /// Starts a tier on empty disks that bears the loss of `(count - 1) / 2` keepers.
+    /// Starts a tier on empty disks that tolerates the loss of `(count - 1) / 2` keepers.
     pub async fn start(count: u8) -> Self {
         let mut keepers = Self::prepare(count);
         for keeper in 0..usize::from(count) {
@@ -85,7 +85,7 @@
         keepers
     }
 
-    /// Prepares a tier as [`Keepers::start`] does, of which the test starts the keepers.
+    /// Prepares a tier like [`Keepers::start`] without starting its keepers.
     pub fn prepare(count: u8) -> Self {
         static TIERS: AtomicU8 = AtomicU8::new(1);
         let tier = TIERS.fetch_add(1, Ordering::Relaxed);
@@ -98,20 +98,20 @@
         Keepers { settings, running, folder }
     }
 
-    /// Starts a tier of three of which the keepers but `real` are played by the test.
+    /// Starts a tier of three keepers of which all but `real` are simulated by the test.
     pub async fn start_among_peers(real: usize) -> (Self, Vec<Peer>) {
         let mut keepers = Self::prepare(3);
-        let played: Vec<usize> = (0..3).filter(|keeper| *keeper != real).collect();
-        let addresses: Vec<SocketAddr> = played.iter().map(|keeper| keepers.internal(*keeper)).collect();
+        let simulated: Vec<usize> = (0..3).filter(|keeper| *keeper != real).collect();
+        let addresses: Vec<SocketAddr> = simulated.iter().map(|keeper| keepers.internal(*keeper)).collect();
         let mut peers = Vec::new();
-        for keeper in played {
+        for keeper in simulated {
             peers.push(Peer::start(keepers.settings(keeper), &addresses).await);
         }
         keepers.restart(real).await;
         (keepers, peers)
     }
 
-    /// Starts a keeper, also one that was stopped or killed. Returns when it listens.
+    /// Starts a keeper, also after a stop or kill. Returns when its listeners serve.
     pub async fn restart(&mut self, keeper: usize) {
         let settings = self.settings[keeper].clone();
         let (listens, listening) = oneshot::channel();
@@ -122,12 +122,12 @@
             runtime.block_on(async {
                 let (orderly, ended) = oneshot::channel::<()>();
                 let log = Logger::root(Discard, o!());
-                // Whether to end is asked for the first time when everything listens.
+                // First polled when all listeners serve.
                 let stop = async {
                     let _ = listens.send(());
                     let _ = ended.await;
                 };
-                // Blocks the only thread of the keeper, so that nothing runs meanwhile.
+                // Blocks the only thread of the keeper, so that nothing else runs.
                 tokio::spawn(async move {
                     while let Some(FreezeRequest { frozen, resume }) = requests.recv().await {
                         let _ = frozen.send(());
@@ -150,27 +150,27 @@
         timeout(TEST_TIMEOUT, listening).await.expect("in time").expect("the keeper listens");
     }
 
-    /// Has a keeper stand still, as by SIGSTOP: its sockets take connections and bytes, and nobody reads them.
+    /// Freezes a keeper, as by SIGSTOP: its sockets accept connections and bytes, but nothing reads them.
     pub async fn freeze(&self, keeper: usize) -> Frozen {
         let (frozen, has_frozen) = oneshot::channel();
         let (resume_sender, resume) = std::sync::mpsc::channel();
         let running = self.running[keeper].as_ref().expect("the keeper runs");
         assert!(running.freeze_requests.send(FreezeRequest { frozen, resume }).is_ok());
-        timeout(TEST_TIMEOUT, has_frozen).await.expect("in time").expect("the keeper stands still");
+        timeout(TEST_TIMEOUT, has_frozen).await.expect("in time").expect("the keeper is frozen");
         Frozen { _resume: resume_sender }
     }
 
-    /// Ends a keeper as the platform does in an orderly way.
+    /// Shuts a keeper down gracefully.
     pub async fn stop(&mut self, keeper: usize) {
         self.end(keeper, End::Graceful).await;
     }
 
-    /// Ends a keeper at once.
+    /// Kills a keeper.
     pub async fn kill(&mut self, keeper: usize) {
         self.end(keeper, End::Kill).await;
     }
 
-    /// Replaces the disk of a keeper that does not run by an empty one.
+    /// Removes the data directory of a keeper that does not run.
     pub fn wipe(&self, keeper: usize) {
         assert!(self.running[keeper].is_none());
         std::fs::remove_dir_all(self.settings[keeper].data_directory.as_ref().unwrap()).unwrap();
@@ -178,7 +178,7 @@
 
     async fn end(&mut self, keeper: usize, end: End) {
         let running = self.running[keeper].take().expect("the keeper runs");
-        // One that has ended by itself shows it when it is joined.
+        // The send fails if the keeper has ended by itself; a panic shows when its thread is joined.
         let _ = running.stop.send(end);
         tokio::task::spawn_blocking(move || running.thread.join().unwrap()).await.unwrap();
     }
@@ -188,23 +188,23 @@
         &self.settings[keeper]
     }
 
-    /// Where a keeper listens for relays and stores.
+    /// The address at which a keeper listens for relays, stores and other keepers.
     pub fn internal(&self, keeper: usize) -> SocketAddr {
         self.settings[keeper].own_address(Port::Keeper)
     }
 
-    /// Sends a configuration until there is a clear answer.
+    /// Sends a configuration until there is a definite response.
     pub async fn put(&self, keeper: usize, base: u64, body: &str) -> Answer {
         let head = format!("PUT /config HTTP/1.1\r\nIf-Match: {base}\r\n");
-        self.call_until_clear(keeper, &head, body).await
+        self.call_until_definite(keeper, &head, body).await
     }
 
-    /// Sends a configuration once, with header lines of the caller's choice.
+    /// Sends a configuration once, with the given header lines.
     pub async fn put_with(&self, keeper: usize, headers: &str, body: &str) -> Option<Answer> {
         self.call(keeper, &format!("PUT /config HTTP/1.1\r\n{headers}"), body).await
     }
 
-    /// Begins to send a configuration, once; the keeper may end meanwhile.
+    /// Sends a configuration once, in the background; the keeper may end meanwhile.
     pub fn start_put(&self, keeper: usize, base: u64, body: &str) -> JoinHandle<Option<Answer>> {
         let address = self.settings[keeper].listeners_map.control_plane.unwrap();
         let head = format!("PUT /config HTTP/1.1\r\nIf-Match: {base}\r\n");
@@ -212,31 +212,31 @@
         tokio::spawn(async move { http::call(address, &head, &body).await })
     }
 
-    /// Asks for the configuration until there is a clear answer.
+    /// Requests the configuration until there is a definite response.
     pub async fn get(&self, keeper: usize) -> Answer {
-        self.call_until_clear(keeper, "GET /config HTTP/1.1\r\n", "").await
+        self.call_until_definite(keeper, "GET /config HTTP/1.1\r\n", "").await
     }
 
-    /// Asks for the configuration once.
+    /// Requests the configuration once.
     pub async fn try_get(&self, keeper: usize) -> Option<Answer> {
         self.call(keeper, "GET /config HTTP/1.1\r\n", "").await
     }
 
-    /// Asks for a store to be emptied until there is a clear answer.
+    /// Orders the retirement of a store until there is a definite response.
     pub async fn retire(&self, keeper: usize, node: &str) -> Answer {
         let head = format!("POST /retire/{node} HTTP/1.1\r\n");
-        self.call_until_clear(keeper, &head, "{\"durationS\":10}").await
+        self.call_until_definite(keeper, &head, "{\"durationS\":10}").await
     }
 
-    /// Asks how far the emptying of a store has come until there is a clear answer.
+    /// Requests the state of a store's retirement until there is a definite response.
     pub async fn retire_state(&self, keeper: usize, node: &str) -> Answer {
-        self.call_until_clear(keeper, &format!("GET /retire/{node} HTTP/1.1\r\n"), "").await
+        self.call_until_definite(keeper, &format!("GET /retire/{node} HTTP/1.1\r\n"), "").await
     }
 
-    /// Waits until a store has been emptied.
-    pub async fn until_retired(&self, keeper: usize, node: &str) {
+    /// Waits until a store's retirement is completed.
+    pub async fn wait_until_retired(&self, keeper: usize, node: &str) {
         let completed = async { while !self.retire_state(keeper, node).await.body.contains("completed") {} };
-        timeout(TEST_TIMEOUT, completed).await.expect("the store is emptied");
+        timeout(TEST_TIMEOUT, completed).await.expect("the store is retired");
     }
 
     /// Sends a heartbeat once.
@@ -245,49 +245,52 @@
     }
 
     /// Sends a heartbeat until it is acknowledged.
-    pub async fn until_heartbeat(&self, keeper: usize, id: &str, body: &str) {
-        let answer = self.call_until_clear(keeper, &format!("PUT /instances/{id} HTTP/1.1\r\n"), body).await;
+    pub async fn heartbeat_until_accepted(&self, keeper: usize, id: &str, body: &str) {
+        let answer =
+            self.call_until_definite(keeper, &format!("PUT /instances/{id} HTTP/1.1\r\n"), body).await;
         assert_eq!(answer.status, 200, "{}", answer.body);
     }
 
-    /// Says that an instance ends until it is acknowledged.
-    pub async fn until_deleted(&self, keeper: usize, id: &str) {
-        let answer = self.call_until_clear(keeper, &format!("DELETE /instances/{id} HTTP/1.1\r\n"), "").await;
+    /// Deregisters an instance until it is acknowledged.
+    pub async fn delete_until_accepted(&self, keeper: usize, id: &str) {
+        let answer =
+            self.call_until_definite(keeper, &format!("DELETE /instances/{id} HTTP/1.1\r\n"), "").await;
         assert_eq!(answer.status, 200, "{}", answer.body);
     }
 
-    /// Says once that an instance ends.
+    /// Deregisters an instance once.
     pub async fn delete(&self, keeper: usize, id: &str) -> Option<Answer> {
         self.call(keeper, &format!("DELETE /instances/{id} HTTP/1.1\r\n"), "").await
     }
 
-    /// Sends heartbeats until the keeper answers with this status.
-    pub async fn until_heartbeat_status(&self, keeper: usize, status: u16) {
+    /// Sends heartbeats until the keeper responds with this status.
+    pub async fn heartbeat_until_status(&self, keeper: usize, status: u16) {
         let answered = async {
             for sequence in 1.. {
                 let answer = self.heartbeat(keeper, "i-probe", &heartbeat("ready", sequence)).await;
                 if answer.is_some_and(|answer| answer.status == status) {
                     return;
                 }
-                // Takes as long as the keeper waits for a primary, so that this does not spin.
+                // Takes as long as the keeper waits for a primary, which keeps this loop from spinning.
                 self.try_get(keeper).await;
             }
         };
         timeout(TEST_TIMEOUT, answered).await.expect("that status");
     }
 
-    async fn call_until_clear(&self, keeper: usize, head: &str, body: &str) -> Answer {
+    /// Repeats a call until its status is not 503.
+    async fn call_until_definite(&self, keeper: usize, head: &str, body: &str) -> Answer {
         let answered = async {
             loop {
                 match self.call(keeper, head, body).await {
                     Some(answer) if answer.status != 503 => return answer,
-                    // An order waits for a primary before it is refused, so that this does not spin.
+                    // An order waits for a primary before it gets 503, which keeps this loop from spinning.
                     Some(_) => drop(self.try_get(keeper).await),
                     None => tokio::task::yield_now().await,
                 }
             }
         };
-        timeout(TEST_TIMEOUT, answered).await.expect("a clear answer")
+        timeout(TEST_TIMEOUT, answered).await.expect("a definite response")
     }
 
     async fn call(&self, keeper: usize, head: &str, body: &str) -> Option<Answer> {
--- a/crates/node/tests/keepers/observer.rs
+++ b/crates/node/tests/keepers/observer.rs
@@ -1,4 +1,4 @@
-//! A subscriber that records what it is told and confirms it at once.
+//! A subscriber that records all updates and confirms them at once.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -17,12 +17,13 @@
 
 use super::TEST_TIMEOUT;
 
+/// What a subscriber has received.
 #[derive(Default)]
 struct ObservedState {
     configuration: Option<String>,
-    /// All updates ever told.
+    /// The number of updates received.
     updates: usize,
-    /// All configurations ever told.
+    /// All configurations received, in order.
     configurations: Vec<String>,
     instances: BTreeMap<String, InstanceState>,
     stores: Arc<StoreMap>,
@@ -32,19 +33,19 @@
 
 #[derive(Default)]
 struct Recorder {
-    /// Whether it confirms nothing.
+    /// Whether it confirms no update.
     is_stuck: bool,
     observed: Mutex<ObservedState>,
     changed: Notify,
 }
 
-/// A subscription to one keeper; it comes up again when its link breaks.
+/// A subscription to one keeper; it is renewed when its link closes.
 pub struct Observer {
     recorder: Arc<Recorder>,
     subscription: tokio::task::JoinHandle<()>,
 }
 
-/// The machine that a subscriber says it is on.
+/// The node name of a subscriber.
 pub fn node_name(subscriber: &SubscriberKind) -> String {
     match subscriber {
         SubscriberKind::Relay => "edge-1".to_owned(),
@@ -55,32 +56,34 @@
 impl Service for Recorder {
     fn handle_message(&self, link: &Link, message: Message, _: ReplySender) {
         let Message::Update(update) = message else { return };
-        let mut seen = self.observed.lock().unwrap();
-        seen.updates += 1;
+        let mut observed = self.observed.lock().unwrap();
+        observed.updates += 1;
         match update {
             Update::Keepers(_) => {}
             Update::Configuration { version, body } => {
-                assert!(version >= seen.applied.configuration, "a configuration never goes back");
-                seen.applied.configuration = version;
-                let told = String::from_utf8(body.to_vec()).unwrap();
-                seen.configurations.push(told.clone());
-                seen.configuration = Some(told);
+                assert!(version >= observed.applied.configuration, "a configuration never goes back");
+                observed.applied.configuration = version;
+                let text = String::from_utf8(body.to_vec()).unwrap();
+                observed.configurations.push(text.clone());
+                observed.configuration = Some(text);
             }
             Update::Instances(update) => {
-                seen.applied.instances = update.revision;
+                observed.applied.instances = update.revision;
                 let instances = update.instances.iter();
-                seen.instances.extend(instances.map(|told| (told.id.0.to_string(), told.state)));
+                observed
+                    .instances
+                    .extend(instances.map(|instance| (instance.id.0.to_string(), instance.state)));
             }
             Update::Stores(map) => {
-                assert!(map.version >= seen.applied.stores, "the store map never goes back");
-                seen.applied.stores = map.version;
-                seen.stores = map;
+                assert!(map.version >= observed.applied.stores, "the store map never goes back");
+                observed.applied.stores = map.version;
+                observed.stores = map;
             }
         }
         if !self.is_stuck {
-            link.send(Message::Applied(seen.applied.clone()));
+            link.send(Message::Applied(observed.applied.clone()));
         }
-        drop(seen);
+        drop(observed);
         self.changed.notify_waiters();
     }
 }
@@ -105,7 +108,7 @@
         Self::start(address, subscriber, Recorder::default())
     }
 
-    /// Subscribes as a relay that takes updates and never says that it has applied one.
+    /// Subscribes as a relay that receives updates and never confirms one.
     pub fn subscribe_stuck(address: SocketAddr) -> Self {
         Self::start(address, SubscriberKind::Relay, Recorder { is_stuck: true, ..Recorder::default() })
     }
@@ -131,49 +134,49 @@
         }
     }
 
-    /// Whether this configuration was the last that it was told.
+    /// Whether this configuration was the last one received.
     pub fn has_configuration(&self, body: &str) -> bool {
         self.recorder.observed.lock().unwrap().configuration.as_deref() == Some(body)
     }
 
-    /// How many updates it was told.
+    /// The number of updates received.
     pub fn updates(&self) -> usize {
         self.recorder.observed.lock().unwrap().updates
     }
 
-    /// All configurations that it was told, in their order.
+    /// All configurations received, in order.
     pub fn configurations(&self) -> Vec<String> {
         self.recorder.observed.lock().unwrap().configurations.clone()
     }
 
-    /// Waits until it has a link to the keeper, over which it subscribes.
-    pub async fn until_subscribed(&self) {
-        self.wait_for(|seen| seen.link.as_ref().map(|_| ())).await;
+    /// Waits until it has a link to the keeper and has subscribed.
+    pub async fn wait_until_subscribed(&self) {
+        self.wait_for(|observed| observed.link.as_ref().map(|_| ())).await;
     }
 
-    /// Waits until it is told anything.
-    pub async fn until_updated(&self) {
-        self.wait_for(|seen| (seen.updates > 0).then_some(())).await;
+    /// Waits for the first update.
+    pub async fn wait_for_update(&self) {
+        self.wait_for(|observed| (observed.updates > 0).then_some(())).await;
     }
 
-    /// What it was told last of an instance.
+    /// The last received state of an instance.
     pub fn instance_state(&self, id: &str) -> Option<InstanceState> {
         self.recorder.observed.lock().unwrap().instances.get(id).copied()
     }
 
-    /// Waits until it is told a configuration.
-    pub async fn until_configuration(&mut self, body: &str) {
-        self.wait_for(|seen| (seen.configuration.as_deref() == Some(body)).then_some(())).await;
+    /// Waits until it receives a configuration.
+    pub async fn wait_for_configuration(&mut self, body: &str) {
+        self.wait_for(|observed| (observed.configuration.as_deref() == Some(body)).then_some(())).await;
     }
 
-    /// Waits until it is told that an instance is in this state.
-    pub async fn until_instance(&mut self, id: &str, state: InstanceState) {
-        self.wait_for(|seen| (seen.instances.get(id) == Some(&state)).then_some(())).await;
+    /// Waits until it receives this state of an instance.
+    pub async fn wait_for_instance(&mut self, id: &str, state: InstanceState) {
+        self.wait_for(|observed| (observed.instances.get(id) == Some(&state)).then_some(())).await;
     }
 
-    /// Waits until it is told a store map that satisfies a condition.
-    pub async fn until_stores(&mut self, condition: impl Fn(&StoreMap) -> bool) -> Arc<StoreMap> {
-        self.wait_for(|seen| condition(&seen.stores).then(|| Arc::clone(&seen.stores))).await
+    /// Waits until it receives a store map that satisfies a condition.
+    pub async fn wait_for_store_map(&mut self, condition: impl Fn(&StoreMap) -> bool) -> Arc<StoreMap> {
+        self.wait_for(|observed| condition(&observed.stores).then(|| Arc::clone(&observed.stores))).await
     }
 
     /// Reports, as the primary of all partitions, that a joining store has caught up in each of them.
@@ -183,21 +186,23 @@
         applied.caught_up = partitions
             .map(|(partition, assignment)| CaughtUp { partition, epoch: assignment.epoch, replica })
             .collect();
-        let seen = self.recorder.observed.lock().unwrap();
-        seen.link.as_ref().expect("a link").send(Message::Applied(applied));
+        let observed = self.recorder.observed.lock().unwrap();
+        observed.link.as_ref().expect("a link").send(Message::Applied(applied));
     }
 
-    /// Waits until each partition has so many replicas in sync; reports those that join as caught up.
-    pub async fn until_in_sync(&mut self, count: usize) -> Arc<StoreMap> {
+    /// Waits until each partition has `count` replicas in sync; reports joining ones as caught up.
+    pub async fn wait_until_in_sync(&mut self, count: usize) -> Arc<StoreMap> {
         let mut reported = 0;
         loop {
-            let settled = |map: &StoreMap| {
-                !map.partitions.is_empty() && map.partitions.iter().all(|held| held.in_sync.len() == count)
+            let is_settled = |map: &StoreMap| {
+                !map.partitions.is_empty()
+                    && map.partitions.iter().all(|assignment| assignment.in_sync.len() == count)
             };
-            let joining = |map: &StoreMap| map.partitions.iter().any(|held| !held.joining.is_empty());
-            let news = |map: &StoreMap| map.version > reported && joining(map);
-            let map = self.until_stores(|map| settled(map) || news(map)).await;
-            if settled(&map) {
+            let has_joining =
+                |map: &StoreMap| map.partitions.iter().any(|assignment| !assignment.joining.is_empty());
+            let is_unreported = |map: &StoreMap| map.version > reported && has_joining(map);
+            let map = self.wait_for_store_map(|map| is_settled(map) || is_unreported(map)).await;
+            if is_settled(&map) {
                 return map;
             }
             self.report_all_caught_up(&map);
@@ -207,22 +212,22 @@
 
     fn report_all_caught_up(&self, map: &StoreMap) {
         let joining: BTreeSet<DiskId> =
-            map.partitions.iter().flat_map(|held| held.joining.iter().copied()).collect();
+            map.partitions.iter().flat_map(|assignment| assignment.joining.iter().copied()).collect();
         joining.into_iter().for_each(|replica| self.report_caught_up(map, replica));
     }
 
     async fn wait_for<T>(&self, condition: impl Fn(&ObservedState) -> Option<T>) -> T {
         let met = async {
             loop {
-                let news = self.recorder.changed.notified();
-                tokio::pin!(news);
-                news.as_mut().enable();
+                let changed = self.recorder.changed.notified();
+                tokio::pin!(changed);
+                changed.as_mut().enable();
                 if let Some(met) = condition(&self.recorder.observed.lock().unwrap()) {
                     return met;
                 }
-                news.await;
+                changed.await;
             }
         };
-        timeout(TEST_TIMEOUT, met).await.expect("the keeper tells of it")
+        timeout(TEST_TIMEOUT, met).await.expect("the expected update")
     }
 }
--- a/crates/node/tests/keepers/peer.rs
+++ b/crates/node/tests/keepers/peer.rs
@@ -1,6 +1,6 @@
-//! A keeper played by the test beside real ones, whose messages to and from them can be held back.
+//! A keeper that the test simulates beside real ones, with a gate that blocks messages between them.
 //!
-//! It takes part in the replication with a replica of its own, and answers what keepers ask each other.
+//! It takes part in the replication with a replica of its own, and replies to requests of other keepers.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -21,23 +21,23 @@
 
 use super::TEST_TIMEOUT;
 
-/// What a peer lets through between itself and the real keepers.
+/// Which messages pass between a simulated peer and the real keepers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Gate {
-    /// Whether what they send reaches it.
+    /// Whether the peer receives messages of the real keepers.
     pub receives: bool,
-    /// Whether what it sends reaches them.
+    /// Whether the real keepers receive messages of the peer.
     pub sends: bool,
-    /// Whether it takes instances; where not, it leaves them unanswered.
+    /// Whether it merges instances; if not, it does not reply to them.
     pub accepts_instances: bool,
-    /// Whether it says that its relays have applied them.
+    /// Whether it confirms that its relays have applied them.
     pub confirms_instances: bool,
-    /// Whether keepers may ask it to be let in.
+    /// Whether it receives requests to join.
     pub accepts_joins: bool,
 }
 
 impl Gate {
-    /// Everything gets through.
+    /// All messages pass.
     pub const OPEN: Gate = Gate {
         receives: true,
         sends: true,
@@ -45,15 +45,15 @@
         confirms_instances: true,
         accepts_joins: true,
     };
-    /// The real keepers hear it and are not heard.
+    /// The real keepers receive its messages; their own are lost.
     pub const NO_INBOUND: Gate = Gate { receives: false, ..Gate::OPEN };
-    /// The real keepers are heard and do not hear it.
+    /// It receives the messages of the real keepers; its own are lost.
     pub const NO_OUTBOUND: Gate = Gate { sends: false, ..Gate::OPEN };
-    /// Nothing gets through.
+    /// No message passes.
     pub const CLOSED: Gate = Gate { receives: false, sends: false, ..Gate::OPEN };
 }
 
-/// A keeper that the test plays.
+/// A simulated keeper.
 pub struct Peer {
     shared: Arc<Shared>,
     tasks: Vec<tokio::task::JoinHandle<()>>,
@@ -81,7 +81,7 @@
 
 struct MessageHandler(Arc<Shared>);
 
-/// Answers come to those that called; nothing else comes over a link that a peer opened.
+/// Handles links that a peer opened: only replies come over them, which the link delivers to their callers.
 struct NoRequests;
 
 impl Service for NoRequests {
@@ -101,7 +101,7 @@
 }
 
 impl Peer {
-    /// Starts the keeper of these settings with an empty disk. `peers` are the addresses of all that are played.
+    /// Starts the keeper of these settings with an empty disk. `peers` are the addresses of all simulated keepers.
     pub async fn start(settings: &Settings, peers: &[SocketAddr]) -> Peer {
         let address = settings.own_address(Port::Keeper);
         let node = NodeName::from(settings.node_name.as_str());
@@ -139,23 +139,23 @@
         Peer { shared, tasks: vec![serving, ticking] }
     }
 
-    /// Lets other things through from now on.
+    /// Replaces the gate.
     pub fn set_gate(&self, gate: Gate) {
         self.shared.lock().gate = gate;
     }
 
-    /// What it was told last of an instance.
+    /// The last received state of an instance.
     pub fn instance_state(&self, id: &str) -> Option<InstanceState> {
         self.shared.lock().instances.get(&InstanceId::from(id)).copied()
     }
 
     /// Waits until it is primary.
-    pub async fn until_primary(&self) {
+    pub async fn wait_until_primary(&self) {
         self.wait_for(|state| state.replica.is_primary().then_some(())).await;
     }
 
     /// Waits until this configuration is committed, as far as it knows.
-    pub async fn until_configuration(&self, generation: u64) {
+    pub async fn wait_for_configuration(&self, generation: u64) {
         self.wait_for(|state| {
             let committed = state.replica.committed()?;
             (committed.state.generation() == generation).then_some(())
@@ -176,7 +176,7 @@
         self.shared.handle(event);
     }
 
-    /// Tells a real keeper of an instance, as if an endpoint had called here.
+    /// Sends an instance to a real keeper, as if the endpoint had called this peer.
     pub async fn send_instance(&self, keeper: SocketAddr, instance: Instance) {
         let message = RegistryMessage::Instances {
             from: self.shared.me.disk,
@@ -190,16 +190,16 @@
     async fn wait_for<T>(&self, condition: impl Fn(&State) -> Option<T>) -> T {
         let met = async {
             loop {
-                let news = self.shared.changed.notified();
-                tokio::pin!(news);
-                news.as_mut().enable();
+                let changed = self.shared.changed.notified();
+                tokio::pin!(changed);
+                changed.as_mut().enable();
                 if let Some(met) = condition(&self.shared.lock()) {
                     return met;
                 }
-                news.await;
+                changed.await;
             }
         };
-        timeout(TEST_TIMEOUT, met).await.expect("the peer gets there")
+        timeout(TEST_TIMEOUT, met).await.expect("the expected state of the peer")
     }
 }
 
@@ -228,8 +228,8 @@
     fn handle_replication_message(self: &Arc<Self>, message: ReplicationMessage) {
         let gate = self.lock().gate;
         let is_peer = self.peers.contains(&message.address);
-        let asks_in = matches!(message.body, ReplicationBody::Join { .. });
-        if is_peer || (gate.receives && (gate.accepts_joins || !asks_in)) {
+        let is_join_request = matches!(message.body, ReplicationBody::Join { .. });
+        if is_peer || (gate.receives && (gate.accepts_joins || !is_join_request)) {
             self.handle(Event::Message(message));
         }
     }
@@ -239,13 +239,13 @@
             let state = self.lock();
             (state.gate, state.replica.epoch().number)
         };
-        let answer = match message {
+        let reply_message = match message {
             RegistryMessage::Instances { changed, confirm, .. } => {
                 if !gate.accepts_instances {
                     return;
                 }
-                let told = changed.into_iter().map(|instance| (instance.id, instance.state));
-                self.lock().instances.extend(told);
+                let states = changed.into_iter().map(|instance| (instance.id, instance.state));
+                self.lock().instances.extend(states);
                 self.changed.notify_waiters();
                 RegistryMessage::InstancesMerged { epoch, applied: confirm && gate.confirms_instances }
             }
@@ -262,13 +262,13 @@
             _ => return,
         };
         if gate.sends {
-            reply.send(Message::Registry(answer));
+            reply.send(Message::Registry(reply_message));
         }
     }
 
     fn handle(self: &Arc<Self>, event: Event<ControlState>) {
-        // An event that follows from a command waits until all commands before it are carried out: an older
-        // time to wake must not replace a newer one.
+        // An event that follows from a command waits until all earlier commands are executed: an older tick time
+        // must not replace a newer one.
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             let commands = self.lock().replica.handle(self.now(), event);
@@ -277,7 +277,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Returns the event that follows at once.
+    /// Executes a command. Returns the event that follows immediately.
     fn execute_command(self: &Arc<Self>, command: Command) -> Option<Event<ControlState>> {
         match command {
             Command::Send { to, message } => self.send(to, message),
@@ -303,7 +303,7 @@
         if self.peers.contains(&to) || self.lock().gate.sends {
             let pool = Arc::clone(&self.pool);
             tokio::spawn(async move {
-                // A keeper that does not listen yet is sent the next message.
+                // A keeper that does not listen yet will receive the next message.
                 let _ = pool.send(to, Message::Replication(message)).await;
             });
         }
@@ -321,7 +321,7 @@
     }
 }
 
-/// The number of a machine, which tells the machines of a test apart.
+/// The last octet of an address, unique among the machines of a test.
 fn machine_number(address: SocketAddr) -> u64 {
     match address.ip() {
         std::net::IpAddr::V4(ip) => u64::from(ip.octets()[3]),
--- a/crates/node/tests/record_file.rs
+++ b/crates/node/tests/record_file.rs
@@ -1,5 +1,5 @@
-//! A keeper's record through kills and losses of power at every call to the disk: what it promised, accepted and
-//! confirmed comes back, or a later record does.
+//! A keeper's record under kills and power losses at every call to the disk: the newest confirmed record, or a later
+//! one, is found at the next start.
 
 #[path = "../../storage/tests/common/mod.rs"]
 mod forgetful;
@@ -16,24 +16,31 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-/// More calls than opening and a few writes take.
-const MOST_CALLS: usize = 90;
+/// More disk calls than opening and a few writes need.
+const MAX_DISK_CALLS: usize = 90;
 
-/// One life of a keeper: the calls that it gets to make, what it writes, and how it ends.
+/// One incarnation of a keeper: the number of disk calls before it is killed, what it writes, and how it ends.
 #[derive(Clone, Debug)]
-struct Life {
-    calls: usize,
-    /// Whether each write changes the state, and not only the ballot.
+struct Incarnation {
+    max_disk_calls: usize,
+    /// Whether each write changes the state, and not only the acceptor state.
     writes: Vec<bool>,
     loses_power: bool,
 }
 
-fn lives() -> impl Strategy<Value = Vec<Life>> {
-    let life = (0..MOST_CALLS, vec(any::<bool>(), 0..5), any::<bool>());
-    vec(life.prop_map(|(calls, writes, loses_power)| Life { calls, writes, loses_power }), 1..10)
+fn incarnations() -> impl Strategy<Value = Vec<Incarnation>> {
+    let life = (0..MAX_DISK_CALLS, vec(any::<bool>(), 0..5), any::<bool>());
+    vec(
+        life.prop_map(|(calls, writes, loses_power)| Incarnation {
+            max_disk_calls: calls,
+            writes,
+            loses_power,
+        }),
+        1..10,
+    )
 }
 
-/// All records that were ever written, oldest first, and the newest that was confirmed.
+/// All records that may be on disk, oldest first, and the index of the newest confirmed one.
 #[derive(Default)]
 struct History {
     written: Vec<Record>,
@@ -41,7 +48,7 @@
 }
 
 impl History {
-    fn next(&self, changes_state: bool) -> Record {
+    fn next_record(&self, changes_state: bool) -> Record {
         let number = self.written.len() as u64 + 1;
         let promised = EpochNumber(number);
         let before = self.written.last();
@@ -55,7 +62,7 @@
         }
     }
 
-    fn live(&mut self, writes: &[bool]) -> Result<(), DiskError> {
+    fn run_incarnation(&mut self, writes: &[bool]) -> Result<(), DiskError> {
         let OpenedRecordFile { mut record_file, record, loss, .. } = open(Path::new("/data"), || 7)?;
         assert!(loss.is_none(), "{loss:?}");
         let read = record.map(|record| {
@@ -63,10 +70,10 @@
         });
         assert!(read >= self.confirmed, "{read:?} of {}, {:?} confirmed", self.written.len(), self.confirmed);
         self.confirmed = read;
-        // What was not confirmed and did not come back is forgotten by the keeper as well.
+        // Unconfirmed records that were not found are forgotten by the keeper as well.
         self.written.truncate(read.map_or(0, |read| read + 1));
         for changes_state in writes {
-            let record = self.next(*changes_state);
+            let record = self.next_record(*changes_state);
             self.written.push(record.clone());
             record_file.write(&record)?;
             self.confirmed = Some(self.written.len() - 1);
@@ -78,18 +85,18 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 3_000, ..ProptestConfig::default() })]
 
-    /// Fails if the newest ballot is not read, and if a ballot of an older record is.
+    /// Fails if the newest acceptor state is not read, and if one of an older record is.
     #[test]
-    fn the_newest_confirmed_record_comes_back(seed: u64, lives in lives()) {
+    fn the_newest_confirmed_record_survives(seed: u64, lives in incarnations()) {
         let disk = Arc::new(ForgetfulDisk::new(seed));
         let _entered = file_system::simulate(disk.clone());
         let mut history = History::default();
         for life in lives {
-            disk.die_after(life.calls);
-            // It dies of its last call.
-            let _ = history.live(&life.writes);
+            disk.die_after(life.max_disk_calls);
+            // The last call kills it.
+            let _ = history.run_incarnation(&life.writes);
             if life.loses_power { disk.lose_power() } else { disk.restart() }
         }
-        history.live(&[true, false]).expect("a healthy disk");
+        history.run_incarnation(&[true, false]).expect("a healthy disk");
     }
 }
