--- a/crates/node/src/keeper.rs
+++ b/crates/node/src/keeper.rs
@@ -2,7 +2,7 @@
 //!
 //! - `consensus` drives the replica of the control state, `record_file` persists it.
 //! - `orders` handles operators' orders, `endpoints` the heartbeats of endpoints; both arrive at `control_listener`.
-//! - `store_placement` assigns partitions to stores.
+//! - `store_placement` assigns partitions to stores, based on `store_reports`.
 //! - `publishing` sends what is in force to `subscribers`: relays and stores.
 //! - `controller` holds the shared state; `startup`, `housekeeping` and `shutdown` are the phases of its life.
 
@@ -26,6 +26,7 @@
 mod shutdown;
 mod startup;
 mod store_placement;
+mod store_reports;
 mod subscribers;
 mod subscription_confirmation;
 
