--- a/crates/balancing/src/queue.rs
+++ b/crates/balancing/src/queue.rs
@@ -51,8 +51,9 @@
         let mut next = Vec::new();
         for by_destination in self.waiting.values() {
             let mut destinations: Vec<_> = by_destination.iter().collect();
-            destinations
-                .sort_by_key(|(key, _)| (self.slot_times.recent_slot_time(now, key, STUCK_CALL_ALLOWANCE), *key));
+            destinations.sort_by_key(|(key, _)| {
+                (self.slot_times.recent_slot_time(now, key, STUCK_CALL_ALLOWANCE), *key)
+            });
             let first = destinations.into_iter().filter_map(|(_, requests)| requests.front());
             next.extend(first.map(|(ticket, request)| (*ticket, request)));
         }
--- a/crates/replication/src/error.rs
+++ b/crates/replication/src/error.rs
@@ -13,13 +13,13 @@
     #[snafu(display("computed on another version"))]
     Conflict,
     /// Too many proposals are pending; this one was rejected.
-    #[snafu(display("too many proposals wait"))]
+    #[snafu(display("too many pending proposals"))]
     Busy,
     /// It was pending for too long and has not been started; it will not take effect.
-    #[snafu(display("too few copies can be kept now"))]
+    #[snafu(display("too few replicas in sync"))]
     Unavailable,
     /// It has been started and may or may not take effect.
-    #[snafu(display("begun, the outcome is not known"))]
+    #[snafu(display("outcome unknown"))]
     Unknown,
 }
 
@@ -31,10 +31,10 @@
     #[snafu(display("not the primary"))]
     NotPrimary,
     /// Too many reads are pending; this one was rejected.
-    #[snafu(display("too many reads wait"))]
+    #[snafu(display("too many pending reads"))]
     Busy,
     /// No majority replied in time.
-    #[snafu(display("no majority of voters answered in time"))]
+    #[snafu(display("no majority of voters replied in time"))]
     Unavailable,
 }
 
--- a/crates/replication/src/interface.rs
+++ b/crates/replication/src/interface.rs
@@ -14,11 +14,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PersistToken(pub u64);
 
-/// Pairs [`Command::Proposed`] with its [`Event::Propose`]; chosen by the caller.
+/// Pairs [`Command::ProposeCompleted`] with its [`Event::Propose`]; chosen by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProposeToken(pub u64);
 
-/// Pairs [`Command::ReadDone`] with its [`Event::Read`]; chosen by the caller.
+/// Pairs [`Command::ReadCompleted`] with its [`Event::Read`]; chosen by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReadToken(pub u64);
 
--- a/crates/replication/tests/guards.rs
+++ b/crates/replication/tests/guards.rs
@@ -51,8 +51,8 @@
             min_in_sync_replicas: 2,
             timings: Timings::default(),
         };
-        let ballot = AcceptorState { promised: accepted.number, accepted };
-        let record = Record { acceptor: ballot, version: version(1, 7), state: log(7).encode().into() };
+        let acceptor = AcceptorState { promised: accepted.number, accepted };
+        let record = Record { acceptor, version: version(1, 7), state: log(7).encode().into() };
         let now = Time::from_nanos(1);
         let replica = Replica::new(now, settings, Some(record), Log::default(), 1).expect("a state");
         Keeper { replica, now, pending_write: None }
