--- a/crates/node/src/keeper/message_handler.rs
+++ b/crates/node/src/keeper/message_handler.rs
@@ -11,7 +11,7 @@
 use slog::info;
 use tokio::time::Instant;
 
-use super::Controller;
+use super::controller::Controller;
 use super::subscribers::subscribing_store;
 use crate::clock;
 use crate::link::{Link, ReplySender, Service};
@@ -31,11 +31,11 @@
 }
 
 impl Service for MessageHandler {
-    fn handle_message(&self, link: &Link, handle_message: Message, reply: ReplySender) {
+    fn handle_message(&self, link: &Link, message: Message, reply: ReplySender) {
         let Some(controller) = self.controller.upgrade() else { return link.close() };
-        match handle_message {
-            Message::Replication(handle_message) => controller.handle_replication_message(handle_message),
-            Message::Registry(handle_message) => controller.handle_registry_message(handle_message, reply),
+        match message {
+            Message::Replication(message) => controller.handle_replication_message(message),
+            Message::Registry(message) => controller.handle_registry_message(message, reply),
             Message::Subscribe(subscribe) => controller.handle_subscribe(link, subscribe),
             Message::Applied(applied) => controller.handle_applied(link, applied),
             // Nothing else is said to a keeper.
