--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -3,104 +3,14 @@
 //! [`check`] is called where a condition could break. A violation is counted by its invariant and passed to the reporter of
 //! the process, which logs it; the process continues. In builds with debug assertions, and so in tests, a violation panics.
 //!
-//! `docs/promises.md` maps the invariants to the guarantees that rest on them.
+//! `docs/promises.md` maps the invariants to the guarantees that depend on them.
+
+mod invariant;
 
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// A condition that must always hold.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Invariant {
-    /// A keeper accepts no epoch below one that it has accepted or promised.
-    EpochNeverDecreases,
-    /// Two epochs with the same number have the same primary, in-sync replicas and voters.
-    EpochNumberIsUnique,
-    /// The committed version of a keeper never decreases while its process runs.
-    CommittedVersionNeverDecreases,
-    /// A version that a primary commits is on its own disk and on as many in-sync disks as are required.
-    CommittedVersionIsDurable,
-    /// An order that is answered with 200 is part of the committed state.
-    AcknowledgedOrderIsCommitted,
-    /// The configuration version in force at a relay never decreases while its process runs.
-    ConfigurationVersionNeverDecreases,
-    /// The version of a store's map never decreases below one that the store has acted on.
-    StoreMapVersionNeverDecreases,
-    /// When a turn is admitted, the program's reservations and committed tokens together do not exceed its budget.
-    ReservationsWithinBudget,
-    /// A turn commits no more tokens than were reserved for it.
-    CommitWithinReservation,
-    /// A stored turn never changes its contents.
-    StoredTurnIsImmutable,
-    /// A write is acknowledged only when every in-sync replica has it, and there are as many of them as required.
-    AcknowledgedOnAllReplicas,
-    /// Event ids increase within a response.
-    EventIdsIncrease,
-    /// A response that is passed on carries the id of its request.
-    ResponseMatchesRequest,
-    /// A request that is not idempotent is not sent again once it may have run.
-    SentOnceUnlessIdempotent,
-    /// Statuses that guarantee that a request has not run are given only where that is known.
-    NotExecutedOnlyIfKnown,
-    /// A relay without requests buffers no bytes of bodies.
-    NoBufferedBytesWhenIdle,
-    /// A relay without requests occupies no slots at endpoints.
-    NoOccupiedSlotsWhenIdle,
-    /// An essential task runs as long as its process.
-    EssentialTaskRuns,
-}
-
-impl Invariant {
-    /// All invariants, in the order of their declaration.
-    pub const ALL: [Invariant; 18] = [
-        Invariant::EpochNeverDecreases,
-        Invariant::EpochNumberIsUnique,
-        Invariant::CommittedVersionNeverDecreases,
-        Invariant::CommittedVersionIsDurable,
-        Invariant::AcknowledgedOrderIsCommitted,
-        Invariant::ConfigurationVersionNeverDecreases,
-        Invariant::StoreMapVersionNeverDecreases,
-        Invariant::ReservationsWithinBudget,
-        Invariant::CommitWithinReservation,
-        Invariant::StoredTurnIsImmutable,
-        Invariant::AcknowledgedOnAllReplicas,
-        Invariant::EventIdsIncrease,
-        Invariant::ResponseMatchesRequest,
-        Invariant::SentOnceUnlessIdempotent,
-        Invariant::NotExecutedOnlyIfKnown,
-        Invariant::NoBufferedBytesWhenIdle,
-        Invariant::NoOccupiedSlotsWhenIdle,
-        Invariant::EssentialTaskRuns,
-    ];
-
-    /// The name in logs and metrics. These names are stable: alerts are written against them.
-    pub fn name(self) -> &'static str {
-        match self {
-            Invariant::EpochNeverDecreases => "epoch_never_falls",
-            Invariant::EpochNumberIsUnique => "one_epoch_for_a_number",
-            Invariant::CommittedVersionNeverDecreases => "committed_version_never_falls",
-            Invariant::CommittedVersionIsDurable => "committed_is_durable",
-            Invariant::AcknowledgedOrderIsCommitted => "acknowledged_order_is_committed",
-            Invariant::ConfigurationVersionNeverDecreases => "configuration_never_falls",
-            Invariant::StoreMapVersionNeverDecreases => "store_map_never_falls",
-            Invariant::ReservationsWithinBudget => "reservations_within_budget",
-            Invariant::CommitWithinReservation => "settled_within_reservation",
-            Invariant::StoredTurnIsImmutable => "turn_is_kept_once",
-            Invariant::AcknowledgedOnAllReplicas => "acknowledged_on_all_replicas",
-            Invariant::EventIdsIncrease => "event_ids_rise",
-            Invariant::ResponseMatchesRequest => "answer_of_the_request",
-            Invariant::SentOnceUnlessIdempotent => "sent_once_unless_repeatable",
-            Invariant::NotExecutedOnlyIfKnown => "promise_only_if_not_run",
-            Invariant::NoBufferedBytesWhenIdle => "no_bytes_held_when_idle",
-            Invariant::NoOccupiedSlotsWhenIdle => "no_slots_held_when_idle",
-            Invariant::EssentialTaskRuns => "essential_task_runs",
-        }
-    }
-
-    /// The index in [`Invariant::ALL`].
-    fn index(self) -> usize {
-        self as usize
-    }
-}
+pub use invariant::Invariant;
 
 /// A condition that did not hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -114,11 +24,13 @@
 /// Receives the violations of a process.
 pub type Reporter = Box<dyn Fn(&Violation) + Send + Sync>;
 
-static VIOLATIONS: [AtomicU64; Invariant::ALL.len()] = [const { AtomicU64::new(0) }; Invariant::ALL.len()];
+/// The numbers of violations, by the index of the invariant.
+static VIOLATION_COUNTS: [AtomicU64; Invariant::ALL.len()] =
+    [const { AtomicU64::new(0) }; Invariant::ALL.len()];
 static REPORTER: OnceLock<Reporter> = OnceLock::new();
 
 /// Sets the reporter of this process. Only the first call takes effect; later ones return `false`.
-pub fn report_to(reporter: Reporter) -> bool {
+pub fn set_reporter(reporter: Reporter) -> bool {
     REPORTER.set(reporter).is_ok()
 }
 
@@ -129,18 +41,18 @@
 /// If the condition does not hold and debug assertions are on.
 pub fn check(invariant: Invariant, holds: bool, details: impl FnOnce() -> String) {
     if !holds {
-        violated(invariant, details());
+        report_violation(invariant, details());
     }
 }
 
 /// The number of violations of an invariant in this process.
 pub fn violations(invariant: Invariant) -> u64 {
-    VIOLATIONS[invariant.index()].load(Ordering::Relaxed)
+    VIOLATION_COUNTS[invariant.index()].load(Ordering::Relaxed)
 }
 
 #[cold]
-fn violated(invariant: Invariant, details: String) {
-    VIOLATIONS[invariant.index()].fetch_add(1, Ordering::Relaxed);
+fn report_violation(invariant: Invariant, details: String) {
+    VIOLATION_COUNTS[invariant.index()].fetch_add(1, Ordering::Relaxed);
     let violation = Violation { invariant, details };
     if let Some(reporter) = REPORTER.get() {
         reporter(&violation);
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -7,7 +7,7 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use juniperwing_invariants::report_to;
+use juniperwing_invariants::set_reporter;
 use juniperwing_log::{FlushGuard, background};
 use slog::{Level, Logger, crit, o};
 
@@ -62,7 +62,7 @@
     let violation_log = log.clone();
     let limit = RateLimit::per_second(MAX_LOGGED_VIOLATIONS_PER_SECOND);
     // A second role in the same process, as in tests, keeps the reporter of the first one.
-    let _ = report_to(Box::new(move |violation| {
+    let _ = set_reporter(Box::new(move |violation| {
         if let Some(suppressed) = limit.try_acquire() {
             crit!(violation_log, "invariant violated"; "invariant" => violation.invariant.name(),
                 "details" => &violation.details, "suppressed" => suppressed);
