--- a/crates/balancing/src/latency.rs
+++ b/crates/balancing/src/latency.rs
@@ -34,7 +34,7 @@
     /// The cutoff: whether the remaining time is at least the fitted median.
     pub fn has_time_for_attempt(&self, destination: &Destination, remaining: Span) -> bool {
         remaining > Span::ZERO
-            && self.models.get(destination).is_none_or(|model| model.is_worth_trying(remaining))
+            && self.models.get(destination).is_none_or(|model| model.has_time_for_attempt(remaining))
     }
 
     /// The fitted median; zero until there are enough samples.
