--- a/crates/replication/src/replica/voting.rs
+++ b/crates/replication/src/replica/voting.rs
@@ -12,7 +12,8 @@
 use crate::state::ReplicatedState;
 
 impl<S: ReplicatedState> Replica<S> {
-    /// Grants a pre-vote unless this keeper has a primary, or is one.
+    /// Replies to a pre-vote. It is granted by a keeper that has had no contact with a primary, by a primary that
+    /// has lost its majority, and by the bootstrap coordinator.
     pub(super) fn handle_pre_vote(&mut self, now: Time, to: SocketAddr, number: EpochNumber) {
         let granted = match &self.stage {
             Stage::Primary => !self.has_majority(now),
