--- a/crates/membership/tests/virtual_network/mod.rs
+++ b/crates/membership/tests/virtual_network/mod.rs
@@ -3,15 +3,20 @@
 // Each test file uses only some of these items.
 #![allow(dead_code)]
 
+mod machine;
+
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use std::net::{Ipv4Addr, SocketAddr};
+use std::net::SocketAddr;
 
 use juniperwing_clock::{Span, Time};
 use juniperwing_membership::{
-    Command, Event, Incarnation, Member, MemberId, Membership, Message, Record, Role, RunId, Settings,
-    Status, Timings, encode,
+    Command, Event, Incarnation, Member, MemberId, Membership, Message, Record, RunId, Settings, Status,
+    Timings, encode,
 };
 
+pub use machine::Machine;
+use machine::{address, member};
+
 /// A datagram or a tick that is scheduled.
 #[derive(Debug)]
 enum ScheduledEvent {
@@ -19,27 +24,6 @@
     WakeUp { machine: usize, run: u64 },
 }
 
-/// A machine with its process.
-pub struct Machine {
-    /// The member, while the process runs.
-    pub membership: Option<Membership>,
-    /// The local member, as passed to the process at its start.
-    pub me: Member,
-    /// Whether it is paused; datagrams queue in its socket.
-    pub is_paused: bool,
-    /// Deaths that it has reported.
-    pub deaths: Vec<MemberId>,
-    /// All changes that it has reported.
-    pub changes: Vec<(Member, Status)>,
-    /// Number of datagrams rejected.
-    pub rejected: usize,
-    /// Other processes under its name that it has reported.
-    pub conflicts: Vec<Member>,
-    socket: VecDeque<(SocketAddr, Vec<u8>)>,
-    wake_at: Time,
-    run: u64,
-}
-
 /// Counters of the network's traffic.
 #[derive(Clone, Debug, Default)]
 pub struct Traffic {
@@ -78,27 +62,6 @@
     Span::from_secs_f64(count)
 }
 
-fn address(number: usize) -> SocketAddr {
-    let [high, low, ..] = (number as u16).to_be_bytes();
-    (Ipv4Addr::new(10, 0, high, low), 7380).into()
-}
-
-fn member(number: usize) -> Member {
-    let role = match number {
-        0..3 => Role::Keeper,
-        _ if number.is_multiple_of(10) => Role::Store,
-        _ => Role::Relay,
-    };
-    Member {
-        id: MemberId { node: format!("edge-neihu-a-{number}").as_str().into(), role },
-        run_id: RunId(0),
-        zone: "neihu-a".into(),
-        gossip_address: address(number),
-        address: address(number),
-        disk: None,
-    }
-}
-
 impl Network {
     /// `count` machines that are not started. The first three are seeds.
     pub fn new(count: usize, seed: u64) -> Self {
--- a/crates/node/src/link/connection.rs
+++ b/crates/node/src/link/connection.rs
@@ -42,10 +42,10 @@
     #[snafu(display("no connection"))]
     NotConnected,
     /// The link was closed: the call may have been handled.
-    #[snafu(display("the link broke"))]
+    #[snafu(display("link closed"))]
     LinkClosed,
     /// No reply was received in time: the call may have been handled.
-    #[snafu(display("no answer in time"))]
+    #[snafu(display("call timed out"))]
     TimedOut,
 }
 
--- a/crates/node/src/local.rs
+++ b/crates/node/src/local.rs
@@ -2,26 +2,24 @@
 //!
 //! Like the platform it restarts a role that exits by itself, forwards SIGHUP, and terminates all roles by SIGTERM.
 
+mod role_process;
+
 use std::io;
 use std::path::{Path, PathBuf};
-use std::process::{Child, Command, ExitCode, ExitStatus};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::process::ExitCode;
+use std::sync::Arc;
 use std::thread;
-use std::time::{Duration, Instant};
 
 use getopts::Options;
-use rustix::process::{Pid, Signal, kill_process};
+use rustix::process::Signal;
 use serde::Deserialize;
 use snafu::{ResultExt, Snafu, ensure};
-use tokio::sync::mpsc::{Sender, channel};
+use tokio::sync::mpsc::channel;
 
+use self::role_process::RoleProcess;
 use crate::role::Role;
 use crate::signals::{ShutdownOrReload, Signals};
 
-/// A role that exits by itself within this time after its first start is taken to have invalid settings.
-const MIN_FIRST_RUN: Duration = Duration::from_secs(2);
-/// Delay before a role that has exited is restarted.
-const RESTART_DELAY: Duration = Duration::from_secs(1);
 /// Maximum number of roles in a directory.
 const MAX_ROLES: usize = 64;
 const USAGE: &str = "\
@@ -178,117 +176,3 @@
     }
     Ok(all_started)
 }
-
-/// State of a role's child process.
-#[derive(Debug, Default)]
-struct ChildState {
-    child: Option<Pid>,
-    is_stopping: bool,
-}
-
-/// A role's child process, restarted when it exits.
-#[derive(Debug)]
-struct RoleProcess {
-    program: PathBuf,
-    name: String,
-    arguments: Vec<String>,
-    state: Mutex<ChildState>,
-    /// Notified when the process shall stop.
-    stop_requested: std::sync::Condvar,
-}
-
-impl RoleProcess {
-    fn new(program: &Path, role: &LocalRole, log_level: Option<&str>) -> Self {
-        let settings = role.settings_file.display().to_string();
-        let mut arguments = vec![role.role.name().to_owned(), "--settings".to_owned(), settings.clone()];
-        if let Some(level) = log_level {
-            arguments.extend(["--log-level".to_owned(), level.to_owned()]);
-        }
-        RoleProcess {
-            program: program.to_owned(),
-            name: format!("{} ({settings})", role.role.name()),
-            arguments,
-            state: Mutex::default(),
-            stop_requested: std::sync::Condvar::new(),
-        }
-    }
-
-    /// Runs the process and restarts it until it shall stop. Notifies `failed` and returns if the first start fails.
-    fn run(&self, failed: &Sender<()>) {
-        let mut is_first = true;
-        loop {
-            let started_at = Instant::now();
-            let Some(child) = self.start() else { return };
-            let exit = child.and_then(|child| self.wait(child));
-            if self.is_stopping() {
-                return;
-            }
-            report_exit(&self.name, &exit);
-            let was_killed = matches!(&exit, Ok(status) if status.code().is_none());
-            if is_first && !was_killed && started_at.elapsed() < MIN_FIRST_RUN {
-                // The receiver may have stopped after an earlier failure.
-                let _ = failed.blocking_send(());
-                return;
-            }
-            is_first = false;
-            if self.wait_for_stop(RESTART_DELAY) {
-                return;
-            }
-        }
-    }
-
-    /// Starts the process, unless it shall stop.
-    fn start(&self) -> Option<io::Result<Child>> {
-        let mut progress = self.lock();
-        if progress.is_stopping {
-            return None;
-        }
-        let started = Command::new(&self.program).args(&self.arguments).spawn();
-        if let Ok(child) = &started {
-            progress.child = Some(Pid::from_child(child));
-            eprintln!("juniperwing local: {} runs as process {}", self.name, child.id());
-        }
-        Some(started)
-    }
-
-    fn wait(&self, mut child: Child) -> io::Result<ExitStatus> {
-        let exit = child.wait();
-        self.lock().child = None;
-        exit
-    }
-
-    fn send_signal(&self, signal: Signal) {
-        if let Some(child) = self.lock().child {
-            // The process may just have exited.
-            let _ = kill_process(child, signal);
-        }
-    }
-
-    fn stop(&self) {
-        self.lock().is_stopping = true;
-        self.stop_requested.notify_all();
-        self.send_signal(Signal::TERM);
-    }
-
-    fn is_stopping(&self) -> bool {
-        self.lock().is_stopping
-    }
-
-    /// Waits up to `time` for a request to stop. Returns whether there is one.
-    fn wait_for_stop(&self, time: Duration) -> bool {
-        let waited =
-            self.stop_requested.wait_timeout_while(self.lock(), time, |progress| !progress.is_stopping);
-        waited.unwrap_or_else(PoisonError::into_inner).0.is_stopping
-    }
-
-    fn lock(&self) -> std::sync::MutexGuard<'_, ChildState> {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-}
-
-fn report_exit(name: &str, exit: &io::Result<ExitStatus>) {
-    match exit {
-        Ok(status) => eprintln!("juniperwing local: {name} ended: {status}"),
-        Err(e) => eprintln!("juniperwing local: {name} cannot be started: {e}"),
-    }
-}
