--- a/crates/node/src/host/disk.rs
+++ b/crates/node/src/host/disk.rs
@@ -6,7 +6,7 @@
 use tokio::task::JoinError;
 use tokio::time::Instant;
 
-use super::simulated_host;
+use super::simulation::simulated_host;
 
 /// Disk writes that take at least this long are logged.
 const SLOW_WRITE_THRESHOLD: Duration = Duration::from_millis(300);
--- a/crates/node/src/local.rs
+++ b/crates/node/src/local.rs
@@ -3,25 +3,23 @@
 //! Like the platform it restarts a role that exits by itself, forwards SIGHUP, and terminates all roles by SIGTERM.
 
 mod role_process;
+mod roles;
 
 use std::io;
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::thread;
 
 use getopts::Options;
 use rustix::process::Signal;
-use serde::Deserialize;
-use snafu::{ResultExt, Snafu, ensure};
 use tokio::sync::mpsc::channel;
 
 use self::role_process::RoleProcess;
-use crate::role::Role;
+use self::roles::MAX_ROLES;
+pub use self::roles::{LocalError, LocalRole, read_roles};
 use crate::signals::{ShutdownOrReload, Signals};
 
-/// Maximum number of roles in a directory.
-const MAX_ROLES: usize = 64;
 const USAGE: &str = "\
 Usage: juniperwing local FOLDER [--log-level LEVEL]
 
@@ -29,86 +27,6 @@
 working directory. A role that ends by itself is started again after a second. SIGTERM or SIGINT ends them all,
 SIGHUP is passed on.";
 
-/// Why the tier cannot be started.
-#[derive(Debug, Snafu)]
-pub enum LocalError {
-    /// The directory or a file in it cannot be read.
-    #[snafu(display("reading {}: {source}", path.display()))]
-    Unreadable {
-        /// The directory or file.
-        path: PathBuf,
-        /// The error of the operating system.
-        source: io::Error,
-    },
-    /// A file names no role or is not valid TOML.
-    #[snafu(display("{}: {source}", path.display()))]
-    Malformed {
-        /// The file.
-        path: PathBuf,
-        /// The error of the parser.
-        source: toml::de::Error,
-    },
-    /// A file names a role that does not exist.
-    #[snafu(display("{}: role: {role:?} is not one of relay, keeper, store", path.display()))]
-    UnknownRole {
-        /// The file.
-        path: PathBuf,
-        /// The name given in the file.
-        role: String,
-    },
-    /// The directory holds no settings files, or too many.
-    #[snafu(display("{}: {count} settings files; there must be 1 to {MAX_ROLES}", folder.display()))]
-    SettingsFileCount {
-        /// The directory.
-        folder: PathBuf,
-        /// The number of settings files.
-        count: usize,
-    },
-}
-
-/// The key of a settings file that names its role.
-#[derive(Deserialize)]
-struct RoleSetting {
-    role: String,
-}
-
-/// A role to start.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LocalRole {
-    /// The role.
-    pub role: Role,
-    /// Its settings file.
-    pub settings_file: PathBuf,
-}
-
-/// Reads the roles of a directory, in the order of their file names.
-///
-/// # Errors
-///
-/// If the directory holds no settings, or a file names no role.
-pub fn read_roles(folder: &Path) -> Result<Vec<LocalRole>, LocalError> {
-    let entries = std::fs::read_dir(folder).context(UnreadableSnafu { path: folder })?;
-    let mut files = Vec::new();
-    for entry in entries {
-        let path = entry.context(UnreadableSnafu { path: folder })?.path();
-        if path.extension().is_some_and(|extension| extension == "toml") {
-            files.push(path);
-        }
-    }
-    ensure!((1..=MAX_ROLES).contains(&files.len()), SettingsFileCountSnafu { folder, count: files.len() });
-    files.sort();
-    files.into_iter().map(read_role).collect()
-}
-
-fn read_role(path: PathBuf) -> Result<LocalRole, LocalError> {
-    let text = std::fs::read_to_string(&path).context(UnreadableSnafu { path: &path })?;
-    let named: RoleSetting = toml::from_str(&text).context(MalformedSnafu { path: &path })?;
-    match Role::from_name(&named.role) {
-        Some(role) => Ok(LocalRole { role, settings_file: path }),
-        None => UnknownRoleSnafu { path, role: named.role }.fail(),
-    }
-}
-
 /// Runs the command with the arguments that follow `local`, until SIGTERM or SIGINT.
 pub fn run(arguments: &[String]) -> ExitCode {
     let mut options = Options::new();
--- a/crates/node/src/local/role_process.rs
+++ b/crates/node/src/local/role_process.rs
@@ -9,7 +9,7 @@
 use rustix::process::{Pid, Signal, kill_process};
 use tokio::sync::mpsc::Sender;
 
-use super::LocalRole;
+use super::roles::LocalRole;
 
 /// A role that exits by itself within this time after its first start is taken to have invalid settings.
 const MIN_FIRST_RUN: Duration = Duration::from_secs(2);
--- a/crates/node/src/metrics/server.rs
+++ b/crates/node/src/metrics/server.rs
@@ -16,7 +16,8 @@
 use tokio::sync::Semaphore;
 use tokio::time::{sleep, timeout};
 
-use super::{MetricSource, render};
+use super::exposition::render;
+use super::metric::MetricSource;
 use crate::panics::isolate;
 use crate::settings::Settings;
 
