--- /dev/null
+++ b/crates/model/src/simulation/inputs.rs
@@ -0,0 +1,190 @@
+//! The inputs of relays as events of the core; the judge and the relay's storage take note of them.
+
+use juniperwing::interface::{
+    CallStatus, EndpointEntry, EndpointListUpdate, Event, Notification, NotificationHistory, NotificationId,
+    PossibleRun, PushOutcome, Readiness,
+};
+use juniperwing::time::Time;
+
+use super::Simulation;
+use super::state::{PendingNotification, RelayInput, SentPush};
+use crate::fleet::{destination_id, span_ms};
+use crate::judge::{AcceptedNotification, ExecutionStatus, FinalAnswer, RepeatSemantics};
+use crate::metrics::UndeliveredReason;
+use crate::scenario::Effect;
+
+/// What takes effect at the end of the turn that the inputs are for.
+#[derive(Default)]
+pub(super) struct TurnEffects {
+    /// Waits that the relay is told, by route.
+    pub(super) waits: Vec<(usize, Time)>,
+    /// Submissions that the relay answers with this turn.
+    pub(super) accepted: Vec<u64>,
+}
+
+fn execution_status(status: CallStatus) -> ExecutionStatus {
+    match status {
+        CallStatus::Busy
+        | CallStatus::NoConnection
+        | CallStatus::ConnectionLimitReached
+        | CallStatus::Skipped => ExecutionStatus::NotExecuted,
+        CallStatus::TimedOut | CallStatus::Reset | CallStatus::Cancelled => ExecutionStatus::MayBeExecuting,
+        CallStatus::Delivered | CallStatus::Error => ExecutionStatus::MayHaveExecuted,
+    }
+}
+
+impl Simulation<'_> {
+    /// The event for an input; `None` for a notification that is not pending any more.
+    pub(super) fn convert_input(
+        &mut self, relay: usize, input: RelayInput, effects: &mut TurnEffects,
+    ) -> Option<Event> {
+        Some(match input {
+            RelayInput::Accepted(ntf) => return self.convert_accepted(relay, ntf, effects),
+            RelayInput::PushEnded { mut outcome, route } => {
+                self.handle_push_outcome(relay, route, &mut outcome, effects);
+                Event::PushEnded(*outcome)
+            }
+            RelayInput::EndpointChanges(changes) => Event::EndpointListUpdated(EndpointListUpdate::Changes(
+                self.report_endpoints(relay, &changes),
+            )),
+            RelayInput::EndpointSnapshot => {
+                let endpoints = self.readiness.iter().copied().enumerate();
+                let listed: Vec<(usize, Readiness)> =
+                    endpoints.filter(|(_, readiness)| *readiness != Readiness::Deleted).collect();
+                Event::EndpointListUpdated(EndpointListUpdate::Snapshot(
+                    self.report_endpoints(relay, &listed),
+                ))
+            }
+            RelayInput::SubscriptionLost => Event::EndpointListUpdated(EndpointListUpdate::Failed),
+            RelayInput::Withdrawn(ntf) => Event::Withdrawn(NotificationId(ntf)),
+            RelayInput::NoticeDelivered(ntf) => {
+                self.nodes[relay].pending.remove(&ntf);
+                Event::FinalAnswerAcknowledged(NotificationId(ntf))
+            }
+        })
+    }
+
+    /// A submission, or after a restart what the storage holds of one.
+    fn convert_accepted(&mut self, relay: usize, ntf: u64, effects: &mut TurnEffects) -> Option<Event> {
+        let pending = self.nodes[relay].pending.get_mut(&ntf)?;
+        if pending.is_unanswered {
+            let notification = pending.notification;
+            effects.accepted.push(ntf);
+            let accepted = self.accepted_notification(notification);
+            self.judge.handle_accepted(self.now, relay, ntf, accepted);
+        } else {
+            // An earlier process pushed it: what was in flight then may have been executed and may execute still.
+            pending.first_executed = pending.first_executed.or(pending.in_flight);
+            if pending.in_flight.take().is_some() {
+                pending.uncertain_since = Some(self.now);
+            }
+        }
+        Some(Event::Accepted(self.core_notification(ntf, &self.nodes[relay].pending[&ntf])))
+    }
+
+    /// A relay is told the outcome of a push; sets whether the notification has its final answer.
+    fn handle_push_outcome(
+        &mut self, relay: usize, route: usize, outcome: &mut PushOutcome, effects: &mut TurnEffects,
+    ) {
+        let (ntf, status) = (outcome.notification.0, outcome.status);
+        let execution = execution_status(status);
+        self.judge.handle_outcome(self.now, relay, ntf, outcome.push_index, execution);
+        if !matches!(status, CallStatus::Delivered | CallStatus::Cancelled | CallStatus::Skipped) {
+            self.judge.record_failure_seen(relay, route);
+        }
+        if let Some(wait) = outcome.retry_after {
+            effects.waits.push((route, self.now + wait));
+        }
+        self.recorder.record_push_outcome(self.now, status);
+        let Some(pending) = self.nodes[relay].pending.get_mut(&ntf) else {
+            outcome.has_final_answer = true;
+            return;
+        };
+        let sent = pending.in_flight.take();
+        if execution != ExecutionStatus::NotExecuted {
+            pending.first_executed = pending.first_executed.or(sent);
+        }
+        if execution == ExecutionStatus::MayBeExecuting {
+            pending.uncertain_since = Some(self.now);
+        }
+        outcome.has_final_answer = pending.has_final_answer || status == CallStatus::Delivered;
+        if status == CallStatus::Delivered {
+            self.handle_delivery(relay, ntf);
+        }
+    }
+
+    /// A relay is told that a notification was delivered.
+    fn handle_delivery(&mut self, relay: usize, ntf: u64) {
+        let Some(pending) = self.nodes[relay].pending.remove(&ntf) else { return };
+        self.notifications[pending.notification].pending_at = None;
+        if !pending.has_final_answer {
+            self.judge.handle_final_answer(self.now, relay, ntf, FinalAnswer::Delivered);
+        }
+        self.give_up(pending.notification, UndeliveredReason::Abandoned);
+    }
+
+    /// Entries of the endpoint list; the judge takes note of what the relay is told.
+    fn report_endpoints(&mut self, relay: usize, changes: &[(usize, Readiness)]) -> Vec<EndpointEntry> {
+        for (endpoint, readiness) in changes {
+            let is_serving = *readiness == Readiness::Serving;
+            self.judge.handle_readiness(self.now, relay, *endpoint, is_serving);
+        }
+        changes.iter().map(|(endpoint, readiness)| self.list_entry(*endpoint, *readiness)).collect()
+    }
+
+    fn list_entry(&self, endpoint: usize, readiness: Readiness) -> EndpointEntry {
+        let plan = &self.endpoints[endpoint].plan;
+        EndpointEntry {
+            endpoint: plan.id.clone(),
+            destination: destination_id(plan.destination),
+            kind: self.fleet.kinds[self.fleet.destinations[plan.destination].kind].clone(),
+            zone: self.fleet.zones[plan.zone].clone(),
+            readiness,
+            rate_per_second: self.routes[plan.route].plan.listed_rate,
+        }
+    }
+
+    /// A notification as the judge has it.
+    fn accepted_notification(&self, notification: usize) -> AcceptedNotification {
+        let notification = &self.notifications[notification];
+        let topic = &self.scenario.topic[notification.submission.topic];
+        let deduplicated = |same_zone_only| RepeatSemantics::Deduplicated {
+            window: span_ms(topic.window_ms),
+            same_zone_only,
+        };
+        AcceptedNotification {
+            repeat: match topic.effect {
+                Effect::Repeatable => RepeatSemantics::Harmless,
+                Effect::Collapsible => deduplicated(false),
+                Effect::CollapsibleInZone => deduplicated(true),
+                Effect::OnceOnly => RepeatSemantics::Forbidden,
+            },
+            key: notification.key.clone().filter(|_| topic.ordered),
+            valid_until: notification.valid_until,
+        }
+    }
+
+    /// A notification as the core has it.
+    fn core_notification(&self, ntf: u64, pending: &PendingNotification) -> Notification {
+        let notification = &self.notifications[pending.notification];
+        let submission = &notification.submission;
+        Notification {
+            id: NotificationId(ntf),
+            destination: destination_id(notification.destination),
+            topic: self.fleet.topics[submission.topic].topic.clone(),
+            account: submission.account.map(|account| self.fleet.accounts[account].clone()),
+            key: notification.key.clone(),
+            valid_until: notification.valid_until,
+            history: NotificationHistory {
+                is_recovered: true,
+                push_count: pending.push_count,
+                first_possible_run: pending.first_executed.map(|SentPush { at, zone }| PossibleRun {
+                    sent_at: at,
+                    zone: self.fleet.zones[zone].clone(),
+                }),
+                last_doubtful_end: pending.uncertain_since,
+                has_final_answer: pending.has_final_answer,
+            },
+        }
+    }
+}
