--- a/crates/node/tests/golden_state.rs
+++ b/crates/node/tests/golden_state.rs
@@ -26,7 +26,7 @@
 use juniperwing_sessions::{decode_batch, encode_batch};
 use juniperwing_storage::{SegmentLog, SnapshotFiles, identity};
 use keepers::{Keepers, Observer, configuration};
-use stores::{COUNT, Stores, WITHIN};
+use stores::{STORE_COUNT, TEST_TIMEOUT, TestCluster};
 
 /// When the committed records of a store expire: in the year 2100, in milliseconds since 1970.
 const EXPIRES_AT_MS: u64 = 4_102_444_800_000;
@@ -140,34 +140,34 @@
 /// Writes the state of a store: two turns kept (10 tokens each), one settled and not kept (20), one begun (40), and the
 /// version of the map.
 async fn write_store_state(folder: &Path) {
-    let mut stores = Stores::start("golden-written").await;
-    let client = stores.client.clone();
+    let mut cluster = TestCluster::start("golden-written").await;
+    let client = cluster.client.clone();
     let finish = |request: &str, tokens, kept| {
         let (program, request) = (ProgramId::from("program"), RequestId::from(request));
-        client.finish(FinishTurn { program, request, tokens, stored_turn: kept }, WITHIN)
+        client.finish(FinishTurn { program, request, tokens, stored_turn: kept }, TEST_TIMEOUT)
     };
     for kept in kept() {
         let request = kept.request.0.to_string();
         let previous = kept.previous.as_ref().map(|previous| previous.0.to_string());
-        client.begin(begin(&request, previous.as_deref(), Some(1_000)), WITHIN).await.unwrap();
+        client.begin(begin(&request, previous.as_deref(), Some(1_000)), TEST_TIMEOUT).await.unwrap();
         finish(&request, 10, Some(kept)).await.unwrap();
     }
-    client.begin(begin("settled", None, Some(1_000)), WITHIN).await.unwrap();
+    client.begin(begin("settled", None, Some(1_000)), TEST_TIMEOUT).await.unwrap();
     finish("settled", 20, None).await.unwrap();
-    client.begin(begin("open", None, Some(1_000)), WITHIN).await.unwrap();
+    client.begin(begin("open", None, Some(1_000)), TEST_TIMEOUT).await.unwrap();
     // Before it reports that others have caught up, a store writes the version of the map down.
-    let mut others = stores.keeper.subscribed(COUNT).await;
-    let disk = identity_of(&stores.data(0));
+    let mut others = cluster.keeper.wait_for_stores(STORE_COUNT).await;
+    let disk = identity_of(&cluster.data_directory(0));
     others.retain(|other| *other != disk);
-    let epoch = stores.assign(&[disk], &others);
+    let epoch = cluster.assign(&[disk], &others);
     assert_eq!(epoch.0, MAP_VERSION);
     for other in others {
-        stores.keeper.caught_up(other, epoch, &all_partitions()).await;
+        cluster.keeper.wait_until_caught_up(other, epoch, &all_partitions()).await;
     }
-    for running in &mut stores.running {
+    for running in &mut cluster.running {
         running.take().unwrap().kill();
     }
-    copy(&stores.data(0), folder);
+    copy(&cluster.data_directory(0), folder);
     // A store keeps nothing for longer than a day; these records are to be read for decades.
     let segments = folder.join("sessions");
     let (_, batches) = SegmentLog::open(&segments).unwrap();
@@ -186,36 +186,36 @@
     if is_update() {
         write_store_state(&folder).await;
     }
-    let mut stores = Stores::start("golden").await;
-    for number in 0..COUNT {
-        stores.running[number].take().unwrap().kill();
-        fs::remove_dir_all(stores.data(number)).unwrap();
+    let mut cluster = TestCluster::start("golden").await;
+    for number in 0..STORE_COUNT {
+        cluster.running[number].take().unwrap().kill();
+        fs::remove_dir_all(cluster.data_directory(number)).unwrap();
     }
-    copy(&folder, &stores.data(0));
-    let (_, version) = SnapshotFiles::open(stores.data(0), "map-version").unwrap();
+    copy(&folder, &cluster.data_directory(0));
+    let (_, version) = SnapshotFiles::open(cluster.data_directory(0), "map-version").unwrap();
     assert_eq!(version, Some(MAP_VERSION.to_le_bytes().to_vec()), "the version of the map");
-    stores.keeper.subscribed(0).await;
-    let disk = identity_of(&stores.data(0));
-    stores.restart(0);
-    let found = stores.keeper.subscribed(1).await[0];
+    cluster.keeper.wait_for_stores(0).await;
+    let disk = identity_of(&cluster.data_directory(0));
+    cluster.restart(0);
+    let found = cluster.keeper.wait_for_stores(1).await[0];
     assert_eq!(found, disk, "the identity");
-    (1..COUNT).for_each(|number| stores.restart(number));
-    let all = stores.keeper.subscribed(COUNT).await;
+    (1..STORE_COUNT).for_each(|number| cluster.restart(number));
+    let all = cluster.keeper.wait_for_stores(STORE_COUNT).await;
     let empty: Vec<DiskId> = all.into_iter().filter(|disk| *disk != found).collect();
-    let epoch = stores.assign(&[found], &empty);
+    let epoch = cluster.assign(&[found], &empty);
     assert!(epoch.0 >= MAP_VERSION, "older maps count for nothing");
     for disk in &empty {
-        stores.keeper.caught_up(*disk, epoch, &all_partitions()).await;
+        cluster.keeper.wait_until_caught_up(*disk, epoch, &all_partitions()).await;
     }
-    stores.assign(&[found, empty[0], empty[1]], &[]);
+    cluster.assign(&[found, empty[0], empty[1]], &[]);
 
-    let next = stores.client.begin(begin("t3", Some("t2"), Some(1_000)), WITHIN).await;
+    let next = cluster.client.begin(begin("t3", Some("t2"), Some(1_000)), TEST_TIMEOUT).await;
     assert_eq!(next, Ok(BegunTurn { chain: kept() }), "the turns");
-    let unknown = stores.client.begin(begin("t4", Some("settled"), Some(1_000)), WITHIN).await;
+    let unknown = cluster.client.begin(begin("t4", Some("settled"), Some(1_000)), TEST_TIMEOUT).await;
     assert_eq!(unknown, Err(SessionError::UnknownTurn), "a turn settled and not kept");
     // Spent or set aside: 10 + 10 + 20 + 40 as committed, and 40 for the turn begun above.
-    let spent = stores.client.begin(begin("t5", None, Some(159)), WITHIN).await;
+    let spent = cluster.client.begin(begin("t5", None, Some(159)), TEST_TIMEOUT).await;
     assert_eq!(spent, Err(SessionError::BudgetExhausted), "the budget");
-    let left = stores.client.begin(begin("t5", None, Some(160)), WITHIN).await;
+    let left = cluster.client.begin(begin("t5", None, Some(160)), TEST_TIMEOUT).await;
     assert_eq!(left, Ok(BegunTurn::default()), "the budget");
 }
--- a/crates/node/tests/store.rs
+++ b/crates/node/tests/store.rs
@@ -1,4 +1,4 @@
-//! Stores on loopback: turns begin, are settled and kept, and outlast the loss of a store.
+//! Stores on loopback: turns begin, are committed and stored, and survive the loss of a store.
 
 mod stores;
 
@@ -13,12 +13,12 @@
 use juniperwing_protocol::{ProgramId, RequestId};
 use juniperwing_storage::SegmentLog;
 use slog::{Discard, Logger, o};
-use stores::{COUNT, Stores, WITHIN};
+use stores::{STORE_COUNT, TEST_TIMEOUT, TestCluster};
 
-/// How long a call may take that is known to end without success.
-const SHORTLY: Duration = Duration::from_millis(300);
-/// Segments that may be open when a folder loses its name: one, and another if a slow call was made twice.
-const MOST_OPEN_SEGMENTS: usize = 4;
+/// The time-out of calls that are expected to fail.
+const SHORT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Segments that may be open when a directory is renamed: one, and another if a slow call was made twice.
+const MAX_OPEN_SEGMENTS: usize = 4;
 
 fn begin(program: &str, request: &str, previous: Option<&str>, budget: Option<u64>) -> BeginTurn {
     BeginTurn {
@@ -42,7 +42,7 @@
     }
 }
 
-fn keep(program: &str, request: &str, previous: Option<&str>) -> FinishTurn {
+fn finish_stored(program: &str, request: &str, previous: Option<&str>) -> FinishTurn {
     FinishTurn {
         program: ProgramId::from(program),
         request: RequestId::from(request),
@@ -52,81 +52,81 @@
 }
 
 /// The end of a turn that fills a segment.
-fn filling(number: usize) -> FinishTurn {
-    let mut filling = keep("p", &format!("filling-{number}"), Some("t2"));
-    filling.stored_turn.as_mut().unwrap().output = Arc::from(vec![b'x'; 1 << 20]);
-    filling
+fn segment_filling_turn(number: usize) -> FinishTurn {
+    let mut finish = finish_stored("p", &format!("filling-{number}"), Some("t2"));
+    finish.stored_turn.as_mut().unwrap().output = Arc::from(vec![b'x'; 1 << 20]);
+    finish
 }
 
-async fn keep_two(stores: &Stores) {
+async fn store_two_turns(cluster: &TestCluster) {
     for (request, previous) in [("t1", None), ("t2", Some("t1"))] {
-        stores.client.begin(begin("p", request, previous, Some(1_000)), WITHIN).await.unwrap();
-        stores.client.finish(keep("p", request, previous), WITHIN).await.unwrap();
+        cluster.client.begin(begin("p", request, previous, Some(1_000)), TEST_TIMEOUT).await.unwrap();
+        cluster.client.finish(finish_stored("p", request, previous), TEST_TIMEOUT).await.unwrap();
     }
 }
 
-fn two() -> BegunTurn {
+fn begun_with_two_turns() -> BegunTurn {
     BegunTurn { chain: vec![turn("t1", None), turn("t2", Some("t1"))] }
 }
 
 #[tokio::test]
-async fn a_chain_is_kept_and_another_program_may_go_on_from_it() {
-    let stores = Stores::start("chain").await;
-    keep_two(&stores).await;
-    let next = stores.client.begin(begin("p", "t3", Some("t2"), Some(1_000)), WITHIN).await;
-    assert_eq!(next, Ok(two()));
-    // Of these some are in other partitions than the first program.
+async fn a_chain_is_stored_and_another_program_may_continue_it() {
+    let cluster = TestCluster::start("chain").await;
+    store_two_turns(&cluster).await;
+    let next = cluster.client.begin(begin("p", "t3", Some("t2"), Some(1_000)), TEST_TIMEOUT).await;
+    assert_eq!(next, Ok(begun_with_two_turns()));
+    // Some of these are in other partitions than the first program.
     for number in 0..8 {
         let program = format!("other-{number}");
-        let next = stores.client.begin(begin(&program, &program, Some("t2"), None), WITHIN).await;
-        assert_eq!(next, Ok(two()));
+        let next = cluster.client.begin(begin(&program, &program, Some("t2"), None), TEST_TIMEOUT).await;
+        assert_eq!(next, Ok(begun_with_two_turns()));
     }
-    let unknown = stores.client.begin(begin("p", "t4", Some("nobody"), None), WITHIN).await;
+    let unknown = cluster.client.begin(begin("p", "t4", Some("unknown"), None), TEST_TIMEOUT).await;
     assert_eq!(unknown, Err(SessionError::UnknownTurn));
 }
 
 #[tokio::test]
-async fn the_budget_is_spent_until_turns_are_settled() {
-    let stores = Stores::start("budget").await;
+async fn the_budget_is_exhausted_until_turns_are_committed() {
+    let cluster = TestCluster::start("budget").await;
     for request in ["a", "b"] {
-        stores.client.begin(begin("p", request, None, Some(100)), WITHIN).await.unwrap();
+        cluster.client.begin(begin("p", request, None, Some(100)), TEST_TIMEOUT).await.unwrap();
     }
-    let third = || stores.client.begin(begin("p", "c", None, Some(100)), WITHIN);
+    let third = || cluster.client.begin(begin("p", "c", None, Some(100)), TEST_TIMEOUT);
     assert_eq!(third().await, Err(SessionError::BudgetExhausted));
-    let settled = FinishTurn { stored_turn: None, ..keep("p", "a", None) };
-    stores.client.finish_in_background(settled);
-    assert_eq!(stores.client.lost_commits(), 0);
+    let committed = FinishTurn { stored_turn: None, ..finish_stored("p", "a", None) };
+    cluster.client.finish_in_background(committed);
+    assert_eq!(cluster.client.lost_commits(), 0);
     let begun = async {
         while third().await.is_err() {
             tokio::task::yield_now().await;
         }
     };
-    tokio::time::timeout(WITHIN, begun).await.expect("the turn is settled");
+    tokio::time::timeout(TEST_TIMEOUT, begun).await.expect("the turn is committed");
 }
 
 #[tokio::test]
-async fn what_was_kept_outlasts_a_store_and_fills_it_when_it_is_back() {
-    let mut stores = Stores::start("failover").await;
-    keep_two(&stores).await;
-    let disks = stores.keeper.subscribed(COUNT).await;
-    stores.running[0].take().unwrap().kill();
-    let left = stores.keeper.subscribed(COUNT - 1).await;
-    stores.assign(&left, &[]);
-    let next = stores.client.begin(begin("p", "t3", Some("t2"), Some(1_000)), WITHIN).await;
-    assert_eq!(next, Ok(two()));
-    stores.client.finish(keep("p", "t3", Some("t2")), WITHIN).await.unwrap();
-    // An empty disk: the store comes back as another one.
-    std::fs::remove_dir_all(stores.data(0)).unwrap();
-    stores.restart(0);
-    let now = stores.keeper.subscribed(COUNT).await;
-    let empty = *now.iter().find(|disk| !disks.contains(disk)).expect("another identity");
-    let epoch = stores.assign(&left[..1], &[left[1], empty]);
+async fn stored_turns_survive_the_loss_of_a_store_and_fill_its_replacement() {
+    let mut cluster = TestCluster::start("failover").await;
+    store_two_turns(&cluster).await;
+    let disks = cluster.keeper.wait_for_stores(STORE_COUNT).await;
+    cluster.running[0].take().unwrap().kill();
+    let remaining = cluster.keeper.wait_for_stores(STORE_COUNT - 1).await;
+    cluster.assign(&remaining, &[]);
+    let next = cluster.client.begin(begin("p", "t3", Some("t2"), Some(1_000)), TEST_TIMEOUT).await;
+    assert_eq!(next, Ok(begun_with_two_turns()));
+    cluster.client.finish(finish_stored("p", "t3", Some("t2")), TEST_TIMEOUT).await.unwrap();
+    // With an empty disk the store comes back under another identity.
+    std::fs::remove_dir_all(cluster.data_directory(0)).unwrap();
+    cluster.restart(0);
+    let current = cluster.keeper.wait_for_stores(STORE_COUNT).await;
+    let empty = *current.iter().find(|disk| !disks.contains(disk)).expect("another identity");
+    let epoch = cluster.assign(&remaining[..1], &[remaining[1], empty]);
     let all: Vec<u16> = (0..8).collect();
-    stores.keeper.caught_up(empty, epoch, &all).await;
-    // Now the one that was filled leads, together with one of the others.
-    stores.assign(&[empty, left[1]], &[]);
-    let chain = [two().chain, vec![turn("t3", Some("t2"))]].concat();
-    let next = stores.client.begin(begin("p", "t4", Some("t3"), Some(1_000)), WITHIN).await;
+    cluster.keeper.wait_until_caught_up(empty, epoch, &all).await;
+    // Now the store that was filled leads, together with one of the others.
+    cluster.assign(&[empty, remaining[1]], &[]);
+    let chain = [begun_with_two_turns().chain, vec![turn("t3", Some("t2"))]].concat();
+    let next = cluster.client.begin(begin("p", "t4", Some("t3"), Some(1_000)), TEST_TIMEOUT).await;
     assert_eq!(next, Ok(BegunTurn { chain }));
 }
 
@@ -135,179 +135,182 @@
 }
 
 #[tokio::test]
-async fn stores_that_are_all_killed_come_back_with_what_they_had() {
-    let mut stores = Stores::start("restart").await;
-    keep_two(&stores).await;
-    for number in 0..COUNT {
-        stores.running[number].take().unwrap().kill();
+async fn after_all_stores_were_killed_they_recover_their_turns() {
+    let mut cluster = TestCluster::start("restart").await;
+    store_two_turns(&cluster).await;
+    for number in 0..STORE_COUNT {
+        cluster.running[number].take().unwrap().kill();
     }
-    let nobody = stores.client.begin(begin("p", "t3", Some("t2"), None), SHORTLY).await;
-    assert!(is_unavailable(&nobody), "{nobody:?}");
-    (0..COUNT).for_each(|number| stores.restart(number));
-    let next = stores.client.begin(begin("p", "t3", Some("t2"), None), WITHIN).await;
-    assert_eq!(next, Ok(two()));
+    let unavailable = cluster.client.begin(begin("p", "t3", Some("t2"), None), SHORT_TIMEOUT).await;
+    assert!(is_unavailable(&unavailable), "{unavailable:?}");
+    (0..STORE_COUNT).for_each(|number| cluster.restart(number));
+    let next = cluster.client.begin(begin("p", "t3", Some("t2"), None), TEST_TIMEOUT).await;
+    assert_eq!(next, Ok(begun_with_two_turns()));
 }
 
 #[tokio::test]
-async fn with_a_replica_missing_nothing_is_certain() {
-    let mut stores = Stores::start("missing").await;
-    keep_two(&stores).await;
-    stores.running[2].take().unwrap().stop();
-    let finished = stores.client.finish(keep("p", "t3", Some("t2")), SHORTLY).await;
+async fn without_an_in_sync_replica_nothing_is_certain() {
+    let mut cluster = TestCluster::start("missing").await;
+    store_two_turns(&cluster).await;
+    cluster.running[2].take().unwrap().stop();
+    let finished = cluster.client.finish(finish_stored("p", "t3", Some("t2")), SHORT_TIMEOUT).await;
     assert!(matches!(finished, Err(CommitUncertain { .. })), "{finished:?}");
-    let unknown = stores.client.begin(begin("p", "t4", Some("nobody"), None), SHORTLY).await;
+    let unknown = cluster.client.begin(begin("p", "t4", Some("unknown"), None), SHORT_TIMEOUT).await;
     assert!(is_unavailable(&unknown), "{unknown:?}");
-    // As soon as the keepers have taken it out, all is.
-    let left = stores.keeper.subscribed(COUNT - 1).await;
-    stores.assign(&left, &[]);
-    assert_eq!(stores.client.finish(keep("p", "t3", Some("t2")), WITHIN).await, Ok(()));
-    let unknown = stores.client.begin(begin("p", "t4", Some("nobody"), None), WITHIN).await;
+    // When the keepers have removed it from the in-sync replicas, everything is.
+    let remaining = cluster.keeper.wait_for_stores(STORE_COUNT - 1).await;
+    cluster.assign(&remaining, &[]);
+    assert_eq!(cluster.client.finish(finish_stored("p", "t3", Some("t2")), TEST_TIMEOUT).await, Ok(()));
+    let unknown = cluster.client.begin(begin("p", "t4", Some("unknown"), None), TEST_TIMEOUT).await;
     assert_eq!(unknown, Err(SessionError::UnknownTurn));
 }
 
 #[tokio::test]
-async fn a_store_whose_disk_fails_leaves_the_keepers_until_the_disk_is_back() {
-    let stores = Stores::start("disk").await;
-    keep_two(&stores).await;
-    let batches = stores.data(0).join("sessions");
-    let aside = stores.data(0).join("aside");
-    std::fs::rename(&batches, &aside).unwrap();
-    // An open segment outlives the name of its folder. A turn that fills it has the next batch open another.
+async fn a_store_whose_disk_fails_suspends_its_subscriptions_until_the_disk_recovers() {
+    let cluster = TestCluster::start("disk").await;
+    store_two_turns(&cluster).await;
+    let batches = cluster.data_directory(0).join("sessions");
+    let renamed = cluster.data_directory(0).join("aside");
+    std::fs::rename(&batches, &renamed).unwrap();
+    // An open segment stays writable after the rename. A turn that fills it makes the next batch open another.
     let mut filled = 0;
-    while stores.client.finish(filling(filled), SHORTLY).await == Ok(()) {
+    while cluster.client.finish(segment_filling_turn(filled), SHORT_TIMEOUT).await == Ok(()) {
         filled += 1;
-        assert!(filled < MOST_OPEN_SEGMENTS, "the disk takes everything");
+        assert!(filled < MAX_OPEN_SEGMENTS, "the disk never fails");
     }
-    let finished = stores.client.finish(keep("p", "t3", Some("t2")), SHORTLY).await;
+    let finished = cluster.client.finish(finish_stored("p", "t3", Some("t2")), SHORT_TIMEOUT).await;
     assert!(matches!(finished, Err(CommitUncertain { .. })), "{finished:?}");
-    stores.keeper.subscribed(COUNT - 1).await;
-    std::fs::rename(&aside, &batches).unwrap();
-    stores.keeper.subscribed(COUNT).await;
-    assert_eq!(stores.client.finish(keep("p", "t3", Some("t2")), WITHIN).await, Ok(()));
+    cluster.keeper.wait_for_stores(STORE_COUNT - 1).await;
+    std::fs::rename(&renamed, &batches).unwrap();
+    cluster.keeper.wait_for_stores(STORE_COUNT).await;
+    assert_eq!(cluster.client.finish(finish_stored("p", "t3", Some("t2")), TEST_TIMEOUT).await, Ok(()));
 }
 
-/// What a batch holds must not be taken for nothing: others count on this disk.
+/// An unreadable batch must not be ignored: others count on this disk.
 #[tokio::test]
 async fn a_store_with_a_batch_of_another_release_does_not_start() {
-    let mut stores = Stores::start("other-release").await;
-    keep_two(&stores).await;
-    stores.running[0].take().unwrap().kill();
-    let (mut segments, before) = SegmentLog::open(stores.data(0).join("sessions")).unwrap();
+    let mut cluster = TestCluster::start("other-release").await;
+    store_two_turns(&cluster).await;
+    cluster.running[0].take().unwrap().kill();
+    let (mut segments, before) = SegmentLog::open(cluster.data_directory(0).join("sessions")).unwrap();
     segments.append(&[0xff; 40]).unwrap();
-    let settings = stores.settings(0);
+    let settings = cluster.settings(0);
     let started = run_until(&settings, Logger::root(Discard, o!()), pending());
-    let refused = tokio::time::timeout(Duration::from_secs(5), started).await;
-    let Ok(Err(error)) = refused else { panic!("it has started") };
+    let result = tokio::time::timeout(Duration::from_secs(5), started).await;
+    let Ok(Err(error)) = result else { panic!("the store has started") };
     assert!(error.to_string().contains("release"), "{error}");
-    let (_, after) = SegmentLog::open(stores.data(0).join("sessions")).unwrap();
-    assert_eq!(after.len(), before.len() + 1, "nothing is lost");
+    let (_, after) = SegmentLog::open(cluster.data_directory(0).join("sessions")).unwrap();
+    assert_eq!(after.len(), before.len() + 1, "no batch is lost");
 }
 
-/// A disk that answers nothing gives no event: opening a pipe that nobody reads blocks like it.
+/// A stalled disk gives no event: opening a pipe that nobody reads blocks in the same way.
 #[tokio::test]
-async fn a_store_whose_disk_answers_nothing_leaves_the_keepers_until_it_does() {
-    let stores = Stores::start("stalled").await;
-    keep_two(&stores).await;
-    let pipe = Pipe::make(stores.next_segment(0));
+async fn a_store_whose_disk_stalls_suspends_its_subscriptions_until_it_resumes() {
+    let cluster = TestCluster::start("stalled").await;
+    store_two_turns(&cluster).await;
+    let pipe = BlockingPipe::create(cluster.next_segment_path(0));
     let mut filled = 0;
-    while stores.client.finish(filling(filled), SHORTLY).await == Ok(()) {
+    while cluster.client.finish(segment_filling_turn(filled), SHORT_TIMEOUT).await == Ok(()) {
         filled += 1;
-        assert!(filled < MOST_OPEN_SEGMENTS, "the disk takes everything");
+        assert!(filled < MAX_OPEN_SEGMENTS, "the disk never fails");
     }
-    let left = stores.keeper.subscribed(COUNT - 1).await;
-    stores.assign(&left, &[]);
-    assert_eq!(stores.client.finish(keep("p", "t3", Some("t2")), WITHIN).await, Ok(()));
-    // The pipe is read, and refuses to be synced: the next batch goes into a segment of its own.
+    let remaining = cluster.keeper.wait_for_stores(STORE_COUNT - 1).await;
+    cluster.assign(&remaining, &[]);
+    assert_eq!(cluster.client.finish(finish_stored("p", "t3", Some("t2")), TEST_TIMEOUT).await, Ok(()));
+    // The pipe is read, and cannot be synced: the next batch goes into a segment of its own.
     drop(pipe);
-    stores.keeper.subscribed(COUNT).await;
+    cluster.keeper.wait_for_stores(STORE_COUNT).await;
 }
 
-/// A pipe in the place of a file. It is read when this is dropped, also by a test that fails.
-struct Pipe(PathBuf);
+/// A named pipe in place of a file. It is read when this is dropped, also when the test fails.
+struct BlockingPipe(PathBuf);
 
-impl Pipe {
-    fn make(path: PathBuf) -> Pipe {
-        let made = std::process::Command::new("mkfifo").arg(&path).status().unwrap();
-        assert!(made.success());
-        Pipe(path)
+impl BlockingPipe {
+    fn create(path: PathBuf) -> BlockingPipe {
+        let status = std::process::Command::new("mkfifo").arg(&path).status().unwrap();
+        assert!(status.success());
+        BlockingPipe(path)
     }
 }
 
-impl Drop for Pipe {
+impl Drop for BlockingPipe {
     fn drop(&mut self) {
         let path = self.0.clone();
-        // Blocks until whoever writes has opened it.
+        // Blocks until the writer has opened it.
         std::thread::spawn(move || std::fs::read(path));
     }
 }
 
-// Guard: reservations and settled turns are records on disk like any other, kept turn or not.
+// Guard: reservations and committed turns are records on disk like any other, stored or not.
 #[tokio::test]
-async fn a_spent_budget_stays_spent_through_the_loss_of_all_stores() {
-    let mut stores = Stores::start("spent").await;
-    stores.client.begin(begin("p", "settled", None, Some(100)), WITHIN).await.unwrap();
-    let settled = FinishTurn { stored_turn: None, tokens: 40, ..keep("p", "settled", None) };
-    stores.client.finish(settled, WITHIN).await.unwrap();
-    // BegunTurn and never settled: it counts at its most.
-    stores.client.begin(begin("p", "open", None, Some(100)), WITHIN).await.unwrap();
+async fn an_exhausted_budget_stays_exhausted_when_all_stores_are_killed() {
+    let mut cluster = TestCluster::start("spent").await;
+    cluster.client.begin(begin("p", "settled", None, Some(100)), TEST_TIMEOUT).await.unwrap();
+    let committed = FinishTurn { stored_turn: None, tokens: 40, ..finish_stored("p", "settled", None) };
+    cluster.client.finish(committed, TEST_TIMEOUT).await.unwrap();
+    // Begun and never committed: the reservation counts in full.
+    cluster.client.begin(begin("p", "open", None, Some(100)), TEST_TIMEOUT).await.unwrap();
     let next = |request: &str| begin("p", request, None, Some(100));
-    assert_eq!(stores.client.begin(next("before"), WITHIN).await, Err(SessionError::BudgetExhausted));
-    for number in 0..COUNT {
-        stores.running[number].take().unwrap().kill();
+    assert_eq!(cluster.client.begin(next("before"), TEST_TIMEOUT).await, Err(SessionError::BudgetExhausted));
+    for number in 0..STORE_COUNT {
+        cluster.running[number].take().unwrap().kill();
     }
-    let meanwhile = stores.client.begin(next("meanwhile"), SHORTLY).await;
+    let meanwhile = cluster.client.begin(next("meanwhile"), SHORT_TIMEOUT).await;
     assert!(is_unavailable(&meanwhile), "{meanwhile:?}");
-    (0..COUNT).for_each(|number| stores.restart(number));
-    // A program that loops asks again and again.
+    (0..STORE_COUNT).for_each(|number| cluster.restart(number));
+    // A program in a loop sends requests again and again.
     for request in ["after", "again", "before"] {
-        assert_eq!(stores.client.begin(next(request), WITHIN).await, Err(SessionError::BudgetExhausted));
+        assert_eq!(
+            cluster.client.begin(next(request), TEST_TIMEOUT).await,
+            Err(SessionError::BudgetExhausted)
+        );
     }
-    let other = stores.client.begin(begin("q", "first", None, Some(100)), WITHIN).await;
+    let other = cluster.client.begin(begin("q", "first", None, Some(100)), TEST_TIMEOUT).await;
     assert_eq!(other, Ok(BegunTurn::default()));
 }
 
-// Guard: what a turn needs is at the stores, not at the relay that served the turn before.
+// Guard: what a turn needs is at the stores, not at the relay that served the previous turn.
 #[tokio::test]
-async fn a_line_of_turns_goes_on_through_another_relay_at_every_turn() {
-    let stores = Stores::start("zones").await;
-    let relays = [stores.client.clone(), stores.another_client()];
-    let mut before: Vec<Turn> = Vec::new();
+async fn a_chain_of_turns_continues_through_another_relay_at_every_turn() {
+    let cluster = TestCluster::start("zones").await;
+    let relays = [cluster.client.clone(), cluster.another_client()];
+    let mut chain: Vec<Turn> = Vec::new();
     for number in 0..6 {
         let (relay, request) = (&relays[number % 2], format!("t{number}"));
-        let previous = before.last().map(|turn| turn.request.clone());
+        let previous = chain.last().map(|turn| turn.request.clone());
         let previous = previous.as_ref().map(|previous| &*previous.0);
-        let begun = relay.begin(begin("p", &request, previous, Some(80)), WITHIN).await;
+        let begun = relay.begin(begin("p", &request, previous, Some(80)), TEST_TIMEOUT).await;
         if number == 5 {
-            // Five turns of 10 tokens and the most of a sixth are more than the budget, through either relay.
+            // Five turns of 10 tokens and the reservation of a sixth exceed the budget, through either relay.
             assert_eq!(begun, Err(SessionError::BudgetExhausted));
             continue;
         }
-        assert_eq!(begun, Ok(BegunTurn { chain: before.clone() }));
-        relay.finish(keep("p", &request, previous), WITHIN).await.unwrap();
-        before.push(turn(&request, previous));
+        assert_eq!(begun, Ok(BegunTurn { chain: chain.clone() }));
+        relay.finish(finish_stored("p", &request, previous), TEST_TIMEOUT).await.unwrap();
+        chain.push(turn(&request, previous));
     }
 }
 
 #[tokio::test]
-async fn the_only_holder_fills_another_store_before_it_ends() {
-    // Guard: `stop` waits while `is_filling_second_replica`.
-    let mut stores = Stores::start("handover").await;
-    keep_two(&stores).await;
-    stores.running[2].take().unwrap().kill();
-    let two_left = stores.keeper.subscribed(2).await;
-    stores.running[1].take().unwrap().kill();
-    let only = stores.keeper.subscribed(1).await[0];
+async fn the_only_replica_fills_another_store_before_it_shuts_down() {
+    // Guard: `StoreProcess::stop` waits while `is_filling_second_replica`.
+    let mut cluster = TestCluster::start("handover").await;
+    store_two_turns(&cluster).await;
+    cluster.running[2].take().unwrap().kill();
+    let two_left = cluster.keeper.wait_for_stores(2).await;
+    cluster.running[1].take().unwrap().kill();
+    let only = cluster.keeper.wait_for_stores(1).await[0];
     let other = *two_left.iter().find(|disk| **disk != only).unwrap();
-    let epoch = stores.assign(&[only], &[other]);
-    stores.keeper.applied(epoch).await;
-    let holder = stores.running[0].take().unwrap();
-    let stopping = tokio::task::spawn_blocking(move || holder.stop());
-    stores.restart(1);
-    stores.keeper.subscribed(2).await;
-    let epoch = stores.assign(&[only], &[other]);
+    let epoch = cluster.assign(&[only], &[other]);
+    cluster.keeper.wait_until_applied(epoch).await;
+    let only_replica = cluster.running[0].take().unwrap();
+    let stopping = tokio::task::spawn_blocking(move || only_replica.stop());
+    cluster.restart(1);
+    cluster.keeper.wait_for_stores(2).await;
+    let epoch = cluster.assign(&[only], &[other]);
     let all: Vec<u16> = (0..8).collect();
-    stores.keeper.caught_up(other, epoch, &all).await;
-    stores.assign(&[only, other], &[]);
-    tokio::time::timeout(WITHIN, stopping).await.expect("it ends").unwrap();
-    stores.assign(&[other], &[]);
+    cluster.keeper.wait_until_caught_up(other, epoch, &all).await;
+    cluster.assign(&[only, other], &[]);
+    tokio::time::timeout(TEST_TIMEOUT, stopping).await.expect("it shuts down").unwrap();
+    cluster.assign(&[other], &[]);
 }
--- a/crates/node/tests/store_files.rs
+++ b/crates/node/tests/store_files.rs
@@ -10,11 +10,11 @@
 use juniperwing_protocol::session::BeginTurn;
 use juniperwing_protocol::{ProgramId, RequestId};
 use juniperwing_storage::{SnapshotFiles, layout};
-use stores::{COUNT, Stores, WITHIN};
+use stores::{STORE_COUNT, TEST_TIMEOUT, TestCluster};
 
 #[tokio::test]
 async fn a_store_keeps_its_files_under_their_names() {
-    let stores = Stores::start("files").await;
+    let cluster = TestCluster::start("files").await;
     let turn = BeginTurn {
         program: ProgramId::from("program"),
         request: RequestId::from("request"),
@@ -23,32 +23,32 @@
         max_tokens: 40,
         imported: Vec::new(),
     };
-    stores.client.begin(turn, WITHIN).await.unwrap();
-    for number in 0..COUNT {
-        let folder = stores.data(number);
-        assert_eq!(names(&folder), set(["identity-", "layout-sessions-", "sessions"]));
-        assert_eq!(names(&folder.join("sessions")), set(["segment-"]));
-        layout::check(&folder, "sessions", 1).expect("the first layout");
+    cluster.client.begin(turn, TEST_TIMEOUT).await.unwrap();
+    for number in 0..STORE_COUNT {
+        let directory = cluster.data_directory(number);
+        assert_eq!(names(&directory), set(["identity-", "layout-sessions-", "sessions"]));
+        assert_eq!(names(&directory.join("sessions")), set(["segment-"]));
+        layout::check(&directory, "sessions", 1).expect("the first layout");
     }
 }
 
 /// The map version is written before a store reports that a joining one has caught up.
 #[tokio::test]
 async fn a_store_keeps_the_version_of_its_map_in_eight_bytes() {
-    let stores = Stores::start("map-version").await;
-    let disks = stores.keeper.subscribed(COUNT).await;
-    let epoch = stores.assign(&disks[..1], &disks[1..2]);
-    stores.keeper.caught_up(disks[1], epoch, &[0, 1]).await;
-    let written = (0..COUNT).filter_map(|number| newest_map_version(&stores.data(number)));
+    let cluster = TestCluster::start("map-version").await;
+    let disks = cluster.keeper.wait_for_stores(STORE_COUNT).await;
+    let epoch = cluster.assign(&disks[..1], &disks[1..2]);
+    cluster.keeper.wait_until_caught_up(disks[1], epoch, &[0, 1]).await;
+    let written = (0..STORE_COUNT).filter_map(|number| newest_map_version(&cluster.data_directory(number)));
     assert_eq!(written.collect::<Vec<_>>(), [epoch.0.to_le_bytes()]);
 }
 
-/// Read from a copy, since opening a folder removes what is still aside.
-fn newest_map_version(folder: &Path) -> Option<Vec<u8>> {
-    let copy = folder.with_extension("copy");
+/// Reads from a copy, since opening a directory removes unfinished versions.
+fn newest_map_version(directory: &Path) -> Option<Vec<u8>> {
+    let copy = directory.with_extension("copy");
     let _ = fs::remove_dir_all(&copy);
     fs::create_dir_all(&copy).unwrap();
-    for entry in fs::read_dir(folder).unwrap() {
+    for entry in fs::read_dir(directory).unwrap() {
         let path = entry.unwrap().path();
         let name = path.file_name().unwrap().to_str().unwrap();
         if name.starts_with("map-version-") {
@@ -59,9 +59,9 @@
     SnapshotFiles::open(&copy, "map-version").unwrap().1
 }
 
-/// The names in a folder without their numbers.
-fn names(folder: &Path) -> BTreeSet<String> {
-    let entries = fs::read_dir(folder).unwrap();
+/// The names in a directory without their numbers.
+fn names(directory: &Path) -> BTreeSet<String> {
+    let entries = fs::read_dir(directory).unwrap();
     let names = entries.map(|entry| entry.unwrap().file_name().into_string().unwrap());
     names
         .map(|name| {
--- a/crates/node/tests/stores/mod.rs
+++ b/crates/node/tests/stores/mod.rs
@@ -1,4 +1,4 @@
-//! Three stores on loopback, each on a thread of its own, with a keeper that tells the map it is given.
+//! Three stores on loopback, each on a thread of its own, with a keeper that publishes the maps it is given.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -19,38 +19,40 @@
 use tokio::sync::{Notify, oneshot, watch};
 
 /// Far longer than anything takes; a test that waits for so long has failed.
-pub const WITHIN: Duration = Duration::from_secs(30);
-pub const COUNT: usize = 3;
-const PARTITIONS: usize = 8;
-const KEEPER: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 9);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
+/// The number of stores.
+pub const STORE_COUNT: usize = 3;
+const PARTITION_COUNT: usize = 8;
+const KEEPER_ADDRESS: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 9);
 
-/// A keeper as far as stores see it.
+/// A keeper as its subscribers see it.
 #[derive(Default)]
-pub struct Keeper {
+pub struct TestKeeper {
     state: Mutex<KeeperState>,
     changed: Notify,
 }
 
 #[derive(Default)]
 struct KeeperState {
+    /// The stores that subscribe.
     stores: BTreeMap<DiskId, (StoreNode, Link)>,
     map: Arc<StoreMap>,
     caught_up: Vec<CaughtUp>,
-    /// The version of the map that was confirmed last.
-    applied: u64,
+    /// The map version that was last confirmed.
+    applied_version: u64,
 }
 
-impl Service for Keeper {
+impl Service for TestKeeper {
     fn handle_message(&self, link: &Link, handle_message: Message, _: ReplySender) {
         let mut state = self.state.lock().unwrap();
         match handle_message {
             Message::Subscribe(subscribe) => {
                 let SubscriberKind::Store { disk } = subscribe.subscriber else { return };
-                state.stores.insert(disk, (node(&subscribe, disk), link.clone()));
+                state.stores.insert(disk, (store_node(&subscribe, disk), link.clone()));
                 link.send(Message::Update(Update::Stores(state.map.clone())));
             }
             Message::Applied(applied) => {
-                state.applied = applied.stores;
+                state.applied_version = applied.stores;
                 state.caught_up = applied.caught_up;
             }
             _ => {}
@@ -60,62 +62,62 @@
     }
 
     fn handle_closed(&self, link: &Link) {
-        self.state.lock().unwrap().stores.retain(|_, (_, held)| held.id() != link.id());
+        self.state.lock().unwrap().stores.retain(|_, (_, subscribed)| subscribed.id() != link.id());
         self.changed.notify_waiters();
     }
 }
 
-fn node(subscribe: &Subscribe, disk: DiskId) -> StoreNode {
+fn store_node(subscribe: &Subscribe, disk: DiskId) -> StoreNode {
     StoreNode { disk, node: subscribe.node.clone(), zone: subscribe.zone.clone(), address: subscribe.address }
 }
 
-impl Keeper {
-    /// Waits until what the keeper knows is so.
-    async fn until<T>(&self, wanted: impl Fn(&KeeperState) -> Option<T>) -> T {
+impl TestKeeper {
+    /// Waits until `read` returns a value of the keeper's state.
+    async fn wait_until<T>(&self, read: impl Fn(&KeeperState) -> Option<T>) -> T {
         let wait = async {
             loop {
                 let changed = self.changed.notified();
                 tokio::pin!(changed);
                 changed.as_mut().enable();
-                let found = wanted(&self.state.lock().unwrap());
-                if let Some(found) = found {
-                    return found;
+                let value = read(&self.state.lock().unwrap());
+                if let Some(value) = value {
+                    return value;
                 }
                 changed.await;
             }
         };
-        tokio::time::timeout(WITHIN, wait).await.expect("the keeper hears of it")
+        tokio::time::timeout(TEST_TIMEOUT, wait).await.expect("the keeper learns of it")
     }
 
-    /// The disks subscribed, as soon as there are so many.
-    pub async fn subscribed(&self, count: usize) -> Vec<DiskId> {
-        self.until(|state| (state.stores.len() == count).then(|| state.stores.keys().copied().collect()))
+    /// Waits for this number of subscribed stores; returns their disks.
+    pub async fn wait_for_stores(&self, count: usize) -> Vec<DiskId> {
+        self.wait_until(|state| (state.stores.len() == count).then(|| state.stores.keys().copied().collect()))
             .await
     }
 
     /// Waits until a store has confirmed the map of an epoch.
-    pub async fn applied(&self, epoch: EpochNumber) {
-        self.until(|state| (state.applied == epoch.0).then_some(())).await;
+    pub async fn wait_until_applied(&self, epoch: EpochNumber) {
+        self.wait_until(|state| (state.applied_version == epoch.0).then_some(())).await;
     }
 
-    /// Waits until every partition's joining replica has caught up in the present epoch.
-    pub async fn caught_up(&self, replica: DiskId, epoch: EpochNumber, partitions: &[u16]) {
-        self.until(|state| {
-            let told = |partition: &u16| {
+    /// Waits until a joining replica has caught up in these partitions in this epoch.
+    pub async fn wait_until_caught_up(&self, replica: DiskId, epoch: EpochNumber, partitions: &[u16]) {
+        self.wait_until(|state| {
+            let is_reported = |partition: &u16| {
                 let report =
                     |c: &CaughtUp| c.partition.0 == *partition && c.replica == replica && c.epoch == epoch;
                 state.caught_up.iter().any(report)
             };
-            partitions.iter().all(told).then_some(())
+            partitions.iter().all(is_reported).then_some(())
         })
         .await;
     }
 
-    /// Makes a map: every partition is led by one of `in_sync` in turn, in the next epoch.
+    /// Publishes a map of the next epoch, in which the stores in `in_sync` lead the partitions in turn.
     pub fn assign(&self, in_sync: &[DiskId], joining: &[DiskId]) -> Arc<StoreMap> {
         let mut state = self.state.lock().unwrap();
         let version = state.map.version + 1;
-        let partitions = (0..PARTITIONS).map(|partition| Assignment {
+        let partitions = (0..PARTITION_COUNT).map(|partition| Assignment {
             epoch: EpochNumber(version),
             primary: in_sync[partition % in_sync.len()],
             in_sync: in_sync.to_vec(),
@@ -131,14 +133,14 @@
     }
 }
 
-/// A store that runs.
-pub struct Running {
+/// A running store.
+pub struct RunningStore {
     kill: Option<oneshot::Sender<()>>,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Running {
+impl RunningStore {
     fn start(settings: Settings) -> Self {
         let (kill, killed) = oneshot::channel();
         let (stop, stopped) = oneshot::channel();
@@ -153,10 +155,10 @@
                 }
             });
         });
-        Running { kill: Some(kill), stop: Some(stop), thread: Some(thread) }
+        RunningStore { kill: Some(kill), stop: Some(stop), thread: Some(thread) }
     }
 
-    /// Ends it from one moment to the next.
+    /// Ends the store without a shutdown.
     pub fn kill(mut self) {
         if let Some(kill) = self.kill.take() {
             // It may have ended already.
@@ -165,7 +167,7 @@
         self.thread.take().unwrap().join().unwrap();
     }
 
-    /// Asks it to end, and waits for that.
+    /// Shuts the store down, and waits for its end.
     pub fn stop(mut self) {
         if let Some(stop) = self.stop.take() {
             let _ = stop.send(());
@@ -175,39 +177,40 @@
     }
 }
 
-/// Three stores, a keeper and a relay's client.
-pub struct Stores {
-    pub keeper: Arc<Keeper>,
-    pub running: Vec<Option<Running>>,
+/// Three stores, a keeper and the client of a relay.
+pub struct TestCluster {
+    pub keeper: Arc<TestKeeper>,
+    pub running: Vec<Option<RunningStore>>,
     pub client: SessionsClient,
     pub map: watch::Sender<Arc<StoreMap>>,
     first_port: u16,
-    folder: PathBuf,
+    directory: PathBuf,
 }
 
-impl Stores {
-    /// Starts all; every partition has all three in sync.
+impl TestCluster {
+    /// Starts everything, with all three stores in sync in every partition.
     pub async fn start(name: &str) -> Self {
         let (listener, first_port) = free_ports().await;
-        let keeper = Arc::new(Keeper::default());
+        let keeper = Arc::new(TestKeeper::default());
         tokio::spawn(serve(listener, keeper.clone()));
-        let folder = std::env::temp_dir().join(format!("juniperwing-store-{}-{name}", std::process::id()));
-        let _ = std::fs::remove_dir_all(&folder);
+        let directory = std::env::temp_dir().join(format!("juniperwing-store-{}-{name}", std::process::id()));
+        let _ = std::fs::remove_dir_all(&directory);
         let (map, watched) = watch::channel(Arc::default());
-        let client = SessionsClient::new(Arc::new(LinkPool::new(Arc::new(Keeper::default()))), watched);
-        let mut stores = Stores { keeper, running: Vec::new(), client, map, first_port, folder };
-        stores.running = (0..COUNT).map(|number| Some(Running::start(stores.settings(number)))).collect();
-        let disks = stores.keeper.subscribed(COUNT).await;
-        stores.assign(&disks, &[]);
-        stores
+        let client = SessionsClient::new(Arc::new(LinkPool::new(Arc::new(TestKeeper::default()))), watched);
+        let mut cluster = TestCluster { keeper, running: Vec::new(), client, map, first_port, directory };
+        cluster.running =
+            (0..STORE_COUNT).map(|number| Some(RunningStore::start(cluster.settings(number)))).collect();
+        let disks = cluster.keeper.wait_for_stores(STORE_COUNT).await;
+        cluster.assign(&disks, &[]);
+        cluster
     }
 
     /// The client of another relay.
     pub fn another_client(&self) -> SessionsClient {
-        SessionsClient::new(Arc::new(LinkPool::new(Arc::new(Keeper::default()))), self.map.subscribe())
+        SessionsClient::new(Arc::new(LinkPool::new(Arc::new(TestKeeper::default()))), self.map.subscribe())
     }
 
-    /// Has the keeper and the client go by another map.
+    /// Publishes another map to the stores and the client.
     pub fn assign(&self, in_sync: &[DiskId], joining: &[DiskId]) -> EpochNumber {
         let map = self.keeper.assign(in_sync, joining);
         let epoch = EpochNumber(map.version);
@@ -217,22 +220,22 @@
 
     /// Starts a store that has ended.
     pub fn restart(&mut self, number: usize) {
-        self.running[number] = Some(Running::start(self.settings(number)));
+        self.running[number] = Some(RunningStore::start(self.settings(number)));
     }
 
     /// The file that the next segment of a store will be.
-    pub fn next_segment(&self, store: usize) -> PathBuf {
+    pub fn next_segment_path(&self, store: usize) -> PathBuf {
         const PREFIX: &str = "segment-";
-        let folder = self.data(store).join("sessions");
-        let names = std::fs::read_dir(&folder).unwrap().map(|entry| entry.unwrap().file_name());
+        let directory = self.data_directory(store).join("sessions");
+        let names = std::fs::read_dir(&directory).unwrap().map(|entry| entry.unwrap().file_name());
         let numbers =
             names.filter_map(|name| u64::from_str_radix(name.to_str()?.strip_prefix(PREFIX)?, 16).ok());
         let newest = numbers.max().unwrap_or_default();
-        folder.join(format!("{PREFIX}{:016x}", newest + 1))
+        directory.join(format!("{PREFIX}{:016x}", newest + 1))
     }
 
-    pub fn data(&self, number: usize) -> PathBuf {
-        self.folder.join(format!("store-{number}"))
+    pub fn data_directory(&self, number: usize) -> PathBuf {
+        self.directory.join(format!("store-{number}"))
     }
 
     pub fn settings(&self, number: usize) -> Settings {
@@ -242,7 +245,7 @@
             ipAddress = "127.0.0.{}"
             zone = "a"
             ephemeralPorts = [{}, {}]
-            seedNodes = ["{KEEPER}:1"]
+            seedNodes = ["{KEEPER_ADDRESS}:1"]
             dataDirectory = "{}"
             [faultTolerance]
             machines = 1
@@ -250,23 +253,23 @@
             number + 1,
             self.first_port,
             self.first_port + 2,
-            self.data(number).display(),
+            self.data_directory(number).display(),
         );
         Settings::parse(Path::new("local.toml"), &text).unwrap()
     }
 }
 
-impl Drop for Stores {
+impl Drop for TestCluster {
     fn drop(&mut self) {
-        self.running.drain(..).flatten().for_each(Running::kill);
-        let _ = std::fs::remove_dir_all(&self.folder);
+        self.running.drain(..).flatten().for_each(RunningStore::kill);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
 /// The keeper's listener, and the first of three ports that are free.
 async fn free_ports() -> (TcpListener, u16) {
     loop {
-        let listener = TcpListener::bind((KEEPER, 0)).await.unwrap();
+        let listener = TcpListener::bind((KEEPER_ADDRESS, 0)).await.unwrap();
         let port = listener.local_addr().unwrap().port();
         let store = SocketAddr::from((Ipv4Addr::LOCALHOST, port.saturating_add(1)));
         if port < u16::MAX && TcpListener::bind(store).await.is_ok() {
