--- a/crates/node/src/keeper/metrics.rs
+++ b/crates/node/src/keeper/metrics.rs
@@ -2,7 +2,7 @@
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use super::Controller;
+use super::controller::Controller;
 use crate::metrics::{Metric, MetricSource};
 
 /// Answers to orders and questions of operators, by what their status says.
@@ -24,7 +24,7 @@
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    fn figure(&self) -> Metric {
+    fn metric(&self) -> Metric {
         let values =
             [("accepted", &self.accepted), ("refused", &self.rejected), ("unclear", &self.unavailable)];
         let values = values.map(|(name, counter)| (name, counter.load(Ordering::Relaxed)));
@@ -75,7 +75,7 @@
                 "Partitions of which no copy is left",
                 state.unrecoverable_partitions as u64,
             ),
-            self.order_replies.figure(),
+            self.order_replies.metric(),
         ]
     }
 }
--- a/crates/node/src/keeper/peer_discovery.rs
+++ b/crates/node/src/keeper/peer_discovery.rs
@@ -9,7 +9,7 @@
 use juniperwing_replication::Event;
 use tokio::sync::watch;
 
-use super::Controller;
+use super::controller::Controller;
 use crate::gossip::{Gossip, LocalProcess};
 use crate::settings::Settings;
 use crate::sync::lock;
@@ -48,8 +48,8 @@
             let all = update(&heard, |known| known.members = found);
             receiver.step_replica(Event::ContactsChanged(all));
         });
-        let myself = LocalProcess { role: Role::Keeper, disk: Some(controller.local_voter.disk) };
-        let gossip = Gossip::start(settings, myself, controller.log.clone(), observer).await?;
+        let local_process = LocalProcess { role: Role::Keeper, disk: Some(controller.local_voter.disk) };
+        let gossip = Gossip::start(settings, local_process, controller.log.clone(), observer).await?;
         Ok(Arc::new(PeerDiscovery { controller: Arc::clone(controller), gossip, known }))
     }
 
--- a/crates/node/tests/keepers/peer.rs
+++ b/crates/node/tests/keepers/peer.rs
@@ -89,11 +89,11 @@
 }
 
 impl Service for MessageHandler {
-    fn handle_message(&self, _: &Link, handle_message: Message, reply: ReplySender) {
-        match handle_message {
-            Message::Replication(handle_message) => self.0.handle_replication_message(handle_message),
-            Message::Registry(handle_message) if self.0.lock().gate.receives => {
-                self.0.handle_registry_message(handle_message, reply)
+    fn handle_message(&self, _: &Link, message: Message, reply: ReplySender) {
+        match message {
+            Message::Replication(message) => self.0.handle_replication_message(message),
+            Message::Registry(message) if self.0.lock().gate.receives => {
+                self.0.handle_registry_message(message, reply)
             }
             _ => {}
         }
--- a/crates/sessions/tests/simulation/keepers.rs
+++ b/crates/sessions/tests/simulation/keepers.rs
@@ -39,7 +39,7 @@
             state: &self.state,
             view: &view,
             caught_up_reports: caught_up,
-            required_copies: REQUIRED_REPLICAS,
+            required_replicas: REQUIRED_REPLICAS,
         };
         if let Some(map) = plan_store_map(input) {
             self.state.apply(&ControlChange::SetStoreMap(Arc::clone(&map)));
