--- a/crates/node/src/store/metrics.rs
+++ b/crates/node/src/store/metrics.rs
@@ -1,34 +1,22 @@
 //! The metrics of a store. Names, labels and help texts are those of earlier releases.
 
+use juniperwing_sessions::StoreStatistics;
+
 use super::driver::StoreDriver;
 use crate::metrics::{Metric, MetricSource};
 
 impl MetricSource for StoreDriver {
     fn metrics(&self) -> Vec<Metric> {
         let state = self.lock();
-        let store = &state.store;
-        let statistics = store.statistics();
-        vec![
-            Metric::gauge("store_map_version", "The version of the map held", store.map_version()),
-            Metric::gauge("partitions_led", "Partitions that this store leads", statistics.partitions_led),
-            Metric::gauge(
-                "partitions_not_level",
-                "Partitions led of which some replica is not level",
-                statistics.partitions_out_of_sync,
-            ),
-            Metric::gauge("records", "Records held", statistics.records),
-            Metric::gauge("record_bytes", "Bytes of the records held, roughly", statistics.record_bytes),
-            Metric::gauge("disk_bytes", "Bytes of all batches on disk", statistics.disk_bytes),
-            Metric::gauge(
-                "reservations",
-                "Turns that are reserved and not settled, of partitions led",
-                statistics.reservations,
-            ),
-            Metric::gauge(
-                "writes_under_way",
-                "Writes that some replica has not confirmed",
-                statistics.pending_writes,
-            ),
+        let statistics = state.store.statistics();
+        let mut metrics = vec![Metric::gauge(
+            "store_map_version",
+            "The version of the map held",
+            state.store.map_version(),
+        )];
+        metrics.extend(partition_metrics(&statistics));
+        metrics.extend(record_metrics(&statistics));
+        metrics.extend([
             Metric::gauge(
                 "questions_waiting",
                 "Questions that wait for an answer",
@@ -45,6 +33,36 @@
                 "reason",
                 statistics.unavailable_replies,
             ),
-        ]
+        ]);
+        metrics
     }
 }
+
+fn partition_metrics(statistics: &StoreStatistics) -> [Metric; 2] {
+    [
+        Metric::gauge("partitions_led", "Partitions that this store leads", statistics.partitions_led),
+        Metric::gauge(
+            "partitions_not_level",
+            "Partitions led of which some replica is not level",
+            statistics.partitions_out_of_sync,
+        ),
+    ]
+}
+
+fn record_metrics(statistics: &StoreStatistics) -> [Metric; 5] {
+    [
+        Metric::gauge("records", "Records held", statistics.records),
+        Metric::gauge("record_bytes", "Bytes of the records held, roughly", statistics.record_bytes),
+        Metric::gauge("disk_bytes", "Bytes of all batches on disk", statistics.disk_bytes),
+        Metric::gauge(
+            "reservations",
+            "Turns that are reserved and not settled, of partitions led",
+            statistics.reservations,
+        ),
+        Metric::gauge(
+            "writes_under_way",
+            "Writes that some replica has not confirmed",
+            statistics.pending_writes,
+        ),
+    ]
+}
--- a/crates/sessions/src/group_commit.rs
+++ b/crates/sessions/src/group_commit.rs
@@ -78,7 +78,7 @@
         is_ready.then(|| std::mem::take(&mut self.dirty_keys))
     }
 
-    /// Puts the batch of the keys taken in flight.
+    /// Puts the batch of the keys from [`GroupCommit::take_next_batch`] in flight.
     pub(crate) fn start_batch(&mut self, entries: Vec<BatchEntry>) {
         let waiters = std::mem::take(&mut self.next_batch_waiters);
         self.in_flight = Some(InFlightBatch { entries, waiters });
