--- a/crates/configuration/src/digest.rs
+++ b/crates/configuration/src/digest.rs
@@ -1,14 +1,14 @@
-//! Recognises an order that is sent again.
+//! The digest by which an order that is sent again is recognised.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Bytes in an [`OrderDigest`].
+/// The number of bytes in an [`OrderDigest`].
 pub const DIGEST_BYTES: usize = 16;
 
-/// Identifies a configuration together with the version that it builds on.
+/// Identifies a configuration together with the generation on which it builds.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OrderDigest([u8; DIGEST_BYTES]);
 
@@ -18,7 +18,7 @@
         OrderDigest(bytes)
     }
 
-    /// Its bytes.
+    /// The bytes of the digest.
     pub const fn to_bytes(self) -> [u8; DIGEST_BYTES] {
         self.0
     }
@@ -36,11 +36,11 @@
     }
 }
 
-/// The digest of an order: the version that it builds on (`If-Match`) and its body, byte for byte. It is a
-/// part of SHA-256, and the same on every machine.
+/// The digest of an order: of the generation on which it builds (`If-Match`) and of its body, byte for byte. It
+/// consists of the first bytes of SHA-256, and is the same on every machine.
 pub fn digest(base: u64, body: &[u8]) -> OrderDigest {
-    let whole = Sha256::new().chain_update(base.to_le_bytes()).chain_update(body).finalize();
-    let mut part = [0; DIGEST_BYTES];
-    part.copy_from_slice(&whole[..DIGEST_BYTES]);
-    OrderDigest(part)
+    let hash = Sha256::new().chain_update(base.to_le_bytes()).chain_update(body).finalize();
+    let mut bytes = [0; DIGEST_BYTES];
+    bytes.copy_from_slice(&hash[..DIGEST_BYTES]);
+    OrderDigest(bytes)
 }
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,23 +1,31 @@
-//! The operator's configuration: read from JSON, checked as a whole, and turned into the table by which the
-//! route of a request is found.
+//! The operator's configuration: read from JSON, checked as a whole, and turned into the table in which the route of a
+//! request is looked up.
 //!
-//! [`Configuration::read`] either gives a configuration in which every reference holds and every number is in
-//! its range, or [`Findings`]: all that is wrong with it, each with its place. Reading is pure; whether a
+//! [`Configuration::read`] returns either a configuration in which every reference resolves and every number is in its
+//! range, or [`Findings`]: everything that is wrong with it, each with its location. Reading is pure; whether a
 //! configuration may follow the one in force is a check of its own, [`Configuration::check_generation_follows`].
 
 mod check;
 mod digest;
 mod findings;
-pub mod message;
+mod json;
+mod location;
+mod message;
 mod model;
+mod problem;
 mod read;
+mod route;
+mod service;
 mod table;
+mod weighted_services;
 
 pub use digest::{DIGEST_BYTES, OrderDigest, digest};
-pub use findings::{Finding, Findings, Location, MAX_FINDINGS, Position, Problem};
-pub use model::{
-    Configuration, DEFAULT_LIMITS, DEFAULT_RETENTION, Engine, Limits, ModelName, Route, RouteName, RouteType,
-    Service, WeightedService, WeightedServices,
-};
+pub use findings::{Finding, Findings, MAX_FINDINGS};
+pub use location::{Location, Position};
+pub use model::{Configuration, DEFAULT_LIMITS, DEFAULT_RETENTION, Limits};
+pub use problem::Problem;
 pub use read::MAX_CONFIGURATION_BYTES;
+pub use route::{Route, RouteName, RouteType};
+pub use service::{Engine, ModelName, Service};
 pub use table::RouteTable;
+pub use weighted_services::{WeightedService, WeightedServices};
--- a/crates/configuration/src/table.rs
+++ b/crates/configuration/src/table.rs
@@ -1,4 +1,4 @@
-//! Finds the route of a request.
+//! Looks up the route of a request.
 
 use std::borrow::Cow;
 use std::cmp::Reverse;
@@ -7,10 +7,12 @@
 
 use juniperwing_protocol::identity::ServiceName;
 
-use crate::model::{Configuration, Limits, Route, Service};
+use crate::model::{Configuration, Limits};
+use crate::route::Route;
+use crate::service::Service;
 
-/// The routes and services of one configuration, ready for look-ups. It never changes; another configuration
-/// makes another table.
+/// The routes and services of one configuration, indexed for look-ups. It never changes: another configuration has
+/// another table.
 #[derive(Clone, Debug)]
 pub struct RouteTable {
     generation: u64,
@@ -19,12 +21,12 @@
     services: HashMap<ServiceName, Arc<Service>>,
 }
 
-/// The routes of one host.
+/// The routes of one host by prefix.
 #[derive(Clone, Debug, Default)]
 struct HostRoutes {
     routes: HashMap<Arc<str>, Arc<Route>>,
-    /// The lengths that its prefixes have, in bytes, the longest first, each once.
-    lengths: Vec<usize>,
+    /// The lengths of the prefixes in bytes, in descending order and without duplicates.
+    prefix_lengths: Vec<usize>,
 }
 
 impl RouteTable {
@@ -35,7 +37,7 @@
             let host = hosts.entry(route.hostname.clone()).or_default();
             host.add(route.clone());
         }
-        hosts.values_mut().for_each(HostRoutes::sort_lengths);
+        hosts.values_mut().for_each(HostRoutes::sort_prefix_lengths);
         let services = configuration.services.iter();
         let services = services.map(|service| (service.name.clone(), service.clone())).collect();
         let Configuration { generation, limits, .. } = *configuration;
@@ -47,39 +49,39 @@
         self.generation
     }
 
-    /// What clients may send, and how slowly.
+    /// The limits for clients.
     pub fn limits(&self) -> &Limits {
         &self.limits
     }
 
-    /// A service by its name.
+    /// The service with a name.
     pub fn service(&self, name: &ServiceName) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
 
-    /// The route with the longest prefix that begins the path, of those of the host. `host` is a `Host`
-    /// header, with or without a port, in any case; `path` is a request's target, with or without a query.
+    /// The host's route with the longest prefix of the path. `host` is a `Host` header, with or without a port, in any
+    /// case; `path` is a request target, with or without a query.
     pub fn lookup(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = self.hosts.get(normalize_host(host).as_ref())?;
-        host.lookup(path_only(path))
+        host.lookup(without_query(path))
     }
 }
 
 impl HostRoutes {
     fn add(&mut self, route: Arc<Route>) {
-        self.lengths.push(route.path_prefix.len());
+        self.prefix_lengths.push(route.path_prefix.len());
         self.routes.insert(route.path_prefix.clone(), route);
     }
 
-    fn sort_lengths(&mut self) {
-        self.lengths.sort_unstable_by_key(|length| Reverse(*length));
-        self.lengths.dedup();
+    fn sort_prefix_lengths(&mut self) {
+        self.prefix_lengths.sort_unstable_by_key(|length| Reverse(*length));
+        self.prefix_lengths.dedup();
     }
 
-    /// Looks for each part of the path that ends with a slash and has the length of a prefix.
+    /// Looks up every prefix of the path that ends with a slash and has the length of a route's prefix.
     fn lookup(&self, path: &str) -> Option<&Arc<Route>> {
-        for &length in &self.lengths {
-            // A prefix ends with a slash, so the path is cut between characters.
+        for &length in &self.prefix_lengths {
+            // The slash at the end makes sure that the path is not split within a character.
             if length == 0 || path.as_bytes().get(length - 1) != Some(&b'/') {
                 continue;
             }
@@ -91,7 +93,7 @@
     }
 }
 
-/// A host in lower case, without white space around it and without its port.
+/// A host in lower case, without surrounding white space and without its port.
 pub(crate) fn normalize_host(host: &str) -> Cow<'_, str> {
     let host = without_port(host.trim());
     match host.bytes().any(|byte| byte.is_ascii_uppercase()) {
@@ -100,7 +102,7 @@
     }
 }
 
-/// A host without the colon and the digits at its end. The colons of an IPv6 address in brackets stay.
+/// A host without the colon and the digits at its end. The colons of a bracketed IPv6 address remain.
 fn without_port(host: &str) -> &str {
     match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
@@ -108,8 +110,8 @@
     }
 }
 
-/// A request's target up to its query.
-fn path_only(target: &str) -> &str {
+/// A request target up to its query.
+fn without_query(target: &str) -> &str {
     let end = target.find(['?', '#']).unwrap_or(target.len());
     &target[..end]
 }
--- /dev/null
+++ b/crates/configuration/src/weighted_services.rs
@@ -0,0 +1,49 @@
+//! The services of a route with their weights.
+
+use juniperwing_protocol::identity::ServiceName;
+
+/// A service of a route.
+#[derive(Clone, Debug, PartialEq)]
+pub struct WeightedService {
+    /// The service.
+    pub service: ServiceName,
+    /// The weight, greater than 0; the service's share of the requests is the weight divided by the sum of all.
+    pub weight: f64,
+}
+
+/// The services of a route that receive requests: at least one, all with a weight greater than 0.
+#[derive(Clone, Debug, PartialEq)]
+pub struct WeightedServices {
+    /// All services but the last.
+    others: Vec<WeightedService>,
+    last: WeightedService,
+    total_weight: f64,
+}
+
+impl WeightedServices {
+    /// The services with a weight greater than 0; `None` if there is none.
+    pub(crate) fn new(services: Vec<WeightedService>) -> Option<Self> {
+        let mut others = services;
+        others.retain(|service| service.weight > 0.0);
+        let total_weight = others.iter().map(|service| service.weight).sum();
+        let last = others.pop()?;
+        Some(WeightedServices { others, last, total_weight })
+    }
+
+    /// The services in the operator's order.
+    pub fn iter(&self) -> impl Iterator<Item = &WeightedService> {
+        self.others.iter().chain([&self.last])
+    }
+
+    /// Chooses a service by a uniformly distributed random number.
+    pub fn choose(&self, random: u64) -> &ServiceName {
+        let mut remaining = random as f64 / u64::MAX as f64 * self.total_weight;
+        for candidate in &self.others {
+            if remaining < candidate.weight {
+                return &candidate.service;
+            }
+            remaining -= candidate.weight;
+        }
+        &self.last.service
+    }
+}
--- a/crates/configuration/tests/common/mod.rs
+++ b/crates/configuration/tests/common/mod.rs
@@ -1,10 +1,10 @@
-//! Configurations for the tests.
+//! Configurations for tests.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use juniperwing_configuration::{Configuration, Findings};
 use serde_json::{Value, json};
 
-/// A valid configuration with all fields that are in use.
+/// A valid configuration with all fields.
 pub fn valid() -> Value {
     json!({
         "generation": 7,
@@ -59,17 +59,17 @@
 }
 
 /// Reads the valid configuration with changes that leave it valid.
-pub fn accepted(change: impl FnOnce(&mut Value)) -> Configuration {
+pub fn read_valid(change: impl FnOnce(&mut Value)) -> Configuration {
     read(&changed(change)).expect("valid")
 }
 
 /// The findings of the valid configuration with changes, each as a line of text.
-pub fn refused(change: impl FnOnce(&mut Value)) -> Vec<String> {
+pub fn findings_of(change: impl FnOnce(&mut Value)) -> Vec<String> {
     let findings = read(&changed(change)).expect_err("invalid");
     findings.listed().iter().map(ToString::to_string).collect()
 }
 
-/// Takes a field away from an object.
+/// Removes a field from an object.
 pub fn remove(value: &mut Value, field: &str) {
     value.as_object_mut().expect("an object").remove(field).expect("there");
 }
--- a/crates/configuration/tests/invalid.rs
+++ b/crates/configuration/tests/invalid.rs
@@ -1,15 +1,15 @@
-//! What is refused, and where the fault is said to be.
+//! Invalid configurations, and the locations of their findings.
 
 mod common;
 
-use common::{read, refused, remove, valid};
+use common::{findings_of, read, remove, valid};
 use juniperwing_configuration::{Configuration, Location, MAX_CONFIGURATION_BYTES, MAX_FINDINGS, Position};
 use serde_json::{Value, json};
 
-/// Asserts that one change brings exactly one finding.
+/// Asserts that one change causes exactly one finding.
 #[track_caller]
 fn assert_one(change: impl FnOnce(&mut Value), expected: &str) {
-    assert_eq!(refused(change), [expected]);
+    assert_eq!(findings_of(change), [expected]);
 }
 
 #[test]
@@ -158,7 +158,7 @@
 #[test]
 fn missing_lists() {
     for list in ["routes", "backends"] {
-        let findings = refused(|value| remove(value, list));
+        let findings = findings_of(|value| remove(value, list));
         assert_eq!(findings.len(), 1);
         assert!(findings[0].ends_with(&format!("does not fit: missing field `{list}`")), "{findings:?}");
     }
@@ -174,7 +174,7 @@
 
 #[test]
 fn all_findings_are_reported_together() {
-    let findings = refused(|value| {
+    let findings = findings_of(|value| {
         remove(value, "generation");
         value["limits"]["idleTimeoutMs"] = json!(-1);
         value["backends"][1]["name"] = json!("models");
@@ -200,7 +200,7 @@
 
 #[test]
 fn wrong_types_are_reported_together() {
-    let findings = refused(|value| {
+    let findings = findings_of(|value| {
         value["generation"] = json!(-7);
         value["routes"][0]["timeoutMs"] = json!("5000");
         value["routes"][1]["weightedBackends"][1]["weight"] = json!([]);
@@ -240,8 +240,8 @@
 
 #[test]
 fn trailing_characters() {
-    for surplus in ["{}", "x", "]", "\0"] {
-        let text = format!("{}{surplus}", valid());
+    for trailing in ["{}", "x", "]", "\0"] {
+        let text = format!("{}{trailing}", valid());
         let findings = Configuration::read(text.as_bytes()).expect_err("more behind the end");
         assert!(findings.to_string().ends_with("cannot be read: trailing characters"), "{findings}");
     }
@@ -287,9 +287,9 @@
 #[test]
 fn long_texts_are_truncated_in_findings() {
     let long = "ä".repeat(10_000);
-    let findings = refused(|value| value["routes"][0]["backend"] = json!(long));
+    let findings = findings_of(|value| value["routes"][0]["backend"] = json!(long));
     assert!(findings[0].len() < 400);
-    let findings = refused(|value| value["routes"][0]["timeoutMs"] = json!(long));
+    let findings = findings_of(|value| value["routes"][0]["timeoutMs"] = json!(long));
     assert!(findings[0].len() < 400);
 }
 
--- a/crates/configuration/tests/lookup.rs
+++ b/crates/configuration/tests/lookup.rs
@@ -1,10 +1,10 @@
-//! The look-up of routes.
+//! Looks up routes.
 
 mod common;
 
 use std::sync::Arc;
 
-use common::{accepted, read};
+use common::{read, read_valid};
 use juniperwing_configuration::{Configuration, Route, RouteTable};
 use juniperwing_protocol::identity::ServiceName;
 use proptest::prelude::*;
@@ -21,8 +21,10 @@
     json!({ "hostname": host, "pathPrefix": prefix, "timeoutMs": 1000, "backend": "s" })
 }
 
-/// The route for a path by trying all.
-fn naive<'a>(configuration: &'a Configuration, host: &str, path: &str) -> Option<&'a Arc<Route>> {
+/// The route for a path, found by trying all.
+fn lookup_by_trying_all<'a>(
+    configuration: &'a Configuration, host: &str, path: &str,
+) -> Option<&'a Arc<Route>> {
     let routes = configuration.routes.iter();
     let matching = routes.filter(|route| *route.hostname == *host && path.starts_with(&*route.path_prefix));
     matching.max_by_key(|route| route.path_prefix.len())
@@ -52,7 +54,7 @@
 
 #[test]
 fn hosts_are_compared_without_case_and_port() {
-    let table = RouteTable::new(&accepted(|_| {}));
+    let table = RouteTable::new(&read_valid(|_| {}));
     for host in ["host.example", "HOST.Example", "host.example:8080", " Host.example:80"] {
         assert!(table.lookup(host, "/first/x").is_some(), "{host}");
     }
@@ -71,7 +73,7 @@
 
 #[test]
 fn services_are_found_by_name() {
-    let table = RouteTable::new(&accepted(|_| {}));
+    let table = RouteTable::new(&read_valid(|_| {}));
     assert_eq!(table.generation(), 7);
     assert_eq!(table.limits().max_header_bytes, 16_384);
     assert!(table.service(&ServiceName::from("models")).expect("a service").engine.is_some());
@@ -91,7 +93,7 @@
     assert!(table.lookup("h0.example", "/p1/").is_none());
 }
 
-/// Work that grew with the square of the routes would not end: 40,000 squared is 1.6 billion.
+/// A check in quadratic time would not end: 40,000 squared is 1.6 billion.
 #[test]
 fn many_findings() {
     let routes = vec![route("h", "/same/"); 40_000];
@@ -111,14 +113,14 @@
         let table = RouteTable::new(&configuration);
         for path in &paths {
             for host in ["a", "b", "c"] {
-                prop_assert_eq!(table.lookup(host, path), naive(&configuration, host, path));
+                prop_assert_eq!(table.lookup(host, path), lookup_by_trying_all(&configuration, host, path));
             }
         }
     }
 
     #[test]
     fn lookup_accepts_any_text(host in ".*", path in ".*") {
-        let _ = RouteTable::new(&accepted(|_| {})).lookup(&host, &path);
+        let _ = RouteTable::new(&read_valid(|_| {})).lookup(&host, &path);
     }
 
     #[test]
@@ -128,14 +130,14 @@
         let backends: Vec<Value> = names.iter().map(|name| json!({ "name": name })).collect();
         let targets: Vec<Value> = names.iter().zip(&weights)
             .map(|(name, weight)| json!({ "backend": name, "weight": weight })).collect();
-        let configuration = accepted(|value| {
+        let configuration = read_valid(|value| {
             value["backends"] = json!(backends);
             value["routes"] = json!([
                 { "hostname": "h", "pathPrefix": "/", "timeoutMs": 1, "weightedBackends": targets }
             ]);
         });
-        let picked = configuration.routes[0].service_for(random);
-        let index = names.iter().position(|name| **name == *picked.0).expect("one of them");
+        let chosen = configuration.routes[0].service_for(random);
+        let index = names.iter().position(|name| **name == *chosen.0).expect("one of them");
         prop_assert!(weights[index] > 0);
     }
 }
--- a/crates/configuration/tests/robust.rs
+++ b/crates/configuration/tests/robust.rs
@@ -1,4 +1,4 @@
-//! Whatever is sent is answered, and nothing that is not whole is taken.
+//! Whatever is sent gets a result, and incomplete configurations are rejected.
 
 mod common;
 
@@ -15,7 +15,7 @@
     }
 }
 
-/// Places of all values inside a value, as JSON pointers.
+/// JSON pointers to all values inside a value.
 fn pointers(value: &Value, at: String, found: &mut Vec<String>) {
     match value {
         Value::Object(fields) => {
@@ -30,7 +30,7 @@
     found.push(at);
 }
 
-/// A value that may stand anywhere.
+/// An arbitrary value.
 fn any_value() -> impl Strategy<Value = Value> {
     prop_oneof![
         Just(json!(null)),
@@ -68,10 +68,10 @@
     ) {
         let mut value = valid();
         for (index, replacement) in changes {
-            let mut places = Vec::new();
-            pointers(&value, String::new(), &mut places);
-            let place = value.pointer_mut(index.get::<String>(&places)).expect("there");
-            *place = replacement;
+            let mut pointers_found = Vec::new();
+            pointers(&value, String::new(), &mut pointers_found);
+            let replaced = value.pointer_mut(index.get::<String>(&pointers_found)).expect("there");
+            *replaced = replacement;
         }
         match Configuration::read(value.to_string().as_bytes()) {
             Ok(configuration) => {
--- a/crates/configuration/tests/valid.rs
+++ b/crates/configuration/tests/valid.rs
@@ -1,8 +1,8 @@
-//! What is valid, and what it means.
+//! Valid configurations, and what they mean.
 
 mod common;
 
-use common::{accepted, remove, valid};
+use common::{read_valid, remove, valid};
 use juniperwing_clock::Span;
 use juniperwing_configuration::{
     Configuration, DEFAULT_LIMITS, DEFAULT_RETENTION, RouteTable, RouteType, digest,
@@ -12,7 +12,7 @@
 
 #[test]
 fn every_field_is_read() {
-    let configuration = accepted(|_| {});
+    let configuration = read_valid(|_| {});
     assert_eq!(configuration.generation, 7);
     assert_eq!(configuration.limits, DEFAULT_LIMITS);
     let route = &configuration.routes[0];
@@ -54,7 +54,7 @@
 
 #[test]
 fn only_streams_are_resumable() {
-    let configuration = accepted(|value| {
+    let configuration = read_valid(|value| {
         value["routes"][1]["routeType"] = json!("non_idempotent");
     });
     assert!(!configuration.routes[1].is_retryable());
@@ -62,28 +62,28 @@
 
 #[test]
 fn unknown_fields_are_ignored() {
-    let configuration = accepted(|value| {
+    let configuration = read_valid(|value| {
         value["future"] = json!({ "a": [1, 2] });
         value["routes"][0]["future"] = json!(null);
         value["routes"][1]["weightedBackends"][0]["future"] = json!("b");
         value["backends"][0]["engine"]["future"] = json!(-1);
         value["limits"]["future"] = json!([]);
     });
-    assert_eq!(configuration, accepted(|_| {}));
+    assert_eq!(configuration, read_valid(|_| {}));
 }
 
 #[test]
 fn missing_limits_have_defaults() {
-    assert_eq!(accepted(|value| remove(value, "limits")).limits, DEFAULT_LIMITS);
-    assert_eq!(accepted(|value| value["limits"] = Value::Null).limits, DEFAULT_LIMITS);
-    let one = accepted(|value| value["limits"] = json!({ "maxBodyBytes": 10 })).limits;
+    assert_eq!(read_valid(|value| remove(value, "limits")).limits, DEFAULT_LIMITS);
+    assert_eq!(read_valid(|value| value["limits"] = Value::Null).limits, DEFAULT_LIMITS);
+    let one = read_valid(|value| value["limits"] = json!({ "maxBodyBytes": 10 })).limits;
     assert_eq!(one.max_body_bytes, 10);
     assert_eq!(one.idle_timeout, DEFAULT_LIMITS.idle_timeout);
 }
 
 #[test]
 fn missing_fields_of_a_route_have_defaults() {
-    let configuration = accepted(|value| {
+    let configuration = read_valid(|value| {
         value["routes"] = json!([
             { "hostname": "a", "pathPrefix": "/", "timeoutMs": 0.5, "backend": "plain", "maxRetries": 0 }
         ]);
@@ -100,13 +100,13 @@
 
 #[test]
 fn a_missing_number_of_endpoints_is_one() {
-    let configuration = accepted(|value| remove(&mut value["routes"][0], "maxRetries"));
+    let configuration = read_valid(|value| remove(&mut value["routes"][0], "maxRetries"));
     assert_eq!(configuration.routes[0].max_retries, 1);
 }
 
 #[test]
 fn lists_may_be_empty() {
-    let configuration = accepted(|value| {
+    let configuration = read_valid(|value| {
         value["routes"] = json!([]);
         value["backends"] = json!([]);
     });
@@ -116,7 +116,7 @@
 
 #[test]
 fn two_hosts_may_have_the_same_prefix() {
-    accepted(|value| {
+    read_valid(|value| {
         value["routes"][1]["pathPrefix"] = json!("/first/");
         value["routes"][1]["hostname"] = json!("other.example");
     });
@@ -124,13 +124,13 @@
 
 #[test]
 fn two_routes_may_have_one_name() {
-    accepted(|value| value["routes"][1]["name"] = json!("r-first"));
+    read_valid(|value| value["routes"][1]["name"] = json!("r-first"));
 }
 
 #[test]
 fn a_service_may_stand_beside_null_weights() {
     for weights in [json!(null), json!([])] {
-        let configuration = accepted(|value| value["routes"][0]["weightedBackends"] = weights);
+        let configuration = read_valid(|value| value["routes"][0]["weightedBackends"] = weights);
         assert_eq!(configuration.routes[0].service_for(0), &ServiceName::from("models"));
     }
 }
@@ -143,7 +143,7 @@
 
 #[test]
 fn only_a_higher_generation_succeeds() {
-    let configuration = accepted(|_| {});
+    let configuration = read_valid(|_| {});
     assert!(configuration.check_generation_follows(0).is_ok());
     assert!(configuration.check_generation_follows(6).is_ok());
     for current in [7, 8, u64::MAX] {
@@ -154,25 +154,25 @@
 
 #[test]
 fn large_generations_are_exact() {
-    let configuration = accepted(|value| value["generation"] = json!(u64::MAX));
+    let configuration = read_valid(|value| value["generation"] = json!(u64::MAX));
     assert_eq!(configuration.generation, u64::MAX);
     assert!(configuration.check_generation_follows(u64::MAX - 1).is_ok());
 }
 
 #[test]
 fn weights_determine_the_shares() {
-    let configuration = accepted(|_| {});
+    let configuration = read_valid(|_| {});
     let route = &configuration.routes[1];
     let step = u64::MAX / 1000;
-    let picked = (0..1000).map(|index| route.service_for(step * index));
-    let models = picked.filter(|service| &*service.0 == "models").count();
+    let chosen = (0..1000).map(|index| route.service_for(step * index));
+    let models = chosen.filter(|service| &*service.0 == "models").count();
     assert!((899..=901).contains(&models), "{models}");
     assert_eq!(route.service_for(u64::MAX), &ServiceName::from("plain"));
 }
 
 #[test]
 fn weight_zero_is_never_chosen() {
-    let configuration = accepted(|value| {
+    let configuration = read_valid(|value| {
         value["routes"][1]["weightedBackends"] = json!([
             { "backend": "plain", "weight": 0 },
             { "backend": "models", "weight": 0.25 },
--- a/crates/node/src/relay/gauges.rs
+++ b/crates/node/src/relay/gauges.rs
@@ -7,7 +7,7 @@
     fn metrics(&self) -> Vec<Metric> {
         let mut metrics = self.cluster_gauges();
         metrics.extend(self.load_gauges());
-        metrics.extend(self.metrics.figures());
+        metrics.extend(self.metrics.export());
         metrics
     }
 }
--- a/crates/node/src/relay/metrics.rs
+++ b/crates/node/src/relay/metrics.rs
@@ -111,7 +111,7 @@
     }
 
     /// The counters for the metrics endpoint.
-    pub fn figures(&self) -> Vec<Metric> {
+    pub fn export(&self) -> Vec<Metric> {
         self.entries()
             .into_iter()
             .map(|(name, help, counter)| Metric::counter(name, help, counter.get()))
