--- a/crates/node/src/keeper/endpoints.rs
+++ b/crates/node/src/keeper/endpoints.rs
@@ -10,7 +10,7 @@
 use slog::{debug, info};
 use tokio::time::Instant;
 
-use super::{Controller, State};
+use super::controller::{Controller, State};
 use crate::clock;
 use crate::link::{LinkId, ReplySender};
 
@@ -89,7 +89,7 @@
             return reply.send(controller.instances_merged(false));
         }
         tokio::spawn(async move {
-            let until = Instant::now() + controller.control_times.subscriber_apply_timeout;
+            let until = Instant::now() + controller.control_timings.subscriber_apply_timeout;
             let applied = controller
                 .wait_until(until, |state| state.subscribers.have_applied_instances(revision))
                 .await;
@@ -163,7 +163,7 @@
     /// Another keeper's answer, with the link over which it came.
     async fn call_peer(&self, address: SocketAddr, message: Message) -> Option<(LinkId, RegistryMessage)> {
         let link = self.peers.link(address).await.ok()?;
-        match link.call(message, self.control_times.peer_reply_timeout).await {
+        match link.call(message, self.control_timings.peer_reply_timeout).await {
             Ok(Message::Registry(answer)) => Some((link.id(), answer)),
             _ => None,
         }
@@ -198,7 +198,7 @@
     /// Waits until every keeper in reach has confirmed, for a limited time. Enough have to have confirmed in any
     /// case, so that every relay has a subscription to one that has.
     async fn wait_until_propagated(&self, spread: Propagation) -> EndpointReply {
-        let until = Instant::now() + self.control_times.propagation_timeout;
+        let until = Instant::now() + self.control_timings.propagation_timeout;
         self.wait_until(until, |state| {
             self.is_propagated_to_enough(state, &spread) && state.is_propagated_to_reachable(&spread)
         })
@@ -214,7 +214,7 @@
         let epoch = state.consensus.replica.epoch();
         let confirmed: Vec<DiskId> = state.exchange.confirmed_peers(spread.change_number).collect();
         let has = |voter: &&Voter| voter.disk == self.local_voter.disk || confirmed.contains(&voter.disk);
-        let needed = needed_confirmations(epoch.voters.len(), self.required_copies - 1);
+        let needed = needed_confirmations(epoch.voters.len(), self.required_replicas - 1);
         let is_enough = epoch.voters.iter().filter(has).count() >= needed;
         is_enough && state.subscribers.have_applied_instances(spread.revision)
     }
