--- a/crates/model/src/scenario/resolve.rs
+++ b/crates/model/src/scenario/resolve.rs
@@ -1,17 +1,20 @@
 //! The draw of the ranges of a scenario that are drawn once for a run.
 
 use super::{Range, Scenario};
-use crate::chance::{Chance, Concern};
+use crate::random::{Concern, RngStreams};
+
+/// Ranges of a fault, each of which takes one number of its stream.
+pub(crate) const FAULT_RANGES: usize = 5;
 
 impl Scenario {
-    /// The scenario with all that is drawn once drawn; with the same seed it resolves to itself.
+    /// The scenario with the ranges of type [`Once`](super::Once) drawn. With the same seed it resolves to itself.
     #[must_use]
     pub fn resolve(&self, seed: u64) -> Scenario {
-        let mut chance = Chance::new(seed).stream(Concern::Scenario, 0);
+        let mut rng = RngStreams::new(seed).stream(Concern::Scenario, 0);
         let mut drawn = self.clone();
         let mut fix = |range: &mut Range| {
             // Drawn even where it is one number, so that a fixed figure shifts no other.
-            let value = range.draw(&mut chance);
+            let value = range.draw(&mut rng);
             *range = Range::from(if range.least == range.most { range.least } else { value });
         };
         fix(&mut drawn.span_s);
@@ -31,17 +34,18 @@
             fix(&mut topic.work_ms);
             fix(&mut topic.work_cv);
         }
-        // Each has a stream of its own: a trouble more or less leaves the others as they were.
-        for (n, trouble) in drawn.trouble.iter_mut().enumerate() {
-            let mut chance = Chance::new(seed).stream(Concern::Trouble, n << 1);
-            for range in [
-                &mut trouble.start_s,
-                &mut trouble.span_s,
-                &mut trouble.ramp_s,
-                &mut trouble.size,
-                &mut trouble.extent,
-            ] {
-                let value = range.draw(&mut chance);
+        // Each has a stream of its own: a fault more or less leaves the others as they were.
+        for (n, fault) in drawn.faults.iter_mut().enumerate() {
+            let mut rng = RngStreams::new(seed).fault(n);
+            let ranges: [&mut Range; FAULT_RANGES] = [
+                &mut fault.start_s,
+                &mut fault.span_s,
+                &mut fault.ramp_s,
+                &mut fault.size,
+                &mut fault.extent,
+            ];
+            for range in ranges {
+                let value = range.draw(&mut rng);
                 *range = Range::from(if range.least == range.most { range.least } else { value });
             }
         }
