--- a/crates/relay/tests/names/command_line.rs
+++ b/crates/relay/tests/names/command_line.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn version_is_told_by_every_spelling() {
+fn version_is_printed_by_every_spelling() {
     let version = format!("\njuniperwing {}\nexit code 0\n\n", env!("CARGO_PKG_VERSION"));
     for spelling in ["version", "--version", "-V"] {
         assert_eq!(transcripts(&[spelling]), format!("$ juniperwing {spelling}{version}"));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn misuse_is_told_with_its_exit_code() {
+fn misuse_is_reported_with_its_exit_code() {
     let lines = [
         "unknown-command",
         "--unknown-option",
--- a/crates/relay/tests/names/configuration_keys.rs
+++ b/crates/relay/tests/names/configuration_keys.rs
@@ -79,18 +79,18 @@
 }
 
 #[test]
-fn a_full_configuration_of_a_relay_is_described() {
+fn a_full_relay_configuration_is_described() {
     assert_golden("relay-config-check.txt", &check_config(&Folder::new(), RELAY));
 }
 
 #[test]
-fn a_wrong_type_in_a_relay_s_configuration_is_told_with_its_key() {
+fn a_wrong_type_in_a_relay_configuration_is_reported_with_its_key() {
     let folder = Folder::new();
     assert_golden("relay-config-keys.txt", &wrong_types(RELAY, |text| check_config(&folder, text)));
 }
 
 #[test]
-fn what_does_not_fit_in_a_relay_s_configuration() {
+fn invalid_values_in_a_relay_configuration() {
     let folder = Folder::new();
     let mut text = String::new();
     for (place, value) in [
@@ -124,7 +124,7 @@
 
 /// The variables give what the file does not, and the file goes before them.
 #[test]
-fn variables_of_a_relay() {
+fn environment_variables_of_a_relay() {
     let folder = Folder::new();
     let mut short = parse(RELAY);
     ["name", "listen", "discovery"].iter().for_each(|key| drop(short.as_object_mut().unwrap().remove(*key)));
@@ -143,19 +143,19 @@
 }
 
 #[test]
-fn a_full_configuration_of_an_operator_is_described() {
+fn a_full_operator_configuration_is_described() {
     assert_golden("configuration-check.txt", &check_configuration(&Folder::new(), OPERATOR));
 }
 
 #[test]
-fn a_wrong_type_in_an_operator_s_configuration_is_told_with_its_place() {
+fn a_wrong_type_in_an_operator_configuration_is_reported_with_its_path() {
     let folder = Folder::new();
     let text = wrong_types(OPERATOR, |text| check_configuration(&folder, text));
     assert_golden("configuration-keys.txt", &text);
 }
 
 #[test]
-fn all_findings_of_a_broken_configuration_of_an_operator() {
+fn all_findings_of_an_invalid_operator_configuration() {
     let folder = Folder::new();
     let of_wrong_types = json!({
         "generation": -1,
--- a/crates/relay/tests/names/settings_keys.rs
+++ b/crates/relay/tests/names/settings_keys.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn check_of_a_full_file_for_each_role() {
+fn check_of_a_full_settings_file_for_each_role() {
     let folder = Folder::new();
     let text: String = ["relay", "keeper", "store"].iter().map(|role| check(&folder, role, FULL)).collect();
     assert_golden("settings-check.txt", &text);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_wrong_type_is_refused_at_every_key() {
+fn a_wrong_type_is_rejected_at_every_key() {
     let folder = Folder::new();
     let mut text = String::new();
     for (number, key) in keys(FULL) {
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn values_that_do_not_fit() {
+fn settings_values_out_of_range() {
     let folder = Folder::new();
     let mut text = String::new();
     for line in [
--- a/crates/relay/tests/serve/golden_state.rs
+++ b/crates/relay/tests/serve/golden_state.rs
@@ -8,22 +8,22 @@
 
 use serde_json::{Value, json};
 
-use crate::stand_in::Rig;
+use crate::harness::RelayHarness;
 
 /// Starts a relay on a committed folder, and checks what it pushes and of which ends it tells.
 fn check(name: &str) {
-    let mut rig = Rig::start();
-    rig.kill();
+    let mut harness = RelayHarness::start();
+    harness.kill();
     let committed = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name).join("log");
-    fs::copy(committed, rig.state().join("log")).expect("the committed journal");
-    rig.restart();
+    fs::copy(committed, harness.state_directory().join("log")).expect("the committed journal");
+    harness.restart();
 
     let mut pushes: Vec<(String, Option<String>, String)> = Vec::new();
     for _ in 0..5 {
-        let mut push = rig.endpoint.next();
+        let mut push = harness.endpoint.next_message();
         let body = String::from_utf8(push.body.clone()).expect("text");
         pushes.push((push.id().to_owned(), push.header("Idempotency-Key").map(str::to_owned), body));
-        push.answer("200 OK", "", "");
+        push.respond("200 OK", "", "");
     }
     pushes.sort();
     let push =
@@ -39,10 +39,10 @@
 
     let mut ends: BTreeMap<String, Value> = BTreeMap::new();
     while ends.len() < 3 {
-        let (mut message, notices) = rig.notices();
+        let (mut message, notices) = harness.next_notices();
         let id = |notice: &Value| notice["message"].as_str().expect("an id").to_owned();
         ends.extend(notices.into_iter().map(|notice| (id(&notice), notice)));
-        message.answer("204 No Content", "", "");
+        message.respond("204 No Content", "", "");
     }
     let expected = [
         json!({"message": "given-up", "outcome": "given_up"}),
@@ -53,11 +53,11 @@
 }
 
 #[test]
-fn a_relay_goes_on_from_the_committed_state() {
+fn a_relay_continues_the_committed_state() {
     check("state");
 }
 
 #[test]
-fn a_relay_goes_on_from_the_committed_state_after_compaction() {
+fn a_relay_continues_the_committed_state_after_compaction() {
     check("compacted");
 }
--- a/crates/relay/tests/serve/stand_in.rs
+++ b/crates/relay/tests/serve/harness.rs
@@ -12,16 +12,16 @@
 use serde_json::{Value, json};
 
 /// Longer than anything waited for takes, on a machine that is busy.
-pub const LIMIT: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A message as it was read, and the connection it came by.
-pub struct Message {
+pub struct ReceivedMessage {
     pub head: String,
     pub body: Vec<u8>,
     stream: TcpStream,
 }
 
-impl Message {
+impl ReceivedMessage {
     pub fn header(&self, name: &str) -> Option<&str> {
         let lines = self.head.lines().skip(1).filter_map(|line| line.split_once(": "));
         lines.filter(|(known, _)| known.eq_ignore_ascii_case(name)).map(|(_, value)| value).next()
@@ -32,7 +32,7 @@
     }
 
     /// Answers with a first line's rest, headers and a body.
-    pub fn answer(&mut self, status: &str, headers: &str, body: &str) {
+    pub fn respond(&mut self, status: &str, headers: &str, body: &str) {
         let text = format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len());
         // The relay may have gone by now: what it makes of that is what a test looks at.
         let _ = self.stream.write_all(text.as_bytes());
@@ -50,7 +50,7 @@
 
     /// Whether the relay has closed the connection, or does so in time.
     pub fn is_closed(&mut self) -> bool {
-        self.stream.set_read_timeout(Some(LIMIT)).expect("a limit");
+        self.stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a limit");
         matches!(self.stream.read(&mut [0]), Ok(0))
     }
 
@@ -60,7 +60,7 @@
 }
 
 /// Reads a message with the body that its head announces; nothing at the end of the stream.
-fn read(reader: &mut BufReader<TcpStream>) -> Option<(String, Vec<u8>)> {
+fn read_message(reader: &mut BufReader<TcpStream>) -> Option<(String, Vec<u8>)> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
         if reader.read_line(&mut head).ok()? == 0 {
@@ -75,43 +75,43 @@
 }
 
 /// A server that hands every message it reads to the test.
-pub struct Server {
+pub struct TestServer {
     pub address: SocketAddr,
-    messages: Receiver<Message>,
+    messages: Receiver<ReceivedMessage>,
 }
 
-impl Server {
-    pub fn start() -> Server {
+impl TestServer {
+    pub fn start() -> TestServer {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("an address");
         let (sender, messages) = channel();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let sender = sender.clone();
-                std::thread::spawn(move || serve(stream, &sender));
+                std::thread::spawn(move || serve_connection(stream, &sender));
             }
         });
-        Server { address, messages }
+        TestServer { address, messages }
     }
 
-    pub fn next(&self) -> Message {
-        self.messages.recv_timeout(LIMIT).expect("a message in time")
+    pub fn next_message(&self) -> ReceivedMessage {
+        self.messages.recv_timeout(TEST_TIMEOUT).expect("a message in time")
     }
 
     /// The next message, or nothing once there is a lull.
-    pub fn next_soon(&self) -> Option<Message> {
+    pub fn next_message_within_30_ms(&self) -> Option<ReceivedMessage> {
         self.messages.recv_timeout(Duration::from_millis(30)).ok()
     }
 
-    pub fn next_until_the_test_ends(&self) -> Option<Message> {
+    pub fn next_message_without_limit(&self) -> Option<ReceivedMessage> {
         self.messages.recv().ok()
     }
 }
 
-fn serve(stream: TcpStream, sender: &Sender<Message>) {
+fn serve_connection(stream: TcpStream, sender: &Sender<ReceivedMessage>) {
     let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
-    while let Some((head, body)) = read(&mut reader) {
-        let message = Message { head, body, stream: stream.try_clone().expect("a second handle") };
+    while let Some((head, body)) = read_message(&mut reader) {
+        let message = ReceivedMessage { head, body, stream: stream.try_clone().expect("a second handle") };
         if sender.send(message).is_err() {
             return;
         }
@@ -119,18 +119,18 @@
 }
 
 /// A relay with a folder that lasts, one endpoint and a platform.
-pub struct Rig {
-    folder: PathBuf,
-    relay: Option<Child>,
+pub struct RelayHarness {
+    directory: PathBuf,
+    process: Option<Child>,
     log: Receiver<Value>,
     pub listen: SocketAddr,
-    pub endpoint: Server,
-    pub platform: Server,
+    pub endpoint: TestServer,
+    pub platform: TestServer,
     pub config: Value,
 }
 
 /// A folder of this test's own.
-fn folder() -> PathBuf {
+fn create_directory() -> PathBuf {
     static COUNT: AtomicUsize = AtomicUsize::new(0);
     let count = COUNT.fetch_add(1, Ordering::Relaxed);
     let folder = std::env::temp_dir().join(format!("juniperwing-{}-{count}", std::process::id()));
@@ -139,7 +139,7 @@
 }
 
 /// What a relay is told: destination 7 with one endpoint, repeatable, collapsible and once-only topic types.
-fn config(endpoint: SocketAddr, platform: SocketAddr) -> Value {
+fn default_config(endpoint: SocketAddr, platform: SocketAddr) -> Value {
     let host = json!({"host": "e", "dial": endpoint.to_string(), "site": "z", "class": "plain", "block": 7,
         "health": "ready", "share": 1.0});
     let second = 1_000_000_000u64;
@@ -168,35 +168,42 @@
     command
 }
 
-impl Rig {
-    pub fn start() -> Rig {
-        Rig::with(|_| {})
+impl RelayHarness {
+    pub fn start() -> RelayHarness {
+        RelayHarness::start_with(|_| {})
     }
 
     /// With a change to what the relay is told.
-    pub fn with(change: impl FnOnce(&mut Value)) -> Rig {
-        let (endpoint, platform) = (Server::start(), Server::start());
-        let mut config = config(endpoint.address, platform.address);
+    pub fn start_with(change: impl FnOnce(&mut Value)) -> RelayHarness {
+        let (endpoint, platform) = (TestServer::start(), TestServer::start());
+        let mut config = default_config(endpoint.address, platform.address);
         change(&mut config);
         let listen = platform.address;
-        let mut rig =
-            Rig { folder: folder(), relay: None, log: channel().1, listen, endpoint, platform, config };
-        rig.restart();
-        rig
+        let mut harness = RelayHarness {
+            directory: create_directory(),
+            process: None,
+            log: channel().1,
+            listen,
+            endpoint,
+            platform,
+            config,
+        };
+        harness.restart();
+        harness
     }
 
-    pub fn state(&self) -> PathBuf {
-        self.folder.join("state")
+    pub fn state_directory(&self) -> PathBuf {
+        self.directory.join("state")
     }
 
     fn config_path(&self) -> PathBuf {
-        self.folder.join("config.json")
+        self.directory.join("config.json")
     }
 
     /// Replaces the configuration file and asks the relay to read it.
     pub fn reload(&self, text: &str) {
         std::fs::write(self.config_path(), text).expect("a written file");
-        self.signal("-HUP");
+        self.send_signal("-HUP");
     }
 
     /// Starts the relay over the folder as it is, and waits until it serves.
@@ -206,7 +213,7 @@
         let mut relay = program()
             .args(["serve", "--log-level", "debug", "--config"])
             .arg(&path)
-            .env("ROUTER_STATE", self.state())
+            .env("ROUTER_STATE", self.state_directory())
             .stderr(Stdio::piped())
             .spawn()
             .expect("the relay starts");
@@ -220,92 +227,92 @@
                 }
             }
         });
-        (self.relay, self.log) = (Some(relay), log);
-        let line = self.logged("serving");
+        (self.process, self.log) = (Some(relay), log);
+        let line = self.wait_for_log("serving");
         self.listen = line["listen"].as_str().and_then(|text| text.parse().ok()).expect("an address");
         line
     }
 
     /// Waits for a line of the log.
-    pub fn logged(&self, message: &str) -> Value {
-        self.logged_until(message).pop().unwrap_or_default()
+    pub fn wait_for_log(&self, message: &str) -> Value {
+        self.log_until(message).pop().unwrap_or_default()
     }
 
     /// The log up to a line.
-    pub fn logged_until(&self, message: &str) -> Vec<Value> {
+    pub fn log_until(&self, message: &str) -> Vec<Value> {
         let (mut lines, since) = (Vec::new(), Instant::now());
         while lines.last().is_none_or(|line: &Value| line["msg"] != message) {
             // Lines of what goes on for ever must not be waited through beyond the limit.
-            assert!(since.elapsed() < LIMIT, "{message:?} in time");
-            lines.push(self.log.recv_timeout(LIMIT).expect("a line of the log in time"));
+            assert!(since.elapsed() < TEST_TIMEOUT, "{message:?} in time");
+            lines.push(self.log.recv_timeout(TEST_TIMEOUT).expect("a line of the log in time"));
         }
         lines
     }
 
     /// Whether, of what is logged from here on, `first` comes before `then`.
-    pub fn logs_in_order(&self, first: &str, then: &str) -> bool {
-        self.logged_until(then).iter().any(|line| line["msg"] == first)
+    pub fn is_logged_before(&self, first: &str, then: &str) -> bool {
+        self.log_until(then).iter().any(|line| line["msg"] == first)
     }
 
     /// The servers, for the test to answer in threads of their own.
-    pub fn take_servers(&mut self) -> (Server, Server) {
-        let endpoint = std::mem::replace(&mut self.endpoint, Server::start());
-        (endpoint, std::mem::replace(&mut self.platform, Server::start()))
+    pub fn take_servers(&mut self) -> (TestServer, TestServer) {
+        let endpoint = std::mem::replace(&mut self.endpoint, TestServer::start());
+        (endpoint, std::mem::replace(&mut self.platform, TestServer::start()))
     }
 
-    pub fn client(&self) -> Client {
-        Client::connect(self.listen)
+    pub fn connect_client(&self) -> TestClient {
+        TestClient::connect(self.listen)
     }
 
     /// Kills the relay outright.
     pub fn kill(&mut self) {
-        let mut relay = self.relay.take().expect("a relay that runs");
+        let mut relay = self.process.take().expect("a relay that runs");
         relay.kill().expect("a process of ours");
         relay.wait().expect("its end");
     }
 
     /// Asks the relay to stop.
-    pub fn terminate(&self) {
-        self.signal("-TERM");
+    pub fn request_stop(&self) {
+        self.send_signal("-TERM");
     }
 
-    pub fn signal(&self, name: &str) {
-        let id = self.relay.as_ref().expect("a relay that runs").id();
+    pub fn send_signal(&self, name: &str) {
+        let id = self.process.as_ref().expect("a relay that runs").id();
         let done = Command::new("kill").args([name, &id.to_string()]).status().expect("kill runs");
         assert!(done.success());
     }
 
     /// Waits for the relay's end and says how it ended.
-    pub fn ended(&mut self) -> Option<i32> {
-        self.relay.take().expect("a relay that runs").wait().expect("its end").code()
+    pub fn wait_for_exit(&mut self) -> Option<i32> {
+        self.process.take().expect("a relay that runs").wait().expect("its end").code()
     }
 
     /// The next notice, which comes by itself.
-    pub fn notice(&self) -> (Message, Value) {
-        let (message, mut notices) = self.notices();
+    pub fn next_notice(&self) -> (ReceivedMessage, Value) {
+        let (message, mut notices) = self.next_notices();
         assert_eq!(notices.len(), 1);
         (message, notices.remove(0))
     }
 
     /// The next notices that come together.
-    pub fn notices(&self) -> (Message, Vec<Value>) {
-        let message = self.asked("POST /v1/notices ");
+    pub fn next_notices(&self) -> (ReceivedMessage, Vec<Value>) {
+        let message = self.next_platform_request("POST /v1/notices ");
         let lines = message.body.split(|byte| *byte == b'\n').filter(|line| !line.is_empty());
         let notices = lines.map(|line| serde_json::from_slice(line).expect("a notice")).collect();
         (message, notices)
     }
 
     /// The next watch on the list.
-    pub fn watch(&self) -> Message {
-        self.asked("GET /v1/endpoints?")
+    pub fn next_watch(&self) -> ReceivedMessage {
+        self.next_platform_request("GET /v1/endpoints?")
     }
 
     /// The next request to the platform that begins so; others before it are passed over.
-    fn asked(&self, start: &str) -> Message {
+    fn next_platform_request(&self, start: &str) -> ReceivedMessage {
         // The watch is asked for again and again: what never comes must not be waited for beyond the limit.
         let since = Instant::now();
-        while since.elapsed() < LIMIT {
-            let message = self.platform.next();
+        while since.elapsed() < TEST_TIMEOUT {
+            let message = self.platform.next_message();
             if message.head.starts_with(start) {
                 return message;
             }
@@ -314,32 +321,32 @@
     }
 }
 
-impl Drop for Rig {
+impl Drop for RelayHarness {
     fn drop(&mut self) {
-        if let Some(mut relay) = self.relay.take() {
+        if let Some(mut relay) = self.process.take() {
             // It may have ended by itself.
             let _ = relay.kill();
             let _ = relay.wait();
         }
-        remove(&self.folder);
+        remove_directory(&self.directory);
     }
 }
 
-fn remove(folder: &Path) {
+fn remove_directory(folder: &Path) {
     // Left behind, it does no harm.
     let _ = std::fs::remove_dir_all(folder);
 }
 
 /// A client's connection.
-pub struct Client {
+pub struct TestClient {
     reader: BufReader<TcpStream>,
 }
 
-impl Client {
-    pub fn connect(to: SocketAddr) -> Client {
+impl TestClient {
+    pub fn connect(to: SocketAddr) -> TestClient {
         let stream = TcpStream::connect(to).expect("the relay listens");
-        stream.set_read_timeout(Some(LIMIT)).expect("a limit");
-        Client { reader: BufReader::new(stream) }
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a limit");
+        TestClient { reader: BufReader::new(stream) }
     }
 
     pub fn write(&mut self, bytes: &[u8]) {
@@ -347,8 +354,8 @@
     }
 
     /// The status and the head of the next answer.
-    pub fn answer(&mut self) -> (u16, String) {
-        let (head, _) = read(&mut self.reader).expect("an answer");
+    pub fn read_response(&mut self) -> (u16, String) {
+        let (head, _) = read_message(&mut self.reader).expect("an answer");
         let status = head.split(' ').nth(1).and_then(|status| status.parse().ok());
         (status.expect("a status"), head)
     }
@@ -360,14 +367,14 @@
     }
 
     /// Hands a notification in and gives the status of the answer.
-    pub fn hand_in(&mut self, topic: &str, id: &str, key: &str, body: &[u8]) -> u16 {
-        self.write(&request(topic, id, key, 16_000, body));
-        self.answer().0
+    pub fn submit(&mut self, topic: &str, id: &str, key: &str, body: &[u8]) -> u16 {
+        self.write(&submission(topic, id, key, 16_000, body));
+        self.read_response().0
     }
 }
 
 /// A notification for destination 7 with so many milliseconds left.
-pub fn request(topic: &str, id: &str, key: &str, ms: u32, body: &[u8]) -> Vec<u8> {
+pub fn submission(topic: &str, id: &str, key: &str, ms: u32, body: &[u8]) -> Vec<u8> {
     let head = format!(
         "POST /{topic}?key={key} HTTP/1.1\r\nHost: r\r\nRequest-Id: {id}\r\nRequest-Class: {topic}\r\n\
          Request-Timeout-Ms: {ms}\r\nIdempotency-Key: i-{id}\r\nEnvelope: dest=7\r\nContent-Length: {}\r\n\r\n",
--- a/crates/relay/tests/serve/main.rs
+++ b/crates/relay/tests/serve/main.rs
@@ -1,11 +1,11 @@
 //! The relay as a process, spoken to over sockets.
 
 mod connections;
-mod crossings;
 mod golden_state;
-mod hand_over;
+mod harness;
+mod pushes;
+mod races;
 mod requests;
 mod restarts;
 mod settings;
-mod stand_in;
 mod support;
--- /dev/null
+++ b/crates/relay/tests/serve/pushes.rs
@@ -0,0 +1,222 @@
+//! Notifications go on, alone or several in a call, and what endpoints answer is heeded.
+
+use std::time::{Duration, Instant};
+
+use serde_json::{Value, json};
+
+use crate::harness::{RelayHarness, submission};
+
+#[test]
+fn a_notification_is_pushed_unchanged_and_closed_when_delivered() {
+    let mut harness = RelayHarness::start();
+    let mut client = harness.connect_client();
+    client.write(b"GET /ready HTTP/1.1\r\nHost: r\r\n\r\n");
+    assert_eq!(client.read_response().0, 200);
+    let body: Vec<u8> = (0..=255).collect();
+    assert_eq!(client.submit("safe", "a b/é", "", &body), 202);
+    let mut push = harness.endpoint.next_message();
+    assert!(push.head.starts_with("POST /hook HTTP/1.1\r\n"), "{}", push.head);
+    assert_eq!((push.id(), push.header("Idempotency-Key")), ("a b/é", Some("i-a b/é")));
+    assert_eq!(push.body, body);
+    let time_out: u64 =
+        push.header("Request-Timeout-Ms").and_then(|text| text.parse().ok()).expect("a number");
+    assert!(time_out <= 16_000);
+    push.respond("200 OK", "", "ok");
+    // The next goes by the same connection, so the answer was read.
+    assert_eq!(client.submit("safe", "2", "", b""), 202);
+    harness.endpoint.next_message().respond("200 OK", "", "");
+    assert_eq!(client.submit("safe", "3", "", b""), 202);
+    let mut third = harness.endpoint.next_message();
+    harness.request_stop();
+    third.respond("200 OK", "", "");
+    assert_eq!(harness.wait_for_log("shutdown complete")["outstanding"], 0);
+    assert_eq!(harness.wait_for_exit(), Some(0));
+}
+
+#[test]
+fn a_batch_to_one_endpoint_gives_each_push_its_own_result() {
+    let harness =
+        RelayHarness::start_with(|config| config["settings"]["family-info"]["per-call"] = json!([10]));
+    let mut client = harness.connect_client();
+    let all = ["1", "2", "3"].map(|id| submission("once", id, id, 16_000, id.as_bytes()));
+    client.write(&all.concat());
+    assert_eq!([client.read_response().0, client.read_response().0, client.read_response().0], [202; 3]);
+    let mut push = harness.endpoint.next_message();
+    assert!(push.head.starts_with("POST /hook/batch HTTP/1.1\r\n"), "{}", push.head);
+    let sent: Value = serde_json::from_slice(&push.body).expect("JSON");
+    let item = |id: &str, body: &str| json!({"id": id, "key": format!("i-{id}"), "body": body});
+    assert_eq!(sent, json!([item("1", "MQ=="), item("2", "Mg=="), item("3", "Mw==")]));
+    let state = |id: &str, state: &str| json!({"id": id, "state": state});
+    let states = json!([state("3", "failed"), state("1", "delivered"), state("2", "refused")]);
+    push.respond("200 OK", "", &states.to_string());
+    // What failed may have run: given up. What was refused goes again. What was delivered is heard of no more.
+    let (mut message, notice) = harness.next_notice();
+    assert_eq!(notice, json!({"message": "3", "outcome": "given_up"}));
+    message.respond("204 No Content", "", "");
+    assert_eq!(harness.endpoint.next_message().id(), "2");
+}
+
+#[test]
+fn a_batch_rejected_as_malformed_is_retried_as_single_calls() {
+    let harness =
+        RelayHarness::start_with(|config| config["settings"]["family-info"]["per-call"] = json!([10]));
+    let mut client = harness.connect_client();
+    client.write(&["1", "2", "3"].map(|id| submission("once", id, id, 16_000, b"")).concat());
+    assert_eq!([client.read_response().0, client.read_response().0, client.read_response().0], [202; 3]);
+    harness.endpoint.next_message().respond("400 Bad Request", "", "");
+    let mut each =
+        [harness.endpoint.next_message(), harness.endpoint.next_message(), harness.endpoint.next_message()];
+    each.iter_mut().for_each(|push| push.respond("200 OK", "", ""));
+    let mut ids = each.each_ref().map(|push| push.id().to_owned());
+    ids.sort();
+    assert_eq!(ids, ["1", "2", "3"]);
+}
+
+#[test]
+fn a_rejection_in_the_turn_of_the_submission_is_its_response() {
+    let harness = RelayHarness::start();
+    let mut client = harness.connect_client();
+    client.write(&submission("safe", "1", "", 5, b""));
+    let (status, head) = client.read_response();
+    assert_eq!(status, 429);
+    assert!(head.contains("Retry-After: "), "{head}");
+    assert_eq!(client.submit("safe", "2", "", b""), 202);
+    assert_eq!(harness.endpoint.next_message().id(), "2");
+}
+
+#[test]
+fn a_notification_for_an_unknown_destination_is_rejected() {
+    let harness = RelayHarness::start();
+    let mut client = harness.connect_client();
+    let unlisted = |id: &str| {
+        let request = submission("safe", id, "", 9_000, b"");
+        String::from_utf8(request).expect("text").replace("dest=7", "dest=70000").into_bytes()
+    };
+    // As long as discovery has told nothing, the list may be old.
+    client.write(&unlisted("1"));
+    assert_eq!(client.read_response().0, 503);
+    let mut watch = harness.next_watch();
+    watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
+    let mut status = 503;
+    for id in 2.. {
+        client.write(&unlisted(&id.to_string()));
+        status = client.read_response().0;
+        if status != 503 || id > 2_000 {
+            break;
+        }
+    }
+    assert_eq!(status, 404);
+    // One whose last endpoint has just left is about to have another.
+    let gone = json!({"seq": 42, "whole": false, "hosts": [{"host": "e", "block": 7, "health": "gone"}]});
+    watch.write(&format!("{:x}\r\n{gone}\n\r\n", gone.to_string().len() + 1));
+    harness.wait_for_log("endpoint list updated");
+    assert_eq!(client.submit("safe", "held", "", b""), 202);
+}
+
+#[test]
+fn a_used_id_is_never_pushed_again_nor_accepted_after_a_rejection() {
+    let harness = RelayHarness::start_with(|config| config["settings"]["ceilings"]["most-held"] = json!(1));
+    let mut client = harness.connect_client();
+    assert_eq!(client.submit("once", "1", "", b"first"), 202);
+    assert_eq!(client.submit("once", "2", "", b"no room"), 503);
+    harness.endpoint.next_message().respond("200 OK", "", "");
+    harness.wait_for_log("push ended");
+    assert_eq!(client.submit("once", "1", "", b"another"), 202);
+    assert_eq!(client.submit("once", "2", "", b"another"), 503);
+    assert_eq!(client.submit("once", "3", "", b"third"), 202);
+    assert_eq!(harness.endpoint.next_message().id(), "3");
+}
+
+#[test]
+fn an_invalid_response_may_have_run_unless_its_status_line_says_delivered() {
+    let harness = RelayHarness::start();
+    let mut client = harness.connect_client();
+    let mut push = |id: &str, answer: &str| {
+        assert_eq!(client.submit("once", id, "", b""), 202);
+        let mut push = harness.endpoint.next_message();
+        push.write(answer);
+        (harness.wait_for_log("push ended")["status"].clone(), push.is_closed())
+    };
+    let answers = [
+        ("HTTP/1.1 500 No\r\nX: never ends", "Error"),
+        ("HTTP/1.1 200 OK\r\nX: never ends", "Delivered"),
+        ("HTTP/1.1 503 No\r\nContent-Length: 9\r\n\r\nshort", "Error"),
+        ("HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 200 OK\r\n\u{1}\r\n\r\n", "Delivered"),
+        ("\u{1} noise \r\n\r\n", "Error"),
+        ("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", "Delivered"),
+    ];
+    for (id, (answer, status)) in answers.into_iter().enumerate() {
+        assert_eq!(push(&id.to_string(), answer), (json!(status), true), "{answer}");
+    }
+}
+
+/// Calls of several, a once-only topic type without order, and calls overdue soon enough for a test.
+fn enable_batches(config: &mut Value) {
+    config["settings"]["family-info"]["per-call"] = json!([10]);
+    config["settings"]["rules"]["tip-after"] = json!(300_000_000);
+    let classes = config["settings"]["classes"].as_array_mut().expect("topic types");
+    let mut loose = classes.last().expect("the once-only one").clone();
+    (loose["name"], loose["fifo-by-key"]) = (json!("loose"), json!(false));
+    classes.push(loose);
+}
+
+/// An answer that comes after the first TTL in a call speaks of what is over: it counts for none of it.
+#[test]
+fn a_batch_ends_with_the_first_ttl_in_it_and_ignores_a_later_response() {
+    for topic in ["loose", "once"] {
+        let harness = RelayHarness::start_with(enable_batches);
+        let mut client = harness.connect_client();
+        client.write(
+            &[submission(topic, "1", "1", 1_000, b""), submission(topic, "2", "2", 16_000, b"")].concat(),
+        );
+        assert_eq!([client.read_response().0, client.read_response().0], [202; 2]);
+        let mut call = harness.endpoint.next_message();
+        assert!(call.head.starts_with("POST /hook/batch "), "{}", call.head);
+        let time_out = call.header("Request-Timeout-Ms").and_then(|text| text.parse::<u64>().ok());
+        assert!(time_out.is_some_and(|ms| ms <= 1_000), "{time_out:?}");
+        let (mut message, first) = harness.next_notices();
+        message.respond("204 No Content", "", "");
+        let states = json!([{"id": "1", "state": "delivered"}, {"id": "2", "state": "delivered"}]);
+        call.respond("200 OK", "", &states.to_string());
+        let ids: Vec<&Value> = first.iter().map(|notice| &notice["message"]).collect();
+        assert_eq!(ids, ["1", "2"], "{topic}");
+        assert!(call.is_closed());
+    }
+}
+
+#[test]
+fn a_push_with_little_time_left_goes_in_a_call_of_its_own() {
+    let harness = RelayHarness::start_with(enable_batches);
+    let mut client = harness.connect_client();
+    client
+        .write(&[submission("loose", "1", "", 200, b""), submission("loose", "2", "", 16_000, b"")].concat());
+    assert_eq!([client.read_response().0, client.read_response().0], [202; 2]);
+    let mut calls = [harness.endpoint.next_message(), harness.endpoint.next_message()];
+    calls.sort_by_key(|call| call.id().to_owned());
+    assert_eq!([calls[0].id(), calls[1].id()], ["1", "2"]);
+    // The first runs out of time; the second is none the worse for it.
+    assert_eq!(harness.next_notice().1, json!({"message": "1", "outcome": "given_up"}));
+    calls[1].respond("200 OK", "", "");
+    harness.log_until("push ended");
+    assert_eq!(harness.wait_for_log("push ended")["status"], "Delivered");
+}
+
+/// The answer and the end of its time are seen in one turn: nobody can tell which came first.
+#[test]
+fn a_response_read_in_the_turn_of_the_timeout_is_ignored() {
+    let harness = RelayHarness::start_with(enable_batches);
+    assert_eq!(harness.connect_client().submit("loose", "1", "", b""), 202);
+    harness.endpoint.next_message().respond("200 OK", "", "");
+    harness.wait_for_log("push ended");
+    let mut client = harness.connect_client();
+    client.write(&submission("loose", "2", "", 400, b""));
+    assert_eq!(client.read_response().0, 202);
+    let since = Instant::now();
+    let mut push = harness.endpoint.next_message();
+    harness.send_signal("-STOP");
+    std::thread::sleep(Duration::from_millis(600).saturating_sub(since.elapsed()));
+    push.respond("200 OK", "", "");
+    harness.send_signal("-CONT");
+    assert_eq!(harness.wait_for_log("push ended")["status"], "TimedOut");
+    assert_eq!(harness.next_notice().1, json!({"message": "2", "outcome": "given_up"}));
+}
--- a/crates/relay/tests/serve/crossings/mod.rs
+++ b/crates/relay/tests/serve/races/mod.rs
@@ -2,5 +2,5 @@
 
 mod discovery;
 mod exchanges;
-mod lives;
+mod restarts;
 mod support;
--- /dev/null
+++ b/crates/relay/tests/serve/races/restarts.rs
@@ -0,0 +1,232 @@
+//! Starts, settings, signals and stops.
+
+use std::time::{Duration, Instant};
+
+use serde_json::{Value, json};
+
+use super::support::{set_endpoint_address, sleep_until};
+use crate::harness::{RelayHarness, TestClient, submission};
+use crate::support::unaccepting_listener;
+
+/// Killed while its connection is not up: no byte of the push went out, so even a once-only one is tried.
+#[test]
+fn a_push_never_written_is_made_by_the_next_process() {
+    for per_call in [1, 10] {
+        let (_full, dial, _first) = unaccepting_listener();
+        let mut harness = RelayHarness::start_with(|config| {
+            config["settings"]["family-info"]["per-call"] = json!([per_call]);
+            set_endpoint_address(config, dial);
+        });
+        let mut client = harness.connect_client();
+        client.write(
+            &[submission("once", "1", "a", 16_000, b""), submission("once", "2", "b", 16_000, b"")].concat(),
+        );
+        assert_eq!([client.read_response().0, client.read_response().0], [202; 2]);
+        harness.wait_for_log("push started");
+        harness.kill();
+        harness.config["known"]["hosts"][0]["dial"] = json!(harness.endpoint.address.to_string());
+        let serving = harness.restart();
+        assert_eq!(
+            (&serving["outstanding"], &serving["unpushed"], &serving["pushed"]),
+            (&json!(2), &json!(2), &json!(0))
+        );
+        let mut push = harness.endpoint.next_message();
+        if per_call == 1 {
+            let mut ids = [push.id().to_owned(), harness.endpoint.next_message().id().to_owned()];
+            ids.sort();
+            assert_eq!(ids, ["1", "2"]);
+        } else {
+            assert!(push.head.starts_with("POST /hook/batch "), "{}", push.head);
+            push.respond("200 OK", "", r#"[{"id":"1","state":"delivered"},{"id":"2","state":"delivered"}]"#);
+        }
+        let line = harness.wait_for_log("recovered notifications pushed or ended");
+        assert_eq!((&line["pushed"], &line["expired"], &line["given_up"]), (&json!(2), &json!(0), &json!(0)));
+    }
+}
+
+/// A topic type that is gone from the settings at a restart: what was promised of it holds, and it is tried.
+#[test]
+fn a_notification_of_a_removed_topic_type_is_pushed_and_keeps_its_guarantee() {
+    let (_full, dial, _first) = unaccepting_listener();
+    let mut harness = RelayHarness::start_with(|config| set_endpoint_address(config, dial));
+    assert_eq!(harness.connect_client().submit("once", "1", "k", b"x"), 202);
+    harness.kill();
+    harness.config["known"]["hosts"][0]["dial"] = json!(harness.endpoint.address.to_string());
+    harness.config["settings"]["classes"]
+        .as_array_mut()
+        .expect("topic types")
+        .retain(|class| class["name"] != "once");
+    harness.restart();
+    let push = harness.endpoint.next_message();
+    assert_eq!((push.id(), &*push.body), ("1", &b"x"[..]));
+    harness.kill();
+    harness.restart();
+    assert_eq!(harness.next_notice().1, json!({"message": "1", "outcome": "given_up"}));
+    assert!(harness.endpoint.next_message_within_30_ms().is_none());
+}
+
+/// Made shorter, the time for which endpoints keep idle connections holds for those that are idle already.
+#[test]
+fn a_reload_with_a_shorter_idle_timeout_closes_idle_connections() {
+    let mut harness = RelayHarness::start();
+    let mut client = harness.connect_client();
+    for id in ["1", "2"] {
+        assert_eq!(client.submit("safe", id, "", b""), 202);
+        let mut push = harness.endpoint.next_message();
+        push.respond("200 OK", "", "");
+        harness.wait_for_log("push ended");
+        if id == "2" {
+            harness.config["settings"]["ceilings"]["conn-idle"] = json!(3_000_000_000u64);
+            harness.reload(&harness.config.to_string());
+            harness.wait_for_log("configuration reloaded");
+            let since = Instant::now();
+            assert!(push.is_closed());
+            assert!(since.elapsed() < Duration::from_millis(1_500), "{:?}", since.elapsed());
+        }
+    }
+}
+
+/// A relay that has been told to stop and has no slots any more.
+fn request_stop(harness: &RelayHarness) -> Instant {
+    harness.request_stop();
+    harness.wait_for_log("shutdown started");
+    Instant::now()
+}
+
+/// Requests that are in the system's buffers, on connections old and new, when the last of its time to serve comes;
+/// there are as many clients as there is room for, but one.
+#[test]
+fn requests_unread_at_the_end_of_a_shutdown_are_answered() {
+    let mut harness = RelayHarness::start_with(|config| config["limits"]["sockets"] = json!(64));
+    let mut old: Vec<TestClient> = (0..15).map(|_| harness.connect_client()).collect();
+    for (place, client) in old.iter_mut().enumerate() {
+        assert_eq!(client.submit("safe", &format!("1-{place}"), "", b""), 202);
+    }
+    let since = request_stop(&harness);
+    harness.wait_for_log("new calls stopped");
+    harness.send_signal("-STOP");
+    old[0].write(&submission("safe", "2", "", 16_000, b""));
+    let mut new: Vec<TestClient> = (0..2).map(|_| harness.connect_client()).collect();
+    for (place, client) in new.iter_mut().enumerate() {
+        client.write(&submission("safe", &format!("3-{place}"), "", 16_000, b""));
+    }
+    // No more is taken in from 2.8 s on, and it is out at 3.1 s.
+    sleep_until(since, 2_850);
+    harness.send_signal("-CONT");
+    for client in old[..1].iter_mut().chain(&mut new) {
+        let (status, head) = client.read_response();
+        assert_eq!((status, head.contains("Connection: close")), (202, true), "{head}");
+    }
+    assert_eq!(harness.wait_for_log("shutdown complete")["outstanding"], 18);
+    assert_eq!(harness.wait_for_exit(), Some(0));
+    assert!(since.elapsed() < Duration::from_millis(3_700), "{:?}", since.elapsed());
+}
+
+/// With no client left it still waits for the calls that are out, as long as it may.
+#[test]
+fn calls_in_flight_may_end_in_a_shutdown_without_clients() {
+    let mut harness = RelayHarness::start();
+    let mut client = harness.connect_client();
+    assert_eq!([client.submit("once", "1", "k", b""), client.submit("once", "2", "l", b"")], [202; 2]);
+    let mut pushes = [harness.endpoint.next_message(), harness.endpoint.next_message()];
+    drop(client);
+    let since = request_stop(&harness);
+    for (push, ms) in pushes.iter_mut().zip([2_840, 2_900]) {
+        sleep_until(since, ms);
+        push.respond("200 OK", "", "");
+    }
+    assert_eq!(harness.wait_for_log("shutdown complete")["outstanding"], 0);
+    assert_eq!(harness.wait_for_exit(), Some(0));
+}
+
+/// Handed in when there are no slots any more: taken on only if the next process can still push it.
+#[test]
+fn a_shutdown_rejects_only_notifications_that_expire_before_the_next_process() {
+    let harness = RelayHarness::start();
+    request_stop(&harness);
+    harness.wait_for_log("new calls stopped");
+    let mut client = harness.connect_client();
+    client.write(&submission("safe", "1", "", 1_500, b""));
+    let (status, head) = client.read_response();
+    assert_eq!((status, head.contains("Retry-After: 2.3")), (429, true), "{head}");
+    assert_eq!(client.submit("safe", "2", "", b""), 202);
+    assert_eq!(harness.wait_for_log("shutdown complete")["outstanding"], 1);
+}
+
+/// Signals before it serves, twice, and in a stop: one stop, in time, and nothing else.
+#[test]
+fn repeated_signals_make_one_shutdown() {
+    let mut harness = RelayHarness::start();
+    assert_eq!(harness.connect_client().submit("once", "1", "k", b"x"), 202);
+    let first = harness.endpoint.next_message();
+    harness.reload(&harness.config.to_string());
+    let since = request_stop(&harness);
+    harness.request_stop();
+    harness.reload("{");
+    harness.wait_for_log("configuration reload failed");
+    harness.config["settings"]["family-info"]["slots"] = json!(4);
+    harness.reload(&harness.config.to_string());
+    harness.wait_for_log("configuration reloaded");
+    harness.wait_for_log("new calls stopped");
+    harness.reload(&harness.config.to_string());
+    harness.wait_for_log("configuration reloaded");
+    // Slots in a file read anew are none in a stop.
+    assert_eq!(harness.connect_client().submit("safe", "2", "", b"late"), 202);
+    let rest = harness.log_until("shutdown complete");
+    assert!(
+        rest.iter().all(|line| line["msg"] != "push started" && line["msg"] != "shutdown started"),
+        "{rest:?}"
+    );
+    assert_eq!(harness.wait_for_exit(), Some(0));
+    assert!(since.elapsed() < Duration::from_millis(3_700), "{:?}", since.elapsed());
+    drop(first);
+    // Told to stop as soon as it can hear it: it serves its time all the same, with what it owes.
+    harness.restart();
+    harness.request_stop();
+    assert_eq!(&*harness.endpoint.next_message().body, b"late");
+    harness.wait_for_log("shutdown started");
+    harness.request_stop();
+    harness.send_signal("-INT");
+    let rest = harness.log_until("shutdown complete");
+    assert!(rest.iter().all(|line| line["msg"] != "shutdown started"), "{rest:?}");
+    assert_eq!(harness.wait_for_exit(), Some(0));
+}
+
+/// Any one key missing, the relay says which it is and does not start, or it serves.
+#[test]
+fn with_any_settings_key_missing_it_serves_or_names_the_key() {
+    let whole = RelayHarness::start().config.clone();
+    let mut paths = vec![String::new()];
+    let mut keys = Vec::new();
+    while let Some(path) = paths.pop() {
+        let Some(Value::Object(object)) = whole["settings"].pointer(&path) else { continue };
+        for key in object.keys() {
+            keys.push((path.clone(), key.clone()));
+            paths.push(format!("{path}/{key}"));
+        }
+    }
+    for at in 0..3 {
+        let class = whole["settings"]["classes"][at].as_object().expect("a topic type");
+        keys.extend(class.keys().map(|key| (format!("/classes/{at}"), key.clone())));
+    }
+    assert!(keys.len() > 50, "{}", keys.len());
+    for (path, key) in keys {
+        let mut config = whole.clone();
+        let object = config["settings"].pointer_mut(&path).and_then(Value::as_object_mut);
+        object.expect("an object").remove(&key);
+        let checked = crate::support::check_config(&config);
+        if let Err(said) = checked {
+            assert!(said.contains(&key) || key == "family-info" || key == "ceilings", "{path}/{key}: {said}");
+            continue;
+        }
+        let harness = RelayHarness::start_with(|told| {
+            let (known, discovery) = (told["known"].clone(), told["discovery"].clone());
+            *told = config;
+            (told["known"], told["discovery"]) = (known, discovery);
+        });
+        // Without its name a topic type is another; what is said of it then is an answer too.
+        let status = harness.connect_client().submit("safe", "1", "", b"x");
+        assert_eq!(status, 202, "{path}/{key}");
+        assert_eq!(harness.endpoint.next_message().id(), "1", "{path}/{key}");
+    }
+}
--- a/crates/relay/tests/serve/crossings/support.rs
+++ b/crates/relay/tests/serve/races/support.rs
@@ -4,22 +4,22 @@
 
 use serde_json::{Value, json};
 
-use crate::stand_in::Message;
+use crate::harness::ReceivedMessage;
 
 /// The destination's endpoint is where nothing comes up until it is accepted.
-pub fn out_of_reach(config: &mut Value, dial: std::net::SocketAddr) {
+pub fn set_endpoint_address(config: &mut Value, dial: std::net::SocketAddr) {
     config["known"]["hosts"][0]["dial"] = json!(dial.to_string());
 }
 
 /// Sleeps until so long after a moment: some times of the relay's are to be up, whatever else happens.
-pub fn until(since: Instant, ms: u64) {
+pub fn sleep_until(since: Instant, ms: u64) {
     std::thread::sleep(Duration::from_millis(ms).saturating_sub(since.elapsed()));
 }
 
-pub const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+pub const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// A list of endpoints of destination 7.
-pub fn list(seq: u32, whole: bool, hosts: &[(&str, &str, Option<std::net::SocketAddr>)]) -> Value {
+pub fn endpoint_list(seq: u32, whole: bool, hosts: &[(&str, &str, Option<std::net::SocketAddr>)]) -> Value {
     let host = |(name, health, dial): &(&str, &str, Option<std::net::SocketAddr>)| {
         json!({"host": name, "dial": dial.map(|dial| dial.to_string()).unwrap_or_default(), "site": "z",
             "class": "plain", "block": 7, "health": health})
@@ -31,6 +31,6 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-pub fn line(watch: &mut Message, list: &Value) {
+pub fn write_list(watch: &mut ReceivedMessage, list: &Value) {
     watch.write(&chunk(&format!("{list}\n")));
 }
--- a/crates/relay/tests/serve/restarts.rs
+++ b/crates/relay/tests/serve/restarts.rs
@@ -7,164 +7,164 @@
 
 use serde_json::{Value, json};
 
-use crate::stand_in::{Message, Rig, Server};
+use crate::harness::{ReceivedMessage, RelayHarness, TestServer};
 
 #[test]
-fn a_notice_is_repeated_until_it_is_answered_even_by_the_next_process() {
-    let mut rig = Rig::start();
-    assert_eq!(rig.client().hand_in("once", "1", "k", b"x"), 202);
-    rig.endpoint.next().answer("500 Internal Server Error", "", "");
-    let (mut message, notice) = rig.notice();
+fn a_notice_is_repeated_until_acknowledged_even_by_the_next_process() {
+    let mut harness = RelayHarness::start();
+    assert_eq!(harness.connect_client().submit("once", "1", "k", b"x"), 202);
+    harness.endpoint.next_message().respond("500 Internal Server Error", "", "");
+    let (mut message, notice) = harness.next_notice();
     assert_eq!(notice, json!({"message": "1", "outcome": "given_up"}));
-    message.answer("503 Service Unavailable", "", "");
-    let (message, again) = rig.notice();
+    message.respond("503 Service Unavailable", "", "");
+    let (message, again) = harness.next_notice();
     assert_eq!(again, notice);
     message.close();
-    assert_eq!(rig.notice().1, notice);
-    rig.kill();
-    rig.restart();
-    let (mut message, again) = rig.notice();
+    assert_eq!(harness.next_notice().1, notice);
+    harness.kill();
+    harness.restart();
+    let (mut message, again) = harness.next_notice();
     assert_eq!(again, notice);
     // The next of its key may go only now.
-    assert_eq!(rig.client().hand_in("once", "2", "k", b"x"), 202);
-    rig.logged("notification accepted");
-    message.answer("204 No Content", "", "");
-    assert_eq!(rig.endpoint.next().id(), "2");
-    assert!(rig.logs_in_order("final answer acknowledged", "push started"));
+    assert_eq!(harness.connect_client().submit("once", "2", "k", b"x"), 202);
+    harness.wait_for_log("notification accepted");
+    message.respond("204 No Content", "", "");
+    assert_eq!(harness.endpoint.next_message().id(), "2");
+    assert!(harness.is_logged_before("final answer acknowledged", "push started"));
 }
 
 #[test]
-fn killed_outright_it_takes_up_what_it_owes_and_repeats_nothing_that_may_have_run_once_only() {
-    let mut rig = Rig::start();
-    let mut client = rig.client();
-    assert_eq!(client.hand_in("once", "1", "k", b"first"), 202);
-    assert_eq!(client.hand_in("once", "2", "k", b"second"), 202);
-    assert_eq!(client.hand_in("mark", "3", "", b"third"), 202);
-    let out = [rig.endpoint.next(), rig.endpoint.next()];
+fn a_killed_relay_recovers_its_notifications_and_repeats_no_non_idempotent_push() {
+    let mut harness = RelayHarness::start();
+    let mut client = harness.connect_client();
+    assert_eq!(client.submit("once", "1", "k", b"first"), 202);
+    assert_eq!(client.submit("once", "2", "k", b"second"), 202);
+    assert_eq!(client.submit("mark", "3", "", b"third"), 202);
+    let out = [harness.endpoint.next_message(), harness.endpoint.next_message()];
     let mut ids = out.each_ref().map(|push| push.id().to_owned());
     ids.sort();
     assert_eq!(ids, ["1", "3"]);
-    rig.kill();
-    rig.restart();
+    harness.kill();
+    harness.restart();
     // The collapsible one goes again under its id; the once-only one does not, and holds up the next of its key
     // until its end was heard.
-    let mut again = rig.endpoint.next();
+    let mut again = harness.endpoint.next_message();
     assert_eq!(
         (again.id(), again.header("Idempotency-Key"), &*again.body),
         ("3", Some("i-3"), &b"third"[..])
     );
-    again.answer("200 OK", "", "");
-    let (mut message, notice) = rig.notice();
+    again.respond("200 OK", "", "");
+    let (mut message, notice) = harness.next_notice();
     assert_eq!(notice, json!({"message": "1", "outcome": "given_up"}));
-    rig.logged("push ended");
-    message.answer("204 No Content", "", "");
-    let second = rig.endpoint.next();
+    harness.wait_for_log("push ended");
+    message.respond("204 No Content", "", "");
+    let second = harness.endpoint.next_message();
     assert_eq!((second.id(), &*second.body), ("2", &b"second"[..]));
-    assert!(rig.logs_in_order("final answer acknowledged", "push started"));
+    assert!(harness.is_logged_before("final answer acknowledged", "push started"));
 }
 
 #[test]
-fn on_sigterm_it_goes_on_serving_and_ends_in_time_with_all_recorded() {
-    let mut rig = Rig::start();
-    let mut client = rig.client();
-    assert_eq!(client.hand_in("once", "1", "k", b"x"), 202);
-    let first = rig.endpoint.next();
+fn on_sigterm_it_goes_on_serving_and_exits_in_time_with_all_in_the_journal() {
+    let mut harness = RelayHarness::start();
+    let mut client = harness.connect_client();
+    assert_eq!(client.submit("once", "1", "k", b"x"), 202);
+    let first = harness.endpoint.next_message();
     let since = Instant::now();
-    rig.terminate();
-    rig.logged("shutdown started");
-    assert_eq!(client.hand_in("safe", "2", "", b"x"), 202);
-    rig.endpoint.next().answer("200 OK", "", "");
-    let mut late = rig.client();
+    harness.request_stop();
+    harness.wait_for_log("shutdown started");
+    assert_eq!(client.submit("safe", "2", "", b"x"), 202);
+    harness.endpoint.next_message().respond("200 OK", "", "");
+    let mut late = harness.connect_client();
     late.write(b"GET /ready HTTP/1.1\r\nHost: r\r\n\r\n");
-    assert_eq!(late.answer().0, 503);
-    rig.logged("new calls stopped");
-    assert_eq!(client.hand_in("safe", "3", "", b"late"), 202);
-    assert!(rig.logged_until("shutdown complete").iter().all(|line| line["msg"] != "push started"));
-    assert_eq!(rig.ended(), Some(0));
+    assert_eq!(late.read_response().0, 503);
+    harness.wait_for_log("new calls stopped");
+    assert_eq!(client.submit("safe", "3", "", b"late"), 202);
+    assert!(harness.log_until("shutdown complete").iter().all(|line| line["msg"] != "push started"));
+    assert_eq!(harness.wait_for_exit(), Some(0));
     assert!(since.elapsed() < Duration::from_millis(3_700), "{:?}", since.elapsed());
     drop(first);
-    rig.restart();
-    assert_eq!(&*rig.endpoint.next().body, b"late");
-    assert_eq!(rig.notice().1, json!({"message": "1", "outcome": "given_up"}));
+    harness.restart();
+    assert_eq!(&*harness.endpoint.next_message().body, b"late");
+    assert_eq!(harness.next_notice().1, json!({"message": "1", "outcome": "given_up"}));
 }
 
 #[test]
-fn a_full_store_refuses_and_goes_on_with_what_it_holds() {
-    let mut rig = Rig::with(|config| config["limits"]["disk_mb"] = json!(0.2));
-    let mut client = rig.client();
+fn a_full_journal_rejects_submissions_and_continues_the_live_ones() {
+    let mut harness = RelayHarness::start_with(|config| config["limits"]["disk_mb"] = json!(0.2));
+    let mut client = harness.connect_client();
     let body = vec![7; 16 * 1024];
     let mut taken = 0;
-    while client.hand_in("safe", &taken.to_string(), "", &body) == 202 {
+    while client.submit("safe", &taken.to_string(), "", &body) == 202 {
         taken += 1;
     }
     assert!((2..12).contains(&taken), "{taken}");
-    assert_eq!(client.hand_in("safe", "more", "", &body), 503);
+    assert_eq!(client.submit("safe", "more", "", &body), 503);
     // Room comes back with each that is delivered, many times over what the folder holds.
     for round in 0..40 {
-        rig.endpoint.next().answer("200 OK", "", "");
+        harness.endpoint.next_message().respond("200 OK", "", "");
         let mut ids = (0..).map(|count| format!("{round}-again-{count}"));
-        while client.hand_in("safe", &ids.next().unwrap_or_default(), "", &body) != 202 {}
-        let files = std::fs::read_dir(rig.state()).expect("the folder").flatten();
+        while client.submit("safe", &ids.next().unwrap_or_default(), "", &body) != 202 {}
+        let files = std::fs::read_dir(harness.state_directory()).expect("the folder").flatten();
         let size: u64 = files.map(|file| file.metadata().map_or(0, |data| data.len())).sum();
         assert!(size < 200_000, "{size}");
     }
-    rig.kill();
-    rig.restart();
-    assert_eq!(rig.endpoint.next().body, body);
+    harness.kill();
+    harness.restart();
+    assert_eq!(harness.endpoint.next_message().body, body);
 }
 
 #[test]
-fn a_torn_tail_of_the_log_is_cut_off_and_the_rest_is_kept() {
-    let mut rig = Rig::start();
-    assert_eq!(rig.client().hand_in("safe", "1", "", b"kept"), 202);
-    rig.endpoint.next();
-    rig.kill();
-    let log = rig.state().join("log");
+fn a_torn_journal_tail_is_truncated_and_the_rest_kept() {
+    let mut harness = RelayHarness::start();
+    assert_eq!(harness.connect_client().submit("safe", "1", "", b"kept"), 202);
+    harness.endpoint.next_message();
+    harness.kill();
+    let log = harness.state_directory().join("log");
     let whole = std::fs::read(&log).expect("a log");
     let mut file = OpenOptions::new().append(true).open(&log).expect("a log");
     file.write_all(&whole[..whole.len() / 2 + 7]).and_then(|()| file.write_all(&[0xff; 9])).expect("room");
-    rig.restart();
-    assert_eq!(&*rig.endpoint.next().body, b"kept");
-    rig.kill();
+    harness.restart();
+    assert_eq!(&*harness.endpoint.next_message().body, b"kept");
+    harness.kill();
     std::fs::write(&log, [0xff; 100]).expect("room");
-    rig.restart();
-    assert_eq!(rig.client().hand_in("safe", "2", "", b"new"), 202);
-    assert_eq!(&*rig.endpoint.next().body, b"new");
+    harness.restart();
+    assert_eq!(harness.connect_client().submit("safe", "2", "", b"new"), 202);
+    assert_eq!(&*harness.endpoint.next_message().body, b"new");
 }
 
 /// What the outside sees, in order: a push and whether its answer let it run, and what is settled.
 #[derive(Debug, PartialEq)]
-enum Seen {
+enum Observation {
     Pushed(String),
-    NeverRan(String),
-    Settled(String),
+    NotRun(String),
+    Finished(String),
 }
 
 /// Answers endpoints' calls late and not always well, and notices at once, and writes down what it sees.
-fn outside(endpoint: Server, platform: Server) -> Receiver<Seen> {
+fn observe(endpoint: TestServer, platform: TestServer) -> Receiver<Observation> {
     let (sender, seen) = channel();
     let notices = sender.clone();
     std::thread::spawn(move || {
-        while let Some(mut message) = platform.next_until_the_test_ends() {
+        while let Some(mut message) = platform.next_message_without_limit() {
             if message.head.starts_with("POST /v1/notices ") {
                 for line in message.body.split(|byte| *byte == b'\n').filter(|line| !line.is_empty()) {
                     let notice: Value = serde_json::from_slice(line).expect("a notice");
                     let id = notice["message"].as_str().expect("an id").to_owned();
-                    if notices.send(Seen::Settled(id)).is_err() {
+                    if notices.send(Observation::Finished(id)).is_err() {
                         return;
                     }
                 }
-                message.answer("204 No Content", "", "");
+                message.respond("204 No Content", "", "");
             }
         }
     });
     std::thread::spawn(move || {
         let (mut held, mut count) = (std::collections::VecDeque::new(), 0);
         loop {
-            let next = endpoint.next_soon();
+            let next = endpoint.next_message_within_30_ms();
             let quiet = next.is_none();
             if let Some(message) = next {
-                if sender.send(Seen::Pushed(message.id().to_owned())).is_err() {
+                if sender.send(Observation::Pushed(message.id().to_owned())).is_err() {
                     return;
                 }
                 held.push_back(message);
@@ -172,56 +172,58 @@
             if !quiet && held.len() < 3 {
                 continue;
             }
-            let Some(mut message): Option<Message> = held.pop_front() else { continue };
+            let Some(mut message): Option<ReceivedMessage> = held.pop_front() else { continue };
             let id = message.id().to_owned();
             count += 1;
             let (status, seen) = match count % 12 {
-                5 => ("503 Service Unavailable", Some(Seen::NeverRan(id))),
+                5 => ("503 Service Unavailable", Some(Observation::NotRun(id))),
                 11 => ("500 Internal Server Error", None),
-                _ => ("200 OK", Some(Seen::Settled(id))),
+                _ => ("200 OK", Some(Observation::Finished(id))),
             };
             if seen.is_some_and(|seen| sender.send(seen).is_err()) {
                 return;
             }
-            message.answer(status, "", "");
+            message.respond(status, "", "");
         }
     });
     seen
 }
 
 #[test]
-fn killed_again_and_again_it_loses_nothing_repeats_nothing_once_only_and_keeps_the_order() {
-    let mut rig = Rig::start();
-    let (endpoint, platform) = rig.take_servers();
-    let seen = outside(endpoint, platform);
+fn repeated_kills_lose_nothing_repeat_no_non_idempotent_push_and_keep_the_order() {
+    let mut harness = RelayHarness::start();
+    let (endpoint, platform) = harness.take_servers();
+    let seen = observe(endpoint, platform);
     let (mut taken, mut log) = (Vec::new(), Vec::new());
     for life in 0..6 {
-        let mut client = rig.client();
+        let mut client = harness.connect_client();
         for count in 0..20 {
             let (topic, key) = if count % 2 == 0 { ("once", count % 3) } else { ("safe", 9) };
             let id = format!("{topic}-{key}-{life}-{count:02}");
-            assert_eq!(client.hand_in(topic, &id, &key.to_string(), b"x"), 202);
+            assert_eq!(client.submit(topic, &id, &key.to_string(), b"x"), 202);
             taken.push(id);
         }
-        rig.kill();
-        rig.restart();
+        harness.kill();
+        harness.restart();
     }
-    let settled =
-        |log: &[Seen], id: &String| log.iter().any(|seen| matches!(seen, Seen::Settled(s) if s == id));
+    let settled = |log: &[Observation], id: &String| {
+        log.iter().any(|seen| matches!(seen, Observation::Finished(s) if s == id))
+    };
     while !taken.iter().all(|id| settled(&log, id)) {
         log.push(
-            seen.recv_timeout(crate::stand_in::LIMIT).expect("all that was taken on is settled in time"),
+            seen.recv_timeout(crate::harness::TEST_TIMEOUT)
+                .expect("all that was taken on is settled in time"),
         );
     }
-    let place = |what: &Seen| log.iter().position(|seen| seen == what);
+    let place = |what: &Observation| log.iter().position(|seen| seen == what);
     for (at, id) in taken.iter().enumerate().filter(|(_, id)| id.starts_with("once")) {
-        let count = |what: Seen| log.iter().filter(|seen| **seen == what).count();
-        let ran = count(Seen::Pushed(id.clone())) - count(Seen::NeverRan(id.clone()));
+        let count = |what: Observation| log.iter().filter(|seen| **seen == what).count();
+        let ran = count(Observation::Pushed(id.clone())) - count(Observation::NotRun(id.clone()));
         assert!(ran <= 1, "{id} may have run {ran} times: {log:?}");
         let key = |id: &String| id[..6].to_owned();
         let before = taken[..at].iter().rev().find(|other| key(other) == key(id));
-        if let (Some(before), Some(pushed)) = (before, place(&Seen::Pushed(id.clone()))) {
-            let over = place(&Seen::Settled(before.clone())).expect("all are settled");
+        if let (Some(before), Some(pushed)) = (before, place(&Observation::Pushed(id.clone()))) {
+            let over = place(&Observation::Finished(before.clone())).expect("all are settled");
             assert!(over < pushed, "{id} overtook {before}: {log:?}");
         }
     }
--- a/crates/relay/tests/serve/support.rs
+++ b/crates/relay/tests/serve/support.rs
@@ -6,25 +6,25 @@
 use serde_json::Value;
 use socket2::{Domain, Socket, Type};
 
-use crate::stand_in::{LIMIT, program};
+use crate::harness::{TEST_TIMEOUT, program};
 
 /// A listener with room for one connection, which is taken: the relay's does not come up until it is accepted.
-pub fn full() -> (Socket, SocketAddr, TcpStream) {
+pub fn unaccepting_listener() -> (Socket, SocketAddr, TcpStream) {
     let full = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     full.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a free port");
     full.listen(0).expect("it listens");
-    full.set_read_timeout(Some(LIMIT)).expect("a limit");
+    full.set_read_timeout(Some(TEST_TIMEOUT)).expect("a limit");
     let dial = full.local_addr().expect("an address").as_socket().expect("IPv4");
     let first = TcpStream::connect(dial).expect("room for one");
     (full, dial, first)
 }
 
-pub fn run(args: &[&str], state: &str) -> Output {
+pub fn run_program(args: &[&str], state: &str) -> Output {
     program().args(args).env("ROUTER_STATE", state).output().expect("the program runs")
 }
 
 /// What `check-config` says against a configuration.
-pub fn check(config: &Value) -> Result<(), String> {
+pub fn check_config(config: &Value) -> Result<(), String> {
     let file = std::env::temp_dir().join(format!("juniperwing-check-{}.json", std::process::id()));
     std::fs::write(&file, config.to_string()).expect("room");
     let output = program().args(["check-config", "--config"]).arg(&file).output().expect("the program runs");
--- a/crates/relay/tests/tier/commands.rs
+++ b/crates/relay/tests/tier/commands.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn check_prints_what_a_role_goes_by() {
+fn check_prints_the_settings_of_a_role() {
     let output = run(&["keeper", "--check", "--settings", &deployed("three/keeper-2.toml")]);
     assert_eq!(output.status.code(), Some(0));
     let said = text(&output.stdout);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn check_names_what_a_role_lacks() {
+fn check_names_the_missing_keys_of_a_role() {
     let output = run(&["keeper", "--check", "--settings", &deployed("three/relay-1.toml")]);
     assert_eq!(output.status.code(), Some(2));
     let said = text(&output.stderr);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_configuration_that_can_be_used_is_described() {
+fn a_valid_configuration_is_described() {
     let output = run(&["check-configuration", &deployed("configuration.json")]);
     assert_eq!(output.status.code(), Some(0));
     let said = text(&output.stdout);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn what_cannot_be_read_is_told() {
+fn unreadable_files_and_arguments_are_reported() {
     let absent = run(&["check-configuration", "/nowhere/at/all.json"]);
     assert_eq!(absent.status.code(), Some(2));
     assert!(text(&absent.stderr).contains("/nowhere/at/all.json"));
--- a/crates/relay/tests/tier/local.rs
+++ b/crates/relay/tests/tier/local.rs
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn the_way_of_readme_leads_to_an_answer_a_stream_and_a_kept_turn() {
+fn the_steps_of_the_readme_lead_to_a_response_a_stream_and_a_stored_turn() {
     let copy = Copy::of("one", 1);
     let tier = copy.start();
     copy.put_configuration(1);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn three_machines_serve_on_when_the_processes_of_one_are_killed() {
+fn three_machines_keep_serving_when_the_processes_of_one_are_killed() {
     let copy = Copy::of("three", 2);
     let tier = copy.start();
     copy.put_configuration(2);
