--- a/crates/node/src/keeper/orders.rs
+++ b/crates/node/src/keeper/orders.rs
@@ -18,8 +18,8 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, timeout, timeout_at};
 
-use super::Controller;
 use super::consensus::PrimaryLocation;
+use super::controller::Controller;
 
 /// Callers move on after a second without an answer.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(930);
@@ -219,7 +219,7 @@
     ) -> OrderAttempt {
         let decision = {
             let state = self.lock();
-            decide_retire(&confirmed.state, &state.store_view, node, self.required_copies)
+            decide_retire(&confirmed.state, &state.store_view, node, self.required_replicas)
         };
         let change = match decision {
             RetireDecision::Accept(change) => change,
@@ -255,7 +255,7 @@
     /// Brings the configuration to the subscribers of all keepers in reach; returns when all have it, or the
     /// time for it is over.
     async fn distribute_configuration(self: &Arc<Self>, version: Version, deadline: Instant) {
-        let apply_within = self.control_times.configuration_apply_timeout;
+        let apply_within = self.control_timings.configuration_apply_timeout;
         let until = deadline.min(Instant::now() + apply_within);
         let wait_ms = until.saturating_duration_since(Instant::now()).as_millis() as u32;
         let mut calls = JoinSet::new();
