--- a/crates/relay/src/config.rs
+++ b/crates/relay/src/config.rs
@@ -45,8 +45,6 @@
 
 /// The configuration file as it is written.
 #[derive(Deserialize)]
-// The name that serde prints in an error.
-#[serde(rename = "File")]
 struct ConfigFile {
     #[serde(default)]
     name: String,
--- a/crates/relay/src/discovery/list.rs
+++ b/crates/relay/src/discovery/list.rs
@@ -12,8 +12,6 @@
 
 /// The endpoint list, or what changed in it.
 #[derive(Clone, Debug, Default, Deserialize)]
-// The name that serde prints in an error.
-#[serde(rename = "List")]
 pub struct EndpointList {
     #[serde(rename = "seq")]
     pub(super) version: u64,
@@ -25,8 +23,6 @@
 
 /// An endpoint as discovery describes it.
 #[derive(Clone, Debug, Deserialize)]
-// The name that serde prints in an error.
-#[serde(rename = "Host")]
 pub(super) struct ListedHost {
     #[serde(rename = "host")]
     id: String,
--- a/crates/relay/tests/golden/mod.rs
+++ b/crates/relay/tests/golden/mod.rs
@@ -19,6 +19,6 @@
         golden.unwrap_or_else(|error| panic!("{}: {error}; UPDATE_GOLDEN=1 writes it", path.display()));
     let line = golden.lines().zip(text.lines()).position(|(golden, now)| golden != now);
     let line = line.unwrap_or_else(|| golden.lines().count().min(text.lines().count())) + 1;
-    let place = format!("{}:{line}", path.display());
-    assert!(golden == text, "{place} is the first difference\n--- golden\n{golden}\n--- now\n{text}");
+    let position = format!("{}:{line}", path.display());
+    assert!(golden == text, "{position} is the first difference\n--- golden\n{golden}\n--- now\n{text}");
 }
--- a/crates/relay/tests/names/command_line.rs
+++ b/crates/relay/tests/names/command_line.rs
@@ -1,13 +1,13 @@
 //! Commands, their options and exit codes.
 
 use crate::golden::assert_golden;
-use crate::program::Folder;
+use crate::program::TestDirectory;
 
 /// All that this writes for each of these command lines, one after the other.
 fn transcripts(command_lines: &[&str]) -> String {
-    let folder = Folder::new();
+    let directory = TestDirectory::new();
     let arguments = command_lines.iter().map(|line| line.split_whitespace().collect::<Vec<_>>());
-    arguments.map(|arguments| folder.transcript(&arguments)).collect()
+    arguments.map(|arguments| directory.transcript(&arguments)).collect()
 }
 
 #[test]
--- a/crates/relay/tests/names/configuration_keys.rs
+++ b/crates/relay/tests/names/configuration_keys.rs
@@ -5,7 +5,7 @@
 use serde_json::{Value, json};
 
 use crate::golden::assert_golden;
-use crate::program::Folder;
+use crate::program::TestDirectory;
 
 /// Every key of a relay's configuration, with values that are no defaults.
 const RELAY: &str = include_str!("full-relay.json");
@@ -16,12 +16,12 @@
     serde_json::from_str(text).expect("JSON")
 }
 
-/// Pointers to all places in a value, each after those that it is in.
-fn places(value: &Value, place: &str, found: &mut Vec<String>) {
+/// Collects JSON pointers to all values in a value, each after those that contain it.
+fn collect_paths(value: &Value, path: &str, found: &mut Vec<String>) {
     let mut visit = |key: &str, value: &Value| {
-        let place = format!("{place}/{key}");
-        found.push(place.clone());
-        places(value, &place, found);
+        let path = format!("{path}/{key}");
+        found.push(path.clone());
+        collect_paths(value, &path, found);
     };
     match value {
         Value::Object(fields) => fields.iter().for_each(|(key, value)| visit(key, value)),
@@ -33,31 +33,31 @@
 }
 
 /// A value that is of another type.
-fn of_another_type(value: &Value) -> Value {
+fn value_of_another_type(value: &Value) -> Value {
     if value.is_boolean() { json!("wrong") } else { json!(false) }
 }
 
-/// What a check says of the full one with a wrong type at each place in turn, a paragraph for each place.
+/// What a check prints for the full file with a wrong type at each path in turn, a paragraph for each path.
 fn wrong_types(full: &str, check: impl Fn(&str) -> String) -> String {
     let full = parse(full);
     let mut found = Vec::new();
-    places(&full, "", &mut found);
+    collect_paths(&full, "", &mut found);
     let mut text = String::new();
-    for place in found {
+    for path in found {
         let mut changed = full.clone();
-        let value = changed.pointer_mut(&place).expect("a place that was found");
-        *value = of_another_type(value);
-        let told = check(&changed.to_string());
-        let (_, told) = told.split_once('\n').expect("a command line");
-        let told = if told.contains("exit code 0") { "passed over\n\n" } else { told };
-        text.push_str(&format!("{place}\n{}", without_type_names(told)));
+        let value = changed.pointer_mut(&path).expect("a place that was found");
+        *value = value_of_another_type(value);
+        let transcript = check(&changed.to_string());
+        let (_, transcript) = transcript.split_once('\n').expect("a command line");
+        let transcript = if transcript.contains("exit code 0") { "passed over\n\n" } else { transcript };
+        text.push_str(&format!("{path}\n{}", without_type_names(transcript)));
     }
     text
 }
 
-/// Without the names of types in the code, which the parser tells where it expected an object.
-fn without_type_names(told: &str) -> String {
-    let mut parts = told.split("expected struct ");
+/// The text without the names of Rust types, which the parser prints where it expected an object.
+fn without_type_names(transcript: &str) -> String {
+    let mut parts = transcript.split("expected struct ");
     let mut text = parts.next().unwrap_or_default().to_owned();
     for part in parts {
         text.push_str("expected struct");
@@ -67,33 +67,33 @@
 }
 
 /// What `check-config` says of a relay's configuration.
-fn check_config(folder: &Folder, text: &str) -> String {
-    folder.write("config.json", text);
-    folder.transcript(&["check-config", "--config", "config.json"])
+fn check_config(directory: &TestDirectory, text: &str) -> String {
+    directory.write("config.json", text);
+    directory.transcript(&["check-config", "--config", "config.json"])
 }
 
 /// What `check-configuration` says of an operator's configuration.
-fn check_configuration(folder: &Folder, text: &str) -> String {
-    folder.write("configuration.json", text);
-    folder.transcript(&["check-configuration", "configuration.json"])
+fn check_configuration(directory: &TestDirectory, text: &str) -> String {
+    directory.write("configuration.json", text);
+    directory.transcript(&["check-configuration", "configuration.json"])
 }
 
 #[test]
 fn a_full_relay_configuration_is_described() {
-    assert_golden("relay-config-check.txt", &check_config(&Folder::new(), RELAY));
+    assert_golden("relay-config-check.txt", &check_config(&TestDirectory::new(), RELAY));
 }
 
 #[test]
 fn a_wrong_type_in_a_relay_configuration_is_reported_with_its_key() {
-    let folder = Folder::new();
-    assert_golden("relay-config-keys.txt", &wrong_types(RELAY, |text| check_config(&folder, text)));
+    let directory = TestDirectory::new();
+    assert_golden("relay-config-keys.txt", &wrong_types(RELAY, |text| check_config(&directory, text)));
 }
 
 #[test]
 fn invalid_values_in_a_relay_configuration() {
-    let folder = Folder::new();
+    let directory = TestDirectory::new();
     let mut text = String::new();
-    for (place, value) in [
+    for (path, value) in [
         ("/name", json!("")),
         ("/listen", json!("nowhere")),
         ("/discovery", json!("")),
@@ -113,50 +113,50 @@
         ("/settings/kinds", json!(["a", "a"])),
     ] {
         let mut changed = parse(RELAY);
-        *changed.pointer_mut(place).expect("a known place") = value.clone();
-        let told = check_config(&folder, &changed.to_string());
-        text.push_str(&format!("{place} = {value}\n{told}"));
+        *changed.pointer_mut(path).expect("a known place") = value.clone();
+        let transcript = check_config(&directory, &changed.to_string());
+        text.push_str(&format!("{path} = {value}\n{transcript}"));
     }
-    text.push_str(&check_config(&folder, "{}"));
-    text.push_str(&check_config(&folder, "{"));
+    text.push_str(&check_config(&directory, "{}"));
+    text.push_str(&check_config(&directory, "{"));
     assert_golden("relay-config-invalid.txt", &text);
 }
 
 /// The variables give what the file does not, and the file goes before them.
 #[test]
 fn environment_variables_of_a_relay() {
-    let folder = Folder::new();
+    let directory = TestDirectory::new();
     let mut short = parse(RELAY);
     ["name", "listen", "discovery"].iter().for_each(|key| drop(short.as_object_mut().unwrap().remove(*key)));
-    folder.write("short.json", &short.to_string());
-    folder.write("full.json", RELAY);
-    let told = |file: &str| {
-        let mut command = folder.program(&["check-config"]);
+    directory.write("short.json", &short.to_string());
+    directory.write("full.json", RELAY);
+    let transcript = |file: &str| {
+        let mut command = directory.program(&["check-config"]);
         command.env("ROUTER_CONFIG", file).env("ROUTER_NAME", "named").env("ROUTER_STATE", ".");
         command.env("ROUTER_LISTEN", "127.0.0.1:1001").env("ROUTER_DISCOVERY", "127.0.0.1:1002");
         String::from_utf8(command.output().expect("the program runs").stdout).expect("UTF-8")
     };
     let begin = "named listens on 127.0.0.1:1001, asks 127.0.0.1:1002, keeps up to 5000000 bytes in .\n";
-    assert!(told("short.json").starts_with(begin), "{}", told("short.json"));
+    assert!(transcript("short.json").starts_with(begin), "{}", transcript("short.json"));
     let begin = "relay-1 listens on 127.0.0.1:9001, asks 127.0.0.1:9002, keeps up to 5000000 bytes in .\n";
-    assert!(told("full.json").starts_with(begin), "{}", told("full.json"));
+    assert!(transcript("full.json").starts_with(begin), "{}", transcript("full.json"));
 }
 
 #[test]
 fn a_full_operator_configuration_is_described() {
-    assert_golden("configuration-check.txt", &check_configuration(&Folder::new(), OPERATOR));
+    assert_golden("configuration-check.txt", &check_configuration(&TestDirectory::new(), OPERATOR));
 }
 
 #[test]
 fn a_wrong_type_in_an_operator_configuration_is_reported_with_its_path() {
-    let folder = Folder::new();
-    let text = wrong_types(OPERATOR, |text| check_configuration(&folder, text));
+    let directory = TestDirectory::new();
+    let text = wrong_types(OPERATOR, |text| check_configuration(&directory, text));
     assert_golden("configuration-keys.txt", &text);
 }
 
 #[test]
 fn all_findings_of_an_invalid_operator_configuration() {
-    let folder = Folder::new();
+    let directory = TestDirectory::new();
     let of_wrong_types = json!({
         "generation": -1,
         "routes": [{"hostname": 1, "pathPrefix": null, "routeType": "unknown", "timeoutMs": "long"}],
@@ -173,9 +173,9 @@
         ],
         "backends": [{"name": "plain"}, {"name": "plain"}]
     });
-    let text = check_configuration(&folder, &of_wrong_types.to_string())
-        + &check_configuration(&folder, &that_do_not_fit.to_string())
-        + &check_configuration(&folder, "{}")
-        + &check_configuration(&folder, "{\n\"generation\":");
+    let text = check_configuration(&directory, &of_wrong_types.to_string())
+        + &check_configuration(&directory, &that_do_not_fit.to_string())
+        + &check_configuration(&directory, "{}")
+        + &check_configuration(&directory, "{\n\"generation\":");
     assert_golden("configuration-invalid.txt", &text);
 }
--- a/crates/relay/tests/names/main.rs
+++ b/crates/relay/tests/names/main.rs
@@ -1,5 +1,5 @@
-//! What is seen from outside by name: the command line, keys of settings and configurations, metrics. Golden files hold
-//! it (see `golden`); the tests speak to the program alone, so that names within the code are free.
+//! Names that are seen from outside: the command line, keys of settings and configurations, metrics. Golden files hold
+//! them (see `golden`); the tests use the program alone, so that names within the code are free.
 
 mod command_line;
 mod configuration_keys;
--- a/crates/relay/tests/names/metrics.rs
+++ b/crates/relay/tests/names/metrics.rs
@@ -1,4 +1,4 @@
-//! Names, labels and types of the metrics that each role tells, read from a tier of one machine.
+//! Names, labels and types of the metrics that each role exports, read from a tier of one machine.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,39 +6,40 @@
 
 use crate::golden::assert_golden;
 use crate::http::{call, call_until};
-use crate::program::Folder;
+use crate::program::TestDirectory;
 
 const ROLES: [(&str, u16); 3] = [("relay", 9_461), ("keeper", 9_462), ("store", 9_463)];
 
 /// A role that runs until the test ends.
-struct Running(Child);
+struct RunningRole(Child);
 
-impl Drop for Running {
+impl Drop for RunningRole {
     fn drop(&mut self) {
-        // It holds nothing that is of use after the test.
+        // Its state is of no use after the test.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// Starts a role by the settings for trying the tier out, at a loopback address of this process.
-fn start(folder: &Folder, role: &str, address: &str, port: u16) -> Running {
+/// Starts a role with the example settings, at a loopback address of this process.
+fn start_role(directory: &TestDirectory, role: &str, address: &str, port: u16) -> RunningRole {
     let file = format!("{}/../../deploy/local/one/{role}-1.toml", env!("CARGO_MANIFEST_DIR"));
     let text = std::fs::read_to_string(file).expect("the settings of the role");
-    let data = folder.path().display().to_string();
-    folder.write(&format!("{role}.toml"), &text.replace("127.0.0.1", address).replace("target/local", &data));
+    let data = directory.path().display().to_string();
+    directory
+        .write(&format!("{role}.toml"), &text.replace("127.0.0.1", address).replace("target/local", &data));
     let (settings, metrics) = (format!("{role}.toml"), format!("{port}/metrics"));
-    let mut command = folder.program(&[role, "--settings", &settings, "--metrics", &metrics]);
-    Running(command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().expect("the program starts"))
+    let mut command = directory.program(&[role, "--settings", &settings, "--metrics", &metrics]);
+    RunningRole(command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().expect("the program starts"))
 }
 
 /// A line for each series, `name{label="value"} type`, by name; values of the series are left out.
-fn series(page: &str) -> String {
+fn format_series(page: &str) -> String {
     let mut types = BTreeMap::new();
     let mut lines = Vec::new();
     for line in page.lines() {
-        if let Some(told) = line.strip_prefix("# TYPE ") {
-            let (name, kind) = told.split_once(' ').expect("a name and a type");
+        if let Some(declared) = line.strip_prefix("# TYPE ") {
+            let (name, kind) = declared.split_once(' ').expect("a name and a type");
             types.insert(name.to_owned(), kind);
         } else if !line.starts_with('#') {
             let (series, _) = line.rsplit_once(' ').expect("a series and its value");
@@ -54,14 +55,14 @@
 
 #[test]
 fn metrics_of_each_role() {
-    let folder = Folder::new();
-    // No other test has this network: those of README's way count from 101.
+    let directory = TestDirectory::new();
+    // No other test has this network: those of `tier/local.rs` count from 101.
     let address = format!("127.{}.100.1", std::process::id() % 200 + 20);
-    let running = ROLES.map(|(role, port)| start(&folder, role, &address, port));
+    let running = ROLES.map(|(role, port)| start_role(&directory, role, &address, port));
     for (role, port) in ROLES {
-        let place: SocketAddr = format!("{address}:{port}").parse().expect("an address");
-        let page = call_until(200, |_| call(place, "GET /metrics", "Host: metrics\r\n", ""));
-        assert_golden(&format!("metrics-{role}.txt"), &series(&page));
+        let address_and_port: SocketAddr = format!("{address}:{port}").parse().expect("an address");
+        let page = call_until(200, |_| call(address_and_port, "GET /metrics", "Host: metrics\r\n", ""));
+        assert_golden(&format!("metrics-{role}.txt"), &format_series(&page));
     }
     drop(running);
 }
--- a/crates/relay/tests/names/settings_keys.rs
+++ b/crates/relay/tests/names/settings_keys.rs
@@ -2,7 +2,7 @@
 //! value of a wrong type for one key after the other. A key that no longer is one is skipped, which shows.
 
 use crate::golden::assert_golden;
-use crate::program::Folder;
+use crate::program::TestDirectory;
 
 /// Every key that `docs/settings-system.md` lists, with values that are no defaults.
 const FULL: &str = include_str!("full-settings.toml");
@@ -27,15 +27,16 @@
     lines.join("\n")
 }
 
-fn check(folder: &Folder, role: &str, text: &str) -> String {
-    folder.write("settings.toml", text);
-    folder.transcript(&[role, "--check", "--settings", "settings.toml"])
+fn check(directory: &TestDirectory, role: &str, text: &str) -> String {
+    directory.write("settings.toml", text);
+    directory.transcript(&[role, "--check", "--settings", "settings.toml"])
 }
 
 #[test]
 fn check_of_a_full_settings_file_for_each_role() {
-    let folder = Folder::new();
-    let text: String = ["relay", "keeper", "store"].iter().map(|role| check(&folder, role, FULL)).collect();
+    let directory = TestDirectory::new();
+    let text: String =
+        ["relay", "keeper", "store"].iter().map(|role| check(&directory, role, FULL)).collect();
     assert_golden("settings-check.txt", &text);
 }
 
@@ -56,29 +57,29 @@
 
 #[test]
 fn a_wrong_type_is_rejected_at_every_key() {
-    let folder = Folder::new();
+    let directory = TestDirectory::new();
     let mut text = String::new();
     for (number, key) in keys(FULL) {
         let line = FULL.lines().nth(number).expect("a line");
         let (name, value) = line.split_once(" = ").expect("a key and a value");
         let wrong = if value == "true" { "0.5" } else { "false" };
-        let told = check(&folder, "keeper", &with_line(number, &format!("{name} = {wrong}")));
-        let why = told.lines().rev().nth(2).expect("lines");
-        let told = if told.contains("exit code 0") { "read by no role" } else { why };
-        text.push_str(&format!("{key} = {wrong}: {told}\n"));
+        let transcript = check(&directory, "keeper", &with_line(number, &format!("{name} = {wrong}")));
+        let reason = transcript.lines().rev().nth(2).expect("lines");
+        let transcript = if transcript.contains("exit code 0") { "read by no role" } else { reason };
+        text.push_str(&format!("{key} = {wrong}: {transcript}\n"));
     }
     assert_golden("settings-keys.txt", &text);
 }
 
 #[test]
 fn missing_and_unknown_keys() {
-    let folder = Folder::new();
+    let directory = TestDirectory::new();
     let mut text = String::new();
     for (number, key) in keys(FULL).into_iter().filter(|(_, key)| !key.starts_with("zones.")) {
         for role in ["relay", "keeper", "store"] {
-            let told = check(&folder, role, &with_line(number, "unknownKey = 1"));
-            if !told.contains("exit code 0") {
-                text.push_str(&format!("without {key}\n{told}"));
+            let transcript = check(&directory, role, &with_line(number, "unknownKey = 1"));
+            if !transcript.contains("exit code 0") {
+                text.push_str(&format!("without {key}\n{transcript}"));
             }
         }
     }
@@ -87,18 +88,18 @@
 
 #[test]
 fn local_names_the_role_that_does_not_exist() {
-    let folder = Folder::new();
-    folder.write("one.toml", "role = \"unknown\"\n");
-    let told = folder.transcript(&["local", "."]);
+    let directory = TestDirectory::new();
+    directory.write("one.toml", "role = \"unknown\"\n");
+    let transcript = directory.transcript(&["local", "."]);
     let expected = "$ juniperwing local .\n\
         juniperwing local: ./one.toml: role: \"unknown\" is not one of relay, keeper, store\n\
         Try 'juniperwing local --help'.\nexit code 2\n\n";
-    assert_eq!(told, expected);
+    assert_eq!(transcript, expected);
 }
 
 #[test]
 fn settings_values_out_of_range() {
-    let folder = Folder::new();
+    let directory = TestDirectory::new();
     let mut text = String::new();
     for line in [
         "nodeName = \"\"",
@@ -109,8 +110,9 @@
         "seedNodes = [\"127.0.0.1\"]",
     ] {
         let name = line.split_once(" = ").expect("a key and a value").0;
-        let place = FULL.lines().position(|full| full.starts_with(name)).expect("a key of the full file");
-        text.push_str(&check(&folder, "keeper", &with_line(place, line)));
+        let line_number =
+            FULL.lines().position(|full| full.starts_with(name)).expect("a key of the full file");
+        text.push_str(&check(&directory, "keeper", &with_line(line_number, line)));
     }
     assert_golden("settings-invalid.txt", &text);
 }
--- a/crates/relay/tests/serve/connections.rs
+++ b/crates/relay/tests/serve/connections.rs
@@ -1,4 +1,4 @@
-//! The list, waits and drains, and connections to endpoints.
+//! The endpoint list, pauses and drains, and connections to endpoints.
 
 use std::io::Read;
 use std::net::{SocketAddr, TcpStream};
@@ -34,11 +34,11 @@
     watch.write(&format!("{:x}\r\n{back}\r\n", back.len()));
     assert_eq!(harness.endpoint.next_message().id(), "1");
     assert!(harness.is_logged_before("endpoint list updated", "push started"));
-    // Silent from here on.
+    // The watch times out from here on.
     assert!(harness.next_watch().head.contains("index=44 "));
 }
 
-/// A connection that comes up late would carry a copy to its endpoint after its window, and with it the others.
+/// A connection established late would carry a repeat to its endpoint after its window, and with it the other pushes.
 #[test]
 fn a_late_connection_carries_only_the_pushes_that_may_still_be_sent() {
     let (full, dial, _first) = unaccepting_listener();
@@ -56,7 +56,7 @@
     first.respond("500 Internal Server Error", "", "");
     let ended = || harness.wait_for_log("push ended")["status"].clone();
     assert_eq!(ended(), "Error");
-    // The copy's window ends while the connection is not up: it never went.
+    // The window of the repeat ends while the connection is not established: it was not sent.
     assert_eq!(ended(), "NoConnection");
     assert_eq!(harness.next_notice().1, json!({"message": "1", "outcome": "given_up"}));
     full.accept().expect("the connection that took the room");
@@ -74,7 +74,7 @@
     assert!(body.contains(r#""id":"2""#) && !body.contains(r#""id":"1""#), "{body}");
 }
 
-/// Told to wait by one endpoint, the relay must not go on to another of the destination once it is reached.
+/// Asked for a pause by one endpoint, the relay must not send to another of the destination once that is connected.
 #[test]
 fn an_unsent_push_is_not_sent_during_a_pause_asked_for_meanwhile() {
     let (_full, dial, _first) = unaccepting_listener();
@@ -90,7 +90,7 @@
     assert_eq!(harness.wait_for_log("push ended")["status"], "Skipped");
 }
 
-/// An answer that crosses the end of its call tells a wait all the same.
+/// A response that crosses the end of its call can still ask for a pause.
 #[test]
 fn retry_after_in_a_late_response_is_respected() {
     let harness = RelayHarness::start();
@@ -102,7 +102,7 @@
     assert!(call.is_closed());
     call.respond("429 Too Many Requests", "Retry-After: 9.5\r\n", "");
     harness.wait_for_log("retry-after received");
-    // Its time ends in the wait, so it is answered at once, and told when to come again.
+    // It expires during the pause, so it is rejected at once, with the delay after which to retry.
     client.write(&submission("safe", "2", "", 300, b""));
     let (status, head) = client.read_response();
     assert_eq!((status, head.contains("Retry-After: 3.000")), (429, true), "{head}");
@@ -112,7 +112,7 @@
     assert!(harness.endpoint.next_message_within_30_ms().is_none());
 }
 
-/// A connection that is not up yet would carry its push to an endpoint long after that began to drain.
+/// A connection that is not established yet would carry its push to an endpoint long after that began to drain.
 #[test]
 fn an_unsent_push_is_not_sent_to_an_endpoint_that_drains_meanwhile() {
     let (_full, dial, _first) = unaccepting_listener();
@@ -127,7 +127,7 @@
     let line = format!("{}\n", json!({"seq": 42, "whole": false, "hosts": hosts}));
     watch.write(&format!("{:x}\r\n{line}\r\n", line.len()));
     assert_eq!(harness.wait_for_log("push ended")["status"], "Skipped");
-    // It never ran, so even a once-only one goes to the next.
+    // It was not run, so even a non-idempotent one goes to the next endpoint.
     assert_eq!(harness.endpoint.next_message().id(), "1");
 }
 
@@ -156,17 +156,17 @@
     let mut harness =
         RelayHarness::start_with(|config| config["settings"]["ceilings"]["conn-idle"] = json!(400_000_000));
     let mut client = harness.connect_client();
-    // The first is closed at once, for a relay that comes so seldom; the second, soon after it, once it was idle.
+    // The first is closed at once, since calls are so rare; the second, soon after it, once it was idle.
     for id in ["0", "1"] {
         assert_eq!(client.submit("once", id, "", b""), 202);
         let mut push = harness.endpoint.next_message();
         push.respond("200 OK", "", "");
         assert!(push.is_closed());
     }
-    // Answered in a later turn: what came before it is on record.
+    // Answered in a later turn: what came before it is in the journal.
     client.write(b"GET /ready HTTP/1.1\r\nHost: r\r\n\r\n");
     assert_eq!(client.read_response().0, 200);
-    // Nobody listens there: it never ran, so a once-only one may go again, and is handed back in the end.
+    // Nobody listens there: it was not run, so a non-idempotent one may be retried, and is returned in the end.
     harness.config["known"]["hosts"][0]["dial"] = json!("127.0.0.1:1");
     harness.kill();
     harness.restart();
@@ -178,7 +178,7 @@
     assert_eq!((&notice["message"], &notice["outcome"]), (&json!("2"), &json!("handed_back")));
 }
 
-/// A list that is pushed comes by a watch all the same, and somebody has to open it.
+/// A list that is pushed arrives by a watch, too, which the relay has to open.
 #[test]
 fn where_the_list_is_pushed_a_watch_is_opened_too() {
     let harness = RelayHarness::start_with(|config| config["settings"]["discovery"] = json!("automatic"));
--- a/crates/relay/tests/serve/golden_state.rs
+++ b/crates/relay/tests/serve/golden_state.rs
@@ -1,6 +1,6 @@
-//! A relay started on a committed state folder, which holds a notification in each state that one may be in.
+//! A relay started on a committed state directory, which has a notification in each state that one may be in.
 //!
-//! `tests/journal.rs` writes the folder and says how it is renewed.
+//! `tests/journal.rs` writes the directory and says how it is renewed.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -10,7 +10,7 @@
 
 use crate::harness::RelayHarness;
 
-/// Starts a relay on a committed folder, and checks what it pushes and of which ends it tells.
+/// Starts a relay on a committed directory, and checks its pushes and notices.
 fn check(name: &str) {
     let mut harness = RelayHarness::start();
     harness.kill();
--- a/crates/relay/tests/serve/harness.rs
+++ b/crates/relay/tests/serve/harness.rs
@@ -1,5 +1,5 @@
-//! Starts a relay and takes the place of all it speaks to: clients, endpoints and the platform. Written from the
-//! protocol; every wait is for an event, with a limit only so that a failure ends.
+//! Starts a relay and plays all its peers: clients, endpoints and the platform. Written from the protocol; every wait is
+//! for an event, with a limit only so that a failure ends.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,10 +11,10 @@
 
 use serde_json::{Value, json};
 
-/// Longer than anything waited for takes, on a machine that is busy.
+/// Longer than any wait takes on a busy machine.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A message as it was read, and the connection it came by.
+/// A message that was received, and its connection.
 pub struct ReceivedMessage {
     pub head: String,
     pub body: Vec<u8>,
@@ -31,10 +31,10 @@
         self.header("Request-Id").unwrap_or_default()
     }
 
-    /// Answers with a first line's rest, headers and a body.
+    /// Answers with a status and its phrase, header lines and a body.
     pub fn respond(&mut self, status: &str, headers: &str, body: &str) {
         let text = format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len());
-        // The relay may have gone by now: what it makes of that is what a test looks at.
+        // The relay may have exited by now, which is for the test to notice.
         let _ = self.stream.write_all(text.as_bytes());
     }
 
@@ -44,7 +44,7 @@
 
     /// Writes to a relay that may have closed the connection.
     pub fn try_write(&mut self, bytes: &str) {
-        // What the relay makes of it, or has made, is what a test looks at.
+        // How the relay treats it is for the test to notice.
         let _ = self.stream.write_all(bytes.as_bytes());
     }
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// Reads a message with the body that its head announces; nothing at the end of the stream.
+/// Reads a message with its body by `Content-Length`; `None` at the end of the stream.
 fn read_message(reader: &mut BufReader<TcpStream>) -> Option<(String, Vec<u8>)> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -74,7 +74,7 @@
     Some((head, body))
 }
 
-/// A server that hands every message it reads to the test.
+/// A server that hands every message it receives to the test.
 pub struct TestServer {
     pub address: SocketAddr,
     messages: Receiver<ReceivedMessage>,
@@ -98,7 +98,7 @@
         self.messages.recv_timeout(TEST_TIMEOUT).expect("a message in time")
     }
 
-    /// The next message, or nothing once there is a lull.
+    /// The next message; `None` if there is none for 30 ms.
     pub fn next_message_within_30_ms(&self) -> Option<ReceivedMessage> {
         self.messages.recv_timeout(Duration::from_millis(30)).ok()
     }
@@ -118,7 +118,7 @@
     }
 }
 
-/// A relay with a folder that lasts, one endpoint and a platform.
+/// A relay process with its state directory, one endpoint and a platform.
 pub struct RelayHarness {
     directory: PathBuf,
     process: Option<Child>,
@@ -129,16 +129,16 @@
     pub config: Value,
 }
 
-/// A folder of this test's own.
+/// A directory of this test's own.
 fn create_directory() -> PathBuf {
     static COUNT: AtomicUsize = AtomicUsize::new(0);
     let count = COUNT.fetch_add(1, Ordering::Relaxed);
-    let folder = std::env::temp_dir().join(format!("juniperwing-{}-{count}", std::process::id()));
-    std::fs::create_dir_all(folder.join("state")).expect("a folder for temporary files");
-    folder
+    let directory = std::env::temp_dir().join(format!("juniperwing-{}-{count}", std::process::id()));
+    std::fs::create_dir_all(directory.join("state")).expect("a directory for temporary files");
+    directory
 }
 
-/// What a relay is told: destination 7 with one endpoint, repeatable, collapsible and once-only topic types.
+/// A configuration with destination 7, which has one endpoint, and a topic type of each kind of semantics.
 fn default_config(endpoint: SocketAddr, platform: SocketAddr) -> Value {
     let host = json!({"host": "e", "dial": endpoint.to_string(), "site": "z", "class": "plain", "block": 7,
         "health": "ready", "share": 1.0});
@@ -173,7 +173,7 @@
         RelayHarness::start_with(|_| {})
     }
 
-    /// With a change to what the relay is told.
+    /// Starts a relay with a changed configuration.
     pub fn start_with(change: impl FnOnce(&mut Value)) -> RelayHarness {
         let (endpoint, platform) = (TestServer::start(), TestServer::start());
         let mut config = default_config(endpoint.address, platform.address);
@@ -200,13 +200,13 @@
         self.directory.join("config.json")
     }
 
-    /// Replaces the configuration file and asks the relay to read it.
+    /// Replaces the configuration file and has the relay read it again.
     pub fn reload(&self, text: &str) {
         std::fs::write(self.config_path(), text).expect("a written file");
         self.send_signal("-HUP");
     }
 
-    /// Starts the relay over the folder as it is, and waits until it serves.
+    /// Starts the relay on the directory as it is, and waits until it serves. Returns the line of the log that says so.
     pub fn restart(&mut self) -> Value {
         let path = self.config_path();
         std::fs::write(&path, self.config.to_string()).expect("a written file");
@@ -233,23 +233,23 @@
         line
     }
 
-    /// Waits for a line of the log.
+    /// Waits for a line of the log with this message.
     pub fn wait_for_log(&self, message: &str) -> Value {
         self.log_until(message).pop().unwrap_or_default()
     }
 
-    /// The log up to a line.
+    /// The lines of the log up to the first with this message.
     pub fn log_until(&self, message: &str) -> Vec<Value> {
         let (mut lines, since) = (Vec::new(), Instant::now());
         while lines.last().is_none_or(|line: &Value| line["msg"] != message) {
-            // Lines of what goes on for ever must not be waited through beyond the limit.
+            // Lines that are repeated forever must not extend the wait.
             assert!(since.elapsed() < TEST_TIMEOUT, "{message:?} in time");
             lines.push(self.log.recv_timeout(TEST_TIMEOUT).expect("a line of the log in time"));
         }
         lines
     }
 
-    /// Whether, of what is logged from here on, `first` comes before `then`.
+    /// Whether, of the lines logged from now on, one with `first` comes before one with `then`.
     pub fn is_logged_before(&self, first: &str, then: &str) -> bool {
         self.log_until(then).iter().any(|line| line["msg"] == first)
     }
@@ -264,14 +264,14 @@
         TestClient::connect(self.listen)
     }
 
-    /// Kills the relay outright.
+    /// Kills the relay with SIGKILL.
     pub fn kill(&mut self) {
         let mut relay = self.process.take().expect("a relay that runs");
         relay.kill().expect("a process of ours");
         relay.wait().expect("its end");
     }
 
-    /// Asks the relay to stop.
+    /// Sends the relay SIGTERM.
     pub fn request_stop(&self) {
         self.send_signal("-TERM");
     }
@@ -282,19 +282,19 @@
         assert!(done.success());
     }
 
-    /// Waits for the relay's end and says how it ended.
+    /// Waits for the relay to exit and returns its exit code.
     pub fn wait_for_exit(&mut self) -> Option<i32> {
         self.process.take().expect("a relay that runs").wait().expect("its end").code()
     }
 
-    /// The next notice, which comes by itself.
+    /// The next notice, which must be alone in its request.
     pub fn next_notice(&self) -> (ReceivedMessage, Value) {
         let (message, mut notices) = self.next_notices();
         assert_eq!(notices.len(), 1);
         (message, notices.remove(0))
     }
 
-    /// The next notices that come together.
+    /// The next request with notices, and the notices.
     pub fn next_notices(&self) -> (ReceivedMessage, Vec<Value>) {
         let message = self.next_platform_request("POST /v1/notices ");
         let lines = message.body.split(|byte| *byte == b'\n').filter(|line| !line.is_empty());
@@ -302,14 +302,14 @@
         (message, notices)
     }
 
-    /// The next watch on the list.
+    /// The next request for a watch.
     pub fn next_watch(&self) -> ReceivedMessage {
         self.next_platform_request("GET /v1/endpoints?")
     }
 
-    /// The next request to the platform that begins so; others before it are passed over.
+    /// The next request to the platform with this beginning; others before it are skipped.
     fn next_platform_request(&self, start: &str) -> ReceivedMessage {
-        // The watch is asked for again and again: what never comes must not be waited for beyond the limit.
+        // Watches are requested forever, and must not extend the wait.
         let since = Instant::now();
         while since.elapsed() < TEST_TIMEOUT {
             let message = self.platform.next_message();
@@ -324,7 +324,7 @@
 impl Drop for RelayHarness {
     fn drop(&mut self) {
         if let Some(mut relay) = self.process.take() {
-            // It may have ended by itself.
+            // It may have exited by itself.
             let _ = relay.kill();
             let _ = relay.wait();
         }
@@ -332,12 +332,12 @@
     }
 }
 
-fn remove_directory(folder: &Path) {
+fn remove_directory(directory: &Path) {
     // Left behind, it does no harm.
-    let _ = std::fs::remove_dir_all(folder);
+    let _ = std::fs::remove_dir_all(directory);
 }
 
-/// A client's connection.
+/// A connection of a client.
 pub struct TestClient {
     reader: BufReader<TcpStream>,
 }
@@ -353,7 +353,7 @@
         self.reader.get_mut().write_all(bytes).expect("the relay reads");
     }
 
-    /// The status and the head of the next answer.
+    /// The status and the head of the next response.
     pub fn read_response(&mut self) -> (u16, String) {
         let (head, _) = read_message(&mut self.reader).expect("an answer");
         let status = head.split(' ').nth(1).and_then(|status| status.parse().ok());
@@ -366,14 +366,14 @@
         self.reader.read_to_end(&mut rest).is_ok() && rest.is_empty()
     }
 
-    /// Hands a notification in and gives the status of the answer.
+    /// Submits a notification and returns the status of the response.
     pub fn submit(&mut self, topic: &str, id: &str, key: &str, body: &[u8]) -> u16 {
         self.write(&submission(topic, id, key, 16_000, body));
         self.read_response().0
     }
 }
 
-/// A notification for destination 7 with so many milliseconds left.
+/// The request that submits a notification for destination 7 with so many milliseconds left.
 pub fn submission(topic: &str, id: &str, key: &str, ms: u32, body: &[u8]) -> Vec<u8> {
     let head = format!(
         "POST /{topic}?key={key} HTTP/1.1\r\nHost: r\r\nRequest-Id: {id}\r\nRequest-Class: {topic}\r\n\
--- a/crates/relay/tests/serve/main.rs
+++ b/crates/relay/tests/serve/main.rs
@@ -1,4 +1,4 @@
-//! The relay as a process, spoken to over sockets.
+//! The relay as a process, tested over sockets.
 
 mod connections;
 mod golden_state;
--- a/crates/relay/tests/serve/pushes.rs
+++ b/crates/relay/tests/serve/pushes.rs
@@ -1,4 +1,4 @@
-//! Notifications go on, alone or several in a call, and what endpoints answer is heeded.
+//! Pushes, alone or in a batch, and the responses of endpoints.
 
 use std::time::{Duration, Instant};
 
@@ -22,7 +22,7 @@
         push.header("Request-Timeout-Ms").and_then(|text| text.parse().ok()).expect("a number");
     assert!(time_out <= 16_000);
     push.respond("200 OK", "", "ok");
-    // The next goes by the same connection, so the answer was read.
+    // The next push uses the same connection, so the response was read.
     assert_eq!(client.submit("safe", "2", "", b""), 202);
     harness.endpoint.next_message().respond("200 OK", "", "");
     assert_eq!(client.submit("safe", "3", "", b""), 202);
@@ -49,7 +49,7 @@
     let state = |id: &str, state: &str| json!({"id": id, "state": state});
     let states = json!([state("3", "failed"), state("1", "delivered"), state("2", "refused")]);
     push.respond("200 OK", "", &states.to_string());
-    // What failed may have run: given up. What was refused goes again. What was delivered is heard of no more.
+    // A failed push may have run: it is given up. A refused one is retried. For a delivered one nothing more is sent.
     let (mut message, notice) = harness.next_notice();
     assert_eq!(notice, json!({"message": "3", "outcome": "given_up"}));
     message.respond("204 No Content", "", "");
@@ -92,7 +92,7 @@
         let request = submission("safe", id, "", 9_000, b"");
         String::from_utf8(request).expect("text").replace("dest=7", "dest=70000").into_bytes()
     };
-    // As long as discovery has told nothing, the list may be old.
+    // Until discovery has sent a message, the list may be out of date.
     client.write(&unlisted("1"));
     assert_eq!(client.read_response().0, 503);
     let mut watch = harness.next_watch();
@@ -106,7 +106,7 @@
         }
     }
     assert_eq!(status, 404);
-    // One whose last endpoint has just left is about to have another.
+    // A destination whose last endpoint has just left is about to have another.
     let gone = json!({"seq": 42, "whole": false, "hosts": [{"host": "e", "block": 7, "health": "gone"}]});
     watch.write(&format!("{:x}\r\n{gone}\n\r\n", gone.to_string().len() + 1));
     harness.wait_for_log("endpoint list updated");
@@ -150,7 +150,7 @@
     }
 }
 
-/// Calls of several, a once-only topic type without order, and calls overdue soon enough for a test.
+/// Batches, a non-idempotent topic type without order, and calls overdue soon enough for a test.
 fn enable_batches(config: &mut Value) {
     config["settings"]["family-info"]["per-call"] = json!([10]);
     config["settings"]["rules"]["tip-after"] = json!(300_000_000);
@@ -160,7 +160,7 @@
     classes.push(loose);
 }
 
-/// An answer that comes after the first TTL in a call speaks of what is over: it counts for none of it.
+/// A response that comes after the first TTL in a call is about a call that has ended: it counts for no push.
 #[test]
 fn a_batch_ends_with_the_first_ttl_in_it_and_ignores_a_later_response() {
     for topic in ["loose", "once"] {
@@ -194,14 +194,14 @@
     let mut calls = [harness.endpoint.next_message(), harness.endpoint.next_message()];
     calls.sort_by_key(|call| call.id().to_owned());
     assert_eq!([calls[0].id(), calls[1].id()], ["1", "2"]);
-    // The first runs out of time; the second is none the worse for it.
+    // The first expires; the second is not affected.
     assert_eq!(harness.next_notice().1, json!({"message": "1", "outcome": "given_up"}));
     calls[1].respond("200 OK", "", "");
     harness.log_until("push ended");
     assert_eq!(harness.wait_for_log("push ended")["status"], "Delivered");
 }
 
-/// The answer and the end of its time are seen in one turn: nobody can tell which came first.
+/// The response and the deadline are seen in one turn: which came first is not known.
 #[test]
 fn a_response_read_in_the_turn_of_the_timeout_is_ignored() {
     let harness = RelayHarness::start_with(enable_batches);
--- a/crates/relay/tests/serve/races/discovery.rs
+++ b/crates/relay/tests/serve/races/discovery.rs
@@ -1,4 +1,4 @@
-//! The list and its watches, between two lines.
+//! The endpoint list and its watches.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -10,7 +10,7 @@
 use crate::harness::{RelayHarness, submission};
 use crate::support::unaccepting_listener;
 
-/// Beside the destination's endpoint stands another, `f`, where nothing comes up until it is accepted.
+/// Adds another endpoint, `f`, on which no connection is established until it is accepted.
 fn late_beside(config: &mut Value, dial: std::net::SocketAddr) {
     let mut late = config["known"]["hosts"][0].clone();
     (late["host"], late["dial"]) = (json!("f"), json!(dial.to_string()));
@@ -18,7 +18,7 @@
     config["settings"]["ceilings"]["connect-timeout"] = json!(10_000_000_000u64);
 }
 
-/// What an endpoint says before a call has gone out to it speaks of no call: it was not delivered, and never ran.
+/// What an endpoint sends before a call has gone out to it answers no call: it was not delivered, and was not run.
 #[test]
 fn a_response_received_before_its_call_was_sent_is_ignored() {
     for (early, status) in [
@@ -30,7 +30,7 @@
     ] {
         let (full, dial, _first) = unaccepting_listener();
         let harness = RelayHarness::start_with(|config| {
-            // Another endpoint, which drains, so that all goes to the one where nothing comes up.
+            // Another endpoint, which drains, so that everything goes to the one that accepts no connection.
             let mut late = config["known"]["hosts"][0].clone();
             (late["host"], late["health"]) = (json!("f"), json!("draining"));
             set_endpoint_address(config, dial);
@@ -49,7 +49,7 @@
         harness.send_signal("-CONT");
         assert_eq!(harness.wait_for_log("push ended")["status"], status, "{early}");
         drop(full);
-        // It never ran, so even a once-only one goes to an endpoint that takes calls again.
+        // It was not run, so even a non-idempotent one goes to an endpoint that takes calls again.
         write_list(
             &mut watch,
             &endpoint_list(42, false, &[("e", "gone", None), ("f", "ready", Some(harness.endpoint.address))]),
@@ -58,7 +58,7 @@
     }
 }
 
-/// A list that can be read counts, though one that cannot comes behind it; that one changes nothing.
+/// A valid list counts, though a malformed one follows it, which changes nothing.
 #[test]
 fn a_list_before_a_malformed_one_is_applied_and_the_watch_reopened_behind_it() {
     let harness = RelayHarness::start();
@@ -72,7 +72,7 @@
     assert!(harness.endpoint.next_message_within_30_ms().is_none());
 }
 
-/// A list may stand on several lines, and come in pieces.
+/// A list may stand on several lines and arrive in several chunks.
 #[test]
 fn an_indented_list_is_parsed() {
     let harness = RelayHarness::start();
@@ -95,7 +95,7 @@
     assert!(harness.next_watch().head.contains("index=44 "));
 }
 
-/// Pieces of a line keep no watch alive: nothing is told by them.
+/// Parts of a line do not keep a watch alive: they are no message.
 #[test]
 fn a_watch_with_only_parts_of_a_line_times_out() {
     let harness = RelayHarness::start();
@@ -111,11 +111,11 @@
         sleep_until(Instant::now(), 120);
     }
     assert!(next.is_some_and(|next| next.head.contains("index=41 ")));
-    // Silent for 3 s from its head on; the rest is for a machine that is busy. News is to be had within 6 s.
+    // No message for 3 s after its head; the rest is for a busy machine. An update has to arrive within 6 s.
     assert!(since.elapsed() < Duration::from_millis(5_500), "{:?}", since.elapsed());
 }
 
-/// Word that nothing has changed is word: a watch that breaks after it is begun anew soon, however often.
+/// An empty line is a message: a watch that fails after it is reopened soon, however often.
 #[test]
 fn a_watch_that_fails_repeatedly_after_messages_is_reopened_soon_each_time() {
     let harness = RelayHarness::start();
@@ -129,7 +129,7 @@
     assert!(since.elapsed() < Duration::from_secs(4), "{:?}", since.elapsed());
 }
 
-/// A drain, or a wait, is told in the very turn in which the connection of a call comes up: no byte of it goes out.
+/// A drain, or a pause, is reported in the turn in which a call's connection is established: none of its bytes go out.
 #[test]
 fn updates_in_the_turn_in_which_a_connection_is_established_hold_for_its_call() {
     for drains in [true, false] {
@@ -155,13 +155,13 @@
         let last = if drains { lines.last().cloned() } else { Some(harness.wait_for_log("push ended")) };
         assert_eq!(last.map(|line| line["status"].clone()), Some(json!("Skipped")), "{lines:?}");
         let (mut call, mut bytes) = (TcpStream::from(call), Vec::new());
-        // It may be reset: what counts is that nothing came.
+        // It may be reset: what counts is that nothing was received.
         let _ = call.read_to_end(&mut bytes);
         assert_eq!(bytes, b"");
     }
 }
 
-/// A list that says it is whole and names no endpoints, not even none, is spoilt: the one held goes on.
+/// A list that says it is complete and has no hosts at all, not even an empty list, is malformed: the present one stays.
 #[test]
 fn a_complete_list_without_hosts_removes_no_endpoint() {
     let harness = RelayHarness::start();
@@ -173,8 +173,8 @@
     assert_eq!(harness.endpoint.next_message().id(), "1");
 }
 
-/// Pushed, what discovery has counts from a process's first moment: nothing goes by the list of an earlier one before
-/// the first word of a watch, be it that there is none.
+/// Pushed, the list counts as current from the start of a process: nothing is sent by the list of an earlier one before
+/// the first message of a watch, or its failure.
 #[test]
 fn where_the_list_is_pushed_no_push_uses_an_old_list_before_discovery_answers() {
     for speaks in [true, false] {
@@ -188,7 +188,7 @@
         let mut watch = harness.next_watch();
         assert_eq!(harness.connect_client().submit("safe", "2", "", b""), 202);
         harness.wait_for_log("notification accepted");
-        // Read anew, the settings make the old list no newer.
+        // Reloaded settings do not make the old list current.
         harness.reload(&harness.config.to_string());
         harness.wait_for_log("configuration reloaded");
         assert!(harness.endpoint.next_message_within_30_ms().is_none());
@@ -206,8 +206,8 @@
     }
 }
 
-/// An endpoint goes over to another destination, with a call out and one whose connection is not up: the first has its
-/// end, the second does not arrive there, and nothing more goes there for the destination that it had.
+/// An endpoint changes its destination, with a call in flight and one whose connection is not established: the first ends
+/// as usual, the second is not sent, and nothing more goes there for the former destination.
 #[test]
 fn an_endpoint_that_changes_its_destination_gets_no_pushes_for_the_former_one() {
     let (full, dial, _first) = unaccepting_listener();
@@ -215,31 +215,31 @@
     let mut watch = harness.next_watch();
     let mut client = harness.connect_client();
     assert_eq!([client.submit("once", "1", "k", b""), client.submit("safe", "2", "", b"")], [202; 2]);
-    let mut out = harness.endpoint.next_message();
-    assert_eq!(out.id(), "1");
-    let mut moved = endpoint_list(
+    let mut in_flight = harness.endpoint.next_message();
+    assert_eq!(in_flight.id(), "1");
+    let mut changed = endpoint_list(
         42,
         false,
         &[("e", "ready", Some(harness.endpoint.address)), ("f", "ready", Some(dial))],
     );
-    for host in moved["hosts"].as_array_mut().expect("hosts") {
+    for host in changed["hosts"].as_array_mut().expect("hosts") {
         host["block"] = json!(8);
     }
     watch.write(WATCH_HEAD);
-    write_list(&mut watch, &moved);
+    write_list(&mut watch, &changed);
     assert_eq!(harness.wait_for_log("push ended")["status"], "Skipped");
-    out.respond("500 No", "", "");
+    in_flight.respond("500 No", "", "");
     assert_eq!(harness.next_notice().1, json!({"message": "1", "outcome": "given_up"}));
-    let moved = submission("safe", "3", "", 16_000, b"").to_vec();
-    let moved = String::from_utf8(moved).expect("plain text").replace("dest=7", "dest=8");
-    client.write(moved.as_bytes());
+    let changed = submission("safe", "3", "", 16_000, b"").to_vec();
+    let changed = String::from_utf8(changed).expect("plain text").replace("dest=7", "dest=8");
+    client.write(changed.as_bytes());
     assert_eq!(client.read_response().0, 202);
     assert_eq!(harness.endpoint.next_message().id(), "3");
     assert!(harness.endpoint.next_message_within_30_ms().is_none());
     drop(full);
 }
 
-/// An endpoint whose address cannot be read is said, and uses up no push: what is for it is held until it can be.
+/// An endpoint with an invalid address is logged, and uses up no push: its notifications wait until it has a valid one.
 #[test]
 fn an_endpoint_without_a_valid_address_gets_no_pushes_until_it_has_one() {
     let harness =
--- a/crates/relay/tests/serve/races/exchanges.rs
+++ b/crates/relay/tests/serve/races/exchanges.rs
@@ -1,4 +1,4 @@
-//! Requests, answers and notices.
+//! Requests, responses and notices.
 
 use std::time::{Duration, Instant};
 
@@ -7,23 +7,23 @@
 use super::support::sleep_until;
 use crate::harness::{RelayHarness, submission};
 
-/// The end of a request and the end of its time are seen in one turn. It is whole: it has an answer.
+/// The end of a request and its deadline are seen in one turn. It is complete, so it is answered.
 #[test]
 fn a_request_complete_in_the_turn_of_its_timeout_is_answered() {
     let harness = RelayHarness::start();
-    let whole = submission("safe", "1", "", 16_000, b"x");
+    let request = submission("safe", "1", "", 16_000, b"x");
     let mut client = harness.connect_client();
-    client.write(&whole[..whole.len() - 1]);
+    client.write(&request[..request.len() - 1]);
     let since = Instant::now();
     harness.send_signal("-STOP");
-    client.write(&whole[whole.len() - 1..]);
+    client.write(&request[request.len() - 1..]);
     sleep_until(since, 2_300);
     harness.send_signal("-CONT");
     assert_eq!(client.read_response().0, 202);
     assert_eq!(harness.endpoint.next_message().id(), "1");
 }
 
-/// An answer's head tells a wait, and the rest of it is late, spoilt or never comes: the wait binds from the head on.
+/// A response's head has a retry-after, and the rest is late, invalid or never comes: it holds from the head on.
 #[test]
 fn retry_after_in_the_head_of_an_incomplete_response_holds_at_once() {
     for (status, rest, closes) in [
@@ -52,7 +52,7 @@
     }
 }
 
-/// 1xx responses without end are no answer: the push ends long before its time to live.
+/// Interim responses without end are no response: the push ends long before its time to live.
 #[test]
 fn endless_interim_responses_end_the_push() {
     let harness = RelayHarness::start();
@@ -66,7 +66,7 @@
     assert!(since.elapsed() < Duration::from_secs(4), "{:?}", since.elapsed());
 }
 
-/// A push is called off while the rest of its answer is late: with the first line of a 200 it was delivered.
+/// A push is cancelled while the rest of its response is late: with the status line of a 200 it was delivered.
 #[test]
 fn a_push_cancelled_after_the_status_line_of_a_200_was_delivered() {
     let harness =
@@ -77,7 +77,7 @@
     }
     let mut push = harness.endpoint.next_message();
     let since = Instant::now();
-    // Overdue, with two of its key behind it, 0.8 s after it went; spoilt 0.5 s after its first line.
+    // Overdue, with two of its key behind it, 0.8 s after it was sent; incomplete 0.5 s after its status line.
     sleep_until(since, 550);
     push.write("HTTP/1.1 200 OK\r\n");
     let ended = harness.wait_for_log("push ended");
@@ -86,14 +86,14 @@
     assert_eq!(harness.endpoint.next_message().id(), "2");
 }
 
-/// One id on two connections, read in one turn: both have the one answer, be it a refusal.
+/// One id on two connections, read in one turn: both get the same response, be it a rejection.
 #[test]
 fn an_id_submitted_twice_in_one_turn_has_one_response() {
     for (ms, status) in [(1, 429), (16_000, 202)] {
         let harness = RelayHarness::start();
         let mut clients = [harness.connect_client(), harness.connect_client()];
         for client in &mut clients {
-            // Both are known to the relay before it stands still.
+            // The relay has accepted both connections before it is stopped.
             client.write(b"GET /ready HTTP/1.1\r\n\r\n");
             assert_eq!(client.read_response().0, 200);
         }
@@ -106,8 +106,8 @@
     }
 }
 
-/// The connection that notices go by falls silent while it rests: the next is repeated on another in time, which is
-/// 300 ms for an end that came with the time to live.
+/// The connection of the notices dies while it is idle: the next notice is repeated on another one in time, which is
+/// 300 ms for an end at the time to live.
 #[test]
 fn a_notice_on_a_dead_connection_is_repeated_in_time() {
     let harness = RelayHarness::start();
@@ -132,7 +132,7 @@
     }
 }
 
-/// A header that the relay passes on, or goes by, is there and is no text: nothing is taken on without it.
+/// A header that the relay forwards or uses is there and is no text: nothing is accepted without it.
 #[test]
 fn a_submission_with_a_header_that_is_not_text_is_rejected() {
     let harness = RelayHarness::start();
--- a/crates/relay/tests/serve/races/mod.rs
+++ b/crates/relay/tests/serve/races/mod.rs
@@ -1,4 +1,4 @@
-//! What happens when a request, an answer or a signal comes between two lines: each crossing is forced.
+//! Requests, responses and signals that come at the same moment: each race is forced.
 
 mod discovery;
 mod exchanges;
--- a/crates/relay/tests/serve/races/restarts.rs
+++ b/crates/relay/tests/serve/races/restarts.rs
@@ -1,4 +1,4 @@
-//! Starts, settings, signals and stops.
+//! Starts, settings, signals and shutdowns.
 
 use std::time::{Duration, Instant};
 
@@ -8,7 +8,7 @@
 use crate::harness::{RelayHarness, TestClient, submission};
 use crate::support::unaccepting_listener;
 
-/// Killed while its connection is not up: no byte of the push went out, so even a once-only one is tried.
+/// Killed before its connection is established: no byte of the push went out, so even a non-idempotent one is pushed.
 #[test]
 fn a_push_never_written_is_made_by_the_next_process() {
     for per_call in [1, 10] {
@@ -44,7 +44,7 @@
     }
 }
 
-/// A topic type that is gone from the settings at a restart: what was promised of it holds, and it is tried.
+/// A topic type that is not in the settings any more at a restart: its guarantee holds, and it is pushed.
 #[test]
 fn a_notification_of_a_removed_topic_type_is_pushed_and_keeps_its_guarantee() {
     let (_full, dial, _first) = unaccepting_listener();
@@ -65,7 +65,7 @@
     assert!(harness.endpoint.next_message_within_30_ms().is_none());
 }
 
-/// Made shorter, the time for which endpoints keep idle connections holds for those that are idle already.
+/// A shorter idle timeout holds for the connections that are idle already.
 #[test]
 fn a_reload_with_a_shorter_idle_timeout_closes_idle_connections() {
     let mut harness = RelayHarness::start();
@@ -86,31 +86,31 @@
     }
 }
 
-/// A relay that has been told to stop and has no slots any more.
+/// Requests a stop and waits until it has begun.
 fn request_stop(harness: &RelayHarness) -> Instant {
     harness.request_stop();
     harness.wait_for_log("shutdown started");
     Instant::now()
 }
 
-/// Requests that are in the system's buffers, on connections old and new, when the last of its time to serve comes;
-/// there are as many clients as there is room for, but one.
+/// Requests that are in the system's buffers, on connections old and new, when admission ends; there is one client fewer
+/// than the limit.
 #[test]
 fn requests_unread_at_the_end_of_a_shutdown_are_answered() {
     let mut harness = RelayHarness::start_with(|config| config["limits"]["sockets"] = json!(64));
     let mut old: Vec<TestClient> = (0..15).map(|_| harness.connect_client()).collect();
-    for (place, client) in old.iter_mut().enumerate() {
-        assert_eq!(client.submit("safe", &format!("1-{place}"), "", b""), 202);
+    for (index, client) in old.iter_mut().enumerate() {
+        assert_eq!(client.submit("safe", &format!("1-{index}"), "", b""), 202);
     }
     let since = request_stop(&harness);
     harness.wait_for_log("new calls stopped");
     harness.send_signal("-STOP");
     old[0].write(&submission("safe", "2", "", 16_000, b""));
     let mut new: Vec<TestClient> = (0..2).map(|_| harness.connect_client()).collect();
-    for (place, client) in new.iter_mut().enumerate() {
-        client.write(&submission("safe", &format!("3-{place}"), "", 16_000, b""));
+    for (index, client) in new.iter_mut().enumerate() {
+        client.write(&submission("safe", &format!("3-{index}"), "", 16_000, b""));
     }
-    // No more is taken in from 2.8 s on, and it is out at 3.1 s.
+    // Admission ends after 2.8 s, and the process exits after 3.1 s.
     sleep_until(since, 2_850);
     harness.send_signal("-CONT");
     for client in old[..1].iter_mut().chain(&mut new) {
@@ -122,7 +122,7 @@
     assert!(since.elapsed() < Duration::from_millis(3_700), "{:?}", since.elapsed());
 }
 
-/// With no client left it still waits for the calls that are out, as long as it may.
+/// Without clients it still waits for the calls in flight, as long as it may.
 #[test]
 fn calls_in_flight_may_end_in_a_shutdown_without_clients() {
     let mut harness = RelayHarness::start();
@@ -139,7 +139,7 @@
     assert_eq!(harness.wait_for_exit(), Some(0));
 }
 
-/// Handed in when there are no slots any more: taken on only if the next process can still push it.
+/// Submitted when no calls are made any more: accepted only if the next process can still push it.
 #[test]
 fn a_shutdown_rejects_only_notifications_that_expire_before_the_next_process() {
     let harness = RelayHarness::start();
@@ -153,7 +153,7 @@
     assert_eq!(harness.wait_for_log("shutdown complete")["outstanding"], 1);
 }
 
-/// Signals before it serves, twice, and in a stop: one stop, in time, and nothing else.
+/// Signals before it serves, twice, and during a shutdown: one shutdown, in time, and nothing else.
 #[test]
 fn repeated_signals_make_one_shutdown() {
     let mut harness = RelayHarness::start();
@@ -170,7 +170,7 @@
     harness.wait_for_log("new calls stopped");
     harness.reload(&harness.config.to_string());
     harness.wait_for_log("configuration reloaded");
-    // Slots in a file read anew are none in a stop.
+    // The slots of a reloaded file do not count during a shutdown.
     assert_eq!(harness.connect_client().submit("safe", "2", "", b"late"), 202);
     let rest = harness.log_until("shutdown complete");
     assert!(
@@ -180,7 +180,7 @@
     assert_eq!(harness.wait_for_exit(), Some(0));
     assert!(since.elapsed() < Duration::from_millis(3_700), "{:?}", since.elapsed());
     drop(first);
-    // Told to stop as soon as it can hear it: it serves its time all the same, with what it owes.
+    // A stop requested as early as possible: it still serves its time, with what is outstanding.
     harness.restart();
     harness.request_stop();
     assert_eq!(&*harness.endpoint.next_message().body, b"late");
@@ -192,39 +192,42 @@
     assert_eq!(harness.wait_for_exit(), Some(0));
 }
 
-/// Any one key missing, the relay says which it is and does not start, or it serves.
+/// With any one key missing, the relay names the key and does not start, or it serves.
 #[test]
 fn with_any_settings_key_missing_it_serves_or_names_the_key() {
-    let whole = RelayHarness::start().config.clone();
+    let full_config = RelayHarness::start().config.clone();
     let mut paths = vec![String::new()];
     let mut keys = Vec::new();
     while let Some(path) = paths.pop() {
-        let Some(Value::Object(object)) = whole["settings"].pointer(&path) else { continue };
+        let Some(Value::Object(object)) = full_config["settings"].pointer(&path) else { continue };
         for key in object.keys() {
             keys.push((path.clone(), key.clone()));
             paths.push(format!("{path}/{key}"));
         }
     }
     for at in 0..3 {
-        let class = whole["settings"]["classes"][at].as_object().expect("a topic type");
+        let class = full_config["settings"]["classes"][at].as_object().expect("a topic type");
         keys.extend(class.keys().map(|key| (format!("/classes/{at}"), key.clone())));
     }
     assert!(keys.len() > 50, "{}", keys.len());
     for (path, key) in keys {
-        let mut config = whole.clone();
+        let mut config = full_config.clone();
         let object = config["settings"].pointer_mut(&path).and_then(Value::as_object_mut);
         object.expect("an object").remove(&key);
         let checked = crate::support::check_config(&config);
-        if let Err(said) = checked {
-            assert!(said.contains(&key) || key == "family-info" || key == "ceilings", "{path}/{key}: {said}");
+        if let Err(message) = checked {
+            assert!(
+                message.contains(&key) || key == "family-info" || key == "ceilings",
+                "{path}/{key}: {message}"
+            );
             continue;
         }
-        let harness = RelayHarness::start_with(|told| {
-            let (known, discovery) = (told["known"].clone(), told["discovery"].clone());
-            *told = config;
-            (told["known"], told["discovery"]) = (known, discovery);
+        let harness = RelayHarness::start_with(|changed| {
+            let (known, discovery) = (changed["known"].clone(), changed["discovery"].clone());
+            *changed = config;
+            (changed["known"], changed["discovery"]) = (known, discovery);
         });
-        // Without its name a topic type is another; what is said of it then is an answer too.
+        // Without its name a topic type is another one, which is accepted as well.
         let status = harness.connect_client().submit("safe", "1", "", b"x");
         assert_eq!(status, 202, "{path}/{key}");
         assert_eq!(harness.endpoint.next_message().id(), "1", "{path}/{key}");
--- a/crates/relay/tests/serve/restarts.rs
+++ b/crates/relay/tests/serve/restarts.rs
@@ -1,4 +1,4 @@
-//! Restarts, kills, stops and the store.
+//! Restarts, kills, shutdowns and the journal.
 
 use std::fs::OpenOptions;
 use std::io::Write;
@@ -25,7 +25,7 @@
     harness.restart();
     let (mut message, again) = harness.next_notice();
     assert_eq!(again, notice);
-    // The next of its key may go only now.
+    // The next of its key may be pushed only now.
     assert_eq!(harness.connect_client().submit("once", "2", "k", b"x"), 202);
     harness.wait_for_log("notification accepted");
     message.respond("204 No Content", "", "");
@@ -40,14 +40,14 @@
     assert_eq!(client.submit("once", "1", "k", b"first"), 202);
     assert_eq!(client.submit("once", "2", "k", b"second"), 202);
     assert_eq!(client.submit("mark", "3", "", b"third"), 202);
-    let out = [harness.endpoint.next_message(), harness.endpoint.next_message()];
-    let mut ids = out.each_ref().map(|push| push.id().to_owned());
+    let in_flight = [harness.endpoint.next_message(), harness.endpoint.next_message()];
+    let mut ids = in_flight.each_ref().map(|push| push.id().to_owned());
     ids.sort();
     assert_eq!(ids, ["1", "3"]);
     harness.kill();
     harness.restart();
-    // The collapsible one goes again under its id; the once-only one does not, and holds up the next of its key
-    // until its end was heard.
+    // The deduplicated one is pushed again under its id; the non-idempotent one is not, and blocks the next of its key
+    // until its end was acknowledged.
     let mut again = harness.endpoint.next_message();
     assert_eq!(
         (again.id(), again.header("Idempotency-Key"), &*again.body),
@@ -93,18 +93,18 @@
     let mut harness = RelayHarness::start_with(|config| config["limits"]["disk_mb"] = json!(0.2));
     let mut client = harness.connect_client();
     let body = vec![7; 16 * 1024];
-    let mut taken = 0;
-    while client.submit("safe", &taken.to_string(), "", &body) == 202 {
-        taken += 1;
+    let mut submitted = 0;
+    while client.submit("safe", &submitted.to_string(), "", &body) == 202 {
+        submitted += 1;
     }
-    assert!((2..12).contains(&taken), "{taken}");
+    assert!((2..12).contains(&submitted), "{submitted}");
     assert_eq!(client.submit("safe", "more", "", &body), 503);
-    // Room comes back with each that is delivered, many times over what the folder holds.
+    // Capacity comes back with each delivery, many times over what the directory holds.
     for round in 0..40 {
         harness.endpoint.next_message().respond("200 OK", "", "");
         let mut ids = (0..).map(|count| format!("{round}-again-{count}"));
         while client.submit("safe", &ids.next().unwrap_or_default(), "", &body) != 202 {}
-        let files = std::fs::read_dir(harness.state_directory()).expect("the folder").flatten();
+        let files = std::fs::read_dir(harness.state_directory()).expect("the directory").flatten();
         let size: u64 = files.map(|file| file.metadata().map_or(0, |data| data.len())).sum();
         assert!(size < 200_000, "{size}");
     }
@@ -120,9 +120,9 @@
     harness.endpoint.next_message();
     harness.kill();
     let log = harness.state_directory().join("log");
-    let whole = std::fs::read(&log).expect("a log");
-    let mut file = OpenOptions::new().append(true).open(&log).expect("a log");
-    file.write_all(&whole[..whole.len() / 2 + 7]).and_then(|()| file.write_all(&[0xff; 9])).expect("room");
+    let bytes = std::fs::read(&log).expect("a journal");
+    let mut file = OpenOptions::new().append(true).open(&log).expect("a journal");
+    file.write_all(&bytes[..bytes.len() / 2 + 7]).and_then(|()| file.write_all(&[0xff; 9])).expect("room");
     harness.restart();
     assert_eq!(&*harness.endpoint.next_message().body, b"kept");
     harness.kill();
@@ -132,7 +132,7 @@
     assert_eq!(&*harness.endpoint.next_message().body, b"new");
 }
 
-/// What the outside sees, in order: a push and whether its answer let it run, and what is settled.
+/// What is seen from outside, in order: a push, whether it was not run, and an end.
 #[derive(Debug, PartialEq)]
 enum Observation {
     Pushed(String),
@@ -140,9 +140,9 @@
     Finished(String),
 }
 
-/// Answers endpoints' calls late and not always well, and notices at once, and writes down what it sees.
+/// Answers calls late and not always with success, and notices at once, and reports what it sees.
 fn observe(endpoint: TestServer, platform: TestServer) -> Receiver<Observation> {
-    let (sender, seen) = channel();
+    let (sender, observations) = channel();
     let notices = sender.clone();
     std::thread::spawn(move || {
         while let Some(mut message) = platform.next_message_without_limit() {
@@ -159,7 +159,7 @@
         }
     });
     std::thread::spawn(move || {
-        let (mut held, mut count) = (std::collections::VecDeque::new(), 0);
+        let (mut unanswered, mut count) = (std::collections::VecDeque::new(), 0);
         loop {
             let next = endpoint.next_message_within_30_ms();
             let quiet = next.is_none();
@@ -167,64 +167,66 @@
                 if sender.send(Observation::Pushed(message.id().to_owned())).is_err() {
                     return;
                 }
-                held.push_back(message);
+                unanswered.push_back(message);
             }
-            if !quiet && held.len() < 3 {
+            if !quiet && unanswered.len() < 3 {
                 continue;
             }
-            let Some(mut message): Option<ReceivedMessage> = held.pop_front() else { continue };
+            let Some(mut message): Option<ReceivedMessage> = unanswered.pop_front() else { continue };
             let id = message.id().to_owned();
             count += 1;
-            let (status, seen) = match count % 12 {
+            let (status, observation) = match count % 12 {
                 5 => ("503 Service Unavailable", Some(Observation::NotRun(id))),
                 11 => ("500 Internal Server Error", None),
                 _ => ("200 OK", Some(Observation::Finished(id))),
             };
-            if seen.is_some_and(|seen| sender.send(seen).is_err()) {
+            if observation.is_some_and(|observation| sender.send(observation).is_err()) {
                 return;
             }
             message.respond(status, "", "");
         }
     });
-    seen
+    observations
 }
 
 #[test]
 fn repeated_kills_lose_nothing_repeat_no_non_idempotent_push_and_keep_the_order() {
     let mut harness = RelayHarness::start();
     let (endpoint, platform) = harness.take_servers();
-    let seen = observe(endpoint, platform);
-    let (mut taken, mut log) = (Vec::new(), Vec::new());
-    for life in 0..6 {
+    let observations = observe(endpoint, platform);
+    let (mut submitted, mut log) = (Vec::new(), Vec::new());
+    for round in 0..6 {
         let mut client = harness.connect_client();
         for count in 0..20 {
             let (topic, key) = if count % 2 == 0 { ("once", count % 3) } else { ("safe", 9) };
-            let id = format!("{topic}-{key}-{life}-{count:02}");
+            let id = format!("{topic}-{key}-{round}-{count:02}");
             assert_eq!(client.submit(topic, &id, &key.to_string(), b"x"), 202);
-            taken.push(id);
+            submitted.push(id);
         }
         harness.kill();
         harness.restart();
     }
-    let settled = |log: &[Observation], id: &String| {
-        log.iter().any(|seen| matches!(seen, Observation::Finished(s) if s == id))
+    let is_finished = |log: &[Observation], id: &String| {
+        log.iter().any(|observation| matches!(observation, Observation::Finished(s) if s == id))
     };
-    while !taken.iter().all(|id| settled(&log, id)) {
+    while !submitted.iter().all(|id| is_finished(&log, id)) {
         log.push(
-            seen.recv_timeout(crate::harness::TEST_TIMEOUT)
-                .expect("all that was taken on is settled in time"),
+            observations
+                .recv_timeout(crate::harness::TEST_TIMEOUT)
+                .expect("every accepted notification ends in time"),
         );
     }
-    let place = |what: &Observation| log.iter().position(|seen| seen == what);
-    for (at, id) in taken.iter().enumerate().filter(|(_, id)| id.starts_with("once")) {
-        let count = |what: Observation| log.iter().filter(|seen| **seen == what).count();
+    let position_of = |what: &Observation| log.iter().position(|observation| observation == what);
+    for (index, id) in submitted.iter().enumerate().filter(|(_, id)| id.starts_with("once")) {
+        let count = |what: Observation| log.iter().filter(|observation| **observation == what).count();
         let ran = count(Observation::Pushed(id.clone())) - count(Observation::NotRun(id.clone()));
         assert!(ran <= 1, "{id} may have run {ran} times: {log:?}");
         let key = |id: &String| id[..6].to_owned();
-        let before = taken[..at].iter().rev().find(|other| key(other) == key(id));
-        if let (Some(before), Some(pushed)) = (before, place(&Observation::Pushed(id.clone()))) {
-            let over = place(&Observation::Finished(before.clone())).expect("all are settled");
-            assert!(over < pushed, "{id} overtook {before}: {log:?}");
+        let before = submitted[..index].iter().rev().find(|other| key(other) == key(id));
+        if let (Some(before), Some(pushed)) = (before, position_of(&Observation::Pushed(id.clone()))) {
+            let finished =
+                position_of(&Observation::Finished(before.clone())).expect("every notification has ended");
+            assert!(finished < pushed, "{id} overtook {before}: {log:?}");
         }
     }
 }
--- a/crates/relay/tests/serve/settings.rs
+++ b/crates/relay/tests/serve/settings.rs
@@ -1,4 +1,4 @@
-//! The command line, settings and their switch on SIGHUP.
+//! The command line, settings and their reload.
 
 use std::collections::BTreeMap;
 
@@ -14,17 +14,18 @@
     assert_eq!(harness.connect_client().submit("once", "1", "k", b"x"), 202);
     harness.endpoint.next_message().respond("500 Internal Server Error", "", "");
     let (message, notice) = harness.next_notice();
-    // What cannot be used changes nothing.
+    // An invalid file changes nothing.
     harness.reload("{");
     harness.wait_for_log("configuration reload failed");
     let old = std::mem::replace(&mut harness.platform, TestServer::start());
     harness.config["discovery"] = json!(harness.platform.address.to_string());
     harness.reload(&harness.config.to_string());
     let (next, second) = (harness.platform.next_message(), harness.platform.next_message());
-    let (mut told, asked) = if next.body.is_empty() { (second, next) } else { (next, second) };
-    assert!(asked.head.starts_with("GET /v1/endpoints?stream=1&index=41 "), "{}", asked.head);
-    assert_eq!(serde_json::from_slice::<Value>(&told.body).ok(), Some(notice));
-    told.respond("204 No Content", "", "");
+    let (mut notice_request, watch_request) =
+        if next.body.is_empty() { (second, next) } else { (next, second) };
+    assert!(watch_request.head.starts_with("GET /v1/endpoints?stream=1&index=41 "), "{}", watch_request.head);
+    assert_eq!(serde_json::from_slice::<Value>(&notice_request.body).ok(), Some(notice));
+    notice_request.respond("204 No Content", "", "");
     assert_eq!([watch, message].map(|mut left| left.is_closed()), [true; 2]);
     assert_eq!(harness.connect_client().submit("once", "2", "k", b"x"), 202);
     assert_eq!(harness.endpoint.next_message().id(), "2");
@@ -41,8 +42,8 @@
         let output = run_program(&["check-config", "--config", &path], &state);
         (output.status.code(), String::from_utf8_lossy(&[output.stdout, output.stderr].concat()).into_owned())
     };
-    let (code, said) = check(&harness.config.to_string());
-    assert_eq!((code, said.contains("r listens on 127.0.0.1:0")), (Some(0), true), "{said}");
+    let (code, output) = check(&harness.config.to_string());
+    assert_eq!((code, output.contains("r listens on 127.0.0.1:0")), (Some(0), true), "{output}");
     let with = |pointer: &str, value: Value| {
         let mut config = harness.config.clone();
         *config.pointer_mut(pointer).expect("a known place") = value;
@@ -58,11 +59,11 @@
         (with("/settings/family-info/slots", json!(0)), "family-info.slots"),
         (with("/settings/classes", json!([])), "classes is empty"),
     ] {
-        let (code, said) = check(&text);
-        assert_eq!(code, Some(2), "{said}");
-        assert!(said.starts_with("juniperwing: ") && said.contains(part), "{said}");
+        let (code, output) = check(&text);
+        assert_eq!(code, Some(2), "{output}");
+        assert!(output.starts_with("juniperwing: ") && output.contains(part), "{output}");
     }
-    // A check needs no folder; serving does.
+    // A check needs no state directory; serving does.
     std::fs::write(&path, harness.config.to_string()).expect("room");
     let checked = program().args(["check-config", "--config", &path]).output().expect("the program runs");
     assert_eq!(checked.status.code(), Some(0));
@@ -78,10 +79,10 @@
     assert_eq!(version.stdout, format!("juniperwing {}\n", env!("CARGO_PKG_VERSION")).as_bytes());
 }
 
-/// Settings of another shape: fewer slots, other rates and figures, once-only made repeatable, the list pushed.
+/// Other settings: fewer slots, other rates and figures, non-idempotent made idempotent, the list pushed.
 fn changed_settings(config: &Value) -> Value {
-    let mut moved = config.clone();
-    let settings = &mut moved["settings"];
+    let mut changed = config.clone();
+    let settings = &mut changed["settings"];
     settings["family-info"]["slots"] = json!(2);
     settings["rules"]["fall-multiple"] = json!(1.5);
     settings["weight-source"] = json!("nominal");
@@ -89,29 +90,29 @@
     settings["costs"] = json!({"cross-zone": 0.084});
     settings["zone"] = json!("z");
     settings["classes"][2]["semantics"] = json!("pure");
-    moved
+    changed
 }
 
-/// Under traffic, with once-only notifications out: each has its one end, none runs twice, there and back.
+/// Under traffic, with non-idempotent pushes in flight: each notification has one end and none is run twice.
 #[test]
 fn reloads_to_other_settings_and_back_lose_nothing_and_send_nothing_twice() {
     let mut harness = RelayHarness::start();
     let (old, new) = (harness.config.to_string(), changed_settings(&harness.config).to_string());
     let endpoint = std::mem::replace(&mut harness.endpoint, TestServer::start());
     let (mut client, mut runs, mut pushes) = (harness.connect_client(), BTreeMap::new(), 0);
-    let mut out = Vec::new();
+    let mut in_flight = Vec::new();
     for round in 0..6u64 {
         for n in 0..4u64 {
             let (topic, id) = (["once", "safe", "mark", "once"][n as usize], format!("{round}-{n}"));
             assert_eq!(client.submit(topic, &id, &id, b"x"), 202);
         }
-        // Switched while calls are out, some of which are answered only after the switch.
+        // Reloaded while calls are in flight, some of which are answered only afterwards.
         while let Some(push) = endpoint.next_message_within_30_ms() {
             *runs.entry(push.id().to_owned()).or_insert(0) += 1;
             pushes += 1;
-            out.push(push);
-            if out.len() > 1 {
-                out.remove(0).respond("200 OK", "", "");
+            in_flight.push(push);
+            if in_flight.len() > 1 {
+                in_flight.remove(0).respond("200 OK", "", "");
             }
         }
         harness.reload(if round % 2 == 0 { &new } else { &old });
@@ -119,22 +120,22 @@
         assert_eq!(line["settings"].as_str().map(|text| text.contains("2 slots")), Some(round % 2 == 0));
     }
     while pushes < 24 {
-        out.drain(..).for_each(|mut push| push.respond("200 OK", "", ""));
+        in_flight.drain(..).for_each(|mut push| push.respond("200 OK", "", ""));
         let push = endpoint.next_message();
         *runs.entry(push.id().to_owned()).or_insert(0) += 1;
         pushes += 1;
-        out.push(push);
+        in_flight.push(push);
     }
-    out.drain(..).for_each(|mut push| push.respond("200 OK", "", ""));
+    in_flight.drain(..).for_each(|mut push| push.respond("200 OK", "", ""));
     assert!(endpoint.next_message_within_30_ms().is_none());
     assert_eq!((runs.len(), runs.values().all(|times| *times == 1)), (24, true), "{runs:?}");
-    // Nothing is owed any more: a process that follows takes up nothing.
+    // Nothing is outstanding any more: the next process recovers nothing.
     harness.kill();
     let line = harness.restart();
     assert_eq!(line["outstanding"], 0);
 }
 
-/// What the new settings say of a topic type holds for what is taken on from then; the record keeps the old.
+/// New settings of a topic type hold for what is accepted from then on; the journal keeps the old guarantee.
 #[test]
 fn a_kill_right_after_a_reload_keeps_the_guarantee() {
     let mut harness = RelayHarness::start();
@@ -151,11 +152,11 @@
     assert_eq!(harness.endpoint.next_message().id(), "2");
     harness.kill();
     harness.restart();
-    // Taken on as repeatable, it goes again.
+    // Accepted as idempotent, it is pushed again.
     assert_eq!(harness.endpoint.next_message().id(), "2");
 }
 
-/// A file that cannot be used is refused whole with the key at fault, and the last good settings go on.
+/// An invalid file is rejected as a whole, with the key at fault, and the last valid settings stay.
 #[test]
 fn an_invalid_configuration_changes_nothing_on_a_reload() {
     let harness = RelayHarness::start();
@@ -182,7 +183,7 @@
         let line = harness.wait_for_log("configuration reload failed");
         assert!(line["error"].as_str().is_some_and(|why| why.contains(part)), "{line} lacks {part}");
     }
-    // The old ones hold: once-only is so still, and what came meanwhile is served.
+    // The old settings hold: the guarantee stays, and what came meanwhile is pushed.
     harness.reload(&change("/listen", json!("127.0.0.1:1")));
     assert_eq!(harness.wait_for_log("configuration changes need a restart")["keys"], "listen");
     drop(push);
--- a/crates/relay/tests/tier/http.rs
+++ b/crates/relay/tests/tier/http.rs
@@ -4,37 +4,37 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// The longest that anything may take, on a machine that does much else.
-pub const PATIENCE: Duration = Duration::from_secs(40);
-/// Between two tries of a call that is not yet answered as wanted.
-const AGAIN: Duration = Duration::from_millis(50);
+/// The longest that any call or wait may take on a busy machine.
+pub const CALL_TIMEOUT: Duration = Duration::from_secs(40);
+/// The pause between two attempts of a call.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Status and body, with the framing of a chunked body left in; `None` if nobody answers.
 pub fn call(address: SocketAddr, line: &str, headers: &str, body: &str) -> Option<(u16, String)> {
-    let mut stream = TcpStream::connect_timeout(&address, PATIENCE).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
+    let mut stream = TcpStream::connect_timeout(&address, CALL_TIMEOUT).ok()?;
+    stream.set_read_timeout(Some(CALL_TIMEOUT)).ok()?;
     let length = body.len();
     let request =
         format!("{line} HTTP/1.1\r\n{headers}Connection: close\r\nContent-Length: {length}\r\n\r\n{body}");
     stream.write_all(request.as_bytes()).ok()?;
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).ok()?;
-    let (head, body) = answer.split_once("\r\n\r\n")?;
+    let mut response = String::new();
+    stream.read_to_string(&mut response).ok()?;
+    let (head, body) = response.split_once("\r\n\r\n")?;
     let status = head.split(' ').nth(1)?.parse().ok()?;
     Some((status, body.to_owned()))
 }
 
-/// Calls until `wanted` comes back, with a new number each time. Returns the body.
-pub fn call_until(wanted: u16, mut attempt: impl FnMut(u32) -> Option<(u16, String)>) -> String {
-    let end = Instant::now() + PATIENCE;
+/// Calls until the status is `expected`, with a new number each time. Returns the body.
+pub fn call_until(expected: u16, mut attempt: impl FnMut(u32) -> Option<(u16, String)>) -> String {
+    let deadline = Instant::now() + CALL_TIMEOUT;
     let mut number = 0;
     loop {
         number += 1;
-        let answer = attempt(number);
-        match answer {
-            Some((status, body)) if status == wanted => return body,
-            _ => assert!(Instant::now() < end, "{wanted} is wanted, at last {answer:?}"),
+        let response = attempt(number);
+        match response {
+            Some((status, body)) if status == expected => return body,
+            _ => assert!(Instant::now() < deadline, "expected {expected}, got {response:?}"),
         }
-        std::thread::sleep(AGAIN);
+        std::thread::sleep(RETRY_INTERVAL);
     }
 }
--- a/crates/relay/tests/tier/process.rs
+++ b/crates/relay/tests/tier/process.rs
@@ -3,60 +3,60 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::Instant;
 
-use crate::http::PATIENCE;
+use crate::http::CALL_TIMEOUT;
 
 /// Runs a command to its end.
-pub fn run(arguments: &[&str]) -> Output {
+pub fn run_program(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_juniperwing"));
     command.args(arguments).env_remove("JUNIPERWING_CONFIG").output().expect("the program runs")
 }
 
 /// A command that runs until the test ends it.
-pub struct Running(Child);
+pub struct RunningProgram(Child);
 
-impl Running {
+impl RunningProgram {
     pub fn start(arguments: &[&str]) -> Self {
         let mut command = Command::new(env!("CARGO_BIN_EXE_juniperwing"));
         command.args(arguments).stdout(Stdio::null()).stderr(Stdio::null());
-        Running(command.spawn().expect("the program starts"))
+        RunningProgram(command.spawn().expect("the program starts"))
     }
 
-    /// The number of the process.
+    /// The id of the process.
     pub fn id(&self) -> u32 {
         self.0.id()
     }
 
     /// Sends a signal by its name.
-    pub fn signal(&self, name: &str) {
-        signal(self.id(), name);
+    pub fn send_signal(&self, name: &str) {
+        send_signal(self.id(), name);
     }
 
     /// Ends it by SIGTERM. Returns its exit code.
     pub fn stop(mut self) -> Option<i32> {
-        self.signal("TERM");
-        let end = Instant::now() + PATIENCE;
+        self.send_signal("TERM");
+        let deadline = Instant::now() + CALL_TIMEOUT;
         loop {
             if let Some(status) = self.0.try_wait().expect("it is a child") {
                 return status.code();
             }
-            assert!(Instant::now() < end, "it does not end");
+            assert!(Instant::now() < deadline, "it does not end");
             std::thread::yield_now();
         }
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningProgram {
     fn drop(&mut self) {
-        // A test that failed leaves nothing behind: the roles end with their parent's orderly end.
+        // A failed test leaves no process behind: the roles stop when their parent is stopped by SIGTERM.
         if matches!(self.0.try_wait(), Ok(None)) {
-            self.signal("TERM");
+            self.send_signal("TERM");
             let _ = self.0.wait();
         }
     }
 }
 
 /// Sends a signal to one process.
-pub fn signal(process: u32, name: &str) {
+pub fn send_signal(process: u32, name: &str) {
     let status = Command::new("kill").args(["-s", name, &process.to_string()]).status();
     assert!(status.expect("kill runs").success());
 }
