--- a/crates/relay/src/server/reload.rs
+++ b/crates/relay/src/server/reload.rs
@@ -17,8 +17,10 @@
             Err(e) => return warn!(self.log, "configuration reload failed"; "error" => e.to_string()),
         };
         let live_topics = self.journal.live().map(|(_, entry)| entry.notification.attributes.topic.as_str());
-        if let Some(reason) = self.settings.bars(&config.settings, live_topics, self.discovery.kinds()) {
-            return warn!(self.log, "configuration reload failed"; "error" => reason);
+        if let Err(error) =
+            self.settings.check_replacement(&config.settings, live_topics, self.discovery.kinds())
+        {
+            return warn!(self.log, "configuration reload failed"; "error" => error.to_string());
         }
         let changed_keys = self.static_config.changed_keys(&config.static_config);
         if !changed_keys.is_empty() {
