--- a/crates/stand-in/src/command.rs
+++ b/crates/stand-in/src/command.rs
@@ -5,6 +5,7 @@
 use std::time::Duration;
 
 use getopts::{Matches, Options};
+use snafu::{OptionExt, Snafu, ensure};
 use tokio::signal::unix::{SignalKind, signal};
 
 use crate::options::EndpointOptions;
@@ -12,6 +13,15 @@
 /// The longest id, in bytes.
 const MAX_ID_BYTES: usize = 64;
 
+/// An argument cannot be used.
+#[derive(Debug, Snafu)]
+enum ArgumentError {
+    #[snafu(display("--id: up to {MAX_ID_BYTES} letters, digits, '-', '_' and '.'"))]
+    InvalidId,
+    #[snafu(display("--{option}: {text:?} cannot be read"))]
+    InvalidValue { option: &'static str, text: String },
+}
+
 /// Runs a stand-in with the arguments behind `endpoint`, until SIGTERM or SIGINT.
 pub fn run(arguments: &[String]) -> ExitCode {
     let options = options();
@@ -23,8 +33,8 @@
     );
     let matches = match options.parse(arguments) {
         Ok(matches) if matches.free.is_empty() => matches,
-        Ok(matches) => return misused(&format!("unknown argument {:?}", matches.free[0])),
-        Err(e) => return misused(&e.to_string()),
+        Ok(matches) => return report_misuse(&format!("unknown argument {:?}", matches.free[0])),
+        Err(e) => return report_misuse(&e.to_string()),
     };
     if matches.opt_present("help") {
         print!("{usage}");
@@ -32,7 +42,7 @@
     }
     match endpoint_options(&matches) {
         Ok(options) => serve(options),
-        Err(e) => misused(&e),
+        Err(e) => report_misuse(&e.to_string()),
     }
 }
 
@@ -67,41 +77,45 @@
     options
 }
 
-fn endpoint_options(matches: &Matches) -> Result<EndpointOptions, String> {
+fn endpoint_options(matches: &Matches) -> Result<EndpointOptions, ArgumentError> {
     let default = EndpointOptions::default();
-    let keepers: Vec<_> =
-        matches.opt_strs("keeper").iter().map(|text| parsed("keeper", text)).collect::<Result<_, _>>()?;
-    let instance = matches.opt_str("id").unwrap_or(default.instance);
+    let keepers: Vec<_> = matches
+        .opt_strs("keeper")
+        .iter()
+        .map(|text| parse_value("keeper", text))
+        .collect::<Result<_, _>>()?;
+    let instance_id = matches.opt_str("id").unwrap_or(default.instance_id);
     let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
-    if instance.is_empty() || instance.len() > MAX_ID_BYTES || !instance.bytes().all(is_plain) {
-        return Err(format!("--id: up to {MAX_ID_BYTES} letters, digits, '-', '_' and '.'"));
-    }
+    let is_valid_length = (1..=MAX_ID_BYTES).contains(&instance_id.len());
+    ensure!(is_valid_length && instance_id.bytes().all(is_plain), InvalidIdSnafu);
     Ok(EndpointOptions {
-        instance,
+        instance_id,
         service: matches.opt_str("service").unwrap_or(default.service),
         zone: matches.opt_str("zone").unwrap_or(default.zone),
-        listen: given(matches, "listen")?.unwrap_or(default.listen),
+        listen: parse_option(matches, "listen")?.unwrap_or(default.listen),
         keepers: if keepers.is_empty() { default.keepers } else { keepers },
-        capacity: given(matches, "capacity")?.unwrap_or(default.capacity),
-        heartbeat: default.heartbeat,
-        drain: given(matches, "drain-ms")?.map_or(default.drain, Duration::from_millis),
+        capacity: parse_option(matches, "capacity")?.unwrap_or(default.capacity),
+        heartbeat_interval: default.heartbeat_interval,
+        drain_duration: parse_option(matches, "drain-ms")?
+            .map_or(default.drain_duration, Duration::from_millis),
         stream_prefix: matches.opt_str("stream-prefix").unwrap_or(default.stream_prefix),
-        events: given(matches, "events")?.unwrap_or(default.events),
-        pause: given(matches, "pause-ms")?.map_or(default.pause, Duration::from_millis),
+        max_events: parse_option(matches, "events")?.unwrap_or(default.max_events),
+        event_interval: parse_option(matches, "pause-ms")?
+            .map_or(default.event_interval, Duration::from_millis),
     })
 }
 
-fn given<T: FromStr>(matches: &Matches, name: &str) -> Result<Option<T>, String> {
-    matches.opt_str(name).map(|text| parsed(name, &text)).transpose()
+fn parse_option<T: FromStr>(matches: &Matches, option: &'static str) -> Result<Option<T>, ArgumentError> {
+    matches.opt_str(option).map(|text| parse_value(option, &text)).transpose()
 }
 
-fn parsed<T: FromStr>(name: &str, text: &str) -> Result<T, String> {
-    text.parse().map_err(|_| format!("--{name}: {text:?} cannot be read"))
+fn parse_value<T: FromStr>(option: &'static str, text: &str) -> Result<T, ArgumentError> {
+    text.parse().ok().context(InvalidValueSnafu { option, text })
 }
 
 fn serve(options: EndpointOptions) -> ExitCode {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let ended = runtime.and_then(|runtime| {
+    let result = runtime.and_then(|runtime| {
         runtime.block_on(async {
             let mut terminate = signal(SignalKind::terminate())?;
             let mut interrupt = signal(SignalKind::interrupt())?;
@@ -114,7 +128,7 @@
             crate::run_until(options, stop).await
         })
     });
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("juniperwing endpoint: {e}");
@@ -123,7 +137,7 @@
     }
 }
 
-fn misused(why: &str) -> ExitCode {
-    eprintln!("juniperwing endpoint: {why}\nTry 'juniperwing endpoint --help'.");
+fn report_misuse(reason: &str) -> ExitCode {
+    eprintln!("juniperwing endpoint: {reason}\nTry 'juniperwing endpoint --help'.");
     ExitCode::from(2)
 }
--- a/crates/stand-in/src/lib.rs
+++ b/crates/stand-in/src/lib.rs
@@ -1,13 +1,13 @@
-//! A stand-in for an endpoint, for trying the serving tier out and for its tests.
+//! A stand-in for an endpoint, for trying the serving tier and for its tests.
 //!
 //! It does what the tier expects of an endpoint and no work: it registers by heartbeats ([`registration`]),
-//! answers requests with what it was sent and streams with numbered events ([`answers`]), and leaves in order: it
-//! says that it drains, serves on, and says that it is gone.
+//! answers requests with what it was sent and streams with numbered events ([`responses`]), and shuts down gracefully:
+//! it reports that it drains, goes on serving for a while, and deregisters.
 
-pub mod answers;
 pub mod command;
 pub mod options;
 pub mod registration;
+pub mod responses;
 
 use std::future::Future;
 use std::io;
@@ -17,11 +17,11 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
 
-use crate::answers::{Answering, router};
 use crate::options::EndpointOptions;
-use crate::registration::{Registration, State};
+use crate::registration::{Registration, ReportedState};
+use crate::responses::{EndpointService, router};
 
-/// Serves until `stop` is over, then leaves in order.
+/// Serves until `stop` completes, then shuts down gracefully.
 ///
 /// # Errors
 ///
@@ -30,24 +30,24 @@
     let listener = TcpListener::bind(options.listen).await?;
     let address = listener.local_addr()?;
     let registration = Registration::new(&options, address);
-    println!("endpoint {} of {} listens on {address}", options.instance, options.service);
-    let answering = Arc::new(Answering::new(options.clone()));
-    let closing = Arc::new(Notify::new());
-    let closed = Arc::clone(&closing);
-    let serving = axum::serve(listener, router(Arc::clone(&answering)));
-    let serving = serving.with_graceful_shutdown(async move { closed.notified().await });
+    println!("endpoint {} of {} listens on {address}", options.instance_id, options.service);
+    let service = Arc::new(EndpointService::new(options.clone()));
+    let shutdown = Arc::new(Notify::new());
+    let shutdown_requested = Arc::clone(&shutdown);
+    let serving = axum::serve(listener, router(Arc::clone(&service)));
+    let serving = serving.with_graceful_shutdown(async move { shutdown_requested.notified().await });
     let mut serving = tokio::spawn(async move { serving.await });
-    let registered = registration.beat_until(&options, stop).await;
-    answering.leave();
+    let registered = registration.send_heartbeats_until(&options, stop).await;
+    service.start_draining();
     if registered {
-        println!("endpoint {} drains", options.instance);
-        registration.say(State::Draining).await;
-        sleep(options.drain).await;
+        println!("endpoint {} drains", options.instance_id);
+        registration.report(ReportedState::Draining).await;
+        sleep(options.drain_duration).await;
     }
-    registration.end().await;
-    closing.notify_one();
-    // What is still under way after that is broken off.
-    let _ = timeout(options.drain, &mut serving).await;
-    println!("endpoint {} ends", options.instance);
+    registration.deregister().await;
+    shutdown.notify_one();
+    // Requests that are still running after that are aborted.
+    let _ = timeout(options.drain_duration, &mut serving).await;
+    println!("endpoint {} ends", options.instance_id);
     Ok(())
 }
--- a/crates/stand-in/src/options.rs
+++ b/crates/stand-in/src/options.rs
@@ -1,49 +1,49 @@
-//! What a stand-in is told at its start.
+//! The options of a stand-in.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// What a stand-in is told.
+/// The options of a stand-in.
 #[derive(Clone, Debug)]
 pub struct EndpointOptions {
-    /// The id of this life; a new one for each start.
-    pub instance: String,
+    /// The id of this incarnation; a new one for each start.
+    pub instance_id: String,
     /// The service that it belongs to.
     pub service: String,
     /// Its zone.
     pub zone: String,
-    /// Where it listens; port 0 takes one that is free.
+    /// Where it listens; port 0 stands for any free port.
     pub listen: SocketAddr,
     /// Control listeners of keepers.
     pub keepers: Vec<SocketAddr>,
-    /// Requests that it works on at a time; more are declined.
+    /// The most requests that run at a time; more are rejected.
     pub capacity: usize,
-    /// Between two heartbeats.
-    pub heartbeat: Duration,
-    /// For how long it serves on after it has said that it drains.
-    pub drain: Duration,
+    /// The time between two heartbeats.
+    pub heartbeat_interval: Duration,
+    /// For how long it goes on serving after it has reported that it drains.
+    pub drain_duration: Duration,
     /// A path that begins with this is answered with a stream.
     pub stream_prefix: String,
-    /// Events of a stream at most.
-    pub events: u64,
-    /// Between two events.
-    pub pause: Duration,
+    /// The most events of a stream.
+    pub max_events: u64,
+    /// The time between two events.
+    pub event_interval: Duration,
 }
 
 impl Default for EndpointOptions {
     fn default() -> Self {
         EndpointOptions {
-            instance: format!("i-{}", std::process::id()),
+            instance_id: format!("i-{}", std::process::id()),
             service: "demo".to_owned(),
             zone: "local".to_owned(),
             listen: SocketAddr::from((Ipv4Addr::LOCALHOST, 0)),
             keepers: vec![SocketAddr::from((Ipv4Addr::LOCALHOST, 8_144))],
             capacity: 8,
-            heartbeat: Duration::from_secs(1),
-            drain: Duration::from_secs(2),
+            heartbeat_interval: Duration::from_secs(1),
+            drain_duration: Duration::from_secs(2),
             stream_prefix: "/stream/".to_owned(),
-            events: 5,
-            pause: Duration::from_millis(200),
+            max_events: 5,
+            event_interval: Duration::from_millis(200),
         }
     }
 }
--- a/crates/stand-in/src/registration.rs
+++ b/crates/stand-in/src/registration.rs
@@ -1,4 +1,4 @@
-//! How a stand-in tells the keepers that it is there.
+//! Registers a stand-in with the keepers.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -18,27 +18,27 @@
 
 use crate::options::EndpointOptions;
 
-/// How long a keeper has for its answer.
-const ANSWER_WITHIN: Duration = Duration::from_secs(1);
-/// The longest answer that counts, in bytes.
-const MAX_ANSWER_BYTES: usize = 4 << 10;
-/// Rounds through all keepers in which the end is told.
-const END_ROUNDS: usize = 2;
+/// How long a keeper may take to respond.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
+/// The longest response that is accepted, in bytes.
+const MAX_RESPONSE_BYTES: usize = 4 << 10;
+/// How many times all keepers are tried when the endpoint deregisters.
+const DEREGISTRATION_ROUNDS: usize = 2;
 
-/// What an endpoint says of itself.
+/// The state that an endpoint reports of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
-    /// It takes requests.
+pub enum ReportedState {
+    /// It accepts requests.
     Ready,
-    /// It is about to leave.
+    /// It is about to shut down.
     Draining,
 }
 
-impl State {
+impl ReportedState {
     fn name(self) -> &'static str {
         match self {
-            State::Ready => "ready",
-            State::Draining => "draining",
+            ReportedState::Ready => "ready",
+            ReportedState::Draining => "draining",
         }
     }
 }
@@ -48,22 +48,22 @@
 enum CallError {
     /// It cannot be reached.
     #[snafu(display("{source}"))]
-    Unreached { source: std::io::Error },
-    /// What it speaks is not HTTP, or it broke off.
+    Unreachable { source: std::io::Error },
+    /// Its response is not HTTP, or the connection broke.
     #[snafu(display("{source}"))]
     Http { source: hyper::Error },
-    /// The answer is too long or broke off.
+    /// The response is too long or incomplete.
     #[snafu(display("its answer cannot be read"))]
-    Unreadable,
-    /// It says no.
+    InvalidResponse,
+    /// It rejected the call.
     #[snafu(display("it answered {status}: {body}"))]
-    Refused { status: StatusCode, body: String },
-    /// It was silent.
+    Rejected { status: StatusCode, body: String },
+    /// It did not respond in time.
     #[snafu(display("silent for a second"))]
-    Silent,
+    TimedOut,
 }
 
-/// The registration of one life of an endpoint.
+/// The registration of one incarnation of an endpoint.
 #[derive(Debug)]
 pub struct Registration {
     path: String,
@@ -73,32 +73,34 @@
     capacity: usize,
     keepers: Vec<SocketAddr>,
     /// The keeper that acknowledged last.
-    current: AtomicUsize,
-    sequence: AtomicU64,
+    current_keeper: AtomicUsize,
+    last_sequence: AtomicU64,
 }
 
 impl Registration {
     /// The registration of an endpoint that listens on `address`.
     pub fn new(options: &EndpointOptions, address: SocketAddr) -> Self {
         Registration {
-            path: format!("/instances/{}", options.instance),
+            path: format!("/instances/{}", options.instance_id),
             service: options.service.clone(),
             zone: options.zone.clone(),
             address,
             capacity: options.capacity,
             keepers: options.keepers.clone(),
-            current: AtomicUsize::new(0),
-            sequence: AtomicU64::new(0),
+            current_keeper: AtomicUsize::new(0),
+            last_sequence: AtomicU64::new(0),
         }
     }
 
-    /// Sends heartbeats until `stop` is over. Returns whether any was acknowledged.
-    pub async fn beat_until(&self, options: &EndpointOptions, stop: impl Future<Output = ()>) -> bool {
+    /// Sends heartbeats until `stop` completes. Returns whether any was acknowledged.
+    pub async fn send_heartbeats_until(
+        &self, options: &EndpointOptions, stop: impl Future<Output = ()>,
+    ) -> bool {
         let mut stop = pin!(stop);
         let mut was_registered = false;
-        let mut ever = false;
+        let mut has_ever_registered = false;
         loop {
-            let registered = self.say(State::Ready).await;
+            let registered = self.report(ReportedState::Ready).await;
             if registered != was_registered {
                 println!(
                     "{} {}",
@@ -107,17 +109,17 @@
                 );
             }
             was_registered = registered;
-            ever |= registered;
+            has_ever_registered |= registered;
             tokio::select! {
-                () = stop.as_mut() => return ever,
-                () = sleep(options.heartbeat) => {}
+                () = stop.as_mut() => return has_ever_registered,
+                () = sleep(options.heartbeat_interval) => {}
             }
         }
     }
 
-    /// Tells the keepers one after the other, until one acknowledges. Returns whether one did.
-    pub async fn say(&self, state: State) -> bool {
-        let sequence = self.sequence.fetch_add(1, Ordering::Relaxed) + 1;
+    /// Reports a state to the keepers, one after the other, until one acknowledges. Returns whether one did.
+    pub async fn report(&self, state: ReportedState) -> bool {
+        let sequence = self.last_sequence.fetch_add(1, Ordering::Relaxed) + 1;
         let body = json!({
             "backend": self.service, "address": self.address.to_string(), "zone": self.zone,
             "generation": "stand-in", "capacity": self.capacity, "state": state.name(),
@@ -126,9 +128,9 @@
         self.call_any(&Method::PUT, &body.to_string()).await
     }
 
-    /// Tells the keepers that the endpoint is gone.
-    pub async fn end(&self) {
-        for _ in 0..END_ROUNDS {
+    /// Removes the registration.
+    pub async fn deregister(&self) {
+        for _ in 0..DEREGISTRATION_ROUNDS {
             if self.call_any(&Method::DELETE, "").await {
                 return;
             }
@@ -137,37 +139,37 @@
 
     async fn call_any(&self, method: &Method, body: &str) -> bool {
         for _ in 0..self.keepers.len() {
-            let current = self.current.load(Ordering::Relaxed) % self.keepers.len();
+            let current = self.current_keeper.load(Ordering::Relaxed) % self.keepers.len();
             let keeper = self.keepers[current];
-            let answer = timeout(ANSWER_WITHIN, self.call(keeper, method, body)).await;
-            match answer.unwrap_or_else(|_| SilentSnafu.fail()) {
+            let response = timeout(RESPONSE_TIMEOUT, self.call(keeper, method, body)).await;
+            match response.unwrap_or_else(|_| TimedOutSnafu.fail()) {
                 Ok(()) => return true,
                 Err(error) => eprintln!("{method} {} at {keeper}: {error}", self.path),
             }
-            self.current.store(current + 1, Ordering::Relaxed);
+            self.current_keeper.store(current + 1, Ordering::Relaxed);
         }
         false
     }
 
     async fn call(&self, keeper: SocketAddr, method: &Method, body: &str) -> Result<(), CallError> {
-        let stream = TcpStream::connect(keeper).await.context(UnreachedSnafu)?;
+        let stream = TcpStream::connect(keeper).await.context(UnreachableSnafu)?;
         let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.context(HttpSnafu)?;
-        let driving = tokio::spawn(connection);
+        let driver = tokio::spawn(connection);
         let request = Request::builder()
             .method(method)
             .uri(&self.path)
             .header("host", keeper.to_string())
             .header("content-type", "application/json")
             .body(Full::new(Bytes::from(body.to_owned())));
-        // The path and the headers were checked when the endpoint started.
-        let Ok(request) = request else { return UnreadableSnafu.fail() };
-        let answer = sender.send_request(request).await.context(HttpSnafu)?;
-        let status = answer.status();
-        let body = Limited::new(answer.into_body(), MAX_ANSWER_BYTES).collect().await;
-        driving.abort();
-        let Ok(body) = body else { return UnreadableSnafu.fail() };
+        // The id in the path was checked when the endpoint started.
+        let Ok(request) = request else { return InvalidResponseSnafu.fail() };
+        let response = sender.send_request(request).await.context(HttpSnafu)?;
+        let status = response.status();
+        let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await;
+        driver.abort();
+        let Ok(body) = body else { return InvalidResponseSnafu.fail() };
         let body = String::from_utf8_lossy(&body.to_bytes()).into_owned();
-        ensure!(status.is_success(), RefusedSnafu { status, body });
+        ensure!(status.is_success(), RejectedSnafu { status, body });
         Ok(())
     }
 }
