--- /dev/null
+++ b/crates/lab/src/adapter/wire.rs
@@ -0,0 +1,250 @@
+//! The JSON lines of an adapter. Keys and words are the adapter's (`crates/adapter`).
+
+use std::sync::Arc;
+
+use juniperwing::interface::{
+    Account, CallStatus, Command, DeduplicationScope, EndpointEntry, EndpointId, EndpointListUpdate, Event,
+    Notification, NotificationId, PushOutcome, Readiness, RelayConfig, RuleParameters, Semantics,
+};
+use juniperwing::time::{Span, Time};
+use juniperwing_model::fleet::{Fleet, TopicPlan};
+use serde::Deserialize;
+use serde_json::{Value, json};
+
+/// The line that tells what happened up to `now`.
+pub(super) fn request_line(now: Time, happened: &[Value]) -> String {
+    let mut line = json!({"now": nanos(now), "happened": happened}).to_string();
+    line.push('\n');
+    line
+}
+
+fn nanos(time: Time) -> u64 {
+    time.since(Time::default()).as_nanos()
+}
+
+#[derive(Deserialize)]
+struct Reply {
+    #[serde(rename = "cmds")]
+    commands: Vec<WireCommand>,
+}
+
+/// A command of the adapter. Spans are in nanoseconds; a ticket is the id of a notification.
+#[derive(Deserialize)]
+#[serde(tag = "m", rename_all_fields = "kebab-case")]
+enum WireCommand {
+    Transmit {
+        ticket: u64,
+        endpoint: String,
+        give_up_after: u64,
+    },
+    AbortAttempt {
+        ticket: u64,
+        go: u32,
+    },
+    Bounce {
+        ticket: u64,
+        #[serde(default)]
+        retry_in: u64,
+    },
+    Fail {
+        ticket: u64,
+    },
+    NotifyMe {
+        wait: u64,
+    },
+    Listen {},
+    DropConns {
+        endpoint: String,
+    },
+    /// A command that has no effect in the model.
+    #[serde(other)]
+    Other,
+}
+
+/// The commands of a reply.
+pub(super) fn parse_reply(line: &[u8]) -> Result<Vec<Command>, serde_json::Error> {
+    let reply: Reply = serde_json::from_slice(line)?;
+    Ok(reply.commands.into_iter().filter_map(command).collect())
+}
+
+fn command(command: WireCommand) -> Option<Command> {
+    let endpoint = |name: String| EndpointId(Arc::from(name));
+    Some(match command {
+        WireCommand::Transmit { ticket, endpoint: to, give_up_after } => Command::Push {
+            notification: NotificationId(ticket),
+            endpoint: endpoint(to),
+            timeout: Span::from_nanos(give_up_after),
+            send_within: Span::from_nanos(give_up_after),
+        },
+        WireCommand::AbortAttempt { ticket, go } => {
+            Command::Cancel { notification: NotificationId(ticket), push_index: go }
+        }
+        WireCommand::Bounce { ticket, retry_in } => Command::Throttle {
+            notification: NotificationId(ticket),
+            retry_after: Span::from_nanos(retry_in),
+        },
+        WireCommand::Fail { ticket } => Command::Expire(NotificationId(ticket)),
+        WireCommand::NotifyMe { wait } => Command::WakeAfter(Span::from_nanos(wait)),
+        WireCommand::Listen {} => Command::SubscribeToEndpointList,
+        WireCommand::DropConns { endpoint: to } => Command::CloseIdleConnections(endpoint(to)),
+        WireCommand::Other => return None,
+    })
+}
+
+/// Adds an event to what happened. The adapter takes a final answer for acknowledged at once, so there is no line for
+/// the acknowledgement.
+pub(super) fn push_event(happened: &mut Vec<Value>, relay: &str, event: Event) {
+    match event {
+        Event::EndpointListUpdated(update) => push_list_update(happened, relay, update),
+        Event::Accepted(notification) => happened.push(accept(relay, notification)),
+        Event::PushEnded(outcome) => happened.push(answer(relay, &outcome)),
+        Event::Withdrawn(notification) => {
+            happened.push(json!({"m": "Withdrawn", "relay": relay, "ticket": notification.0}));
+        }
+        Event::WakeUp => happened.push(json!({"m": "Ring", "relay": relay, "label": "wake"})),
+        Event::FinalAnswerAcknowledged(_)
+        | Event::ConfigChanged(_)
+        | Event::SlotLimitChanged(_)
+        | Event::ProbeEnded { .. }
+        | Event::RetryAfterReported { .. } => {}
+    }
+}
+
+fn push_list_update(happened: &mut Vec<Value>, relay: &str, update: EndpointListUpdate) {
+    let (kind, entries) = match update {
+        EndpointListUpdate::Failed => ("broken", Vec::new()),
+        EndpointListUpdate::Changes(entries) => ("patch", entries),
+        EndpointListUpdate::Snapshot(entries) => ("whole", entries),
+        EndpointListUpdate::CachedSnapshot(entries) => ("stale_copy", entries),
+    };
+    let records: Vec<Value> = entries.iter().map(record).collect();
+    happened.push(json!({"m": "Inventory", "bank": 1, "records": records}));
+    happened.push(json!({"m": "Endpoints", "relay": relay, "kind": kind, "bank": 1}));
+}
+
+fn record(entry: &EndpointEntry) -> Value {
+    let readiness = match entry.readiness {
+        Readiness::Serving => "READY",
+        Readiness::Draining => "DRAINING",
+        Readiness::Deleted => "DELETED",
+    };
+    json!({
+        "endpoint": &*entry.endpoint.0,
+        "region-part": &*entry.zone,
+        "model": entry.kind.name,
+        "cell": entry.destination.0,
+        "readiness": readiness,
+        "nominal": entry.rate_per_second,
+    })
+}
+
+fn accept(relay: &str, notification: Notification) -> Value {
+    json!({
+        "m": "Accept",
+        "relay": relay,
+        "ticket": notification.id.0,
+        "bound-for": notification.destination.0,
+        "org": notification.account.map(|account| account.name.clone()),
+        "object": notification.key,
+        "valid-until": nanos(notification.valid_until),
+        "cls": notification.topic.name,
+    })
+}
+
+fn answer(relay: &str, outcome: &PushOutcome) -> Value {
+    let status = match outcome.status {
+        CallStatus::Delivered => "done",
+        CallStatus::Error => "err",
+        CallStatus::Busy => "busy",
+        CallStatus::TimedOut => "etimedout",
+        CallStatus::NoConnection | CallStatus::ConnectionLimitReached => "econnrefused",
+        CallStatus::Reset => "econnreset",
+        CallStatus::Cancelled => "ecanceled",
+        CallStatus::Skipped => "skipped",
+    };
+    let limit = outcome.rate_limit.map(|limit| vec![limit.remaining_fraction, limit.rate_per_second]);
+    let retry_after_ms = outcome.retry_after.unwrap_or_default().as_nanos().div_ceil(1_000_000);
+    json!({
+        "m": "Answer",
+        "relay": relay,
+        "ticket": outcome.notification.0,
+        "go": outcome.push_index,
+        "endpoint": &*outcome.endpoint.0,
+        "status": status,
+        "spent": outcome.elapsed.as_nanos(),
+        "settled": outcome.has_final_answer,
+        "detail": retry_after_ms,
+        "server-stats": limit.unwrap_or_default(),
+    })
+}
+
+/// The start of a relay.
+pub(super) fn start(name: &str, seed: u64, fleet: &Fleet, relay: usize) -> Value {
+    json!({"m": "Spawn", "relay": name, "prng": seed, "boot-info": configuration(fleet, relay)})
+}
+
+fn configuration(fleet: &Fleet, relay: usize) -> Value {
+    let RelayConfig { fleet: facts, limits, rules } = fleet.relay_config(relay);
+    let kinds = || fleet.kinds.iter();
+    json!({
+        "balancers": facts.relay_count,
+        "discovery": "subscribe",
+        "tick": facts.tick.as_nanos(),
+        "weight-source": if facts.has_listed_rates { "rough" } else { "none" },
+        "classes": fleet.topics.iter().map(class).collect::<Vec<_>>(),
+        "accounts": fleet.accounts.iter().map(|account| quota(account)).collect::<Vec<_>>(),
+        "kinds": kinds().map(|kind| kind.name.clone()).collect::<Vec<_>>(),
+        "family-info": {
+            "slots": limits.slots,
+            "per-call": kinds().map(|kind| kind.max_notifications_per_call).collect::<Vec<_>>(),
+            "separate-routes": kinds().map(|kind| kind.has_separate_routes).collect::<Vec<_>>(),
+        },
+        "load-report": {"how": "answers", "fields": ["x0", "x1"]},
+        "ceilings": {
+            "max-attempts": limits.max_pushes,
+            "max-retry-after": limits.max_retry_after.as_nanos(),
+            "retry-after": limits.max_retry_after > Span::ZERO,
+            "cancel": limits.can_cancel,
+            "probes": limits.can_probe,
+            "second-copies": true,
+            "most-held": limits.max_pending,
+        },
+        "rules": rule_parameters(&rules),
+    })
+}
+
+fn class(plan: &TopicPlan) -> Value {
+    let topic = &plan.topic;
+    let (semantics, scope) = match topic.semantics {
+        Semantics::Idempotent => ("pure", "all"),
+        Semantics::Deduplicated { scope: DeduplicationScope::All, .. } => ("token", "all"),
+        Semantics::Deduplicated { scope: DeduplicationScope::Zone, .. } => ("token", "zone"),
+        Semantics::NonIdempotent => ("side_effect", "all"),
+    };
+    json!({
+        "name": topic.name,
+        "semantics": semantics,
+        "dedup-scope": scope,
+        "fifo-by-key": topic.is_ordered,
+        "aim": topic.latency_target.as_nanos(),
+        "hard-limit": topic.ttl.as_nanos(),
+        "worth": topic.benefit,
+        "late-value": topic.late_benefit_fraction,
+        "repeat-window": topic.semantics.deduplication_window().unwrap_or_default().as_nanos(),
+    })
+}
+
+fn quota(account: &Account) -> Value {
+    json!({"name": account.name, "quota-per-s": account.quota_per_second})
+}
+
+fn rule_parameters(rules: &RuleParameters) -> Value {
+    json!({
+        "ask-every": rules.list_refresh_interval.as_nanos(),
+        "cold": rules.warm_up_duration.as_nanos(),
+        "cold-from": rules.warm_up_initial_fraction,
+        "fall-multiple": rules.overload_factor,
+        "tip-after": rules.overload_duration.as_nanos(),
+        "settle-after-doubt": rules.key_cooldown.as_nanos(),
+    })
+}
--- /dev/null
+++ b/crates/lab/src/runner.rs
@@ -0,0 +1,133 @@
+//! Plays runs on several cores. Results are in the order of the runs, whichever finishes first; no run sees another.
+
+use std::cell::Cell;
+use std::path::Path;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use indicatif::{ParallelProgressIterator, ProgressBar, ProgressStyle};
+use juniperwing::interface::{Command, Event};
+use juniperwing::time::Time;
+use juniperwing_model::fleet::Fleet;
+use juniperwing_model::policy::Truth;
+use juniperwing_model::scenario::FaultKind;
+use juniperwing_model::{Core, Metrics, Policies, Policy, Scenario, simulate};
+use rayon::prelude::*;
+use snafu::{ResultExt, ensure};
+
+use crate::adapter::Adapter;
+use crate::baselines;
+use crate::error::{AdapterCannotRestartSnafu, AdapterFailedSnafu, LabResult, UnknownPolicySnafu};
+
+/// The names of the policies of the laboratory, the core's own first.
+pub const POLICIES: [&str; 5] = ["core", "one-try", "backoff", "breaker", "oracle"];
+
+/// Precedes the program of an adapter in place of a policy's name.
+const ADAPTER_PREFIX: &str = "adapter:";
+
+const PROGRESS_TEMPLATE: &str = "{bar:40} {pos}/{len} runs, {elapsed} gone, {eta} to go";
+
+/// A run to be played.
+#[derive(Clone, Debug)]
+pub struct Run {
+    /// The scenario, resolved or not.
+    pub scenario: Scenario,
+    /// The seed.
+    pub seed: u64,
+    /// The name of the policy.
+    pub policy: String,
+}
+
+/// A run with the time that it took.
+pub struct TimedRun {
+    /// Its metrics, the same as those of an ordinary run.
+    pub metrics: Metrics,
+    /// The time spent in decisions of the policy.
+    pub decisions: Duration,
+    /// The time of the whole run.
+    pub total: Duration,
+}
+
+/// Whether there is such a policy. The program of an adapter is looked for only when it is started.
+pub fn is_known_policy(name: &str) -> bool {
+    POLICIES.contains(&name) || name.strip_prefix(ADAPTER_PREFIX).is_some_and(|path| !path.is_empty())
+}
+
+/// Plays all runs on `cores` cores (0: all there are), with a progress bar on standard error unless `quiet`.
+pub fn play(runs: &[Run], cores: usize, quiet: bool) -> LabResult<Vec<Metrics>> {
+    let bar = if quiet { ProgressBar::hidden() } else { ProgressBar::new(runs.len() as u64) };
+    bar.set_style(ProgressStyle::with_template(PROGRESS_TEMPLATE)?);
+    let pool = rayon::ThreadPoolBuilder::new().num_threads(cores).build()?;
+    let play = |run: &Run| with_policies(run, |policies| simulate(&run.scenario, run.seed, policies));
+    let metrics = pool.install(|| runs.par_iter().progress_with(bar.clone()).map(play).collect());
+    bar.finish_and_clear();
+    metrics
+}
+
+/// Plays one run and measures its time.
+pub fn play_timed(run: &Run) -> LabResult<TimedRun> {
+    let (start, decisions) = (Instant::now(), Rc::new(Cell::new(Duration::ZERO)));
+    let metrics = with_policies(run, |policies| {
+        let timed = TimedPolicies { policies, decisions: decisions.clone() };
+        simulate(&run.scenario, run.seed, &timed)
+    })?;
+    Ok(TimedRun { metrics, decisions: decisions.get(), total: start.elapsed() })
+}
+
+/// Plays a run with the policies that it names.
+fn with_policies(run: &Run, play: impl Fn(&dyn Policies) -> Metrics) -> LabResult<Metrics> {
+    if let Some(program) = run.policy.strip_prefix(ADAPTER_PREFIX) {
+        return with_adapter(Path::new(program), &run.scenario, play);
+    }
+    let policies: &dyn Policies = match run.policy.as_str() {
+        "core" => &Core,
+        "one-try" => &baselines::OneTry,
+        "backoff" => &baselines::Backoff,
+        "breaker" => &baselines::Breaker,
+        "oracle" => &baselines::Oracle,
+        name => return UnknownPolicySnafu { name, known: &POLICIES[..] }.fail(),
+    };
+    Ok(play(policies))
+}
+
+fn with_adapter(
+    program: &Path, scenario: &Scenario, play: impl Fn(&dyn Policies) -> Metrics,
+) -> LabResult<Metrics> {
+    let kills = scenario.faults.iter().any(|fault| fault.what == FaultKind::Kill);
+    ensure!(!kills, AdapterCannotRestartSnafu);
+    let adapter = Adapter::start(program)?;
+    let metrics = play(&adapter);
+    adapter.finish().context(AdapterFailedSnafu { program })?;
+    Ok(metrics)
+}
+
+/// Policies whose decisions are timed.
+struct TimedPolicies<'a> {
+    policies: &'a dyn Policies,
+    decisions: Rc<Cell<Duration>>,
+}
+
+struct TimedPolicy {
+    policy: Box<dyn Policy>,
+    decisions: Rc<Cell<Duration>>,
+}
+
+impl Policies for TimedPolicies<'_> {
+    fn name(&self) -> &str {
+        self.policies.name()
+    }
+
+    fn start(&self, now: Time, relay: usize, seed: u64, fleet: &Fleet) -> Box<dyn Policy> {
+        let policy = self.policies.start(now, relay, seed, fleet);
+        Box::new(TimedPolicy { policy, decisions: self.decisions.clone() })
+    }
+}
+
+impl Policy for TimedPolicy {
+    fn handle(&mut self, now: Time, events: Vec<Event>, truth: &dyn Truth) -> Vec<Command> {
+        let start = Instant::now();
+        let commands = self.policy.handle(now, events, truth);
+        self.decisions.set(self.decisions.get() + start.elapsed());
+        commands
+    }
+}
