--- /dev/null
+++ b/crates/model/src/scenario/fault.rs
@@ -0,0 +1,99 @@
+//! Faults: what goes wrong, when, and what it affects.
+
+use serde::{Deserialize, Serialize};
+
+use super::defaults;
+use super::range::Once;
+
+/// What goes wrong.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize, Serialize)]
+#[serde(rename_all = "kebab-case")]
+pub enum FaultKind {
+    /// Service takes `size` times as long.
+    Slow,
+    /// Calls are accepted and never answered.
+    Silent,
+    /// Calls are answered with an error at once.
+    Errors,
+    /// Calls are rejected as busy at once.
+    Refuses,
+    /// Connections are refused.
+    Down,
+    /// Service stands still for `size` seconds, again and again, once in four times that.
+    Pauses,
+    /// One topic type fails.
+    TopicFails,
+    /// Rate limits are `size` times the usual.
+    Limit,
+    /// Opening a connection takes `size` times as long.
+    Handshakes,
+    /// All traffic is `size` times the usual.
+    Burst,
+    /// The traffic of the affected destinations is `size` times the usual.
+    Hot,
+    /// The traffic of one account is `size` times the usual.
+    AccountBurst,
+    /// The traffic of the affected destinations is held back and comes all at once at the end.
+    Release,
+    /// A few relays get the fraction `size` of all traffic.
+    HotRelays,
+    /// The endpoint list cannot be reached.
+    ListDown,
+    /// Changes of the endpoint list are reported `size` seconds later.
+    ListStale,
+    /// Endpoints are replaced one after the other; each terminates `size` seconds after it starts to drain.
+    Deploy,
+    /// A one-way partition: what relays send to the affected endpoints is lost.
+    CutThere,
+    /// A one-way partition: the answers of the affected endpoints are lost.
+    CutBack,
+    /// The fraction `size` of connections to the affected endpoints break during calls.
+    Resets,
+    /// TTLs are `size` times the usual, and at their end notifications are withdrawn.
+    Hurry,
+    /// Relays are killed and start again on their storage after `size` seconds.
+    Kill,
+    /// Relays are lost with their storage; new ones replace them after `size` seconds.
+    Lose,
+}
+
+/// A fault: what, when and where.
+#[derive(Clone, Debug, Deserialize, Serialize)]
+#[serde(deny_unknown_fields)]
+pub struct Fault {
+    /// What goes wrong.
+    pub what: FaultKind,
+    /// When it begins.
+    pub start_s: Once,
+    /// Its duration.
+    #[serde(default)]
+    pub span_s: Once,
+    /// How long its effect takes to rise to its size.
+    #[serde(default)]
+    pub ramp_s: Once,
+    /// How much; see [`FaultKind`].
+    #[serde(default = "defaults::size")]
+    pub size: Once,
+    /// The fraction of the traffic whose destinations it affects, of those that it is restricted to; for relays, the
+    /// fraction of relays.
+    #[serde(default = "defaults::extent")]
+    pub extent: Once,
+    /// Whether it affects all endpoints of a destination, or one of each.
+    #[serde(default = "defaults::whole")]
+    pub whole: bool,
+    /// Restricts it to destinations of that kind.
+    #[serde(default, skip_serializing_if = "Option::is_none")]
+    pub kind: Option<String>,
+    /// Restricts it to endpoints in that zone.
+    #[serde(default, skip_serializing_if = "Option::is_none")]
+    pub zone: Option<String>,
+    /// The topic type concerned.
+    #[serde(default, skip_serializing_if = "Option::is_none")]
+    pub topic: Option<String>,
+    /// The account concerned.
+    #[serde(default, skip_serializing_if = "Option::is_none")]
+    pub account: Option<String>,
+    /// Restricts it to the destination with that rank by traffic, 0 being the busiest.
+    #[serde(default, skip_serializing_if = "Option::is_none")]
+    pub destination: Option<usize>,
+}
