--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -1,8 +1,8 @@
 //! The log of a process: one JSON object a line, written by a thread of its own.
 //!
-//! Who logs hands a record to a bounded queue and goes on. A reader of the log that stands still (a full pipe, a hanging
-//! disk) therefore holds nothing up: records that find the queue full are dropped, and their number is logged once there
-//! is room.
+//! Logging puts a record into a bounded queue and does not wait for the output. A blocked output (a full pipe, a hanging
+//! disk) therefore delays nothing: records that find the queue full are dropped, and their number is logged once the queue
+//! has capacity again.
 
 mod line_buffered;
 
@@ -17,13 +17,13 @@
 
 use crate::line_buffered::LineBuffered;
 
-/// Records that may wait to be written; more are dropped and counted.
+/// The most records that may wait to be written; more are dropped and counted.
 const QUEUE_LENGTH: usize = 4_096;
-/// How long the records still queued may take when the process ends.
+/// The longest that writing the queued records may take when the process exits.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A logger that writes to `output` the records from `level` upward, each with `values`; and the guard that flushes what
-/// is still queued at the end of the process.
+/// A logger that writes to `output` the records from `level` upward, each with `values`; and the guard that flushes the
+/// queued records at the end of the process.
 pub fn background<W, V>(output: W, level: Level, values: OwnedKV<V>) -> (Logger, FlushGuard)
 where
     W: Write + Send + 'static,
@@ -39,21 +39,21 @@
     (logger, FlushGuard { writer })
 }
 
-/// Ends the thread that writes the log.
+/// Flushes the log and ends the thread that writes it.
 #[must_use = "records that are still queued at the end of the process are lost without a flush"]
 pub struct FlushGuard {
     writer: AsyncGuard,
 }
 
 impl FlushGuard {
-    /// Waits until the records logged so far are written, for a bounded time: perhaps nobody reads them. Records logged
-    /// afterwards are dropped.
+    /// Waits until the records logged so far are written, for a bounded time, since the output may be blocked. Records
+    /// logged afterwards are dropped.
     pub fn flush(self) {
         let (done, written) = mpsc::channel();
         thread::spawn(move || {
             // Joins the thread that writes.
             drop(self.writer);
-            // Nobody waits any more if this took too long.
+            // After the timeout nobody receives this.
             let _ = done.send(());
         });
         let _ = written.recv_timeout(FLUSH_TIMEOUT);
--- a/crates/log/src/line_buffered.rs
+++ b/crates/log/src/line_buffered.rs
@@ -1,9 +1,9 @@
-//! Whole lines in one write each.
+//! Writes complete lines, each in one call.
 
 use std::io::{self, Write};
 
-/// Hands whole lines on in one write each, so that lines of several processes don't mix and a line costs one system
-/// call.
+/// A writer that passes on complete lines, each in one write, so that lines of several processes don't mix and a line costs
+/// one system call.
 #[derive(Debug)]
 pub(crate) struct LineBuffered<W> {
     inner: W,
--- a/crates/log/tests/log.rs
+++ b/crates/log/tests/log.rs
@@ -1,4 +1,4 @@
-//! The log under readers that stand still, and its last lines.
+//! The log with a blocked output, and the flush at the end of a process.
 
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -8,21 +8,22 @@
 use juniperwing_log::background;
 use slog::{Level, debug, info, o};
 
-/// More than the queue holds.
-const MANY: usize = 20_000;
-const AT_ONCE: Duration = Duration::from_secs(2);
+/// More records than the queue has capacity for.
+const RECORDS_BEYOND_QUEUE: usize = 20_000;
+/// The longest that anything here may take.
+const MAX_DURATION: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Default)]
-struct Memory(Arc<Mutex<Vec<u8>>>);
+struct MemoryWriter(Arc<Mutex<Vec<u8>>>);
 
-impl Memory {
+impl MemoryWriter {
     fn lines(&self) -> Vec<serde_json::Value> {
         let text = String::from_utf8(self.0.lock().unwrap().clone()).unwrap();
         text.lines().map(|line| serde_json::from_str(line).unwrap()).collect()
     }
 }
 
-impl Write for Memory {
+impl Write for MemoryWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -33,24 +34,24 @@
     }
 }
 
-/// Writes nothing before it is told to go on.
-struct Standing {
-    go_on: Receiver<()>,
-    memory: Memory,
+/// Writes nothing until the test unblocks it.
+struct BlockedWriter {
+    unblock: Receiver<()>,
+    memory: MemoryWriter,
 }
 
-impl Standing {
-    fn new() -> (Sender<()>, Memory, Standing) {
-        let (sender, go_on) = channel();
-        let memory = Memory::default();
-        (sender, memory.clone(), Standing { go_on, memory })
+impl BlockedWriter {
+    fn new() -> (Sender<()>, MemoryWriter, BlockedWriter) {
+        let (sender, unblock) = channel();
+        let memory = MemoryWriter::default();
+        (sender, memory.clone(), BlockedWriter { unblock, memory })
     }
 }
 
-impl Write for Standing {
+impl Write for BlockedWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        // An error once the sender is dropped: written from then on.
-        let _ = self.go_on.recv();
+        // Once the sender is dropped this is an error, and writes go through.
+        let _ = self.unblock.recv();
         self.memory.write(bytes)
     }
 
@@ -61,45 +62,45 @@
 
 #[test]
 fn a_flush_writes_all_records_in_order_with_their_values() {
-    let memory = Memory::default();
+    let memory = MemoryWriter::default();
     let (log, guard) = background(memory.clone(), Level::Info, o!("role" => "relay"));
     for number in 0..100 {
-        info!(log, "told"; "number" => number);
-        debug!(log, "not told");
+        info!(log, "logged"; "number" => number);
+        debug!(log, "below the level");
     }
     guard.flush();
     let lines = memory.lines();
     let numbers: Vec<_> = lines.iter().map(|line| line["number"].as_u64().unwrap()).collect();
     assert_eq!(numbers, (0..100).collect::<Vec<_>>());
-    assert!(lines.iter().all(|line| line["role"] == "relay" && line["msg"] == "told"));
+    assert!(lines.iter().all(|line| line["role"] == "relay" && line["msg"] == "logged"));
 }
 
 #[test]
-fn an_output_that_stands_still_holds_up_neither_logging_nor_the_end() {
-    let (_go_on, memory, standing) = Standing::new();
-    let (log, guard) = background(standing, Level::Info, o!());
-    let begun = Instant::now();
-    (0..MANY).for_each(|number| info!(log, "line"; "number" => number));
+fn a_blocked_output_delays_neither_logging_nor_the_flush() {
+    let (_unblock, memory, blocked) = BlockedWriter::new();
+    let (log, guard) = background(blocked, Level::Info, o!());
+    let started_at = Instant::now();
+    (0..RECORDS_BEYOND_QUEUE).for_each(|number| info!(log, "line"; "number" => number));
     guard.flush();
-    assert!(begun.elapsed() < AT_ONCE, "{:?}", begun.elapsed());
+    assert!(started_at.elapsed() < MAX_DURATION, "{:?}", started_at.elapsed());
     assert!(memory.lines().is_empty());
 }
 
 #[test]
 fn dropped_records_are_counted_in_the_log() {
-    let (go_on, memory, standing) = Standing::new();
-    let (log, guard) = background(standing, Level::Info, o!());
-    (0..MANY).for_each(|number| info!(log, "line"; "number" => number));
-    drop(go_on);
-    let until = Instant::now() + AT_ONCE;
-    let is_told = |memory: &Memory| {
+    let (unblock, memory, blocked) = BlockedWriter::new();
+    let (log, guard) = background(blocked, Level::Info, o!());
+    (0..RECORDS_BEYOND_QUEUE).for_each(|number| info!(log, "line"; "number" => number));
+    drop(unblock);
+    let deadline = Instant::now() + MAX_DURATION;
+    let has_dropped_count = |memory: &MemoryWriter| {
         let text = String::from_utf8_lossy(&memory.0.lock().unwrap()).into_owned();
         text.contains("dropped")
     };
-    while !is_told(&memory) && Instant::now() < until {
-        info!(log, "room again");
+    while !has_dropped_count(&memory) && Instant::now() < deadline {
+        info!(log, "after the drop");
         std::thread::sleep(Duration::from_millis(5));
     }
     guard.flush();
-    assert!(is_told(&memory));
+    assert!(has_dropped_count(&memory));
 }
