--- a/crates/control/src/placement.rs
+++ b/crates/control/src/placement.rs
@@ -83,14 +83,14 @@
 }
 
 /// Replicas per store, rounded up, if all partitions were spread evenly over the eligible stores.
-pub(crate) fn even_replica_share(replicas: usize, eligible_stores: usize) -> usize {
+pub(crate) fn balanced_replicas_per_store(replicas: usize, eligible_stores: usize) -> usize {
     (usize::from(PARTITION_COUNT) * replicas).div_ceil(eligible_stores.max(1))
 }
 
 /// The initial assignment of all partitions.
 pub(crate) fn first_assignments(eligible: &BTreeMap<DiskId, StoreNode>, replicas: usize) -> Vec<Assignment> {
     let mut load = Load::default();
-    let max_replicas_per_store = even_replica_share(replicas, eligible.len());
+    let max_replicas_per_store = balanced_replicas_per_store(replicas, eligible.len());
     let mut assignments = Vec::new();
     for partition in (0..PARTITION_COUNT).map(PartitionId) {
         let members =
--- a/crates/control/src/plan.rs
+++ b/crates/control/src/plan.rs
@@ -16,7 +16,7 @@
 use juniperwing_protocol::{DiskId, EpochNumber, PartitionId};
 
 use crate::placement::{
-    EXTRA_REPLICAS, Load, PARTITION_COUNT, even_replica_share, first_assignments, next_replica,
+    EXTRA_REPLICAS, Load, PARTITION_COUNT, balanced_replicas_per_store, first_assignments, next_replica,
 };
 use crate::state::ControlState;
 use crate::tracker::StoreView;
@@ -182,7 +182,7 @@
 
     /// Adds joining replicas while the partition has too few.
     fn add_joining_replicas(&self, partition: PartitionId, planned: &mut Assignment, load: &mut Load) {
-        let max_replicas_per_store = even_replica_share(self.target_replicas, self.eligible.len());
+        let max_replicas_per_store = balanced_replicas_per_store(self.target_replicas, self.eligible.len());
         while self.lacks_replicas(planned) {
             let members: Vec<DiskId> = planned.in_sync.iter().chain(&planned.joining).copied().collect();
             let zones: BTreeSet<&str> =
