--- a/crates/node/tests/relay/hostile/client.rs
+++ b/crates/node/tests/relay/hostile/client.rs
@@ -8,7 +8,8 @@
 
 use super::case_state::CaseState;
 use super::script::{ClientPlan, End, RequestPlan, request_body, request_id};
-use super::wire::{Body, Head, split_chunks, split_head, split_length};
+use super::violation::Violation;
+use super::wire::{Body, Head, lossy_text, split_chunks, split_head, split_length};
 
 /// How long a client waits for a response, in milliseconds.
 pub const DEADLINE_MS: u64 = 500;
@@ -37,7 +38,7 @@
 /// If bytes arrived that are not a response.
 pub async fn run(
     number: usize, plan: ClientPlan, relay: SocketAddr, case: Arc<CaseState>,
-) -> Result<Vec<Outcome>, String> {
+) -> Result<Vec<Outcome>, Violation> {
     let mut outcomes = Vec::new();
     let mut readable_bytes = plan.disconnects_after_bytes.unwrap_or(usize::MAX);
     while outcomes.len() < plan.requests.len() {
@@ -79,7 +80,7 @@
 impl ClientConnection {
     async fn run(
         &mut self, number: usize, plan: &ClientPlan, outcomes: &mut Vec<Outcome>, case: &CaseState,
-    ) -> Result<(), String> {
+    ) -> Result<(), Violation> {
         let first = outcomes.len();
         let bytes: Vec<Vec<u8>> = (first..plan.requests.len())
             .map(|request| request_bytes(&request_id(number, request), &plan.requests[request]))
@@ -108,7 +109,7 @@
     }
 
     /// Reads a response as far as it arrives; `None` if its head is incomplete.
-    async fn read_response(&mut self) -> Result<Option<ObservedResponse>, String> {
+    async fn read_response(&mut self) -> Result<Option<ObservedResponse>, Violation> {
         let mut has_ended = false;
         loop {
             if let Some((head, body)) = self.split()? {
@@ -125,15 +126,16 @@
         }
     }
 
-    fn split(&self) -> Result<Option<(Head, Body<'_>)>, String> {
+    fn split(&self) -> Result<Option<(Head, Body<'_>)>, Violation> {
         let Some(split) = split_head(&self.buffer) else { return Ok(None) };
         let (head, bytes) = split?;
+        let undelimited = || Violation::UndelimitedResponse { head: format!("{head:?}") };
         let lengths: Vec<&str> = head.all("content-length").collect();
         let codings: Vec<&str> = head.all("transfer-encoding").collect();
         let body = match (lengths.as_slice(), codings.as_slice()) {
-            ([length], []) => split_length(bytes, length.parse().map_err(|_| "no length")?),
+            ([length], []) => split_length(bytes, length.parse().map_err(|_| undelimited())?),
             ([], ["chunked"]) => split_chunks(bytes)?,
-            _ => return Err(format!("the response is not delimited: {head:?}")),
+            _ => return Err(undelimited()),
         };
         Ok(Some((head, body)))
     }
@@ -149,13 +151,13 @@
     }
 
     /// Expects the relay to close without another byte, after all responses.
-    async fn expect_nothing_more(&mut self) -> Result<(), String> {
+    async fn expect_nothing_more(&mut self) -> Result<(), Violation> {
         let _ = self.stream.shutdown().await;
         while self.fill().await {}
         if self.buffer.is_empty() {
             Ok(())
         } else {
-            Err(format!("unexpected bytes: {:?}", text(&self.buffer)))
+            Err(Violation::UnexpectedBytes { bytes: lossy_text(&self.buffer) })
         }
     }
 }
@@ -184,7 +186,3 @@
     );
     [head.into_bytes(), body].concat()
 }
-
-fn text(bytes: &[u8]) -> String {
-    String::from_utf8_lossy(bytes).into_owned()
-}
--- a/crates/node/tests/relay/hostile/mod.rs
+++ b/crates/node/tests/relay/hostile/mod.rs
@@ -10,4 +10,5 @@
 pub mod relay_thread;
 pub mod responses;
 pub mod script;
+pub mod violation;
 pub mod wire;
--- a/crates/node/tests/relay/hostile/oracle.rs
+++ b/crates/node/tests/relay/hostile/oracle.rs
@@ -2,10 +2,13 @@
 
 use std::collections::HashMap;
 
+use snafu::ResultExt;
+
 use super::case_state::CaseState;
 use super::client::{ObservedResponse, Outcome};
 use super::responses::failure;
 use super::script::{EVENTS, RequestPlan, request_body, response_body};
+use super::violation::{ResponseViolation, Violation, WrongResponseSnafu};
 use super::wire::{split_head, split_length};
 
 /// Checks a case.
@@ -15,7 +18,7 @@
 /// The first violation.
 pub fn check_case(
     plans: &HashMap<String, RequestPlan>, outcomes: &[Outcome], case: &CaseState,
-) -> Result<(), String> {
+) -> Result<(), Violation> {
     let mut arrivals: HashMap<String, usize> = HashMap::new();
     for stream in case.streams.lock().unwrap().iter() {
         for id in requests_in(&stream.lock().unwrap(), plans)? {
@@ -29,25 +32,28 @@
     };
     for (id, plan) in plans {
         if !plan.kind.is_retryable() && runs(id) > 1 {
-            return Err(format!("{id} may have been executed {} times", runs(id)));
+            return Err(Violation::ExecutedRepeatedly { id: id.clone(), executions: runs(id) });
         }
     }
     for Outcome { id, response } in outcomes {
         let Some(response) = response else { continue };
         check_response(id, &plans[id], response, runs(id))
-            .map_err(|violation| format!("{id}: {violation}: {response:?}"))?;
+            .with_context(|_| WrongResponseSnafu { id, response: format!("{response:?}") })?;
     }
     Ok(())
 }
 
 /// The ids of the requests on a connection, each of which must be as its client sent it. The last may be truncated.
-fn requests_in(bytes: &[u8], plans: &HashMap<String, RequestPlan>) -> Result<Vec<String>, String> {
+fn requests_in(bytes: &[u8], plans: &HashMap<String, RequestPlan>) -> Result<Vec<String>, Violation> {
     let (mut ids, mut bytes) = (Vec::new(), bytes);
     while !bytes.is_empty() {
         let Some(split) = split_head(bytes) else { break };
         let (head, rest) = split?;
-        let id = head.header("x-request-id").ok_or("a request without id")?.to_owned();
-        let plan = plans.get(&id).ok_or_else(|| format!("a request that no client sent: {head:?}"))?;
+        let id = head
+            .header("x-request-id")
+            .ok_or_else(|| Violation::MissingRequestId { head: format!("{head:?}") })?
+            .to_owned();
+        let plan = plans.get(&id).ok_or_else(|| Violation::UnknownRequest { head: format!("{head:?}") })?;
         let line = format!("POST {}{id} HTTP/1.1", plan.kind.prefix());
         let lengths: Vec<&str> = head.all("content-length").collect();
         let framed = match lengths.as_slice() {
@@ -56,11 +62,11 @@
             _ => false,
         };
         if head.line != line || !framed || head.header("transfer-encoding").is_some() {
-            return Err(format!("a changed request: {head:?}"));
+            return Err(Violation::ChangedRequest { head: format!("{head:?}") });
         }
         let body = split_length(rest, plan.body);
         if !request_body(&id, plan.body).starts_with(&body.data) {
-            return Err(format!("other bytes in the body of {id}"));
+            return Err(Violation::ChangedRequestBody { id });
         }
         ids.push(id);
         bytes = body.rest;
@@ -70,17 +76,17 @@
 
 fn check_response(
     id: &str, plan: &RequestPlan, response: &ObservedResponse, runs: usize,
-) -> Result<(), &'static str> {
+) -> Result<(), ResponseViolation> {
     let status =
         response.head.line.strip_prefix("HTTP/1.1 ").and_then(|line| line.get(..3)).unwrap_or_default();
     let signature = response.head.header("x-server-signature");
     if response.head.all("x-request-id").any(|other| other != id) {
-        return Err("it has another id");
+        return Err(ResponseViolation::OtherId);
     }
     match status {
         "200" => {
             if signature != Some(&format!("by-{id}")) {
-                return Err("a success without its signature");
+                return Err(ResponseViolation::UnsignedSuccess);
             }
             check_success(id, plan, response)
         }
@@ -88,32 +94,32 @@
             let expected = failure(id);
             let is_prefix = expected.as_bytes().starts_with(&response.body);
             let has_expected_length = !response.is_complete || expected.len() == response.body.len();
-            if is_prefix && has_expected_length { Ok(()) } else { Err("another error than the endpoint's") }
+            if is_prefix && has_expected_length { Ok(()) } else { Err(ResponseViolation::OtherError) }
         }
-        "408" | "421" | "429" | "503" if signature.is_some() => Err("a signature on a response of the relay"),
+        "408" | "421" | "429" | "503" if signature.is_some() => Err(ResponseViolation::SignedRelayResponse),
         "408" | "421" | "429" | "503" if runs > 0 && !plan.kind.is_retryable() => {
-            Err("it was executed after all")
+            Err(ResponseViolation::ExecutedAfterAll)
         }
         "408" | "421" | "429" | "503" => Ok(()),
-        "502" | "504" if signature.is_some() => Err("a signature on a response of the relay"),
+        "502" | "504" if signature.is_some() => Err(ResponseViolation::SignedRelayResponse),
         "502" | "504" => Ok(()),
-        _ => Err("an unexpected status"),
+        _ => Err(ResponseViolation::UnexpectedStatus),
     }
 }
 
-fn check_success(id: &str, plan: &RequestPlan, response: &ObservedResponse) -> Result<(), &'static str> {
+fn check_success(id: &str, plan: &RequestPlan, response: &ObservedResponse) -> Result<(), ResponseViolation> {
     let expected = response_body(id, plan.kind, 0);
     if !expected.starts_with(&response.body) {
-        return Err("other bytes than the endpoint's");
+        return Err(ResponseViolation::OtherBytes);
     }
     if response.is_complete && expected.len() != response.body.len() {
-        return Err("it looks complete and is not");
+        return Err(ResponseViolation::FalselyComplete);
     }
     let at_event = (0..=EVENTS)
         .any(|after| expected.len() - response_body(id, plan.kind, after).len() == response.body.len());
     // A client may disconnect within an event.
     if plan.kind.is_stream() && !at_event && !response.client_disconnected {
-        return Err("part of an event");
+        return Err(ResponseViolation::PartialEvent);
     }
     Ok(())
 }
--- a/crates/node/tests/relay/hostile/wire.rs
+++ b/crates/node/tests/relay/hostile/wire.rs
@@ -1,5 +1,7 @@
 //! A strict parser of HTTP/1.1: heads, and bodies with a length or in chunks.
 
+use super::violation::Violation;
+
 /// A head: its first line and its headers.
 #[derive(Clone, Debug)]
 pub struct Head {
@@ -22,7 +24,7 @@
 }
 
 /// Splits off a head; `None` if it is incomplete.
-pub fn split_head(bytes: &[u8]) -> Option<Result<(Head, &[u8]), String>> {
+pub fn split_head(bytes: &[u8]) -> Option<Result<(Head, &[u8]), Violation>> {
     let end = bytes.windows(4).position(|four| four == b"\r\n\r\n")?;
     let read = |text: &str| -> Option<Head> {
         let mut lines = text.split("\r\n");
@@ -32,8 +34,8 @@
         Some(Head { line, headers: lines.map(pair).collect::<Option<_>>()? })
     };
     let head = std::str::from_utf8(&bytes[..end]).ok().and_then(read);
-    let no_head = || format!("no head: {:?}", String::from_utf8_lossy(&bytes[..end]));
-    Some(head.map(|head| (head, &bytes[end + 4..])).ok_or_else(no_head))
+    let malformed = || Violation::MalformedHead { bytes: lossy_text(&bytes[..end]) };
+    Some(head.map(|head| (head, &bytes[end + 4..])).ok_or_else(malformed))
 }
 
 /// A body at the front of bytes.
@@ -53,14 +55,15 @@
 }
 
 /// Splits off a body in chunks, which must have neither extensions nor trailers.
-pub fn split_chunks(bytes: &[u8]) -> Result<Body<'_>, String> {
+pub fn split_chunks(bytes: &[u8]) -> Result<Body<'_>, Violation> {
     let (mut data, mut rest) = (Vec::new(), bytes);
     loop {
         let Some(line_end) = rest.windows(2).position(|two| two == b"\r\n") else {
             return Ok(Body { data, is_complete: false, rest: &[] });
         };
-        let line = std::str::from_utf8(&rest[..line_end]).map_err(|error| error.to_string())?;
-        let length = usize::from_str_radix(line, 16).map_err(|_| format!("no chunk length: {line:?}"))?;
+        let malformed = || Violation::MalformedChunk { bytes: lossy_text(rest) };
+        let line = std::str::from_utf8(&rest[..line_end]).map_err(|_| malformed())?;
+        let length = usize::from_str_radix(line, 16).map_err(|_| malformed())?;
         rest = &rest[line_end + 2..];
         let chunk = &rest[..length.min(rest.len())];
         data.extend_from_slice(chunk);
@@ -68,9 +71,15 @@
         if rest.len() < 2 {
             return Ok(Body { data, is_complete: false, rest: &[] });
         }
-        rest = rest.strip_prefix(b"\r\n").ok_or("no line end behind a chunk")?;
+        let malformed = || Violation::MalformedChunk { bytes: lossy_text(rest) };
+        rest = rest.strip_prefix(b"\r\n").ok_or_else(malformed)?;
         if length == 0 {
             return Ok(Body { data, is_complete: true, rest });
         }
     }
 }
+
+/// Bytes as text, with replacements for what is not UTF-8.
+pub fn lossy_text(bytes: &[u8]) -> String {
+    String::from_utf8_lossy(bytes).into_owned()
+}
--- a/crates/node/tests/relay/hostile_responses.rs
+++ b/crates/node/tests/relay/hostile_responses.rs
@@ -15,6 +15,7 @@
 use crate::hostile::oracle::check_case;
 use crate::hostile::relay_thread::RelayThread;
 use crate::hostile::script::{ClientPlan, RequestPlan, client_plans, request_id};
+use crate::hostile::violation::Violation;
 use crate::support::with_timeout;
 
 /// Cases for each seed.
@@ -35,8 +36,9 @@
             ..Config::default()
         };
         let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]);
-        let result = TestRunner::new_with_rng(config, rng)
-            .run(&client_plans(), |clients| run_case(clients).map_err(TestCaseError::fail));
+        let result = TestRunner::new_with_rng(config, rng).run(&client_plans(), |clients| {
+            run_case(clients).map_err(|violation| TestCaseError::fail(violation.to_string()))
+        });
         if let Err(error) = result {
             panic!("seed {seed}: {error}");
         }
@@ -44,12 +46,12 @@
     }
 }
 
-fn run_case(clients: Vec<ClientPlan>) -> Result<(), String> {
+fn run_case(clients: Vec<ClientPlan>) -> Result<(), Violation> {
     let runtime = Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(with_timeout(run_clients(clients)))
 }
 
-async fn run_clients(clients: Vec<ClientPlan>) -> Result<(), String> {
+async fn run_clients(clients: Vec<ClientPlan>) -> Result<(), Violation> {
     let plans = by_id(&clients);
     let case = CaseState::new(plans.clone());
     let endpoints = [HostileEndpoint::start(&case), HostileEndpoint::start(&case)];
