--- a/crates/node/tests/relay/hostile/endpoint.rs
+++ b/crates/node/tests/relay/hostile/endpoint.rs
@@ -143,48 +143,39 @@
         }
     }
 
-    /// Sends a reply other than a complete response.
+    /// Sends a reply other than a complete response, and ends the connection where the reply says so.
     async fn send_reply(
         &mut self, id: &str, kind: Kind, body: &[u8], reply: Reply,
     ) -> Result<(), ConversationEnded> {
-        match reply {
+        let (bytes, end) = match reply {
             Reply::CutHead { at, end } => {
-                let bytes = response(OK, id, "", Framing::Length, body);
-                let head = bytes.len() - body.len();
-                self.stream.write_all(&bytes[..at % head]).await?;
-                self.end(end)?;
+                let mut bytes = response(OK, id, "", Framing::Length, body);
+                bytes.truncate(at % (bytes.len() - body.len()));
+                (bytes, Some(end))
             }
             Reply::CutBody { framing, at, end } => {
                 let (bytes, end) = truncate(response(OK, id, "", framing, body), framing, kind, at, end);
-                self.stream.write_all(&bytes).await?;
-                self.end(end)?;
+                (bytes, Some(end))
             }
             Reply::Garbage(which) => {
                 let text = GARBAGE[which % GARBAGE.len()].replace("ID", id);
-                self.stream.write_all(text.as_bytes()).await?;
-                self.end(End::Close)?;
-            }
-            Reply::OtherId => {
-                self.stream.write_all(&response(OK, "another", "", Framing::Length, body)).await?;
-            }
-            Reply::TwoIds => {
-                let bytes = response(OK, id, "X-Request-Id: another\r\n", Framing::Length, body);
-                self.stream.write_all(&bytes).await?;
+                (text.into_bytes(), Some(End::Close))
             }
-            Reply::Declined => self.decline(id).await?,
+            Reply::OtherId => (response(OK, "another", "", Framing::Length, body), None),
+            Reply::TwoIds => (response(OK, id, "X-Request-Id: another\r\n", Framing::Length, body), None),
             Reply::Failed(framing) => {
-                self.stream.write_all(&response(FAILED, id, "", framing, failure(id).as_bytes())).await?;
-                if framing.ends_with_connection() {
-                    self.end(End::Close)?;
-                }
+                let end = framing.ends_with_connection().then_some(End::Close);
+                (response(FAILED, id, "", framing, failure(id).as_bytes()), end)
             }
-            Reply::SwitchingProtocols => self.stream.write_all(&switching_protocols(id)).await?,
-            Reply::NoResponse => self.read_to_end().await?,
+            Reply::SwitchingProtocols => (switching_protocols(id), None),
+            Reply::Declined => return self.decline(id).await,
+            Reply::NoResponse => return self.read_to_end().await,
             Reply::Complete { .. } | Reply::Early { .. } | Reply::ResetAfter(_) => {
                 unreachable!("handled by the caller")
             }
-        }
-        Ok(())
+        };
+        self.stream.write_all(&bytes).await?;
+        end.map_or(Ok(()), |end| self.end(end))
     }
 
     async fn send_complete(
