--- a/crates/relay/src/client_connections/submission.rs
+++ b/crates/relay/src/client_connections/submission.rs
@@ -11,15 +11,18 @@
 /// A notification as a client submitted it.
 #[derive(Debug, PartialEq)]
 pub struct Submission {
+    /// What the client says of it.
     pub attributes: Attributes,
     /// For how long it may be delivered.
     pub time_left: Span,
+    /// Its body.
     pub body: Vec<u8>,
 }
 
 /// The response to a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubmissionResponse {
+    /// Accepted, with its end still to come.
     Accepted,
     /// Rejected by a rate limit, with the delay after which the client is to retry; zero if none is advised.
     Throttled(Span),
--- a/crates/relay/src/config.rs
+++ b/crates/relay/src/config.rs
@@ -80,7 +80,9 @@
 /// How many connections may be open at once.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
+    /// Connections of clients.
     pub max_clients: usize,
+    /// Connections to endpoints.
     pub max_upstream: usize,
 }
 
@@ -92,6 +94,7 @@
         ConnectionLimits { max_clients, max_upstream: available - max_clients }
     }
 
+    /// The size of the state directory in bytes.
     pub fn disk_bytes(&self) -> u64 {
         (self.disk_mb * 1e6) as u64
     }
@@ -107,9 +110,13 @@
 /// The part of the configuration that a running process cannot change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StaticConfig {
+    /// The name of the relay, which each line of its log carries.
     pub name: String,
+    /// Where clients connect.
     pub listen: SocketAddr,
+    /// The seed of the core's random numbers.
     pub seed: u64,
+    /// What the process may use.
     pub limits: Limits,
 }
 
@@ -126,15 +133,19 @@
     }
 }
 
+/// The configuration of a relay.
 pub struct Config {
     /// The file that this was read from.
     pub path: PathBuf,
+    /// The part that only a restart changes.
     pub static_config: StaticConfig,
+    /// Where discovery and the platform listen.
     pub discovery_address: SocketAddr,
     /// Where the journal is; not needed to check a configuration.
     pub state_directory: Option<PathBuf>,
     /// The endpoint list as an earlier process knew it.
     pub initial_endpoints: EndpointList,
+    /// The settings of the core and of the connections.
     pub settings: Settings,
 }
 
--- a/crates/relay/src/core_driver.rs
+++ b/crates/relay/src/core_driver.rs
@@ -7,6 +7,7 @@
 use juniperwing::time::Time;
 use juniperwing_settings::Settings;
 
+/// The core with its queued events and its wake-up.
 pub struct CoreDriver {
     core: Relay,
     /// Events for the next decision.
@@ -15,6 +16,7 @@
 }
 
 impl CoreDriver {
+    /// A core that decides first at `now`.
     pub fn new(now: Time, seed: u64, settings: &Settings) -> CoreDriver {
         let core = Relay::new(now, seed, settings.relay_config.clone());
         CoreDriver { core, events: Vec::new(), wake_at: now }
--- a/crates/relay/src/discovery.rs
+++ b/crates/relay/src/discovery.rs
@@ -32,7 +32,9 @@
     pub without_address: Vec<EndpointId>,
 }
 
+/// The endpoint list and the watch on it.
 pub struct Discovery {
+    /// Where discovery listens.
     pub address: SocketAddr,
     list_version: u64,
     watch: Option<Watch>,
@@ -46,6 +48,7 @@
 }
 
 impl Discovery {
+    /// An empty list of the discovery at this address.
     pub fn new(address: SocketAddr) -> Discovery {
         Discovery {
             address,
@@ -68,6 +71,7 @@
         self.watch.as_ref().is_some_and(|watch| watch.has_message)
     }
 
+    /// An endpoint of the list that can be called.
     pub fn endpoint(&self, endpoint: &EndpointId) -> Option<&KnownEndpoint> {
         self.endpoints.get(endpoint)
     }
--- a/crates/relay/src/discovery/list.rs
+++ b/crates/relay/src/discovery/list.rs
@@ -46,12 +46,14 @@
 /// An endpoint that can be called.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KnownEndpoint {
+    /// Where it listens.
     pub address: SocketAddr,
     /// As it was reported to the core.
     pub(super) entry: EndpointEntry,
 }
 
 impl KnownEndpoint {
+    /// The name of its zone.
     pub fn zone(&self) -> Arc<str> {
         self.entry.zone.clone()
     }
--- a/crates/relay/src/discovery/watch.rs
+++ b/crates/relay/src/discovery/watch.rs
@@ -33,6 +33,7 @@
 /// What was received from a watch.
 #[derive(Default)]
 pub struct WatchMessages {
+    /// In the order received.
     pub lists: Vec<EndpointList>,
     /// Whether there was any message: a list, or an empty line, which says that nothing has changed.
     pub has_message: bool,
--- a/crates/relay/src/endpoint_response.rs
+++ b/crates/relay/src/endpoint_response.rs
@@ -25,7 +25,7 @@
     }
 
     /// The push was not run, and nothing more is owed for the notification.
-    const NOT_OWED: PushResult = PushResult { status: CallStatus::Skipped, is_final: true };
+    const FINAL_WITHOUT_RUN: PushResult = PushResult { status: CallStatus::Skipped, is_final: true };
 }
 
 /// The state of one notification in the response to a batch.
@@ -49,7 +49,7 @@
         429 | 503 => PushResult::from_status(CallStatus::Busy),
         // The pushes of the notification are used up: this one was not sent, and its end is still owed.
         504 => PushResult::from_status(CallStatus::Skipped),
-        410 => PushResult::NOT_OWED,
+        410 => PushResult::FINAL_WITHOUT_RUN,
         _ if is_rejected_as_malformed(response) => PushResult::from_status(CallStatus::Skipped),
         _ => PushResult::from_status(CallStatus::Error),
     };
@@ -68,7 +68,7 @@
         match state {
             Some("delivered") => PushResult::from_status(CallStatus::Delivered),
             Some("refused") => PushResult::from_status(CallStatus::Busy),
-            Some("over") => PushResult::NOT_OWED,
+            Some("over") => PushResult::FINAL_WITHOUT_RUN,
             Some("spent") => PushResult::from_status(CallStatus::Skipped),
             // Failed, or missing from the response: it may have run.
             _ => PushResult::from_status(CallStatus::Error),
--- a/crates/relay/src/event_loop.rs
+++ b/crates/relay/src/event_loop.rs
@@ -57,14 +57,18 @@
 /// An event with the connection that it happened on.
 #[derive(Clone, Copy, Debug)]
 pub struct QueuedEvent {
+    /// The connection.
     pub token: Token,
+    /// What the connection is for.
     pub role: ConnectionRole,
+    /// What happened.
     pub event: ConnectionEvent,
 }
 
 /// What happened in a turn.
 #[derive(Debug, Default)]
 pub struct Turn {
+    /// In the order in which they are to be handled.
     pub events: Vec<QueuedEvent>,
     /// A signal to stop was received.
     pub is_stop_requested: bool,
@@ -72,9 +76,11 @@
     pub is_reload_requested: bool,
 }
 
-/// Signals arrive as bytes: those to stop, and those to read the configuration again.
+/// The signals received, as bytes on a stream for each kind.
 pub struct Signals {
+    /// A byte for each SIGTERM and SIGINT.
     pub stop: UnixStream,
+    /// A byte for each SIGHUP.
     pub reload: UnixStream,
 }
 
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -2,8 +2,7 @@
 //!
 //! One thread runs an event loop. Each turn gathers what happened on the sockets, hands it to the core as events, carries
 //! out the core's commands, writes the journal, and only then lets bytes out. The modules follow a notification:
-//! [client connections](client_connections), [admission], the [core driver](core_driver), [upstream] calls,
-//! [endpoint responses](endpoint_response) and [notices]; [server] connects them.
+//! `client_connections`, `admission`, `core_driver`, `upstream`, `endpoint_response` and `notices`; `server` connects them.
 
 mod admission;
 mod client_connections;
--- a/crates/relay/src/notices.rs
+++ b/crates/relay/src/notices.rs
@@ -35,11 +35,13 @@
 /// What became of notices, by the numbers of their notifications.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct NoticeResults {
+    /// Those that the platform acknowledged.
     pub acknowledged: Vec<u64>,
     /// The platform cannot parse this one, so that it is not repeated.
     pub rejected: Option<u64>,
 }
 
+/// Sends notices, one request at a time.
 pub struct NoticeSender {
     address: SocketAddr,
     /// Notifications whose notices are still to be sent.
@@ -54,6 +56,7 @@
 }
 
 impl NoticeSender {
+    /// A sender without notices, to the platform at this address.
     pub fn new(address: SocketAddr) -> NoticeSender {
         NoticeSender {
             address,
--- a/crates/relay/src/upstream.rs
+++ b/crates/relay/src/upstream.rs
@@ -26,16 +26,21 @@
 
 /// An endpoint asked for a pause in a response that is not complete or came after the end of its call.
 pub struct RetryAfter {
+    /// The endpoint.
     pub endpoint: EndpointId,
+    /// The pause.
     pub delay: Span,
 }
 
 /// A notification in a call that is about to go out, and the zone of the call's endpoint.
 pub struct SentNotification {
+    /// Its number.
     pub notification: NotificationId,
+    /// The name of the zone.
     pub zone: Arc<str>,
 }
 
+/// The calls that have not ended, and all connections to endpoints.
 pub struct Upstream {
     settings: Connections,
     calls: BTreeMap<Token, Call>,
@@ -49,6 +54,7 @@
 }
 
 impl Upstream {
+    /// Without calls, and with at most so many connections.
     pub fn new(settings: Connections, max_connections: usize) -> Upstream {
         Upstream {
             settings,
--- a/crates/relay/src/upstream/call.rs
+++ b/crates/relay/src/upstream/call.rs
@@ -16,14 +16,19 @@
 
 /// A notification to be pushed.
 pub struct PushRequest<'a> {
+    /// Its number.
     pub notification: NotificationId,
+    /// Its id, as the client gave it.
     pub id: &'a str,
+    /// By which the endpoint recognises a repeat.
     pub idempotency_key: Option<&'a str>,
+    /// Its body.
     pub body: &'a [u8],
     /// Which of its pushes this is, from 0.
     pub push_number: u32,
     /// Whether others with its key wait for it.
     pub is_ordered: bool,
+    /// How long its outcome may take.
     pub timeout: Span,
     /// After that it must not go out to the endpoint any more.
     pub send_within: Span,
@@ -177,14 +182,19 @@
 /// How a push ended; without a notification, how a probe did.
 #[derive(Debug)]
 pub struct CallOutcome {
+    /// `None` for a probe.
     pub notification: Option<NotificationId>,
     /// Which of its notification's pushes it is, from 0.
     pub push_number: u32,
+    /// The endpoint of the call.
     pub endpoint: EndpointId,
+    /// How it ended.
     pub result: PushResult,
     /// How long ago the call started.
     pub elapsed: Span,
+    /// The pause that the endpoint asked for in its response.
     pub retry_after: Option<Span>,
+    /// What the endpoint reported of its rate limit.
     pub limit: Option<RateLimitReport>,
 }
 
--- a/crates/relay/tests/serve/restarts.rs
+++ b/crates/relay/tests/serve/restarts.rs
@@ -1,8 +1,9 @@
 //! Restarts, kills, shutdowns and the journal.
 
+use std::collections::VecDeque;
 use std::fs::OpenOptions;
 use std::io::Write;
-use std::sync::mpsc::{Receiver, channel};
+use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
 
 use serde_json::{Value, json};
@@ -140,53 +141,59 @@
     Finished(String),
 }
 
-/// Answers calls late and not always with success, and notices at once, and reports what it sees.
+/// Answers calls and notices, and reports what it sees.
 fn observe(endpoint: TestServer, platform: TestServer) -> Receiver<Observation> {
     let (sender, observations) = channel();
     let notices = sender.clone();
-    std::thread::spawn(move || {
-        while let Some(mut message) = platform.next_message_without_limit() {
-            if message.head.starts_with("POST /v1/notices ") {
-                for line in message.body.split(|byte| *byte == b'\n').filter(|line| !line.is_empty()) {
-                    let notice: Value = serde_json::from_slice(line).expect("a notice");
-                    let id = notice["message"].as_str().expect("an id").to_owned();
-                    if notices.send(Observation::Finished(id)).is_err() {
-                        return;
-                    }
-                }
-                message.respond("204 No Content", "", "");
-            }
-        }
-    });
-    std::thread::spawn(move || {
-        let (mut unanswered, mut count) = (std::collections::VecDeque::new(), 0);
-        loop {
-            let next = endpoint.next_message_within_30_ms();
-            let quiet = next.is_none();
-            if let Some(message) = next {
-                if sender.send(Observation::Pushed(message.id().to_owned())).is_err() {
+    std::thread::spawn(move || acknowledge_notices(&platform, &notices));
+    std::thread::spawn(move || answer_calls(&endpoint, &sender));
+    observations
+}
+
+/// Acknowledges notices at once.
+fn acknowledge_notices(platform: &TestServer, observations: &Sender<Observation>) {
+    while let Some(mut message) = platform.next_message_without_limit() {
+        if message.head.starts_with("POST /v1/notices ") {
+            for line in message.body.split(|byte| *byte == b'\n').filter(|line| !line.is_empty()) {
+                let notice: Value = serde_json::from_slice(line).expect("a notice");
+                let id = notice["message"].as_str().expect("an id").to_owned();
+                if observations.send(Observation::Finished(id)).is_err() {
                     return;
                 }
-                unanswered.push_back(message);
             }
-            if !quiet && unanswered.len() < 3 {
-                continue;
-            }
-            let Some(mut message): Option<ReceivedMessage> = unanswered.pop_front() else { continue };
-            let id = message.id().to_owned();
-            count += 1;
-            let (status, observation) = match count % 12 {
-                5 => ("503 Service Unavailable", Some(Observation::NotRun(id))),
-                11 => ("500 Internal Server Error", None),
-                _ => ("200 OK", Some(Observation::Finished(id))),
-            };
-            if observation.is_some_and(|observation| sender.send(observation).is_err()) {
+            message.respond("204 No Content", "", "");
+        }
+    }
+}
+
+/// Answers calls late and not always with success.
+fn answer_calls(endpoint: &TestServer, observations: &Sender<Observation>) {
+    let (mut unanswered, mut count) = (VecDeque::new(), 0);
+    loop {
+        let next = endpoint.next_message_within_30_ms();
+        let is_quiet = next.is_none();
+        if let Some(message) = next {
+            if observations.send(Observation::Pushed(message.id().to_owned())).is_err() {
                 return;
             }
-            message.respond(status, "", "");
+            unanswered.push_back(message);
         }
-    });
-    observations
+        if !is_quiet && unanswered.len() < 3 {
+            continue;
+        }
+        let Some(mut message): Option<ReceivedMessage> = unanswered.pop_front() else { continue };
+        let id = message.id().to_owned();
+        count += 1;
+        let (status, observation) = match count % 12 {
+            5 => ("503 Service Unavailable", Some(Observation::NotRun(id))),
+            11 => ("500 Internal Server Error", None),
+            _ => ("200 OK", Some(Observation::Finished(id))),
+        };
+        if observation.is_some_and(|observation| observations.send(observation).is_err()) {
+            return;
+        }
+        message.respond(status, "", "");
+    }
 }
 
 #[test]
