--- a/crates/relay/src/server/recovery.rs
+++ b/crates/relay/src/server/recovery.rs
@@ -65,8 +65,8 @@
     }
 
     /// The topic type of a notification, with what was guaranteed when it was accepted. A topic type that is not in the
-    /// settings any more counts as one with defaults; without a guarantee, as in a journal of an earlier release, there is
-    /// none.
+    /// settings any more counts as one with defaults. Without a guarantee, as in a journal of an early release, it is that
+    /// of the settings, if they have it.
     fn recovered_topic(&self, notification: &AcceptedNotification) -> Option<Arc<TopicType>> {
         let name = &notification.attributes.topic;
         let topic = self.settings.topic_type(name);
