--- a/crates/lab/src/commands/hunt.rs
+++ b/crates/lab/src/commands/hunt.rs
@@ -89,12 +89,12 @@
 }
 
 fn print_found(scenario: &Scenario, finding: &Finding, path: &Path) {
-    let faults: Vec<String> = scenario.faults.iter().map(|fault| report::fault_name(fault.what)).collect();
+    let faults: Vec<String> = scenario.faults.iter().map(|fault| report::fault_name(fault.kind)).collect();
     println!(
         "{finding:?} with {} relays, {} destinations, {:.1} s, troubles: {}\n{}",
-        scenario.relays.count.least,
-        scenario.destinations.count.least,
-        scenario.span_s.least,
+        scenario.relays.count.min,
+        scenario.destinations.count.min,
+        scenario.duration_s.min,
         faults.join(", "),
         path.display()
     );
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -31,25 +31,25 @@
     hunted(FaultKind::Slow, 3.0, 20.0),
     hunted(FaultKind::Silent, 1.0, 1.0),
     hunted(FaultKind::Errors, 1.0, 1.0),
-    hunted(FaultKind::Refuses, 1.0, 1.0),
+    hunted(FaultKind::Rejections, 1.0, 1.0),
     hunted(FaultKind::Down, 1.0, 1.0),
     hunted(FaultKind::Pauses, 0.2, 2.0),
     hunted(FaultKind::TopicFails, 1.0, 1.0),
     hunted(FaultKind::Limit, 0.2, 0.7),
     hunted(FaultKind::Handshakes, 3.0, 20.0),
     hunted(FaultKind::Burst, 1.2, 2.0),
-    hunted(FaultKind::Hot, 2.0, 5.0),
-    hunted(FaultKind::Release, 1.0, 1.0),
+    hunted(FaultKind::HotDestinations, 2.0, 5.0),
+    hunted(FaultKind::TrafficRelease, 1.0, 1.0),
     hunted(FaultKind::HotRelays, 0.1, 0.3),
     hunted(FaultKind::ListDown, 1.0, 1.0),
     hunted(FaultKind::ListStale, 3.0, 10.0),
     hunted(FaultKind::Deploy, 2.0, 6.0),
-    hunted(FaultKind::CutThere, 1.0, 1.0),
-    hunted(FaultKind::CutBack, 1.0, 1.0),
+    hunted(FaultKind::RequestLoss, 1.0, 1.0),
+    hunted(FaultKind::ResponseLoss, 1.0, 1.0),
     hunted(FaultKind::Resets, 0.05, 0.5),
-    hunted(FaultKind::Hurry, 0.2, 0.6),
-    hunted(FaultKind::Kill, 1.0, 5.0),
-    hunted(FaultKind::Lose, 1.0, 5.0),
+    hunted(FaultKind::ShortenedTtl, 0.2, 0.6),
+    hunted(FaultKind::RelayKill, 1.0, 5.0),
+    hunted(FaultKind::RelayLoss, 1.0, 5.0),
 ];
 /// Faults of one scenario, at most.
 const MAX_FAULTS: usize = 3;
@@ -67,24 +67,24 @@
 
 /// A fault of that kind for a scenario, with figures drawn from `rng`.
 pub fn draw_fault(scenario: &Scenario, kind: FaultKind, rng: &mut ChaCha8Rng) -> Fault {
-    let span_s = scenario.span_s.least;
+    let span_s = scenario.duration_s.min;
     let hunted = HUNTED_FAULTS.iter().find(|hunted| hunted.kind == kind);
     let (min_size, max_size) = hunted.map_or((1.0, 1.0), |hunted| (hunted.min_size, hunted.max_size));
-    let mut between = |least: f64, most: f64| Range::from(Range { least, most }.draw(rng));
+    let mut between = |min: f64, max: f64| Range::from(Range { min, max }.draw(rng));
     let start_s = between(0.15 * span_s, 0.5 * span_s);
     let duration_s = between(0.1 * span_s, 0.35 * span_s);
     let (size, extent) = (between(min_size, max_size), between(0.1, 0.6));
-    let whole = rng.random::<f64>() < 0.7;
-    let topic = scenario.topic.choose(rng).map(|topic| topic.name.clone());
+    let affects_all_endpoints = rng.random::<f64>() < 0.7;
+    let topic = scenario.topics.choose(rng).map(|topic| topic.name.clone());
     Fault {
-        what: kind,
+        kind,
         start_s,
-        span_s: duration_s,
+        duration_s,
         ramp_s: Range::from(0.0),
         size,
         extent,
-        whole,
-        kind: None,
+        affects_all_endpoints,
+        destination_kind: None,
         zone: None,
         topic: topic.filter(|_| kind == FaultKind::TopicFails),
         account: None,
@@ -160,28 +160,28 @@
     for fault in 0..scenario.faults.len() {
         add(&|smaller| drop(smaller.faults.remove(fault)));
     }
-    let half = |range: Range| Range::from((range.least / 2.0).floor().max(1.0));
+    let half = |range: Range| Range::from((range.min / 2.0).floor().max(1.0));
     let (relays, destinations) = (half(scenario.relays.count), half(scenario.destinations.count));
     let has_fewer_relays = relays != scenario.relays.count;
-    if has_fewer_relays && destinations.least >= scenario.kind.len() as f64 {
+    if has_fewer_relays && destinations.min >= scenario.kinds.len() as f64 {
         add(&|smaller| {
-            let fraction = destinations.least / scenario.destinations.count.least;
+            let fraction = destinations.min / scenario.destinations.count.min;
             smaller.relays.count = relays;
             smaller.destinations.count = destinations;
-            smaller.traffic.rate = Range::from(scenario.traffic.rate.least * fraction);
+            smaller.traffic.rate = Range::from(scenario.traffic.rate.min * fraction);
         });
     }
     if has_fewer_relays {
         add(&|smaller| smaller.relays.count = relays);
     }
-    let half_span_s = scenario.span_s.least / 2.0;
+    let half_span_s = scenario.duration_s.min / 2.0;
     if half_span_s >= MIN_SCENARIO_SPAN_S {
-        add(&|smaller| smaller.span_s = Range::from(half_span_s));
+        add(&|smaller| smaller.duration_s = Range::from(half_span_s));
     }
     for (n, fault) in scenario.faults.iter().enumerate() {
-        let duration_s = fault.span_s.least;
+        let duration_s = fault.duration_s.min;
         if duration_s >= MIN_SHRINKABLE_FAULT_S {
-            add(&|smaller| smaller.faults[n].span_s = Range::from(duration_s / 2.0));
+            add(&|smaller| smaller.faults[n].duration_s = Range::from(duration_s / 2.0));
         }
     }
     smaller
--- a/crates/lab/src/plots.rs
+++ b/crates/lab/src/plots.rs
@@ -42,11 +42,7 @@
 pub fn line_plot(
     title: &str, x_label: &str, y_label: &str, lines: &[Line], shaded: &[(f64, f64)],
 ) -> LabResult<String> {
-    let points = || lines.iter().flat_map(|line| line.points.iter().copied());
-    let bands = || lines.iter().flat_map(|line| line.band.iter().copied());
-    let (min_x, max_x) = bounds(points().map(|(x, _)| x));
-    let (_, max_y) = bounds(points().map(|(_, y)| y).chain(bands().map(|(_, _, high)| high)));
-    let top = max_y * HEADROOM;
+    let Extent { min_x, max_x, top } = extent(lines);
     let mut svg = String::new();
     {
         let root = SVGBackend::with_string(&mut svg, SIZE_PX).into_drawing_area();
@@ -81,6 +77,21 @@
     Ok(svg)
 }
 
+/// What the axes cover, but for their least length.
+struct Extent {
+    min_x: f64,
+    max_x: f64,
+    top: f64,
+}
+
+fn extent(lines: &[Line]) -> Extent {
+    let points = || lines.iter().flat_map(|line| line.points.iter().copied());
+    let bands = lines.iter().flat_map(|line| line.band.iter().copied());
+    let (min_x, max_x) = bounds(points().map(|(x, _)| x));
+    let (_, max_y) = bounds(points().map(|(_, y)| y).chain(bands.map(|(_, _, high)| high)));
+    Extent { min_x, max_x, top: max_y * HEADROOM }
+}
+
 /// The outline of a band: along its lower end and back along its upper end.
 fn outline(band: &[(f64, f64, f64)]) -> Vec<(f64, f64)> {
     let lower = band.iter().map(|(x, low, _)| (*x, *low));
--- a/crates/lab/src/report/html.rs
+++ b/crates/lab/src/report/html.rs
@@ -30,7 +30,7 @@
 
 /// When each fault that takes time is active, in seconds.
 fn fault_spans(scenario: &Scenario) -> Vec<(f64, f64)> {
-    let span = |fault: &Fault| (fault.start_s.least, fault.start_s.least + fault.span_s.least);
+    let span = |fault: &Fault| (fault.start_s.min, fault.start_s.min + fault.duration_s.min);
     scenario.faults.iter().map(span).filter(|(from, to)| from < to).collect()
 }
 
@@ -197,14 +197,14 @@
     }
     *body += "<table><tr><th>Trouble<th>from s<th>to s<th>size<th>extent</tr>";
     for fault in &scenario.faults {
-        let (from_s, duration_s) = (fault.start_s.least, fault.span_s.least);
+        let (from_s, duration_s) = (fault.start_s.min, fault.duration_s.min);
         write!(
             body,
             "<tr><td>{}<td>{from_s:.1}<td>{:.1}<td>{:.2}<td>{:.2}</tr>",
-            fault_name(fault.what),
+            fault_name(fault.kind),
             from_s + duration_s,
-            fault.size.least,
-            fault.extent.least
+            fault.size.min,
+            fault.extent.min
         )?;
     }
     *body += "</table>";
--- a/crates/lab/src/runner.rs
+++ b/crates/lab/src/runner.rs
@@ -93,7 +93,7 @@
 fn with_adapter(
     program: &Path, scenario: &Scenario, play: impl Fn(&dyn Policies) -> Metrics,
 ) -> LabResult<Metrics> {
-    let kills = scenario.faults.iter().any(|fault| fault.what == FaultKind::Kill);
+    let kills = scenario.faults.iter().any(|fault| fault.kind == FaultKind::RelayKill);
     ensure!(!kills, AdapterCannotRestartSnafu);
     let adapter = Adapter::start(program)?;
     let metrics = play(&adapter);
--- a/crates/lab/tests/cli.rs
+++ b/crates/lab/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The lab as a program: what it refuses, what it writes, and that results hang on nothing but scenario and seed.
+//! The lab as a program: what it rejects, what it writes, and that results depend on scenario and seed alone.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -8,22 +8,22 @@
 
 const SMALL: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../lab/scenarios/small.toml");
 
-/// A folder of one test's own, removed with it.
-struct Folder(PathBuf);
+/// A temporary directory of one test, removed with this value.
+struct TestDirectory(PathBuf);
 
-impl Folder {
-    fn new() -> Folder {
+impl TestDirectory {
+    fn new() -> TestDirectory {
         static COUNT: AtomicUsize = AtomicUsize::new(0);
         let name =
             format!("juniperwing-lab-{}-{}", std::process::id(), COUNT.fetch_add(1, Ordering::Relaxed));
         let path = std::env::temp_dir().join(name);
-        std::fs::create_dir_all(&path).expect("room for temporary files");
-        Folder(path)
+        std::fs::create_dir_all(&path).expect("space for temporary files");
+        TestDirectory(path)
     }
 
     fn write(&self, name: &str, text: &str) -> String {
         let path = self.0.join(name);
-        std::fs::write(&path, text).expect("room");
+        std::fs::write(&path, text).expect("space");
         path.display().to_string()
     }
 
@@ -32,9 +32,9 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TestDirectory {
     fn drop(&mut self) {
-        // Left behind, it does no harm.
+        // A directory that is left behind does no harm.
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
@@ -43,25 +43,25 @@
     Command::new(env!("CARGO_BIN_EXE_juniperwing-lab")).args(args).output().expect("the lab runs")
 }
 
-fn said(output: &Output) -> String {
+fn output_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr)
 }
 
-fn small() -> String {
+fn small_scenario() -> String {
     std::fs::read_to_string(SMALL).expect("the scenario kept here")
 }
 
-/// The kept scenario made shorter, so that a test takes no time.
-fn short() -> String {
-    small().replace("span_s = 45", "span_s = 16").replace("start_s = 12", "start_s = 4")
+/// The kept scenario made shorter, for fast tests.
+fn short_scenario() -> String {
+    small_scenario().replace("span_s = 45", "span_s = 16").replace("start_s = 12", "start_s = 4")
 }
 
 #[test]
-fn a_run_leaves_a_folder_with_scenario_figures_and_a_report() {
-    let folder = Folder::new();
-    let (file, out) = (folder.write("short.toml", &short()), folder.path("out"));
+fn run_writes_scenario_metrics_and_report() {
+    let directory = TestDirectory::new();
+    let (file, out) = (directory.write("short.toml", &short_scenario()), directory.path("out"));
     let output = lab(&["run", &file, "--seed", "4", "--out", &out, "--quiet"]);
-    assert!(output.status.success(), "{}", said(&output));
+    assert!(output.status.success(), "{}", output_text(&output));
     let of = Path::new(&out).join("small-core-4");
     let figures: serde_json::Value =
         serde_json::from_slice(&std::fs::read(of.join("figures.json")).expect("figures")).expect("JSON");
@@ -81,8 +81,8 @@
     );
     let rows = std::fs::read_to_string(of.join("seconds.csv")).expect("a table");
     assert!(rows.lines().count() > 16, "{rows}");
-    // The scenario as resolved is one, and with its seed it plays the same.
-    let again = folder.path("again");
+    // The resolved scenario is a scenario, and with its seed it runs the same.
+    let again = directory.path("again");
     let resolved = of.join("scenario.toml").display().to_string();
     assert!(lab(&["run", &resolved, "--seed", "4", "--out", &again, "--quiet"]).status.success());
     let same = |name: &str| {
@@ -93,11 +93,11 @@
 }
 
 #[test]
-fn one_core_and_four_give_the_same_bytes() {
-    let folder = Folder::new();
-    let file = folder.write("short.toml", &short());
+fn results_do_not_depend_on_the_number_of_cores() {
+    let directory = TestDirectory::new();
+    let file = directory.write("short.toml", &short_scenario());
     let outs = ["1", "4"].map(|jobs| {
-        let out = folder.path(&format!("jobs-{jobs}"));
+        let out = directory.path(&format!("jobs-{jobs}"));
         let args = ["run", &file, "--seeds", "4", "--jobs", jobs, "--out", &out, "--quiet"];
         assert!(lab(&args).status.success());
         out
@@ -112,30 +112,34 @@
 }
 
 #[test]
-fn a_comparison_pairs_by_seed_and_states_its_interval() {
-    let folder = Folder::new();
-    let (file, out) = (folder.write("short.toml", &short()), folder.path("out"));
+fn comparison_pairs_by_seed_and_states_its_interval() {
+    let directory = TestDirectory::new();
+    let (file, out) = (directory.write("short.toml", &short_scenario()), directory.path("out"));
     let sides = [file.clone(), format!("{file}@one-try")];
     let output = lab(&["compare", &sides[0], &sides[0], "--seeds", "3", "--out", &out, "--quiet"]);
-    assert!(output.status.success(), "{}", said(&output));
-    assert!(said(&output).contains("+0.0000  +0.0000 to +0.0000  not clear"), "{}", said(&output));
+    assert!(output.status.success(), "{}", output_text(&output));
+    assert!(
+        output_text(&output).contains("+0.0000  +0.0000 to +0.0000  not clear"),
+        "{}",
+        output_text(&output)
+    );
     let output = lab(&["compare", &sides[0], &sides[1], "--seeds", "3", "--out", &out, "--quiet"]);
-    assert!(said(&output).contains("3 pairs"), "{}", said(&output));
+    assert!(output_text(&output).contains("3 pairs"), "{}", output_text(&output));
     let page = std::fs::read_to_string(Path::new(&out).join("compare.html")).expect("a page");
     assert!(page.contains("95 %") && page.contains("<svg"));
 }
 
 #[test]
-fn a_sweep_has_a_point_for_each_value_and_policy() {
-    let folder = Folder::new();
-    let (file, out) = (folder.write("short.toml", &short()), folder.path("out"));
+fn sweep_has_a_point_for_each_value_and_policy() {
+    let directory = TestDirectory::new();
+    let (file, out) = (directory.write("short.toml", &short_scenario()), directory.path("out"));
     let over = "trouble.0.extent=0.1,0.6";
     let args = [
         "sweep", &file, "--over", over, "--policy", "core", "--policy", "one-try", "--seeds", "2", "--out",
         &out, "--quiet",
     ];
     let output = lab(&args);
-    let text = said(&output);
+    let text = output_text(&output);
     assert_eq!(text.lines().filter(|line| line.contains("trouble.0.extent = ")).count(), 4, "{text}");
     let rows = std::fs::read_to_string(Path::new(&out).join("sweep.csv")).expect("a table");
     assert_eq!(rows.lines().count(), 1 + 8, "{rows}");
@@ -145,10 +149,10 @@
 }
 
 #[test]
-fn a_bad_scenario_is_refused_with_file_line_and_reason() {
-    let folder = Folder::new();
+fn invalid_scenario_is_rejected_with_file_line_and_reason() {
+    let directory = TestDirectory::new();
     let with = |from: &str, to: &str| {
-        let text = small();
+        let text = small_scenario();
         assert!(text.contains(from), "{from}");
         text.replacen(from, to, 1)
     };
@@ -174,10 +178,10 @@
     ];
     let mut trace = String::new();
     for (n, text) in cases.iter().enumerate() {
-        let path = folder.write(&format!("{n}.toml"), text);
+        let path = directory.write(&format!("{n}.toml"), text);
         let output = lab(&["check", &path]);
         assert_eq!(output.status.code(), Some(2), "{text}");
-        trace += &said(&output).replace(&folder.path(""), "");
+        trace += &output_text(&output).replace(&directory.path(""), "");
     }
     expect![[r#"
         0.toml:11: unknown field `zipfian`, expected one of `count`, `zipf`, `slots_room`, `least_slots`, `hold_s`, `least_held`, `tick_ms`, `pushes`, `notice_ms`
@@ -203,35 +207,35 @@
 }
 
 #[test]
-fn what_is_no_scenario_file_is_refused() {
-    let folder = Folder::new();
-    let large = folder.write("large.toml", &"#".repeat(2 << 20));
-    let path = folder.0.join("bytes.toml");
-    std::fs::write(&path, [0xff, 0xfe, b'\n']).expect("room");
+fn unusable_files_and_policies_are_rejected() {
+    let directory = TestDirectory::new();
+    let large = directory.write("large.toml", &"#".repeat(2 << 20));
+    let path = directory.0.join("bytes.toml");
+    std::fs::write(&path, [0xff, 0xfe, b'\n']).expect("space");
     for (path, part) in [
-        (folder.path("none.toml"), "No such file"),
-        (folder.path(""), "is no file"),
+        (directory.path("none.toml"), "No such file"),
+        (directory.path(""), "is no file"),
         (large, "is larger than"),
         (path.display().to_string(), "is not UTF-8"),
     ] {
         let output = lab(&["run", &path, "--quiet"]);
         assert_eq!(output.status.code(), Some(2), "{path}");
-        assert!(said(&output).contains(part), "{}", said(&output));
+        assert!(output_text(&output).contains(part), "{}", output_text(&output));
     }
     let output = lab(&["run", SMALL, "--policy", "magic", "--quiet"]);
     assert!(
-        said(&output).contains("there is no policy \"magic\"; there are core, one-try"),
+        output_text(&output).contains("there is no policy \"magic\"; there are core, one-try"),
         "{}",
-        said(&output)
+        output_text(&output)
     );
 }
 
-/// One that goes on as if nothing had happened pushes a returning destination over: the hunt finds a day for that, cuts
-/// it down, and the file that it leaves shows it again.
+/// The backoff baseline overloads recovering destinations: the hunt finds a run that shows it, shrinks it, and the file
+/// that it writes shows it again.
 #[test]
-fn a_hunt_finds_a_broken_rule_and_its_file_shows_it_again() {
-    let folder = Folder::new();
-    let (file, out) = (folder.write("short.toml", &short()), folder.path("out"));
+fn hunt_finds_a_violation_and_its_file_reproduces_it() {
+    let directory = TestDirectory::new();
+    let (file, out) = (directory.write("short.toml", &short_scenario()), directory.path("out"));
     let hunt = [
         "hunt",
         &file,
@@ -247,25 +251,25 @@
         "--quiet",
     ];
     let output = lab(&hunt);
-    let text = said(&output);
+    let text = output_text(&output);
     assert_eq!(output.status.code(), Some(1), "{text}");
     let found = text.lines().last().expect("a file").to_owned();
     let kept = std::fs::read_to_string(&found).expect("the file it names");
     assert!(kept.contains("seed = ") && kept.matches("[[trouble]]").count() <= 2, "{kept}");
     let again = lab(&["replay", &found, "--policy", "backoff", "--out", &out]);
-    assert_eq!(again.status.code(), Some(1), "{}", said(&again));
-    assert!(said(&again).contains("BROKEN (return"), "{}", said(&again));
+    assert_eq!(again.status.code(), Some(1), "{}", output_text(&again));
+    assert!(output_text(&again).contains("BROKEN (return"), "{}", output_text(&again));
     // The same hunt finds the same.
-    assert_eq!(text, said(&lab(&hunt)));
+    assert_eq!(text, output_text(&lab(&hunt)));
     assert_eq!(lab(&["replay", &file]).status.code(), Some(2));
     assert_eq!(lab(&["hunt", &file, "--only", "bad-luck"]).status.code(), Some(2));
 }
 
-/// An adapter that answers what nobody can read, or ends, spoils the run and not the figures.
+/// An adapter that sends an invalid reply, or ends, fails the run.
 #[test]
-fn an_adapter_that_fails_ends_the_run_with_a_plain_reason() {
-    let folder = Folder::new();
-    let file = folder.write("short.toml", &short());
+fn failed_adapter_fails_the_run_with_a_reason() {
+    let directory = TestDirectory::new();
+    let file = directory.write("short.toml", &short_scenario());
     for (program, part) in [
         ("/bin/cat", "its reply is none"),
         ("/bin/true", "/bin/true: "),
@@ -277,10 +281,10 @@
             "--policy",
             &format!("adapter:{program}"),
             "--out",
-            &folder.path("out"),
+            &directory.path("out"),
             "--quiet",
         ]);
         assert_eq!(output.status.code(), Some(2), "{program}");
-        assert!(said(&output).contains(part), "{}", said(&output));
+        assert!(output_text(&output).contains(part), "{}", output_text(&output));
     }
 }
--- a/crates/lab/tests/hunt.rs
+++ b/crates/lab/tests/hunt.rs
@@ -27,7 +27,7 @@
     }
     assert_eq!(text(&runs), text(&hunted_runs(&small(), &all, 3, 200)));
     let drawn: BTreeSet<FaultKind> =
-        runs.iter().flat_map(|run| run.scenario.faults.iter().map(|t| t.what)).collect();
+        runs.iter().flat_map(|run| run.scenario.faults.iter().map(|t| t.kind)).collect();
     assert_eq!(drawn.len(), all.len());
 }
 
@@ -45,17 +45,17 @@
     let evaluate = |scenario: &Scenario| {
         played += 1;
         let shown =
-            scenario.relays.count.least >= 2.0 && scenario.faults.iter().any(|t| t.what == FaultKind::Silent);
+            scenario.relays.count.min >= 2.0 && scenario.faults.iter().any(|t| t.kind == FaultKind::Silent);
         Ok(if shown { broken.clone() } else { Finding::Loses(0.1) })
     };
     let (smallest, found) = shrink(&scenario, &broken, evaluate).expect("no run fails");
     assert_eq!(found, broken);
-    assert_eq!(smallest.faults.iter().map(|t| t.what).collect::<Vec<_>>(), [FaultKind::Silent]);
-    assert_eq!(smallest.relays.count.least, 2.0);
+    assert_eq!(smallest.faults.iter().map(|t| t.kind).collect::<Vec<_>>(), [FaultKind::Silent]);
+    assert_eq!(smallest.relays.count.min, 2.0);
     assert!(
-        smallest.span_s.least < 2.0 * MIN_SCENARIO_SPAN_S && played < 100,
+        smallest.duration_s.min < 2.0 * MIN_SCENARIO_SPAN_S && played < 100,
         "{} s, {played}",
-        smallest.span_s.least
+        smallest.duration_s.min
     );
 }
 
--- a/crates/model/src/faults.rs
+++ b/crates/model/src/faults.rs
@@ -37,17 +37,17 @@
 impl FaultWindow {
     /// The windows of all faults of a resolved scenario.
     pub fn all_of(scenario: &Scenario) -> Vec<FaultWindow> {
-        let topic = |name: &String| scenario.topic.iter().position(|topic| topic.name == *name);
-        let account = |name: &String| scenario.account.iter().position(|account| account.name == *name);
+        let topic = |name: &String| scenario.topics.iter().position(|topic| topic.name == *name);
+        let account = |name: &String| scenario.accounts.iter().position(|account| account.name == *name);
         let window = |fault: &Fault| {
-            let from = Time::default() + Span::from_secs_f64(fault.start_s.least);
+            let from = Time::default() + Span::from_secs_f64(fault.start_s.min);
             FaultWindow {
-                kind: fault.what,
+                kind: fault.kind,
                 from,
-                to: from + Span::from_secs_f64(fault.span_s.least),
-                ramp: Span::from_secs_f64(fault.ramp_s.least),
-                size: fault.size.least,
-                extent: fault.extent.least,
+                to: from + Span::from_secs_f64(fault.duration_s.min),
+                ramp: Span::from_secs_f64(fault.ramp_s.min),
+                size: fault.size.min,
+                extent: fault.extent.min,
                 topic: fault.topic.as_ref().and_then(topic),
                 account: fault.account.as_ref().and_then(account),
             }
@@ -136,7 +136,7 @@
 
     /// Whether no call at all succeeds.
     pub fn is_outage(&self, windows: &[FaultWindow], now: Time) -> bool {
-        [FaultKind::Silent, FaultKind::Errors, FaultKind::Refuses, FaultKind::Down]
+        [FaultKind::Silent, FaultKind::Errors, FaultKind::Rejections, FaultKind::Down]
             .into_iter()
             .any(|kind| self.is_active(windows, kind, now))
     }
--- a/crates/model/src/fleet.rs
+++ b/crates/model/src/fleet.rs
@@ -182,7 +182,7 @@
             relays: Vec::new(),
             rules: convert::rule_parameters(scenario),
             tick: span_ms(scenario.relays.tick_ms),
-            has_listed_rates: scenario.list.rates,
+            has_listed_rates: scenario.list.has_rates,
         };
         fleet.draw_destinations(scenario, rng);
         fleet.draw_relays(scenario, rng);
--- a/crates/model/src/fleet/allocation.rs
+++ b/crates/model/src/fleet/allocation.rs
@@ -30,14 +30,14 @@
 /// Notifications a second at full load, by destination and topic type. `kinds` and `weights` have an entry for each
 /// destination.
 pub(super) fn rates_per_s(scenario: &Scenario, kinds: &[usize], weights: &[f64]) -> Vec<Vec<f64>> {
-    let total: f64 = scenario.topic.iter().map(|topic| topic.share.least).sum();
-    let mut rates = vec![vec![0.0; scenario.topic.len()]; kinds.len()];
-    for (n, topic) in scenario.topic.iter().enumerate() {
+    let total: f64 = scenario.topics.iter().map(|topic| topic.traffic_weight.min).sum();
+    let mut rates = vec![vec![0.0; scenario.topics.len()]; kinds.len()];
+    for (n, topic) in scenario.topics.iter().enumerate() {
         let is_sent_to =
-            |kind: usize| topic.kinds.is_empty() || topic.kinds.contains(&scenario.kind[kind].name);
+            |kind: usize| topic.kinds.is_empty() || topic.kinds.contains(&scenario.kinds[kind].name);
         let receivers = kinds.iter().zip(weights).filter(|(kind, _)| is_sent_to(**kind));
         let total_weight: f64 = receivers.map(|(_, weight)| weight).sum();
-        let topic_rate = scenario.traffic.rate.least * topic.share.least / total.max(1e-12);
+        let topic_rate = scenario.traffic.rate.min * topic.traffic_weight.min / total.max(1e-12);
         for ((kind, weight), rates) in kinds.iter().zip(weights).zip(&mut rates) {
             if is_sent_to(*kind) && total_weight > 0.0 {
                 rates[n] = topic_rate * weight / total_weight;
--- a/crates/model/src/fleet/draw.rs
+++ b/crates/model/src/fleet/draw.rs
@@ -28,17 +28,17 @@
 impl DestinationShape<'_> {
     /// Routes of the destination: one, or one for each endpoint.
     fn routes(&self) -> usize {
-        if self.plan.apart { self.endpoints } else { 1 }
+        if self.plan.has_separate_routes { self.endpoints } else { 1 }
     }
 }
 
 impl Fleet {
     pub(super) fn draw_destinations(&mut self, scenario: &Scenario, rng: &RngStreams) {
-        let count = scenario.destinations.count.least as usize;
-        let mut kinds = allocate_by_weight(count, scenario.kind.iter().map(|kind| kind.share));
+        let count = scenario.destinations.count.min as usize;
+        let mut kinds = allocate_by_weight(count, scenario.kinds.iter().map(|kind| kind.weight));
         kinds.shuffle(&mut rng.stream(Concern::Destinations, 0));
-        let accounts = allocate_by_weight(count, scenario.account.iter().map(|account| account.share));
-        let weights = zipf_weights(count, scenario.destinations.zipf.least);
+        let accounts = allocate_by_weight(count, scenario.accounts.iter().map(|account| account.weight));
+        let weights = zipf_weights(count, scenario.destinations.zipf_exponent.min);
         let rates = rates_per_s(scenario, &kinds, &weights);
         for (index, (kind, rates)) in kinds.into_iter().zip(rates).enumerate() {
             // A stream for each, so that one destination more leaves the others as they are.
@@ -51,14 +51,14 @@
         &mut self, scenario: &Scenario, kind: usize, account: Option<usize>, rates: Vec<f64>,
         draws: &mut ChaCha8Rng,
     ) {
-        let (destination, plan) = (self.destinations.len(), &scenario.kind[kind]);
+        let (destination, plan) = (self.destinations.len(), &scenario.kinds[kind]);
         let speed = plan.speed.draw(draws);
         let rate: f64 = rates.iter().sum();
         let mean_work_s = mean_work_s(&self.topics, &rates) / speed;
-        let mean_endpoints = scenario.destinations.endpoints.least;
+        let mean_endpoints = scenario.destinations.endpoints.min;
         let has_one_more = draws.random::<f64>() < mean_endpoints.fract();
         let endpoints = mean_endpoints.floor() as usize + usize::from(has_one_more);
-        let busy_servers = plan.spare.draw(draws) * rate * mean_work_s;
+        let busy_servers = plan.capacity_headroom.draw(draws) * rate * mean_work_s;
         let servers = ((busy_servers / endpoints as f64).ceil() as usize).max(1);
         let shape = DestinationShape { destination, plan, endpoints, servers };
         let first_route = self.routes.len();
@@ -83,17 +83,17 @@
         &mut self, shape: &DestinationShape<'_>, n: usize, first_route: usize, draws: &mut ChaCha8Rng,
     ) {
         let (plan, servers) = (shape.plan, shape.servers);
-        let connections = plan.connections.draw(draws) * servers as f64;
+        let connections = plan.connections_per_server.draw(draws) * servers as f64;
         let max_connections =
-            if connections > 0.0 { connections.max(plan.least_connections) } else { f64::INFINITY };
-        let queue_capacity = (plan.queue.draw(draws) * servers as f64).ceil() as usize;
+            if connections > 0.0 { connections.max(plan.min_connections) } else { f64::INFINITY };
+        let queue_capacity = (plan.queue_per_server.draw(draws) * servers as f64).ceil() as usize;
         let error_rate = plan.error_rate.draw(draws);
-        let report_interval = span_ms(plan.report_ms.draw(draws));
-        let report_delay = span_ms(plan.report_late_ms.draw(draws));
+        let report_interval = span_ms(plan.report_interval_ms.draw(draws));
+        let report_delay = span_ms(plan.report_delay_ms.draw(draws));
         self.endpoints.push(EndpointPlan {
             id: endpoint_id(self.endpoints.len()),
             destination: shape.destination,
-            route: first_route + if plan.apart { n } else { 0 },
+            route: first_route + if plan.has_separate_routes { n } else { 0 },
             zone: (shape.destination + n) % self.zones.len(),
             servers,
             queue_capacity,
@@ -107,28 +107,30 @@
 
     pub(super) fn draw_relays(&mut self, scenario: &Scenario, rng: &RngStreams) {
         let (plan, network) = (&scenario.relays, &scenario.network);
-        let weights = zipf_weights(plan.count.least as usize, plan.zipf.least);
+        let weights = zipf_weights(plan.count.min as usize, plan.zipf_exponent.min);
         let total: f64 = weights.iter().sum();
         // Slots in use at full load: each call takes its work and a round trip.
-        let round_trip_s = (network.near_ms.least + network.near_ms.most) / 1_000.0;
+        let round_trip_s = (network.same_zone_delay_ms.min + network.same_zone_delay_ms.max) / 1_000.0;
         let busy_slots: f64 =
             self.destinations.iter().map(|d| d.rate() * (d.mean_work_s + round_trip_s)).sum();
-        let rate = scenario.traffic.rate.least;
+        let rate = scenario.traffic.rate.min;
         for (index, weight) in weights.into_iter().enumerate() {
             let mut draws = rng.stream(Concern::Relays, index);
             let traffic_share = weight / total;
-            let slots =
-                (plan.slots_room.draw(&mut draws) * busy_slots * traffic_share).max(plan.least_slots).round();
-            let max_pending =
-                (plan.hold_s.draw(&mut draws) * rate * traffic_share).max(plan.least_held).round();
+            let slots = (plan.slot_headroom.draw(&mut draws) * busy_slots * traffic_share)
+                .max(plan.min_slots)
+                .round();
+            let max_pending = (plan.pending_capacity_s.draw(&mut draws) * rate * traffic_share)
+                .max(plan.min_pending_capacity)
+                .round();
             let limits = RelayLimits {
                 slots: slots as usize,
-                max_pushes: plan.pushes,
+                max_pushes: plan.max_pushes,
                 max_pending: max_pending as usize,
-                max_retry_after: span_ms(scenario.clients.longest_retry_ms),
+                max_retry_after: span_ms(scenario.clients.max_retry_after_ms),
                 can_probe: false,
                 can_cancel: true,
-                idle_timeout: Span::from_secs_f64(network.idle_s),
+                idle_timeout: Span::from_secs_f64(network.idle_timeout_s),
             };
             let seed = rng.stream(Concern::Policies, index).random();
             let (zone, distance) = (index % self.zones.len(), draws.random());
@@ -153,20 +155,20 @@
     scenario: &Scenario, shape: &DestinationShape<'_>, rate: f64, mean_work_s: f64, draws: &mut ChaCha8Rng,
 ) -> RoutePlan {
     let (plan, routes) = (shape.plan, shape.routes() as f64);
-    let limited_rate = (plan.headroom.draw(draws) * rate).max(plan.least_rate.draw(draws));
-    let (depth_s, window) = (plan.depth_s.draw(draws), span_ms(plan.window_ms.draw(draws)));
+    let limited_rate = (plan.limit_headroom.draw(draws) * rate).max(plan.min_limit_rate.draw(draws));
+    let (depth_s, window) = (plan.bucket_depth_s.draw(draws), span_ms(plan.limit_window_ms.draw(draws)));
     let limit = match plan.limit {
         LimitForm::None => Limit::None,
         LimitForm::Rate => Limit::rate(limited_rate / routes, depth_s),
         LimitForm::Window => Limit::window(limited_rate / routes, window),
     };
     let warm_up = WarmUp {
-        initial_fraction: scenario.rules.cold_from.draw(draws),
-        duration: Span::from_secs_f64(scenario.rules.cold_s.draw(draws)),
+        initial_fraction: scenario.rules.warm_up_initial_fraction.draw(draws),
+        duration: Span::from_secs_f64(scenario.rules.warm_up_duration_s.draw(draws)),
     };
     let listed_fraction = 0.5 + draws.random::<f64>();
     let served_rate = (shape.servers * shape.endpoints) as f64 / mean_work_s;
     let capacity = (served_rate / routes).min(limit.calls_per_s(1.0).unwrap_or(f64::INFINITY));
-    let listed_rate = if scenario.list.rates { capacity * listed_fraction } else { 1.0 };
+    let listed_rate = if scenario.list.has_rates { capacity * listed_fraction } else { 1.0 };
     RoutePlan { limit, capacity, warm_up, listed_rate }
 }
--- a/crates/model/src/metrics.rs
+++ b/crates/model/src/metrics.rs
@@ -176,7 +176,7 @@
 /// The benefit of a delivery `latency` after the submission, as a fraction of the full benefit.
 pub fn value_fraction(topic: &Topic, latency: Span) -> f64 {
     let (latency_ms, objective_ms, ttl_ms) =
-        (latency.as_secs_f64() * 1_000.0, topic.objective_ms, topic.ttl_ms);
+        (latency.as_secs_f64() * 1_000.0, topic.latency_target_ms, topic.ttl_ms);
     if latency_ms <= objective_ms {
         return 1.0;
     }
@@ -184,9 +184,12 @@
         return 0.0;
     }
     match topic.decay {
-        Decay::Even => {
-            1.0 - (1.0 - topic.late_share) * (latency_ms - objective_ms) / (ttl_ms - objective_ms).max(1e-9)
+        Decay::Linear => {
+            1.0 - (1.0 - topic.late_benefit_fraction) * (latency_ms - objective_ms)
+                / (ttl_ms - objective_ms).max(1e-9)
+        }
+        Decay::Halves => {
+            0.5f64.powf((latency_ms - objective_ms) / objective_ms).max(topic.late_benefit_fraction)
         }
-        Decay::Halves => 0.5f64.powf((latency_ms - objective_ms) / objective_ms).max(topic.late_share),
     }
 }
--- a/crates/model/src/scenario.rs
+++ b/crates/model/src/scenario.rs
@@ -1,6 +1,6 @@
 //! The scenario of a run: sizes, destinations, clients and faults as data, with its check and the draw of its ranges.
 //!
-//! Names of fields are keys of scenario files. A number may be written as a range: a range of type [`Once`] is drawn
+//! Where the name of a field differs from its key in scenario files, the key stands beside it. A number may be written as a range: a range of type [`Once`] is drawn
 //! once for a run, one of type [`Each`] anew for each thing that it describes (a destination, a call). Every figure
 //! has its unit in its name; without one it is a ratio or a count.
 
@@ -19,7 +19,7 @@
 pub use plan::{Clients, Destinations, List, Network, Relays, Rules, Traffic};
 pub use range::{Each, Once, Range};
 pub(crate) use resolve::FAULT_RANGES;
-pub use service::{Account, Decay, Effect, Kind, LatencyDistribution, LimitForm, Topic};
+pub use service::{Account, Decay, Kind, LatencyDistribution, LimitForm, Semantics, Topic};
 
 /// All that determines a run but its seed.
 #[derive(Clone, Debug, Deserialize, Serialize)]
@@ -34,7 +34,8 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub seed: Option<u64>,
     /// For how long notifications are submitted; the run goes on until all have their final answer.
-    pub span_s: Once,
+    #[serde(rename = "span_s")]
+    pub duration_s: Once,
     /// Names of zones; endpoints and relays are placed in them in turn.
     #[serde(default = "defaults::zones")]
     pub zones: Vec<String>,
@@ -57,12 +58,14 @@
     #[serde(default)]
     pub rules: Rules,
     /// Topic types.
-    pub topic: Vec<Topic>,
+    #[serde(rename = "topic")]
+    pub topics: Vec<Topic>,
     /// Kinds of destination.
-    pub kind: Vec<Kind>,
+    #[serde(rename = "kind")]
+    pub kinds: Vec<Kind>,
     /// Accounts, to which destinations are allocated. Without accounts there are no quotas.
-    #[serde(default)]
-    pub account: Vec<Account>,
+    #[serde(rename = "account", default)]
+    pub accounts: Vec<Account>,
     /// The faults.
     #[serde(default, rename = "trouble")]
     pub faults: Vec<Fault>,
--- a/crates/model/src/scenario/check.rs
+++ b/crates/model/src/scenario/check.rs
@@ -51,8 +51,8 @@
 
 /// Checks the bounds of keys of one table, in this order.
 macro_rules! check_bounds {
-    ($checker:ident, $table:expr, { $($key:ident: $bounds:expr,)* }) => {
-        $($checker.bounds(stringify!($key), &$table.$key, $bounds);)*
+    ($checker:ident, $table:expr, { $($key:literal => $field:ident: $bounds:expr,)* }) => {
+        $($checker.bounds($key, &$table.$field, $bounds);)*
     };
 }
 use check_bounds;
@@ -76,10 +76,10 @@
 
     /// A figure must lie within bounds, and its range must not be reversed.
     fn bounds(&mut self, key: &str, figure: &impl Figure, bounds: RangeInclusive<f64>) {
-        let Range { least, most } = figure.to_range();
-        if least > most {
-            self.error(key, format!("the range is upside down: {least} is above {most}"));
-        } else if !bounds.contains(&least) || !bounds.contains(&most) {
+        let Range { min, max } = figure.to_range();
+        if min > max {
+            self.error(key, format!("the range is upside down: {min} is above {max}"));
+        } else if !bounds.contains(&min) || !bounds.contains(&max) {
             self.error(key, format!("must be from {} to {}", bounds.start(), bounds.end()));
         }
     }
@@ -114,13 +114,13 @@
     pub fn check(&self) -> Vec<ScenarioError> {
         let mut errors = Vec::new();
         let mut checker = Checker::new(&mut errors, "");
-        checker.bounds("span_s", &self.span_s, 0.0..=MAX_SPAN_S);
+        checker.bounds("span_s", &self.duration_s, 0.0..=MAX_SPAN_S);
         checker.not_empty("zones", &self.zones);
         for (n, zone) in self.zones.iter().enumerate() {
             checker.unique_name(&format!("zones.{n}"), zone, self.zone_names());
         }
-        checker.not_empty("topic", &self.topic);
-        checker.not_empty("kind", &self.kind);
+        checker.not_empty("topic", &self.topics);
+        checker.not_empty("kind", &self.kinds);
         self.check_plans(&mut errors);
         self.check_topics(&mut errors);
         self.check_kinds(&mut errors);
@@ -134,14 +134,14 @@
     }
 
     fn topic_names(&self) -> impl Iterator<Item = &str> {
-        self.topic.iter().map(|topic| topic.name.as_str())
+        self.topics.iter().map(|topic| topic.name.as_str())
     }
 
     fn kind_names(&self) -> impl Iterator<Item = &str> {
-        self.kind.iter().map(|kind| kind.name.as_str())
+        self.kinds.iter().map(|kind| kind.name.as_str())
     }
 
     fn account_names(&self) -> impl Iterator<Item = &str> {
-        self.account.iter().map(|account| account.name.as_str())
+        self.accounts.iter().map(|account| account.name.as_str())
     }
 }
--- a/crates/model/src/scenario/check/faults.rs
+++ b/crates/model/src/scenario/check/faults.rs
@@ -8,14 +8,14 @@
         for (n, fault) in self.faults.iter().enumerate() {
             let mut checker = Checker::new(errors, format!("trouble.{n}"));
             check_bounds!(checker, fault, {
-                start_s: 0.0..=MAX_SPAN_S,
-                span_s: 0.0..=MAX_SPAN_S,
-                ramp_s: 0.0..=MAX_SPAN_S,
-                size: 0.0..=1e6,
-                extent: 0.0..=1.0,
+                "start_s" => start_s: 0.0..=MAX_SPAN_S,
+                "span_s" => duration_s: 0.0..=MAX_SPAN_S,
+                "ramp_s" => ramp_s: 0.0..=MAX_SPAN_S,
+                "size" => size: 0.0..=1e6,
+                "extent" => extent: 0.0..=1.0,
             });
             self.check_fault_scope(fault, &mut checker);
-            if fault.what == FaultKind::Pauses && fault.size.least <= 0.0 {
+            if fault.kind == FaultKind::Pauses && fault.size.min <= 0.0 {
                 checker.error("size", "pauses need a length above 0, in seconds");
             }
         }
@@ -23,7 +23,7 @@
 
     /// What a fault is restricted to must exist.
     fn check_fault_scope(&self, fault: &Fault, checker: &mut Checker<'_>) {
-        if let Some(kind) = &fault.kind {
+        if let Some(kind) = &fault.destination_kind {
             checker.defined_name("kind", kind, self.kind_names(), "kind");
         }
         if let Some(zone) = &fault.zone {
@@ -31,16 +31,16 @@
         }
         if let Some(topic) = &fault.topic {
             checker.defined_name("topic", topic, self.topic_names(), "topic type");
-        } else if fault.what == FaultKind::TopicFails {
+        } else if fault.kind == FaultKind::TopicFails {
             checker.error("what", "topic-fails needs the topic type that fails: topic = \"..\"");
         }
         if let Some(account) = &fault.account {
             checker.defined_name("account", account, self.account_names(), "account");
-        } else if fault.what == FaultKind::AccountBurst {
+        } else if fault.kind == FaultKind::AccountBurst {
             checker.error("what", "account-burst needs the account: account = \"..\"");
         }
         if let Some(index) = fault.destination
-            && index as f64 >= self.destinations.count.least
+            && index as f64 >= self.destinations.count.min
         {
             checker.error("destination", format!("there may be no destination {index}"));
         }
--- a/crates/model/src/scenario/check/plans.rs
+++ b/crates/model/src/scenario/check/plans.rs
@@ -22,29 +22,29 @@
     fn check_relays(&self, errors: &mut Vec<ScenarioError>) {
         let mut checker = Checker::new(errors, "relays");
         check_bounds!(checker, self.relays, {
-            count: 1.0..=MAX_RELAYS,
-            zipf: 0.0..=5.0,
-            slots_room: 0.01..=1e6,
-            least_slots: 1.0..=1e6,
-            hold_s: 0.0..=1e6,
-            least_held: 1.0..=1e9,
-            tick_ms: 0.0..=10_000.0,
-            pushes: 1.0..=1_000.0,
-            notice_ms: 0.0..=60_000.0,
+            "count" => count: 1.0..=MAX_RELAYS,
+            "zipf" => zipf_exponent: 0.0..=5.0,
+            "slots_room" => slot_headroom: 0.01..=1e6,
+            "least_slots" => min_slots: 1.0..=1e6,
+            "hold_s" => pending_capacity_s: 0.0..=1e6,
+            "least_held" => min_pending_capacity: 1.0..=1e9,
+            "tick_ms" => tick_ms: 0.0..=10_000.0,
+            "pushes" => max_pushes: 1.0..=1_000.0,
+            "notice_ms" => notice_delay_ms: 0.0..=60_000.0,
         });
     }
 
     fn check_traffic(&self, errors: &mut Vec<ScenarioError>) {
         let mut checker = Checker::new(errors, "traffic");
         check_bounds!(checker, self.traffic, {
-            rate: 0.0..=MAX_RATE,
-            load: 0.0..=100.0,
-            swing: 0.0..=1.0,
-            swing_s: 0.1..=MAX_SPAN_S,
-            clumps: 0.0..=1.0,
-            clump_s: 0.0..=1_000.0,
-            keys: 1.0..=1e6,
-            key_life_s: 0.1..=MAX_SPAN_S,
+            "rate" => rate: 0.0..=MAX_RATE,
+            "load" => load: 0.0..=100.0,
+            "swing" => swing_amplitude: 0.0..=1.0,
+            "swing_s" => swing_period_s: 0.1..=MAX_SPAN_S,
+            "clumps" => clumped_fraction: 0.0..=1.0,
+            "clump_s" => clump_size_s: 0.0..=1_000.0,
+            "keys" => keys_per_destination: 1.0..=1e6,
+            "key_life_s" => key_lifetime_s: 0.1..=MAX_SPAN_S,
         });
     }
 
@@ -52,60 +52,60 @@
         let mut checker = Checker::new(errors, "destinations");
         let destinations = &self.destinations;
         checker.bounds("count", &destinations.count, 1.0..=MAX_DESTINATIONS);
-        if (self.kind.len() as f64) > destinations.count.least {
+        if (self.kinds.len() as f64) > destinations.count.min {
             checker.error("count", "there must be a destination of each kind at least");
         }
         check_bounds!(checker, destinations, {
-            endpoints: 1.0..=100.0,
-            zipf: 0.0..=5.0,
+            "endpoints" => endpoints: 1.0..=100.0,
+            "zipf" => zipf_exponent: 0.0..=5.0,
         });
     }
 
     fn check_network(&self, errors: &mut Vec<ScenarioError>) {
         let mut checker = Checker::new(errors, "network");
         check_bounds!(checker, self.network, {
-            near_ms: 0.0..=10_000.0,
-            far_ms: 0.0..=10_000.0,
-            jitter: 0.0..=10.0,
-            handshake_rtts: 0.0..=20.0,
-            connect_timeout_ms: 1.0..=600_000.0,
-            idle_s: 0.001..=86_400.0,
+            "near_ms" => same_zone_delay_ms: 0.0..=10_000.0,
+            "far_ms" => cross_zone_delay_ms: 0.0..=10_000.0,
+            "jitter" => jitter: 0.0..=10.0,
+            "handshake_rtts" => handshake_rtts: 0.0..=20.0,
+            "connect_timeout_ms" => connect_timeout_ms: 1.0..=600_000.0,
+            "idle_s" => idle_timeout_s: 0.001..=86_400.0,
         });
     }
 
     fn check_list(&self, errors: &mut Vec<ScenarioError>) {
         let mut checker = Checker::new(errors, "list");
         check_bounds!(checker, self.list, {
-            notice_s: 0.0..=3_600.0,
-            answer_ms: 0.0..=60_000.0,
+            "notice_s" => change_delay_s: 0.0..=3_600.0,
+            "answer_ms" => response_ms: 0.0..=60_000.0,
         });
     }
 
     fn check_clients(&self, errors: &mut Vec<ScenarioError>) {
         let mut checker = Checker::new(errors, "clients");
         check_bounds!(checker, self.clients, {
-            backoff_ms: 0.0..=600_000.0,
-            honour: 0.0..=1.0,
-            longest_retry_ms: 0.0..=600_000.0,
-            impatient: 0.0..=1.0,
-            patience: 0.0..=1.0,
-            orphan_ms: 0.0..=600_000.0,
+            "backoff_ms" => backoff_ms: 0.0..=600_000.0,
+            "honour" => compliant_fraction: 0.0..=1.0,
+            "longest_retry_ms" => max_retry_after_ms: 0.0..=600_000.0,
+            "impatient" => withdrawn_fraction: 0.0..=1.0,
+            "patience" => withdrawal_ttl_fraction: 0.0..=1.0,
+            "orphan_ms" => failover_delay_ms: 0.0..=600_000.0,
         });
     }
 
     fn check_rules(&self, errors: &mut Vec<ScenarioError>) {
         let mut checker = Checker::new(errors, "rules");
         check_bounds!(checker, self.rules, {
-            answer_slack_ms: 0.0..=10_000.0,
-            drain_grace_ms: 0.0..=600_000.0,
-            cold_from: 0.01..=1.0,
-            cold_s: 0.0..=3_600.0,
-            least_outage_s: 0.0..=3_600.0,
-            fall_multiple: 1.0..=1_000.0,
-            tip_after_ms: 1.0..=600_000.0,
-            fall_slack: 0.0..=1_000.0,
-            settle_ms: 0.0..=600_000.0,
-            ask_every_s: 0.1..=3_600.0,
+            "answer_slack_ms" => answer_slack_ms: 0.0..=10_000.0,
+            "drain_grace_ms" => drain_grace_ms: 0.0..=600_000.0,
+            "cold_from" => warm_up_initial_fraction: 0.01..=1.0,
+            "cold_s" => warm_up_duration_s: 0.0..=3_600.0,
+            "least_outage_s" => min_outage_s: 0.0..=3_600.0,
+            "fall_multiple" => overload_factor: 1.0..=1_000.0,
+            "tip_after_ms" => overload_duration_ms: 1.0..=600_000.0,
+            "fall_slack" => overload_slack: 0.0..=1_000.0,
+            "settle_ms" => key_cooldown_ms: 0.0..=600_000.0,
+            "ask_every_s" => list_refresh_interval_s: 0.1..=3_600.0,
         });
     }
 }
--- a/crates/model/src/scenario/defaults.rs
+++ b/crates/model/src/scenario/defaults.rs
@@ -51,7 +51,7 @@
 }
 
 pub(super) fn spare() -> Range {
-    Range { least: 1.2, most: 1.6 }
+    Range { min: 1.2, max: 1.6 }
 }
 
 pub(super) fn headroom() -> Range {
@@ -63,11 +63,11 @@
 }
 
 pub(super) fn depth_s() -> Range {
-    Range { least: 0.3, most: 1.0 }
+    Range { min: 0.3, max: 1.0 }
 }
 
 pub(super) fn window_ms() -> Range {
-    Range { least: 1_000.0, most: 2_000.0 }
+    Range { min: 1_000.0, max: 2_000.0 }
 }
 
 pub(super) fn reports() -> bool {
@@ -75,11 +75,11 @@
 }
 
 pub(super) fn report_ms() -> Range {
-    Range { least: 150.0, most: 600.0 }
+    Range { min: 150.0, max: 600.0 }
 }
 
 pub(super) fn report_late_ms() -> Range {
-    Range { least: 20.0, most: 250.0 }
+    Range { min: 20.0, max: 250.0 }
 }
 
 pub(super) fn per_call() -> usize {
@@ -87,11 +87,11 @@
 }
 
 pub(super) fn item_cost() -> Range {
-    Range { least: 0.1, most: 0.2 }
+    Range { min: 0.1, max: 0.2 }
 }
 
 pub(super) fn queue() -> Range {
-    Range { least: 2.0, most: 6.0 }
+    Range { min: 2.0, max: 6.0 }
 }
 
 pub(super) fn least_connections() -> f64 {
--- a/crates/model/src/scenario/fault.rs
+++ b/crates/model/src/scenario/fault.rs
@@ -16,7 +16,8 @@
     /// Calls are answered with an error at once.
     Errors,
     /// Calls are rejected as busy at once.
-    Refuses,
+    #[serde(rename = "refuses")]
+    Rejections,
     /// Connections are refused.
     Down,
     /// Service stands still for `size` seconds, again and again, once in four times that.
@@ -30,11 +31,13 @@
     /// All traffic is `size` times the usual.
     Burst,
     /// The traffic of the affected destinations is `size` times the usual.
-    Hot,
+    #[serde(rename = "hot")]
+    HotDestinations,
     /// The traffic of one account is `size` times the usual.
     AccountBurst,
     /// The traffic of the affected destinations is held back and comes all at once at the end.
-    Release,
+    #[serde(rename = "release")]
+    TrafficRelease,
     /// A few relays get the fraction `size` of all traffic.
     HotRelays,
     /// The endpoint list cannot be reached.
@@ -44,17 +47,22 @@
     /// Endpoints are replaced one after the other; each terminates `size` seconds after it starts to drain.
     Deploy,
     /// A one-way partition: what relays send to the affected endpoints is lost.
-    CutThere,
+    #[serde(rename = "cut-there")]
+    RequestLoss,
     /// A one-way partition: the answers of the affected endpoints are lost.
-    CutBack,
+    #[serde(rename = "cut-back")]
+    ResponseLoss,
     /// The fraction `size` of connections to the affected endpoints break during calls.
     Resets,
     /// TTLs are `size` times the usual, and at their end notifications are withdrawn.
-    Hurry,
+    #[serde(rename = "hurry")]
+    ShortenedTtl,
     /// Relays are killed and start again on their storage after `size` seconds.
-    Kill,
+    #[serde(rename = "kill")]
+    RelayKill,
     /// Relays are lost with their storage; new ones replace them after `size` seconds.
-    Lose,
+    #[serde(rename = "lose")]
+    RelayLoss,
 }
 
 /// A fault: what, when and where.
@@ -62,12 +70,13 @@
 #[serde(deny_unknown_fields)]
 pub struct Fault {
     /// What goes wrong.
-    pub what: FaultKind,
+    #[serde(rename = "what")]
+    pub kind: FaultKind,
     /// When it begins.
     pub start_s: Once,
     /// Its duration.
-    #[serde(default)]
-    pub span_s: Once,
+    #[serde(rename = "span_s", default)]
+    pub duration_s: Once,
     /// How long its effect takes to rise to its size.
     #[serde(default)]
     pub ramp_s: Once,
@@ -79,11 +88,11 @@
     #[serde(default = "defaults::extent")]
     pub extent: Once,
     /// Whether it affects all endpoints of a destination, or one of each.
-    #[serde(default = "defaults::whole")]
-    pub whole: bool,
+    #[serde(rename = "whole", default = "defaults::whole")]
+    pub affects_all_endpoints: bool,
     /// Restricts it to destinations of that kind.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub kind: Option<String>,
+    #[serde(rename = "kind", default, skip_serializing_if = "Option::is_none")]
+    pub destination_kind: Option<String>,
     /// Restricts it to endpoints in that zone.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
--- a/crates/model/src/scenario/plan.rs
+++ b/crates/model/src/scenario/plan.rs
@@ -12,25 +12,29 @@
     /// The number of relays.
     pub count: Once,
     /// The exponent of the Zipf distribution of traffic over relays; 0: all have the same.
-    #[serde(default)]
-    pub zipf: Range,
+    #[serde(rename = "zipf", default)]
+    pub zipf_exponent: Range,
     /// Slots of a relay, over those that its share of full load keeps busy.
-    pub slots_room: Each,
+    #[serde(rename = "slots_room")]
+    pub slot_headroom: Each,
     /// The minimum of slots.
-    pub least_slots: f64,
+    #[serde(rename = "least_slots")]
+    pub min_slots: f64,
     /// Notifications that a relay may hold, in seconds of its share of full load.
-    pub hold_s: Each,
+    #[serde(rename = "hold_s")]
+    pub pending_capacity_s: Each,
     /// The minimum of notifications that a relay may hold.
-    pub least_held: f64,
+    #[serde(rename = "least_held")]
+    pub min_pending_capacity: f64,
     /// The shortest time between two turns of a relay.
     #[serde(default = "defaults::tick_ms")]
     pub tick_ms: f64,
     /// The maximum of pushes of one notification.
-    #[serde(default = "defaults::pushes")]
-    pub pushes: u32,
+    #[serde(rename = "pushes", default = "defaults::pushes")]
+    pub max_pushes: u32,
     /// How long it takes until a relay knows that a client has its notice.
-    #[serde(default = "defaults::notice_ms")]
-    pub notice_ms: Each,
+    #[serde(rename = "notice_ms", default = "defaults::notice_ms")]
+    pub notice_delay_ms: Each,
 }
 
 /// The notifications that are submitted.
@@ -42,23 +46,23 @@
     /// The mean load, as a fraction of full load.
     pub load: Once,
     /// The amplitude of the sine wave of load about its mean, as a fraction of the mean.
-    #[serde(default)]
-    pub swing: Once,
+    #[serde(rename = "swing", default)]
+    pub swing_amplitude: Once,
     /// The period of that wave.
-    #[serde(default = "defaults::swing_s")]
-    pub swing_s: Once,
+    #[serde(rename = "swing_s", default = "defaults::swing_s")]
+    pub swing_period_s: Once,
     /// The fraction of notifications that come in clumps for one destination.
-    #[serde(default)]
-    pub clumps: Once,
+    #[serde(rename = "clumps", default)]
+    pub clumped_fraction: Once,
     /// The size of a clump, in seconds of its destination's traffic.
-    #[serde(default = "defaults::clump_s")]
-    pub clump_s: Each,
+    #[serde(rename = "clump_s", default = "defaults::clump_s")]
+    pub clump_size_s: Each,
     /// Keys of a destination that are in use at a time, for ordered topic types.
-    #[serde(default = "defaults::keys")]
-    pub keys: Each,
+    #[serde(rename = "keys", default = "defaults::keys")]
+    pub keys_per_destination: Each,
     /// For how long a key is in use.
-    #[serde(default = "defaults::key_life_s")]
-    pub key_life_s: Each,
+    #[serde(rename = "key_life_s", default = "defaults::key_life_s")]
+    pub key_lifetime_s: Each,
 }
 
 /// The number of destinations and endpoints, and the distribution of traffic over them.
@@ -70,8 +74,8 @@
     /// Endpoints of each destination; a fractional part is the fraction of destinations with one more.
     pub endpoints: Once,
     /// The exponent of the Zipf distribution of traffic over destinations.
-    #[serde(default)]
-    pub zipf: Once,
+    #[serde(rename = "zipf", default)]
+    pub zipf_exponent: Once,
 }
 
 /// Connections between relays and endpoints.
@@ -79,9 +83,11 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
     /// The one-way delay within a zone.
-    pub near_ms: Each,
+    #[serde(rename = "near_ms")]
+    pub same_zone_delay_ms: Each,
     /// The one-way delay between zones.
-    pub far_ms: Each,
+    #[serde(rename = "far_ms")]
+    pub cross_zone_delay_ms: Each,
     /// The largest addition to a one-way delay, as a fraction of it.
     pub jitter: f64,
     /// Round trips that opening a connection takes.
@@ -89,18 +95,19 @@
     /// A connection that is not open by then is given up.
     pub connect_timeout_ms: f64,
     /// Endpoints close connections that have been idle for this long.
-    pub idle_s: f64,
+    #[serde(rename = "idle_s")]
+    pub idle_timeout_s: f64,
 }
 
 impl Default for Network {
     fn default() -> Network {
         Network {
-            near_ms: Range { least: 8.0, most: 20.0 },
-            far_ms: Range { least: 20.0, most: 60.0 },
+            same_zone_delay_ms: Range { min: 8.0, max: 20.0 },
+            cross_zone_delay_ms: Range { min: 20.0, max: 60.0 },
             jitter: 0.2,
             handshake_rtts: 2.0,
             connect_timeout_ms: 1_500.0,
-            idle_s: 5.0,
+            idle_timeout_s: 5.0,
         }
     }
 }
@@ -110,16 +117,19 @@
 #[serde(deny_unknown_fields, default)]
 pub struct List {
     /// The delay with which a relay is told of a change.
-    pub notice_s: Each,
+    #[serde(rename = "notice_s")]
+    pub change_delay_s: Each,
     /// How long a request for the list takes.
-    pub answer_ms: Each,
+    #[serde(rename = "answer_ms")]
+    pub response_ms: Each,
     /// Whether entries carry a rate, which is wrong by up to a half.
-    pub rates: bool,
+    #[serde(rename = "rates")]
+    pub has_rates: bool,
 }
 
 impl Default for List {
     fn default() -> List {
-        List { notice_s: Range { least: 0.5, most: 4.0 }, answer_ms: Range::from(50.0), rates: true }
+        List { change_delay_s: Range { min: 0.5, max: 4.0 }, response_ms: Range::from(50.0), has_rates: true }
     }
 }
 
@@ -128,31 +138,37 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Clients {
     /// Resubmissions of a throttled notification, at most.
-    pub again: u32,
+    #[serde(rename = "again")]
+    pub max_resubmissions: u32,
     /// The first backoff before a resubmission, doubled each time; used where no time was announced.
     pub backoff_ms: Each,
     /// The fraction of clients that heed an announced time.
-    pub honour: f64,
+    #[serde(rename = "honour")]
+    pub compliant_fraction: f64,
     /// The longest time that may be announced; 0: none.
-    pub longest_retry_ms: f64,
+    #[serde(rename = "longest_retry_ms")]
+    pub max_retry_after_ms: f64,
     /// The fraction of notifications that are withdrawn.
-    pub impatient: f64,
+    #[serde(rename = "impatient")]
+    pub withdrawn_fraction: f64,
     /// After which fraction of their TTL.
-    pub patience: Each,
+    #[serde(rename = "patience")]
+    pub withdrawal_ttl_fraction: Each,
     /// How long until a client of a failed relay submits its notification to another one.
-    pub orphan_ms: Each,
+    #[serde(rename = "orphan_ms")]
+    pub failover_delay_ms: Each,
 }
 
 impl Default for Clients {
     fn default() -> Clients {
         Clients {
-            again: 2,
-            backoff_ms: Range { least: 600.0, most: 1_300.0 },
-            honour: 0.8,
-            longest_retry_ms: 3_000.0,
-            impatient: 0.0,
-            patience: Range { least: 0.2, most: 0.8 },
-            orphan_ms: Range { least: 400.0, most: 1_800.0 },
+            max_resubmissions: 2,
+            backoff_ms: Range { min: 600.0, max: 1_300.0 },
+            compliant_fraction: 0.8,
+            max_retry_after_ms: 3_000.0,
+            withdrawn_fraction: 0.0,
+            withdrawal_ttl_fraction: Range { min: 0.2, max: 0.8 },
+            failover_delay_ms: Range { min: 400.0, max: 1_800.0 },
         }
     }
 }
@@ -166,21 +182,29 @@
     /// How long after a relay was told that an endpoint drains it may still push to it.
     pub drain_grace_ms: f64,
     /// The fraction of its capacity that a destination has right after an outage.
-    pub cold_from: Each,
+    #[serde(rename = "cold_from")]
+    pub warm_up_initial_fraction: Each,
     /// How long after an outage it has its whole capacity.
-    pub cold_s: Each,
+    #[serde(rename = "cold_s")]
+    pub warm_up_duration_s: Each,
     /// A shorter outage leaves a destination warm.
-    pub least_outage_s: f64,
+    #[serde(rename = "least_outage_s")]
+    pub min_outage_s: f64,
     /// A cold destination is overloaded by more than this multiple of its present capacity...
-    pub fall_multiple: f64,
+    #[serde(rename = "fall_multiple")]
+    pub overload_factor: f64,
     /// ...over this time.
-    pub tip_after_ms: f64,
+    #[serde(rename = "tip_after_ms")]
+    pub overload_duration_ms: f64,
     /// Calls allowed beyond that.
-    pub fall_slack: f64,
+    #[serde(rename = "fall_slack")]
+    pub overload_slack: f64,
     /// How long a key waits after a push that may still be executing.
-    pub settle_ms: f64,
+    #[serde(rename = "settle_ms")]
+    pub key_cooldown_ms: f64,
     /// A relay without subscription that has not asked for the list for this long counts as told of its changes.
-    pub ask_every_s: f64,
+    #[serde(rename = "ask_every_s")]
+    pub list_refresh_interval_s: f64,
 }
 
 impl Default for Rules {
@@ -188,14 +212,14 @@
         Rules {
             answer_slack_ms: 20.0,
             drain_grace_ms: 250.0,
-            cold_from: Range { least: 0.21, most: 0.29 },
-            cold_s: Range { least: 11.0, most: 14.0 },
-            least_outage_s: 1.0,
-            fall_multiple: 2.0,
-            tip_after_ms: 1_500.0,
-            fall_slack: 3.0,
-            settle_ms: 100.0,
-            ask_every_s: 10.0,
+            warm_up_initial_fraction: Range { min: 0.21, max: 0.29 },
+            warm_up_duration_s: Range { min: 11.0, max: 14.0 },
+            min_outage_s: 1.0,
+            overload_factor: 2.0,
+            overload_duration_ms: 1_500.0,
+            overload_slack: 3.0,
+            key_cooldown_ms: 100.0,
+            list_refresh_interval_s: 10.0,
         }
     }
 }
--- a/crates/model/src/scenario/range.rs
+++ b/crates/model/src/scenario/range.rs
@@ -10,9 +10,9 @@
 #[serde(from = "Written", into = "Written")]
 pub struct Range {
     /// The lower end.
-    pub least: f64,
+    pub min: f64,
     /// The upper end.
-    pub most: f64,
+    pub max: f64,
 }
 
 #[derive(Clone, Copy, Deserialize, Serialize)]
@@ -25,25 +25,21 @@
 impl From<Written> for Range {
     fn from(written: Written) -> Range {
         match written {
-            Written::One(value) => Range { least: value, most: value },
-            Written::Two([least, most]) => Range { least, most },
+            Written::One(value) => Range { min: value, max: value },
+            Written::Two([least, most]) => Range { min: least, max: most },
         }
     }
 }
 
 impl From<Range> for Written {
     fn from(range: Range) -> Written {
-        if range.least == range.most {
-            Written::One(range.least)
-        } else {
-            Written::Two([range.least, range.most])
-        }
+        if range.min == range.max { Written::One(range.min) } else { Written::Two([range.min, range.max]) }
     }
 }
 
 impl From<f64> for Range {
     fn from(value: f64) -> Range {
-        Range { least: value, most: value }
+        Range { min: value, max: value }
     }
 }
 
@@ -56,7 +52,7 @@
 impl Range {
     /// Draws a number from the range, also where the range is one number.
     pub fn draw(&self, rng: &mut ChaCha8Rng) -> f64 {
-        uniform(rng, self.least, self.most)
+        uniform(rng, self.min, self.max)
     }
 }
 
--- a/crates/model/src/simulation.rs
+++ b/crates/model/src/simulation.rs
@@ -107,8 +107,8 @@
 impl Simulation<'_> {
     fn run(&mut self) {
         self.schedule_first_events();
-        let span = Span::from_secs_f64(self.scenario.span_s.least);
-        let max_ttl_ms = self.scenario.topic.iter().map(|topic| topic.ttl_ms).fold(0.0, f64::max);
+        let span = Span::from_secs_f64(self.scenario.duration_s.min);
+        let max_ttl_ms = self.scenario.topics.iter().map(|topic| topic.ttl_ms).fold(0.0, f64::max);
         let latest_end = Time::default() + span + span_ms(max_ttl_ms) + MAX_TAIL;
         let fault_ends = self.fault_windows.iter().map(|window| window.to).filter(|to| *to < latest_end);
         let earliest_end = fault_ends.max().unwrap_or_default().max(Time::default() + span);
--- a/crates/model/src/simulation/affected.rs
+++ b/crates/model/src/simulation/affected.rs
@@ -50,8 +50,8 @@
 impl Scope<'_> {
     fn allows(&self, destination: usize) -> bool {
         let plan = &self.fleet.destinations[destination];
-        let kind = &self.scenario.kind[plan.kind].name;
-        self.fault.kind.as_ref().is_none_or(|name| name == kind)
+        let kind = &self.scenario.kinds[plan.kind].name;
+        self.fault.destination_kind.as_ref().is_none_or(|name| name == kind)
             && self.window.account.is_none_or(|account| plan.account == Some(account))
             && self.window.topic.is_none_or(|topic| plan.rates[topic] > 0.0)
             && self.fault.destination.is_none_or(|only| only == destination)
@@ -65,7 +65,7 @@
     /// Destinations that together carry about the extent of the traffic, in order of index.
     fn select_destinations(&self, draws: &mut ChaCha8Rng) -> Vec<usize> {
         let rate = |destination: usize| self.fleet.destinations[destination].rate();
-        let extent = self.fault.extent.least;
+        let extent = self.fault.extent.min;
         let mut candidates: Vec<usize> =
             (0..self.fleet.destinations.len()).filter(|destination| self.allows(*destination)).collect();
         candidates.shuffle(draws);
@@ -91,10 +91,10 @@
         for destination in destinations {
             let all = &self.fleet.destinations[*destination].endpoints;
             let one = draws.random::<u32>() as usize % all.len();
-            let chosen = if self.fault.whole { &all[..] } else { &all[one..=one] };
+            let chosen = if self.fault.affects_all_endpoints { &all[..] } else { &all[one..=one] };
             selected.extend(chosen.iter().copied().filter(|endpoint| self.is_in_zone(*endpoint)));
         }
-        if self.fault.what == FaultKind::Deploy {
+        if self.fault.kind == FaultKind::Deploy {
             selected.shuffle(draws);
         }
         selected
@@ -104,7 +104,7 @@
     fn select_relays(&self, draws: &mut ChaCha8Rng) -> Vec<usize> {
         let mut relays: Vec<usize> = (0..self.fleet.relays.len()).collect();
         relays.shuffle(draws);
-        let count = (self.fault.extent.least * relays.len() as f64).round() as usize;
+        let count = (self.fault.extent.min * relays.len() as f64).round() as usize;
         relays.truncate(count.max(1));
         relays
     }
--- a/crates/model/src/simulation/call_ends.rs
+++ b/crates/model/src/simulation/call_ends.rs
@@ -117,7 +117,7 @@
 
     /// How long a relay keeps an idle connection.
     fn max_idle_time(&self) -> Span {
-        Span::from_secs_f64(self.scenario.network.idle_s * IDLE_CLOSE_FRACTION)
+        Span::from_secs_f64(self.scenario.network.idle_timeout_s * IDLE_CLOSE_FRACTION)
     }
 
     /// Closes connections that have been idle for too long.
--- a/crates/model/src/simulation/calls.rs
+++ b/crates/model/src/simulation/calls.rs
@@ -89,7 +89,7 @@
             let timeout = span_ms(self.scenario.network.connect_timeout_ms);
             self.queue.schedule(self.now + timeout, SimulationEvent::ConnectTimeout(id));
         }
-        if self.endpoints[endpoint].faults.is_active(&self.fault_windows, FaultKind::CutThere, self.now) {
+        if self.endpoints[endpoint].faults.is_active(&self.fault_windows, FaultKind::RequestLoss, self.now) {
             // Lost on the way to the endpoint.
             return self.set_call_state(id, CallState::Done);
         }
@@ -104,9 +104,13 @@
     fn draw_one_way_delay(&mut self, relay: usize, endpoint: usize) -> Span {
         let network = &self.scenario.network;
         let (node, plan) = (&mut self.nodes[relay], &self.endpoints[endpoint].plan);
-        let range = if node.plan.zone == plan.zone { network.near_ms } else { network.far_ms };
+        let range = if node.plan.zone == plan.zone {
+            network.same_zone_delay_ms
+        } else {
+            network.cross_zone_delay_ms
+        };
         let distance = node.plan.distance + plan.distance;
-        let base_ms = range.least + (range.most - range.least) * distance / 2.0;
+        let base_ms = range.min + (range.max - range.min) * distance / 2.0;
         span_ms(base_ms * (1.0 + network.jitter * node.network_rng.random::<f64>()))
     }
 
@@ -130,7 +134,7 @@
         call.is_connected = true;
         let slowdown = faults.factor(&self.fault_windows, FaultKind::Handshakes, self.now);
         let one_way_trips = 2.0 * self.scenario.network.handshake_rtts * slowdown;
-        let kind = &self.scenario.kind[self.fleet.destinations[endpoint.plan.destination].kind];
+        let kind = &self.scenario.kinds[self.fleet.destinations[endpoint.plan.destination].kind];
         let work = span_ms(kind.handshake_work_ms * slowdown);
         let ready_at = self.now + call.one_way_delay.mul_f64(one_way_trips) + work;
         self.queue.schedule(ready_at, SimulationEvent::RequestReceived(id));
--- a/crates/model/src/simulation/clients.rs
+++ b/crates/model/src/simulation/clients.rs
@@ -23,7 +23,7 @@
     pub(super) fn handle_arrival(&mut self, arrival: Arrival) {
         let Arrival { submitted_at: at, destination, topic, relay, .. } = arrival;
         let account = self.fleet.destinations[destination].account;
-        let mut benefit = self.scenario.topic[topic].benefit;
+        let mut benefit = self.scenario.topics[topic].benefit;
         if let Some(account) = account {
             benefit *= self.quotas[account].take(at);
         }
@@ -75,7 +75,7 @@
     pub(super) fn resubmit_elsewhere(&mut self, notification: usize) {
         let running: Vec<usize> =
             (0..self.nodes.len()).filter(|relay| self.nodes[*relay].is_running).collect();
-        let after = span_ms(self.scenario.clients.orphan_ms.draw(&mut self.client_rng));
+        let after = span_ms(self.scenario.clients.failover_delay_ms.draw(&mut self.client_rng));
         let choice = self.client_rng.random::<u32>() as usize;
         // With none running any relay will do: its client tries again.
         let relay =
@@ -93,7 +93,7 @@
             return;
         }
         let plan = &self.scenario.clients;
-        let max_retry = span_ms(plan.longest_retry_ms);
+        let max_retry = span_ms(plan.max_retry_after_ms);
         let announced = retry_after.filter(|_| max_retry > Span::ZERO).map(|span| span.min(max_retry));
         match resubmit_delay(plan, &mut self.client_rng, throttled.resubmissions, announced) {
             Some(after) if self.now + after < throttled.valid_until => {
--- a/crates/model/src/simulation/commands.rs
+++ b/crates/model/src/simulation/commands.rs
@@ -106,7 +106,7 @@
     /// Schedules the time at which a relay learns that the client has its notice.
     pub(super) fn schedule_notice(&mut self, relay: usize, ntf: u64) {
         let node = &mut self.nodes[relay];
-        let at = self.now + span_ms(self.scenario.relays.notice_ms.draw(&mut node.network_rng));
+        let at = self.now + span_ms(self.scenario.relays.notice_delay_ms.draw(&mut node.network_rng));
         let (incarnation, input) = (node.incarnation, RelayInput::NoticeDelivered(ntf));
         self.queue.schedule(at, SimulationEvent::RelayInput { relay, incarnation, input });
     }
--- a/crates/model/src/simulation/endpoint_list.rs
+++ b/crates/model/src/simulation/endpoint_list.rs
@@ -20,7 +20,7 @@
         self.recorder.metrics.list_requests += 1;
         let is_down = self.is_list_down();
         let node = &mut self.nodes[relay];
-        let at = self.now + span_ms(self.scenario.list.answer_ms.draw(&mut node.list_rng));
+        let at = self.now + span_ms(self.scenario.list.response_ms.draw(&mut node.list_rng));
         let incarnation = node.incarnation;
         let input = if is_down {
             RelayInput::SubscriptionLost
@@ -53,7 +53,8 @@
         let staleness = Span::from_secs_f64(stale.map(|window| window.size).sum());
         let is_down = self.is_list_down();
         for (relay, node) in self.nodes.iter_mut().enumerate() {
-            let delay = Span::from_secs_f64(self.scenario.list.notice_s.draw(&mut node.list_rng)) + staleness;
+            let delay =
+                Span::from_secs_f64(self.scenario.list.change_delay_s.draw(&mut node.list_rng)) + staleness;
             if !node.is_running || !node.is_subscribed || is_down {
                 node.unreported_changes.insert(endpoint);
                 continue;
--- a/crates/model/src/simulation/faults.rs
+++ b/crates/model/src/simulation/faults.rs
@@ -27,9 +27,9 @@
     fn begin_fault(&mut self, fault: usize, window: &FaultWindow) {
         match window.kind {
             FaultKind::ListDown => self.end_subscriptions(),
-            FaultKind::Kill | FaultKind::Lose => {
+            FaultKind::RelayKill | FaultKind::RelayLoss => {
                 let (kept, restart_after) =
-                    (window.kind == FaultKind::Kill, Span::from_secs_f64(window.size));
+                    (window.kind == FaultKind::RelayKill, Span::from_secs_f64(window.size));
                 for relay in self.affected[fault].relays.clone() {
                     self.stop_relay(relay, kept, restart_after);
                 }
@@ -56,7 +56,7 @@
         let endpoints = self.routes[route].endpoints.iter().map(|endpoint| &self.endpoints[*endpoint]);
         let mut live = endpoints.filter(|endpoint| !endpoint.is_terminated).peekable();
         let is_out = live.peek().is_some() && live.all(|endpoint| endpoint.faults.is_outage(windows, now));
-        let min_outage = Span::from_secs_f64(self.scenario.rules.least_outage_s);
+        let min_outage = Span::from_secs_f64(self.scenario.rules.min_outage_s);
         let state = &mut self.routes[route];
         match state.set_outage(is_out, now, min_outage) {
             Some(OutageTransition::Began) => self.judge.handle_route_outage(route),
--- a/crates/model/src/simulation/inputs.rs
+++ b/crates/model/src/simulation/inputs.rs
@@ -11,7 +11,7 @@
 use crate::fleet::{destination_id, span_ms};
 use crate::judge::{AcceptedNotification, ExecutionStatus, FinalAnswer, RepeatSemantics};
 use crate::metrics::UndeliveredReason;
-use crate::scenario::Effect;
+use crate::scenario::Semantics;
 
 /// What takes effect at the end of the turn that the inputs are for.
 #[derive(Default)]
@@ -147,19 +147,19 @@
     /// A notification as the judge has it.
     fn accepted_notification(&self, notification: usize) -> AcceptedNotification {
         let notification = &self.notifications[notification];
-        let topic = &self.scenario.topic[notification.submission.topic];
+        let topic = &self.scenario.topics[notification.submission.topic];
         let deduplicated = |same_zone_only| RepeatSemantics::Deduplicated {
-            window: span_ms(topic.window_ms),
+            window: span_ms(topic.deduplication_window_ms),
             same_zone_only,
         };
         AcceptedNotification {
-            repeat: match topic.effect {
-                Effect::Repeatable => RepeatSemantics::Harmless,
-                Effect::Collapsible => deduplicated(false),
-                Effect::CollapsibleInZone => deduplicated(true),
-                Effect::OnceOnly => RepeatSemantics::Forbidden,
+            repeat: match topic.semantics {
+                Semantics::Idempotent => RepeatSemantics::Harmless,
+                Semantics::Deduplicated => deduplicated(false),
+                Semantics::DeduplicatedInZone => deduplicated(true),
+                Semantics::NonIdempotent => RepeatSemantics::Forbidden,
             },
-            key: notification.key.clone().filter(|_| topic.ordered),
+            key: notification.key.clone().filter(|_| topic.is_ordered),
             valid_until: notification.valid_until,
         }
     }
--- a/crates/model/src/simulation/oracle.rs
+++ b/crates/model/src/simulation/oracle.rs
@@ -26,7 +26,7 @@
     fn endpoint(&self, endpoint: &EndpointId) -> Option<TrueState> {
         let endpoint = &self.endpoints[*self.endpoint_indices.get(&endpoint.0)?];
         let (route, faults, now) = (&self.routes[endpoint.plan.route], &endpoint.faults, self.now);
-        let is_partitioned = [FaultKind::CutThere, FaultKind::CutBack]
+        let is_partitioned = [FaultKind::RequestLoss, FaultKind::ResponseLoss]
             .into_iter()
             .any(|kind| faults.is_active(self.fault_windows, kind, now));
         let is_out = is_partitioned
--- a/crates/model/src/simulation/relays.rs
+++ b/crates/model/src/simulation/relays.rs
@@ -12,7 +12,7 @@
 use crate::endpoint::CallId;
 use crate::fleet::span_ms;
 use crate::metrics::UndeliveredReason;
-use crate::scenario::Effect;
+use crate::scenario::Semantics;
 
 impl Simulation<'_> {
     /// Whether an event was meant for the present process of a relay.
@@ -88,9 +88,9 @@
         if pending.has_final_answer || notification.is_finished {
             return;
         }
-        let topic = &self.scenario.topic[notification.submission.topic];
+        let topic = &self.scenario.topics[notification.submission.topic];
         let may_have_executed = pending.first_executed.is_some() || pending.in_flight.is_some();
-        if topic.effect == Effect::OnceOnly && may_have_executed {
+        if topic.semantics == Semantics::NonIdempotent && may_have_executed {
             self.give_up(pending.notification, UndeliveredReason::Abandoned);
         } else {
             self.resubmit_elsewhere(pending.notification);
--- a/crates/model/src/simulation/service.rs
+++ b/crates/model/src/simulation/service.rs
@@ -7,7 +7,7 @@
 use super::state::{CallState, Response, SimulationEvent};
 use crate::endpoint::{Admission, CallId};
 use crate::metrics::value_fraction;
-use crate::scenario::{Effect, FaultKind, Kind};
+use crate::scenario::{FaultKind, Kind, Semantics};
 
 /// What faults make of a call that reaches its endpoint.
 enum FaultEffect {
@@ -22,7 +22,7 @@
 impl Simulation<'_> {
     pub(super) fn kind_of(&self, endpoint: usize) -> &Kind {
         let destination = self.endpoints[endpoint].plan.destination;
-        &self.scenario.kind[self.fleet.destinations[destination].kind]
+        &self.scenario.kinds[self.fleet.destinations[destination].kind]
     }
 
     fn has_fault(&self, endpoint: usize, kind: FaultKind) -> bool {
@@ -34,7 +34,7 @@
         let Some(call) = self.calls.get(&id) else { return };
         let (endpoint, route, relay, count) = (call.endpoint, call.route, call.relay, call.items.len());
         let item_cost = self.kind_of(endpoint).item_cost;
-        let weight = 1.0 + (item_cost.least + item_cost.most) / 2.0 * (count - 1) as f64;
+        let weight = 1.0 + (item_cost.min + item_cost.max) / 2.0 * (count - 1) as f64;
         let destination = self.endpoints[endpoint].plan.destination;
         self.add_to_series(destination, |series| &mut series.reached, count as f64);
         if self.endpoints[endpoint].is_terminated || self.has_fault(endpoint, FaultKind::Down) {
@@ -64,7 +64,7 @@
         if self.has_fault(endpoint, FaultKind::Errors) || self.has_failing_topic(id, endpoint) {
             return FaultEffect::Response(CallStatus::Error);
         }
-        if self.has_fault(endpoint, FaultKind::Refuses) {
+        if self.has_fault(endpoint, FaultKind::Rejections) {
             return FaultEffect::Response(CallStatus::Busy);
         }
         let endpoint = &mut self.endpoints[endpoint];
@@ -99,7 +99,7 @@
         let now = self.now;
         let kind = self.kind_of(endpoint);
         let (announces_wait, counts_rejected, noise) =
-            (kind.tells_wait, kind.refused_count, kind.report_noise);
+            (kind.announced_wait_fraction, kind.counts_rejected, kind.report_noise);
         let (endpoint, route) = (&mut self.endpoints[endpoint], &mut self.routes[route]);
         let fault_factor = endpoint.faults.factor(&self.fault_windows, FaultKind::Limit, now);
         let factor = fault_factor * route.capacity_fraction(now);
@@ -123,13 +123,13 @@
         call.state = CallState::Running;
         let endpoint = &mut self.endpoints[call.endpoint];
         let destination = &self.fleet.destinations[endpoint.plan.destination];
-        let item_cost = self.scenario.kind[destination.kind].item_cost;
+        let item_cost = self.scenario.kinds[destination.kind].item_cost;
         let mut work_s = 0.0;
         for (n, item) in call.items.iter().enumerate() {
             let cost = if n == 0 {
                 1.0
             } else {
-                item_cost.least + (item_cost.most - item_cost.least) * endpoint.draw_fraction()
+                item_cost.min + (item_cost.max - item_cost.min) * endpoint.draw_fraction()
             };
             work_s += self.notifications[item.notification].work_s * cost;
         }
@@ -183,8 +183,8 @@
     fn record_execution(&mut self, index: usize, ntf: u64, destination: usize) {
         let notification = &mut self.notifications[index];
         let submission = notification.submission;
-        let topic = &self.scenario.topic[submission.topic];
-        self.judge.record_effect(self.now, index, ntf, topic.effect == Effect::OnceOnly);
+        let topic = &self.scenario.topics[submission.topic];
+        self.judge.record_effect(self.now, index, ntf, topic.semantics == Semantics::NonIdempotent);
         let is_in_time = self.now <= notification.valid_until;
         if !is_in_time || std::mem::replace(&mut notification.is_delivered, true) {
             self.recorder.metrics.pushes.wasted += 1;
@@ -202,9 +202,9 @@
     fn respond(&mut self, id: CallId, status: CallStatus, wait: Option<Span>) {
         let Some(call) = self.calls.get(&id) else { return };
         let (is_awaited, at) = (call.is_awaited, self.now + call.one_way_delay);
-        let reports = self.kind_of(call.endpoint).reports && status != CallStatus::Reset;
+        let reports = self.kind_of(call.endpoint).has_load_reports && status != CallStatus::Reset;
         let limit = if reports { self.endpoints[call.endpoint].latest_report(self.now) } else { None };
-        if is_awaited && !self.has_fault(call.endpoint, FaultKind::CutBack) {
+        if is_awaited && !self.has_fault(call.endpoint, FaultKind::ResponseLoss) {
             self.schedule_response(id, at, Response { status, wait, limit });
         }
         self.set_call_state(id, CallState::Done);
--- a/crates/model/src/simulation/setup.rs
+++ b/crates/model/src/simulation/setup.rs
@@ -26,18 +26,13 @@
         let rng = RngStreams::new(seed);
         let fleet = Fleet::draw(scenario, &rng);
         let fault_windows = FaultWindow::all_of(scenario);
-        let affected: Vec<Affected> = (0..fault_windows.len())
-            .map(|fault| Affected::select(scenario, &fleet, fault, &fault_windows[fault], &rng))
-            .collect();
+        let affected = select_affected(scenario, &fleet, &fault_windows, &rng);
         let destination_faults = destination_faults(&fleet, &affected);
         let hot_relays = hot_relays(&fault_windows, &affected, &rng);
         let traffic = Traffic::new(scenario, &fleet, &rng, &fault_windows, &destination_faults, hot_relays);
-        let mut recorder = recorder(scenario, seed, policies, &fleet);
         let series = destinations_with_series(&destination_faults);
-        recorder.metrics.destination_series = series
-            .iter()
-            .map(|destination| DestinationSeries { destination: *destination, ..Default::default() })
-            .collect();
+        let mut recorder = recorder(scenario, seed, policies, &fleet);
+        recorder.metrics.destination_series = series.iter().map(|index| empty_series(*index)).collect();
         Simulation {
             readiness: vec![Readiness::Serving; fleet.endpoints.len()],
             endpoint_indices: endpoint_indices(&fleet),
@@ -72,6 +67,13 @@
     }
 }
 
+fn select_affected(
+    scenario: &Scenario, fleet: &Fleet, windows: &[FaultWindow], rng: &RngStreams,
+) -> Vec<Affected> {
+    let windows = windows.iter().enumerate();
+    windows.map(|(fault, window)| Affected::select(scenario, fleet, fault, window, rng)).collect()
+}
+
 fn destination_faults(fleet: &Fleet, affected: &[Affected]) -> Vec<FaultSet> {
     let mut faults = vec![FaultSet::default(); fleet.destinations.len()];
     for (fault, affected) in affected.iter().enumerate() {
@@ -109,8 +111,10 @@
 }
 
 fn quotas(scenario: &Scenario, fleet: &Fleet) -> Vec<QuotaBucket> {
-    let accounts = fleet.accounts.iter().zip(&scenario.account);
-    accounts.map(|(account, plan)| QuotaBucket::new(account.quota_per_second, plan.over_share)).collect()
+    let accounts = fleet.accounts.iter().zip(&scenario.accounts);
+    accounts
+        .map(|(account, plan)| QuotaBucket::new(account.quota_per_second, plan.over_quota_benefit_fraction))
+        .collect()
 }
 
 fn endpoint_indices(fleet: &Fleet) -> HashMap<std::sync::Arc<str>, usize> {
@@ -128,8 +132,8 @@
 }
 
 fn recorder(scenario: &Scenario, seed: u64, policies: &dyn Policies, fleet: &Fleet) -> MetricsRecorder {
-    let topics: Vec<String> = scenario.topic.iter().map(|topic| topic.name.clone()).collect();
-    let accounts: Vec<String> = scenario.account.iter().map(|account| account.name.clone()).collect();
+    let topics: Vec<String> = scenario.topics.iter().map(|topic| topic.name.clone()).collect();
+    let accounts: Vec<String> = scenario.accounts.iter().map(|account| account.name.clone()).collect();
     let mut recorder = MetricsRecorder::new(&topics, &accounts);
     let metrics = &mut recorder.metrics;
     metrics.scenario = scenario.name.clone();
@@ -139,6 +143,10 @@
     recorder
 }
 
+fn empty_series(destination: usize) -> DestinationSeries {
+    DestinationSeries { destination, ..DestinationSeries::default() }
+}
+
 /// Those with faults first, then the busiest.
 fn destinations_with_series(destination_faults: &[FaultSet]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..destination_faults.len()).collect();
@@ -151,25 +159,25 @@
     RuleTolerances {
         answer_slack: span_ms(rules.answer_slack_ms),
         drain_grace: span_ms(rules.drain_grace_ms),
-        key_cooldown: span_ms(rules.settle_ms),
-        overload_factor: rules.fall_multiple,
-        overload_duration: span_ms(rules.tip_after_ms),
-        overload_slack: rules.fall_slack,
+        key_cooldown: span_ms(rules.key_cooldown_ms),
+        overload_factor: rules.overload_factor,
+        overload_duration: span_ms(rules.overload_duration_ms),
+        overload_slack: rules.overload_slack,
     }
 }
 
 fn overload_threshold(rules: &Rules) -> OverloadThreshold {
     OverloadThreshold {
-        factor: rules.fall_multiple,
-        duration: span_ms(rules.tip_after_ms),
-        slack: rules.fall_slack,
+        factor: rules.overload_factor,
+        duration: span_ms(rules.overload_duration_ms),
+        slack: rules.overload_slack,
     }
 }
 
 /// More events than a run of that size can have, for a policy that never rests.
 fn max_events(scenario: &Scenario, fleet: &Fleet) -> u64 {
-    let span_s = scenario.span_s.least;
-    let rate = scenario.traffic.rate.least * scenario.traffic.load.least;
+    let span_s = scenario.duration_s.min;
+    let rate = scenario.traffic.rate.min * scenario.traffic.load.min;
     let of_relays = MAX_EVENTS_PER_RELAY_SECOND * fleet.relays.len() as f64 * (span_s + 120.0);
     (of_relays + MAX_EVENTS_PER_ARRIVAL * (rate * span_s * 4.0 + 1_000.0)) as u64
 }
--- a/crates/model/src/traffic.rs
+++ b/crates/model/src/traffic.rs
@@ -152,7 +152,7 @@
     withdrawn_after: Range,
     hot_relays: Vec<HotRelays>,
     /// Faults that shorten TTLs.
-    hurry_faults: Vec<usize>,
+    ttl_faults: Vec<usize>,
 }
 
 impl Traffic {
@@ -161,17 +161,17 @@
         destination_faults: &[FaultSet], hot_relays: Vec<HotRelays>,
     ) -> Traffic {
         let plan = &scenario.traffic;
-        let is_hurry = |fault: &usize| windows[*fault].kind == FaultKind::Hurry;
+        let is_ttl_fault = |fault: &usize| windows[*fault].kind == FaultKind::ShortenedTtl;
         let mut traffic = Traffic {
             sources: Vec::new(),
             keys: (0..fleet.destinations.len()).map(|index| keys(scenario, index, rng)).collect(),
             relay_sums: cumulative_sums(fleet.relays.iter().map(|relay| relay.traffic_share)),
-            swing: Swing { amplitude: plan.swing.least, period_s: plan.swing_s.least },
-            clump_s: plan.clump_s,
-            withdrawn_fraction: scenario.clients.impatient,
-            withdrawn_after: scenario.clients.patience,
+            swing: Swing { amplitude: plan.swing_amplitude.min, period_s: plan.swing_period_s.min },
+            clump_s: plan.clump_size_s,
+            withdrawn_fraction: scenario.clients.withdrawn_fraction,
+            withdrawn_after: scenario.clients.withdrawal_ttl_fraction,
             hot_relays,
-            hurry_faults: (0..windows.len()).filter(is_hurry).collect(),
+            ttl_faults: (0..windows.len()).filter(is_ttl_fault).collect(),
         };
         traffic.add_ordinary_sources(scenario, fleet, rng);
         let faults = Faults { windows, of_destinations: destination_faults };
@@ -184,11 +184,12 @@
         let plan = &scenario.traffic;
         let rates: Vec<f64> = fleet.destinations.iter().map(|destination| destination.rate()).collect();
         let total: f64 = rates.iter().sum();
-        let peak = total * plan.load.least * self.swing.peak();
+        let peak = total * plan.load.min * self.swing.peak();
         // Busy destinations have more clumps and larger ones.
         let squares: f64 = rates.iter().map(|rate| rate * rate).sum();
-        let mean_clump_size = (plan.clump_s.least + plan.clump_s.most) / 2.0 * squares / total.max(1e-9);
-        let clump_rate = peak * plan.clumps.least / mean_clump_size.max(MIN_CLUMP_SIZE);
+        let mean_clump_size =
+            (plan.clump_size_s.min + plan.clump_size_s.max) / 2.0 * squares / total.max(1e-9);
+        let clump_rate = peak * plan.clumped_fraction.min / mean_clump_size.max(MIN_CLUMP_SIZE);
         let source = |kind, peak_rate, rng| Source {
             kind,
             rng,
@@ -196,10 +197,10 @@
             cumulative_rates: cumulative_sums(rates.iter().copied()),
             peak_rate,
             at: Time::default(),
-            to: Time::default() + Span::from_secs_f64(scenario.span_s.least),
+            to: Time::default() + Span::from_secs_f64(scenario.duration_s.min),
             fault: None,
         };
-        let single_rate = peak * (1.0 - plan.clumps.least);
+        let single_rate = peak * (1.0 - plan.clumped_fraction.min);
         self.sources.push(source(SourceKind::Single, single_rate, rng.stream(Concern::Arrivals, 0)));
         let clumps = SourceKind::Clumps(Vec::new());
         self.sources.push(source(clumps, clump_rate, rng.stream(Concern::Clumps, 0)));
@@ -209,20 +210,21 @@
     fn add_fault_sources(
         &mut self, scenario: &Scenario, fleet: &Fleet, rng: &RngStreams, faults: &Faults<'_>,
     ) {
-        let end = Time::default() + Span::from_secs_f64(scenario.span_s.least);
+        let end = Time::default() + Span::from_secs_f64(scenario.duration_s.min);
         for (fault, window) in faults.windows.iter().enumerate() {
             let is_affected = |destination: &usize| match window.kind {
                 FaultKind::Burst => true,
-                FaultKind::Hot => faults.of_destinations[*destination].contains(fault),
+                FaultKind::HotDestinations => faults.of_destinations[*destination].contains(fault),
                 FaultKind::AccountBurst => fleet.destinations[*destination].account == window.account,
                 _ => false,
             };
-            if !matches!(window.kind, FaultKind::Burst | FaultKind::Hot | FaultKind::AccountBurst) {
+            if !matches!(window.kind, FaultKind::Burst | FaultKind::HotDestinations | FaultKind::AccountBurst)
+            {
                 continue;
             }
             let destinations: Vec<usize> = (0..fleet.destinations.len()).filter(is_affected).collect();
             let rates = || destinations.iter().map(|destination| fleet.destinations[*destination].rate());
-            let added = (window.size - 1.0).max(0.0) * scenario.traffic.load.least;
+            let added = (window.size - 1.0).max(0.0) * scenario.traffic.load.min;
             self.sources.push(Source {
                 kind: SourceKind::Single,
                 rng: rng.fault_traffic(fault),
@@ -277,7 +279,7 @@
         let topic = weighted_index(rng, &fleet.destinations[destination].cumulative_rates);
         let (mut relay, slot) = (weighted_index(rng, &self.relay_sums), rng.random::<u32>() as usize);
         let work_s = draw_work_s(&fleet.topics[topic], rng);
-        let (hurry, withdrawal): (f64, f64) = (rng.random(), rng.random());
+        let (ttl_draw, withdrawal): (f64, f64) = (rng.random(), rng.random());
         let withdrawn_after = self.withdrawn_after.draw(rng);
         let mut key = None;
         if fleet.topics[topic].topic.is_ordered {
@@ -291,7 +293,7 @@
         }
         let submitted_at = faults.release_time(destination, at);
         let ttl = fleet.topics[topic].topic.ttl;
-        let hurried_ttl = self.hurried_ttl(ttl, hurry, submitted_at, faults);
+        let shortened_ttl = self.shortened_ttl(ttl, ttl_draw, submitted_at, faults);
         let withdrawal = (withdrawal < self.withdrawn_fraction).then(|| ttl.mul_f64(withdrawn_after));
         Arrival {
             drawn_at: at,
@@ -301,14 +303,14 @@
             relay,
             key,
             work_s,
-            ttl: hurried_ttl.unwrap_or(ttl),
-            withdrawn_after: [hurried_ttl, withdrawal].into_iter().flatten().min(),
+            ttl: shortened_ttl.unwrap_or(ttl),
+            withdrawn_after: [shortened_ttl, withdrawal].into_iter().flatten().min(),
         }
     }
 
     /// The TTL of a notification that a fault affects, by a number drawn from 0 to 1.
-    fn hurried_ttl(&self, ttl: Span, drawn: f64, at: Time, faults: &Faults<'_>) -> Option<Span> {
-        let windows = self.hurry_faults.iter().map(|fault| &faults.windows[*fault]);
+    fn shortened_ttl(&self, ttl: Span, drawn: f64, at: Time, faults: &Faults<'_>) -> Option<Span> {
+        let windows = self.ttl_faults.iter().map(|fault| &faults.windows[*fault]);
         let mut affecting = windows.filter(|window| window.is_active(at) && drawn < window.extent);
         affecting.next_back().map(|window| ttl.mul_f64(window.size))
     }
@@ -343,7 +345,7 @@
     /// When an arrival is submitted: at the end of a fault that holds its destination's traffic back, else at once.
     fn release_time(&self, destination: usize, at: Time) -> Time {
         let is_held = |(fault, window): &(usize, &FaultWindow)| {
-            window.kind == FaultKind::Release
+            window.kind == FaultKind::TrafficRelease
                 && window.is_active(at)
                 && self.of_destinations[destination].contains(*fault)
         };
@@ -354,8 +356,8 @@
 fn keys(scenario: &Scenario, destination: usize, rng: &RngStreams) -> Keys {
     let plan = &scenario.traffic;
     let mut rng = rng.stream(Concern::Keys, destination);
-    let slots = (plan.keys.draw(&mut rng).round() as usize).max(1);
-    let lifetime = Span::from_secs_f64(plan.key_life_s.draw(&mut rng));
+    let slots = (plan.keys_per_destination.draw(&mut rng).round() as usize).max(1);
+    let lifetime = Span::from_secs_f64(plan.key_lifetime_s.draw(&mut rng));
     Keys { rng, slots, lifetime, generations: 0, relays: BTreeMap::new() }
 }
 
@@ -371,8 +373,8 @@
 pub(crate) fn resubmit_delay(
     plan: &Clients, rng: &mut ChaCha8Rng, resubmissions: u32, announced: Option<Span>,
 ) -> Option<Span> {
-    let (backoff_ms, heeds) = (plan.backoff_ms.draw(rng), rng.random::<f64>() < plan.honour);
-    if resubmissions >= plan.again {
+    let (backoff_ms, heeds) = (plan.backoff_ms.draw(rng), rng.random::<f64>() < plan.compliant_fraction);
+    if resubmissions >= plan.max_resubmissions {
         return None;
     }
     let doublings = f64::from(1u32 << resubmissions.min(MAX_BACKOFF_DOUBLINGS));
--- a/crates/model/tests/common/mod.rs
+++ b/crates/model/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Scenarios for tests, and a policy that only passes on.
+//! Scenarios for tests, and a policy that only forwards.
 
-#![allow(dead_code, reason = "each test takes what it needs")]
+#![allow(dead_code, reason = "each test uses what it needs")]
 
 use std::collections::BTreeMap;
 
@@ -10,8 +10,8 @@
 use juniperwing_model::policy::{Policies, Policy, Truth};
 use juniperwing_model::{Metrics, Scenario};
 
-/// Two kinds of destination, a collapsible and an ordered once-only topic type, and whatever is added.
-pub fn scenario(span_s: u32, troubles: &str) -> Scenario {
+/// Two kinds of destination, a deduplicated and an ordered non-idempotent topic type, and `faults` in TOML.
+pub fn scenario(span_s: u32, faults: &str) -> Scenario {
     let text = format!(
         r#"
 name = "test"
@@ -68,7 +68,7 @@
 [[account]]
 name = "east"
 share = 1
-{troubles}
+{faults}
 "#
     );
     let scenario: Scenario = toml::from_str(&text).expect("a scenario");
@@ -76,11 +76,11 @@
     scenario
 }
 
-/// Notifications by what became of them are all that were handed in.
-pub fn conserves(metrics: &Metrics) {
-    for part in metrics.topics.iter().chain(&metrics.accounts) {
-        let ends = part.delivered + part.throttled + part.expired + part.abandoned;
-        assert_eq!(part.offered, ends, "{part:?}");
+/// Each notification that was submitted is counted in exactly one outcome.
+pub fn assert_notifications_conserved(metrics: &Metrics) {
+    for group in metrics.topics.iter().chain(&metrics.accounts) {
+        let outcomes = group.delivered + group.throttled + group.expired + group.abandoned;
+        assert_eq!(group.offered, outcomes, "{group:?}");
     }
     let pushes = &metrics.pushes;
     let ended = pushes.delivered
@@ -94,39 +94,39 @@
     assert!(ended <= pushes.sent, "{pushes:?}");
 }
 
-/// Pushes whatever comes at once, to the endpoints of its destination in turn, and ends nothing by itself.
-pub struct PassesOn;
+/// Pushes each notification at once, to the endpoints of its destination in turn, and gives no final answer itself.
+pub struct Forwarding;
 
 #[derive(Default)]
-struct Passing {
-    ends: BTreeMap<DestinationId, Vec<EndpointId>>,
+struct ForwardingRelay {
+    endpoints: BTreeMap<DestinationId, Vec<EndpointId>>,
     next: usize,
 }
 
-impl Policies for PassesOn {
+impl Policies for Forwarding {
     fn name(&self) -> &str {
         "passes-on"
     }
 
     fn start(&self, _: Time, _: usize, _: u64, _: &Fleet) -> Box<dyn Policy> {
-        Box::new(Passing::default())
+        Box::new(ForwardingRelay::default())
     }
 }
 
-impl Policy for Passing {
+impl Policy for ForwardingRelay {
     fn handle(&mut self, now: Time, events: Vec<Event>, _: &dyn Truth) -> Vec<Command> {
         let mut commands = Vec::new();
         for event in events {
             match event {
                 Event::EndpointListUpdated(EndpointListUpdate::Snapshot(entries)) => {
                     for entry in entries.into_iter().filter(|entry| entry.readiness == Readiness::Serving) {
-                        self.ends.entry(entry.destination).or_default().push(entry.endpoint);
+                        self.endpoints.entry(entry.destination).or_default().push(entry.endpoint);
                     }
                 }
                 Event::Accepted(ntf) => {
-                    let ends = &self.ends[&ntf.destination];
+                    let endpoints = &self.endpoints[&ntf.destination];
                     self.next += 1;
-                    let endpoint = ends[self.next % ends.len()].clone();
+                    let endpoint = endpoints[self.next % endpoints.len()].clone();
                     let time_out = ntf.valid_until.since(now);
                     commands.push(Command::Push {
                         notification: ntf.id,
--- a/crates/model/tests/judge.rs
+++ b/crates/model/tests/judge.rs
@@ -1,5 +1,5 @@
-//! A judge that cannot find a break is worth nothing: for each rule there is a relay that breaks it, made of the core
-//! by altering a little of what it is told or says, and the judge must catch it.
+//! Mutation tests of the judge: for each rule there is a relay that violates it, made from the core by altering its
+//! events or commands, and the judge must report the violation.
 
 mod common;
 
@@ -16,71 +16,66 @@
 
 /// What is altered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Bend {
-    /// Says nothing of what expired.
-    Silent,
-    /// Says it twice.
-    Twice,
-    /// Answers what it took long after its time.
-    Late,
-    /// Pushes what has its end.
-    Haunts,
-    /// Pushes what has expired once more instead, once-only or not.
-    Again,
-    /// Says "throttled" of what may have run.
-    Harmless,
-    /// Sends to what drains.
-    Drained,
-    /// Knows of no failure, and tries again soon.
-    Floods,
-    /// Knows of no keys.
-    Unordered,
-    /// Is told of no waits.
-    Impatient,
-}
-
-struct Bent(Bend);
-
-struct Relayed {
-    bend: Bend,
+enum Mutation {
+    /// Gives no final answer for what expired.
+    NoAnswer,
+    /// Gives each final answer twice.
+    AnswersTwice,
+    /// Gives final answers long after they are due.
+    AnswersLate,
+    /// Pushes a notification after its final answer.
+    PushesAfterAnswer,
+    /// Pushes an expired notification once more, whatever its semantics.
+    RepeatsExpired,
+    /// Throttles what may have been executed.
+    ThrottlesExecuted,
+    /// Never learns that an endpoint drains.
+    IgnoresDrains,
+    /// Learns of no failure, and retries soon.
+    IgnoresFailures,
+    /// Learns of no keys.
+    IgnoresKeys,
+    /// Learns of no waits.
+    IgnoresWaits,
+}
+
+struct MutatedCore(Mutation);
+
+struct MutatedRelay {
+    mutation: Mutation,
     core: Relay,
-    last: BTreeMap<NotificationId, EndpointId>,
-    ended: BTreeSet<NotificationId>,
-    drained: BTreeMap<EndpointId, EndpointId>,
-    late: Vec<(Time, Command)>,
+    last_endpoint: BTreeMap<NotificationId, EndpointId>,
+    answered: BTreeSet<NotificationId>,
+    delayed: Vec<(Time, Command)>,
 }
 
-impl Policies for Bent {
+impl Policies for MutatedCore {
     fn name(&self) -> &str {
-        "bent"
+        "mutated"
     }
 
     fn start(&self, now: Time, relay: usize, seed: u64, fleet: &Fleet) -> Box<dyn Policy> {
         let core = Relay::new(now, seed, fleet.relay_config(relay));
-        let (last, ended, drained) = (BTreeMap::new(), BTreeSet::new(), BTreeMap::new());
-        Box::new(Relayed { bend: self.0, core, last, ended, drained, late: Vec::new() })
+        let (last_endpoint, answered) = (BTreeMap::new(), BTreeSet::new());
+        Box::new(MutatedRelay { mutation: self.0, core, last_endpoint, answered, delayed: Vec::new() })
     }
 }
 
-impl Relayed {
-    fn told(&mut self, mut event: Event) -> Event {
-        match (&mut event, self.bend) {
-            (Event::Accepted(ntf), Bend::Unordered) => ntf.key = None,
-            // A refusal as if the call had never left: no pause, no wait.
-            (Event::PushEnded(outcome), Bend::Impatient) if outcome.status == CallStatus::Busy => {
+impl MutatedRelay {
+    fn mutate_event(&mut self, mut event: Event) -> Event {
+        match (&mut event, self.mutation) {
+            (Event::Accepted(ntf), Mutation::IgnoresKeys) => ntf.key = None,
+            // A rejection looks as if the call had never been sent: no backoff, no wait.
+            (Event::PushEnded(outcome), Mutation::IgnoresWaits) if outcome.status == CallStatus::Busy => {
                 (outcome.retry_after, outcome.status) = (None, CallStatus::Skipped);
             }
-            // No failure is one: it goes on as if all were well.
-            (Event::PushEnded(outcome), Bend::Floods) if outcome.status != CallStatus::Delivered => {
+            // A failure looks as if the call had never been sent.
+            (Event::PushEnded(outcome), Mutation::IgnoresFailures)
+                if outcome.status != CallStatus::Delivered =>
+            {
                 outcome.status = CallStatus::Skipped;
             }
-            (Event::EndpointListUpdated(EndpointListUpdate::Changes(entries)), Bend::Drained) => {
-                let new =
-                    entries.iter().find(|e| e.readiness == Readiness::Serving).map(|e| e.endpoint.clone());
-                for entry in entries.iter().filter(|entry| entry.readiness == Readiness::Draining) {
-                    self.drained.insert(entry.endpoint.clone(), new.clone().unwrap_or_default());
-                }
-                // The drain is never heard of.
+            (Event::EndpointListUpdated(EndpointListUpdate::Changes(entries)), Mutation::IgnoresDrains) => {
                 entries.retain(|entry| entry.readiness == Readiness::Serving);
             }
             _ => {}
@@ -88,57 +83,61 @@
         event
     }
 
-    fn says(&mut self, now: Time, mut command: Command) -> Vec<Command> {
+    fn mutate_command(&mut self, now: Time, mut command: Command) -> Vec<Command> {
         if let Command::Push { timeout, .. } = &mut command
-            && self.bend == Bend::Floods
+            && self.mutation == Mutation::IgnoresFailures
         {
             *timeout = (*timeout).min(Span::from_millis(500));
         }
         if let Command::Push { notification, endpoint, .. } = &command {
-            self.last.insert(*notification, endpoint.clone());
+            self.last_endpoint.insert(*notification, endpoint.clone());
         }
-        let ends = match command {
+        let answered = match command {
             Command::Throttle { notification, .. } | Command::Expire(notification) => Some(notification),
             _ => None,
         };
-        let Some(ntf) = ends else { return vec![command] };
-        let first = self.ended.insert(ntf);
-        let again = self.last.get(&ntf).cloned().map(|endpoint| Command::Push {
+        let Some(ntf) = answered else { return vec![command] };
+        let first = self.answered.insert(ntf);
+        let again = self.last_endpoint.get(&ntf).cloned().map(|endpoint| Command::Push {
             notification: ntf,
             endpoint,
             timeout: Span::from_millis(2_000),
             send_within: Span::from_millis(2_000),
         });
-        match self.bend {
-            Bend::Silent if matches!(command, Command::Expire(_)) => Vec::new(),
-            Bend::Twice => vec![command.clone(), command],
-            Bend::Late => {
-                self.late.push((now + Span::from_millis(20_000), command));
+        match self.mutation {
+            Mutation::NoAnswer if matches!(command, Command::Expire(_)) => Vec::new(),
+            Mutation::AnswersTwice => vec![command.clone(), command],
+            Mutation::AnswersLate => {
+                self.delayed.push((now + Span::from_millis(20_000), command));
                 vec![Command::WakeAfter(Span::from_millis(20_000))]
             }
-            Bend::Haunts => std::iter::once(command).chain(again).collect(),
-            Bend::Again if first && matches!(command, Command::Expire(_)) => again.into_iter().collect(),
-            Bend::Harmless => vec![Command::Throttle { notification: ntf, retry_after: Span::ZERO }],
+            Mutation::PushesAfterAnswer => std::iter::once(command).chain(again).collect(),
+            Mutation::RepeatsExpired if first && matches!(command, Command::Expire(_)) => {
+                again.into_iter().collect()
+            }
+            Mutation::ThrottlesExecuted => {
+                vec![Command::Throttle { notification: ntf, retry_after: Span::ZERO }]
+            }
             _ => vec![command],
         }
     }
 }
 
-impl Policy for Relayed {
+impl Policy for MutatedRelay {
     fn handle(&mut self, now: Time, events: Vec<Event>, _: &dyn Truth) -> Vec<Command> {
-        let events: Vec<Event> = events.into_iter().map(|event| self.told(event)).collect();
+        let events: Vec<Event> = events.into_iter().map(|event| self.mutate_event(event)).collect();
         let commands = self.core.handle(now, events);
-        let mut said: Vec<Command> =
-            commands.into_iter().flat_map(|command| self.says(now, command)).collect();
-        let (due, later) = std::mem::take(&mut self.late).into_iter().partition(|(at, _)| *at <= now);
-        self.late = later;
-        said.extend(Vec::into_iter(due).map(|(_, command): (Time, Command)| command));
-        said
+        let mut altered: Vec<Command> =
+            commands.into_iter().flat_map(|command| self.mutate_command(now, command)).collect();
+        let (due, later) = std::mem::take(&mut self.delayed).into_iter().partition(|(at, _)| *at <= now);
+        self.delayed = later;
+        altered.extend(Vec::into_iter(due).map(|(_, command): (Time, Command)| command));
+        altered
     }
 }
 
-/// Each kind of trouble that makes a relay end, wait, drain or return.
-const TROUBLES: &str = r#"
+/// Faults that lead to final answers, waits, drains and recoveries.
+const FAULTS: &str = r#"
 [[trouble]]
 what = "errors"
 start_s = 4
@@ -164,71 +163,71 @@
 size = 12
 "#;
 
-/// A day on which a rule can be broken: busy, so that a return is a strain.
-fn day(troubles: &str) -> Scenario {
-    let mut day = common::scenario(24, troubles);
-    day.traffic.load = 1.1.into();
-    day
+/// A scenario in which each rule can be violated: so busy that a recovery is critical.
+fn busy_scenario(faults: &str) -> Scenario {
+    let mut scenario = common::scenario(24, faults);
+    scenario.traffic.load = 1.1.into();
+    scenario
 }
 
-fn catches(bend: Bend, troubles: &str, rule: Rule, said: &str) {
-    // The core as it is keeps the rule on the same days, so it is the bend that is caught.
+fn assert_caught(mutation: Mutation, faults: &str, rule: Rule, description: &str) {
+    // The unaltered core keeps the rule in the same runs, so it is the mutation that is caught.
     for seed in 1..=2 {
-        let core = simulate(&day(troubles), seed, &Core);
+        let core = simulate(&busy_scenario(faults), seed, &Core);
         assert!(core.violations.iter().all(|b| b.rule != rule), "{:#?}", core.violations);
-        let bent = simulate(&day(troubles), seed, &Bent(bend));
-        let caught = bent.violations.iter().any(|b| b.rule == rule && b.what.contains(said));
-        assert!(caught, "{bend:?}, seed {seed}: {:#?}", bent.violations);
+        let mutated = simulate(&busy_scenario(faults), seed, &MutatedCore(mutation));
+        let caught = mutated.violations.iter().any(|b| b.rule == rule && b.what.contains(description));
+        assert!(caught, "{mutation:?}, seed {seed}: {:#?}", mutated.violations);
     }
 }
 
 #[test]
-fn one_that_says_nothing_of_an_end_is_caught() {
-    catches(Bend::Silent, TROUBLES, Rule::Lost, "never had a final answer");
+fn missing_final_answer_is_caught() {
+    assert_caught(Mutation::NoAnswer, FAULTS, Rule::Lost, "never had a final answer");
 }
 
 #[test]
-fn one_that_ends_twice_is_caught() {
-    catches(Bend::Twice, TROUBLES, Rule::Lost, "after another final answer");
+fn second_final_answer_is_caught() {
+    assert_caught(Mutation::AnswersTwice, FAULTS, Rule::Lost, "after another final answer");
 }
 
 #[test]
-fn one_that_ends_too_late_is_caught() {
-    catches(Bend::Late, TROUBLES, Rule::Lost, "too late");
+fn late_final_answer_is_caught() {
+    assert_caught(Mutation::AnswersLate, FAULTS, Rule::Lost, "too late");
 }
 
 #[test]
-fn one_that_pushes_what_is_over_is_caught() {
-    catches(Bend::Haunts, TROUBLES, Rule::Lost, "sent after its final answer");
+fn push_after_final_answer_is_caught() {
+    assert_caught(Mutation::PushesAfterAnswer, FAULTS, Rule::Lost, "sent after its final answer");
 }
 
 #[test]
-fn one_that_repeats_what_is_once_only_is_caught() {
-    catches(Bend::Again, TROUBLES, Rule::Twice, "a once-only one sent again");
+fn repeat_of_non_idempotent_notification_is_caught() {
+    assert_caught(Mutation::RepeatsExpired, FAULTS, Rule::Twice, "a once-only one sent again");
 }
 
 #[test]
-fn one_that_calls_a_repeat_harmless_is_caught() {
-    catches(Bend::Harmless, TROUBLES, Rule::Twice, "as if trying again were harmless");
+fn throttling_of_executed_notification_is_caught() {
+    assert_caught(Mutation::ThrottlesExecuted, FAULTS, Rule::Twice, "as if trying again were harmless");
 }
 
 #[test]
-fn one_that_sends_to_what_drains_is_caught() {
-    catches(Bend::Drained, TROUBLES, Rule::Drain, "told to drain");
+fn push_to_draining_endpoint_is_caught() {
+    assert_caught(Mutation::IgnoresDrains, FAULTS, Rule::Drain, "told to drain");
 }
 
 #[test]
-fn one_that_takes_keys_for_nothing_is_caught() {
-    catches(Bend::Unordered, TROUBLES, Rule::Order, "is not over");
+fn push_out_of_order_is_caught() {
+    assert_caught(Mutation::IgnoresKeys, FAULTS, Rule::Order, "is not over");
 }
 
 #[test]
-fn one_that_heeds_no_wait_is_caught() {
-    catches(Bend::Impatient, TROUBLES, Rule::Wait, "in a wait until");
+fn push_within_a_wait_is_caught() {
+    assert_caught(Mutation::IgnoresWaits, FAULTS, Rule::Wait, "in a wait until");
 }
 
 #[test]
-fn one_that_pushes_a_returning_destination_over_is_caught() {
+fn overload_of_recovering_destination_is_caught() {
     let outage = "[[trouble]]\nwhat = \"silent\"\nstart_s = 3\nspan_s = 7\nextent = 0.5\n";
-    catches(Bend::Floods, outage, Rule::Return, "its present capacity");
+    assert_caught(Mutation::IgnoresFailures, outage, Rule::Return, "its present capacity");
 }
--- a/crates/model/tests/metrics.rs
+++ b/crates/model/tests/metrics.rs
@@ -2,23 +2,23 @@
 
 use juniperwing::time::{Span, Time};
 use juniperwing_model::metrics::{MetricsRecorder, Submission, value_fraction};
-use juniperwing_model::scenario::{Decay, Effect, LatencyDistribution, Topic};
+use juniperwing_model::scenario::{Decay, LatencyDistribution, Semantics, Topic};
 
 fn topic(decay: Decay) -> Topic {
     Topic {
         name: "t".to_owned(),
-        share: 1.0.into(),
-        effect: Effect::Repeatable,
-        window_ms: 0.0,
-        ordered: false,
-        work_ms: 10.0.into(),
+        traffic_weight: 1.0.into(),
+        semantics: Semantics::Idempotent,
+        deduplication_window_ms: 0.0,
+        is_ordered: false,
+        mean_work_ms: 10.0.into(),
         work_cv: 1.0.into(),
-        work_law: LatencyDistribution::Lognormal,
-        try_cv: 0.2,
-        objective_ms: 2_000.0,
+        work_distribution: LatencyDistribution::Lognormal,
+        attempt_cv: 0.2,
+        latency_target_ms: 2_000.0,
         ttl_ms: 16_000.0,
         benefit: 1.0,
-        late_share: 0.2,
+        late_benefit_fraction: 0.2,
         decay,
         kinds: Vec::new(),
     }
@@ -27,7 +27,7 @@
 #[test]
 fn value_decays_after_the_objective() {
     let at = |decay, ms| (value_fraction(&topic(decay), Span::from_millis(ms)) * 1_000.0).round() / 1_000.0;
-    assert_eq!([0, 2_000, 9_000, 16_000, 16_001].map(|ms| at(Decay::Even, ms)), [1.0, 1.0, 0.6, 0.2, 0.0]);
+    assert_eq!([0, 2_000, 9_000, 16_000, 16_001].map(|ms| at(Decay::Linear, ms)), [1.0, 1.0, 0.6, 0.2, 0.0]);
     assert_eq!([2_000, 4_000, 6_000, 12_000].map(|ms| at(Decay::Halves, ms)), [1.0, 0.5, 0.25, 0.2]);
 }
 
--- a/crates/model/tests/model.rs
+++ b/crates/model/tests/model.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{PassesOn, conserves, scenario};
+use common::{Forwarding, assert_notifications_conserved, scenario};
 use juniperwing::interface::{Command, Event};
 use juniperwing::time::{Span, Time};
 use juniperwing_model::fleet::Fleet;
@@ -11,37 +11,39 @@
 use juniperwing_model::{Core, Metrics, simulate};
 use proptest::prelude::*;
 
-/// One destination with one endpoint and no network, at which whatever comes is passed on at once.
-fn queue(rate: f64, work_ms: f64, law: LatencyDistribution, cv: f64, servers: f64) -> Metrics {
+/// The metrics of one destination with one endpoint and no network delay, where each notification is sent at once.
+fn simulate_queue(rate: f64, work_ms: f64, law: LatencyDistribution, cv: f64, servers: f64) -> Metrics {
     let mut plain: Scenario = scenario(3_000, "");
     plain.zones.truncate(1);
-    plain.account.clear();
-    plain.kind.truncate(1);
-    plain.topic.truncate(1);
-    let (topic, kind) = (&mut plain.topic[0], &mut plain.kind[0]);
-    (topic.work_ms, topic.work_law, topic.work_cv, topic.try_cv) = (work_ms.into(), law, cv.into(), 0.0);
-    (topic.ttl_ms, topic.objective_ms) = (600_000.0, 600_000.0);
+    plain.accounts.clear();
+    plain.kinds.truncate(1);
+    plain.topics.truncate(1);
+    let (topic, kind) = (&mut plain.topics[0], &mut plain.kinds[0]);
+    (topic.mean_work_ms, topic.work_distribution, topic.work_cv, topic.attempt_cv) =
+        (work_ms.into(), law, cv.into(), 0.0);
+    (topic.ttl_ms, topic.latency_target_ms) = (600_000.0, 600_000.0);
     kind.limit = LimitForm::None;
-    kind.per_call = 1;
-    kind.queue = Range::from(1e6);
-    // As many servers as are asked for: what is busy at full load, and room.
-    kind.spare = Range::from((servers - 0.5) / (rate * work_ms / 1_000.0));
+    kind.max_notifications_per_call = 1;
+    kind.queue_per_server = Range::from(1e6);
+    // The number of servers that was asked for: those that are busy at full load, and spare ones.
+    kind.capacity_headroom = Range::from((servers - 0.5) / (rate * work_ms / 1_000.0));
     (plain.destinations.count, plain.destinations.endpoints) = (1.0.into(), 1.0.into());
-    (plain.traffic.rate, plain.traffic.load, plain.traffic.clumps) = (rate.into(), 1.0.into(), 0.0.into());
+    (plain.traffic.rate, plain.traffic.load, plain.traffic.clumped_fraction) =
+        (rate.into(), 1.0.into(), 0.0.into());
     plain.relays.count = 1.0.into();
-    (plain.relays.least_slots, plain.relays.least_held, plain.relays.tick_ms) = (1e5, 1e6, 0.0);
-    (plain.network.near_ms, plain.network.far_ms) = (0.0.into(), 0.0.into());
+    (plain.relays.min_slots, plain.relays.min_pending_capacity, plain.relays.tick_ms) = (1e5, 1e6, 0.0);
+    (plain.network.same_zone_delay_ms, plain.network.cross_zone_delay_ms) = (0.0.into(), 0.0.into());
     assert_eq!(plain.check(), []);
-    simulate(&plain, 11, &PassesOn)
+    simulate(&plain, 11, &Forwarding)
 }
 
-/// Mean time in the system, in seconds, from the mean number in it: Little's law, by samples once a second.
+/// The mean number of calls in the system, by samples once a second.
 fn mean_number(metrics: &Metrics) -> f64 {
     let steady = &metrics.seconds[100..3_000];
     steady.iter().map(|second| second.in_flight_calls as f64).sum::<f64>() / steady.len() as f64
 }
 
-/// The chance to wait with `servers` servers at offered load `a`.
+/// The probability to wait with `servers` servers at offered load `a`.
 fn erlang_c(servers: u32, a: f64) -> f64 {
     let (mut term, mut sum) = (1.0, 0.0);
     for n in 0..servers {
@@ -54,9 +56,9 @@
 
 /// M/M/1: the mean number in the system is rho / (1 - rho), and the median time is that of an exponential.
 #[test]
-fn one_server_waits_as_theory_says() {
+fn single_server_queue_matches_theory() {
     let (rate, work) = (7.0, 0.1);
-    let metrics = queue(rate, work * 1_000.0, LatencyDistribution::Exponential, 1.0, 1.0);
+    let metrics = simulate_queue(rate, work * 1_000.0, LatencyDistribution::Exponential, 1.0, 1.0);
     let (rho, number) = (rate * work, mean_number(&metrics));
     let expected = rho / (1.0 - rho);
     assert!((number / expected - 1.0).abs() < 0.10, "{number} for {expected}");
@@ -67,49 +69,51 @@
 
 /// M/M/c, by Erlang's formula.
 #[test]
-fn several_servers_wait_as_theory_says() {
+fn multi_server_queue_matches_theory() {
     let (rate, work, servers) = (32.0, 0.1, 4);
-    let metrics = queue(rate, work * 1_000.0, LatencyDistribution::Exponential, 1.0, f64::from(servers));
+    let metrics =
+        simulate_queue(rate, work * 1_000.0, LatencyDistribution::Exponential, 1.0, f64::from(servers));
     let a = rate * work;
-    let waits = erlang_c(servers, a) * work / (f64::from(servers) - a);
-    let (number, expected) = (mean_number(&metrics), rate * (waits + work));
+    let mean_wait_s = erlang_c(servers, a) * work / (f64::from(servers) - a);
+    let (number, expected) = (mean_number(&metrics), rate * (mean_wait_s + work));
     assert!((number / expected - 1.0).abs() < 0.10, "{number} for {expected}");
 }
 
 /// M/G/1 with lognormal work, by Pollaczek and Khinchine.
 #[test]
-fn heavy_tailed_work_waits_as_theory_says() {
+fn lognormal_service_queue_matches_theory() {
     let (rate, work, cv) = (6.0, 0.1, 1.5);
-    let metrics = queue(rate, work * 1_000.0, LatencyDistribution::Lognormal, cv, 1.0);
+    let metrics = simulate_queue(rate, work * 1_000.0, LatencyDistribution::Lognormal, cv, 1.0);
     let rho = rate * work;
-    let waits = rho / (1.0 - rho) * (1.0 + cv * cv) / 2.0 * work;
-    let (number, expected) = (mean_number(&metrics), rate * (waits + work));
+    let mean_wait_s = rho / (1.0 - rho) * (1.0 + cv * cv) / 2.0 * work;
+    let (number, expected) = (mean_number(&metrics), rate * (mean_wait_s + work));
     assert!((number / expected - 1.0).abs() < 0.15, "{number} for {expected}");
 }
 
-/// As many notifications as a Poisson process of that rate brings, give or take.
+/// The number of notifications is that of a Poisson process of the rate, within its deviation.
 #[test]
-fn arrivals_come_at_the_rate_asked_for() {
+fn arrivals_match_the_rate() {
     let mut plain = scenario(400, "");
-    (plain.traffic.swing, plain.traffic.clumps) = (0.4.into(), 0.3.into());
-    let offered: u64 = simulate(&plain, 5, &PassesOn).topics.iter().map(|topic| topic.offered).sum();
+    (plain.traffic.swing_amplitude, plain.traffic.clumped_fraction) = (0.4.into(), 0.3.into());
+    let offered: u64 = simulate(&plain, 5, &Forwarding).topics.iter().map(|topic| topic.offered).sum();
     let expected = 60.0 * 0.75 * 400.0;
     assert!((offered as f64 / expected - 1.0).abs() < 0.06, "{offered} for {expected}");
 }
 
 #[test]
-fn the_same_scenario_and_seed_give_the_same_figures_and_another_seed_others() {
-    let troubles = "[[trouble]]\nwhat = \"kill\"\nstart_s = 5\nextent = 0.4\nsize = 2\n";
-    let text = |seed| serde_json::to_string(&simulate(&scenario(15, troubles), seed, &Core)).expect("JSON");
+fn runs_are_reproducible_and_differ_between_seeds() {
+    let faults_toml = "[[trouble]]\nwhat = \"kill\"\nstart_s = 5\nextent = 0.4\nsize = 2\n";
+    let text =
+        |seed| serde_json::to_string(&simulate(&scenario(15, faults_toml), seed, &Core)).expect("JSON");
     assert_eq!(text(3), text(3));
     assert_ne!(text(3), text(4));
 }
 
 #[test]
-fn a_resolved_scenario_resolves_to_itself_and_plays_the_same() {
+fn resolved_scenario_resolves_to_itself_and_runs_the_same() {
     let mut ranged =
         scenario(10, "[[trouble]]\nwhat = \"slow\"\nstart_s = [2, 5]\nspan_s = [3, 4]\nsize = [3, 9]\n");
-    ranged.traffic.load = Range { least: 0.5, most: 0.9 };
+    ranged.traffic.load = Range { min: 0.5, max: 0.9 };
     let resolved = ranged.resolve(9);
     let text = |scenario: &Scenario| toml::to_string(scenario).expect("TOML");
     assert_eq!(text(&resolved), text(&resolved.resolve(9)));
@@ -118,20 +122,20 @@
     assert_eq!(metrics(&ranged), metrics(&read));
 }
 
-/// A trouble that is added leaves what is handed in as it was.
+/// A fault that is added leaves the submissions as they were.
 #[test]
-fn a_trouble_shifts_no_other_draw() {
+fn added_fault_changes_no_other_draw() {
     let slow = "[[trouble]]\nwhat = \"slow\"\nstart_s = 4\nspan_s = 4\nsize = 5\nextent = 0.5\n";
-    let offered = |troubles| {
-        let metrics = simulate(&scenario(12, troubles), 2, &Core);
+    let offered = |faults_toml| {
+        let metrics = simulate(&scenario(12, faults_toml), 2, &Core);
         metrics.seconds.iter().map(|second| second.offered).collect::<Vec<_>>()
     };
-    let (calm, troubled) = (offered(""), offered(slow));
-    assert_eq!(calm[..12], troubled[..12]);
+    let (calm, faulty) = (offered(""), offered(slow));
+    assert_eq!(calm[..12], faulty[..12]);
 }
 
 #[test]
-fn a_day_of_no_traffic_ends_and_serves_all() {
+fn run_without_traffic_ends_and_serves_all() {
     let mut idle = scenario(86_400, "");
     idle.traffic.rate = 0.0.into();
     let metrics = simulate(&idle, 1, &Core);
@@ -142,18 +146,18 @@
 }
 
 #[test]
-fn relays_that_are_killed_lose_nothing_that_their_folders_keep() {
+fn killed_relays_lose_no_stored_notifications() {
     let kill = "[[trouble]]\nwhat = \"kill\"\nstart_s = 5\nextent = 1\nsize = 1.5\n";
     let metrics = simulate(&scenario(15, kill), 1, &Core);
-    conserves(&metrics);
+    assert_notifications_conserved(&metrics);
     assert_eq!(metrics.violation_count, 0, "{:#?}", metrics.violations);
     let lost = kill.replace("kill", "lose");
     let metrics = simulate(&scenario(15, &lost), 1, &Core);
-    conserves(&metrics);
+    assert_notifications_conserved(&metrics);
     assert_eq!(metrics.violation_count, 0, "{:#?}", metrics.violations);
 }
 
-const WOES: [&str; 17] = [
+const FAULT_KINDS: [&str; 17] = [
     "slow",
     "silent",
     "errors",
@@ -176,28 +180,28 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(24))]
 
-    /// Whatever overlaps: every notification has one end or is counted as gone, and the run is not cut off.
+    /// Whatever faults overlap: each notification has one outcome, and the run is not truncated.
     #[test]
     fn notifications_are_conserved(
-        woes in prop::collection::vec((0..WOES.len(), 0.0f64..6.0, 0.1f64..6.0, 0.05f64..0.9), 0..4), seed in 0u64..1_000,
+        faults in prop::collection::vec((0..FAULT_KINDS.len(), 0.0f64..6.0, 0.1f64..6.0, 0.05f64..0.9), 0..4), seed in 0u64..1_000,
     ) {
-        let mut troubles = String::new();
-        for (woe, start, span, extent) in &woes {
-            let size = if ["resets", "limit", "hot-relays"].contains(&WOES[*woe]) { 0.3 } else { 2.0 };
-            troubles += &format!(
+        let mut faults_toml = String::new();
+        for (kind, start, span, extent) in &faults {
+            let size = if ["resets", "limit", "hot-relays"].contains(&FAULT_KINDS[*kind]) { 0.3 } else { 2.0 };
+            faults_toml += &format!(
                 "[[trouble]]\nwhat = \"{}\"\nstart_s = {start}\nspan_s = {span}\nextent = {extent}\nsize = {size}\n",
-                WOES[*woe]
+                FAULT_KINDS[*kind]
             );
         }
-        let metrics = simulate(&scenario(8, &troubles), seed, &Core);
-        conserves(&metrics);
+        let metrics = simulate(&scenario(8, &faults_toml), seed, &Core);
+        assert_notifications_conserved(&metrics);
         prop_assert!(!metrics.is_truncated && metrics.invalid_commands == 0);
-        let bad: Vec<_> = metrics.violations.iter().filter(|b| b.rule != juniperwing_model::Rule::Return).collect();
-        prop_assert!(bad.is_empty(), "{:#?}", bad);
+        let violations: Vec<_> = metrics.violations.iter().filter(|b| b.rule != juniperwing_model::Rule::Return).collect();
+        prop_assert!(violations.is_empty(), "{:#?}", violations);
     }
 }
 
-/// Asks to be woken at once, whenever it is asked anything.
+/// Asks to be woken at once in each turn.
 struct Restless;
 
 impl Policies for Restless {
@@ -216,9 +220,9 @@
     }
 }
 
-/// It has a turn each tick and no more; where there is no tick the run is broken off, and says so.
+/// It has one turn each tick; without a tick the run is truncated, and its metrics say so.
 #[test]
-fn a_relay_that_never_rests_does_not_stop_the_clock() {
+fn restless_policy_does_not_stop_the_clock() {
     let mut idle = scenario(10, "");
     (idle.traffic.rate, idle.relays.count) = (0.0.into(), 1.0.into());
     let metrics = simulate(&idle, 1, &Restless);
