--- a/crates/lab/src/adapter.rs
+++ b/crates/lab/src/adapter.rs
@@ -1,5 +1,5 @@
 //! The decisions of another build, through its adapter: one process for each run, which hosts all relays of the run and
-//! speaks JSON lines. It is sent nothing but what its relays are told.
+//! speaks JSON lines. It receives nothing but the events of its relays.
 
 mod wire;
 
--- a/crates/lab/src/report/html.rs
+++ b/crates/lab/src/report/html.rs
@@ -126,8 +126,8 @@
         if let Some(relay) = violation.relay {
             write!(body, ", relay {relay}")?;
         }
-        if let Some(ntf) = violation.notification {
-            write!(body, ", notification {ntf}")?;
+        if let Some(notification) = violation.notification {
+            write!(body, ", notification {notification}")?;
         }
         write!(body, ": {}</p>", escape_html(&violation.what))?;
         if !violation.before.is_empty() {
--- a/crates/model/src/fleet.rs
+++ b/crates/model/src/fleet.rs
@@ -145,7 +145,7 @@
     pub routes: Vec<RoutePlan>,
     /// Relays.
     pub relays: Vec<RelayPlan>,
-    /// The parameters of the rules as relays are told them.
+    /// The parameters of the rules in the configuration of relays.
     pub rules: RuleParameters,
     /// The shortest time between two turns of a relay.
     pub tick: Span,
--- a/crates/model/src/fleet/convert.rs
+++ b/crates/model/src/fleet/convert.rs
@@ -66,7 +66,7 @@
     scenario.accounts.iter().map(account).collect()
 }
 
-/// The parameters of the rules as relays are told them: of a range, the end that asks more of a relay.
+/// The parameters of the rules in the configuration of relays: of a range, the end that asks more of a relay.
 pub(super) fn rule_parameters(scenario: &Scenario) -> RuleParameters {
     let rules = &scenario.rules;
     RuleParameters {
--- a/crates/model/src/judge.rs
+++ b/crates/model/src/judge.rs
@@ -1,6 +1,6 @@
 //! The judge of the six rules.
 //!
-//! It observes what relays are told and what they do, at the moment it happens, and reports each violation with its
+//! It observes the inputs and the actions of relays, at the moment they happen, and reports each violation with its
 //! time, its ids and what was observed before. It is written from the wording of the rules and keeps its own record
 //! of everything; it shares no code with the core and tells relays nothing.
 
@@ -55,9 +55,9 @@
     notifications: BTreeMap<u64, NotificationRecord>,
     /// By relay and key.
     key_queues: BTreeMap<(usize, String), KeyQueue>,
-    /// By relay and endpoint: when the relay was told that the endpoint drains or has terminated.
+    /// By relay and endpoint: when the relay was notified that the endpoint drains or has terminated.
     draining_since: BTreeMap<(usize, usize), Time>,
-    /// By relay and route: the end of the wait that the relay was told.
+    /// By relay and route: the end of the wait that was announced to the relay.
     wait_until: BTreeMap<(usize, usize), Time>,
     routes: Vec<RouteRecord>,
     /// By the client's notification, whatever ids relays gave it.
@@ -85,23 +85,36 @@
     }
 
     /// Reports a violation by one relay that concerns one notification.
-    fn report_for(&mut self, rule: Rule, now: Time, relay: usize, ntf: u64, what: impl Into<String>) {
-        self.report(rule, now, Some(relay), Some(ntf), what.into());
+    fn report_for(
+        &mut self, rule: Rule, now: Time, relay: usize, notification_id: u64, what: impl Into<String>,
+    ) {
+        self.report(rule, now, Some(relay), Some(notification_id), what.into());
     }
 
-    fn report(&mut self, rule: Rule, now: Time, relay: Option<usize>, ntf: Option<u64>, what: String) {
+    fn report(
+        &mut self, rule: Rule, now: Time, relay: Option<usize>, notification_id: Option<u64>, what: String,
+    ) {
         self.violation_count += 1;
         if self.violations.iter().filter(|other| other.rule == rule).count() >= MAX_DESCRIBED_PER_RULE {
             return;
         }
-        let before = self.history(ntf);
-        self.violations.push(Violation { rule, at_s: as_secs(now), relay, notification: ntf, what, before });
+        let before = self.history(notification_id);
+        self.violations.push(Violation {
+            rule,
+            at_s: as_secs(now),
+            relay,
+            notification: notification_id,
+            what,
+            before,
+        });
     }
 
     /// What was observed of a notification, and lately of all.
-    fn history(&self, ntf: Option<u64>) -> Vec<String> {
+    fn history(&self, notification_id: Option<u64>) -> Vec<String> {
         let mut lines: Vec<String> = Vec::new();
-        if let Some(record) = ntf.and_then(|ntf| self.notifications.get(&ntf)) {
+        if let Some(record) =
+            notification_id.and_then(|notification_id| self.notifications.get(&notification_id))
+        {
             let valid_until_s = as_secs(record.accepted.valid_until);
             lines.push(format!("taken by relay {}, valid until {valid_until_s:.3} s", record.relay));
             let skipped = record.pushes.len().saturating_sub(MAX_HISTORY);
@@ -128,13 +141,13 @@
         }
     }
 
-    /// A relay has been told to wait. Called after the turn in which it was told: pushes of that turn are excused.
+    /// A wait was announced to a relay. Called after the turn that received it: pushes of that turn are excused.
     pub(crate) fn handle_wait(&mut self, relay: usize, route: usize, until: Time) {
         let known = self.wait_until.entry((relay, route)).or_default();
         *known = (*known).max(until);
     }
 
-    /// A relay is told that an endpoint serves, or that it drains or has terminated.
+    /// A relay is notified that an endpoint serves, or that it drains or has terminated.
     pub(crate) fn handle_readiness(&mut self, now: Time, relay: usize, endpoint: usize, is_serving: bool) {
         if is_serving {
             self.draining_since.remove(&(relay, endpoint));
@@ -146,9 +159,9 @@
     /// A relay's process ends; `kept` if its storage outlasts it. Pushes in flight may still be executing.
     pub(crate) fn handle_relay_stop(&mut self, now: Time, relay: usize, kept: bool) {
         let of_relay = self.notifications.iter().filter(|(_, record)| record.relay == relay);
-        let owned: Vec<u64> = of_relay.map(|(ntf, _)| *ntf).collect();
-        for ntf in owned {
-            let Some(record) = self.notifications.get_mut(&ntf) else { continue };
+        let owned: Vec<u64> = of_relay.map(|(notification_id, _)| *notification_id).collect();
+        for notification_id in owned {
+            let Some(record) = self.notifications.get_mut(&notification_id) else { continue };
             let was_in_flight = record.is_in_flight();
             for push in record.pushes.iter_mut().filter(|push| push.is_in_flight()) {
                 push.execution = Some(ExecutionStatus::MayBeExecuting);
@@ -156,7 +169,7 @@
             record.has_final_answer |= !kept;
             let key = record.accepted.key.clone().filter(|_| was_in_flight);
             self.delay_key(now, relay, key);
-            self.forget(ntf);
+            self.forget(notification_id);
         }
         self.draining_since.retain(|(of, _), _| *of != relay);
         self.wait_until.retain(|(of, _), _| *of != relay);
@@ -178,9 +191,10 @@
     /// and the number of all.
     pub(crate) fn finish(mut self, now: Time) -> (Vec<Violation>, usize) {
         let owed = self.notifications.iter().filter(|(_, record)| !record.has_final_answer);
-        let owed: Vec<(u64, usize)> = owed.map(|(ntf, record)| (*ntf, record.relay)).collect();
-        for (ntf, relay) in owed {
-            self.report_for(Rule::Lost, now, relay, ntf, "never had a final answer");
+        let owed: Vec<(u64, usize)> =
+            owed.map(|(notification_id, record)| (*notification_id, record.relay)).collect();
+        for (notification_id, relay) in owed {
+            self.report_for(Rule::Lost, now, relay, notification_id, "never had a final answer");
         }
         (self.violations, self.violation_count)
     }
--- a/crates/model/src/judge/records.rs
+++ b/crates/model/src/judge/records.rs
@@ -1,4 +1,4 @@
-//! What the judge is told of notifications and pushes, and what it records of them.
+//! The records of notifications and pushes, and the input that they are made from.
 
 use std::fmt;
 
@@ -132,4 +132,14 @@
     pub(super) fn is_in_flight(&self) -> bool {
         self.pushes.iter().any(PushRecord::is_in_flight)
     }
+
+    /// Whether the effect could take place twice if the client submitted the notification again anywhere.
+    pub(super) fn may_repeat_effect(&self) -> bool {
+        let repeat_takes_effect = match self.accepted.repeat {
+            RepeatSemantics::Harmless => false,
+            RepeatSemantics::Deduplicated { same_zone_only, .. } => same_zone_only,
+            RepeatSemantics::Forbidden => true,
+        };
+        repeat_takes_effect && self.pushes.iter().any(PushRecord::may_have_executed)
+    }
 }
--- a/crates/model/src/judge/recovery.rs
+++ b/crates/model/src/judge/recovery.rs
@@ -121,7 +121,7 @@
         });
     }
 
-    /// A relay is told of a call on a route that failed or was rejected.
+    /// A relay receives the outcome of a call on a route that failed or was rejected.
     pub(crate) fn record_failure_seen(&mut self, relay: usize, route: usize) {
         let record = &mut self.routes[route];
         if record.is_out {
--- a/crates/model/src/metrics/recorder.rs
+++ b/crates/model/src/metrics/recorder.rs
@@ -8,7 +8,7 @@
 
 /// Seconds of the windows of which the worst is reported.
 const WORST_WINDOW_S: usize = 10;
-/// The longest latency that is told apart: a day.
+/// The upper limit of recorded latencies: a day.
 const MAX_LATENCY_US: u64 = 86_400_000_000;
 /// Significant decimal digits of latencies.
 const LATENCY_DIGITS: u8 = 3;
@@ -118,7 +118,7 @@
         }
     }
 
-    /// A relay is told the outcome of a push.
+    /// A relay receives the outcome of a push.
     pub fn record_push_outcome(&mut self, at: Time, status: CallStatus) {
         let pushes = &mut self.metrics.pushes;
         let count = match status {
--- a/crates/model/src/policy.rs
+++ b/crates/model/src/policy.rs
@@ -8,7 +8,7 @@
 
 use crate::fleet::Fleet;
 
-/// The true state of an endpoint, which no relay is told.
+/// The true state of an endpoint, which no relay knows.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TrueState {
     /// Whether it answers calls now.
--- a/crates/model/src/random.rs
+++ b/crates/model/src/random.rs
@@ -29,7 +29,7 @@
     Network = 8,
     /// What clients do after an answer.
     Clients = 9,
-    /// When relays are told of changes of the endpoint list.
+    /// When relays are notified of changes of the endpoint list.
     List = 10,
     /// Noise of load reports at an endpoint.
     Reports = 11,
--- a/crates/model/src/scenario.rs
+++ b/crates/model/src/scenario.rs
@@ -1,8 +1,8 @@
 //! The scenario of a run: sizes, destinations, clients and faults as data, with its check and the draw of its ranges.
 //!
-//! Where the name of a field differs from its key in scenario files, the key stands beside it. A number may be written as a range: a range of type [`Once`] is drawn
-//! once for a run, one of type [`Each`] anew for each thing that it describes (a destination, a call). Every figure
-//! has its unit in its name; without one it is a ratio or a count.
+//! Where the name of a field differs from its key in scenario files, the key stands beside it. A number may be written
+//! as a range: a range of type [`Once`] is drawn once for a run, one of type [`Each`] anew for each thing that it
+//! describes (a destination, a call). Every figure has its unit in its name; without one it is a ratio or a count.
 
 mod check;
 mod defaults;
--- a/crates/model/src/scenario/plan.rs
+++ b/crates/model/src/scenario/plan.rs
@@ -116,7 +116,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct List {
-    /// The delay with which a relay is told of a change.
+    /// The delay until a relay is notified of a change.
     #[serde(rename = "notice_s")]
     pub change_delay_s: Each,
     /// How long a request for the list takes.
@@ -179,7 +179,7 @@
 pub struct Rules {
     /// How long after its TTL a notification's final answer is still in time.
     pub answer_slack_ms: f64,
-    /// How long after a relay was told that an endpoint drains it may still push to it.
+    /// How long after the notice of a drain a relay may still push to the endpoint.
     pub drain_grace_ms: f64,
     /// The fraction of its capacity that a destination has right after an outage.
     #[serde(rename = "cold_from")]
@@ -202,7 +202,7 @@
     /// How long a key waits after a push that may still be executing.
     #[serde(rename = "settle_ms")]
     pub key_cooldown_ms: f64,
-    /// A relay without subscription that has not asked for the list for this long counts as told of its changes.
+    /// A relay without subscription that has not asked for the list for this long counts as notified of its changes.
     #[serde(rename = "ask_every_s")]
     pub list_refresh_interval_s: f64,
 }
--- a/crates/model/src/simulation.rs
+++ b/crates/model/src/simulation.rs
@@ -84,7 +84,7 @@
     quotas: Vec<QuotaBucket>,
     calls: BTreeMap<CallId, Call>,
     last_call: CallId,
-    last_ntf: u64,
+    last_notification_id: u64,
     client_rng: ChaCha8Rng,
     /// Notifications that are neither delivered nor given up.
     unfinished: usize,
@@ -176,7 +176,9 @@
             SimulationEvent::RequestReceived(call) => self.handle_request(call),
             SimulationEvent::ServiceFinished(call) => self.handle_service_finished(call),
             SimulationEvent::ResponseReceived { call, response } => self.handle_response(call, response),
-            SimulationEvent::PushTimeout { call, ntf } => self.handle_push_timeout(call, ntf),
+            SimulationEvent::PushTimeout { call, notification_id } => {
+                self.handle_push_timeout(call, notification_id)
+            }
             SimulationEvent::ConnectTimeout(call) => self.handle_connect_timeout(call),
             SimulationEvent::CloseIdleConnections { relay, endpoint } => {
                 self.close_idle_connections(relay, endpoint);
--- a/crates/model/src/simulation/call_ends.rs
+++ b/crates/model/src/simulation/call_ends.rs
@@ -36,7 +36,7 @@
         let item = &mut call.items[item];
         item.is_in_flight = false;
         let outcome = PushOutcome {
-            notification: NotificationId(item.ntf),
+            notification: NotificationId(item.notification_id),
             push_index: item.push,
             endpoint: self.endpoints[call.endpoint].plan.id.clone(),
             status: response.status,
@@ -49,9 +49,9 @@
         self.enqueue_input(relay, RelayInput::PushEnded { outcome: Box::new(outcome), route });
     }
 
-    pub(super) fn handle_push_timeout(&mut self, id: CallId, ntf: u64) {
+    pub(super) fn handle_push_timeout(&mut self, id: CallId, notification_id: u64) {
         let Some(call) = self.calls.get(&id).filter(|call| call.is_awaited) else { return };
-        let is_of = |item: &CallItem| item.ntf == ntf && item.is_in_flight;
+        let is_of = |item: &CallItem| item.notification_id == notification_id && item.is_in_flight;
         let Some(item) = call.items.iter().position(is_of) else { return };
         let status = if call.is_connected { CallStatus::TimedOut } else { CallStatus::NoConnection };
         self.abort_item(id, item, status);
@@ -64,8 +64,10 @@
     }
 
     /// Cancels a push by command of its relay.
-    pub(super) fn cancel_push(&mut self, relay: usize, ntf: u64, push: u32) {
-        let is_of = |item: &CallItem| item.ntf == ntf && item.push == push && item.is_in_flight;
+    pub(super) fn cancel_push(&mut self, relay: usize, notification_id: u64, push: u32) {
+        let is_of = |item: &CallItem| {
+            item.notification_id == notification_id && item.push == push && item.is_in_flight
+        };
         for id in &self.nodes[relay].calls {
             if let Some(item) = self.calls.get(id).and_then(|call| call.items.iter().position(is_of)) {
                 return self.abort_item(*id, item, CallStatus::Cancelled);
--- a/crates/model/src/simulation/calls.rs
+++ b/crates/model/src/simulation/calls.rs
@@ -19,7 +19,7 @@
             return;
         };
         let items: Vec<CallItem> =
-            pushes.iter().filter_map(|push| self.start_push(relay, endpoint, push.ntf)).collect();
+            pushes.iter().filter_map(|push| self.start_push(relay, endpoint, push.notification_id)).collect();
         if items.is_empty() {
             return;
         }
@@ -53,25 +53,25 @@
     }
 
     /// Records a push of a notification. `None` if the relay has no such notification.
-    fn start_push(&mut self, relay: usize, endpoint: usize, ntf: u64) -> Option<CallItem> {
+    fn start_push(&mut self, relay: usize, endpoint: usize, notification_id: u64) -> Option<CallItem> {
         let plan = &self.endpoints[endpoint].plan;
         let target = PushTarget { endpoint, zone: plan.zone, route: plan.route };
-        let Some(pending) = self.nodes[relay].pending.get_mut(&ntf) else {
-            // Only the judge takes note of a push for a notification that is over.
-            self.judge.handle_push(self.now, relay, ntf, 0, target);
+        let Some(pending) = self.nodes[relay].pending.get_mut(&notification_id) else {
+            // Only the judge records a push for a notification that is over.
+            self.judge.handle_push(self.now, relay, notification_id, 0, target);
             self.recorder.metrics.invalid_commands += 1;
             return None;
         };
         let (push, index) = (pending.push_count, pending.notification);
         pending.push_count += 1;
         pending.in_flight = Some(SentPush { at: self.now, zone: target.zone });
-        self.judge.handle_push(self.now, relay, ntf, push, target);
+        self.judge.handle_push(self.now, relay, notification_id, push, target);
         let notification = &self.notifications[index];
         if notification.destination != plan.destination {
             self.recorder.metrics.invalid_commands += 1;
         }
         let is_ordered = notification.key.is_some();
-        Some(CallItem { ntf, notification: index, push, is_in_flight: true, is_ordered })
+        Some(CallItem { notification_id, notification: index, push, is_in_flight: true, is_ordered })
     }
 
     /// Sends a call over an idle connection, or opens one for it.
@@ -81,7 +81,7 @@
         let is_connected = idle.get_mut(&endpoint).and_then(Vec::pop).is_some();
         self.calls.insert(id, Call { is_connected, ..call });
         for push in pushes {
-            let timeout = SimulationEvent::PushTimeout { call: id, ntf: push.ntf };
+            let timeout = SimulationEvent::PushTimeout { call: id, notification_id: push.notification_id };
             self.queue.schedule(self.now + push.timeout, timeout);
         }
         if !is_connected {
--- a/crates/model/src/simulation/clients.rs
+++ b/crates/model/src/simulation/clients.rs
@@ -64,11 +64,11 @@
             self.recorder.metrics.rejected_at_capacity += 1;
             return self.resubmit_or_give_up(notification, relay, None);
         }
-        self.last_ntf += 1;
-        let ntf = self.last_ntf;
-        node.pending.insert(ntf, PendingNotification::new(notification));
-        self.notifications[notification].pending_at = Some(PendingAt { relay, ntf });
-        self.enqueue_input(relay, RelayInput::Accepted(ntf));
+        self.last_notification_id += 1;
+        let notification_id = self.last_notification_id;
+        node.pending.insert(notification_id, PendingNotification::new(notification));
+        self.notifications[notification].pending_at = Some(PendingAt { relay, notification_id });
+        self.enqueue_input(relay, RelayInput::Accepted(notification_id));
     }
 
     /// The relay is down: the client submits the notification to one that runs after a while.
@@ -119,13 +119,14 @@
 
     /// The client withdraws a notification.
     pub(super) fn handle_withdrawal(&mut self, notification: usize) {
-        if let Some(PendingAt { relay, ntf }) = self.notifications[notification].pending_at.take() {
+        if let Some(PendingAt { relay, notification_id }) = self.notifications[notification].pending_at.take()
+        {
             let node = &mut self.nodes[relay];
-            let is_owed = node.pending.get(&ntf).is_some_and(|pending| !pending.has_final_answer);
+            let is_owed = node.pending.get(&notification_id).is_some_and(|pending| !pending.has_final_answer);
             if is_owed && node.is_running {
-                node.pending.remove(&ntf);
-                self.judge.handle_withdrawal(ntf);
-                self.enqueue_input(relay, RelayInput::Withdrawn(ntf));
+                node.pending.remove(&notification_id);
+                self.judge.handle_withdrawal(notification_id);
+                self.enqueue_input(relay, RelayInput::Withdrawn(notification_id));
             }
         }
         self.give_up(notification, UndeliveredReason::Abandoned);
--- a/crates/model/src/simulation/commands.rs
+++ b/crates/model/src/simulation/commands.rs
@@ -28,7 +28,7 @@
     fn pushes_of_call(&self, to: &EndpointId, commands: &[Command]) -> Vec<PushRequest> {
         let pushes = commands.iter().map_while(|command| match command {
             Command::Push { notification, endpoint, timeout, .. } if endpoint == to => {
-                Some(PushRequest { ntf: notification.0, timeout: *timeout })
+                Some(PushRequest { notification_id: notification.0, timeout: *timeout })
             }
             _ => None,
         });
@@ -50,7 +50,7 @@
             Command::Throttle { notification, retry_after } => {
                 self.throttle(relay, notification.0, *retry_after)
             }
-            Command::Expire(ntf) => self.expire(relay, ntf.0),
+            Command::Expire(notification_id) => self.expire(relay, notification_id.0),
             Command::WakeAfter(after) => self.schedule_wake(relay, *after),
             Command::SubscribeToEndpointList => self.subscribe(relay),
             Command::Probe(_) => self.recorder.metrics.probes += 1,
@@ -75,39 +75,42 @@
         }
     }
 
-    fn throttle(&mut self, relay: usize, ntf: u64, retry_after: Span) {
-        if let Some(notification) = self.answer(relay, ntf, FinalAnswer::Throttled) {
+    fn throttle(&mut self, relay: usize, notification_id: u64, retry_after: Span) {
+        if let Some(notification) = self.answer(relay, notification_id, FinalAnswer::Throttled) {
             self.resubmit_or_give_up(notification, relay, Some(retry_after));
         }
     }
 
-    fn expire(&mut self, relay: usize, ntf: u64) {
-        if let Some(notification) = self.answer(relay, ntf, FinalAnswer::Expired) {
+    fn expire(&mut self, relay: usize, notification_id: u64) {
+        if let Some(notification) = self.answer(relay, notification_id, FinalAnswer::Expired) {
             self.notifications[notification].pending_at = None;
             self.give_up(notification, UndeliveredReason::Expired);
         }
     }
 
     /// A final answer that is no delivery. Returns the notification unless it has an answer already.
-    fn answer(&mut self, relay: usize, ntf: u64, answer: FinalAnswer) -> Option<usize> {
-        self.judge.handle_final_answer(self.now, relay, ntf, answer);
-        let pending = self.nodes[relay].pending.get_mut(&ntf).filter(|pending| !pending.has_final_answer)?;
+    fn answer(&mut self, relay: usize, notification_id: u64, answer: FinalAnswer) -> Option<usize> {
+        self.judge.handle_final_answer(self.now, relay, notification_id, answer);
+        let pending = self.nodes[relay]
+            .pending
+            .get_mut(&notification_id)
+            .filter(|pending| !pending.has_final_answer)?;
         pending.has_final_answer = true;
         let (notification, is_unanswered) = (pending.notification, pending.is_unanswered);
         // In the turn that accepts it the response itself carries the answer; later a notice does.
         if is_unanswered {
-            self.enqueue_input(relay, RelayInput::NoticeDelivered(ntf));
+            self.enqueue_input(relay, RelayInput::NoticeDelivered(notification_id));
         } else {
-            self.schedule_notice(relay, ntf);
+            self.schedule_notice(relay, notification_id);
         }
         Some(notification)
     }
 
     /// Schedules the time at which a relay learns that the client has its notice.
-    pub(super) fn schedule_notice(&mut self, relay: usize, ntf: u64) {
+    pub(super) fn schedule_notice(&mut self, relay: usize, notification_id: u64) {
         let node = &mut self.nodes[relay];
         let at = self.now + span_ms(self.scenario.relays.notice_delay_ms.draw(&mut node.network_rng));
-        let (incarnation, input) = (node.incarnation, RelayInput::NoticeDelivered(ntf));
+        let (incarnation, input) = (node.incarnation, RelayInput::NoticeDelivered(notification_id));
         self.queue.schedule(at, SimulationEvent::RelayInput { relay, incarnation, input });
     }
 }
--- a/crates/model/src/simulation/endpoint_list.rs
+++ b/crates/model/src/simulation/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The list of endpoints: its changes, and when relays are told of them.
+//! The list of endpoints: its changes, and when relays are notified of them.
 
 use juniperwing::interface::Readiness;
 use juniperwing::time::Span;
@@ -15,7 +15,7 @@
         windows.any(|window| window.kind == FaultKind::ListDown && window.is_active(self.now))
     }
 
-    /// A relay subscribes to the list and is told what it has missed, or that the list cannot be reached.
+    /// A relay subscribes to the list and receives the changes that it has missed, or that the list cannot be reached.
     pub(super) fn subscribe(&mut self, relay: usize) {
         self.recorder.metrics.list_requests += 1;
         let is_down = self.is_list_down();
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Changes the list; each relay is told after a delay of its own, of one change after the other.
+    /// Changes the list; each relay is notified after a delay of its own, of one change after the other.
     fn publish_readiness(&mut self, endpoint: usize, readiness: Readiness) {
         self.readiness[endpoint] = readiness;
         let windows = self.fault_windows.iter();
--- a/crates/model/src/simulation/faults.rs
+++ b/crates/model/src/simulation/faults.rs
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Updates whether all endpoints of a route are out; the judge takes note of outages and recoveries.
+    /// Updates whether all endpoints of a route are out; the judge records outages and recoveries.
     pub(super) fn update_route_outage(&mut self, route: usize) {
         let (now, windows) = (self.now, &self.fault_windows);
         let endpoints = self.routes[route].endpoints.iter().map(|endpoint| &self.endpoints[*endpoint]);
--- a/crates/model/src/simulation/inputs.rs
+++ b/crates/model/src/simulation/inputs.rs
@@ -1,4 +1,4 @@
-//! The inputs of relays as events of the core; the judge and the relay's storage take note of them.
+//! The inputs of relays as events of the core; the judge and the relay's storage record them.
 
 use juniperwing::interface::{
     CallStatus, EndpointEntry, EndpointListUpdate, Event, Notification, NotificationHistory, NotificationId,
@@ -16,7 +16,7 @@
 /// What takes effect at the end of the turn that the inputs are for.
 #[derive(Default)]
 pub(super) struct TurnEffects {
-    /// Waits that the relay is told, by route.
+    /// Waits that are announced to the relay, by route.
     pub(super) waits: Vec<(usize, Time)>,
     /// Submissions that the relay answers with this turn.
     pub(super) accepted: Vec<u64>,
@@ -39,7 +39,9 @@
         &mut self, relay: usize, input: RelayInput, effects: &mut TurnEffects,
     ) -> Option<Event> {
         Some(match input {
-            RelayInput::Accepted(ntf) => return self.convert_accepted(relay, ntf, effects),
+            RelayInput::Accepted(notification_id) => {
+                return self.convert_accepted(relay, notification_id, effects);
+            }
             RelayInput::PushEnded { mut outcome, route } => {
                 self.handle_push_outcome(relay, route, &mut outcome, effects);
                 Event::PushEnded(*outcome)
@@ -56,22 +58,24 @@
                 ))
             }
             RelayInput::SubscriptionLost => Event::EndpointListUpdated(EndpointListUpdate::Failed),
-            RelayInput::Withdrawn(ntf) => Event::Withdrawn(NotificationId(ntf)),
-            RelayInput::NoticeDelivered(ntf) => {
-                self.nodes[relay].pending.remove(&ntf);
-                Event::FinalAnswerAcknowledged(NotificationId(ntf))
+            RelayInput::Withdrawn(notification_id) => Event::Withdrawn(NotificationId(notification_id)),
+            RelayInput::NoticeDelivered(notification_id) => {
+                self.nodes[relay].pending.remove(&notification_id);
+                Event::FinalAnswerAcknowledged(NotificationId(notification_id))
             }
         })
     }
 
     /// A submission, or after a restart what the storage holds of one.
-    fn convert_accepted(&mut self, relay: usize, ntf: u64, effects: &mut TurnEffects) -> Option<Event> {
-        let pending = self.nodes[relay].pending.get_mut(&ntf)?;
+    fn convert_accepted(
+        &mut self, relay: usize, notification_id: u64, effects: &mut TurnEffects,
+    ) -> Option<Event> {
+        let pending = self.nodes[relay].pending.get_mut(&notification_id)?;
         if pending.is_unanswered {
             let notification = pending.notification;
-            effects.accepted.push(ntf);
+            effects.accepted.push(notification_id);
             let accepted = self.accepted_notification(notification);
-            self.judge.handle_accepted(self.now, relay, ntf, accepted);
+            self.judge.handle_accepted(self.now, relay, notification_id, accepted);
         } else {
             // An earlier process pushed it: what was in flight then may have been executed and may execute still.
             pending.first_executed = pending.first_executed.or(pending.in_flight);
@@ -79,16 +83,18 @@
                 pending.uncertain_since = Some(self.now);
             }
         }
-        Some(Event::Accepted(self.core_notification(ntf, &self.nodes[relay].pending[&ntf])))
+        Some(Event::Accepted(
+            self.core_notification(notification_id, &self.nodes[relay].pending[&notification_id]),
+        ))
     }
 
-    /// A relay is told the outcome of a push; sets whether the notification has its final answer.
+    /// A relay receives the outcome of a push; sets whether the notification has its final answer.
     fn handle_push_outcome(
         &mut self, relay: usize, route: usize, outcome: &mut PushOutcome, effects: &mut TurnEffects,
     ) {
-        let (ntf, status) = (outcome.notification.0, outcome.status);
+        let (notification_id, status) = (outcome.notification.0, outcome.status);
         let execution = execution_status(status);
-        self.judge.handle_outcome(self.now, relay, ntf, outcome.push_index, execution);
+        self.judge.handle_outcome(self.now, relay, notification_id, outcome.push_index, execution);
         if !matches!(status, CallStatus::Delivered | CallStatus::Cancelled | CallStatus::Skipped) {
             self.judge.record_failure_seen(relay, route);
         }
@@ -96,7 +102,7 @@
             effects.waits.push((route, self.now + wait));
         }
         self.recorder.record_push_outcome(self.now, status);
-        let Some(pending) = self.nodes[relay].pending.get_mut(&ntf) else {
+        let Some(pending) = self.nodes[relay].pending.get_mut(&notification_id) else {
             outcome.has_final_answer = true;
             return;
         };
@@ -109,21 +115,21 @@
         }
         outcome.has_final_answer = pending.has_final_answer || status == CallStatus::Delivered;
         if status == CallStatus::Delivered {
-            self.handle_delivery(relay, ntf);
+            self.handle_delivery(relay, notification_id);
         }
     }
 
-    /// A relay is told that a notification was delivered.
-    fn handle_delivery(&mut self, relay: usize, ntf: u64) {
-        let Some(pending) = self.nodes[relay].pending.remove(&ntf) else { return };
+    /// A relay receives the outcome of a delivery.
+    fn handle_delivery(&mut self, relay: usize, notification_id: u64) {
+        let Some(pending) = self.nodes[relay].pending.remove(&notification_id) else { return };
         self.notifications[pending.notification].pending_at = None;
         if !pending.has_final_answer {
-            self.judge.handle_final_answer(self.now, relay, ntf, FinalAnswer::Delivered);
+            self.judge.handle_final_answer(self.now, relay, notification_id, FinalAnswer::Delivered);
         }
         self.give_up(pending.notification, UndeliveredReason::Abandoned);
     }
 
-    /// Entries of the endpoint list; the judge takes note of what the relay is told.
+    /// Entries of the endpoint list; the judge records what the relay is notified of.
     fn report_endpoints(&mut self, relay: usize, changes: &[(usize, Readiness)]) -> Vec<EndpointEntry> {
         for (endpoint, readiness) in changes {
             let is_serving = *readiness == Readiness::Serving;
@@ -165,11 +171,11 @@
     }
 
     /// A notification as the core has it.
-    fn core_notification(&self, ntf: u64, pending: &PendingNotification) -> Notification {
+    fn core_notification(&self, notification_id: u64, pending: &PendingNotification) -> Notification {
         let notification = &self.notifications[pending.notification];
         let submission = &notification.submission;
         Notification {
-            id: NotificationId(ntf),
+            id: NotificationId(notification_id),
             destination: destination_id(notification.destination),
             topic: self.fleet.topics[submission.topic].topic.clone(),
             account: submission.account.map(|account| self.fleet.accounts[account].clone()),
--- a/crates/model/src/simulation/relays.rs
+++ b/crates/model/src/simulation/relays.rs
@@ -36,11 +36,11 @@
         self.enqueue_input(relay, RelayInput::EndpointSnapshot);
         self.judge.handle_relay_start(self.now, relay, RESTART_ALLOWANCE);
         let pending: Vec<u64> = self.nodes[relay].pending.keys().copied().collect();
-        for ntf in pending {
-            let has_final_answer = self.nodes[relay].pending[&ntf].has_final_answer;
-            self.enqueue_input(relay, RelayInput::Accepted(ntf));
+        for notification_id in pending {
+            let has_final_answer = self.nodes[relay].pending[&notification_id].has_final_answer;
+            self.enqueue_input(relay, RelayInput::Accepted(notification_id));
             if has_final_answer {
-                self.schedule_notice(relay, ntf);
+                self.schedule_notice(relay, notification_id);
             }
         }
         self.schedule_turn(relay);
@@ -146,8 +146,8 @@
         let commands = policy.handle(self.now, events, &view);
         self.nodes[relay].policy = Some(policy);
         self.execute_commands(relay, &commands);
-        for ntf in effects.accepted {
-            if let Some(pending) = self.nodes[relay].pending.get_mut(&ntf) {
+        for notification_id in effects.accepted {
+            if let Some(pending) = self.nodes[relay].pending.get_mut(&notification_id) {
                 pending.is_unanswered = false;
             }
         }
--- a/crates/model/src/simulation/service.rs
+++ b/crates/model/src/simulation/service.rs
@@ -174,17 +174,22 @@
         let Some(call) = self.calls.get(&id) else { return };
         let destination = self.endpoints[call.endpoint].plan.destination;
         let executed: Vec<(usize, u64)> =
-            call.items.iter().map(|item| (item.notification, item.ntf)).collect();
-        for (notification, ntf) in executed {
-            self.record_execution(notification, ntf, destination);
+            call.items.iter().map(|item| (item.notification, item.notification_id)).collect();
+        for (notification, notification_id) in executed {
+            self.record_execution(notification, notification_id, destination);
         }
     }
 
-    fn record_execution(&mut self, index: usize, ntf: u64, destination: usize) {
+    fn record_execution(&mut self, index: usize, notification_id: u64, destination: usize) {
         let notification = &mut self.notifications[index];
         let submission = notification.submission;
         let topic = &self.scenario.topics[submission.topic];
-        self.judge.record_effect(self.now, index, ntf, topic.semantics == Semantics::NonIdempotent);
+        self.judge.record_effect(
+            self.now,
+            index,
+            notification_id,
+            topic.semantics == Semantics::NonIdempotent,
+        );
         let is_in_time = self.now <= notification.valid_until;
         if !is_in_time || std::mem::replace(&mut notification.is_delivered, true) {
             self.recorder.metrics.pushes.wasted += 1;
--- a/crates/model/src/simulation/setup.rs
+++ b/crates/model/src/simulation/setup.rs
@@ -28,11 +28,10 @@
         let fault_windows = FaultWindow::all_of(scenario);
         let affected = select_affected(scenario, &fleet, &fault_windows, &rng);
         let destination_faults = destination_faults(&fleet, &affected);
-        let hot_relays = hot_relays(&fault_windows, &affected, &rng);
-        let traffic = Traffic::new(scenario, &fleet, &rng, &fault_windows, &destination_faults, hot_relays);
+        let hot = hot_relays(&fault_windows, &affected, &rng);
+        let traffic = Traffic::new(scenario, &fleet, &rng, &fault_windows, &destination_faults, hot);
         let series = destinations_with_series(&destination_faults);
-        let mut recorder = recorder(scenario, seed, policies, &fleet);
-        recorder.metrics.destination_series = series.iter().map(|index| empty_series(*index)).collect();
+        let recorder = recorder(scenario, seed, policies, &fleet, &series);
         Simulation {
             readiness: vec![Readiness::Serving; fleet.endpoints.len()],
             endpoint_indices: endpoint_indices(&fleet),
@@ -54,11 +53,11 @@
             notifications: Vec::new(),
             calls: BTreeMap::new(),
             last_call: 0,
-            last_ntf: 0,
+            last_notification_id: 0,
             unfinished: 0,
             active_sources: 0,
             recorder,
-            series_index: series.into_iter().enumerate().map(|(n, d)| (d, n)).collect(),
+            series_index: series.into_iter().zip(0..).collect(),
             events: 0,
             max_events: max_events(scenario, &fleet),
             rng_streams: rng,
@@ -131,7 +130,9 @@
     .collect()
 }
 
-fn recorder(scenario: &Scenario, seed: u64, policies: &dyn Policies, fleet: &Fleet) -> MetricsRecorder {
+fn recorder(
+    scenario: &Scenario, seed: u64, policies: &dyn Policies, fleet: &Fleet, series: &[usize],
+) -> MetricsRecorder {
     let topics: Vec<String> = scenario.topics.iter().map(|topic| topic.name.clone()).collect();
     let accounts: Vec<String> = scenario.accounts.iter().map(|account| account.name.clone()).collect();
     let mut recorder = MetricsRecorder::new(&topics, &accounts);
@@ -139,6 +140,7 @@
     metrics.scenario = scenario.name.clone();
     metrics.policy = policies.name().to_owned();
     metrics.seed = seed;
+    metrics.destination_series = series.iter().map(|index| empty_series(*index)).collect();
     metrics.size = (fleet.relays.len(), fleet.destinations.len(), fleet.endpoints.len());
     recorder
 }
--- a/crates/model/src/simulation/state.rs
+++ b/crates/model/src/simulation/state.rs
@@ -55,7 +55,7 @@
     },
     PushTimeout {
         call: CallId,
-        ntf: u64,
+        notification_id: u64,
     },
     ConnectTimeout(CallId),
     /// Connections between a relay and an endpoint may have been idle for too long.
@@ -91,7 +91,7 @@
     }
 }
 
-/// What a relay is given with its next turn.
+/// An input of a relay, handled with its next turn.
 pub(super) enum RelayInput {
     Accepted(u64),
     PushEnded {
@@ -110,7 +110,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct PendingAt {
     pub(super) relay: usize,
-    pub(super) ntf: u64,
+    pub(super) notification_id: u64,
 }
 
 /// A notification as its client has it, over all its submissions.
@@ -167,13 +167,13 @@
 /// A push that a relay commands.
 #[derive(Clone, Copy)]
 pub(super) struct PushRequest {
-    pub(super) ntf: u64,
+    pub(super) notification_id: u64,
     pub(super) timeout: Span,
 }
 
 /// One notification in a call.
 pub(super) struct CallItem {
-    pub(super) ntf: u64,
+    pub(super) notification_id: u64,
     pub(super) notification: usize,
     pub(super) push: u32,
     /// The relay has no outcome of the push yet.
--- a/crates/model/src/traffic.rs
+++ b/crates/model/src/traffic.rs
@@ -1,6 +1,6 @@
 //! The notifications that clients submit, drawn ahead: arrivals never wait for an answer.
 //!
-//! What a client does after an answer is drawn here too; the outcome of a notification is never looked at.
+//! What a client does after an answer is drawn here too; the outcome of a notification is not considered.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -106,8 +106,8 @@
 impl HotRelays {
     /// The relay that the fault moves an arrival to. It draws for each arrival, whether or not the fault is active.
     fn draw_relay(&mut self, at: Time, window: &FaultWindow) -> Option<usize> {
-        let (chance, choice): (f64, u32) = (self.rng.random(), self.rng.random());
-        let is_moved = window.is_active(at) && chance < window.size && !self.relays.is_empty();
+        let (draw, choice): (f64, u32) = (self.rng.random(), self.rng.random());
+        let is_moved = window.is_active(at) && draw < window.size && !self.relays.is_empty();
         is_moved.then(|| self.relays[choice as usize % self.relays.len()])
     }
 }
@@ -368,8 +368,8 @@
     }
 }
 
-/// How long a client waits before it submits a throttled notification again. `announced` is the time that it was told;
-/// `None` if it gives up after so many resubmissions.
+/// How long a client waits before it submits a throttled notification again, by its own backoff or by the time that
+/// the relay announced. `None` if it gives up after so many resubmissions.
 pub(crate) fn resubmit_delay(
     plan: &Clients, rng: &mut ChaCha8Rng, resubmissions: u32, announced: Option<Span>,
 ) -> Option<Span> {
