--- a/crates/relay/tests/names/command_line.rs
+++ b/crates/relay/tests/names/command_line.rs
@@ -1,13 +1,13 @@
 //! Commands, their options and exit codes.
 
 use crate::golden::assert_golden;
-use crate::program::Folder;
+use crate::program::TestDirectory;
 
 /// All that this writes for each of these command lines, one after the other.
 fn transcripts(command_lines: &[&str]) -> String {
-    let folder = Folder::new();
+    let directory = TestDirectory::new();
     let arguments = command_lines.iter().map(|line| line.split_whitespace().collect::<Vec<_>>());
-    arguments.map(|arguments| folder.transcript(&arguments)).collect()
+    arguments.map(|arguments| directory.transcript(&arguments)).collect()
 }
 
 #[test]
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn version_is_told_by_every_spelling() {
+fn version_is_printed_by_every_spelling() {
     let version = format!("\njuniperwing {}\nexit code 0\n\n", env!("CARGO_PKG_VERSION"));
     for spelling in ["version", "--version", "-V"] {
         assert_eq!(transcripts(&[spelling]), format!("$ juniperwing {spelling}{version}"));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn misuse_is_told_with_its_exit_code() {
+fn misuse_is_reported_with_its_exit_code() {
     let lines = [
         "unknown-command",
         "--unknown-option",
