--- a/crates/model/src/fleet.rs
+++ b/crates/model/src/fleet.rs
@@ -145,7 +145,7 @@
     pub routes: Vec<RoutePlan>,
     /// Relays.
     pub relays: Vec<RelayPlan>,
-    /// The parameters of the rules as relays are told them.
+    /// The parameters of the rules in the configuration of relays.
     pub rules: RuleParameters,
     /// The shortest time between two turns of a relay.
     pub tick: Span,
@@ -182,7 +182,7 @@
             relays: Vec::new(),
             rules: convert::rule_parameters(scenario),
             tick: span_ms(scenario.relays.tick_ms),
-            has_listed_rates: scenario.list.rates,
+            has_listed_rates: scenario.list.has_rates,
         };
         fleet.draw_destinations(scenario, rng);
         fleet.draw_relays(scenario, rng);
--- a/crates/model/src/simulation.rs
+++ b/crates/model/src/simulation.rs
@@ -84,7 +84,7 @@
     quotas: Vec<QuotaBucket>,
     calls: BTreeMap<CallId, Call>,
     last_call: CallId,
-    last_ntf: u64,
+    last_notification_id: u64,
     client_rng: ChaCha8Rng,
     /// Notifications that are neither delivered nor given up.
     unfinished: usize,
@@ -107,8 +107,8 @@
 impl Simulation<'_> {
     fn run(&mut self) {
         self.schedule_first_events();
-        let span = Span::from_secs_f64(self.scenario.span_s.least);
-        let max_ttl_ms = self.scenario.topic.iter().map(|topic| topic.ttl_ms).fold(0.0, f64::max);
+        let span = Span::from_secs_f64(self.scenario.duration_s.min);
+        let max_ttl_ms = self.scenario.topics.iter().map(|topic| topic.ttl_ms).fold(0.0, f64::max);
         let latest_end = Time::default() + span + span_ms(max_ttl_ms) + MAX_TAIL;
         let fault_ends = self.fault_windows.iter().map(|window| window.to).filter(|to| *to < latest_end);
         let earliest_end = fault_ends.max().unwrap_or_default().max(Time::default() + span);
@@ -176,7 +176,9 @@
             SimulationEvent::RequestReceived(call) => self.handle_request(call),
             SimulationEvent::ServiceFinished(call) => self.handle_service_finished(call),
             SimulationEvent::ResponseReceived { call, response } => self.handle_response(call, response),
-            SimulationEvent::PushTimeout { call, ntf } => self.handle_push_timeout(call, ntf),
+            SimulationEvent::PushTimeout { call, notification_id } => {
+                self.handle_push_timeout(call, notification_id)
+            }
             SimulationEvent::ConnectTimeout(call) => self.handle_connect_timeout(call),
             SimulationEvent::CloseIdleConnections { relay, endpoint } => {
                 self.close_idle_connections(relay, endpoint);
