--- a/crates/soak/src/fault_injector.rs
+++ b/crates/soak/src/fault_injector.rs
@@ -11,7 +11,7 @@
 use crate::history::{FaultInterval, Millis};
 use crate::load::{Endpoints, Shared, retire_store};
 use crate::schedule::Fault;
-use crate::tier::{EXIT_DETECTION_DELAY, Tier};
+use crate::tier::{DelayedSignal, EXIT_DETECTION_DELAY, Tier};
 use juniperwing_random::Rng;
 
 /// Delay until an empty machine replaces one that was retired.
@@ -56,16 +56,7 @@
             FaultKind::Retire(machine) => self.retire(machine, duration).await,
             FaultKind::Freeze(machine) => tier.freeze(machine, duration).await,
             FaultKind::Stop(machine) => tier.stop(machine, &[]).await,
-            FaultKind::StopRepeatedly(machine) => {
-                let mut at = || Duration::from_millis(self.rng.below(900));
-                let (mut first, mut second) = (at(), at());
-                if second < first {
-                    std::mem::swap(&mut first, &mut second);
-                }
-                let signals = [Signal::HUP, Signal::TERM, Signal::INT];
-                let further = [(first, self.rng.pick(&signals)), (second, self.rng.pick(&signals))];
-                tier.stop(machine, &further).await;
-            }
+            FaultKind::StopRepeatedly(machine) => self.stop_repeatedly(machine).await,
             FaultKind::StopDuringStart(machine) => {
                 tier.stop_during_start(machine, Duration::from_millis(self.rng.below(120))).await;
             }
@@ -114,6 +105,16 @@
         }
     }
 
+    /// Stops a process by SIGTERM and sends two further signals at random times while it ends.
+    async fn stop_repeatedly(&mut self, machine: Machine) {
+        let mut delay = || Duration::from_millis(self.rng.below(900));
+        let mut delays = [delay(), delay()];
+        delays.sort_unstable();
+        let signals = [Signal::HUP, Signal::TERM, Signal::INT];
+        let further = delays.map(|delay| DelayedSignal { delay, signal: self.rng.pick(&signals) });
+        self.tier.stop(machine, &further).await;
+    }
+
     /// Retires a store and replaces it by an empty machine. Completion in time is certain only if nothing else fails.
     async fn retire(&self, machine: Machine, duration: Duration) {
         if retire_store(&self.shared, machine, duration).await {
--- a/crates/soak/src/play.rs
+++ b/crates/soak/src/play.rs
@@ -114,7 +114,7 @@
 /// Panics and violated invariants that the processes logged.
 fn findings_in_logs(tier: &Tier) -> io::Result<Vec<Finding>> {
     let mut findings = Vec::new();
-    for (name, log) in tier.logs()? {
+    for (name, log) in tier.directories().read_logs()? {
         for line in log.lines() {
             let is_planted = line.contains("the soak has the writing thread panic");
             if line.contains("\"invariant violated\"") {
--- /dev/null
+++ b/crates/soak/src/tier/partition.rs
@@ -0,0 +1,72 @@
+//! Network partitions between machines of a tier.
+
+use std::collections::BTreeSet;
+use std::net::IpAddr;
+
+use juniperwing_node::sync::lock;
+
+use super::Tier;
+use crate::faults::{Direction, Machine};
+
+/// One direction between two machines.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct DirectedLink {
+    from: IpAddr,
+    to: IpAddr,
+}
+
+/// Guard that keeps a machine partitioned until it is dropped.
+#[derive(Debug)]
+pub struct Partition<'tier> {
+    tier: &'tier Tier,
+    links: Vec<DirectedLink>,
+}
+
+impl Tier {
+    /// Partitions a machine from others until the guard is dropped. Partitions may overlap: a link that two of them
+    /// cut stays cut until both are over.
+    pub fn partition(&self, machine: Machine, others: &[Machine], direction: Direction) -> Partition<'_> {
+        let address = self.address(machine);
+        let mut links = Vec::new();
+        for other in others.iter().map(|other| self.address(*other)).filter(|other| *other != address) {
+            if direction != Direction::In {
+                links.push(DirectedLink { from: address, to: other });
+            }
+            if direction != Direction::Out {
+                links.push(DirectedLink { from: other, to: address });
+            }
+        }
+        lock(&self.cut_links).extend(&links);
+        self.apply_cut_links();
+        Partition { tier: self, links }
+    }
+
+    /// Writes the links that are cut into the rules of all machines.
+    fn apply_cut_links(&self) {
+        let cut_links = lock(&self.cut_links).clone();
+        for node in &self.nodes {
+            let address = self.address(node.machine);
+            let cut_to: BTreeSet<IpAddr> =
+                cut_links.iter().filter(|link| link.from == address).map(|link| link.to).collect();
+            let cut_from = cut_links.iter().filter(|link| link.to == address).map(|link| link.from).collect();
+            self.change_rules(node.machine, |rules| {
+                rules.cut_to = cut_to;
+                rules.cut_from = cut_from;
+            });
+        }
+    }
+}
+
+impl Drop for Partition<'_> {
+    fn drop(&mut self) {
+        {
+            let mut cut_links = lock(&self.tier.cut_links);
+            for link in &self.links {
+                if let Some(index) = cut_links.iter().position(|cut| cut == link) {
+                    cut_links.swap_remove(index);
+                }
+            }
+        }
+        self.tier.apply_cut_links();
+    }
+}
