--- a/crates/soak/src/command.rs
+++ b/crates/soak/src/command.rs
@@ -1,17 +1,22 @@
 //! The command line of the soak.
 
 use std::io::{self, Write};
+use std::num::ParseIntError;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
 
 use getopts::Options as Flags;
 use juniperwing_node::signals::Signals;
+use snafu::{ResultExt, Snafu};
 use tokio::time::Instant;
 
 use crate::coverage::Coverage;
 use crate::play::{Options, Report, play};
+use crate::schedule::Schedule;
 
+/// Exit code of a wrong command line, and of a request for help.
+const EXIT_CODE_USAGE: u8 = 2;
 const USAGE: &str = "\
 Usage: juniperwing-soak run [OPTIONS]
 
@@ -30,27 +35,16 @@
     flags.optflag("", "keep", "keep the files of plays that found nothing, too");
     flags.optflag("", "schedule", "print the schedules and play nothing");
     flags.optflag("h", "help", "print this");
-    let wanted = flags.parse(arguments).map_err(|error| error.to_string());
-    let wanted = wanted.and_then(|matches| {
-        if matches.opt_present("help") { Err(flags.usage(USAGE)) } else { Wanted::of(&matches) }
-    });
-    match wanted {
-        Err(usage) => {
-            eprintln!("{usage}");
-            ExitCode::from(2)
+    match RunOptions::parse(&flags, arguments) {
+        Err(error) => {
+            eprintln!("{error}");
+            ExitCode::from(EXIT_CODE_USAGE)
         }
-        Ok(wanted) if wanted.only_schedules => {
-            let mut out = io::stdout();
-            for seed in wanted.seeds() {
-                let schedule = crate::schedule::Schedule::draw(seed, wanted.length_ms);
-                // Whoever has read enough closes the pipe.
-                if write!(out, "{schedule}").is_err() {
-                    break;
-                }
-            }
+        Ok(options) if options.only_schedules => {
+            print_schedules(&options);
             ExitCode::SUCCESS
         }
-        Ok(wanted) => match serve(&wanted) {
+        Ok(options) => match run_until_signal(&options) {
             Ok(true) => ExitCode::SUCCESS,
             Ok(false) => ExitCode::FAILURE,
             Err(error) => {
@@ -61,11 +55,34 @@
     }
 }
 
-/// What the command line asks for.
-struct Wanted {
-    first: u64,
+fn print_schedules(options: &RunOptions) {
+    let mut out = io::stdout();
+    for seed in options.seeds() {
+        let schedule = Schedule::draw(seed, options.length_ms);
+        // A reader that has seen enough closes the pipe.
+        if write!(out, "{schedule}").is_err() {
+            break;
+        }
+    }
+}
+
+/// Why no options could be read from the command line. The text is what is printed.
+#[derive(Debug, Snafu)]
+enum UsageError {
+    #[snafu(display("{usage}"))]
+    HelpRequested { usage: String },
+    #[snafu(display("{source}"))]
+    UnknownOption { source: getopts::Fail },
+    #[snafu(display("--{name}: {source}"))]
+    InvalidNumber { name: &'static str, source: ParseIntError },
+}
+
+/// Options of the command `run`.
+struct RunOptions {
+    first_seed: u64,
     plays: u64,
-    seconds: Option<u64>,
+    /// No play begins later than this after the first one.
+    max_seconds: Option<u64>,
     length_ms: u64,
     network: Option<u64>,
     folder: PathBuf,
@@ -73,15 +90,17 @@
     only_schedules: bool,
 }
 
-impl Wanted {
-    fn of(matches: &getopts::Matches) -> Result<Wanted, String> {
-        let number = |name: &str| -> Result<Option<u64>, String> {
-            matches.opt_get(name).map_err(|error| format!("--{name}: {error}"))
-        };
-        Ok(Wanted {
-            first: number("seed")?.unwrap_or(1),
+impl RunOptions {
+    fn parse(flags: &Flags, arguments: &[String]) -> Result<RunOptions, UsageError> {
+        let matches = flags.parse(arguments).context(UnknownOptionSnafu)?;
+        if matches.opt_present("help") {
+            return HelpRequestedSnafu { usage: flags.usage(USAGE) }.fail();
+        }
+        let number = |name| matches.opt_get::<u64>(name).context(InvalidNumberSnafu { name });
+        Ok(RunOptions {
+            first_seed: number("seed")?.unwrap_or(1),
             plays: number("plays")?.unwrap_or(1),
-            seconds: number("seconds")?,
+            max_seconds: number("seconds")?,
             length_ms: number("length")?.unwrap_or(25) * 1_000,
             network: number("network")?,
             folder: matches.opt_str("folder").map_or_else(|| PathBuf::from("target/soak"), PathBuf::from),
@@ -91,52 +110,54 @@
     }
 
     fn seeds(&self) -> std::ops::Range<u64> {
-        self.first..self.first.saturating_add(self.plays)
+        self.first_seed..self.first_seed.saturating_add(self.plays)
     }
 }
 
-/// Plays all seeds. Returns whether nothing was found.
-fn serve(wanted: &Wanted) -> io::Result<bool> {
+/// Plays all seeds unless a signal ends the program before. Returns whether nothing was found.
+fn run_until_signal(options: &RunOptions) -> io::Result<bool> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
         let mut signals = Signals::new()?;
         tokio::select! {
-            // Processes end with this one: they are killed when their handles are dropped.
+            // The processes of the tier are killed when their handles are dropped.
             _ = signals.next() => Err(io::ErrorKind::Interrupted.into()),
-            clean = play_all(wanted) => clean,
+            is_clean = play_all(options) => is_clean,
         }
     })
 }
 
-async fn play_all(wanted: &Wanted) -> io::Result<bool> {
-    let began = Instant::now();
+/// Plays one seed after the other. Returns whether nothing was found.
+async fn play_all(run_options: &RunOptions) -> io::Result<bool> {
+    let started_at = Instant::now();
     let mut coverage = Coverage::default();
     let (mut played, mut with_findings) = (0, 0);
-    for seed in wanted.seeds() {
-        if wanted.seconds.is_some_and(|seconds| began.elapsed() > Duration::from_secs(seconds)) {
+    for seed in run_options.seeds() {
+        if run_options.max_seconds.is_some_and(|seconds| started_at.elapsed() > Duration::from_secs(seconds))
+        {
             break;
         }
         let options = Options {
             seed,
-            length: wanted.length_ms,
-            network: wanted.network.unwrap_or(seed),
-            folder: wanted.folder.join(format!("seed-{seed}")),
+            length: run_options.length_ms,
+            network: run_options.network.unwrap_or(seed),
+            folder: run_options.folder.join(format!("seed-{seed}")),
             program: std::env::current_exe()?,
-            keep: wanted.keep,
+            keep: run_options.keep,
             faults: None,
         };
         let report = play(&options).await?;
         coverage.add(&report.schedule);
         played += 1;
         with_findings += usize::from(!report.findings.is_empty());
-        tell(&report);
+        print_report(&report);
     }
     print!("{coverage}");
-    println!("{played} plays in {} s, {with_findings} with findings", began.elapsed().as_secs());
+    println!("{played} plays in {} s, {with_findings} with findings", started_at.elapsed().as_secs());
     Ok(with_findings == 0)
 }
 
-fn tell(report: &Report) {
+fn print_report(report: &Report) {
     let seed = report.schedule.seed;
     println!("seed {seed}: {} findings; {}", report.findings.len(), report.summary);
     for finding in &report.findings {
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -11,6 +11,7 @@
 mod fault_injector;
 pub mod faults;
 pub mod faulty_host;
+mod final_checks;
 pub mod history;
 pub mod http;
 pub mod load;
