--- a/crates/soak/src/command.rs
+++ b/crates/soak/src/command.rs
@@ -139,7 +139,7 @@
         }
         let options = Options {
             seed,
-            length: run_options.length_ms,
+            length_ms: run_options.length_ms,
             network: run_options.network.unwrap_or(seed),
             folder: run_options.folder.join(format!("seed-{seed}")),
             program: std::env::current_exe()?,
--- a/crates/soak/src/coverage.rs
+++ b/crates/soak/src/coverage.rs
@@ -1,11 +1,11 @@
-//! Which faults, and which pairs of them at the same time, were played.
+//! Counts which faults, and which overlapping pairs of them, were played.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use crate::schedule::{Fault, Schedule};
 
-/// Counts of what was played.
+/// Counts of kinds of faults and of pairs of kinds that overlap in time.
 #[derive(Clone, Debug, Default)]
 pub struct Coverage {
     single: BTreeMap<String, usize>,
@@ -15,10 +15,10 @@
 impl Coverage {
     /// Counts a schedule.
     pub fn add(&mut self, schedule: &Schedule) {
-        for (place, fault) in schedule.faults.iter().enumerate() {
-            *self.single.entry(name(fault)).or_default() += 1;
-            for other in &schedule.faults[place + 1..] {
-                if overlap(fault, other) {
+        for (index, fault) in schedule.faults.iter().enumerate() {
+            *self.single.entry(name_with_role(fault)).or_default() += 1;
+            for other in &schedule.faults[index + 1..] {
+                if is_overlapping(fault, other) {
                     let mut pair = [fault.kind.name(), other.kind.name()];
                     pair.sort_unstable();
                     *self.pairs.entry((pair[0], pair[1])).or_default() += 1;
@@ -28,8 +28,8 @@
     }
 }
 
-/// A fault with the role that it strikes.
-fn name(fault: &Fault) -> String {
+/// The name of a fault with the role of the machine that it affects.
+fn name_with_role(fault: &Fault) -> String {
     match fault.kind.machine() {
         Some(machine) => format!("{} {}", machine.role.name(), fault.kind.name()),
         None => fault.kind.name().to_owned(),
@@ -37,9 +37,9 @@
 }
 
 /// Whether two faults are under way at the same time; what lasts no time counts as half a second.
-fn overlap(one: &Fault, other: &Fault) -> bool {
-    let end = |fault: &Fault| fault.at + fault.lasts.max(500);
-    one.at < end(other) && other.at < end(one)
+fn is_overlapping(one: &Fault, other: &Fault) -> bool {
+    let end = |fault: &Fault| fault.starts_at + fault.duration_ms.max(500);
+    one.starts_at < end(other) && other.starts_at < end(one)
 }
 
 impl fmt::Display for Coverage {
--- a/crates/soak/src/fault_injector.rs
+++ b/crates/soak/src/fault_injector.rs
@@ -31,19 +31,23 @@
     pub(crate) async fn run(mut self, fault: Fault) {
         let history = Arc::clone(&self.shared.history);
         let index = {
-            let from = history.now();
+            let started_at = history.now();
             let mut record = history.record();
             // The interval stays open until the fault is over.
-            record.fault_intervals.push(FaultInterval { kind: fault.kind, from, until: Millis::MAX / 2 });
+            record.fault_intervals.push(FaultInterval {
+                kind: fault.kind,
+                started_at,
+                ended_at: Millis::MAX / 2,
+            });
             record.fault_intervals.len() - 1
         };
         self.inject(fault).await;
-        let until = history.now();
-        history.record().fault_intervals[index].until = until;
+        let ended_at = history.now();
+        history.record().fault_intervals[index].ended_at = ended_at;
     }
 
     async fn inject(&mut self, fault: Fault) {
-        let duration = Duration::from_millis(fault.lasts);
+        let duration = Duration::from_millis(fault.duration_ms);
         let tier = Arc::clone(&self.tier);
         match fault.kind {
             FaultKind::Kill(machine) => tier.kill(machine, duration, false).await,
--- a/crates/soak/src/final_checks.rs
+++ b/crates/soak/src/final_checks.rs
@@ -157,6 +157,6 @@
 fn may_leave_reservations_behind(fault: &Fault) -> bool {
     let of_a_relay = fault.kind.machine().is_some_and(|machine| machine.role == Role::Relay);
     let ends_at_once = matches!(fault.kind, FaultKind::Kill(_) | FaultKind::KillDuringStart(_));
-    let is_long = fault.lasts >= 4_000 && fault.kind.affects_tier();
+    let is_long = fault.duration_ms >= 4_000 && fault.kind.affects_tier();
     (of_a_relay && ends_at_once) || fault.kind.exceeds_tolerance() || is_long
 }
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -175,15 +175,26 @@
 /// A fault as it was played.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultInterval {
-    /// What.
+    /// The kind of fault.
     pub kind: FaultKind,
     /// When it began.
-    pub from: Millis,
-    /// When it was over, with the time that the tier has to recover from it.
-    pub until: Millis,
+    pub started_at: Millis,
+    /// When its injection ended; far in the future while it lasts.
+    pub ended_at: Millis,
 }
 
-/// Something that must not be.
+/// A request that began to run at an endpoint after its drain.
+#[derive(Clone, Debug)]
+pub struct LateRun {
+    /// When a keeper acknowledged the drain.
+    pub drained_at: Millis,
+    /// When the request began to run.
+    pub started_at: Millis,
+    /// The id of the request.
+    pub request: String,
+}
+
+/// A violation of a guarantee.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Finding {
     /// The promise that was broken, in a word.
@@ -211,8 +222,8 @@
     pub turns_served: Vec<Millis>,
     /// When plain requests were answered whole.
     pub requests_served: Vec<Millis>,
-    /// Runs after a drain: when it was acknowledged, when the run began, and the request.
-    pub late_runs: Vec<(Millis, Millis, String)>,
+    /// Runs that began too long after the endpoint had drained.
+    pub late_runs: Vec<LateRun>,
     /// What was found at once.
     pub findings: BTreeSet<Finding>,
 }
--- a/crates/soak/src/load/endpoint.rs
+++ b/crates/soak/src/load/endpoint.rs
@@ -14,7 +14,7 @@
 use super::Shared;
 use super::program::STRIDE;
 use crate::faults::Misbehaviour;
-use crate::history::Millis;
+use crate::history::{LateRun, Millis};
 use crate::http::{Connection, Head, encode_request, exchange};
 use crate::schedule::KEEPER_COUNT;
 use juniperwing_random::Rng;
@@ -264,7 +264,11 @@
     let drained_at = *lock(&instance.drained_at);
     let now = shared.history.now();
     if let Some(drained_at) = drained_at.filter(|at| now > at + DRAIN_MS) {
-        shared.history.record().late_runs.push((drained_at, now, id.to_owned()));
+        shared.history.record().late_runs.push(LateRun {
+            drained_at,
+            started_at: now,
+            request: id.to_owned(),
+        });
     }
 }
 
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::history::{Attempt, FaultInterval, Finding, Millis, Order, Outcome, Record, RequestKind};
+use crate::history::{Attempt, FaultInterval, Finding, LateRun, Millis, Order, Outcome, Record, RequestKind};
 use crate::load::generation_of;
 use crate::schedule::Schedule;
 
@@ -49,7 +49,9 @@
     /// Whether nothing was suffered from `CONTACT_TIMEOUT_MS` before a time up to another one, but for what `passes` lets by.
     fn is_calm(&self, from: Millis, until: Millis, passes: impl Fn(&FaultInterval) -> bool) -> bool {
         let touches = |interval: &&FaultInterval| {
-            interval.from <= until && interval.until + CONTACT_TIMEOUT_MS >= from && !passes(interval)
+            interval.started_at <= until
+                && interval.ended_at + CONTACT_TIMEOUT_MS >= from
+                && !passes(interval)
         };
         !self.record.fault_intervals.iter().any(|interval| touches(&interval))
     }
@@ -214,9 +216,10 @@
     }
 
     fn check_drains(&mut self) {
-        for (drained_at, at, request) in &self.record.late_runs {
-            if self.is_calm(*drained_at, *at, |interval| !interval.kind.affects_tier()) {
-                let details = format!("{request} runs at {at}, the drain was acknowledged at {drained_at}");
+        for LateRun { drained_at, started_at, request } in &self.record.late_runs {
+            if self.is_calm(*drained_at, *started_at, |interval| !interval.kind.affects_tier()) {
+                let details =
+                    format!("{request} runs at {started_at}, the drain was acknowledged at {drained_at}");
                 self.findings.push(Finding { guarantee: "nothing reaches what has drained", details });
             }
         }
--- a/crates/soak/src/play.rs
+++ b/crates/soak/src/play.rs
@@ -37,7 +37,7 @@
     /// The seed.
     pub seed: u64,
     /// About how long faults come.
-    pub length: Millis,
+    pub length_ms: Millis,
     /// The number of the network, or of the first that is attempt.
     pub network: u64,
     /// Where files go; a folder of its own for each play.
@@ -69,7 +69,7 @@
 ///
 /// If files or processes cannot be made.
 pub async fn play(options: &Options) -> io::Result<Report> {
-    let mut schedule = Schedule::draw(options.seed, options.length);
+    let mut schedule = Schedule::draw(options.seed, options.length_ms);
     if let Some(faults) = &options.faults {
         schedule.faults.clone_from(faults);
         schedule.flavor = Flavor::WithinTolerance;
@@ -194,9 +194,9 @@
         let began = Instant::now();
         let mut injections = JoinSet::new();
         for (number, fault) in schedule.faults.iter().enumerate() {
-            sleep_until(began + Duration::from_millis(fault.at)).await;
+            sleep_until(began + Duration::from_millis(fault.starts_at)).await;
             if fault.kind == FaultKind::Burst {
-                burst(&self.shared, self.shared.history.now() + fault.lasts, load);
+                burst(&self.shared, self.shared.history.now() + fault.duration_ms, load);
             }
             let injector = FaultInjector {
                 tier: Arc::clone(&self.tier),
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -29,9 +29,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fault {
     /// When it begins, from the start of the load on.
-    pub at: Millis,
+    pub starts_at: Millis,
     /// For how long it lasts, where it lasts.
-    pub lasts: Millis,
+    pub duration_ms: Millis,
     /// What.
     pub kind: FaultKind,
 }
@@ -61,8 +61,8 @@
 }
 
 impl Schedule {
-    /// Draws the schedule of a seed, which lasts for about `length`.
-    pub fn draw(seed: u64, length: Millis) -> Schedule {
+    /// Draws the schedule of a seed, which lasts for about `length_ms`.
+    pub fn draw(seed: u64, length_ms: Millis) -> Schedule {
         let mut rng = Rng::for_named_purpose(seed, "schedule");
         let flavor = match rng.below(10) {
             0 | 1 => Flavor::Planned,
@@ -71,17 +71,18 @@
         };
         let mut faults = Vec::new();
         if flavor == Flavor::Planned {
-            draw_planned(&mut rng, length, &mut faults);
+            draw_planned(&mut rng, length_ms, &mut faults);
         } else {
             let within_tolerance = flavor == Flavor::WithinTolerance;
-            draw_stateful_faults(&mut rng, length, within_tolerance, &mut faults);
-            draw_tolerated_faults(&mut rng, length, within_tolerance, &mut faults);
+            draw_stateful_faults(&mut rng, length_ms, within_tolerance, &mut faults);
+            draw_tolerated_faults(&mut rng, length_ms, within_tolerance, &mut faults);
         }
         if flavor == Flavor::BeyondTolerance {
-            draw_beyond_tolerance(&mut rng, length, &mut faults);
+            draw_beyond_tolerance(&mut rng, length_ms, &mut faults);
         }
-        faults.sort_by_key(|fault| fault.at);
-        let ends_at = faults.iter().map(|fault| fault.at + fault.lasts).max().unwrap_or_default();
+        faults.sort_by_key(|fault| fault.starts_at);
+        let ends_at =
+            faults.iter().map(|fault| fault.starts_at + fault.duration_ms).max().unwrap_or_default();
         Schedule { seed, flavor, faults, ends_at }
     }
 
@@ -92,39 +93,39 @@
 }
 
 /// Stops, reloads and replaced endpoints: of machines that count one after the other, of one relay at any time.
-fn draw_planned(rng: &mut Rng, length: Millis, faults: &mut Vec<Fault>) {
+fn draw_planned(rng: &mut Rng, length_ms: Millis, faults: &mut Vec<Fault>) {
     let stop = |rng: &mut Rng, machine| {
         if rng.percent(50) { FaultKind::Stop(machine) } else { FaultKind::StopRepeatedly(machine) }
     };
     let mut at = INITIAL_QUIET_MS;
-    while at < length {
-        let machine = stateful_machine(rng);
-        faults.push(Fault { at, lasts: STOP_DOWNTIME_MS, kind: stop(rng, machine) });
+    while at < length_ms {
+        let machine = draw_stateful_machine(rng);
+        faults.push(Fault { starts_at: at, duration_ms: STOP_DOWNTIME_MS, kind: stop(rng, machine) });
         // A process may take its whole grace.
         at += STOP_DOWNTIME_MS + GRACE_PERIOD_MS + CATCH_UP_MS;
     }
-    let struck = relay(rng);
+    let affected_relay = draw_relay(rng);
     at = INITIAL_QUIET_MS + rng.below(1_000);
-    while at < length {
-        let machine = if rng.percent(50) { relay(rng) } else { stateful_machine(rng) };
+    while at < length_ms {
+        let machine = if rng.percent(50) { draw_relay(rng) } else { draw_stateful_machine(rng) };
         let kind = match rng.below(8) {
-            0..=3 => stop(rng, struck),
-            4 | 5 => FaultKind::Reload(machine, settings_file(rng)),
+            0..=3 => stop(rng, affected_relay),
+            4 | 5 => FaultKind::Reload(machine, draw_settings_file(rng)),
             6 => FaultKind::ReplaceEndpoint,
             _ => FaultKind::Burst,
         };
-        let lasts = lasts(rng, kind);
-        faults.push(Fault { at, lasts, kind });
+        let duration_ms = draw_duration_ms(rng, kind);
+        faults.push(Fault { starts_at: at, duration_ms, kind });
         at += 300 + rng.below(2_500);
     }
 }
 
 /// Faults of machines that count: one after the other with the time to catch up between them, or overlapping.
-fn draw_stateful_faults(rng: &mut Rng, length: Millis, within_tolerance: bool, faults: &mut Vec<Fault>) {
+fn draw_stateful_faults(rng: &mut Rng, length_ms: Millis, within_tolerance: bool, faults: &mut Vec<Fault>) {
     let mut at = INITIAL_QUIET_MS + rng.below(500);
     let mut disk_lost = false;
-    while at < length {
-        let mut fault = Fault { at, lasts: 0, kind: stateful_fault(rng) };
+    while at < length_ms {
+        let mut fault = Fault { starts_at: at, duration_ms: 0, kind: draw_stateful_fault(rng) };
         if fault.kind.loses_disk() && !within_tolerance {
             // A second disk may be lost only when the first one's copies are made again.
             if disk_lost {
@@ -132,46 +133,46 @@
             }
             disk_lost = true;
         }
-        fault.lasts = lasts(rng, fault.kind);
+        fault.duration_ms = draw_duration_ms(rng, fault.kind);
         faults.push(fault);
         let pause = if within_tolerance { CATCH_UP_MS + rng.below(600) } else { rng.below(1_500) };
-        let end = at + fault.lasts;
+        let end = at + fault.duration_ms;
         at = if within_tolerance { end + pause } else { at + 300 + pause };
     }
 }
 
 /// Faults of relays, endpoints, clients, and such that lose nothing: at any time. Within the tolerance one relay is
 /// left alone, so that somebody serves.
-fn draw_tolerated_faults(rng: &mut Rng, length: Millis, within_tolerance: bool, faults: &mut Vec<Fault>) {
+fn draw_tolerated_faults(rng: &mut Rng, length_ms: Millis, within_tolerance: bool, faults: &mut Vec<Fault>) {
     let mut at = INITIAL_QUIET_MS / 2 + rng.below(1_000);
-    let struck = relay(rng);
-    while at < length {
-        let relay = if within_tolerance { struck } else { relay(rng) };
-        let kind = tolerated_fault(rng, relay);
-        let lasts = lasts(rng, kind);
-        faults.push(Fault { at, lasts, kind });
+    let affected_relay = draw_relay(rng);
+    while at < length_ms {
+        let relay = if within_tolerance { affected_relay } else { draw_relay(rng) };
+        let kind = draw_tolerated_fault(rng, relay);
+        let duration_ms = draw_duration_ms(rng, kind);
+        faults.push(Fault { starts_at: at, duration_ms, kind });
         at += 200 + rng.below(1_800);
     }
 }
 
 /// More than the tier bears, once or twice.
-fn draw_beyond_tolerance(rng: &mut Rng, length: Millis, faults: &mut Vec<Fault>) {
+fn draw_beyond_tolerance(rng: &mut Rng, length_ms: Millis, faults: &mut Vec<Fault>) {
     let has_lost_disk = faults.iter().any(|fault| fault.kind.loses_disk());
     for _ in 0..=rng.below(2) {
-        let at = INITIAL_QUIET_MS + rng.below(length);
+        let at = INITIAL_QUIET_MS + rng.below(length_ms);
         let kind = match rng.below(4) {
             0 => FaultKind::KillAll,
-            1 if !has_lost_disk => FaultKind::KillAllWipeOne(stateful_machine(rng)),
+            1 if !has_lost_disk => FaultKind::KillAllWipeOne(draw_stateful_machine(rng)),
             _ => FaultKind::KillAllStateful,
         };
         let lost = faults.iter().any(|fault| fault.kind.loses_disk());
         let kind = if kind.loses_disk() && lost { FaultKind::KillAll } else { kind };
-        faults.push(Fault { at, lasts: 200 + rng.below(1_500), kind });
+        faults.push(Fault { starts_at: at, duration_ms: 200 + rng.below(1_500), kind });
     }
 }
 
-fn stateful_fault(rng: &mut Rng) -> FaultKind {
-    let machine = stateful_machine(rng);
+fn draw_stateful_fault(rng: &mut Rng) -> FaultKind {
+    let machine = draw_stateful_machine(rng);
     match rng.below(16) {
         0 | 1 => FaultKind::Kill(machine),
         2 => FaultKind::KillDuringStart(machine),
@@ -196,12 +197,12 @@
     }
 }
 
-fn relay(rng: &mut Rng) -> Machine {
+fn draw_relay(rng: &mut Rng) -> Machine {
     Machine { role: Role::Relay, number: rng.below(RELAY_COUNT as u64) as usize }
 }
 
-fn tolerated_fault(rng: &mut Rng, relay: Machine) -> FaultKind {
-    let any = if rng.percent(50) { self::relay(rng) } else { stateful_machine(rng) };
+fn draw_tolerated_fault(rng: &mut Rng, relay: Machine) -> FaultKind {
+    let any = if rng.percent(50) { draw_relay(rng) } else { draw_stateful_machine(rng) };
     match rng.below(20) {
         0 => FaultKind::Kill(relay),
         1 => FaultKind::KillDuringStart(relay),
@@ -209,10 +210,10 @@
         3 | 4 => FaultKind::Stop(relay),
         5 => FaultKind::StopRepeatedly(relay),
         6 => FaultKind::Partition(relay, rng.pick(&[Direction::Out, Direction::In, Direction::Both])),
-        7..=9 => FaultKind::Reload(any, settings_file(rng)),
+        7..=9 => FaultKind::Reload(any, draw_settings_file(rng)),
         10 => FaultKind::Reset(any),
         11 => FaultKind::ClockStep(any),
-        12 | 13 => FaultKind::Endpoints(misbehaviour(rng)),
+        12 | 13 => FaultKind::Endpoints(draw_misbehaviour(rng)),
         14 | 15 => FaultKind::ReplaceEndpoint,
         16 => FaultKind::EndpointCrash,
         17 => FaultKind::Burst,
@@ -221,11 +222,11 @@
     }
 }
 
-fn settings_file(rng: &mut Rng) -> SettingsFile {
+fn draw_settings_file(rng: &mut Rng) -> SettingsFile {
     rng.pick(&[SettingsFile::OtherSeeds, SettingsFile::Empty, SettingsFile::Broken, SettingsFile::Moved])
 }
 
-fn misbehaviour(rng: &mut Rng) -> Misbehaviour {
+fn draw_misbehaviour(rng: &mut Rng) -> Misbehaviour {
     rng.pick(&[
         Misbehaviour::LoseAnswers,
         Misbehaviour::AnswerTwice,
@@ -236,7 +237,7 @@
     ])
 }
 
-fn stateful_machine(rng: &mut Rng) -> Machine {
+fn draw_stateful_machine(rng: &mut Rng) -> Machine {
     let number = rng.below((KEEPER_COUNT + STORE_COUNT) as u64) as usize;
     match number.checked_sub(KEEPER_COUNT) {
         None => Machine { role: Role::Keeper, number },
@@ -245,7 +246,7 @@
 }
 
 /// For how long a fault lasts, in milliseconds; how long its machine is down, where it goes down.
-fn lasts(rng: &mut Rng, kind: FaultKind) -> Millis {
+fn draw_duration_ms(rng: &mut Rng, kind: FaultKind) -> Millis {
     match kind {
         FaultKind::Kill(_) | FaultKind::Wipe(_) => 200 + rng.below(2_500),
         FaultKind::KillDuringStart(_) => 600 + rng.below(600),
@@ -268,8 +269,8 @@
 impl fmt::Display for Schedule {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(formatter, "seed {}, {:?}", self.seed, self.flavor)?;
-        for Fault { at, lasts, kind } in &self.faults {
-            writeln!(formatter, "  {at:>6} ms  {lasts:>5} ms  {kind}")?;
+        for Fault { starts_at, duration_ms, kind } in &self.faults {
+            writeln!(formatter, "  {starts_at:>6} ms  {duration_ms:>5} ms  {kind}")?;
         }
         Ok(())
     }
--- a/crates/soak/tests/schedule.rs
+++ b/crates/soak/tests/schedule.rs
@@ -19,8 +19,14 @@
         let counted = schedule.faults.iter().filter(|fault| fault.kind.takes_down_stateful_machine());
         let counted: Vec<_> = counted.collect();
         for pair in counted.windows(2) {
-            let free = pair[0].at + pair[0].lasts + CATCH_UP_MS;
-            assert!(pair[1].at >= free, "seed {}: {} and {}", schedule.seed, pair[0].kind, pair[1].kind);
+            let free = pair[0].starts_at + pair[0].duration_ms + CATCH_UP_MS;
+            assert!(
+                pair[1].starts_at >= free,
+                "seed {}: {} and {}",
+                schedule.seed,
+                pair[0].kind,
+                pair[1].kind
+            );
         }
     }
 }
--- a/crates/soak/tests/short.rs
+++ b/crates/soak/tests/short.rs
@@ -15,7 +15,7 @@
 fn options(name: &str, seed: u64, faults: Option<Vec<Fault>>) -> Options {
     Options {
         seed,
-        length: LENGTH_MS,
+        length_ms: LENGTH_MS,
         // Apart from the networks of other plays on this machine.
         network: u64::from(std::process::id()) + seed,
         folder: PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
@@ -85,8 +85,11 @@
 /// A process that has lost a task does not go on with a part of its work.
 #[test]
 fn processes_whose_writing_task_panics_end_and_come_back() {
-    let panics =
-        |at, role, number| Fault { at, lasts: 1_500, kind: FaultKind::DiskPanic(Machine { role, number }) };
+    let panics = |starts_at, role, number| Fault {
+        starts_at,
+        duration_ms: 1_500,
+        kind: FaultKind::DiskPanic(Machine { role, number }),
+    };
     let faults = vec![panics(1_500, Role::Store, 0), panics(8_000, Role::Keeper, 0)];
     assert_no_findings(&run_play(&options("panics", 5, Some(faults))));
 }
@@ -94,10 +97,17 @@
 /// A disk that answers nothing costs one machine, not the service.
 #[test]
 fn disks_that_answer_nothing_stop_no_service() {
-    let stalls =
-        |at, role, number| Fault { at, lasts: 12_000, kind: FaultKind::DiskStall(Machine { role, number }) };
+    let stalls = |starts_at, role, number| Fault {
+        starts_at,
+        duration_ms: 12_000,
+        kind: FaultKind::DiskStall(Machine { role, number }),
+    };
     // What is told to end meanwhile does so within its grace.
-    let stop = Fault { at: 9_000, lasts: 0, kind: FaultKind::Stop(Machine { role: Role::Store, number: 0 }) };
+    let stop = Fault {
+        starts_at: 9_000,
+        duration_ms: 0,
+        kind: FaultKind::Stop(Machine { role: Role::Store, number: 0 }),
+    };
     let faults = vec![stalls(1_500, Role::Store, 0), stop, stalls(18_000, Role::Keeper, 0)];
     assert_no_findings(&run_play(&options("stalls", 6, Some(faults))));
 }
