--- a/crates/model/src/simulation/calls.rs
+++ b/crates/model/src/simulation/calls.rs
@@ -19,7 +19,7 @@
             return;
         };
         let items: Vec<CallItem> =
-            pushes.iter().filter_map(|push| self.start_push(relay, endpoint, push.ntf)).collect();
+            pushes.iter().filter_map(|push| self.start_push(relay, endpoint, push.notification_id)).collect();
         if items.is_empty() {
             return;
         }
@@ -53,25 +53,25 @@
     }
 
     /// Records a push of a notification. `None` if the relay has no such notification.
-    fn start_push(&mut self, relay: usize, endpoint: usize, ntf: u64) -> Option<CallItem> {
+    fn start_push(&mut self, relay: usize, endpoint: usize, notification_id: u64) -> Option<CallItem> {
         let plan = &self.endpoints[endpoint].plan;
         let target = PushTarget { endpoint, zone: plan.zone, route: plan.route };
-        let Some(pending) = self.nodes[relay].pending.get_mut(&ntf) else {
-            // Only the judge takes note of a push for a notification that is over.
-            self.judge.handle_push(self.now, relay, ntf, 0, target);
+        let Some(pending) = self.nodes[relay].pending.get_mut(&notification_id) else {
+            // Only the judge records a push for a notification that is over.
+            self.judge.handle_push(self.now, relay, notification_id, 0, target);
             self.recorder.metrics.invalid_commands += 1;
             return None;
         };
         let (push, index) = (pending.push_count, pending.notification);
         pending.push_count += 1;
         pending.in_flight = Some(SentPush { at: self.now, zone: target.zone });
-        self.judge.handle_push(self.now, relay, ntf, push, target);
+        self.judge.handle_push(self.now, relay, notification_id, push, target);
         let notification = &self.notifications[index];
         if notification.destination != plan.destination {
             self.recorder.metrics.invalid_commands += 1;
         }
         let is_ordered = notification.key.is_some();
-        Some(CallItem { ntf, notification: index, push, is_in_flight: true, is_ordered })
+        Some(CallItem { notification_id, notification: index, push, is_in_flight: true, is_ordered })
     }
 
     /// Sends a call over an idle connection, or opens one for it.
@@ -81,7 +81,7 @@
         let is_connected = idle.get_mut(&endpoint).and_then(Vec::pop).is_some();
         self.calls.insert(id, Call { is_connected, ..call });
         for push in pushes {
-            let timeout = SimulationEvent::PushTimeout { call: id, ntf: push.ntf };
+            let timeout = SimulationEvent::PushTimeout { call: id, notification_id: push.notification_id };
             self.queue.schedule(self.now + push.timeout, timeout);
         }
         if !is_connected {
@@ -89,7 +89,7 @@
             let timeout = span_ms(self.scenario.network.connect_timeout_ms);
             self.queue.schedule(self.now + timeout, SimulationEvent::ConnectTimeout(id));
         }
-        if self.endpoints[endpoint].faults.is_active(&self.fault_windows, FaultKind::CutThere, self.now) {
+        if self.endpoints[endpoint].faults.is_active(&self.fault_windows, FaultKind::RequestLoss, self.now) {
             // Lost on the way to the endpoint.
             return self.set_call_state(id, CallState::Done);
         }
@@ -104,9 +104,13 @@
     fn draw_one_way_delay(&mut self, relay: usize, endpoint: usize) -> Span {
         let network = &self.scenario.network;
         let (node, plan) = (&mut self.nodes[relay], &self.endpoints[endpoint].plan);
-        let range = if node.plan.zone == plan.zone { network.near_ms } else { network.far_ms };
+        let range = if node.plan.zone == plan.zone {
+            network.same_zone_delay_ms
+        } else {
+            network.cross_zone_delay_ms
+        };
         let distance = node.plan.distance + plan.distance;
-        let base_ms = range.least + (range.most - range.least) * distance / 2.0;
+        let base_ms = range.min + (range.max - range.min) * distance / 2.0;
         span_ms(base_ms * (1.0 + network.jitter * node.network_rng.random::<f64>()))
     }
 
@@ -130,7 +134,7 @@
         call.is_connected = true;
         let slowdown = faults.factor(&self.fault_windows, FaultKind::Handshakes, self.now);
         let one_way_trips = 2.0 * self.scenario.network.handshake_rtts * slowdown;
-        let kind = &self.scenario.kind[self.fleet.destinations[endpoint.plan.destination].kind];
+        let kind = &self.scenario.kinds[self.fleet.destinations[endpoint.plan.destination].kind];
         let work = span_ms(kind.handshake_work_ms * slowdown);
         let ready_at = self.now + call.one_way_delay.mul_f64(one_way_trips) + work;
         self.queue.schedule(ready_at, SimulationEvent::RequestReceived(id));
--- a/crates/model/src/simulation/clients.rs
+++ b/crates/model/src/simulation/clients.rs
@@ -23,7 +23,7 @@
     pub(super) fn handle_arrival(&mut self, arrival: Arrival) {
         let Arrival { submitted_at: at, destination, topic, relay, .. } = arrival;
         let account = self.fleet.destinations[destination].account;
-        let mut benefit = self.scenario.topic[topic].benefit;
+        let mut benefit = self.scenario.topics[topic].benefit;
         if let Some(account) = account {
             benefit *= self.quotas[account].take(at);
         }
@@ -64,18 +64,18 @@
             self.recorder.metrics.rejected_at_capacity += 1;
             return self.resubmit_or_give_up(notification, relay, None);
         }
-        self.last_ntf += 1;
-        let ntf = self.last_ntf;
-        node.pending.insert(ntf, PendingNotification::new(notification));
-        self.notifications[notification].pending_at = Some(PendingAt { relay, ntf });
-        self.enqueue_input(relay, RelayInput::Accepted(ntf));
+        self.last_notification_id += 1;
+        let notification_id = self.last_notification_id;
+        node.pending.insert(notification_id, PendingNotification::new(notification));
+        self.notifications[notification].pending_at = Some(PendingAt { relay, notification_id });
+        self.enqueue_input(relay, RelayInput::Accepted(notification_id));
     }
 
     /// The relay is down: the client submits the notification to one that runs after a while.
     pub(super) fn resubmit_elsewhere(&mut self, notification: usize) {
         let running: Vec<usize> =
             (0..self.nodes.len()).filter(|relay| self.nodes[*relay].is_running).collect();
-        let after = span_ms(self.scenario.clients.orphan_ms.draw(&mut self.client_rng));
+        let after = span_ms(self.scenario.clients.failover_delay_ms.draw(&mut self.client_rng));
         let choice = self.client_rng.random::<u32>() as usize;
         // With none running any relay will do: its client tries again.
         let relay =
@@ -93,7 +93,7 @@
             return;
         }
         let plan = &self.scenario.clients;
-        let max_retry = span_ms(plan.longest_retry_ms);
+        let max_retry = span_ms(plan.max_retry_after_ms);
         let announced = retry_after.filter(|_| max_retry > Span::ZERO).map(|span| span.min(max_retry));
         match resubmit_delay(plan, &mut self.client_rng, throttled.resubmissions, announced) {
             Some(after) if self.now + after < throttled.valid_until => {
@@ -119,13 +119,14 @@
 
     /// The client withdraws a notification.
     pub(super) fn handle_withdrawal(&mut self, notification: usize) {
-        if let Some(PendingAt { relay, ntf }) = self.notifications[notification].pending_at.take() {
+        if let Some(PendingAt { relay, notification_id }) = self.notifications[notification].pending_at.take()
+        {
             let node = &mut self.nodes[relay];
-            let is_owed = node.pending.get(&ntf).is_some_and(|pending| !pending.has_final_answer);
+            let is_owed = node.pending.get(&notification_id).is_some_and(|pending| !pending.has_final_answer);
             if is_owed && node.is_running {
-                node.pending.remove(&ntf);
-                self.judge.handle_withdrawal(ntf);
-                self.enqueue_input(relay, RelayInput::Withdrawn(ntf));
+                node.pending.remove(&notification_id);
+                self.judge.handle_withdrawal(notification_id);
+                self.enqueue_input(relay, RelayInput::Withdrawn(notification_id));
             }
         }
         self.give_up(notification, UndeliveredReason::Abandoned);
--- a/crates/node/src/keeper.rs
+++ b/crates/node/src/keeper.rs
@@ -2,17 +2,21 @@
 //!
 //! - `consensus` drives the replica of the control state, `record_file` persists it.
 //! - `orders` handles operators' orders, `endpoints` the heartbeats of endpoints; both arrive at `control_listener`.
-//! - `store_placement` assigns partitions to stores.
+//! - `store_placement` assigns partitions to stores, based on `store_reports`.
 //! - `publishing` sends what is in force to `subscribers`: relays and stores.
 //! - `controller` holds the shared state; `startup`, `housekeeping` and `shutdown` are the phases of its life.
 
+mod configuration_distribution;
 mod consensus;
+mod control_api;
 mod control_listener;
 mod controller;
 mod endpoints;
 mod housekeeping;
 mod message_handler;
 mod metrics;
+mod order_execution;
+mod order_replies;
 mod orders;
 mod peer_discovery;
 mod peers;
@@ -22,6 +26,7 @@
 mod shutdown;
 mod startup;
 mod store_placement;
+mod store_reports;
 mod subscribers;
 mod subscription_confirmation;
 
@@ -55,7 +60,7 @@
         while signals.next().await == ShutdownOrReload::Reload {
             match Settings::read(settings_file.as_deref()) {
                 Ok(settings) => drop(changed.send_replace(settings)),
-                Err(error) => warn!(reload_log, "settings not read again"; "why" => error.to_string()),
+                Err(error) => warn!(reload_log, "settings reload failed"; "error" => error.to_string()),
             }
         }
     };
--- a/crates/node/src/keeper/store_placement.rs
+++ b/crates/node/src/keeper/store_placement.rs
@@ -1,89 +1,26 @@
-//! Store machines: who is alive, what has caught up, and the map that follows from it.
+//! Placement of partitions on stores: plans store maps and completes retirements.
 
 use std::sync::Arc;
 
 use juniperwing_control::{
-    ControlChange, PlanInput, completed_retirements, plan_store_map, retirement_of_replaced_disk,
-    unrecoverable_partitions,
+    ControlChange, ControlState, PlanInput, completed_retirements, plan_store_map,
+    retirement_of_replaced_disk, unrecoverable_partitions,
 };
-use juniperwing_protocol::registry::RegistryMessage;
-use juniperwing_protocol::replication::Voter;
-use juniperwing_protocol::subscription::{CaughtUp, StoreNode};
-use juniperwing_protocol::{DiskId, EpochNumber, Message};
+use juniperwing_protocol::replication::Version;
+use juniperwing_replication::Versioned;
 use slog::{info, warn};
 use tokio::time::timeout;
 
-use super::consensus::PrimaryLocation;
 use super::controller::{Controller, State};
 use crate::clock;
 
-/// Reports of primaries that wait to be used.
-const MAX_CAUGHT_UP_REPORTS: usize = 1_024;
+/// A change to propose, and the committed version that it was computed on.
+struct PlannedChange {
+    base: Version,
+    change: ControlChange,
+}
 
 impl Controller {
-    /// Another keeper tells which stores it sees. Returns the highest epoch known here, for the answer.
-    pub(super) fn handle_reachable_stores(&self, keeper: DiskId, stores: Vec<StoreNode>) -> EpochNumber {
-        let mut state = self.lock();
-        let now = clock::now();
-        state.contact.record_message(now, keeper);
-        state.tracker.record_report(now, keeper, stores);
-        let epoch = state.consensus.replica.epoch().number;
-        drop(state);
-        self.planning_requested.notify_one();
-        epoch
-    }
-
-    /// Tells the others which stores this keeper sees. Their answers are evidence of contact.
-    pub(super) fn report_reachable_stores(self: &Arc<Self>) {
-        let from = self.local_voter.disk;
-        let stores = {
-            let mut state = self.lock();
-            let stores = state.subscribers.subscribed_stores();
-            state.tracker.record_report(clock::now(), from, stores.clone());
-            stores
-        };
-        let others = self.other_voters(&self.lock());
-        for voter in others {
-            let message = RegistryMessage::ReachableStores { from, stores: stores.clone() };
-            tokio::spawn(Arc::clone(self).send_reachable_stores(voter, message));
-        }
-        self.forward_caught_up_reports();
-        self.planning_requested.notify_one();
-    }
-
-    async fn send_reachable_stores(self: Arc<Self>, voter: Voter, report: RegistryMessage) {
-        let asked_at = clock::now();
-        let within = self.control_timings.peer_reply_timeout;
-        let answer = self.peers.call(voter.address, Message::Registry(report), within).await;
-        if let Ok(Message::Registry(RegistryMessage::ReachableStoresReply { epoch })) = answer {
-            self.lock().contact.record_reply(clock::now(), voter.disk, asked_at, epoch);
-        }
-    }
-
-    /// Primaries of partitions report replicas that have caught up. Such a report is true until the partition's
-    /// epoch changes, so it is kept until then, whoever is primary keeper meanwhile.
-    pub(super) fn handle_caught_up_reports(self: &Arc<Self>, reports: Vec<CaughtUp>) {
-        let mut state = self.lock();
-        for report in reports {
-            if state.caught_up_reports.len() < MAX_CAUGHT_UP_REPORTS
-                && !state.caught_up_reports.contains(&report)
-            {
-                state.caught_up_reports.push(report);
-            }
-        }
-        drop(state);
-        self.planning_requested.notify_one();
-    }
-
-    /// Passes the reports that still count on to the primary keeper, if that is another one.
-    pub(super) fn forward_caught_up_reports(self: &Arc<Self>) {
-        let PrimaryLocation::Remote(address) = self.primary_location() else { return };
-        let reports = self.lock().caught_up_reports.clone();
-        if !reports.is_empty() {
-            self.peers.send(address, Message::Registry(RegistryMessage::CaughtUp(reports)));
-        }
-    }
-
     /// Plans store maps for the lifetime of the keeper.
     pub(super) async fn run_planning_loop(self: Arc<Self>) {
         loop {
@@ -95,33 +32,35 @@
         }
     }
 
-    /// Brings the view of the stores up to date and, as primary, changes the map where it has to change.
+    /// Updates the view of the stores and, as primary, proposes the next change of the store map or a retirement.
     async fn plan_store_map_change(self: &Arc<Self>) {
-        let Some((base, change)) = self.next_store_change() else { return };
+        let Some(PlannedChange { base, change }) = self.next_store_change() else { return };
         match self.propose(base, change).await {
             Ok(_) => self.planning_requested.notify_one(),
-            // The next look at the stores computes it anew.
-            Err(error) => info!(self.log, "the store map stays"; "why" => error.to_string()),
+            // The next planning round computes the change again.
+            Err(error) => info!(self.log, "store map change failed"; "error" => error.to_string()),
         }
     }
 
-    fn next_store_change(&self) -> Option<(juniperwing_protocol::replication::Version, ControlChange)> {
+    fn next_store_change(&self) -> Option<PlannedChange> {
         let state = &mut *self.lock();
         let committed = state.consensus.committed()?.clone();
-        state.store_view = state.tracker.tick(clock::now(), &committed.state.store_map.stores);
-        let placed = &committed.state.store_map;
-        // A report of an epoch that this keeper does not know yet is kept.
-        state.caught_up_reports.retain(|report| {
-            placed.assignment(report.partition).is_some_and(|held| held.epoch <= report.epoch)
-        });
+        state.refresh_store_view(&committed.state);
         let replica = &state.consensus.replica;
         if !replica.is_primary() || replica.latest().version != committed.version {
             return None;
         }
-        if let Some(change) = retirement_of_replaced_disk(&committed.state, &state.store_view) {
-            return Some((committed.version, change));
-        }
-        self.log_unrecoverable_partitions(state);
+        let change = match retirement_of_replaced_disk(&committed.state, &state.store_view) {
+            Some(change) => change,
+            None => {
+                self.log_unrecoverable_partitions(state);
+                self.planned_change(state, &committed)?
+            }
+        };
+        Some(PlannedChange { base: committed.version, change })
+    }
+
+    fn planned_change(&self, state: &State, committed: &Versioned<ControlState>) -> Option<ControlChange> {
         let input = PlanInput {
             state: &committed.state,
             view: &state.store_view,
@@ -129,18 +68,30 @@
             required_replicas: self.required_replicas,
         };
         if let Some(map) = plan_store_map(input) {
-            return Some((committed.version, ControlChange::SetStoreMap(map)));
+            return Some(ControlChange::SetStoreMap(map));
         }
-        let empty = completed_retirements(&committed.state, self.required_replicas).into_iter().next()?;
-        Some((committed.version, ControlChange::CompleteRetirement(empty)))
+        let retired = completed_retirements(&committed.state, self.required_replicas).into_iter().next()?;
+        Some(ControlChange::CompleteRetirement(retired))
     }
 
     fn log_unrecoverable_partitions(&self, state: &mut State) {
         let Some(committed) = state.consensus.committed() else { return };
         let lost = unrecoverable_partitions(&committed.state, &state.store_view).len();
         if lost > 0 && lost != state.unrecoverable_partitions {
-            warn!(self.log, "every copy of some partitions is gone"; "partitions" => lost);
+            warn!(self.log, "partitions lost all replicas"; "partitions" => lost);
         }
         state.unrecoverable_partitions = lost;
     }
 }
+
+impl State {
+    /// Advances the view of the stores, and drops caught-up reports of epochs that have passed.
+    fn refresh_store_view(&mut self, committed: &ControlState) {
+        let store_map = &committed.store_map;
+        self.store_view = self.tracker.tick(clock::now(), &store_map.stores);
+        // A report of an epoch that this keeper does not know yet is retained.
+        self.caught_up_reports.retain(|report| {
+            store_map.assignment(report.partition).is_some_and(|assignment| assignment.epoch <= report.epoch)
+        });
+    }
+}
--- a/crates/relay/src/discovery/list.rs
+++ b/crates/relay/src/discovery/list.rs
@@ -12,8 +12,6 @@
 
 /// The endpoint list, or what changed in it.
 #[derive(Clone, Debug, Default, Deserialize)]
-// The name that serde prints in an error.
-#[serde(rename = "List")]
 pub struct EndpointList {
     #[serde(rename = "seq")]
     pub(super) version: u64,
@@ -25,8 +23,6 @@
 
 /// An endpoint as discovery describes it.
 #[derive(Clone, Debug, Deserialize)]
-// The name that serde prints in an error.
-#[serde(rename = "Host")]
 pub(super) struct ListedHost {
     #[serde(rename = "host")]
     id: String,
@@ -50,12 +46,14 @@
 /// An endpoint that can be called.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KnownEndpoint {
+    /// Where it listens.
     pub address: SocketAddr,
     /// As it was reported to the core.
     pub(super) entry: EndpointEntry,
 }
 
 impl KnownEndpoint {
+    /// The name of its zone.
     pub fn zone(&self) -> Arc<str> {
         self.entry.zone.clone()
     }
