--- a/crates/emulator/src/checker.rs
+++ b/crates/emulator/src/checker.rs
@@ -14,7 +14,7 @@
 use juniperwing_clock::Time;
 
 use self::observations::Observations;
-use crate::history::{Event, OrderId};
+use crate::history::{Event, OrderId, RecordedEvent};
 use crate::scenario::Scenario;
 
 /// A property that every history must have. Each variant names its violation.
@@ -81,14 +81,14 @@
 }
 
 /// Checks the history of a scenario and returns the violations in order of time.
-pub fn check(scenario: &Scenario, history: &[(Time, Event)]) -> Vec<Violation> {
+pub fn check(scenario: &Scenario, history: &[RecordedEvent]) -> Vec<Violation> {
     let observations = Observations::index(scenario, history);
     let mut violations = Violations::default();
     orders::check(&observations, &mut violations);
     relays::check(&observations, &mut violations);
     endpoints::check(&observations, &mut violations);
     liveness::check(&observations, &mut violations);
-    for (at, event) in history {
+    for RecordedEvent { at, event } in history {
         if let Event::KeeperExited { keeper } = event {
             violations.add(Property::KeeperExited, *at, format!("core-{keeper}"));
         }
--- a/crates/emulator/src/checker/endpoints.rs
+++ b/crates/emulator/src/checker/endpoints.rs
@@ -7,7 +7,7 @@
 
 use super::observations::{Observations, runs_throughout};
 use super::{Property, Violations};
-use crate::history::Event;
+use crate::history::{Event, RecordedEvent};
 use crate::stability::millis;
 
 /// How soon after its acknowledgement a drain is in force at all relays (`drainMs`), in milliseconds.
@@ -52,7 +52,7 @@
 
 fn index_endpoints(observations: &Observations<'_>) -> BTreeMap<String, Endpoint> {
     let mut endpoints: BTreeMap<String, Endpoint> = BTreeMap::new();
-    for (at, event) in observations.history {
+    for RecordedEvent { at, event } in observations.history {
         match event {
             Event::HeartbeatReplied { id, state, status: 200, keeper } => {
                 let endpoint = endpoints.entry(id.clone()).or_default();
--- a/crates/emulator/src/checker/liveness.rs
+++ b/crates/emulator/src/checker/liveness.rs
@@ -4,7 +4,7 @@
 
 use super::observations::Observations;
 use super::{Property, Violations, order_name};
-use crate::history::Event;
+use crate::history::{Event, RecordedEvent};
 use crate::stability::millis;
 
 /// How soon an order must have a conclusive response (`ackMs`), in milliseconds.
@@ -31,12 +31,11 @@
 
 fn check_readable(observations: &Observations<'_>, violations: &mut Violations) {
     let end_ms = observations.scenario.duration_ms;
-    let last_read = observations
-        .history
-        .iter()
-        .rev()
-        .find(|(_, event)| matches!(event, Event::ConfigurationRead { status: 200, .. }));
-    let is_read = last_read.is_some_and(|(at, _)| millis(*at) + FINAL_READ_MS >= end_ms);
+    let last_read =
+        observations.history.iter().rev().find(|RecordedEvent { event, .. }| {
+            matches!(event, Event::ConfigurationRead { status: 200, .. })
+        });
+    let is_read = last_read.is_some_and(|recorded| millis(recorded.at) + FINAL_READ_MS >= end_ms);
     if !is_read && observations.is_stable(end_ms - FINAL_READ_MS, end_ms - 1) {
         violations.add(Property::NotReadable, Time::from_nanos(end_ms * 1_000_000), "no reply".to_owned());
     }
--- a/crates/emulator/src/checker/observations.rs
+++ b/crates/emulator/src/checker/observations.rs
@@ -5,7 +5,7 @@
 use juniperwing_clock::Time;
 use juniperwing_protocol::registry::InstanceState;
 
-use crate::history::{Event, OrderId};
+use crate::history::{Event, OrderId, RecordedEvent};
 use crate::scenario::Scenario;
 use crate::simulation::RELAY_COUNT;
 use crate::stability::{Stability, millis};
@@ -56,7 +56,7 @@
 /// The indexed history of a scenario.
 pub(super) struct Observations<'scenario> {
     pub(super) scenario: &'scenario Scenario,
-    pub(super) history: &'scenario [(Time, Event)],
+    pub(super) history: &'scenario [RecordedEvent],
     pub(super) stability: Stability,
     pub(super) orders: BTreeMap<OrderId, Order>,
     pub(super) relay_incarnations: Vec<RelayIncarnation>,
@@ -96,7 +96,7 @@
 impl<'scenario> Observations<'scenario> {
     /// Indexes the history of a scenario.
     pub(super) fn index(
-        scenario: &'scenario Scenario, history: &'scenario [(Time, Event)],
+        scenario: &'scenario Scenario, history: &'scenario [RecordedEvent],
     ) -> Observations<'scenario> {
         let end = Time::from_nanos(scenario.duration_ms * 1_000_000);
         let mut observations = Observations {
@@ -113,7 +113,7 @@
     }
 
     fn index_orders(&mut self) {
-        for (at, event) in self.history {
+        for RecordedEvent { at, event } in self.history {
             match event {
                 Event::OrderSubmitted { order, base, generation } => {
                     let (id, base, generation) = (*order, *base, *generation);
@@ -159,9 +159,9 @@
 }
 
 /// The incarnations of one relay. The last one ends at `end` unless it was killed before.
-fn relay_incarnations(relay: usize, history: &[(Time, Event)], end: Time) -> Vec<RelayIncarnation> {
+fn relay_incarnations(relay: usize, history: &[RecordedEvent], end: Time) -> Vec<RelayIncarnation> {
     let mut incarnations: Vec<RelayIncarnation> = Vec::new();
-    for (at, event) in history {
+    for RecordedEvent { at, event } in history {
         match event {
             Event::RelayStarted { relay: number } if *number == relay => {
                 let (configurations, instances) = (Vec::new(), Vec::new());
--- a/crates/emulator/src/checker/orders.rs
+++ b/crates/emulator/src/checker/orders.rs
@@ -4,7 +4,7 @@
 
 use super::observations::{Observations, Order};
 use super::{Property, Violations, order_name};
-use crate::history::Event;
+use crate::history::{Event, RecordedEvent};
 
 pub(super) fn check(observations: &Observations<'_>, violations: &mut Violations) {
     check_conflicting_acknowledgements(observations, violations);
@@ -50,7 +50,7 @@
 
 /// Checks that no read returned less than was acknowledged before it.
 fn check_reads(observations: &Observations<'_>, violations: &mut Violations) {
-    for (at, event) in observations.history {
+    for RecordedEvent { at, event } in observations.history {
         let Event::ConfigurationRead { status, requested_at, keeper, order } = event else { continue };
         let acknowledged = observations.acknowledged_before(*requested_at);
         match (status, order) {
--- a/crates/emulator/src/disk.rs
+++ b/crates/emulator/src/disk.rs
@@ -14,10 +14,10 @@
 
 use juniperwing_clock::{Span, Time};
 use juniperwing_node::sync::lock;
+use juniperwing_random::Rng;
 use juniperwing_storage::file_system::FileSystem;
 
 use crate::clock::MachineClock;
-use juniperwing_random::Rng;
 
 /// The latency of an operation other than a sync.
 const CALL_LATENCY: Span = Span::from_nanos(50_000);
--- a/crates/emulator/src/endpoints.rs
+++ b/crates/emulator/src/endpoints.rs
@@ -6,6 +6,7 @@
 use juniperwing_clock::{Span, Time};
 use juniperwing_node::clock;
 use juniperwing_protocol::registry::InstanceState;
+use juniperwing_random::Rng;
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 use tokio::time::sleep;
@@ -13,7 +14,6 @@
 use crate::history::{Event, History};
 use crate::http::Request;
 use crate::operators::keeper_number;
-use juniperwing_random::Rng;
 
 /// The interval between heartbeats.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_200);
--- a/crates/emulator/src/history.rs
+++ b/crates/emulator/src/history.rs
@@ -116,20 +116,29 @@
     Log(String),
 }
 
+/// An event and its time.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RecordedEvent {
+    /// When it was recorded.
+    pub at: Time,
+    /// The event.
+    pub event: Event,
+}
+
 /// The events so far, with their times. Clones share the events.
 #[derive(Clone, Debug, Default)]
-pub struct History(Arc<Mutex<Vec<(Time, Event)>>>);
+pub struct History(Arc<Mutex<Vec<RecordedEvent>>>);
 
 impl History {
     /// Appends an event.
     pub fn record(&self, now: Time, event: Event) {
-        lock(&self.0).push((now, event));
+        lock(&self.0).push(RecordedEvent { at: now, event });
     }
 
     /// Removes and returns all events, in order of time.
-    pub fn take(&self) -> Vec<(Time, Event)> {
+    pub fn take(&self) -> Vec<RecordedEvent> {
         let mut all = std::mem::take(&mut *lock(&self.0));
-        all.sort_by_key(|(at, _)| *at);
+        all.sort_by_key(|recorded| recorded.at);
         all
     }
 }
--- a/crates/emulator/src/host.rs
+++ b/crates/emulator/src/host.rs
@@ -8,13 +8,13 @@
 use juniperwing_clock::Time;
 use juniperwing_node::host::{Host, IoFuture, SimulatedDatagrams, SimulatedListener, SimulatedStream};
 use juniperwing_node::sync::lock;
+use juniperwing_random::Rng;
 use juniperwing_storage::file_system::FileSystem;
 
 use crate::clock::{MachineClock, SimulationTime};
 use crate::disk::SimulatedDisk;
 use crate::network::{ConnectOutcome, Network};
 use crate::sockets::{DatagramSocket, SocketContext, SocketListener, sleep_until, stream};
-use juniperwing_random::Rng;
 
 /// The interval at which the first packet of a connection is resent.
 const CONNECT_RETRY_INTERVAL: Duration = Duration::from_secs(1);
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -10,6 +10,7 @@
 
 use juniperwing_clock::Time;
 use juniperwing_emulator::checker::{Property, Violation, check};
+use juniperwing_emulator::history::RecordedEvent;
 use juniperwing_emulator::shrink::{run_and_check, shrink};
 use juniperwing_emulator::simulation::run;
 use juniperwing_emulator::targeting::scenario_for_seed;
@@ -41,7 +42,7 @@
     let scenario = scenario_for_seed(seed);
     print!("{scenario}");
     let history = run(&scenario, true);
-    for (at, event) in &history {
+    for RecordedEvent { at, event } in &history {
         println!("{:9.3} {event:?}", at.since(Time::default()).as_secs_f64());
     }
     let violations = check(&scenario, &history);
--- a/crates/emulator/src/operators.rs
+++ b/crates/emulator/src/operators.rs
@@ -8,13 +8,13 @@
 use juniperwing_clock::{Span, Time};
 use juniperwing_node::clock;
 use juniperwing_node::sync::lock;
+use juniperwing_random::Rng;
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
 use crate::history::{Event, History, OrderId};
 use crate::http::{Request, Response};
-use juniperwing_random::Rng;
 
 /// The time-out of a request, after which another keeper is tried.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
@@ -41,6 +41,12 @@
     generation: u64,
 }
 
+/// An order and the status of its conclusive response.
+struct ConclusiveResponse {
+    status: u16,
+    order: Order,
+}
+
 /// The state that all operators share.
 struct OperatorPool {
     keepers: watch::Receiver<Vec<SocketAddr>>,
@@ -131,7 +137,9 @@
         let mut any_failed = false;
         while let Some(outcome) = submissions.join_next().await {
             match outcome {
-                Ok(Some((200, order))) => self.known_version = self.known_version.max(order.generation),
+                Ok(Some(ConclusiveResponse { status: 200, order })) => {
+                    self.known_version = self.known_version.max(order.generation)
+                }
                 _ => any_failed = true,
             }
         }
@@ -179,8 +187,10 @@
         keepers.get(keeper_index % keepers.len().max(1)).copied()
     }
 
-    /// Submits an order to one keeper after the other and returns the status of the conclusive response.
-    async fn submit_until_conclusive(self: Arc<Self>, order: Order, mut rng: Rng) -> Option<(u16, Order)> {
+    /// Submits an order to one keeper after the other and returns the conclusive response, if any.
+    async fn submit_until_conclusive(
+        self: Arc<Self>, order: Order, mut rng: Rng,
+    ) -> Option<ConclusiveResponse> {
         let retry_deadline = clock::now() + MAX_RETRY_DURATION;
         let put = Request {
             target: "PUT /config".to_owned(),
@@ -192,7 +202,7 @@
         while clock::now() < retry_deadline {
             let status = self.submit_once(&order, &put, keeper_index, &mut rng).await;
             if let Some(status) = status.filter(|status| is_conclusive(*status)) {
-                return Some((status, order));
+                return Some(ConclusiveResponse { status, order });
             }
             keeper_index += 1;
             sleep(Duration::from_millis(backoff_ms)).await;
--- a/crates/emulator/src/simulation.rs
+++ b/crates/emulator/src/simulation.rs
@@ -8,18 +8,18 @@
 use std::sync::Arc;
 
 use juniperwing_clock::Time;
+use juniperwing_random::Rng;
 use tokio::sync::watch;
 
 use self::processes::Keeper;
 use crate::clock::SimulationTime;
-use crate::history::{Event, History};
+use crate::history::{Event, History, RecordedEvent};
 use crate::host::SimulatedHost;
 use crate::machine::Machine;
 use crate::network::{MIN_DELAY, Network};
 use crate::scenario::{READ_ONLY_TAIL_MS, Scenario};
 use crate::stability::millis;
 use crate::{endpoints, operators};
-use juniperwing_random::Rng;
 
 /// The number of relays.
 pub const RELAY_COUNT: usize = 2;
@@ -74,7 +74,7 @@
 }
 
 /// Runs a scenario and returns its history. `with_logs` adds the log lines of the keepers.
-pub fn run(scenario: &Scenario, with_logs: bool) -> Vec<(Time, Event)> {
+pub fn run(scenario: &Scenario, with_logs: bool) -> Vec<RecordedEvent> {
     let mut simulation = Simulation::new(scenario.clone(), with_logs);
     simulation.start();
     while millis(simulation.now) < simulation.scenario.duration_ms {
--- a/crates/emulator/src/stability.rs
+++ b/crates/emulator/src/stability.rs
@@ -5,7 +5,7 @@
 
 use juniperwing_clock::Time;
 
-use crate::history::Event;
+use crate::history::{Event, RecordedEvent};
 use crate::scenario::{Fault, FaultKind, Scenario};
 
 /// How long the core must have been without a change to be stable (`contactMs`), in milliseconds.
@@ -22,7 +22,7 @@
 
 impl Stability {
     /// Computes the stability of a scenario that was run.
-    pub fn compute(scenario: &Scenario, history: &[(Time, Event)]) -> Stability {
+    pub fn compute(scenario: &Scenario, history: &[RecordedEvent]) -> Stability {
         let sample_count = scenario.duration_ms / SAMPLE_INTERVAL_MS + 1;
         let downtimes = downtimes(history);
         Stability {
@@ -52,10 +52,10 @@
     until_ms: u64,
 }
 
-fn downtimes(history: &[(Time, Event)]) -> Vec<Downtime> {
+fn downtimes(history: &[RecordedEvent]) -> Vec<Downtime> {
     let mut stopped = BTreeMap::new();
     let mut downtimes = Vec::new();
-    for (at, event) in history {
+    for RecordedEvent { at, event } in history {
         match event {
             Event::KeeperStopped { keeper } => drop(stopped.insert(*keeper, millis(*at))),
             Event::KeeperStarted { keeper } => {
--- a/crates/emulator/src/targeting.rs
+++ b/crates/emulator/src/targeting.rs
@@ -4,11 +4,12 @@
 //! at a random time rarely falls into it. Since a scenario runs the same until its first fault, it is run once without
 //! faults, and then all faults are shifted so that the first one starts shortly before or at an acknowledgement.
 
-use crate::history::Event;
+use juniperwing_random::Rng;
+
+use crate::history::{Event, RecordedEvent};
 use crate::scenario::{Fault, Scenario};
 use crate::simulation::run;
 use crate::stability::millis;
-use juniperwing_random::Rng;
 
 /// One seed in this many has a targeted scenario.
 const TARGETED_SEED_INTERVAL: u64 = 3;
@@ -28,8 +29,8 @@
     let fault_free = Scenario { faults: Vec::new(), ..scenario.clone() };
     let acknowledged: Vec<u64> = run(&fault_free, false)
         .iter()
-        .filter(|(_, event)| matches!(event, Event::OrderReplied { status: 200, .. }))
-        .map(|(at, _)| millis(*at))
+        .filter(|RecordedEvent { event, .. }| matches!(event, Event::OrderReplied { status: 200, .. }))
+        .map(|recorded| millis(recorded.at))
         .filter(|at_ms| *at_ms > first.start_ms + MAX_LEAD_MS)
         .collect();
     // Only the next few, to keep the scenario short.
