--- a/crates/membership/src/prober.rs
+++ b/crates/membership/src/prober.rs
@@ -4,13 +4,13 @@
 use std::net::SocketAddr;
 
 use juniperwing_clock::{Span, Time};
+use juniperwing_random::Rng;
 
 use crate::jitter::jitter;
 use crate::member::{MemberId, Record};
 use crate::settings::Timings;
 use crate::table::MAX_MEMBERS;
 use crate::wire::Sequence;
-use juniperwing_random::Rng;
 
 /// Fraction by which the probe interval varies, so that members do not probe in step.
 pub(crate) const PROBE_JITTER: f64 = 0.1;
--- a/crates/membership/src/reconciler.rs
+++ b/crates/membership/src/reconciler.rs
@@ -3,11 +3,11 @@
 use std::net::SocketAddr;
 
 use juniperwing_clock::{Span, Time};
+use juniperwing_random::Rng;
 
 use crate::jitter::jitter;
 use crate::member::MemberId;
 use crate::settings::{MAX_SEEDS, Timings};
-use juniperwing_random::Rng;
 
 /// Maximum number of pages sent in reply to one digest.
 pub(crate) const MAX_PAGES_PER_DIGEST: usize = 16;
--- a/crates/node/src/subscriber.rs
+++ b/crates/node/src/subscriber.rs
@@ -97,8 +97,8 @@
     pub fn start(
         subscribe: Subscribe, seeds: Vec<SocketAddr>, count: usize, sink: Arc<dyn UpdateSink>,
     ) -> Arc<Subscriber> {
-        let next = crate::clock::random() as usize % seeds.len().max(1);
-        let keepers = Mutex::new(Keepers { seeds, next_candidate: next, ..Keepers::default() });
+        let next_candidate = crate::clock::random() as usize % seeds.len().max(1);
+        let keepers = Mutex::new(Keepers { seeds, next_candidate, ..Keepers::default() });
         let subscriber = Arc::new(Subscriber { subscribe, sink, keepers, keepers_changed: Notify::new() });
         for _ in 0..count {
             spawn_essential("subscription", Arc::clone(&subscriber).maintain_subscription());
@@ -119,10 +119,10 @@
     }
 
     /// Ends all subscriptions and starts none, or resumes them. Keepers regard a process without subscriptions as lost.
-    pub fn set_suspended(&self, suspended: bool) {
+    pub fn set_suspended(&self, is_suspended: bool) {
         let mut keepers = self.lock();
-        keepers.is_suspended = suspended;
-        if suspended {
+        keepers.is_suspended = is_suspended;
+        if is_suspended {
             keepers.slots.iter().filter_map(|slot| slot.link.as_ref()).for_each(Link::close);
         }
         drop(keepers);
--- a/crates/registry/src/exchange.rs
+++ b/crates/registry/src/exchange.rs
@@ -144,7 +144,7 @@
         let Some(peer) = self.peers.get_mut(&disk) else { return };
         peer.in_flight.remove(&number);
         peer.is_reachable = true;
-        if peer.connection.replace(connection).is_some_and(|before| before != connection) {
+        if peer.connection.replace(connection).is_some_and(|previous| previous != connection) {
             peer.needs_snapshot = true;
             peer.first_unconfirmed = Some(ChangeNumber::default());
         }
