--- a/crates/lab/src/commands/compare.rs
+++ b/crates/lab/src/commands/compare.rs
@@ -34,7 +34,7 @@
 
 const FIGURES: [Figure; 6] = [
     Figure { name: "served", read: |metrics| metrics.served },
-    Figure { name: "worst 10 s", read: |metrics| metrics.worst_window.0 },
+    Figure { name: "worst 10 s", read: |metrics| metrics.worst_window.served },
     Figure { name: "worst topic type", read: |metrics| metrics.worst_topic },
     Figure { name: "worst account", read: |metrics| metrics.worst_account },
     Figure { name: "pushes for each handed in", read: pushes_per_notification },
--- a/crates/lab/src/commands/sweep.rs
+++ b/crates/lab/src/commands/sweep.rs
@@ -53,7 +53,7 @@
                     value,
                     run.seed,
                     run.served,
-                    run.worst_window.0,
+                    run.worst_window.served,
                     run.violation_count,
                 ))?;
             }
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -6,7 +6,9 @@
 use std::fs;
 use std::path::Path;
 
-use juniperwing_model::{Metrics, Scenario, scenario::FaultKind};
+use juniperwing_model::metrics::FleetSize;
+use juniperwing_model::scenario::FaultKind;
+use juniperwing_model::{Metrics, Scenario};
 
 use crate::error::LabResult;
 use crate::scenario_file;
@@ -65,7 +67,7 @@
 
 /// One line about a run.
 pub fn summary(metrics: &Metrics) -> String {
-    let (relays, destinations, endpoints) = metrics.size;
+    let FleetSize { relays, destinations, endpoints } = metrics.size;
     let truncated = if metrics.is_truncated { ", CUT OFF: too many events" } else { "" };
     format!(
         "{:<9} seed {:<4} {relays}x{endpoints} in {destinations}  served {:.4}  worst 10 s {:.4}  worst topic {:.4}  \
@@ -73,7 +75,7 @@
         metrics.policy,
         metrics.seed,
         metrics.served,
-        metrics.worst_window.0,
+        metrics.worst_window.served,
         metrics.worst_topic,
         violations_summary(metrics)
     )
--- a/crates/model/src/metrics.rs
+++ b/crates/model/src/metrics.rs
@@ -110,6 +110,56 @@
     pub capacity: Vec<f64>,
 }
 
+/// The size of a fleet at the start; a list of three in JSON.
+#[derive(Clone, Copy, Debug, Default, Serialize)]
+#[serde(into = "(usize, usize, usize)")]
+pub struct FleetSize {
+    /// The number of relays.
+    pub relays: usize,
+    /// The number of destinations.
+    pub destinations: usize,
+    /// The number of endpoints.
+    pub endpoints: usize,
+}
+
+impl From<FleetSize> for (usize, usize, usize) {
+    fn from(size: FleetSize) -> Self {
+        (size.relays, size.destinations, size.endpoints)
+    }
+}
+
+/// The worst window of a run; a list of two in JSON.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
+#[serde(into = "(f64, usize)")]
+pub struct WorstWindow {
+    /// Delivered over requested benefit.
+    pub served: f64,
+    /// The second in which it begins.
+    pub start_s: usize,
+}
+
+impl From<WorstWindow> for (f64, usize) {
+    fn from(window: WorstWindow) -> Self {
+        (window.served, window.start_s)
+    }
+}
+
+/// What became of routes after outages; a list of two in JSON.
+#[derive(Clone, Copy, Debug, Default, Serialize)]
+#[serde(into = "(usize, usize)")]
+pub struct RouteRecoveries {
+    /// Routes that recovered from an outage.
+    pub recovered: usize,
+    /// Routes that were overloaded then.
+    pub overloaded: usize,
+}
+
+impl From<RouteRecoveries> for (usize, usize) {
+    fn from(recoveries: RouteRecoveries) -> Self {
+        (recoveries.recovered, recoveries.overloaded)
+    }
+}
+
 /// All metrics of a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Metrics {
@@ -120,11 +170,11 @@
     /// The seed.
     pub seed: u64,
     /// The numbers of relays, destinations and endpoints at the start.
-    pub size: (usize, usize, usize),
+    pub size: FleetSize,
     /// Delivered over requested benefit.
     pub served: f64,
-    /// The same in the worst window of 10 s, and the second in which that begins.
-    pub worst_window: (f64, usize),
+    /// The same in the worst window of 10 s.
+    pub worst_window: WorstWindow,
     /// The same of the worst topic type.
     pub worst_topic: f64,
     /// The same of the worst account.
@@ -149,7 +199,7 @@
     pub list_requests: u64,
     /// Routes that recovered from an outage, and routes that were overloaded then.
     #[serde(rename = "returns")]
-    pub recoveries: (usize, usize),
+    pub recoveries: RouteRecoveries,
     /// Commands that could not be executed, such as a push to an endpoint of another destination.
     #[serde(rename = "faults")]
     pub invalid_commands: u64,
--- a/crates/model/src/metrics/recorder.rs
+++ b/crates/model/src/metrics/recorder.rs
@@ -4,7 +4,7 @@
 use juniperwing::interface::CallStatus;
 use juniperwing::time::{Span, Time};
 
-use super::{GroupMetrics, Metrics, QUANTILES, SecondMetrics};
+use super::{GroupMetrics, Metrics, QUANTILES, SecondMetrics, WorstWindow};
 
 /// Seconds of the windows of which the worst is reported.
 const WORST_WINDOW_S: usize = 10;
@@ -146,7 +146,8 @@
         }
         let mut metrics = self.metrics;
         metrics.served = served_fraction(&metrics.seconds);
-        metrics.worst_window = worst_window(&metrics.seconds).unwrap_or((metrics.served, 0));
+        metrics.worst_window =
+            worst_window(&metrics.seconds).unwrap_or(WorstWindow { served: metrics.served, start_s: 0 });
         metrics.worst_topic = worst_group(&metrics.topics);
         metrics.worst_account = worst_group(&metrics.accounts);
         metrics
@@ -169,11 +170,12 @@
 
 /// The served fraction of the worst window, and the second in which that begins. Windows with less benefit than the
 /// busiest second are left out: one at the end with hardly any traffic says nothing.
-fn worst_window(seconds: &[SecondMetrics]) -> Option<(f64, usize)> {
+fn worst_window(seconds: &[SecondMetrics]) -> Option<WorstWindow> {
     let busiest = seconds.iter().map(|second| second.requested_benefit).fold(0.0, f64::max);
     let windows = seconds.windows(WORST_WINDOW_S.min(seconds.len().max(1))).enumerate();
     let busy = windows.filter(|(_, window)| requested_benefit(window) >= busiest);
-    busy.map(|(start, window)| (served_fraction(window), start)).min_by(|a, b| a.0.total_cmp(&b.0))
+    let worst = busy.map(|(start_s, window)| WorstWindow { served: served_fraction(window), start_s });
+    worst.min_by(|a, b| a.served.total_cmp(&b.served))
 }
 
 fn worst_group(groups: &[GroupMetrics]) -> f64 {
--- a/crates/model/src/simulation.rs
+++ b/crates/model/src/simulation.rs
@@ -29,7 +29,7 @@
 use crate::faults::{FaultSet, FaultWindow};
 use crate::fleet::{Fleet, span_ms};
 use crate::judge::Judge;
-use crate::metrics::{DestinationSeries, Metrics, MetricsRecorder, UndeliveredReason};
+use crate::metrics::{DestinationSeries, Metrics, MetricsRecorder, RouteRecoveries, UndeliveredReason};
 use crate::policy::Policies;
 use crate::random::RngStreams;
 use crate::route::{OverloadThreshold, Route};
@@ -150,10 +150,10 @@
         let metrics = &mut self.recorder.metrics;
         (metrics.violations, metrics.violation_count) = (violations, violation_count);
         metrics.events = self.events;
-        metrics.recoveries = (
-            self.routes.iter().filter(|route| route.has_recovered()).count(),
-            self.routes.iter().filter(|route| route.is_overloaded()).count(),
-        );
+        metrics.recoveries = RouteRecoveries {
+            recovered: self.routes.iter().filter(|route| route.has_recovered()).count(),
+            overloaded: self.routes.iter().filter(|route| route.is_overloaded()).count(),
+        };
         self.recorder.finish()
     }
 
--- a/crates/model/src/simulation/setup.rs
+++ b/crates/model/src/simulation/setup.rs
@@ -13,7 +13,7 @@
 use crate::faults::{FaultSet, FaultWindow};
 use crate::fleet::{Fleet, span_ms};
 use crate::judge::{Judge, RuleTolerances};
-use crate::metrics::{DestinationSeries, MetricsRecorder};
+use crate::metrics::{DestinationSeries, FleetSize, MetricsRecorder};
 use crate::policy::Policies;
 use crate::random::{Concern, RngStreams};
 use crate::route::{OverloadThreshold, Route};
@@ -141,7 +141,11 @@
     metrics.policy = policies.name().to_owned();
     metrics.seed = seed;
     metrics.destination_series = series.iter().map(|index| empty_series(*index)).collect();
-    metrics.size = (fleet.relays.len(), fleet.destinations.len(), fleet.endpoints.len());
+    metrics.size = FleetSize {
+        relays: fleet.relays.len(),
+        destinations: fleet.destinations.len(),
+        endpoints: fleet.endpoints.len(),
+    };
     recorder
 }
 
--- a/crates/model/tests/metrics.rs
+++ b/crates/model/tests/metrics.rs
@@ -1,7 +1,7 @@
 //! The computation of metrics from what happened in a run.
 
 use juniperwing::time::{Span, Time};
-use juniperwing_model::metrics::{MetricsRecorder, Submission, value_fraction};
+use juniperwing_model::metrics::{MetricsRecorder, Submission, WorstWindow, value_fraction};
 use juniperwing_model::scenario::{Decay, LatencyDistribution, Semantics, Topic};
 
 fn topic(decay: Decay) -> Topic {
@@ -44,6 +44,9 @@
         }
     }
     let metrics = recorder.finish();
-    assert_eq!((metrics.served, metrics.worst_window), (35.0 / 40.0, (0.5, 7)));
+    assert_eq!(
+        (metrics.served, metrics.worst_window),
+        (35.0 / 40.0, WorstWindow { served: 0.5, start_s: 7 })
+    );
     assert_eq!(metrics.topics[0].latency_ms[0].round(), 100.0);
 }
