--- a/crates/node/src/keeper/subscribers.rs
+++ b/crates/node/src/keeper/subscribers.rs
@@ -52,10 +52,14 @@
     subscribe: Subscribe,
     /// The versions that the subscriber has confirmed; they never decrease.
     applied: AppliedVersions,
+    /// The controller addresses that were sent last.
     sent_addresses: Vec<SocketAddr>,
+    /// The version of the configuration that was sent last, or that the subscriber had before.
     sent_configuration: Version,
+    /// The version of the store map that was sent last; 0 before the first.
     sent_store_map: u64,
-    sent_registry_complete: bool,
+    /// Whether the registry was reported as complete.
+    was_registry_complete: bool,
 }
 
 /// All subscriptions, with the instances to be sent at the next push.
@@ -86,7 +90,7 @@
             sent_addresses: Vec::new(),
             sent_configuration,
             sent_store_map: 0,
-            sent_registry_complete: false,
+            was_registry_complete: false,
         };
         self.subscriptions.insert(link.id(), subscription);
     }
@@ -225,26 +229,27 @@
         self.send(Update::Configuration { version, body: Arc::clone(&configuration.body) });
     }
 
-    fn send_instance_snapshot(&mut self, instances: Vec<Instance>, revision: u64, complete: bool) {
+    fn send_instance_snapshot(
+        &mut self, instances: Vec<Instance>, revision: u64, is_registry_complete: bool,
+    ) {
         if is_relay(&self.subscribe) {
-            self.sent_registry_complete = complete;
-            let update =
-                InstancesUpdate { revision, is_snapshot: true, is_registry_complete: complete, instances };
+            self.was_registry_complete = is_registry_complete;
+            let update = InstancesUpdate { revision, is_snapshot: true, is_registry_complete, instances };
             self.send(Update::Instances(update));
         }
     }
 
-    fn send_instance_changes(&mut self, changed: &[Instance], revision: u64, complete: bool) {
-        let is_newly_complete = complete && !self.sent_registry_complete;
+    fn send_instance_changes(&mut self, changed: &[Instance], revision: u64, is_registry_complete: bool) {
+        let is_newly_complete = is_registry_complete && !self.was_registry_complete;
         if !is_relay(&self.subscribe) || (changed.is_empty() && !is_newly_complete) {
             return;
         }
-        self.sent_registry_complete = complete;
+        self.was_registry_complete = is_registry_complete;
         let instances = changed.to_vec();
         self.send(Update::Instances(InstancesUpdate {
             revision,
             is_snapshot: false,
-            is_registry_complete: complete,
+            is_registry_complete,
             instances,
         }));
     }
