--- a/crates/soak/src/http.rs
+++ b/crates/soak/src/http.rs
@@ -1,24 +1,60 @@
-//! HTTP/1.1 by hand, so that callers and endpoints can misbehave at any byte.
+//! A minimal HTTP/1.1 client and server, written by hand so that both can misbehave at any byte.
 
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use snafu::{ResultExt, Snafu};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Header lines of a message at the most.
+/// The maximum number of header lines of a message.
 const MAX_HEADERS: usize = 64;
-/// Bytes of a message at the most.
+/// The maximum number of bytes of a message that are buffered.
 const MAX_BYTES: usize = 32 << 20;
 /// How long a connection may take to come up.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
+/// Why a message could not be read or written.
+#[derive(Debug, Snafu)]
+pub enum HttpError {
+    /// The socket failed.
+    #[snafu(display("{source}"))]
+    Socket {
+        /// What the operating system reported.
+        source: io::Error,
+    },
+    /// The connection did not come up, or there was no complete response, in time.
+    #[snafu(display("timed out"))]
+    TimedOut,
+    /// The connection ended before or within a message.
+    #[snafu(display("the connection ended within a message"))]
+    UnexpectedEnd,
+    /// The head of a message is malformed.
+    #[snafu(display("malformed head: {source}"))]
+    MalformedHead {
+        /// What is wrong with it.
+        source: httparse::Error,
+    },
+    /// The framing of a chunk is malformed.
+    #[snafu(display("malformed chunk"))]
+    MalformedChunk,
+    /// A response has neither a length nor chunks.
+    #[snafu(display("a response without a length"))]
+    UnframedResponse,
+    /// A message exceeds the buffer.
+    #[snafu(display("too long"))]
+    TooLong,
+    /// The reader of the body wanted no more of it.
+    #[snafu(display("the reader has stopped"))]
+    ReaderStopped,
+}
+
 /// The first line and the headers of a message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Head {
-    /// The status of an answer; 0 for a request.
+    /// The status of a response; 0 for a request.
     pub status: u16,
     /// The method of a request.
     pub method: String,
@@ -34,7 +70,7 @@
         found.map_or("", |(_, value)| value)
     }
 
-    /// Whether a header is there.
+    /// Whether a header is present.
     pub fn has(&self, name: &str) -> bool {
         self.headers.iter().any(|(key, _)| key.eq_ignore_ascii_case(name))
     }
@@ -47,41 +83,42 @@
         self.header("content-length").parse().ok()
     }
 
-    /// Whether the connection ends behind the message.
+    /// Whether the connection closes after the message.
     pub fn closes_connection(&self) -> bool {
         self.header("connection").eq_ignore_ascii_case("close")
     }
 }
 
-/// A connection with the bytes that were read ahead.
+/// A connection with a buffer of bytes that were read ahead.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
     buffer: Vec<u8>,
 }
 
-/// How a body is told from what is behind it.
+/// How the end of a body is recognised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Framing {
     Length(usize),
-    Chunks,
+    Chunked,
     None,
 }
 
 impl Connection {
-    /// Over a socket that has come up.
+    /// A connection over a socket that is connected.
     pub fn new(stream: TcpStream) -> Connection {
         Connection { stream, buffer: Vec::new() }
     }
 
-    /// Opens one.
+    /// Opens a connection.
     ///
     /// # Errors
     ///
-    /// If it does not come up in time.
-    pub async fn open(address: SocketAddr) -> io::Result<Connection> {
-        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
-        stream.set_nodelay(true)?;
+    /// If it is not established in time.
+    pub async fn open(address: SocketAddr) -> Result<Connection, HttpError> {
+        let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
+        let stream = connecting.map_err(|_| HttpError::TimedOut)?.context(SocketSnafu)?;
+        stream.set_nodelay(true).context(SocketSnafu)?;
         Ok(Connection::new(stream))
     }
 
@@ -89,14 +126,14 @@
     ///
     /// # Errors
     ///
-    /// If the connection is gone.
-    pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
-        self.stream.write_all(bytes).await
+    /// If the connection is closed.
+    pub async fn write(&mut self, bytes: &[u8]) -> Result<(), HttpError> {
+        self.stream.write_all(bytes).await.context(SocketSnafu)
     }
 
-    /// Has the other end see a reset when this is dropped.
+    /// Makes the peer see a reset when this is dropped.
     pub fn reset_on_drop(&self) {
-        // A connection that is gone already needs no reset.
+        // A connection that is closed already needs no reset.
         let _ = socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
 
@@ -110,13 +147,13 @@
     ///
     /// # Errors
     ///
-    /// If the connection breaks within it, or it is none.
-    pub async fn read_request_head(&mut self) -> io::Result<Option<Head>> {
+    /// If the connection ends within the head, or it is malformed.
+    pub async fn read_request_head(&mut self) -> Result<Option<Head>, HttpError> {
         loop {
             let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
             let mut request = httparse::Request::new(&mut headers);
             if let httparse::Status::Complete(length) =
-                request.parse(&self.buffer).map_err(io::Error::other)?
+                request.parse(&self.buffer).context(MalformedHeadSnafu)?
             {
                 let head = Head {
                     status: 0,
@@ -128,56 +165,55 @@
                 return Ok(Some(head));
             }
             if !self.fill().await? {
-                return if self.buffer.is_empty() {
-                    Ok(None)
-                } else {
-                    Err(io::ErrorKind::UnexpectedEof.into())
-                };
+                return if self.buffer.is_empty() { Ok(None) } else { Err(HttpError::UnexpectedEnd) };
             }
         }
     }
 
-    /// Reads the head of an answer.
+    /// Reads the head of a response.
     ///
     /// # Errors
     ///
-    /// If the connection ends before or within it, or it is none.
-    pub async fn read_response_head(&mut self) -> io::Result<Head> {
+    /// If the connection ends before or within the head, or it is malformed.
+    pub async fn read_response_head(&mut self) -> Result<Head, HttpError> {
         loop {
             let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
-            let mut answer = httparse::Response::new(&mut headers);
+            let mut response = httparse::Response::new(&mut headers);
             if let httparse::Status::Complete(length) =
-                answer.parse(&self.buffer).map_err(io::Error::other)?
+                response.parse(&self.buffer).context(MalformedHeadSnafu)?
             {
-                let status = answer.code.unwrap_or_default();
-                let headers = owned_headers(answer.headers);
+                let status = response.code.unwrap_or_default();
+                let headers = owned_headers(response.headers);
                 self.buffer.drain(..length);
                 return Ok(Head { status, headers, ..Head::default() });
             }
             if !self.fill().await? {
-                return Err(io::ErrorKind::UnexpectedEof.into());
+                return Err(HttpError::UnexpectedEnd);
             }
         }
     }
 
-    /// Reads a body to its end and hands on each piece as it comes, for as long as that gives `true`.
+    /// Reads a body to its end and passes each chunk to `on_chunk` as it arrives, for as long as that returns `true`.
     ///
     /// # Errors
     ///
-    /// If the connection ends before the body does, or it is not framed; `Interrupted` if no more is wanted.
-    pub async fn read_body(&mut self, head: &Head, mut piece: impl FnMut(&[u8]) -> bool) -> io::Result<()> {
+    /// If the connection ends before the body does, or a response is not framed; [`HttpError::ReaderStopped`] if
+    /// `on_chunk` returns `false`.
+    pub async fn read_body(
+        &mut self, head: &Head, mut on_chunk: impl FnMut(&[u8]) -> bool,
+    ) -> Result<(), HttpError> {
         let framing = match (head.is_chunked(), head.length()) {
-            (true, _) => Framing::Chunks,
+            (true, _) => Framing::Chunked,
             (false, Some(length)) => Framing::Length(length),
             (false, None) => Framing::None,
         };
         match framing {
             Framing::None if head.status == 0 => Ok(()),
-            Framing::None => Err(io::Error::other("an answer without a length")),
-            Framing::Length(length) => self.read_exactly(length, &mut piece).await,
-            Framing::Chunks => loop {
+            Framing::None => Err(HttpError::UnframedResponse),
+            Framing::Length(length) => self.read_exactly(length, &mut on_chunk).await,
+            Framing::Chunked => loop {
                 let length = self.read_chunk_length().await?;
-                self.read_exactly(length, &mut piece).await?;
+                self.read_exactly(length, &mut on_chunk).await?;
                 self.read_line_end().await?;
                 if length == 0 {
                     return Ok(());
@@ -186,30 +222,32 @@
         }
     }
 
-    /// The same, as a whole.
+    /// Reads a body to its end and returns it.
     ///
     /// # Errors
     ///
     /// As [`Connection::read_body`].
-    pub async fn read_full_body(&mut self, head: &Head) -> io::Result<Vec<u8>> {
+    pub async fn read_full_body(&mut self, head: &Head) -> Result<Vec<u8>, HttpError> {
         let mut whole = Vec::new();
-        let take = |piece: &[u8]| {
-            whole.extend_from_slice(piece);
+        let append = |chunk: &[u8]| {
+            whole.extend_from_slice(chunk);
             true
         };
-        self.read_body(head, take).await?;
+        self.read_body(head, append).await?;
         Ok(whole)
     }
 
-    async fn read_exactly(&mut self, length: usize, piece: &mut impl FnMut(&[u8]) -> bool) -> io::Result<()> {
+    async fn read_exactly(
+        &mut self, length: usize, on_chunk: &mut impl FnMut(&[u8]) -> bool,
+    ) -> Result<(), HttpError> {
         let mut left = length;
         while left > 0 {
             if self.buffer.is_empty() && !self.fill().await? {
-                return Err(io::ErrorKind::UnexpectedEof.into());
+                return Err(HttpError::UnexpectedEnd);
             }
             let length_taken = left.min(self.buffer.len());
-            if !piece(&self.buffer[..length_taken]) {
-                return Err(io::ErrorKind::Interrupted.into());
+            if !on_chunk(&self.buffer[..length_taken]) {
+                return Err(HttpError::ReaderStopped);
             }
             self.buffer.drain(..length_taken);
             left -= length_taken;
@@ -217,35 +255,35 @@
         Ok(())
     }
 
-    async fn read_chunk_length(&mut self) -> io::Result<usize> {
+    async fn read_chunk_length(&mut self) -> Result<usize, HttpError> {
         loop {
             if let Some(end) = self.buffer.windows(2).position(|pair| pair == b"\r\n") {
                 let line: Vec<u8> = self.buffer.drain(..end + 2).take(end).collect();
-                let text = std::str::from_utf8(&line).map_err(io::Error::other)?;
-                return usize::from_str_radix(text.trim(), 16).map_err(io::Error::other);
+                let text = std::str::from_utf8(&line).map_err(|_| HttpError::MalformedChunk)?;
+                return usize::from_str_radix(text.trim(), 16).map_err(|_| HttpError::MalformedChunk);
             }
             if !self.fill().await? {
-                return Err(io::ErrorKind::UnexpectedEof.into());
+                return Err(HttpError::UnexpectedEnd);
             }
         }
     }
 
-    async fn read_line_end(&mut self) -> io::Result<()> {
+    async fn read_line_end(&mut self) -> Result<(), HttpError> {
         while self.buffer.len() < 2 {
             if !self.fill().await? {
-                return Err(io::ErrorKind::UnexpectedEof.into());
+                return Err(HttpError::UnexpectedEnd);
             }
         }
         let end: Vec<u8> = self.buffer.drain(..2).collect();
-        if end == b"\r\n" { Ok(()) } else { Err(io::Error::other("no line end behind a chunk")) }
+        if end == b"\r\n" { Ok(()) } else { Err(HttpError::MalformedChunk) }
     }
 
     /// Reads more; `false` at the end.
-    async fn fill(&mut self) -> io::Result<bool> {
+    async fn fill(&mut self) -> Result<bool, HttpError> {
         if self.buffer.len() > MAX_BYTES {
-            return Err(io::Error::other("too long"));
+            return Err(HttpError::TooLong);
         }
-        Ok(self.stream.read_buf(&mut self.buffer).await? > 0)
+        Ok(self.stream.read_buf(&mut self.buffer).await.context(SocketSnafu)? > 0)
     }
 }
 
@@ -256,7 +294,7 @@
     headers.iter().map(text).collect()
 }
 
-/// A request as bytes. The length is set here.
+/// Encodes a request; `Content-Length` is added.
 pub fn encode_request(method: &str, path: &str, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut bytes = format!("{method} {path} HTTP/1.1\r\nContent-Length: {}\r\n", body.len());
     for (name, value) in headers {
@@ -266,18 +304,20 @@
     [bytes.as_bytes(), body].concat()
 }
 
-/// Asks once over a connection of its own.
+/// Sends one request over a connection of its own and returns the response.
 ///
 /// # Errors
 ///
-/// If there is no whole answer in time.
-pub async fn exchange(address: SocketAddr, bytes: &[u8], within: Duration) -> io::Result<(Head, Vec<u8>)> {
-    let whole = async {
+/// If there is no complete response within `within`.
+pub async fn exchange(
+    address: SocketAddr, bytes: &[u8], within: Duration,
+) -> Result<(Head, Vec<u8>), HttpError> {
+    let response = async {
         let mut connection = Connection::open(address).await?;
         connection.write(bytes).await?;
         let head = connection.read_response_head().await?;
         let body = connection.read_full_body(&head).await?;
         Ok((head, body))
     };
-    timeout(within, whole).await?
+    timeout(within, response).await.unwrap_or(Err(HttpError::TimedOut))
 }
--- a/crates/soak/src/load/program.rs
+++ b/crates/soak/src/load/program.rs
@@ -1,6 +1,5 @@
 //! Agent programs: lines of stored turns that build on each other, within a budget.
 
-use std::io::ErrorKind;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -9,7 +8,7 @@
 use super::Shared;
 use super::operator::HOST;
 use crate::history::{Attempt, Budget, Millis, Outcome, RequestKind};
-use crate::http::{Connection, Head, encode_request};
+use crate::http::{Connection, Head, HttpError, encode_request};
 use juniperwing_random::Rng;
 
 /// The time that a turn is given, in milliseconds.
@@ -204,13 +203,11 @@
             events.complete.len() as u64 <= leaves_after
         });
         read.await?;
-        Ok::<_, std::io::Error>(head)
+        Ok::<_, HttpError>(head)
     };
     match timeout(Duration::from_millis(DEADLINE_MS + EXTRA_WAIT_MS), whole).await {
         Err(_) => (Outcome::TimedOut, StreamEnd::Truncated),
-        Ok(Err(error)) if error.kind() == ErrorKind::Interrupted => {
-            (Outcome::ClientDisconnected, StreamEnd::Truncated)
-        }
+        Ok(Err(HttpError::ReaderStopped)) => (Outcome::ClientDisconnected, StreamEnd::Truncated),
         Ok(Err(_)) => (Outcome::ConnectionLost { after_head }, StreamEnd::Truncated),
         Ok(Ok(head)) => {
             let is_signed = head.has("x-server-signature");
--- a/crates/soak/src/load/requests.rs
+++ b/crates/soak/src/load/requests.rs
@@ -8,7 +8,7 @@
 use super::Shared;
 use super::operator::HOST;
 use crate::history::{Attempt, Millis, Outcome, RequestKind};
-use crate::http::{Connection, encode_request};
+use crate::http::{Connection, HttpError, encode_request};
 use juniperwing_random::Rng;
 
 /// The time that a request is given, in milliseconds.
@@ -95,7 +95,7 @@
         let head = connection.read_response_head().await?;
         after_head = true;
         let body = connection.read_full_body(&head).await?;
-        Ok::<_, std::io::Error>((head, body))
+        Ok::<_, HttpError>((head, body))
     };
     let patience = Duration::from_millis(DEADLINE_MS + EXTRA_WAIT_MS);
     let (head, body) = match timeout(patience, whole).await {
--- a/crates/soak/tests/log.rs
+++ b/crates/soak/tests/log.rs
@@ -1,12 +1,11 @@
 //! A log that nobody reads.
 
-use std::io;
 use std::path::PathBuf;
 use std::process::Stdio;
 use std::time::Duration;
 
 use juniperwing_node::role::Role;
-use juniperwing_soak::http::{Head, encode_request, exchange};
+use juniperwing_soak::http::{Head, HttpError, encode_request, exchange};
 use juniperwing_soak::network::{FRONTEND_PORT, Network, READINESS_PORT};
 use tokio::process::Command;
 use tokio::time::{Instant, sleep};
@@ -28,7 +27,7 @@
 }
 
 /// What a relay with this standard error, held open and never read, answers when it has written more than a pipe holds.
-async fn readiness_after_many_lines(standard_error: Stdio, name: &str) -> io::Result<(Head, Vec<u8>)> {
+async fn readiness_after_many_lines(standard_error: Stdio, name: &str) -> Result<(Head, Vec<u8>), HttpError> {
     let (network, _reservation) =
         Network::reserve(u64::from(std::process::id()) + name.len() as u64).unwrap();
     let address = network.machine(Role::Relay, 0);
