--- a/crates/soak/src/coverage.rs
+++ b/crates/soak/src/coverage.rs
@@ -36,7 +36,7 @@
     }
 }
 
-/// Whether two faults are under way at the same time; what lasts no time counts as half a second.
+/// Whether two faults are active at the same time; an instant counts as half a second.
 fn is_overlapping(one: &Fault, other: &Fault) -> bool {
     let end = |fault: &Fault| fault.starts_at + fault.duration_ms.max(500);
     one.starts_at < end(other) && other.starts_at < end(one)
--- a/crates/soak/src/fault_injector.rs
+++ b/crates/soak/src/fault_injector.rs
@@ -102,9 +102,9 @@
             FaultKind::EndpointCrash => self.endpoints.crash(self.rng.below(6)).await,
             FaultKind::Burst => sleep(duration).await,
             FaultKind::ClientsDisconnect => {
-                self.shared.set_clients_disconnect(true);
+                self.shared.set_early_disconnects(true);
                 sleep(duration).await;
-                self.shared.set_clients_disconnect(false);
+                self.shared.set_early_disconnects(false);
             }
         }
     }
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! The faults that a tier may suffer.
+//! Kinds of faults that are injected into a tier.
 
 use std::fmt;
 
@@ -7,14 +7,14 @@
 /// A machine of the tier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Machine {
-    /// What runs on it.
+    /// The role that runs on it.
     pub role: Role,
-    /// Its number, from 0 on.
+    /// Its number among the machines of its role, from 0 on.
     pub number: usize,
 }
 
 impl Machine {
-    /// Whether its loss counts.
+    /// Whether it holds replicated state, so that its loss counts against the fault tolerance of the tier.
     pub fn is_stateful(self) -> bool {
         self.role != Role::Relay
     }
@@ -26,57 +26,57 @@
     }
 }
 
-/// Which way a cut goes.
+/// The direction of a network partition, as seen from the partitioned machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
     /// What the machine sends is lost.
     Out,
-    /// What it is sent is lost.
+    /// What is sent to it is lost.
     In,
     /// Both.
     Both,
 }
 
-/// What a settings file holds when a process is told to read it again.
+/// Contents of a settings file that a process reloads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SettingsFile {
     /// Other seeds.
     OtherSeeds,
     /// Nothing.
     Empty,
-    /// What cannot be read.
+    /// A syntax error.
     Broken,
     /// Another address and another data folder.
     Moved,
 }
 
-/// What endpoints do to the requests that they get.
+/// How endpoints misbehave towards requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Misbehaviour {
-    /// They run them and close without an answer.
+    /// They run them and reset the connection without a response.
     LoseAnswers,
-    /// They answer twice.
+    /// They respond twice.
     AnswerTwice,
-    /// They break off in the middle of the answer.
+    /// They reset the connection in the middle of the response.
     BreakOff,
-    /// They answer under another id.
+    /// They respond under another request id.
     OtherId,
-    /// They say nothing.
+    /// They never respond.
     Hang,
-    /// They decline.
+    /// They refuse with 503.
     Decline,
 }
 
-/// A fault.
+/// A kind of fault with the machine that it affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// SIGKILL; back after a while.
+    /// SIGKILL; started again after the duration.
     Kill(Machine),
     /// SIGKILL again and again while it starts.
     KillDuringStart(Machine),
     /// SIGKILL and an empty disk.
     Wipe(Machine),
-    /// A store is to be emptied; it is taken away with its disk when that is done, and an empty one comes.
+    /// A store is retired by order; once that is completed it is replaced by an empty one.
     Retire(Machine),
     /// SIGSTOP for a while.
     Freeze(Machine),
@@ -88,13 +88,13 @@
     StopDuringStart(Machine),
     /// SIGHUP with a settings file that has changed.
     Reload(Machine, SettingsFile),
-    /// Cut off from keepers and stores.
+    /// Partitioned from keepers and stores.
     Partition(Machine, Direction),
     /// All of its links are reset.
     Reset(Machine),
-    /// Its links take longer.
+    /// Its links have a higher latency.
     SlowLinks(Machine),
-    /// Its disk answers nothing.
+    /// Its disk operations block.
     DiskStall(Machine),
     /// Its disk is full for a while.
     DiskFull(Machine),
@@ -102,7 +102,7 @@
     DiskSlow(Machine),
     /// The thread that writes to its disk panics.
     DiskPanic(Machine),
-    /// Its time of day steps.
+    /// Its wall clock steps.
     ClockStep(Machine),
     /// All keepers and stores are killed at once.
     KillAllStateful,
@@ -114,11 +114,11 @@
     Endpoints(Misbehaviour),
     /// An endpoint drains and is replaced.
     ReplaceEndpoint,
-    /// An endpoint is gone without a word; another one takes its address.
+    /// An endpoint disappears without draining; another one takes its address.
     EndpointCrash,
-    /// Clients come in greater number.
+    /// Many more clients send requests.
     Burst,
-    /// Clients leave in the middle.
+    /// Clients disconnect before the response is complete.
     ClientsDisconnect,
 }
 
@@ -154,7 +154,7 @@
         }
     }
 
-    /// The machine that it strikes, if it strikes one.
+    /// The machine that it affects, if it affects a single one.
     pub fn machine(self) -> Option<Machine> {
         match self {
             FaultKind::Kill(machine)
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Whether machines whose loss counts are lost meanwhile: at most one may be at a time, if service is to go on.
+    /// Whether it takes down stateful machines: at most one may be down at a time if the tier is to stay available.
     pub fn takes_down_stateful_machine(self) -> bool {
         if self.exceeds_tolerance() {
             return true;
@@ -194,7 +194,7 @@
         !harmless && self.machine().is_some_and(Machine::is_stateful)
     }
 
-    /// Whether it strikes more machines than may be lost at once.
+    /// Whether it takes down more machines at once than the tier tolerates.
     pub fn exceeds_tolerance(self) -> bool {
         matches!(self, FaultKind::KillAllStateful | FaultKind::KillAll | FaultKind::KillAllWipeOne(_))
     }
@@ -204,7 +204,7 @@
         matches!(self, FaultKind::Wipe(_) | FaultKind::KillAllWipeOne(_))
     }
 
-    /// Whether it is work that the platform plans, or what clients do: nothing that was read may be cut by it.
+    /// Whether it is planned work of the platform, or behaviour of clients: no request that was read may be cut by it.
     pub fn is_planned(self) -> bool {
         matches!(
             self,
@@ -217,7 +217,7 @@
         )
     }
 
-    /// Whether it is a fault of the tier's own machines, as against clients and endpoints.
+    /// Whether it affects machines of the tier, not only clients or endpoints.
     pub fn affects_tier(self) -> bool {
         self.machine().is_some() || self.exceeds_tolerance()
     }
--- a/crates/soak/src/faulty_host.rs
+++ b/crates/soak/src/faulty_host.rs
@@ -1,4 +1,4 @@
-//! The machine under a role that can be told to misbehave: its links, datagrams, clock and disk.
+//! A host for a role whose links, datagrams, clock and disk can be made to fail.
 
 mod disk;
 mod host;
--- a/crates/soak/src/faulty_host/disk.rs
+++ b/crates/soak/src/faulty_host/disk.rs
@@ -1,5 +1,4 @@
-//! A folder of the real file system whose unsynced writes are lost with the process, and that can be told to
-//! misbehave.
+//! A directory of the real file system that loses unsynced writes when the process ends, and that can be made to fail.
 //!
 //! What is written to a file lies in memory until the file is synced, so a kill costs what a loss of power may cost.
 //! Names last at once: a new file, a renamed or a removed one may be kept by a loss of power, too.
@@ -20,9 +19,9 @@
 
 /// How long a sync takes.
 const SYNC_DURATION: Duration = Duration::from_millis(2);
-/// Between the two halves of what is made to last, so that a kill may tear it.
+/// Pause between the two halves of a synced write, so that a kill may tear it.
 const TORN_WRITE_GAP: Duration = Duration::from_micros(300);
-/// How often a disk that answers nothing looks whether it may.
+/// How often a stalled disk checks whether it may go on.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The disk of a process.
@@ -38,7 +37,7 @@
         FaultyDisk { rules, unsynced: Mutex::default() }
     }
 
-    /// Waits while the disk answers nothing. Returns what it does then.
+    /// Waits while the disk is stalled. Returns the fault that applies then.
     fn fault(&self) -> DiskFault {
         loop {
             match self.rules.get(|rules| rules.disk) {
--- a/crates/soak/src/faulty_host/host.rs
+++ b/crates/soak/src/faulty_host/host.rs
@@ -1,4 +1,4 @@
-//! The machine as the role sees it.
+//! The host that a role runs on.
 
 use std::hash::{BuildHasher, RandomState};
 use std::io;
@@ -67,7 +67,7 @@
         Box::pin(async move {
             wait_until_reachable(&rules, address).await;
             let socket = TcpSocket::new_v4()?;
-            // By its address the other end knows whom the rules mean.
+            // The peer recognises by this address which rules apply.
             socket.bind(from)?;
             apply_rules(socket.connect(address).await?, &rules)
         })
--- a/crates/soak/src/faulty_host/link.rs
+++ b/crates/soak/src/faulty_host/link.rs
@@ -1,8 +1,8 @@
-//! Connections whose bytes can be held back, delayed or thrown away.
+//! Connections whose bytes can be held back or delayed, and which can be reset.
 //!
-//! A task for each direction carries bytes between the process and the socket. While the way to the other machine
-//! is cut, bytes wait; once they have waited for the connection's user time-out, both directions are reset, as the
-//! operating system would do.
+//! A task for each direction copies bytes between the process and the socket. While the link to the peer is cut, bytes
+//! wait; once they have waited for the connection's user time-out, both directions are reset, as the operating system
+//! would do.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -23,12 +23,12 @@
 
 /// Bytes that may wait in each direction, as in a socket's buffers.
 const BUFFER_BYTES: usize = 128 << 10;
-/// Bytes that are carried at a time.
+/// Bytes that are copied at a time.
 const CHUNK_BYTES: usize = 16 << 10;
-/// How often what is held back looks whether it may go on.
+/// How often a link that is cut is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What both directions of a connection share.
+/// State that both directions of a connection share.
 struct ConnectionState {
     rules: LiveFaultRules,
     peer: IpAddr,
@@ -61,11 +61,11 @@
     }
 }
 
-/// Puts a connection under the rules.
+/// Wraps a connection so that it follows the fault rules.
 ///
 /// # Errors
 ///
-/// If the connection is gone.
+/// If the connection is closed.
 pub fn apply_rules(stream: TcpStream, rules: &LiveFaultRules) -> io::Result<SimulatedStream> {
     let peer = stream.peer_addr()?;
     stream.set_nodelay(true)?;
@@ -85,7 +85,7 @@
     Ok(SimulatedStream { peer, reader: Box::new(reader), writer: Box::new(Writer { inner: writer, shared }) })
 }
 
-/// Waits until the way to a machine is free, in both directions.
+/// Waits until the links to and from a machine are not cut.
 pub async fn wait_until_reachable(rules: &LiveFaultRules, peer: SocketAddr) {
     let is_cut =
         || rules.get(|rules| rules.cut_to.contains(&peer.ip()) || rules.cut_from.contains(&peer.ip()));
@@ -115,12 +115,12 @@
 async fn copy_out(shared: Arc<ConnectionState>, mut from: DuplexStream, mut to: OwnedWriteHalf) {
     if copy_out_until_end(&shared, &mut from, &mut to).await.is_err() {
         shared.mark_broken();
-        // Dropped, the connection is reset: a machine that gives one up says so once it can.
+        // Makes the drop reset the connection: the peer learns of it as soon as the link is back.
         let _ = socket2::SockRef::from(to.as_ref()).set_linger(Some(Duration::ZERO));
     }
 }
 
-/// Carries bytes out until the process closes its side.
+/// Copies bytes out until the process closes its side.
 async fn copy_out_until_end(
     shared: &ConnectionState, from: &mut DuplexStream, to: &mut OwnedWriteHalf,
 ) -> io::Result<()> {
--- a/crates/soak/src/faulty_host/node.rs
+++ b/crates/soak/src/faulty_host/node.rs
@@ -1,4 +1,4 @@
-//! A process of the soak that runs one role on a machine that can be told to misbehave.
+//! The command `node`: a process that runs one role on a faulty host.
 
 use std::io::{Read, stdin};
 use std::path::PathBuf;
@@ -14,7 +14,7 @@
 use super::host::FaultyHost;
 use super::rules::LiveFaultRules;
 
-/// The exit code of a process whose soak is gone.
+/// Exit code of a process whose parent, the soak, has ended.
 const ORPHANED_EXIT_CODE: i32 = 9;
 
 /// Runs `ROLE RULES SETTINGS` until the platform ends the process. It ends with the soak, too: its standard input
@@ -31,7 +31,7 @@
     exit_with_parent();
     let machine = Settings::read(Some(settings.as_ref())).map(|settings| settings.ip_address);
     let (Ok(address), Ok(rules)) = (machine, LiveFaultRules::follow(PathBuf::from(rules))) else {
-        // The role tells what is wrong with its settings.
+        // The role reports what is wrong with its settings.
         return run_role(role, &["--settings".to_owned(), settings.clone()]);
     };
     let _machine = simulate(Arc::new(FaultyHost::new(address, rules)));
@@ -41,7 +41,7 @@
 fn exit_with_parent() {
     thread::spawn(|| {
         let mut nothing = [0; 1];
-        // Nothing is ever written to it.
+        // The soak never writes to the pipe.
         while matches!(stdin().read(&mut nothing), Ok(length) if length > 0) {}
         exit(ORPHANED_EXIT_CODE);
     });
--- a/crates/soak/src/faulty_host/rules.rs
+++ b/crates/soak/src/faulty_host/rules.rs
@@ -1,4 +1,4 @@
-//! What a process is told to suffer: a file that the soak replaces and the process reads again and again.
+//! Fault rules of a process: a file that the soak replaces and the process polls.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -13,20 +13,20 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How often a process looks whether its file has changed.
+/// How often a process reads its file.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a disk does.
+/// How a disk fails.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DiskFault {
     /// It works.
     #[default]
     None,
-    /// It answers nothing.
+    /// Its operations block.
     Stalls,
-    /// It takes no more bytes: half of what is written, then an error.
+    /// It is full: half of a write is accepted, then it fails.
     Refuses,
-    /// Each sync takes so long.
+    /// Each sync takes this long.
     Slow {
         /// In milliseconds.
         ms: u64,
@@ -35,25 +35,25 @@
     Panics,
 }
 
-/// What a process is told to suffer.
+/// The faults of the host under a process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FaultRules {
     /// Machines that this one's bytes do not reach.
     pub cut_to: BTreeSet<IpAddr>,
-    /// Machines whose bytes do not reach this one. They hold them back; here it stops acknowledgements only.
+    /// Machines whose bytes do not reach this one. The senders hold the bytes back; here only acknowledgements stop.
     pub cut_from: BTreeSet<IpAddr>,
-    /// How much longer bytes take on links.
+    /// Additional latency of links, in milliseconds.
     pub link_delay_ms: u64,
-    /// Raised to have all links reset.
+    /// Incremented to reset all links.
     pub resets: u64,
-    /// The disk.
+    /// The fault of the disk.
     pub disk: DiskFault,
-    /// How much the time of day is off.
+    /// Offset of the wall clock, in milliseconds.
     pub clock_offset_ms: i64,
 }
 
 impl FaultRules {
-    /// Writes them for a process, whole at once.
+    /// Writes the rules for a process, atomically.
     ///
     /// # Errors
     ///
@@ -65,12 +65,12 @@
     }
 }
 
-/// The rules of this process, as they stand.
+/// The present rules of this process.
 #[derive(Clone, Debug)]
 pub struct LiveFaultRules(Arc<Mutex<FaultRules>>);
 
 impl LiveFaultRules {
-    /// Follows the rules in a file, for as long as the process lives.
+    /// Polls the rules in a file for as long as the process runs.
     ///
     /// # Errors
     ///
@@ -89,7 +89,7 @@
         Ok(rules)
     }
 
-    /// Something about them as they stand.
+    /// Reads a value from the present rules.
     pub fn get<T>(&self, read: impl FnOnce(&FaultRules) -> T) -> T {
         read(&lock(&self.0))
     }
--- a/crates/soak/src/final_checks.rs
+++ b/crates/soak/src/final_checks.rs
@@ -41,11 +41,11 @@
     "juniperwing_questions_waiting",
 ];
 
-/// Checks that nearly all requests that were sent in an interval after the last fault were served, and that an order was
-/// acknowledged.
+/// Checks that nearly all requests that were sent in an interval after the last fault were served, and that an order
+/// was acknowledged.
 pub(crate) fn check_service_at_rest(shared: &Shared, from: Millis, until: Millis) {
     let history = &shared.history;
-    let (mut served, mut all, mut examples) = (0, 0, Vec::new());
+    let (mut served, mut total, mut examples) = (0, 0, Vec::new());
     {
         let record = history.record();
         let at_rest = record.attempts.iter().filter(|(_, attempt)| (from..until).contains(&attempt.sent_at));
@@ -56,13 +56,15 @@
                 Outcome::Status { status: 200 | 402, .. } => served += 1,
                 other => examples.push(format!("{id} by relay {}: {other:?}", attempt.relay)),
             }
-            all += 1;
+            total += 1;
         }
     }
-    if served * 100 < all * MIN_SERVED_AT_REST_PERCENT || all == 0 {
+    if served * 100 < total * MIN_SERVED_AT_REST_PERCENT || total == 0 {
         examples.truncate(MAX_EXAMPLES);
-        history
-            .record_finding("all is well after recovery", format!("{served} of {all} served; {examples:?}"));
+        history.record_finding(
+            "all is well after recovery",
+            format!("{served} of {total} served; {examples:?}"),
+        );
     }
     let orders = history
         .record()
@@ -78,11 +80,11 @@
 /// Checks that acknowledged state was not lost: the configuration can be read and stored turns can be continued.
 pub(crate) async fn check_acknowledged_state(shared: &Arc<Shared>) {
     let history = &shared.history;
-    let mut read = false;
+    let mut is_readable = false;
     for keeper in 0..KEEPER_COUNT * 3 {
-        read |= read_configuration(shared, keeper).await.is_some();
+        is_readable |= read_configuration(shared, keeper).await.is_some();
     }
-    if !read {
+    if !is_readable {
         history.record_finding("the configuration is read back", "no keeper answered".to_owned());
     }
     let stored = shared.stored_turns();
@@ -147,16 +149,16 @@
 
 async fn metrics_page(shared: &Arc<Shared>, machine: Machine) -> Option<String> {
     let address = shared.network.listener(machine.role, machine.number, METRICS_PORT);
-    let question = encode_request("GET", "/metrics", &[("Host", "figures")], b"");
-    let (head, body) = exchange(address, &question, METRICS_TIMEOUT).await.ok()?;
+    let request = encode_request("GET", "/metrics", &[("Host", "figures")], b"");
+    let (head, body) = exchange(address, &request, METRICS_TIMEOUT).await.ok()?;
     (head.status == 200).then(|| String::from_utf8_lossy(&body).into_owned())
 }
 
 /// Whether a fault may leave a reservation that is never released: the relay of a turn is killed, or no store can be
 /// reached for long.
 fn may_leave_reservations_behind(fault: &Fault) -> bool {
-    let of_a_relay = fault.kind.machine().is_some_and(|machine| machine.role == Role::Relay);
-    let ends_at_once = matches!(fault.kind, FaultKind::Kill(_) | FaultKind::KillDuringStart(_));
+    let is_of_relay = fault.kind.machine().is_some_and(|machine| machine.role == Role::Relay);
+    let kills_process = matches!(fault.kind, FaultKind::Kill(_) | FaultKind::KillDuringStart(_));
     let is_long = fault.duration_ms >= 4_000 && fault.kind.affects_tier();
-    (of_a_relay && ends_at_once) || fault.kind.exceeds_tolerance() || is_long
+    (is_of_relay && kills_process) || fault.kind.exceeds_tolerance() || is_long
 }
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -1,4 +1,4 @@
-//! What callers and endpoints saw, with the times of the faults.
+//! The record of a play: what callers and endpoints observed, and when faults were active.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Mutex, MutexGuard};
@@ -11,69 +11,69 @@
 /// Milliseconds since the play began.
 pub type Millis = u64;
 
-/// What a request may suffer.
+/// How often a request may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
-    /// It may run more than once.
-    Repeatable,
-    /// It may run once.
-    Once,
-    /// A turn that is kept; it may run once.
+    /// Idempotent: it may run more than once.
+    Idempotent,
+    /// Non-idempotent: it may run at most once.
+    NonIdempotent,
+    /// A stored turn; it may run at most once.
     Turn,
 }
 
-/// How a try of a client ended.
+/// How an attempt of a client ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// With a whole answer.
+    /// With a complete response.
     Status {
         /// Its status.
         status: u16,
-        /// Whether an endpoint gave it.
+        /// Whether it carries the signature of an endpoint.
         is_signed: bool,
     },
-    /// The connection ended before the answer did.
+    /// The connection ended before the response did.
     ConnectionLost {
-        /// Whether the head of the answer had come.
+        /// Whether the head of the response had arrived.
         after_head: bool,
     },
-    /// The client waited for far longer than its deadline.
+    /// The client gave up long after its deadline.
     TimedOut,
-    /// The client left.
+    /// The client disconnected.
     ClientDisconnected,
-    /// The request could not be sent whole.
+    /// The request could not be sent completely.
     NotSent,
 }
 
-/// One try of a client.
+/// One request that a client sent once.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// What it may suffer.
+    /// How often it may run.
     pub kind: RequestKind,
     /// The program, if it is a turn.
     pub program: Option<String>,
-    /// The relay that took it, by its number.
+    /// The number of the relay that it was sent to.
     pub relay: usize,
     /// When its last byte was sent.
     pub sent_at: Millis,
-    /// The time that it was given.
+    /// Its deadline, in milliseconds after it was sent.
     pub deadline_ms: Millis,
-    /// What an endpoint must be handed.
+    /// The body that an endpoint must receive.
     pub expected_body: Vec<u8>,
-    /// How it ended, and when.
+    /// When and how it ended; `None` while it is in flight.
     pub outcome: Option<(Millis, Outcome)>,
     /// Tokens that reached the client.
     pub tokens: u64,
     /// When it ran, and at which endpoint.
     pub runs: Vec<(Millis, String)>,
-    /// What its runs answered: one that may be repeated may have several.
+    /// The responses of its runs: an idempotent request may have several.
     pub answers: Vec<Vec<u8>>,
-    /// Whether an endpoint broke off or misbehaved otherwise.
+    /// Whether an endpoint misbehaved towards it.
     pub has_endpoint_fault: bool,
 }
 
 impl Attempt {
-    /// One that is about to be sent to a relay.
+    /// An attempt that is about to be sent to a relay.
     pub fn begin(
         kind: RequestKind, relay: usize, sent_at: Millis, deadline_ms: Millis, expected_body: Vec<u8>,
     ) -> Attempt {
@@ -93,32 +93,32 @@
     }
 }
 
-/// What a program may spend.
+/// The token budget of a program.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
-    /// Tokens of all turns.
+    /// The maximum number of tokens of all turns.
     pub tokens: u64,
-    /// The most of one turn.
+    /// The maximum number of tokens of one turn.
     pub max_turn_tokens: u64,
 }
 
-/// One answer to an order.
+/// One response to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OrderAnswer {
-    /// The keeper, by its number.
+    /// The number of the keeper.
     pub keeper: usize,
-    /// When it was sent there.
+    /// When the order was sent to this keeper.
     pub sent_at: Millis,
-    /// When the answer came.
+    /// When the response arrived.
     pub at: Millis,
     /// Its status.
     pub status: u16,
 }
 
-/// A configuration that an operator sent, to one keeper after the other.
+/// A configuration change that an operator sent to one keeper after the other.
 #[derive(Clone, Debug)]
 pub struct Order {
-    /// The generation that it builds on.
+    /// The generation that it replaces.
     pub base: u64,
     /// Its own generation.
     pub generation: u64,
@@ -126,7 +126,7 @@
     pub body: Vec<u8>,
     /// When it was sent first.
     pub sent_at: Millis,
-    /// The answers that came.
+    /// The responses that arrived.
     pub answers: Vec<OrderAnswer>,
 }
 
@@ -142,29 +142,29 @@
     }
 }
 
-/// An answer to a read of the configuration.
+/// A response to a read of the configuration.
 #[derive(Clone, Debug)]
 pub struct ConfigurationRead {
-    /// The keeper, by its number.
+    /// The number of the keeper.
     pub keeper: usize,
-    /// When it was asked.
+    /// When the request was sent.
     pub sent_at: Millis,
-    /// When it answered.
+    /// When the response arrived.
     pub at: Millis,
     /// The status.
     pub status: u16,
-    /// The bytes.
+    /// The body.
     pub body: Vec<u8>,
 }
 
-/// A probe of the configuration in force at a relay.
+/// A probe of the configuration that a relay applies.
 #[derive(Clone, Copy, Debug)]
 pub struct RelayProbe {
-    /// The relay, by its number.
+    /// The number of the relay.
     pub relay: usize,
-    /// Which start of its process this was.
+    /// The incarnation of its process.
     pub incarnation: u64,
-    /// When it was asked.
+    /// When the request was sent.
     pub sent_at: Millis,
     /// The generation whose route was asked for.
     pub generation: u64,
@@ -172,7 +172,7 @@
     pub status: u16,
 }
 
-/// A fault as it was played.
+/// A fault as it was injected.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultInterval {
     /// The kind of fault.
@@ -197,16 +197,16 @@
 /// A violation of a guarantee.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Finding {
-    /// The promise that was broken, in a word.
+    /// The guarantee that was violated, in a few words.
     pub guarantee: &'static str,
-    /// What was seen.
+    /// What was observed.
     pub details: String,
 }
 
-/// All that was seen.
+/// Everything that was observed.
 #[derive(Debug, Default)]
 pub struct Record {
-    /// Tries by the id of the request.
+    /// Attempts by the id of the request.
     pub attempts: BTreeMap<String, Attempt>,
     /// Budgets by program.
     pub budgets: BTreeMap<String, Budget>,
@@ -216,19 +216,19 @@
     pub reads: Vec<ConfigurationRead>,
     /// Probes of relays.
     pub probes: Vec<RelayProbe>,
-    /// Faults.
+    /// Intervals in which faults were active.
     pub fault_intervals: Vec<FaultInterval>,
-    /// When turns were answered whole.
+    /// When turns were served completely.
     pub turns_served: Vec<Millis>,
-    /// When plain requests were answered whole.
+    /// When plain requests were served completely.
     pub requests_served: Vec<Millis>,
     /// Runs that began too long after the endpoint had drained.
     pub late_runs: Vec<LateRun>,
-    /// What was found at once.
+    /// Findings of the play itself, as against those of the oracle.
     pub findings: BTreeSet<Finding>,
 }
 
-/// The record of a play, while it goes on.
+/// The record of a play in progress.
 #[derive(Debug)]
 pub struct History {
     began: Instant,
@@ -247,19 +247,19 @@
         self.began.elapsed().as_millis() as Millis
     }
 
-    /// The record as it stands.
+    /// Locks the record.
     pub fn record(&self) -> MutexGuard<'_, Record> {
         lock(&self.record)
     }
 
-    /// Something that must not be was seen.
+    /// Records a violation of a guarantee at the present time.
     pub fn record_finding(&self, guarantee: &'static str, details: String) {
         let at = self.now();
         let details = format!("at {at} ms: {details}");
         self.record().findings.insert(Finding { guarantee, details });
     }
 
-    /// A request begins to run at an endpoint, which was handed this body. `false` if nobody sent it.
+    /// Records that a request began to run at an endpoint with this body. Returns `false` if nobody sent it.
     pub fn record_run(&self, request: &str, instance: &str, body: &[u8]) -> bool {
         let at = self.now();
         let mut record = self.record();
@@ -276,21 +276,21 @@
         true
     }
 
-    /// The endpoint that runs a request breaks off or misbehaves otherwise.
+    /// Records that the endpoint that runs a request misbehaves.
     pub fn record_endpoint_fault(&self, request: &str) {
         if let Some(attempt) = self.record().attempts.get_mut(request) {
             attempt.has_endpoint_fault = true;
         }
     }
 
-    /// The endpoint answers a request.
+    /// Records the response of an endpoint to a request.
     pub fn record_answer(&self, request: &str, answer: &[u8]) {
         if let Some(attempt) = self.record().attempts.get_mut(request) {
             attempt.answers.push(answer.to_owned());
         }
     }
 
-    /// Whether an endpoint gave this answer to a request.
+    /// Whether an endpoint gave this response to a request.
     pub fn is_answer_to(&self, request: &str, answer: &[u8]) -> bool {
         self.record()
             .attempts
@@ -298,7 +298,7 @@
             .is_some_and(|attempt| attempt.answers.iter().any(|given| given == answer))
     }
 
-    /// A client's try has ended.
+    /// Records how a client's attempt ended and how many tokens it received.
     pub fn record_outcome(&self, request: &str, outcome: Outcome, tokens: u64) {
         let at = self.now();
         let mut record = self.record();
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,10 +1,10 @@
-//! Runs a whole tier as real processes on loopback under random faults, and judges it by what its callers saw.
+//! Runs a whole tier as real processes on loopback under random faults, and checks what its callers observe.
 //!
 //! The processes run the roles as they are; only the machine under them ([`juniperwing_node::host`]) is replaced by
-//! one whose links and disks can be told to misbehave ([`faulty_host`]). The shipped program does not contain that. A
-//! schedule of overlapping faults is drawn from a seed ([`schedule`]) and played on the tier ([`tier`]) while
-//! programs, plain clients and operators work ([`load`]). What they saw goes into a [`history`], which an [`oracle`]
-//! judges. `docs/soak.md` tells what is judged and how to use it.
+//! one whose links and disks can be made to fail ([`faulty_host`]). The shipped program does not contain that. A
+//! schedule of overlapping faults is drawn from a seed ([`schedule`]) and injected into the tier ([`tier`]) while
+//! programs, plain clients and operators generate load ([`load`]). What they observe is recorded in a [`history`],
+//! which an [`oracle`] checks. `docs/soak.md` describes what is checked and how to use it.
 
 pub mod command;
 pub mod coverage;
--- a/crates/soak/src/load.rs
+++ b/crates/soak/src/load.rs
@@ -1,4 +1,4 @@
-//! Those who use the tier: endpoints, programs, plain clients, operators.
+//! Users of the tier: endpoints, programs, plain clients and operators.
 
 mod endpoint;
 mod operator;
@@ -27,38 +27,38 @@
 pub use self::platform::Platform;
 pub use self::program::{StoredTurn, continue_turn};
 
-/// Lines of programs at the same time.
+/// Programs at the same time.
 const PROGRAM_LINE_COUNT: u64 = 6;
 /// Plain clients at the same time.
 const CLIENT_COUNT: u64 = 5;
 /// Further plain clients in a burst.
 const BURST_CLIENT_COUNT: u64 = 40;
 
-/// What all users share.
+/// State that all users share.
 #[derive(Debug)]
 pub struct Shared {
     /// The addresses.
     pub network: Network,
     /// The tier.
     pub tier: Arc<Tier>,
-    /// What is seen.
+    /// Where observations are recorded.
     pub history: Arc<History>,
-    /// Which relays take connections.
+    /// Readiness of the relays.
     pub platform: Arc<Platform>,
     /// The seed of the play.
     pub seed: u64,
     /// Whether the load goes on.
     running: AtomicBool,
-    /// What endpoints do to requests at present.
+    /// How endpoints misbehave at present.
     misbehaviour: Mutex<Option<Misbehaviour>>,
-    /// Whether clients leave in the middle at present.
-    clients_disconnect: AtomicBool,
+    /// Whether clients disconnect early at present.
+    early_disconnects: AtomicBool,
     numbers: AtomicU64,
     stored_turns: Mutex<Vec<StoredTurn>>,
 }
 
 impl Shared {
-    /// Nobody works yet.
+    /// State for a load that has not started yet.
     pub fn new(
         network: Network, tier: Arc<Tier>, history: Arc<History>, platform: Arc<Platform>, seed: u64,
     ) -> Shared {
@@ -70,7 +70,7 @@
             seed,
             running: AtomicBool::new(true),
             misbehaviour: Mutex::default(),
-            clients_disconnect: AtomicBool::new(false),
+            early_disconnects: AtomicBool::new(false),
             numbers: AtomicU64::new(0),
             stored_turns: Mutex::default(),
         }
@@ -81,12 +81,12 @@
         self.running.load(Ordering::Relaxed)
     }
 
-    /// Ends the load: whoever is at work finishes what is under way.
+    /// Ends the load: users finish what is in flight.
     pub fn stop(&self) {
         self.running.store(false, Ordering::Relaxed);
     }
 
-    /// What endpoints do from now on.
+    /// Sets how endpoints misbehave from now on.
     pub fn set_misbehaviour(&self, misbehaviour: Option<Misbehaviour>) {
         *lock(&self.misbehaviour) = misbehaviour;
     }
@@ -95,42 +95,42 @@
         *lock(&self.misbehaviour)
     }
 
-    /// Whether clients leave in the middle from now on.
-    pub fn set_clients_disconnect(&self, clients_disconnect: bool) {
-        self.clients_disconnect.store(clients_disconnect, Ordering::Relaxed);
+    /// Sets whether clients disconnect early from now on.
+    pub fn set_early_disconnects(&self, early_disconnects: bool) {
+        self.early_disconnects.store(early_disconnects, Ordering::Relaxed);
     }
 
-    fn do_clients_disconnect(&self) -> bool {
-        self.clients_disconnect.load(Ordering::Relaxed)
+    fn has_early_disconnects(&self) -> bool {
+        self.early_disconnects.load(Ordering::Relaxed)
     }
 
-    /// A turn was answered whole.
+    /// Records a turn that was served completely.
     fn add_stored_turn(&self, turn: &StoredTurn) {
         lock(&self.stored_turns).push(turn.clone());
     }
 
-    /// The turns that were answered whole.
+    /// The turns that were served completely.
     pub fn stored_turns(&self) -> Vec<StoredTurn> {
         lock(&self.stored_turns).clone()
     }
 
-    /// A name that is used once.
+    /// A name that is unique within the play.
     fn unique_name(&self, prefix: &str) -> String {
         format!("{prefix}{:06x}", self.numbers.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// A sequence of draws of its own.
+    /// A random stream of its own for a purpose.
     fn rng(&self, purpose: &str) -> Rng {
         Rng::for_named_purpose(self.seed, purpose)
     }
 
-    /// A keeper's control listener.
+    /// The address of a keeper's control listener; numbers wrap around.
     fn keeper(&self, number: usize) -> std::net::SocketAddr {
         self.network.listener(Role::Keeper, number % KEEPER_COUNT, CONTROL_PORT)
     }
 }
 
-/// Has programs and plain clients work until the load ends.
+/// Starts programs, plain clients and probes, which run until the load ends.
 pub fn start_clients(shared: &Arc<Shared>, tasks: &mut JoinSet<()>) {
     for line in 0..PROGRAM_LINE_COUNT {
         tasks.spawn(program::run(Arc::clone(shared), line));
@@ -141,7 +141,7 @@
     tasks.spawn(probe::run(Arc::clone(shared)));
 }
 
-/// Has many more clients come for a while.
+/// Starts many more clients, which run until a time.
 pub fn burst(shared: &Arc<Shared>, until: u64, tasks: &mut JoinSet<()>) {
     for client in 0..BURST_CLIENT_COUNT {
         tasks.spawn(requests::run(Arc::clone(shared), 1_000 + client, until));
--- a/crates/soak/src/load/endpoint.rs
+++ b/crates/soak/src/load/endpoint.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for endpoints: they register with the keepers, run requests, tell the history, and misbehave when response_id.
+//! Stand-ins for endpoints: they register with the keepers, run requests, record them, and misbehave on demand.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -23,24 +23,24 @@
 pub const ENGINE: &str = "engine";
 /// The service of plain requests.
 pub const TOOL: &str = "tool";
-/// Machines for endpoints; the first half are engines at first.
+/// Number of machines for endpoints; the first half serve turns at first.
 const ENDPOINT_COUNT: usize = 6;
 const ENDPOINT_PORT: u16 = 8_080;
-/// Requests that one works on at a time.
+/// Requests that an endpoint runs at a time.
 const CAPACITY: usize = 16;
-/// Between two heartbeats (`heartbeatMs`).
+/// Interval between two heartbeats (`heartbeatMs`).
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(600);
-/// How long a keeper has for an answer.
+/// How long a response of a keeper may take.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// For how long it serves on when its end is acknowledged (`drainMs`).
+/// How long an endpoint serves after its drain was acknowledged (`drainMs`).
 pub const DRAIN_MS: Millis = 2_000;
-/// A little longer than it must.
+/// Additional time that an endpoint serves while it drains.
 const DRAIN_SLACK: Duration = Duration::from_millis(500);
-/// How often the end is response_id before it comes all the same.
+/// Attempts to report a drain before the endpoint ends without an acknowledgement.
 const MAX_DRAIN_ATTEMPTS: usize = 8;
-/// Before the address of one that is gone is used again (`reuseAfterS`).
+/// Delay before the address of an endpoint that crashed is used again (`reuseAfterS`).
 const ADDRESS_REUSE_DELAY: Duration = Duration::from_secs(2);
-/// In how many of a hundred cases one misbehaves when response_id to.
+/// Percentage of requests towards which endpoints misbehave while that fault lasts.
 const MISBEHAVIOUR_PERCENT: u64 = 35;
 
 /// One instance of an endpoint.
@@ -49,7 +49,7 @@
     id: String,
     service: &'static str,
     address: SocketAddr,
-    running: AtomicUsize,
+    requests_in_flight: AtomicUsize,
     sequence: AtomicU64,
     draining: AtomicBool,
     /// When a keeper acknowledged that it drains.
@@ -62,7 +62,7 @@
     }
 }
 
-/// A instance with the task that lives it.
+/// An instance with the task that runs it.
 #[derive(Debug)]
 struct RunningInstance {
     instance: Arc<EndpointInstance>,
@@ -78,7 +78,7 @@
 }
 
 impl Endpoints {
-    /// Starts all of them.
+    /// Starts all endpoints.
     pub fn start(shared: &Arc<Shared>) -> Endpoints {
         let endpoints =
             Endpoints { shared: Arc::clone(shared), instances: Mutex::default(), tasks: Mutex::default() };
@@ -90,7 +90,7 @@
         endpoints
     }
 
-    /// One drains and leaves; another instance takes its place.
+    /// Drains and deregisters an endpoint, and replaces it by a new instance.
     pub async fn replace(&self, number: u64) {
         let number = number as usize % ENDPOINT_COUNT;
         let instance = self.instance(number);
@@ -98,7 +98,7 @@
         self.start_replacement(number, &instance, instance.service);
     }
 
-    /// One is gone without a word; later its address goes to another service for a while.
+    /// Aborts an endpoint without a drain; later its address serves another service for some time.
     pub async fn crash(&self, number: u64) {
         let number = number as usize % ENDPOINT_COUNT;
         let instance = self.instance(number);
@@ -122,7 +122,7 @@
         lock(&self.instances)[number].task.abort();
     }
 
-    /// Another instance takes the place of one that is over, unless one has already.
+    /// Starts a new instance in place of `previous`, unless that has been replaced already.
     fn start_replacement(
         &self, number: usize, previous: &EndpointInstance, service: &'static str,
     ) -> Option<Arc<EndpointInstance>> {
@@ -141,7 +141,7 @@
             id: self.shared.unique_name("i-"),
             service,
             address: SocketAddr::new(self.shared.network.endpoint(number), ENDPOINT_PORT),
-            running: AtomicUsize::new(0),
+            requests_in_flight: AtomicUsize::new(0),
             sequence: AtomicU64::new(0),
             draining: AtomicBool::new(false),
             drained_at: Mutex::default(),
@@ -152,12 +152,12 @@
     }
 }
 
-/// Lives a instance: listens and registers, until the task is aborted.
+/// Runs an instance: listens and sends heartbeats until the task is aborted.
 async fn run(shared: Arc<Shared>, instance: Arc<EndpointInstance>) {
     let listener = loop {
         match TcpListener::bind(instance.address).await {
             Ok(listener) => break listener,
-            // The instance before is about to let go of it.
+            // The previous instance is about to release the address.
             Err(_) => sleep(Duration::from_millis(20)).await,
         }
     };
@@ -178,20 +178,19 @@
     }
 }
 
+/// Reports to a keeper that the instance is ready, until it drains; to the next keeper after a failure.
 async fn send_heartbeats(shared: &Arc<Shared>, instance: &EndpointInstance) {
     let mut rng = shared.rng(&instance.id);
     let mut keeper = rng.below(KEEPER_COUNT as u64) as usize;
     loop {
-        if !instance.draining.load(Ordering::Relaxed)
-            && !report_state(shared, instance, keeper, "ready").await
-        {
+        if !instance.is_draining() && !report_state(shared, instance, keeper, "ready").await {
             keeper += 1;
         }
         sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
-/// Tells a keeper of a state. Returns whether it was acknowledged.
+/// Reports a state to a keeper. Returns whether it was acknowledged.
 async fn report_state(shared: &Arc<Shared>, instance: &EndpointInstance, keeper: usize, state: &str) -> bool {
     let sequence = instance.sequence.fetch_add(1, Ordering::Relaxed) + 1;
     let body = serde_json::json!({
@@ -204,7 +203,7 @@
     matches!(exchange(shared.keeper(keeper), &call, RESPONSE_TIMEOUT).await, Ok((head, _)) if head.status == 200)
 }
 
-/// Drains and says good-bye.
+/// Reports the drain, serves until it is over, and deregisters.
 async fn drain_and_deregister(shared: &Arc<Shared>, instance: &EndpointInstance) {
     instance.draining.store(true, Ordering::Relaxed);
     for keeper in 0..MAX_DRAIN_ATTEMPTS {
@@ -228,14 +227,14 @@
     let mut rng = shared.rng(&shared.unique_name(&instance.id));
     while let Ok(Some(head)) = connection.read_request_head().await {
         let Ok(body) = connection.read_full_body(&head).await else { return };
-        if !answer(&shared, &instance, &mut connection, &head, &body, &mut rng).await {
+        if !respond(&shared, &instance, &mut connection, &head, &body, &mut rng).await {
             return;
         }
     }
 }
 
-/// Answers one request. Tells whether the connection goes on.
-async fn answer(
+/// Responds to one request. Returns whether the connection stays open.
+async fn respond(
     shared: &Arc<Shared>, instance: &EndpointInstance, connection: &mut Connection, head: &Head, body: &[u8],
     rng: &mut Rng,
 ) -> bool {
@@ -244,20 +243,20 @@
         return connection.write(&refusal(421, &id)).await.is_ok();
     }
     let misbehaviour = shared.misbehaviour().filter(|_| rng.percent(MISBEHAVIOUR_PERCENT));
-    let is_full = instance.running.load(Ordering::Relaxed) >= CAPACITY;
+    let is_full = instance.requests_in_flight.load(Ordering::Relaxed) >= CAPACITY;
     if is_full || misbehaviour == Some(Misbehaviour::Decline) {
         return connection.write(&refusal(503, &id)).await.is_ok();
     }
     record_run(shared, instance, &id, body);
-    instance.running.fetch_add(1, Ordering::Relaxed);
+    instance.requests_in_flight.fetch_add(1, Ordering::Relaxed);
     let keeps_connection = run_request(shared, instance, connection, head, misbehaviour, rng).await;
-    instance.running.fetch_sub(1, Ordering::Relaxed);
+    instance.requests_in_flight.fetch_sub(1, Ordering::Relaxed);
     keeps_connection
 }
 
 fn record_run(shared: &Arc<Shared>, instance: &EndpointInstance, id: &str, body: &[u8]) {
     let is_known = shared.history.record_run(id, &instance.id, body);
-    // Probes of the soak's own are not recorded.
+    // The soak's own probes are not recorded.
     if !is_known && !id.starts_with('v') {
         shared.history.record_finding("a request that nobody sent", format!("{id} at {}", instance.id));
     }
@@ -272,13 +271,14 @@
     }
 }
 
+/// Runs a request and sends its response, unless it is to misbehave. Returns whether the connection stays open.
 async fn run_request(
     shared: &Arc<Shared>, instance: &EndpointInstance, connection: &mut Connection, head: &Head,
     misbehaviour: Option<Misbehaviour>, rng: &mut Rng,
 ) -> bool {
     let id = head.header("x-request-id").to_owned();
     let answer = if instance.service == ENGINE {
-        stream(&id, head, rng)
+        turn_events(&id, head, rng)
     } else {
         vec![format!("{id} ran at {} as {:08x}\n", instance.id, rng.below(1 << 32)).into_bytes()]
     };
@@ -299,7 +299,7 @@
         _ => {}
     }
     let response_id = if misbehaviour == Some(Misbehaviour::OtherId) { "another" } else { id.as_str() };
-    let closes = instance.draining.load(Ordering::Relaxed) || rng.percent(3);
+    let closes = instance.is_draining() || rng.percent(3);
     let breaks_after = match misbehaviour {
         Some(Misbehaviour::BreakOff) => {
             shared.history.record_endpoint_fault(&id);
@@ -307,7 +307,9 @@
         }
         _ => usize::MAX,
     };
-    let sent = send(connection, response_id, &answer, closes, breaks_after, instance.service == ENGINE).await;
+    let sent =
+        send_response(connection, response_id, &answer, closes, breaks_after, instance.service == ENGINE)
+            .await;
     if sent && misbehaviour == Some(Misbehaviour::AnswerTwice) {
         let surplus = response_head("surplus", "Content-Length: 2\r\n", false);
         let _ = connection.write(&[surplus.as_bytes(), b"no"].concat()).await;
@@ -315,22 +317,22 @@
     sent && !closes
 }
 
-/// Sends an answer in its pieces. Tells whether it is whole.
-async fn send(
-    connection: &mut Connection, id: &str, pieces: &[Vec<u8>], closes: bool, breaks_after: usize,
+/// Sends a response chunk by chunk. Returns whether it was sent completely.
+async fn send_response(
+    connection: &mut Connection, id: &str, chunks: &[Vec<u8>], closes: bool, breaks_after: usize,
     is_streamed: bool,
 ) -> bool {
     let framing = if is_streamed {
         "Transfer-Encoding: chunked\r\nContent-Type: text/event-stream\r\n".to_owned()
     } else {
-        format!("Content-Length: {}\r\n", pieces.concat().len())
+        format!("Content-Length: {}\r\n", chunks.concat().len())
     };
     if connection.write(response_head(id, &framing, closes).as_bytes()).await.is_err() {
         return false;
     }
-    for (number, piece) in pieces.iter().enumerate() {
+    for (number, chunk) in chunks.iter().enumerate() {
         let breaks = number == breaks_after;
-        let part = if breaks { &piece[..piece.len() / 2] } else { &piece[..] };
+        let part = if breaks { &chunk[..chunk.len() / 2] } else { &chunk[..] };
         let bytes = if is_streamed {
             [format!("{:x}\r\n", part.len()).as_bytes(), part, b"\r\n"].concat()
         } else {
@@ -362,8 +364,8 @@
         .into_bytes()
 }
 
-/// The events of a turn: no more than it may generate.
-fn stream(id: &str, head: &Head, rng: &mut Rng) -> Vec<Vec<u8>> {
+/// The events of a turn, within its token limit.
+fn turn_events(id: &str, head: &Head, rng: &mut Rng) -> Vec<Vec<u8>> {
     let max_tokens: u64 = head
         .header("x-token-count")
         .split(',')
--- a/crates/soak/src/load/operator.rs
+++ b/crates/soak/src/load/operator.rs
@@ -1,4 +1,4 @@
-//! Operators: they change the configuration, lose answers, send again, race, and read.
+//! Operators: they change the configuration, lose responses, retry, race, and read.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,23 +13,23 @@
 use crate::schedule::KEEPER_COUNT;
 use juniperwing_random::Rng;
 
-/// The host of all routes.
+/// The host name of all routes.
 pub const HOST: &str = "soak.example";
-/// Routes of older generations that a configuration keeps.
+/// Maximum number of routes of generations in a configuration.
 const MAX_OLD_ROUTES: usize = 40;
-/// Between two reads at a keeper.
+/// Interval between two reads at a keeper.
 const READ_INTERVAL: Duration = Duration::from_millis(60);
-/// How long a call may take.
+/// How long a response may take.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_050);
-/// For how long an order without a clear answer is sent again.
+/// How long an order without a definite response is retried.
 const ORDER_RETRY_DURATION: Duration = Duration::from_secs(15);
 
-/// Operators, who know nothing of each other.
+/// Operators, who act independently of each other.
 #[derive(Debug)]
 pub struct Operators;
 
 impl Operators {
-    /// Sends the first configuration until it is is_accepted. `false` if that takes too long.
+    /// Sends the first configuration until it is acknowledged. Returns `false` if that takes longer than `within`.
     pub async fn apply_first_configuration(shared: &Arc<Shared>, within: Duration) -> bool {
         let mut rng = shared.rng("first configuration");
         let body = configuration(1, &[1]);
@@ -45,16 +45,16 @@
         false
     }
 
-    /// Reads the configuration at one keeper over and over, until the load ends.
+    /// Reads the configuration at one keeper repeatedly until the load ends.
     pub async fn read_continuously(shared: Arc<Shared>, keeper: usize) {
         while shared.is_running() {
-            // What it tells is judged at the end.
+            // What it returns is recorded; the oracle checks it at the end.
             let _ = read_configuration(&shared, keeper).await;
             sleep(READ_INTERVAL).await;
         }
     }
 
-    /// One operator, until the load ends.
+    /// Runs one operator until the load ends.
     pub async fn run(shared: Arc<Shared>, number: u64) {
         let mut rng = shared.rng(&format!("operator {number}"));
         let mut routes = vec![1];
@@ -71,7 +71,7 @@
     }
 }
 
-/// Sends one change until it has a clear answer, for a limited time.
+/// Sends one change until it has a definite response, for a limited time.
 async fn change_configuration(shared: &Arc<Shared>, routes: &mut Vec<u64>, rng: &mut Rng) {
     let base = routes.last().copied().unwrap_or_default();
     let generation = base + 1 + rng.below(3);
@@ -80,7 +80,7 @@
     let surplus = next.len().saturating_sub(MAX_OLD_ROUTES);
     next.drain(..surplus);
     let mut body = configuration(generation, &next);
-    // Two operators may choose the same number: a blank tells their changes apart.
+    // Two operators may choose the same generation: a number of blanks makes their changes differ.
     body.extend(std::iter::repeat_n(b' ', 1 + rng.below(50) as usize));
     let order = record_order(shared, base, generation, &body);
     let until = Instant::now() + ORDER_RETRY_DURATION;
@@ -111,7 +111,7 @@
     }
 }
 
-/// Sends an order to a keeper. Its status, unless the answer is lost or does not come.
+/// Sends an order to a keeper. Returns the status, unless the response is lost.
 async fn put_configuration(
     shared: &Arc<Shared>, order: usize, keeper: usize, base: u64, body: &[u8], loses_answer: bool,
 ) -> Option<u16> {
@@ -132,11 +132,11 @@
     Some(head.status)
 }
 
-/// Reads the configuration at a keeper. The generations whose routes it has, oldest first.
+/// Reads the configuration at a keeper. Returns the generations whose routes it has, oldest first.
 pub async fn read_configuration(shared: &Arc<Shared>, keeper: usize) -> Option<Vec<u64>> {
     let sent_at = shared.history.now();
-    let question = encode_request("GET", "/config", &[("Host", "keeper")], b"");
-    let (head, body) = exchange(shared.keeper(keeper), &question, RESPONSE_TIMEOUT).await.ok()?;
+    let request = encode_request("GET", "/config", &[("Host", "keeper")], b"");
+    let (head, body) = exchange(shared.keeper(keeper), &request, RESPONSE_TIMEOUT).await.ok()?;
     let at = shared.history.now();
     let routes = (head.status == 200).then(|| route_generations(&body)).flatten();
     let read = ConfigurationRead { keeper: keeper % KEEPER_COUNT, sent_at, at, status: head.status, body };
@@ -144,16 +144,16 @@
     routes
 }
 
-/// Has a store emptied. `true` once that is completed, `false` if it is not in time.
+/// Retires a store. Returns `true` once that is completed, `false` if it is refused or not completed in time.
 pub async fn retire_store(shared: &Arc<Shared>, machine: Machine, within: Duration) -> bool {
     let path = format!("/retire/{machine}");
     let headers = [("Host", "keeper"), ("Content-Type", "application/json")];
     let order = encode_request("POST", &path, &headers, br#"{"durationS":10}"#);
-    let question = encode_request("GET", &path, &[("Host", "keeper")], b"");
+    let request = encode_request("GET", &path, &[("Host", "keeper")], b"");
     let until = Instant::now() + within;
     let (mut keeper, mut is_accepted) = (0, false);
     while Instant::now() < until {
-        let call = if is_accepted { &question } else { &order };
+        let call = if is_accepted { &request } else { &order };
         keeper += 1;
         match exchange(shared.keeper(keeper), call, RESPONSE_TIMEOUT).await {
             Ok((head, body)) if head.status == 200 => {
@@ -162,7 +162,7 @@
                     return true;
                 }
             }
-            // Too few others, or it has not been seen yet.
+            // Too few other stores, or the keepers do not know it yet.
             Ok((head, _)) if head.status < 500 => return false,
             _ => {}
         }
@@ -191,7 +191,7 @@
     parsed["generation"].as_u64()
 }
 
-/// A configuration with the routes of all loads and one for each of some generations.
+/// A configuration with the routes of all users and one for each of `generations`.
 fn configuration(generation: u64, generations: &[u64]) -> Vec<u8> {
     let route = |name: &str, path: &str, kind: &str, service: &str, kept: bool| {
         serde_json::json!({
@@ -217,7 +217,9 @@
     engine["engine"] = serde_json::json!({"capacity": 16, "stride": 3, "models": [{"name": "m"}]});
     let body = serde_json::json!({
         "generation": generation, "routes": routes, "backends": [engine, service(TOOL)],
-        "limits": {"maxHeaderBytes": 16_384, "maxBodyBytes": 4_194_304, "headerTimeoutMs": 3_000, "idleTimeoutMs": 15_000},
+        "limits": {
+            "maxHeaderBytes": 16_384, "maxBodyBytes": 4_194_304, "headerTimeoutMs": 3_000, "idleTimeoutMs": 15_000,
+        },
     });
     body.to_string().into_bytes()
 }
--- a/crates/soak/src/load/platform.rs
+++ b/crates/soak/src/load/platform.rs
@@ -1,4 +1,4 @@
-//! The platform before the relays: it knows which of them take new connections.
+//! The load balancer in front of the relays: it probes which of them are ready.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,14 +12,14 @@
 use crate::schedule::RELAY_COUNT;
 use juniperwing_random::Rng;
 
-/// Between two questions to a relay.
+/// Interval between two readiness probes of a relay.
 const READINESS_POLL_INTERVAL: Duration = Duration::from_secs(1);
-/// How long an answer may take.
+/// How long a response may take.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(900);
-/// Questions in a row without a 200 that take a relay out.
+/// Consecutive failed probes after which a relay counts as not ready.
 const UNREADY_THRESHOLD: u32 = 2;
 
-/// Which relays take new connections.
+/// Readiness of all relays.
 #[derive(Debug)]
 pub struct Platform {
     network: Network,
@@ -27,19 +27,19 @@
 }
 
 impl Platform {
-    /// None does yet.
+    /// No relay is ready yet.
     pub fn new(network: Network) -> Platform {
         Platform { network, is_ready: (0..RELAY_COUNT).map(|_| AtomicBool::new(false)).collect() }
     }
 
-    /// Asks one relay again and again whether it is ready.
+    /// Probes the readiness of one relay until the task is aborted.
     pub async fn watch(&self, relay: usize) {
         let address = self.network.listener(Role::Relay, relay, READINESS_PORT);
-        let question = encode_request("GET", "/readyz", &[("Host", "relay")], b"");
+        let request = encode_request("GET", "/readyz", &[("Host", "relay")], b"");
         let mut failures = 0;
         loop {
             let next = Instant::now() + READINESS_POLL_INTERVAL;
-            let answer = exchange(address, &question, RESPONSE_TIMEOUT).await;
+            let answer = exchange(address, &request, RESPONSE_TIMEOUT).await;
             let is_ready = matches!(answer, Ok((head, _)) if head.status == 200);
             failures = if is_ready { 0 } else { failures + 1 };
             if is_ready || failures >= UNREADY_THRESHOLD {
@@ -49,12 +49,12 @@
         }
     }
 
-    /// Whether a relay takes new connections.
+    /// Whether a relay is ready for new connections.
     pub fn is_ready(&self, relay: usize) -> bool {
         self.is_ready[relay].load(Ordering::Relaxed)
     }
 
-    /// Waits until all relays do, for a limited time. Returns whether they do.
+    /// Waits until all relays are ready, for a limited time. Returns whether they are.
     pub async fn wait_until_all_ready(&self, within: Duration) -> bool {
         let until = Instant::now() + within;
         while Instant::now() < until {
@@ -72,7 +72,7 @@
         if ready.is_empty() { rng.below(RELAY_COUNT as u64) as usize } else { rng.pick(&ready) }
     }
 
-    /// Where a relay takes clients.
+    /// The address of a relay for clients.
     pub fn frontend(&self, relay: usize) -> SocketAddr {
         self.network.listener(Role::Relay, relay, FRONTEND_PORT)
     }
--- a/crates/soak/src/load/probe.rs
+++ b/crates/soak/src/load/probe.rs
@@ -1,4 +1,4 @@
-//! Asks each relay, over and over, for the route that the newest acknowledged configuration brought.
+//! Probes each relay for the route that the newest acknowledged configuration added.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,9 +13,9 @@
 use crate::http::{encode_request, exchange};
 use crate::schedule::RELAY_COUNT;
 
-/// Between two probes of a relay.
+/// Interval between two probes of a relay.
 const PROBE_INTERVAL: Duration = Duration::from_millis(250);
-/// How long an answer may take.
+/// How long a response may take.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Probes all relays until the load ends.
@@ -39,9 +39,9 @@
     let (incarnation, sent_at) = (shared.tier.incarnation(machine), shared.history.now());
     let id = shared.unique_name("v");
     let headers = [("Host", HOST), ("X-Request-Id", id.as_str()), ("X-Deadline-Ms", "1000")];
-    let question = encode_request("GET", &format!("/g{generation}/x"), &headers, b"");
-    let answer = exchange(shared.platform.frontend(relay), &question, RESPONSE_TIMEOUT).await;
-    // A probe that crosses a start of the process tells of no incarnation for certain.
+    let request = encode_request("GET", &format!("/g{generation}/x"), &headers, b"");
+    let answer = exchange(shared.platform.frontend(relay), &request, RESPONSE_TIMEOUT).await;
+    // A probe that overlaps a restart belongs to no certain incarnation.
     if let Ok((head, _)) = answer
         && shared.tier.incarnation(machine) == incarnation
     {
--- a/crates/soak/src/load/program.rs
+++ b/crates/soak/src/load/program.rs
@@ -1,4 +1,4 @@
-//! Agent programs: lines of stored turns that build on each other, within a budget.
+//! Agent programs: sequences of stored turns that continue each other within a budget.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,18 +11,18 @@
 use crate::http::{Connection, Head, HttpError, encode_request};
 use juniperwing_random::Rng;
 
-/// The time that a turn is given, in milliseconds.
+/// The deadline of a turn, in milliseconds.
 const DEADLINE_MS: Millis = 4_000;
-/// How much longer a client waits.
+/// How much longer than the deadline a client waits, in milliseconds.
 const EXTRA_WAIT_MS: Millis = 3_000;
-/// The most that one turn generates, in tokens.
+/// The maximum number of tokens that one turn generates.
 pub const MAX_TURN_TOKENS: u64 = 30;
-/// Tokens of an event.
+/// Number of tokens of an event.
 pub const STRIDE: u64 = 3;
-/// Tries of one turn.
+/// Maximum number of attempts of one turn.
 const MAX_TURN_ATTEMPTS: usize = 3;
 
-/// A turn that was answered whole, with those before it.
+/// A turn that was served completely, with the turns before it.
 #[derive(Clone, Debug)]
 pub struct StoredTurn {
     /// Its id.
@@ -33,19 +33,19 @@
     pub program: String,
 }
 
-/// How a try of a turn ended, for its program.
+/// How an attempt of a turn ended, for its program.
 enum TurnOutcome {
     Completed(StoredTurn),
-    /// It has not run; it may be attempt again.
+    /// It has not run; it may be retried.
     NotExecuted,
     /// It may have run; the program sends it again under another id.
     Indeterminate,
     BudgetExhausted,
-    /// The turn before is said not to be known.
+    /// The tier denies the previous turn.
     PreviousTurnUnknown,
 }
 
-/// One line of programs, one program after the other, until the load ends.
+/// Runs one program after the other until the load ends.
 pub async fn run(shared: Arc<Shared>, line: u64) {
     let mut rng = shared.rng(&format!("program {line}"));
     while shared.is_running() {
@@ -70,7 +70,7 @@
             _ => return,
         };
         if rng.percent(15) {
-            // Two lines go on from the same turn, side by side.
+            // Two turns continue the same turn concurrently.
             let mut other = rng.clone();
             other.below(2);
             let side = turn(shared, &program, budget, Some(&next), &mut other);
@@ -82,7 +82,7 @@
     }
 }
 
-/// One turn, attempt a few times.
+/// Runs one turn with retries.
 async fn turn(
     shared: &Arc<Shared>, program: &str, budget: Budget, previous: Option<&StoredTurn>, rng: &mut Rng,
 ) -> TurnOutcome {
@@ -101,7 +101,7 @@
     end
 }
 
-/// Goes on from a turn that was answered whole some time ago, trying again and again. Tells whether that was done.
+/// Continues a turn that was served some time ago, with retries. Returns whether that succeeded.
 pub async fn continue_turn(shared: &Arc<Shared>, stored: &StoredTurn, max_attempts: usize) -> bool {
     let mut rng = shared.rng(&stored.id);
     let program = shared.unique_name("c");
@@ -135,7 +135,7 @@
         return TurnOutcome::Indeterminate;
     }
     let leaves_after =
-        if shared.do_clients_disconnect() && rng.percent(30) { rng.below(6) } else { u64::MAX };
+        if shared.has_early_disconnects() && rng.percent(30) { rng.below(6) } else { u64::MAX };
     let mut events = Events::default();
     let (ended, end) = read_stream(&mut connection, &mut events, leaves_after).await;
     let tokens = events.complete.len() as u64 * STRIDE;
@@ -185,7 +185,7 @@
     encode_request("POST", &format!("/k/{id}"), &headers, input)
 }
 
-/// What came of a stream.
+/// How a stream of events ended.
 enum StreamEnd {
     Complete(Head),
     Truncated,
@@ -216,7 +216,7 @@
     }
 }
 
-/// Events as they come.
+/// Events as they arrive.
 #[derive(Default)]
 struct Events {
     partial: Vec<u8>,
@@ -232,7 +232,7 @@
         }
     }
 
-    /// The data of all events, each with a line feed behind.
+    /// The data of all events, each followed by a line feed.
     fn output(&self) -> Vec<u8> {
         let mut output = Vec::new();
         for event in &self.complete {
@@ -247,7 +247,7 @@
     }
 }
 
-/// Events come from the run of this very turn, all of them, in order.
+/// Checks that events come from the run of this turn, completely and in order.
 fn check_events(shared: &Arc<Shared>, id: &str, head: &Head, events: &Events) {
     let right = shared.history.is_answer_to(id, &events.complete.concat());
     let own = head.has("x-server-signature") && head.header("x-request-id") == id;
--- a/crates/soak/src/load/requests.rs
+++ b/crates/soak/src/load/requests.rs
@@ -1,4 +1,4 @@
-//! Plain clients: requests of both kinds over idle_connection connections, some of them rudely.
+//! Plain clients: idempotent and non-idempotent requests over persistent connections, some of which they abandon.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,23 +11,23 @@
 use crate::http::{Connection, HttpError, encode_request};
 use juniperwing_random::Rng;
 
-/// The time that a request is given, in milliseconds.
+/// The deadline of a request, in milliseconds.
 const DEADLINE_MS: Millis = 2_500;
-/// How much longer a client waits.
+/// How much longer than the deadline a client waits, in milliseconds.
 const EXTRA_WAIT_MS: Millis = 3_000;
-/// A large body, in bytes.
+/// The size of a large body, in bytes.
 const LARGE_BYTES: u64 = 200_000;
 
 /// A connection to a relay.
-struct KeptConnection {
+struct RelayConnection {
     relay: usize,
     stream: Connection,
 }
 
-/// One client, until the load ends or its time is over.
+/// Runs one client until the load ends or until a time.
 pub async fn run(shared: Arc<Shared>, client: u64, until: Millis) {
     let mut rng = shared.rng(&format!("client {client}"));
-    let mut idle_connection: Option<KeptConnection> = None;
+    let mut idle_connection: Option<RelayConnection> = None;
     while shared.is_running() && shared.history.now() < until {
         sleep(Duration::from_millis(20 + rng.below(160))).await;
         if rng.percent(20) {
@@ -38,7 +38,7 @@
             None => {
                 let relay = shared.platform.choose(&mut rng);
                 match Connection::open(shared.platform.frontend(relay)).await {
-                    Ok(connection) => KeptConnection { relay, stream: connection },
+                    Ok(connection) => RelayConnection { relay, stream: connection },
                     Err(_) => continue,
                 }
             }
@@ -47,25 +47,25 @@
     }
 }
 
-/// One request. Gives the connection back if it may be used again.
+/// Sends one request. Returns the connection if it can be used again.
 async fn run_request(
-    shared: &Arc<Shared>, mut connection: KeptConnection, rng: &mut Rng,
-) -> Option<KeptConnection> {
+    shared: &Arc<Shared>, mut connection: RelayConnection, rng: &mut Rng,
+) -> Option<RelayConnection> {
     let id = shared.unique_name("q");
-    let kind = if rng.percent(50) { RequestKind::Repeatable } else { RequestKind::Once };
+    let kind = if rng.percent(50) { RequestKind::Idempotent } else { RequestKind::NonIdempotent };
     let (method, path) = match kind {
-        RequestKind::Repeatable => ("GET", format!("/i/{id}")),
-        RequestKind::Once | RequestKind::Turn => ("POST", format!("/n/{id}")),
+        RequestKind::Idempotent => ("GET", format!("/i/{id}")),
+        RequestKind::NonIdempotent | RequestKind::Turn => ("POST", format!("/n/{id}")),
     };
     let length = if rng.percent(3) { LARGE_BYTES } else { rng.below(300) };
-    let body: Vec<u8> = (0..length).map(|place| (place % 251) as u8).collect();
+    let body: Vec<u8> = (0..length).map(|index| (index % 251) as u8).collect();
     let deadline = DEADLINE_MS.to_string();
     let headers = [("Host", HOST), ("X-Request-Id", id.as_str()), ("X-Deadline-Ms", deadline.as_str())];
     let bytes = encode_request(method, &path, &headers, &body);
     let attempt = Attempt::begin(kind, connection.relay, shared.history.now(), DEADLINE_MS, body);
     shared.history.record().attempts.insert(id.clone(), attempt);
     if rng.percent(1) {
-        // Half a request, and then nothing.
+        // The client abandons the connection in the middle of its request.
         let _ = connection.stream.write(&bytes[..bytes.len() / 2]).await;
         sleep(Duration::from_millis(rng.below(500))).await;
         shared.history.record_outcome(&id, Outcome::ClientDisconnected, 0);
@@ -78,7 +78,7 @@
     if let Some(attempt) = shared.history.record().attempts.get_mut(&id) {
         attempt.sent_at = shared.history.now();
     }
-    if rng.percent(if shared.do_clients_disconnect() { 30 } else { 2 }) {
+    if rng.percent(if shared.has_early_disconnects() { 30 } else { 2 }) {
         sleep(Duration::from_millis(rng.below(60))).await;
         shared.history.record_outcome(&id, Outcome::ClientDisconnected, 0);
         return None;
@@ -88,7 +88,7 @@
     if closes { None } else { Some(connection) }
 }
 
-/// Reads the answer and judges it. Tells whether the connection ends with it.
+/// Reads the response and checks it. Returns how it ended and whether the connection closes.
 async fn read_answer(shared: &Arc<Shared>, connection: &mut Connection, id: &str) -> (Outcome, bool) {
     let mut after_head = false;
     let whole = async {
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! The soak: see the library.
+//! The program of the soak test; see the library.
 
 use std::process::ExitCode;
 
--- a/crates/soak/src/network.rs
+++ b/crates/soak/src/network.rs
@@ -5,32 +5,32 @@
 
 use juniperwing_node::role::Role;
 
-/// The ports of the tier; the same on all machines.
+/// The port of relays for clients. Ports are the same on all machines.
 pub const FRONTEND_PORT: u16 = 8_149;
-/// Where relays answer the platform.
+/// The port of relays for readiness probes.
 pub const READINESS_PORT: u16 = 8_141;
-/// Where keepers listen for endpoints and operators.
+/// The port of keepers for endpoints and operators.
 pub const CONTROL_PORT: u16 = 8_144;
-/// Where every role tells its figures.
+/// The port of all roles for metrics.
 pub const METRICS_PORT: u16 = 9_464;
-/// First and last of the ports for the tier's own messages.
+/// The first and the last port for messages between machines of the tier.
 pub const TIER_PORTS: (u16, u16) = (7_380, 7_395);
 
-/// Networks that plays may use at the same time: 127.20 to 127.219.
+/// Number of networks that plays may use at the same time: 127.20 to 127.219.
 const NETWORK_COUNT: u64 = 200;
 const FIRST_NETWORK: u64 = 20;
 const ENDPOINT_SUBNET: u8 = 4;
 
-/// Held by the play that uses a network.
+/// Bound by the play that uses a network.
 const RESERVED_PORT: u16 = 7_379;
 
 /// The addresses of one play.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Network(u8);
 
-/// Keeps other plays on this machine off a network for as long as it lives.
+/// Reserves a network against other plays on this machine until it is dropped.
 #[derive(Debug)]
-pub struct Reservation(#[expect(dead_code, reason = "held, not used")] TcpListener);
+pub struct Reservation(#[expect(dead_code, reason = "reserves the network until it is dropped")] TcpListener);
 
 impl Network {
     /// The network with a number; numbers wrap around.
--- a/crates/soak/src/node_settings.rs
+++ b/crates/soak/src/node_settings.rs
@@ -1,4 +1,4 @@
-//! The settings files of the processes of a tier, proper ones and others.
+//! Settings files of the processes of a tier, valid ones and faulty ones.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -11,24 +11,24 @@
 
 /// `bounds.graceS` of all processes.
 pub const GRACE_PERIOD: Duration = Duration::from_secs(6);
-/// A machine that is not there.
+/// The number of a machine that does not exist.
 const ABSENT_MACHINE_NUMBER: usize = 100;
-/// Seeds of a file with other seeds.
+/// Number of seeds of a file with other seeds.
 const OTHER_SEED_COUNT: usize = 2;
 
-/// What the settings of a process follow from.
+/// Values from which the settings of a process are made.
 #[derive(Clone, Debug)]
 pub(crate) struct NodeSettings {
     pub(crate) network: Network,
     pub(crate) machine: Machine,
-    /// Its data folder.
+    /// Its data directory.
     pub(crate) data: PathBuf,
-    /// Whether it belongs to the first start of the tier.
+    /// Whether it takes part in the bootstrap of the tier.
     pub(crate) is_bootstrap_member: bool,
 }
 
 impl NodeSettings {
-    /// The text of the file; `file` names a kind that is not the proper one.
+    /// The text of the settings file; `file` selects contents other than the valid ones.
     pub(crate) fn text(&self, file: Option<SettingsFile>) -> String {
         match file {
             None => self.valid_text(self.seeds()),
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -1,4 +1,4 @@
-//! Judges what was seen. Safety is judged at any moment, service only where the tier promises it.
+//! Checks the record of a play. Safety is checked at any moment, availability only where the tier guarantees it.
 
 use std::collections::BTreeMap;
 
@@ -6,20 +6,20 @@
 use crate::load::generation_of;
 use crate::schedule::Schedule;
 
-/// `bounds.contactMs`: for so long behind a fault nothing that is bound by time is judged.
+/// `bounds.contactMs`: for this long after a fault no time bounds are checked.
 const CONTACT_TIMEOUT_MS: Millis = 3_000;
 /// `bounds.configApplyMs`.
 const CONFIG_APPLY_TIMEOUT_MS: Millis = 2_000;
 /// `bounds.lossSlackMs`.
 const LOSS_SLACK_MS: Millis = 200;
-/// How long the tier may serve nothing of a kind while it bears what is lost.
+/// The longest interval without service of a kind while faults are within the tolerance.
 const MAX_SERVICE_GAP_MS: Millis = 9_000;
-/// How much later than its deadline an answer may come.
+/// How much later than its deadline a response may arrive.
 const DEADLINE_SLACK_MS: Millis = 700;
-/// Statuses that promise that a request has not run and never will.
+/// Statuses that guarantee that a request has not run and never will.
 const NOT_EXECUTED_STATUSES: [u16; 5] = [402, 408, 421, 429, 503];
 
-/// Everything that must not be, in the order of its promises.
+/// All violations of guarantees: those recorded during the play, then those that the record shows.
 pub fn judge(record: &Record, schedule: &Schedule, load_ended_at: Millis) -> Vec<Finding> {
     let mut findings: Vec<Finding> = record.findings.iter().cloned().collect();
     let mut oracle = Oracle { record, findings: Vec::new() };
@@ -46,20 +46,21 @@
         self.findings.push(Finding { guarantee, details });
     }
 
-    /// Whether nothing was suffered from `CONTACT_TIMEOUT_MS` before a time up to another one, but for what `passes` lets by.
-    fn is_calm(&self, from: Millis, until: Millis, passes: impl Fn(&FaultInterval) -> bool) -> bool {
-        let touches = |interval: &&FaultInterval| {
+    /// Whether no fault was active from `CONTACT_TIMEOUT_MS` before `from` until `until`, except those that
+    /// `is_ignored` accepts.
+    fn is_calm(&self, from: Millis, until: Millis, is_ignored: impl Fn(&FaultInterval) -> bool) -> bool {
+        let is_active = |interval: &&FaultInterval| {
             interval.started_at <= until
                 && interval.ended_at + CONTACT_TIMEOUT_MS >= from
-                && !passes(interval)
+                && !is_ignored(interval)
         };
-        !self.record.fault_intervals.iter().any(|interval| touches(&interval))
+        !self.record.fault_intervals.iter().any(|interval| is_active(&interval))
     }
 
     fn check_requests(&mut self) {
         for (id, attempt) in &self.record.attempts {
             let runs = attempt.runs.len();
-            if attempt.kind != RequestKind::Repeatable && runs > 1 {
+            if attempt.kind != RequestKind::Idempotent && runs > 1 {
                 self.add_finding(
                     "a request that may run once runs once",
                     format!("{id} ran {:?}", attempt.runs),
@@ -69,7 +70,7 @@
             if let Outcome::Status { status, is_signed: false } = outcome
                 && NOT_EXECUTED_STATUSES.contains(&status)
                 && runs > 0
-                && attempt.kind != RequestKind::Repeatable
+                && attempt.kind != RequestKind::Idempotent
             {
                 let details = format!(
                     "{id} by relay {} is answered {status} and ran {:?}",
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Nothing is cut, late or unanswered but for faults that excuse it.
+    /// Checks that a request was not cut, late or unanswered without a fault that explains it.
     fn check_outcome(&mut self, id: &str, attempt: &Attempt, at: Millis, outcome: Outcome) {
         let planned = |interval: &FaultInterval| interval.kind.is_planned();
         if attempt.has_endpoint_fault || !self.is_calm(attempt.sent_at, at, planned) {
@@ -135,7 +136,7 @@
     fn check_orders(&mut self) {
         let orders = &self.record.orders;
         let mut acknowledged: BTreeMap<u64, &Order> = BTreeMap::new();
-        // Operators who draw the very same change send one order.
+        // Operators who draw the same change send the same order.
         for order in orders {
             let Some(at) = order.acknowledged_at() else { continue };
             if order.is_refused() {
@@ -225,7 +226,7 @@
         }
     }
 
-    /// The tier serves on through what it bears.
+    /// Checks that no interval without service is too long.
     fn check_service_gaps(&mut self, load_ended_at: Millis) {
         let orders: Vec<Millis> = self.record.orders.iter().filter_map(Order::acknowledged_at).collect();
         let kinds = [
--- a/crates/soak/src/play.rs
+++ b/crates/soak/src/play.rs
@@ -1,4 +1,4 @@
-//! Plays one schedule on a tier of processes, and judges what was seen.
+//! Runs one play: a tier of processes under a schedule of faults and a load, and the checks after it.
 
 use std::fs;
 use std::io;
@@ -24,7 +24,7 @@
 const OPERATOR_COUNT: u64 = 2;
 /// How long the tier may take until it serves for the first time.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(20);
-/// `bounds.recoveryS`: how long it may take until all is well after the last fault.
+/// `bounds.recoveryS`: how long the tier may take to recover after the last fault.
 const RECOVERY_DURATION: Duration = Duration::from_secs(12);
 /// How long the load goes on after the recovery.
 const REST_DURATION: Duration = Duration::from_secs(4);
@@ -36,30 +36,30 @@
 pub struct Options {
     /// The seed.
     pub seed: u64,
-    /// About how long faults come.
+    /// About how long faults are injected.
     pub length_ms: Millis,
-    /// The number of the network, or of the first that is attempt.
+    /// The number of the first network that is tried.
     pub network: u64,
-    /// Where files go; a folder of its own for each play.
+    /// The directory of the files of this play.
     pub folder: PathBuf,
     /// The program that processes run.
     pub program: PathBuf,
-    /// Whether files are kept where nothing was found.
+    /// Whether files are kept when nothing was found.
     pub keep: bool,
-    /// Faults to play in place of the drawn ones.
+    /// Faults to inject in place of the drawn ones.
     pub faults: Option<Vec<Fault>>,
 }
 
 /// The result of a play.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// What was played.
+    /// The schedule that was played.
     pub schedule: Schedule,
-    /// What must not be.
+    /// Violations of guarantees.
     pub findings: Vec<Finding>,
-    /// What was done meanwhile, in a line.
+    /// Counts of what was done, in one line.
     pub summary: String,
-    /// Where its files are, if they were kept.
+    /// The directory of its files, if they were kept.
     pub folder: Option<PathBuf>,
 }
 
@@ -67,14 +67,14 @@
 ///
 /// # Errors
 ///
-/// If files or processes cannot be made.
+/// If files or processes cannot be created.
 pub async fn play(options: &Options) -> io::Result<Report> {
     let mut schedule = Schedule::draw(options.seed, options.length_ms);
     if let Some(faults) = &options.faults {
         schedule.faults.clone_from(faults);
         schedule.flavor = Flavor::WithinTolerance;
     }
-    // What an earlier play of this seed left is of no more use.
+    // Files of an earlier play of this seed are obsolete.
     let _ = fs::remove_dir_all(&options.folder);
     fs::create_dir_all(&options.folder)?;
     fs::write(options.folder.join("schedule.txt"), schedule.to_string())?;
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -1,4 +1,4 @@
-//! The schedule of a play, drawn from a seed before the play begins.
+//! The schedule of faults of one play, drawn from a seed before the play begins.
 
 use std::fmt;
 
@@ -8,51 +8,51 @@
 use crate::history::Millis;
 use juniperwing_random::Rng;
 
-/// Keepers of a tier.
+/// Number of keepers of a tier.
 pub const KEEPER_COUNT: usize = 3;
-/// Stores of a tier.
+/// Number of stores of a tier.
 pub const STORE_COUNT: usize = 3;
-/// Relays of a tier.
+/// Number of relays of a tier.
 pub const RELAY_COUNT: usize = 2;
-/// A machine that counts stays lost for so long after it is back (`catchUpS`).
+/// Time that a stateful machine needs to catch up after it is back (`catchUpS`).
 pub const CATCH_UP_MS: Millis = 4_100;
-/// How long a machine that is stopped is away, beside the time that its process takes to end.
+/// Downtime of a machine that is stopped, beside the time that its process takes to exit.
 const STOP_DOWNTIME_MS: Millis = 500;
-/// The longest that a process takes to end (`graceS`).
+/// The longest time that a process takes to exit (`graceS`).
 const GRACE_PERIOD_MS: Millis = 6_000;
-/// How long the emptying of a store may take.
+/// How long the retirement of a store may take.
 pub const RETIRE_TIMEOUT_MS: Millis = 12_000;
-/// Before the first fault, so that the tier is founded and works.
+/// Time before the first fault, so that the tier is bootstrapped and serves.
 const INITIAL_QUIET_MS: Millis = 1_500;
 
-/// A fault at its time.
+/// A scheduled fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// When it begins, from the start of the load on.
+    /// When it begins, in milliseconds since the start of the load.
     pub starts_at: Millis,
-    /// For how long it lasts, where it lasts.
+    /// How long it lasts, or how long its machine is down; 0 for a fault that is an instant.
     pub duration_ms: Millis,
-    /// What.
+    /// The kind of fault.
     pub kind: FaultKind,
 }
 
-/// What a play is made of.
+/// The class of faults that a play consists of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Flavor {
-    /// Work that the platform plans and what clients do; nothing that was read may be cut.
+    /// Planned work of the platform and behaviour of clients; no request that was read may be cut.
     Planned,
-    /// No more is lost at once than the tier bears: its service is judged throughout.
+    /// No more machines are down at once than the tier tolerates: its availability is checked throughout.
     WithinTolerance,
-    /// More is lost at once, though not more disks: nothing acknowledged may be lost.
+    /// More machines are down at once, though no more disks are lost: no acknowledged state may be lost.
     BeyondTolerance,
 }
 
-/// The faults of one play, in the order of their times.
+/// The faults of one play, in the order of their start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Schedule {
     /// The seed.
     pub seed: u64,
-    /// What it is made of.
+    /// The class of its faults.
     pub flavor: Flavor,
     /// The faults.
     pub faults: Vec<Fault>,
@@ -86,13 +86,13 @@
         Schedule { seed, flavor, faults, ends_at }
     }
 
-    /// Whether the tier serves throughout.
+    /// Whether the tier must stay available throughout.
     pub fn is_within_tolerance(&self) -> bool {
         self.flavor != Flavor::BeyondTolerance
     }
 }
 
-/// Stops, reloads and replaced endpoints: of machines that count one after the other, of one relay at any time.
+/// Draws stops, reloads and replaced endpoints: of stateful machines one after the other, of one relay at any time.
 fn draw_planned(rng: &mut Rng, length_ms: Millis, faults: &mut Vec<Fault>) {
     let stop = |rng: &mut Rng, machine| {
         if rng.percent(50) { FaultKind::Stop(machine) } else { FaultKind::StopRepeatedly(machine) }
@@ -101,7 +101,7 @@
     while at < length_ms {
         let machine = draw_stateful_machine(rng);
         faults.push(Fault { starts_at: at, duration_ms: STOP_DOWNTIME_MS, kind: stop(rng, machine) });
-        // A process may take its whole grace.
+        // A process may use its whole grace period.
         at += STOP_DOWNTIME_MS + GRACE_PERIOD_MS + CATCH_UP_MS;
     }
     let affected_relay = draw_relay(rng);
@@ -120,14 +120,14 @@
     }
 }
 
-/// Faults of machines that count: one after the other with the time to catch up between them, or overlapping.
+/// Draws faults of stateful machines: one after the other with the time to catch up between them, or overlapping.
 fn draw_stateful_faults(rng: &mut Rng, length_ms: Millis, within_tolerance: bool, faults: &mut Vec<Fault>) {
     let mut at = INITIAL_QUIET_MS + rng.below(500);
     let mut disk_lost = false;
     while at < length_ms {
         let mut fault = Fault { starts_at: at, duration_ms: 0, kind: draw_stateful_fault(rng) };
         if fault.kind.loses_disk() && !within_tolerance {
-            // A second disk may be lost only when the first one's copies are made again.
+            // A second disk may be lost only after the first one's replicas have been restored.
             if disk_lost {
                 continue;
             }
@@ -141,8 +141,8 @@
     }
 }
 
-/// Faults of relays, endpoints, clients, and such that lose nothing: at any time. Within the tolerance one relay is
-/// left alone, so that somebody serves.
+/// Draws faults of relays, endpoints and clients, and faults that lose nothing: at any time. Within the tolerance one
+/// relay is left alone, so that it serves.
 fn draw_tolerated_faults(rng: &mut Rng, length_ms: Millis, within_tolerance: bool, faults: &mut Vec<Fault>) {
     let mut at = INITIAL_QUIET_MS / 2 + rng.below(1_000);
     let affected_relay = draw_relay(rng);
@@ -155,7 +155,7 @@
     }
 }
 
-/// More than the tier bears, once or twice.
+/// Draws faults that exceed the tolerance, once or twice.
 fn draw_beyond_tolerance(rng: &mut Rng, length_ms: Millis, faults: &mut Vec<Fault>) {
     let has_lost_disk = faults.iter().any(|fault| fault.kind.loses_disk());
     for _ in 0..=rng.below(2) {
@@ -245,7 +245,7 @@
     }
 }
 
-/// For how long a fault lasts, in milliseconds; how long its machine is down, where it goes down.
+/// Draws how long a fault lasts, or how long its machine is down, in milliseconds.
 fn draw_duration_ms(rng: &mut Rng, kind: FaultKind) -> Millis {
     match kind {
         FaultKind::Kill(_) | FaultKind::Wipe(_) => 200 + rng.below(2_500),
--- a/crates/soak/tests/command_line.rs
+++ b/crates/soak/tests/command_line.rs
@@ -5,13 +5,13 @@
 #[path = "../../relay/tests/golden/mod.rs"]
 mod golden;
 
-/// A command as it is typed, and all that comes of it.
+/// A command as it is typed, with its output and exit code.
 fn transcript(line: &str) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_juniperwing-soak"));
     let output = command.args(line.split_whitespace()).output().expect("the program runs");
-    let told = String::from_utf8([output.stdout, output.stderr].concat()).expect("UTF-8");
+    let text = String::from_utf8([output.stdout, output.stderr].concat()).expect("UTF-8");
     let code = output.status.code().expect("an exit code");
-    format!("$ juniperwing-soak {line}\n{}\nexit code {code}\n\n", told.trim_end())
+    format!("$ juniperwing-soak {line}\n{}\nexit code {code}\n\n", text.trim_end())
 }
 
 #[test]
--- a/crates/soak/tests/log.rs
+++ b/crates/soak/tests/log.rs
@@ -1,4 +1,4 @@
-//! A log that nobody reads.
+//! A relay serves on while nobody reads its log.
 
 use std::path::PathBuf;
 use std::process::Stdio;
@@ -52,7 +52,7 @@
     let readiness = network.listener(Role::Relay, 0, READINESS_PORT);
     let until = Instant::now() + FILL_DURATION;
     while Instant::now() < until {
-        // Each is refused, and told in the log.
+        // Each is refused and logged.
         let refused = encode_request("GET", "/x", &[("Host", "h"), ("X-Request-Id", "q")], b"");
         let _ = exchange(frontend, &refused, RESPONSE_TIMEOUT).await;
         sleep(Duration::from_millis(5)).await;
--- a/crates/soak/tests/schedule.rs
+++ b/crates/soak/tests/schedule.rs
@@ -1,4 +1,4 @@
-//! Schedules follow from their seeds, and leave the machines that count the time to catch up.
+//! Schedules are determined by their seeds, and leave stateful machines the time to catch up.
 
 use juniperwing_soak::schedule::{CATCH_UP_MS, Schedule};
 
--- a/crates/soak/tests/short.rs
+++ b/crates/soak/tests/short.rs
@@ -9,7 +9,7 @@
 use juniperwing_soak::play::{Options, Report, play};
 use juniperwing_soak::schedule::{Fault, Flavor, Schedule};
 
-/// About how long faults come, in milliseconds.
+/// About how long faults are injected, in milliseconds.
 const LENGTH_MS: u64 = 9_000;
 
 fn options(name: &str, seed: u64, faults: Option<Vec<Fault>>) -> Options {
@@ -29,7 +29,7 @@
 /// Plays at the same time: each takes most of a core in a debug build.
 const MAX_CONCURRENT_PLAYS: usize = 3;
 
-/// A place among the plays at the same time; given back when it is dropped.
+/// A permit to run a play; released when it is dropped.
 struct PlayPermit;
 
 static PERMITS_TAKEN: Mutex<usize> = Mutex::new(0);
@@ -102,7 +102,7 @@
         duration_ms: 12_000,
         kind: FaultKind::DiskStall(Machine { role, number }),
     };
-    // What is told to end meanwhile does so within its grace.
+    // A store that is stopped meanwhile ends within its grace period.
     let stop = Fault {
         starts_at: 9_000,
         duration_ms: 0,
