--- a/crates/model/src/simulation/relays.rs
+++ b/crates/model/src/simulation/relays.rs
@@ -12,7 +12,7 @@
 use crate::endpoint::CallId;
 use crate::fleet::span_ms;
 use crate::metrics::UndeliveredReason;
-use crate::scenario::Effect;
+use crate::scenario::Semantics;
 
 impl Simulation<'_> {
     /// Whether an event was meant for the present process of a relay.
@@ -36,11 +36,11 @@
         self.enqueue_input(relay, RelayInput::EndpointSnapshot);
         self.judge.handle_relay_start(self.now, relay, RESTART_ALLOWANCE);
         let pending: Vec<u64> = self.nodes[relay].pending.keys().copied().collect();
-        for ntf in pending {
-            let has_final_answer = self.nodes[relay].pending[&ntf].has_final_answer;
-            self.enqueue_input(relay, RelayInput::Accepted(ntf));
+        for notification_id in pending {
+            let has_final_answer = self.nodes[relay].pending[&notification_id].has_final_answer;
+            self.enqueue_input(relay, RelayInput::Accepted(notification_id));
             if has_final_answer {
-                self.schedule_notice(relay, ntf);
+                self.schedule_notice(relay, notification_id);
             }
         }
         self.schedule_turn(relay);
@@ -88,9 +88,9 @@
         if pending.has_final_answer || notification.is_finished {
             return;
         }
-        let topic = &self.scenario.topic[notification.submission.topic];
+        let topic = &self.scenario.topics[notification.submission.topic];
         let may_have_executed = pending.first_executed.is_some() || pending.in_flight.is_some();
-        if topic.effect == Effect::OnceOnly && may_have_executed {
+        if topic.semantics == Semantics::NonIdempotent && may_have_executed {
             self.give_up(pending.notification, UndeliveredReason::Abandoned);
         } else {
             self.resubmit_elsewhere(pending.notification);
@@ -146,8 +146,8 @@
         let commands = policy.handle(self.now, events, &view);
         self.nodes[relay].policy = Some(policy);
         self.execute_commands(relay, &commands);
-        for ntf in effects.accepted {
-            if let Some(pending) = self.nodes[relay].pending.get_mut(&ntf) {
+        for notification_id in effects.accepted {
+            if let Some(pending) = self.nodes[relay].pending.get_mut(&notification_id) {
                 pending.is_unanswered = false;
             }
         }
