--- a/crates/soak/src/fault_injector.rs
+++ b/crates/soak/src/fault_injector.rs
@@ -6,7 +6,7 @@
 use rustix::process::Signal;
 use tokio::time::sleep;
 
-use crate::faults::{Direction, FaultKind, Machine};
+use crate::faults::{Direction, FaultKind, Machine, Misbehaviour, SettingsFile};
 use crate::faulty_host::DiskFault;
 use crate::history::{FaultInterval, Millis};
 use crate::load::{Endpoints, Shared, retire_store};
@@ -52,63 +52,78 @@
         match fault.kind {
             FaultKind::Kill(machine) => tier.kill(machine, duration, false).await,
             FaultKind::Wipe(machine) => tier.kill(machine, duration, true).await,
-            FaultKind::KillDuringStart(machine) => {
-                let pauses: Vec<Duration> =
-                    (0..3).map(|_| Duration::from_millis(5 + self.rng.below(250))).collect();
-                tier.kill_during_start(machine, &pauses).await;
-            }
+            FaultKind::KillDuringStart(machine) => self.kill_during_start(machine).await,
             FaultKind::Retire(machine) => self.retire(machine, duration).await,
             FaultKind::Freeze(machine) => tier.freeze(machine, duration).await,
             FaultKind::Stop(machine) => tier.stop(machine, &[]).await,
             FaultKind::StopRepeatedly(machine) => self.stop_repeatedly(machine).await,
-            FaultKind::StopDuringStart(machine) => {
-                tier.stop_during_start(machine, Duration::from_millis(self.rng.below(120))).await;
-            }
-            FaultKind::Reload(machine, file) => {
-                if let Err(error) = tier.reload(machine, file, duration).await {
-                    self.shared.history.record_finding("the soak itself", error.to_string());
-                }
-            }
+            FaultKind::StopDuringStart(machine) => self.stop_during_start(machine).await,
+            FaultKind::Reload(machine, file) => self.reload(machine, file, duration).await,
             FaultKind::Partition(machine, direction) => self.partition(machine, direction, duration).await,
             FaultKind::Reset(machine) => tier.change_rules(machine, |rules| rules.resets += 1),
-            FaultKind::SlowLinks(machine) => {
-                let delay = self.rng.pick(&[20, 60, 150]);
-                tier.change_rules(machine, |rules| rules.link_delay_ms = delay);
-                sleep(duration).await;
-                tier.change_rules(machine, |rules| rules.link_delay_ms = 0);
-            }
+            FaultKind::SlowLinks(machine) => self.slow_links(machine, duration).await,
             FaultKind::DiskStall(machine) => self.fail_disk(machine, DiskFault::Stalls, duration).await,
             FaultKind::DiskFull(machine) => self.fail_disk(machine, DiskFault::Refuses, duration).await,
-            FaultKind::DiskSlow(machine) => {
-                let ms = self.rng.pick(&[40, 150]);
-                self.fail_disk(machine, DiskFault::Slow { ms }, duration).await;
-            }
+            FaultKind::DiskSlow(machine) => self.slow_disk(machine, duration).await,
             FaultKind::DiskPanic(machine) => self.fail_disk(machine, DiskFault::Panics, duration).await,
-            FaultKind::ClockStep(machine) => {
-                let offset = self.rng.pick(&[-2_000, 2_000]);
-                tier.change_rules(machine, |rules| rules.clock_offset_ms = offset);
-                sleep(duration).await;
-                tier.change_rules(machine, |rules| rules.clock_offset_ms = 0);
-            }
+            FaultKind::ClockStep(machine) => self.step_clock(machine, duration).await,
             FaultKind::KillAllStateful => tier.kill_all(false, duration, None).await,
             FaultKind::KillAll => tier.kill_all(true, duration, None).await,
             FaultKind::KillAllWipeOne(machine) => tier.kill_all(true, duration, Some(machine)).await,
-            FaultKind::Endpoints(misbehaviour) => {
-                self.shared.set_misbehaviour(Some(misbehaviour));
-                sleep(duration).await;
-                self.shared.set_misbehaviour(None);
-            }
+            FaultKind::Endpoints(misbehaviour) => self.misbehave(misbehaviour, duration).await,
             FaultKind::ReplaceEndpoint => self.endpoints.replace(self.rng.below(6)).await,
             FaultKind::EndpointCrash => self.endpoints.crash(self.rng.below(6)).await,
             FaultKind::Burst => sleep(duration).await,
-            FaultKind::ClientsDisconnect => {
-                self.shared.set_early_disconnects(true);
-                sleep(duration).await;
-                self.shared.set_early_disconnects(false);
-            }
+            FaultKind::ClientsDisconnect => self.disconnect_clients(duration).await,
         }
     }
 
+    async fn kill_during_start(&mut self, machine: Machine) {
+        let pauses: Vec<Duration> = (0..3).map(|_| Duration::from_millis(5 + self.rng.below(250))).collect();
+        self.tier.kill_during_start(machine, &pauses).await;
+    }
+
+    async fn stop_during_start(&mut self, machine: Machine) {
+        self.tier.stop_during_start(machine, Duration::from_millis(self.rng.below(120))).await;
+    }
+
+    async fn reload(&self, machine: Machine, file: SettingsFile, duration: Duration) {
+        if let Err(error) = self.tier.reload(machine, file, duration).await {
+            self.shared.history.record_finding("the soak itself", error.to_string());
+        }
+    }
+
+    async fn slow_links(&mut self, machine: Machine, duration: Duration) {
+        let delay = self.rng.pick(&[20, 60, 150]);
+        self.tier.change_rules(machine, |rules| rules.link_delay_ms = delay);
+        sleep(duration).await;
+        self.tier.change_rules(machine, |rules| rules.link_delay_ms = 0);
+    }
+
+    async fn slow_disk(&mut self, machine: Machine, duration: Duration) {
+        let ms = self.rng.pick(&[40, 150]);
+        self.fail_disk(machine, DiskFault::Slow { ms }, duration).await;
+    }
+
+    async fn step_clock(&mut self, machine: Machine, duration: Duration) {
+        let offset = self.rng.pick(&[-2_000, 2_000]);
+        self.tier.change_rules(machine, |rules| rules.clock_offset_ms = offset);
+        sleep(duration).await;
+        self.tier.change_rules(machine, |rules| rules.clock_offset_ms = 0);
+    }
+
+    async fn misbehave(&self, misbehaviour: Misbehaviour, duration: Duration) {
+        self.shared.set_misbehaviour(Some(misbehaviour));
+        sleep(duration).await;
+        self.shared.set_misbehaviour(None);
+    }
+
+    async fn disconnect_clients(&self, duration: Duration) {
+        self.shared.set_early_disconnects(true);
+        sleep(duration).await;
+        self.shared.set_early_disconnects(false);
+    }
+
     /// Stops a process by SIGTERM and sends two further signals at random times while it ends.
     async fn stop_repeatedly(&mut self, machine: Machine) {
         let mut delay = || Duration::from_millis(self.rng.below(900));
--- a/crates/soak/src/faulty_host/host.rs
+++ b/crates/soak/src/faulty_host/host.rs
@@ -124,7 +124,7 @@
     }
 
     fn try_send_to(&self, bytes: &[u8], to: SocketAddr) -> io::Result<usize> {
-        if self.rules.get(|rules| rules.cut_to.contains(&to.ip())) {
+        if self.rules.get(|rules| rules.blocked_destinations.contains(&to.ip())) {
             return Ok(bytes.len());
         }
         self.socket.try_send_to(bytes, to)
--- a/crates/soak/src/faulty_host/link.rs
+++ b/crates/soak/src/faulty_host/link.rs
@@ -39,12 +39,12 @@
 }
 
 impl ConnectionState {
-    fn is_cut_to(&self) -> bool {
-        self.rules.get(|rules| rules.cut_to.contains(&self.peer))
+    fn is_outbound_blocked(&self) -> bool {
+        self.rules.get(|rules| rules.blocked_destinations.contains(&self.peer))
     }
 
-    fn is_cut_from(&self) -> bool {
-        self.rules.get(|rules| rules.cut_from.contains(&self.peer))
+    fn is_inbound_blocked(&self) -> bool {
+        self.rules.get(|rules| rules.blocked_sources.contains(&self.peer))
     }
 
     fn is_reset(&self) -> bool {
@@ -87,9 +87,12 @@
 
 /// Waits until the links to and from a machine are not cut.
 pub async fn wait_until_reachable(rules: &LiveFaultRules, peer: SocketAddr) {
-    let is_cut =
-        || rules.get(|rules| rules.cut_to.contains(&peer.ip()) || rules.cut_from.contains(&peer.ip()));
-    while is_cut() {
+    let is_blocked = || {
+        rules.get(|rules| {
+            rules.blocked_destinations.contains(&peer.ip()) || rules.blocked_sources.contains(&peer.ip())
+        })
+    };
+    while is_blocked() {
         sleep(POLL_INTERVAL).await;
     }
 }
@@ -131,7 +134,7 @@
         if shared.is_reset() || *shared.broken.borrow() {
             return timed_out();
         }
-        if !shared.is_cut_from() {
+        if !shared.is_inbound_blocked() {
             unacknowledged = None;
         } else if unacknowledged.is_some_and(|since| shared.is_overdue(since)) {
             return timed_out();
@@ -145,7 +148,7 @@
             return to.shutdown().await;
         }
         let held_since = Instant::now();
-        while shared.is_cut_to() {
+        while shared.is_outbound_blocked() {
             if shared.is_overdue(held_since) || shared.is_reset() {
                 return timed_out();
             }
--- a/crates/soak/src/faulty_host/rules.rs
+++ b/crates/soak/src/faulty_host/rules.rs
@@ -39,9 +39,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FaultRules {
     /// Machines that this one's bytes do not reach.
-    pub cut_to: BTreeSet<IpAddr>,
+    #[serde(rename = "cut_to")]
+    pub blocked_destinations: BTreeSet<IpAddr>,
     /// Machines whose bytes do not reach this one. The senders hold the bytes back; here only acknowledgements stop.
-    pub cut_from: BTreeSet<IpAddr>,
+    #[serde(rename = "cut_from")]
+    pub blocked_sources: BTreeSet<IpAddr>,
     /// Additional latency of links, in milliseconds.
     pub link_delay_ms: u64,
     /// Incremented to reset all links.
--- a/crates/soak/src/load/endpoint.rs
+++ b/crates/soak/src/load/endpoint.rs
@@ -277,11 +277,7 @@
     misbehaviour: Option<Misbehaviour>, rng: &mut Rng,
 ) -> bool {
     let id = head.header("x-request-id").to_owned();
-    let answer = if instance.service == ENGINE {
-        turn_events(&id, head, rng)
-    } else {
-        vec![format!("{id} ran at {} as {:08x}\n", instance.id, rng.below(1 << 32)).into_bytes()]
-    };
+    let answer = response_chunks(instance, &id, head, rng);
     shared.history.record_answer(&id, &answer.concat());
     sleep(Duration::from_millis(3 + rng.below(30))).await;
     match misbehaviour {
@@ -317,6 +313,15 @@
     sent && !closes
 }
 
+/// The body of a response: the events of a turn, or one chunk.
+fn response_chunks(instance: &EndpointInstance, id: &str, head: &Head, rng: &mut Rng) -> Vec<Vec<u8>> {
+    if instance.service == ENGINE {
+        turn_events(id, head, rng)
+    } else {
+        vec![format!("{id} ran at {} as {:08x}\n", instance.id, rng.below(1 << 32)).into_bytes()]
+    }
+}
+
 /// Sends a response chunk by chunk. Returns whether it was sent completely.
 async fn send_response(
     connection: &mut Connection, id: &str, chunks: &[Vec<u8>], closes: bool, breaks_after: usize,
--- a/crates/soak/src/load/program.rs
+++ b/crates/soak/src/load/program.rs
@@ -148,22 +148,29 @@
             shared.add_stored_turn(&stored);
             TurnOutcome::Completed(stored)
         }
-        StreamEnd::Complete(head) => match head.status {
-            402 => TurnOutcome::BudgetExhausted,
-            404 => {
-                let before = previous.map_or("none", |stored| &stored.id);
-                shared
-                    .history
-                    .record_finding("a kept turn is denied", format!("{id} goes on from {before}: 404"));
-                TurnOutcome::PreviousTurnUnknown
-            }
-            429 | 503 => TurnOutcome::NotExecuted,
-            _ => TurnOutcome::Indeterminate,
-        },
+        StreamEnd::Complete(head) => outcome_of_failure(shared, &id, previous, head.status),
         StreamEnd::Truncated => TurnOutcome::Indeterminate,
     }
 }
 
+/// The outcome of an attempt that a relay or an endpoint refused with this status.
+fn outcome_of_failure(
+    shared: &Arc<Shared>, id: &str, previous: Option<&StoredTurn>, status: u16,
+) -> TurnOutcome {
+    match status {
+        402 => TurnOutcome::BudgetExhausted,
+        404 => {
+            let before = previous.map_or("none", |stored| &stored.id);
+            shared
+                .history
+                .record_finding("a kept turn is denied", format!("{id} goes on from {before}: 404"));
+            TurnOutcome::PreviousTurnUnknown
+        }
+        429 | 503 => TurnOutcome::NotExecuted,
+        _ => TurnOutcome::Indeterminate,
+    }
+}
+
 fn turn_request(
     id: &str, program: &str, budget: Budget, previous: Option<&StoredTurn>, input: &[u8],
 ) -> Vec<u8> {
--- a/crates/soak/src/tier.rs
+++ b/crates/soak/src/tier.rs
@@ -44,7 +44,7 @@
     program: PathBuf,
     nodes: Vec<Node>,
     /// Links that are cut, once for each partition that cuts them.
-    cut_links: Mutex<Vec<DirectedLink>>,
+    blocked_links: Mutex<Vec<DirectedLink>>,
     is_ending: AtomicBool,
     history: Arc<History>,
 }
@@ -60,7 +60,7 @@
             directories: PlayDirectories::new(folder),
             program,
             nodes: nodes.collect(),
-            cut_links: Mutex::default(),
+            blocked_links: Mutex::default(),
             is_ending: AtomicBool::new(false),
             history,
         }
--- a/crates/soak/src/tier/partition.rs
+++ b/crates/soak/src/tier/partition.rs
@@ -36,22 +36,23 @@
                 links.push(DirectedLink { from: other, to: address });
             }
         }
-        lock(&self.cut_links).extend(&links);
-        self.apply_cut_links();
+        lock(&self.blocked_links).extend(&links);
+        self.apply_blocked_links();
         Partition { tier: self, links }
     }
 
     /// Writes the links that are cut into the rules of all machines.
-    fn apply_cut_links(&self) {
-        let cut_links = lock(&self.cut_links).clone();
+    fn apply_blocked_links(&self) {
+        let blocked_links = lock(&self.blocked_links).clone();
         for node in &self.nodes {
             let address = self.address(node.machine);
-            let cut_to: BTreeSet<IpAddr> =
-                cut_links.iter().filter(|link| link.from == address).map(|link| link.to).collect();
-            let cut_from = cut_links.iter().filter(|link| link.to == address).map(|link| link.from).collect();
+            let blocked_destinations: BTreeSet<IpAddr> =
+                blocked_links.iter().filter(|link| link.from == address).map(|link| link.to).collect();
+            let blocked_sources =
+                blocked_links.iter().filter(|link| link.to == address).map(|link| link.from).collect();
             self.change_rules(node.machine, |rules| {
-                rules.cut_to = cut_to;
-                rules.cut_from = cut_from;
+                rules.blocked_destinations = blocked_destinations;
+                rules.blocked_sources = blocked_sources;
             });
         }
     }
@@ -60,13 +61,13 @@
 impl Drop for Partition<'_> {
     fn drop(&mut self) {
         {
-            let mut cut_links = lock(&self.tier.cut_links);
+            let mut blocked_links = lock(&self.tier.blocked_links);
             for link in &self.links {
-                if let Some(index) = cut_links.iter().position(|cut| cut == link) {
-                    cut_links.swap_remove(index);
+                if let Some(index) = blocked_links.iter().position(|cut| cut == link) {
+                    blocked_links.swap_remove(index);
                 }
             }
         }
-        self.tier.apply_cut_links();
+        self.tier.apply_blocked_links();
     }
 }
