--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -1,4 +1,4 @@
-//! What callers and endpoints saw, with the times of the troubles.
+//! The record of a play: what callers and endpoints observed, and when faults were active.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Mutex, MutexGuard};
@@ -6,119 +6,119 @@
 
 use juniperwing_node::sync::lock;
 
-use crate::troubles::TroubleKind;
+use crate::faults::FaultKind;
 
 /// Milliseconds since the play began.
 pub type Millis = u64;
 
-/// What a request may suffer.
+/// How often a request may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
-    /// It may run more than once.
-    Repeatable,
-    /// It may run once.
-    Once,
-    /// A turn that is kept; it may run once.
+    /// Idempotent: it may run more than once.
+    Idempotent,
+    /// Non-idempotent: it may run at most once.
+    NonIdempotent,
+    /// A stored turn; it may run at most once.
     Turn,
 }
 
-/// How a try of a client ended.
+/// How an attempt of a client ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
-    /// With a whole answer.
+pub enum Outcome {
+    /// With a complete response.
     Status {
         /// Its status.
         status: u16,
-        /// Whether an endpoint gave it.
-        stamped: bool,
+        /// Whether it carries the signature of an endpoint.
+        is_signed: bool,
     },
-    /// The connection ended before the answer did.
-    Cut {
-        /// Whether the head of the answer had come.
+    /// The connection ended before the response did.
+    ConnectionLost {
+        /// Whether the head of the response had arrived.
         after_head: bool,
     },
-    /// The client waited for far longer than its deadline.
-    Silence,
-    /// The client left.
-    Left,
-    /// The request could not be sent whole.
+    /// The client gave up long after its deadline.
+    TimedOut,
+    /// The client disconnected.
+    ClientDisconnected,
+    /// The request could not be sent completely.
     NotSent,
 }
 
-/// One try of a client.
+/// One request that a client sent once.
 #[derive(Clone, Debug)]
-pub struct Try {
-    /// What it may suffer.
+pub struct Attempt {
+    /// How often it may run.
     pub kind: RequestKind,
     /// The program, if it is a turn.
     pub program: Option<String>,
-    /// The relay that took it, by its number.
+    /// The number of the relay that it was sent to.
     pub relay: usize,
     /// When its last byte was sent.
     pub sent_at: Millis,
-    /// The time that it was given.
+    /// Its deadline, in milliseconds after it was sent.
     pub deadline_ms: Millis,
-    /// What an endpoint must be handed.
+    /// The body that an endpoint must receive.
     pub expected_body: Vec<u8>,
-    /// How it ended, and when.
-    pub ended: Option<(Millis, Ended)>,
+    /// When and how it ended; `None` while it is in flight.
+    pub outcome: Option<(Millis, Outcome)>,
     /// Tokens that reached the client.
     pub tokens: u64,
     /// When it ran, and at which endpoint.
     pub runs: Vec<(Millis, String)>,
-    /// What its runs answered: one that may be repeated may have several.
+    /// The responses of its runs: an idempotent request may have several.
     pub answers: Vec<Vec<u8>>,
-    /// Whether an endpoint broke off or misbehaved otherwise.
-    pub spoiled: bool,
+    /// Whether an endpoint misbehaved towards it.
+    pub has_endpoint_fault: bool,
 }
 
-impl Try {
-    /// One that is about to be sent to a relay.
+impl Attempt {
+    /// An attempt that is about to be sent to a relay.
     pub fn begin(
         kind: RequestKind, relay: usize, sent_at: Millis, deadline_ms: Millis, expected_body: Vec<u8>,
-    ) -> Try {
-        Try {
+    ) -> Attempt {
+        Attempt {
             kind,
             program: None,
             relay,
             sent_at,
             deadline_ms,
             expected_body,
-            ended: None,
+            outcome: None,
             tokens: 0,
             runs: Vec::new(),
             answers: Vec::new(),
-            spoiled: false,
+            has_endpoint_fault: false,
         }
     }
 }
 
-/// What a program may spend.
+/// The token budget of a program.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
-    /// Tokens of all turns.
+    /// The maximum number of tokens of all turns.
     pub tokens: u64,
-    /// The most of one turn.
-    pub most: u64,
+    /// The maximum number of tokens of one turn.
+    pub max_turn_tokens: u64,
 }
 
-/// One answer to an order.
+/// One response to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OrderAnswer {
-    /// The keeper, by its number.
+    /// The number of the keeper.
     pub keeper: usize,
-    /// When it was sent there.
+    /// When the order was sent to this keeper.
     pub sent_at: Millis,
-    /// When the answer came.
+    /// When the response arrived.
     pub at: Millis,
     /// Its status.
     pub status: u16,
 }
 
-/// A configuration that an operator sent, to one keeper after the other.
+/// A configuration change that an operator sent to one keeper after the other.
 #[derive(Clone, Debug)]
 pub struct Order {
-    /// The generation that it builds on.
+    /// The generation that it replaces.
     pub base: u64,
     /// Its own generation.
     pub generation: u64,
@@ -126,7 +126,7 @@
     pub body: Vec<u8>,
     /// When it was sent first.
     pub sent_at: Millis,
-    /// The answers that came.
+    /// The responses that arrived.
     pub answers: Vec<OrderAnswer>,
 }
 
@@ -142,29 +142,29 @@
     }
 }
 
-/// An answer to a read of the configuration.
+/// A response to a read of the configuration.
 #[derive(Clone, Debug)]
 pub struct ConfigurationRead {
-    /// The keeper, by its number.
+    /// The number of the keeper.
     pub keeper: usize,
-    /// When it was asked.
+    /// When the request was sent.
     pub sent_at: Millis,
-    /// When it answered.
+    /// When the response arrived.
     pub at: Millis,
     /// The status.
     pub status: u16,
-    /// The bytes.
+    /// The body.
     pub body: Vec<u8>,
 }
 
-/// A probe of the configuration in force at a relay.
+/// A probe of the configuration that a relay applies.
 #[derive(Clone, Copy, Debug)]
 pub struct RelayProbe {
-    /// The relay, by its number.
+    /// The number of the relay.
     pub relay: usize,
-    /// Which start of its process this was.
-    pub life: u64,
-    /// When it was asked.
+    /// The incarnation of its process.
+    pub incarnation: u64,
+    /// When the request was sent.
     pub sent_at: Millis,
     /// The generation whose route was asked for.
     pub generation: u64,
@@ -172,31 +172,42 @@
     pub status: u16,
 }
 
-/// A trouble as it was played.
+/// A fault as it was injected.
 #[derive(Clone, Copy, Debug)]
-pub struct Suffered {
-    /// What.
-    pub kind: TroubleKind,
+pub struct FaultInterval {
+    /// The kind of fault.
+    pub kind: FaultKind,
     /// When it began.
-    pub from: Millis,
-    /// When it was over, with the time that the tier has to recover from it.
-    pub until: Millis,
+    pub started_at: Millis,
+    /// When its injection ended; far in the future while it lasts.
+    pub ended_at: Millis,
 }
 
-/// Something that must not be.
+/// A request that began to run at an endpoint after its drain.
+#[derive(Clone, Debug)]
+pub struct LateRun {
+    /// When a keeper acknowledged the drain.
+    pub drained_at: Millis,
+    /// When the request began to run.
+    pub started_at: Millis,
+    /// The id of the request.
+    pub request: String,
+}
+
+/// A violation of a guarantee.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Finding {
-    /// The promise that was broken, in a word.
-    pub promise: &'static str,
-    /// What was seen.
+    /// The guarantee that was violated, in a few words.
+    pub guarantee: &'static str,
+    /// What was observed.
     pub details: String,
 }
 
-/// All that was seen.
+/// Everything that was observed.
 #[derive(Debug, Default)]
 pub struct Record {
-    /// Tries by the id of the request.
-    pub tries: BTreeMap<String, Try>,
+    /// Attempts by the id of the request.
+    pub attempts: BTreeMap<String, Attempt>,
     /// Budgets by program.
     pub budgets: BTreeMap<String, Budget>,
     /// Orders.
@@ -205,19 +216,19 @@
     pub reads: Vec<ConfigurationRead>,
     /// Probes of relays.
     pub probes: Vec<RelayProbe>,
-    /// Troubles.
-    pub suffered: Vec<Suffered>,
-    /// When turns were answered whole.
+    /// Intervals in which faults were active.
+    pub fault_intervals: Vec<FaultInterval>,
+    /// When turns were served completely.
     pub turns_served: Vec<Millis>,
-    /// When plain requests were answered whole.
+    /// When plain requests were served completely.
     pub requests_served: Vec<Millis>,
-    /// Runs after a drain: when it was acknowledged, when the run began, and the request.
-    pub late_runs: Vec<(Millis, Millis, String)>,
-    /// What was found at once.
+    /// Runs that began too long after the endpoint had drained.
+    pub late_runs: Vec<LateRun>,
+    /// Findings of the play itself, as against those of the oracle.
     pub findings: BTreeSet<Finding>,
 }
 
-/// The record of a play, while it goes on.
+/// The record of a play in progress.
 #[derive(Debug)]
 pub struct History {
     began: Instant,
@@ -236,65 +247,66 @@
         self.began.elapsed().as_millis() as Millis
     }
 
-    /// The record as it stands.
+    /// Locks the record.
     pub fn record(&self) -> MutexGuard<'_, Record> {
         lock(&self.record)
     }
 
-    /// Something that must not be was seen.
-    pub fn found(&self, promise: &'static str, details: String) {
+    /// Records a violation of a guarantee at the present time.
+    pub fn record_finding(&self, guarantee: &'static str, details: String) {
         let at = self.now();
         let details = format!("at {at} ms: {details}");
-        self.record().findings.insert(Finding { promise, details });
+        self.record().findings.insert(Finding { guarantee, details });
     }
 
-    /// A request begins to run at an endpoint, which was handed this body. `false` if nobody sent it.
-    pub fn runs(&self, request: &str, instance: &str, body: &[u8]) -> bool {
+    /// Records that a request began to run at an endpoint with this body. Returns `false` if nobody sent it.
+    pub fn record_run(&self, request: &str, instance: &str, body: &[u8]) -> bool {
         let at = self.now();
         let mut record = self.record();
-        let Some(tried) = record.tries.get_mut(request) else { return false };
-        tried.runs.push((at, instance.to_owned()));
-        let differs = tried.expected_body != body;
-        let (wanted, got) = (tried.expected_body.len(), body.len());
+        let Some(attempt) = record.attempts.get_mut(request) else { return false };
+        attempt.runs.push((at, instance.to_owned()));
+        let differs = attempt.expected_body != body;
+        let (expected_bytes, actual_bytes) = (attempt.expected_body.len(), body.len());
         drop(record);
         if differs {
-            let details = format!("request {request} at {instance}: {got} bytes in place of {wanted}");
-            self.found("body of a request", details);
+            let details =
+                format!("request {request} at {instance}: {actual_bytes} bytes in place of {expected_bytes}");
+            self.record_finding("body of a request", details);
         }
         true
     }
 
-    /// The endpoint that runs a request breaks off or misbehaves otherwise.
-    pub fn spoiled(&self, request: &str) {
-        if let Some(tried) = self.record().tries.get_mut(request) {
-            tried.spoiled = true;
+    /// Records that the endpoint that runs a request misbehaves.
+    pub fn record_endpoint_fault(&self, request: &str) {
+        if let Some(attempt) = self.record().attempts.get_mut(request) {
+            attempt.has_endpoint_fault = true;
         }
     }
 
-    /// The endpoint answers a request.
-    pub fn answered(&self, request: &str, answer: &[u8]) {
-        if let Some(tried) = self.record().tries.get_mut(request) {
-            tried.answers.push(answer.to_owned());
+    /// Records the response of an endpoint to a request.
+    pub fn record_answer(&self, request: &str, answer: &[u8]) {
+        if let Some(attempt) = self.record().attempts.get_mut(request) {
+            attempt.answers.push(answer.to_owned());
         }
     }
 
-    /// Whether an endpoint gave this answer to a request.
+    /// Whether an endpoint gave this response to a request.
     pub fn is_answer_to(&self, request: &str, answer: &[u8]) -> bool {
         self.record()
-            .tries
+            .attempts
             .get(request)
-            .is_some_and(|tried| tried.answers.iter().any(|given| given == answer))
+            .is_some_and(|attempt| attempt.answers.iter().any(|given| given == answer))
     }
 
-    /// A client's try has ended.
-    pub fn ended(&self, request: &str, ended: Ended, tokens: u64) {
+    /// Records how a client's attempt ended and how many tokens it received.
+    pub fn record_outcome(&self, request: &str, outcome: Outcome, tokens: u64) {
         let at = self.now();
         let mut record = self.record();
-        let Some(tried) = record.tries.get_mut(request) else { return };
-        tried.ended = Some((at, ended));
-        tried.tokens = tokens;
-        let served = matches!(ended, Ended::Status { status: 200, stamped: true });
-        let is_turn = tried.kind == RequestKind::Turn;
+        let Some(attempt) = record.attempts.get_mut(request) else { return };
+        attempt.outcome = Some((at, outcome));
+        attempt.tokens = tokens;
+        let served = matches!(outcome, Outcome::Status { status: 200, is_signed: true });
+        let is_turn = attempt.kind == RequestKind::Turn;
         if served && is_turn {
             record.turns_served.push(at);
         } else if served {
--- a/crates/soak/src/load/platform.rs
+++ b/crates/soak/src/load/platform.rs
@@ -1,4 +1,4 @@
-//! The platform before the relays: it knows which of them take new connections.
+//! The load balancer in front of the relays: it probes which of them are ready.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -7,58 +7,58 @@
 use juniperwing_node::role::Role;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::http::{ask, request};
+use crate::http::{encode_request, exchange};
 use crate::network::{FRONTEND_PORT, Network, READINESS_PORT};
-use crate::schedule::RELAYS;
+use crate::schedule::RELAY_COUNT;
 use juniperwing_random::Rng;
 
-/// Between two questions to a relay.
-const ASK_EVERY: Duration = Duration::from_secs(1);
-/// How long an answer may take.
-const ANSWER_WITHIN: Duration = Duration::from_millis(900);
-/// Questions in a row without a 200 that take a relay out.
-const MISSES: u32 = 2;
+/// Interval between two readiness probes of a relay.
+const READINESS_POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// How long a response may take.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(900);
+/// Consecutive failed probes after which a relay counts as not ready.
+const UNREADY_THRESHOLD: u32 = 2;
 
-/// Which relays take new connections.
+/// Readiness of all relays.
 #[derive(Debug)]
 pub struct Platform {
     network: Network,
-    takes: Vec<AtomicBool>,
+    is_ready: Vec<AtomicBool>,
 }
 
 impl Platform {
-    /// None does yet.
+    /// No relay is ready yet.
     pub fn new(network: Network) -> Platform {
-        Platform { network, takes: (0..RELAYS).map(|_| AtomicBool::new(false)).collect() }
+        Platform { network, is_ready: (0..RELAY_COUNT).map(|_| AtomicBool::new(false)).collect() }
     }
 
-    /// Asks one relay again and again whether it is ready.
+    /// Probes the readiness of one relay until the task is aborted.
     pub async fn watch(&self, relay: usize) {
         let address = self.network.listener(Role::Relay, relay, READINESS_PORT);
-        let question = request("GET", "/readyz", &[("Host", "relay")], b"");
-        let mut misses = 0;
+        let request = encode_request("GET", "/readyz", &[("Host", "relay")], b"");
+        let mut failures = 0;
         loop {
-            let next = Instant::now() + ASK_EVERY;
-            let answer = ask(address, &question, ANSWER_WITHIN).await;
+            let next = Instant::now() + READINESS_POLL_INTERVAL;
+            let answer = exchange(address, &request, RESPONSE_TIMEOUT).await;
             let is_ready = matches!(answer, Ok((head, _)) if head.status == 200);
-            misses = if is_ready { 0 } else { misses + 1 };
-            if is_ready || misses >= MISSES {
-                self.takes[relay].store(is_ready, Ordering::Relaxed);
+            failures = if is_ready { 0 } else { failures + 1 };
+            if is_ready || failures >= UNREADY_THRESHOLD {
+                self.is_ready[relay].store(is_ready, Ordering::Relaxed);
             }
             sleep_until(next).await;
         }
     }
 
-    /// Whether a relay takes new connections.
-    pub fn takes(&self, relay: usize) -> bool {
-        self.takes[relay].load(Ordering::Relaxed)
+    /// Whether a relay is ready for new connections.
+    pub fn is_ready(&self, relay: usize) -> bool {
+        self.is_ready[relay].load(Ordering::Relaxed)
     }
 
-    /// Waits until all relays do, for a limited time. Returns whether they do.
-    pub async fn all_take(&self, within: Duration) -> bool {
+    /// Waits until all relays are ready, for a limited time. Returns whether they are.
+    pub async fn wait_until_all_ready(&self, within: Duration) -> bool {
         let until = Instant::now() + within;
         while Instant::now() < until {
-            if (0..RELAYS).all(|relay| self.takes(relay)) {
+            if (0..RELAY_COUNT).all(|relay| self.is_ready(relay)) {
                 return true;
             }
             sleep(Duration::from_millis(50)).await;
@@ -68,11 +68,11 @@
 
     /// A relay for a new connection; any of them if none is known to be ready.
     pub fn choose(&self, rng: &mut Rng) -> usize {
-        let ready: Vec<usize> = (0..RELAYS).filter(|relay| self.takes(*relay)).collect();
-        if ready.is_empty() { rng.below(RELAYS as u64) as usize } else { rng.pick(&ready) }
+        let ready: Vec<usize> = (0..RELAY_COUNT).filter(|relay| self.is_ready(*relay)).collect();
+        if ready.is_empty() { rng.below(RELAY_COUNT as u64) as usize } else { rng.pick(&ready) }
     }
 
-    /// Where a relay takes clients.
+    /// The address of a relay for clients.
     pub fn frontend(&self, relay: usize) -> SocketAddr {
         self.network.listener(Role::Relay, relay, FRONTEND_PORT)
     }
--- a/crates/soak/src/network.rs
+++ b/crates/soak/src/network.rs
@@ -5,37 +5,37 @@
 
 use juniperwing_node::role::Role;
 
-/// The ports of the tier; the same on all machines.
+/// The port of relays for clients. Ports are the same on all machines.
 pub const FRONTEND_PORT: u16 = 8_149;
-/// Where relays answer the platform.
+/// The port of relays for readiness probes.
 pub const READINESS_PORT: u16 = 8_141;
-/// Where keepers listen for endpoints and operators.
+/// The port of keepers for endpoints and operators.
 pub const CONTROL_PORT: u16 = 8_144;
-/// Where every role tells its figures.
+/// The port of all roles for metrics.
 pub const METRICS_PORT: u16 = 9_464;
-/// First and last of the ports for the tier's own messages.
+/// The first and the last port for messages between machines of the tier.
 pub const TIER_PORTS: (u16, u16) = (7_380, 7_395);
 
-/// Networks that plays may use at the same time: 127.20 to 127.219.
-const NETWORKS: u64 = 200;
+/// Number of networks that plays may use at the same time: 127.20 to 127.219.
+const NETWORK_COUNT: u64 = 200;
 const FIRST_NETWORK: u64 = 20;
-const ENDPOINTS: u8 = 4;
+const ENDPOINT_SUBNET: u8 = 4;
 
-/// Held by the play that uses a network.
+/// Bound by the play that uses a network.
 const RESERVED_PORT: u16 = 7_379;
 
 /// The addresses of one play.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Network(u8);
 
-/// Keeps other plays on this machine off a network for as long as it lives.
+/// Reserves a network against other plays on this machine until it is dropped.
 #[derive(Debug)]
-pub struct Reservation(#[expect(dead_code, reason = "held, not used")] TcpListener);
+pub struct Reservation(#[expect(dead_code, reason = "reserves the network until it is dropped")] TcpListener);
 
 impl Network {
     /// The network with a number; numbers wrap around.
     pub fn new(number: u64) -> Network {
-        Network((FIRST_NETWORK + number % NETWORKS) as u8)
+        Network((FIRST_NETWORK + number % NETWORK_COUNT) as u8)
     }
 
     /// The first network from a number on that no other play uses.
@@ -45,7 +45,7 @@
     /// If all are in use.
     pub fn reserve(number: u64) -> io::Result<(Network, Reservation)> {
         let mut failure = io::ErrorKind::AddrInUse.into();
-        for offset in 0..NETWORKS {
+        for offset in 0..NETWORK_COUNT {
             let network = Network::new(number.wrapping_add(offset));
             match TcpListener::bind((network.address(0, 0), RESERVED_PORT)) {
                 Ok(listener) => return Ok((network, Reservation(listener))),
@@ -67,7 +67,7 @@
 
     /// The machine of an endpoint, by its number from 0 on.
     pub fn endpoint(self, number: usize) -> IpAddr {
-        self.address(ENDPOINTS, number)
+        self.address(ENDPOINT_SUBNET, number)
     }
 
     /// A listener on the machine of a role.
