--- a/crates/soak/src/fault_injector.rs
+++ b/crates/soak/src/fault_injector.rs
@@ -22,7 +22,8 @@
     pub(crate) tier: Arc<Tier>,
     pub(crate) shared: Arc<Shared>,
     pub(crate) endpoints: Arc<Endpoints>,
-    pub(crate) within_tolerance: bool,
+    /// Whether the schedule stays within the fault tolerance.
+    pub(crate) is_within_tolerance: bool,
     pub(crate) rng: Rng,
 }
 
@@ -79,8 +80,8 @@
     }
 
     async fn kill_during_start(&mut self, machine: Machine) {
-        let pauses: Vec<Duration> = (0..3).map(|_| Duration::from_millis(5 + self.rng.below(250))).collect();
-        self.tier.kill_during_start(machine, &pauses).await;
+        let uptimes: Vec<Duration> = (0..3).map(|_| Duration::from_millis(5 + self.rng.below(250))).collect();
+        self.tier.kill_during_start(machine, &uptimes).await;
     }
 
     async fn stop_during_start(&mut self, machine: Machine) {
@@ -138,7 +139,7 @@
     async fn retire(&self, machine: Machine, duration: Duration) {
         if retire_store(&self.shared, machine, duration).await {
             self.tier.kill(machine, REPLACEMENT_DELAY, true).await;
-        } else if self.within_tolerance {
+        } else if self.is_within_tolerance {
             self.shared
                 .history
                 .record_finding("a machine is emptied", format!("{machine} in {} s", duration.as_secs()));
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -231,20 +231,20 @@
 /// The record of a play in progress.
 #[derive(Debug)]
 pub struct History {
-    began: Instant,
+    started_at: Instant,
     record: Mutex<Record>,
 }
 
 impl Default for History {
     fn default() -> Self {
-        History { began: Instant::now(), record: Mutex::default() }
+        History { started_at: Instant::now(), record: Mutex::default() }
     }
 }
 
 impl History {
     /// Milliseconds since the play began.
     pub fn now(&self) -> Millis {
-        self.began.elapsed().as_millis() as Millis
+        self.started_at.elapsed().as_millis() as Millis
     }
 
     /// Locks the record.
--- a/crates/soak/src/load.rs
+++ b/crates/soak/src/load.rs
@@ -28,7 +28,7 @@
 pub use self::program::{StoredTurn, continue_turn};
 
 /// Programs at the same time.
-const PROGRAM_LINE_COUNT: u64 = 6;
+const PROGRAM_COUNT: u64 = 6;
 /// Plain clients at the same time.
 const CLIENT_COUNT: u64 = 5;
 /// Further plain clients in a burst.
@@ -48,12 +48,13 @@
     /// The seed of the play.
     pub seed: u64,
     /// Whether the load goes on.
-    running: AtomicBool,
+    is_running: AtomicBool,
     /// How endpoints misbehave at present.
     misbehaviour: Mutex<Option<Misbehaviour>>,
     /// Whether clients disconnect early at present.
     early_disconnects: AtomicBool,
-    numbers: AtomicU64,
+    /// Number of unique names that were given out.
+    name_count: AtomicU64,
     stored_turns: Mutex<Vec<StoredTurn>>,
 }
 
@@ -68,22 +69,22 @@
             history,
             platform,
             seed,
-            running: AtomicBool::new(true),
+            is_running: AtomicBool::new(true),
             misbehaviour: Mutex::default(),
             early_disconnects: AtomicBool::new(false),
-            numbers: AtomicU64::new(0),
+            name_count: AtomicU64::new(0),
             stored_turns: Mutex::default(),
         }
     }
 
     /// Whether the load goes on.
     pub fn is_running(&self) -> bool {
-        self.running.load(Ordering::Relaxed)
+        self.is_running.load(Ordering::Relaxed)
     }
 
     /// Ends the load: users finish what is in flight.
     pub fn stop(&self) {
-        self.running.store(false, Ordering::Relaxed);
+        self.is_running.store(false, Ordering::Relaxed);
     }
 
     /// Sets how endpoints misbehave from now on.
@@ -116,7 +117,7 @@
 
     /// A name that is unique within the play.
     fn unique_name(&self, prefix: &str) -> String {
-        format!("{prefix}{:06x}", self.numbers.fetch_add(1, Ordering::Relaxed))
+        format!("{prefix}{:06x}", self.name_count.fetch_add(1, Ordering::Relaxed))
     }
 
     /// A random stream of its own for a purpose.
@@ -132,8 +133,8 @@
 
 /// Starts programs, plain clients and probes, which run until the load ends.
 pub fn start_clients(shared: &Arc<Shared>, tasks: &mut JoinSet<()>) {
-    for line in 0..PROGRAM_LINE_COUNT {
-        tasks.spawn(program::run(Arc::clone(shared), line));
+    for number in 0..PROGRAM_COUNT {
+        tasks.spawn(program::run(Arc::clone(shared), number));
     }
     for client in 0..CLIENT_COUNT {
         tasks.spawn(requests::run(Arc::clone(shared), client, u64::MAX));
--- a/crates/soak/src/load/endpoint.rs
+++ b/crates/soak/src/load/endpoint.rs
@@ -51,14 +51,14 @@
     address: SocketAddr,
     requests_in_flight: AtomicUsize,
     sequence: AtomicU64,
-    draining: AtomicBool,
+    is_draining: AtomicBool,
     /// When a keeper acknowledged that it drains.
     drained_at: Mutex<Option<Millis>>,
 }
 
 impl EndpointInstance {
     fn is_draining(&self) -> bool {
-        self.draining.load(Ordering::Relaxed)
+        self.is_draining.load(Ordering::Relaxed)
     }
 }
 
@@ -143,7 +143,7 @@
             address: SocketAddr::new(self.shared.network.endpoint(number), ENDPOINT_PORT),
             requests_in_flight: AtomicUsize::new(0),
             sequence: AtomicU64::new(0),
-            draining: AtomicBool::new(false),
+            is_draining: AtomicBool::new(false),
             drained_at: Mutex::default(),
         });
         let work = run(Arc::clone(&self.shared), Arc::clone(&instance));
@@ -205,7 +205,7 @@
 
 /// Reports the drain, serves until it is over, and deregisters.
 async fn drain_and_deregister(shared: &Arc<Shared>, instance: &EndpointInstance) {
-    instance.draining.store(true, Ordering::Relaxed);
+    instance.is_draining.store(true, Ordering::Relaxed);
     for keeper in 0..MAX_DRAIN_ATTEMPTS {
         if report_state(shared, instance, keeper, "draining").await {
             let at = shared.history.now();
--- a/crates/soak/src/load/program.rs
+++ b/crates/soak/src/load/program.rs
@@ -46,8 +46,8 @@
 }
 
 /// Runs one program after the other until the load ends.
-pub async fn run(shared: Arc<Shared>, line: u64) {
-    let mut rng = shared.rng(&format!("program {line}"));
+pub async fn run(shared: Arc<Shared>, number: u64) {
+    let mut rng = shared.rng(&format!("program {number}"));
     while shared.is_running() {
         run_program(&shared, &mut rng).await;
     }
@@ -65,7 +65,7 @@
         if !shared.is_running() {
             return;
         }
-        let next = match turn(shared, &program, budget, last.as_ref(), rng).await {
+        let next = match run_turn(shared, &program, budget, last.as_ref(), rng).await {
             TurnOutcome::Completed(stored) => stored,
             _ => return,
         };
@@ -73,8 +73,8 @@
             // Two turns continue the same turn concurrently.
             let mut other = rng.clone();
             other.below(2);
-            let side = turn(shared, &program, budget, Some(&next), &mut other);
-            let main = turn(shared, &program, budget, Some(&next), rng);
+            let side = run_turn(shared, &program, budget, Some(&next), &mut other);
+            let main = run_turn(shared, &program, budget, Some(&next), rng);
             tokio::join!(side, main);
         }
         last = Some(next);
@@ -83,22 +83,22 @@
 }
 
 /// Runs one turn with retries.
-async fn turn(
+async fn run_turn(
     shared: &Arc<Shared>, program: &str, budget: Budget, previous: Option<&StoredTurn>, rng: &mut Rng,
 ) -> TurnOutcome {
-    let mut end = TurnOutcome::NotExecuted;
+    let mut outcome = TurnOutcome::NotExecuted;
     for _ in 0..MAX_TURN_ATTEMPTS {
-        end = attempt_turn(shared, program, budget, previous, rng).await;
-        match end {
+        outcome = attempt_turn(shared, program, budget, previous, rng).await;
+        match outcome {
             TurnOutcome::NotExecuted | TurnOutcome::Indeterminate => {
                 sleep(Duration::from_millis(100 + rng.below(300))).await;
             }
             TurnOutcome::Completed(_) | TurnOutcome::BudgetExhausted | TurnOutcome::PreviousTurnUnknown => {
-                return end;
+                return outcome;
             }
         }
     }
-    end
+    outcome
 }
 
 /// Continues a turn that was served some time ago, with retries. Returns whether that succeeded.
@@ -108,7 +108,7 @@
     let budget = Budget { tokens: MAX_TURN_TOKENS * 40, max_turn_tokens: MAX_TURN_TOKENS };
     shared.history.record().budgets.insert(program.clone(), budget);
     for _ in 0..max_attempts {
-        if let TurnOutcome::Completed(_) = turn(shared, &program, budget, Some(stored), &mut rng).await {
+        if let TurnOutcome::Completed(_) = run_turn(shared, &program, budget, Some(stored), &mut rng).await {
             return true;
         }
     }
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -89,13 +89,13 @@
             return;
         }
         let relay = attempt.relay;
-        let took = at.saturating_sub(attempt.sent_at);
+        let elapsed_ms = at.saturating_sub(attempt.sent_at);
         match outcome {
             Outcome::ConnectionLost { after_head }
-                if !attempt.runs.is_empty() || after_head || took > LOSS_SLACK_MS =>
+                if !attempt.runs.is_empty() || after_head || elapsed_ms > LOSS_SLACK_MS =>
             {
                 let details = format!(
-                    "{id} by relay {relay}, sent at {}, cut after {took} ms, ran {:?}, head {after_head}",
+                    "{id} by relay {relay}, sent at {}, cut after {elapsed_ms} ms, ran {:?}, head {after_head}",
                     attempt.sent_at, attempt.runs
                 );
                 self.add_finding("what was read is answered", details);
@@ -106,9 +106,11 @@
                     format!("{id} by relay {relay}, sent at {}", attempt.sent_at),
                 );
             }
-            Outcome::Status { status, .. } if took > attempt.deadline_ms + DEADLINE_SLACK_MS => {
-                let details =
-                    format!("{id} by relay {relay}, sent at {}, {status} after {took} ms", attempt.sent_at);
+            Outcome::Status { status, .. } if elapsed_ms > attempt.deadline_ms + DEADLINE_SLACK_MS => {
+                let details = format!(
+                    "{id} by relay {relay}, sent at {}, {status} after {elapsed_ms} ms",
+                    attempt.sent_at
+                );
                 self.add_finding("an answer by the deadline", details);
             }
             _ => {}
--- a/crates/soak/src/play.rs
+++ b/crates/soak/src/play.rs
@@ -28,7 +28,7 @@
 const RECOVERY_DURATION: Duration = Duration::from_secs(12);
 /// How long the load goes on after the recovery.
 const REST_DURATION: Duration = Duration::from_secs(4);
-/// How long the load may take to finish once it is told to stop.
+/// How long the load may take to finish once it is stopped.
 const LOAD_FINISH_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Options of a play.
@@ -90,11 +90,11 @@
     let lines: Vec<String> =
         findings.iter().map(|found| format!("{}: {}", found.guarantee, found.details)).collect();
     fs::write(options.folder.join("findings.txt"), lines.join("\n"))?;
-    let kept = options.keep || !findings.is_empty();
-    if !kept {
+    let keeps_files = options.keep || !findings.is_empty();
+    if !keeps_files {
         fs::remove_dir_all(&options.folder)?;
     }
-    let folder = kept.then(|| options.folder.clone());
+    let folder = keeps_files.then(|| options.folder.clone());
     Ok(Report { schedule, findings, summary: summary.text, folder })
 }
 
@@ -103,10 +103,11 @@
     let mut findings = Vec::new();
     for (name, log) in tier.directories().read_logs()? {
         for line in log.lines() {
-            let is_planted = line.contains("the soak has the writing thread panic");
+            // The message of the fault `DiskPanic` (see `faulty_host::disk`).
+            let is_injected = line.contains("the soak has the writing thread panic");
             if line.contains("\"invariant violated\"") {
                 findings.push(Finding { guarantee: "an invariant", details: format!("{name}: {line}") });
-            } else if line.contains("panic") && !is_planted {
+            } else if line.contains("panic") && !is_injected {
                 findings.push(Finding { guarantee: "no panic", details: format!("{name}: {line}") });
             }
         }
@@ -191,10 +192,10 @@
 
     /// Injects each fault at its time and waits until the last one is over.
     async fn inject_faults(&self, schedule: &Schedule, load: &mut JoinSet<()>) {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let mut injections = JoinSet::new();
         for (number, fault) in schedule.faults.iter().enumerate() {
-            sleep_until(began + Duration::from_millis(fault.starts_at)).await;
+            sleep_until(started_at + Duration::from_millis(fault.starts_at)).await;
             if fault.kind == FaultKind::Burst {
                 burst(&self.shared, self.shared.history.now() + fault.duration_ms, load);
             }
@@ -202,7 +203,7 @@
                 tier: Arc::clone(&self.tier),
                 shared: Arc::clone(&self.shared),
                 endpoints: Arc::clone(&self.endpoints),
-                within_tolerance: schedule.is_within_tolerance(),
+                is_within_tolerance: schedule.is_within_tolerance(),
                 rng: Rng::for_named_purpose(schedule.seed, &format!("trouble {number}")),
             };
             injections.spawn(injector.run(*fault));
--- a/crates/soak/tests/log.rs
+++ b/crates/soak/tests/log.rs
@@ -15,13 +15,13 @@
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 #[tokio::test]
-async fn a_log_that_nobody_reads_holds_up_nobody() {
+async fn relay_serves_while_its_log_pipe_is_full() {
     let answer = readiness_after_many_lines(Stdio::piped(), "unread").await;
     assert!(answer.is_ok(), "the relay stands still: {answer:?}");
 }
 
 #[tokio::test]
-async fn a_log_that_is_discarded_holds_up_nobody() {
+async fn relay_serves_while_its_log_is_discarded() {
     let answer = readiness_after_many_lines(Stdio::null(), "discarded").await;
     assert!(answer.is_ok(), "the relay stands still: {answer:?}");
 }
--- a/crates/soak/tests/schedule.rs
+++ b/crates/soak/tests/schedule.rs
@@ -5,13 +5,13 @@
 const LENGTH_MS: u64 = 25_000;
 
 #[test]
-fn the_same_seed_gives_the_same_schedule() {
+fn same_seed_gives_same_schedule() {
     assert_eq!(Schedule::draw(7, LENGTH_MS), Schedule::draw(7, LENGTH_MS));
     assert_ne!(Schedule::draw(7, LENGTH_MS).faults, Schedule::draw(8, LENGTH_MS).faults);
 }
 
 #[test]
-fn within_the_tolerance_one_loss_is_over_before_the_next() {
+fn stateful_faults_within_tolerance_do_not_overlap() {
     for schedule in (0..200).map(|seed| Schedule::draw(seed, LENGTH_MS)) {
         if !schedule.is_within_tolerance() {
             continue;
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn beyond_it_no_more_disks_are_lost_than_are_borne() {
+fn at_most_one_disk_is_lost_beyond_tolerance() {
     for schedule in (0..200).map(|seed| Schedule::draw(seed, LENGTH_MS)) {
         let lost = schedule.faults.iter().filter(|fault| fault.kind.loses_disk()).count();
         assert!(schedule.is_within_tolerance() || lost <= 1, "seed {}: {lost} disks", schedule.seed);
--- a/crates/soak/tests/short.rs
+++ b/crates/soak/tests/short.rs
@@ -68,23 +68,23 @@
 }
 
 #[test]
-fn planned_work_cuts_nothing() {
+fn planned_work_cuts_no_request() {
     assert_no_findings(&run_play(&options("planned", seed_of(Flavor::Planned), None)));
 }
 
 #[test]
-fn a_play_within_the_tolerance_finds_nothing() {
+fn play_within_tolerance_has_no_findings() {
     assert_no_findings(&run_play(&options("within", seed_of(Flavor::WithinTolerance), None)));
 }
 
 #[test]
-fn a_play_beyond_the_tolerance_loses_nothing() {
+fn play_beyond_tolerance_loses_no_acknowledged_state() {
     assert_no_findings(&run_play(&options("beyond", seed_of(Flavor::BeyondTolerance), None)));
 }
 
 /// A process that has lost a task does not go on with a part of its work.
 #[test]
-fn processes_whose_writing_task_panics_end_and_come_back() {
+fn process_restarts_after_panic_of_its_writing_task() {
     let panics = |starts_at, role, number| Fault {
         starts_at,
         duration_ms: 1_500,
@@ -96,7 +96,7 @@
 
 /// A disk that answers nothing costs one machine, not the service.
 #[test]
-fn disks_that_answer_nothing_stop_no_service() {
+fn stalled_disk_does_not_interrupt_service() {
     let stalls = |starts_at, role, number| Fault {
         starts_at,
         duration_ms: 12_000,
