--- a/crates/model/src/simulation.rs
+++ b/crates/model/src/simulation.rs
@@ -29,7 +29,7 @@
 use crate::faults::{FaultSet, FaultWindow};
 use crate::fleet::{Fleet, span_ms};
 use crate::judge::Judge;
-use crate::metrics::{DestinationSeries, Metrics, MetricsRecorder, UndeliveredReason};
+use crate::metrics::{DestinationSeries, Metrics, MetricsRecorder, RouteRecoveries, UndeliveredReason};
 use crate::policy::Policies;
 use crate::random::RngStreams;
 use crate::route::{OverloadThreshold, Route};
@@ -84,7 +84,7 @@
     quotas: Vec<QuotaBucket>,
     calls: BTreeMap<CallId, Call>,
     last_call: CallId,
-    last_ntf: u64,
+    last_notification_id: u64,
     client_rng: ChaCha8Rng,
     /// Notifications that are neither delivered nor given up.
     unfinished: usize,
@@ -107,8 +107,8 @@
 impl Simulation<'_> {
     fn run(&mut self) {
         self.schedule_first_events();
-        let span = Span::from_secs_f64(self.scenario.span_s.least);
-        let max_ttl_ms = self.scenario.topic.iter().map(|topic| topic.ttl_ms).fold(0.0, f64::max);
+        let span = Span::from_secs_f64(self.scenario.duration_s.min);
+        let max_ttl_ms = self.scenario.topics.iter().map(|topic| topic.ttl_ms).fold(0.0, f64::max);
         let latest_end = Time::default() + span + span_ms(max_ttl_ms) + MAX_TAIL;
         let fault_ends = self.fault_windows.iter().map(|window| window.to).filter(|to| *to < latest_end);
         let earliest_end = fault_ends.max().unwrap_or_default().max(Time::default() + span);
@@ -150,10 +150,10 @@
         let metrics = &mut self.recorder.metrics;
         (metrics.violations, metrics.violation_count) = (violations, violation_count);
         metrics.events = self.events;
-        metrics.recoveries = (
-            self.routes.iter().filter(|route| route.has_recovered()).count(),
-            self.routes.iter().filter(|route| route.is_overloaded()).count(),
-        );
+        metrics.recoveries = RouteRecoveries {
+            recovered: self.routes.iter().filter(|route| route.has_recovered()).count(),
+            overloaded: self.routes.iter().filter(|route| route.is_overloaded()).count(),
+        };
         self.recorder.finish()
     }
 
@@ -176,7 +176,9 @@
             SimulationEvent::RequestReceived(call) => self.handle_request(call),
             SimulationEvent::ServiceFinished(call) => self.handle_service_finished(call),
             SimulationEvent::ResponseReceived { call, response } => self.handle_response(call, response),
-            SimulationEvent::PushTimeout { call, ntf } => self.handle_push_timeout(call, ntf),
+            SimulationEvent::PushTimeout { call, notification_id } => {
+                self.handle_push_timeout(call, notification_id)
+            }
             SimulationEvent::ConnectTimeout(call) => self.handle_connect_timeout(call),
             SimulationEvent::CloseIdleConnections { relay, endpoint } => {
                 self.close_idle_connections(relay, endpoint);
--- a/crates/soak/src/fault/rules.rs
+++ b/crates/soak/src/faulty_host/rules.rs
@@ -1,4 +1,4 @@
-//! What a process is told to suffer: a file that the soak replaces and the process reads again and again.
+//! Fault rules of a process: a file that the soak replaces and the process polls.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -13,20 +13,20 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How often a process looks whether its file has changed.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+/// How often a process reads its file.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a disk does.
+/// How a disk fails.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DiskFault {
     /// It works.
     #[default]
     None,
-    /// It answers nothing.
+    /// Its operations block.
     Stalls,
-    /// It takes no more bytes: half of what is written, then an error.
+    /// It is full: half of a write is accepted, then it fails.
     Refuses,
-    /// Each sync takes so long.
+    /// Each sync takes this long.
     Slow {
         /// In milliseconds.
         ms: u64,
@@ -35,25 +35,27 @@
     Panics,
 }
 
-/// What a process is told to suffer.
+/// The faults of the host under a process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Rules {
+pub struct FaultRules {
     /// Machines that this one's bytes do not reach.
-    pub cut_to: BTreeSet<IpAddr>,
-    /// Machines whose bytes do not reach this one. They hold them back; here it stops acknowledgements only.
-    pub cut_from: BTreeSet<IpAddr>,
-    /// How much longer bytes take on links.
+    #[serde(rename = "cut_to")]
+    pub blocked_destinations: BTreeSet<IpAddr>,
+    /// Machines whose bytes do not reach this one. The senders hold the bytes back; here only acknowledgements stop.
+    #[serde(rename = "cut_from")]
+    pub blocked_sources: BTreeSet<IpAddr>,
+    /// Additional latency of links, in milliseconds.
     pub link_delay_ms: u64,
-    /// Raised to have all links reset.
+    /// Incremented to reset all links.
     pub resets: u64,
-    /// The disk.
+    /// The fault of the disk.
     pub disk: DiskFault,
-    /// How much the time of day is off.
+    /// Offset of the wall clock, in milliseconds.
     pub clock_offset_ms: i64,
 }
 
-impl Rules {
-    /// Writes them for a process, whole at once.
+impl FaultRules {
+    /// Writes the rules for a process, atomically.
     ///
     /// # Errors
     ///
@@ -65,22 +67,22 @@
     }
 }
 
-/// The rules of this process, as they stand.
+/// The present rules of this process.
 #[derive(Clone, Debug)]
-pub struct LiveRules(Arc<Mutex<Rules>>);
+pub struct LiveFaultRules(Arc<Mutex<FaultRules>>);
 
-impl LiveRules {
-    /// Follows the rules in a file, for as long as the process lives.
+impl LiveFaultRules {
+    /// Polls the rules in a file for as long as the process runs.
     ///
     /// # Errors
     ///
     /// If no thread can be started.
-    pub fn follow(path: PathBuf) -> io::Result<LiveRules> {
-        let rules = LiveRules(Arc::new(Mutex::new(read(&path).unwrap_or_default())));
+    pub fn follow(path: PathBuf) -> io::Result<LiveFaultRules> {
+        let rules = LiveFaultRules(Arc::new(Mutex::new(read(&path).unwrap_or_default())));
         let live = rules.clone();
         thread::Builder::new().name("rules".to_owned()).spawn(move || {
             loop {
-                thread::sleep(LOOK_EVERY);
+                thread::sleep(POLL_INTERVAL);
                 if let Some(rules) = read(&path) {
                     *lock(&live.0) = rules;
                 }
@@ -89,12 +91,12 @@
         Ok(rules)
     }
 
-    /// Something about them as they stand.
-    pub fn get<T>(&self, read: impl FnOnce(&Rules) -> T) -> T {
+    /// Reads a value from the present rules.
+    pub fn get<T>(&self, read: impl FnOnce(&FaultRules) -> T) -> T {
         read(&lock(&self.0))
     }
 }
 
-fn read(path: &Path) -> Option<Rules> {
+fn read(path: &Path) -> Option<FaultRules> {
     serde_json::from_slice(&fs::read(path).ok()?).ok()
 }
