--- a/crates/node/src/keeper/orders.rs
+++ b/crates/node/src/keeper/orders.rs
@@ -112,14 +112,14 @@
         if !is_change && reply.status != STATUS_UNAVAILABLE {
             return;
         }
-        let Some(unlogged) = self.order_log_limit.try_acquire() else { return };
+        let Some(suppressed) = self.order_log_limit.try_acquire() else { return };
         let OrderSummary { kind, base, digest } = OrderSummary::of(order);
         let epoch = self.lock().consensus.replica.epoch().number.0;
         info!(self.log, "order completed";
             "order" => kind, "base" => base, "digest" => digest, "status" => reply.status,
             "primary" => format!("{primary:?}"), "epoch" => epoch,
             "reason" => retry_reason.map_or("", RetryReason::as_str),
-            "duration_ms" => started_at.elapsed().as_millis() as u64, "unlogged" => unlogged);
+            "duration_ms" => started_at.elapsed().as_millis() as u64, "suppressed" => suppressed);
     }
 }
 
