--- a/crates/node/tests/stores/mod.rs
+++ b/crates/node/tests/stores/mod.rs
@@ -1,8 +1,9 @@
 //! Three stores on loopback, each on a thread of its own, with a keeper that publishes the maps it is given.
 
 use std::collections::BTreeMap;
-use std::net::{Ipv4Addr, SocketAddr};
+use std::net::Ipv4Addr;
 use std::path::{Path, PathBuf};
+use std::sync::atomic::{AtomicU8, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread::JoinHandle;
 use std::time::Duration;
@@ -23,7 +24,10 @@
 /// The number of stores.
 pub const STORE_COUNT: usize = 3;
 const PARTITION_COUNT: usize = 8;
-const KEEPER_ADDRESS: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 9);
+/// The first of the three ports of the roles; the second is the keeper's, the third the stores'.
+const FIRST_PORT: u16 = 7_100;
+/// The keeper's number in the network of its cluster; stores count from 1.
+const KEEPER_NUMBER: u8 = 9;
 
 /// A keeper as its subscribers see it.
 #[derive(Default)]
@@ -183,21 +187,22 @@
     pub running: Vec<Option<RunningStore>>,
     pub client: SessionsClient,
     pub map: watch::Sender<Arc<StoreMap>>,
-    first_port: u16,
+    network: LoopbackNetwork,
     directory: PathBuf,
 }
 
 impl TestCluster {
     /// Starts everything, with all three stores in sync in every partition.
     pub async fn start(name: &str) -> Self {
-        let (listener, first_port) = free_ports().await;
+        let network = LoopbackNetwork::reserve();
+        let listener = TcpListener::bind((network.address(KEEPER_NUMBER), FIRST_PORT + 1)).await.unwrap();
         let keeper = Arc::new(TestKeeper::default());
         tokio::spawn(serve(listener, keeper.clone()));
         let directory = std::env::temp_dir().join(format!("juniperwing-store-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&directory);
         let (map, watched) = watch::channel(Arc::default());
         let client = SessionsClient::new(Arc::new(LinkPool::new(Arc::new(TestKeeper::default()))), watched);
-        let mut cluster = TestCluster { keeper, running: Vec::new(), client, map, first_port, directory };
+        let mut cluster = TestCluster { keeper, running: Vec::new(), client, map, network, directory };
         cluster.running =
             (0..STORE_COUNT).map(|number| Some(RunningStore::start(cluster.settings(number)))).collect();
         let disks = cluster.keeper.wait_for_stores(STORE_COUNT).await;
@@ -242,17 +247,17 @@
         let text = format!(
             r#"
             nodeName = "store-{number}"
-            ipAddress = "127.0.0.{}"
+            ipAddress = "{}"
             zone = "a"
-            ephemeralPorts = [{}, {}]
-            seedNodes = ["{KEEPER_ADDRESS}:1"]
+            ephemeralPorts = [{FIRST_PORT}, {}]
+            seedNodes = ["{}:1"]
             dataDirectory = "{}"
             [faultTolerance]
             machines = 1
             "#,
-            number + 1,
-            self.first_port,
-            self.first_port + 2,
+            self.network.address(number as u8 + 1),
+            FIRST_PORT + 2,
+            self.network.address(KEEPER_NUMBER),
             self.data_directory(number).display(),
         );
         Settings::parse(Path::new("local.toml"), &text).unwrap()
@@ -266,14 +271,20 @@
     }
 }
 
-/// The keeper's listener, and the first of three ports that are free.
-async fn free_ports() -> (TcpListener, u16) {
-    loop {
-        let listener = TcpListener::bind((KEEPER_ADDRESS, 0)).await.unwrap();
-        let port = listener.local_addr().unwrap().port();
-        let store = SocketAddr::from((Ipv4Addr::LOCALHOST, port.saturating_add(1)));
-        if port < u16::MAX && TcpListener::bind(store).await.is_ok() {
-            return (listener, port - 1);
-        }
+/// The loopback addresses of one cluster, so that clusters of several tests never share a port.
+struct LoopbackNetwork {
+    process: u8,
+    cluster: u8,
+}
+
+impl LoopbackNetwork {
+    fn reserve() -> Self {
+        static CLUSTERS: AtomicU8 = AtomicU8::new(1);
+        let process = (std::process::id() % 200) as u8 + 20;
+        LoopbackNetwork { process, cluster: CLUSTERS.fetch_add(1, Ordering::Relaxed) }
+    }
+
+    fn address(&self, machine: u8) -> Ipv4Addr {
+        Ipv4Addr::new(127, self.process, self.cluster, machine)
     }
 }
