--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -14,13 +14,13 @@
 
 use crate::order_history::OrderHistory;
 
-/// The number of accepted orders whose digests are kept; the oldest are dropped.
+/// The number of accepted orders whose digests are retained; the oldest are dropped.
 pub const MAX_REMEMBERED_ORDERS: usize = 100_000;
 
-/// The number of rejected orders whose digests are kept; the oldest are dropped.
+/// The number of rejected orders whose digests are retained; the oldest are dropped.
 pub const MAX_REMEMBERED_REJECTIONS: usize = 1_000;
 
-/// The number of retirements that are kept; the oldest completed ones are dropped.
+/// The number of retirements that are retained; the oldest completed ones are dropped.
 pub const MAX_REMEMBERED_RETIREMENTS: usize = 1_000;
 
 /// The configuration in force.
--- a/crates/node/src/keeper.rs
+++ b/crates/node/src/keeper.rs
@@ -4,7 +4,7 @@
 //! - `orders` handles operators' orders, `endpoints` the heartbeats of endpoints; both arrive at `control_listener`.
 //! - `store_placement` assigns partitions to stores, based on `store_reports`.
 //! - `publishing` sends what is in force to `subscribers`: relays and stores.
-//! - `controller` holds the shared state; `startup`, `housekeeping` and `shutdown` are the phases of its life.
+//! - `controller` holds the shared state; `startup`, `housekeeping` and `shutdown` are the phases of its lifecycle.
 
 mod configuration_distribution;
 mod consensus;
@@ -56,7 +56,7 @@
     };
     let (changed, changes) = watch::channel(settings.clone());
     let reload_log = log.clone();
-    let stop = async move {
+    let shutdown = async move {
         while signals.next().await == ShutdownOrReload::Reload {
             match Settings::read(settings_file.as_deref()) {
                 Ok(settings) => drop(changed.send_replace(settings)),
@@ -64,38 +64,40 @@
             }
         }
     };
-    serve(resources, settings, changes, log, stop).await
+    serve(resources, settings, changes, log, shutdown).await
 }
 
-/// Runs until `stop` completes.
+/// Runs until `shutdown` completes.
 ///
 /// # Errors
 ///
 /// If a listener or the disk cannot be used.
-pub async fn run_until(settings: Settings, log: Logger, stop: impl Future<Output = ()>) -> io::Result<()> {
+pub async fn run_until(
+    settings: Settings, log: Logger, shutdown: impl Future<Output = ()>,
+) -> io::Result<()> {
     let (_changed, changes) = watch::channel(settings.clone());
-    run_with(settings, changes, log, stop).await
+    run_with(settings, changes, log, shutdown).await
 }
 
-/// Runs until `stop` completes, and follows the seeds of changed settings. `stop` is first polled when all listeners
+/// Runs until `shutdown` completes, and follows the seeds of changed settings. `shutdown` is first polled when all listeners
 /// serve.
 ///
 /// # Errors
 ///
 /// If a listener or the disk cannot be used.
 pub async fn run_with(
-    settings: Settings, changes: watch::Receiver<Settings>, log: Logger, stop: impl Future<Output = ()>,
+    settings: Settings, changes: watch::Receiver<Settings>, log: Logger, shutdown: impl Future<Output = ()>,
 ) -> io::Result<()> {
     let resources = StartupResources::acquire(&settings, &log).await?;
-    serve(resources, settings, changes, log, stop).await
+    serve(resources, settings, changes, log, shutdown).await
 }
 
 async fn serve(
     resources: StartupResources, settings: Settings, changes: watch::Receiver<Settings>, log: Logger,
-    stop: impl Future<Output = ()>,
+    shutdown: impl Future<Output = ()>,
 ) -> io::Result<()> {
     let running = resources.start(&settings, changes, log).await?;
-    stop.await;
+    shutdown.await;
     running.shut_down().await;
     Ok(())
 }
--- a/crates/node/src/keeper/consensus.rs
+++ b/crates/node/src/keeper/consensus.rs
@@ -47,7 +47,7 @@
     proposals: PendingOutcomes<Result<Version, ProposeError>>,
     reads: PendingOutcomes<Result<Versioned<ControlState>, ReadError>>,
     record_writes: mpsc::Sender<RecordWrite>,
-    /// The time at which the replica wants its next tick.
+    /// The time for which the replica requested its next tick.
     replica_timer: watch::Sender<Time>,
 }
 
--- a/crates/node/src/keeper/control_api.rs
+++ b/crates/node/src/keeper/control_api.rs
@@ -121,7 +121,7 @@
     parse_generation(value).ok_or_else(|| bad_request_reply("If-Match", "not a version"))
 }
 
-/// Parses a whole number, with or without the quotes of an entity tag.
+/// Parses an unsigned integer, with or without the quotes of an entity tag.
 fn parse_generation(value: &HeaderValue) -> Option<u64> {
     let text = value.to_str().ok()?.trim();
     let inner = text.strip_prefix('"').and_then(|rest| rest.strip_suffix('"')).unwrap_or(text);
--- a/crates/node/src/keeper/peer_discovery.rs
+++ b/crates/node/src/keeper/peer_discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery of the other keepers: from the membership and from reloaded settings, beside the seeds at start.
 //!
-//! A keeper that is not a voter asks these addresses to join.
+//! A keeper that is not a voter sends its join requests to these addresses.
 
 use std::io;
 use std::net::SocketAddr;
--- a/crates/node/src/keeper/record_file.rs
+++ b/crates/node/src/keeper/record_file.rs
@@ -1,6 +1,6 @@
 //! Persistence of a keeper: the identity of its disk and the durable record of its replica.
 //!
-//! A record is one file, replaced as a whole. Where only the acceptor state has changed, it is written to a small
+//! A record is one file, which is replaced atomically. Where only the acceptor state has changed, it is written to a small
 //! file of its own that names the record it belongs to, so that elections do not write the state.
 //!
 //! Both carry the identity of their directory. A directory whose newest record is torn, is an older one under the
@@ -25,7 +25,7 @@
 /// The name of the acceptor-state files in the data directory.
 const ACCEPTOR_STATE_NAME: &str = "ballot";
 
-/// The reason why the disk cannot be used.
+/// Why the disk cannot be used.
 #[derive(Debug, Snafu)]
 pub enum DiskError {
     /// An operation on the disk failed.
--- a/crates/node/src/keeper/startup.rs
+++ b/crates/node/src/keeper/startup.rs
@@ -99,7 +99,7 @@
         tasks.extend(start_tasks(&controller, self.internal_listener));
         let peer_discovery = PeerDiscovery::start(settings, &controller).await?;
         let following = Arc::clone(&peer_discovery).follow_settings(settings_changes);
-        tasks.push(spawn_essential("contacts", following));
+        tasks.push(spawn_essential("peer discovery", following));
         let control_server = ControlServer::start(self.control_listener, Arc::clone(&controller));
         let grace_period = Duration::try_from_secs_f64(settings.bounds.grace_s).unwrap_or_default();
         Ok(RunningKeeper { controller, peer_discovery, control_server, tasks, grace_period })
@@ -111,9 +111,9 @@
     let shared = || Arc::clone(controller);
     [
         spawn_essential("links", crate::link::serve(internal_listener, handler)),
-        spawn_essential("changes", shared().run_push_loop()),
-        spawn_essential("confirmations", shared().run_subscription_confirmation()),
-        spawn_essential("store map", shared().run_planning_loop()),
+        spawn_essential("publishing", shared().run_push_loop()),
+        spawn_essential("subscription confirmation", shared().run_subscription_confirmation()),
+        spawn_essential("store placement", shared().run_planning_loop()),
         spawn_essential("housekeeping", shared().run_housekeeping()),
     ]
 }
@@ -124,7 +124,7 @@
 ) -> Vec<JoinHandle<()>> {
     let writer = run_record_writer(Arc::clone(controller), record_file, queued_writes);
     let timer = run_replica_timer(Arc::clone(controller), timer_changes);
-    vec![spawn_essential("records", writer), spawn_essential("replica", timer)]
+    vec![spawn_essential("record writer", writer), spawn_essential("replica timer", timer)]
 }
 
 /// Opens the data directory and restores the replica from it. Blocks on the disk.
--- a/crates/node/src/keeper/store_reports.rs
+++ b/crates/node/src/keeper/store_reports.rs
@@ -11,7 +11,7 @@
 use super::controller::Controller;
 use crate::clock;
 
-/// The number of caught-up reports that are kept until they are used.
+/// The number of caught-up reports that are retained until they are used.
 const MAX_CAUGHT_UP_REPORTS: usize = 1_024;
 
 impl Controller {
@@ -55,7 +55,7 @@
     }
 
     /// Records replicas that caught up, as reported by the partitions' primaries. A report holds until the
-    /// partition's epoch changes, so it is kept until then, whichever keeper is primary.
+    /// partition's epoch changes, so it is retained until then, whichever keeper is primary.
     pub(super) fn handle_caught_up_reports(self: &Arc<Self>, reports: Vec<CaughtUp>) {
         let mut state = self.lock();
         for report in reports {
--- a/crates/node/src/keeper/subscribers.rs
+++ b/crates/node/src/keeper/subscribers.rs
@@ -142,7 +142,7 @@
         if self.changed.is_empty() { self.revision } else { self.revision + 1 }
     }
 
-    /// Sends every confirmed subscriber what it does not have yet. `all_instances` returns the whole registry.
+    /// Sends every confirmed subscriber what it does not have yet. `all_instances` returns the complete registry.
     pub(super) fn push(&mut self, published: &PublishedState, all_instances: impl Fn() -> Vec<Instance>) {
         let changed: Vec<Instance> = std::mem::take(&mut self.changed).into_values().collect();
         if !changed.is_empty() {
--- a/crates/node/src/keeper/subscription_confirmation.rs
+++ b/crates/node/src/keeper/subscription_confirmation.rs
@@ -1,5 +1,5 @@
-//! Confirmation of new subscriptions: nothing is sent to a subscriber before a majority of the keepers, asked after
-//! the subscription arrived, has confirmed that the committed state of this keeper is current.
+//! Confirmation of new subscriptions: nothing is sent to a subscriber before a majority of the keepers, queried
+//! after the subscription arrived, has confirmed that the committed state of this keeper is current.
 //!
 //! The primary confirms its committed version by a round of heartbeats; a backup reads the primary's version and
 //! waits until it has reached that version itself. A keeper that is not a voter confirms nothing: the others do not
--- a/crates/protocol/src/envelope.rs
+++ b/crates/protocol/src/envelope.rs
@@ -58,9 +58,9 @@
 
 /// Why an envelope could not be encoded or decoded.
 #[derive(Debug, Snafu)]
-pub enum DecodeError {
+pub enum EnvelopeError {
     /// The envelope exceeds [`MAX_ENVELOPE_BYTES`].
-    #[snafu(display("an envelope of {bytes} bytes; {MAX_ENVELOPE_BYTES} at most"))]
+    #[snafu(display("envelope too large: {bytes} bytes, the limit is {MAX_ENVELOPE_BYTES}"))]
     TooLarge {
         /// The length of the envelope.
         bytes: usize,
@@ -78,8 +78,8 @@
     ///
     /// # Errors
     ///
-    /// [`DecodeError::TooLarge`] if the receiver would reject it for its length.
-    pub fn encode(&self) -> Result<Vec<u8>, DecodeError> {
+    /// [`EnvelopeError::TooLarge`] if the receiver would reject it for its length.
+    pub fn encode(&self) -> Result<Vec<u8>, EnvelopeError> {
         let frame = postcard::to_extend(self, vec![0; 4]).context(MalformedSnafu)?;
         let bytes = frame.len() - 4;
         ensure!(bytes <= MAX_ENVELOPE_BYTES, TooLargeSnafu { bytes });
@@ -94,7 +94,7 @@
     /// # Errors
     ///
     /// If the bytes are not an envelope. The stream cannot be resynchronized, so the connection has to be closed.
-    pub fn decode(buffer: &[u8]) -> Result<Option<(Envelope, usize)>, DecodeError> {
+    pub fn decode(buffer: &[u8]) -> Result<Option<(Envelope, usize)>, EnvelopeError> {
         let Some(length) = buffer.first_chunk::<4>() else { return Ok(None) };
         let bytes = u32::from_le_bytes(*length) as usize;
         ensure!(bytes <= MAX_ENVELOPE_BYTES, TooLargeSnafu { bytes });
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -15,7 +15,7 @@
 pub mod subscription;
 pub mod transfer;
 
-pub use envelope::{CallId, DecodeError, Envelope, Message};
+pub use envelope::{CallId, Envelope, EnvelopeError, Message};
 pub use identity::{
     DiskId, EpochNumber, InstanceId, NodeName, PartitionId, ProgramId, RequestId, ServiceName,
 };
--- a/crates/protocol/src/registry.rs
+++ b/crates/protocol/src/registry.rs
@@ -98,7 +98,7 @@
     Order(Order),
     /// Reply to [`RegistryMessage::Order`].
     OrderReply(OrderReply),
-    /// Asks the primary for the newest committed version, confirmed by a majority after this message was received.
+    /// Requests from the primary the newest committed version, confirmed by a majority after this message was received.
     ReadCommittedVersion,
     /// Reply to [`RegistryMessage::ReadCommittedVersion`].
     CommittedVersion {
@@ -112,7 +112,7 @@
         /// The stores.
         stores: Vec<StoreNode>,
     },
-    /// Reply to [`RegistryMessage::ReachableStores`]; proves to the sender that it reaches this keeper.
+    /// Reply to [`RegistryMessage::ReachableStores`]; proves to the sender that it can reach this keeper.
     ReachableStoresReply {
         /// The highest epoch known to the replying keeper.
         epoch: EpochNumber,
--- a/crates/protocol/src/replication.rs
+++ b/crates/protocol/src/replication.rs
@@ -81,8 +81,8 @@
 /// The messages of the epoch protocol and of primary-backup replication.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ReplicationBody {
-    /// Pre-vote: asks whether an election could succeed, before anything is promised, so that a keeper that was cut off
-    /// does not depose a healthy primary.
+    /// Pre-vote: queries whether an election could succeed, before anything is promised, so that a keeper that was
+    /// partitioned does not depose a healthy primary.
     PreVote {
         /// The epoch number that the candidate would propose; identifies the reply.
         number: EpochNumber,
@@ -96,14 +96,14 @@
         /// The highest epoch known to the sender.
         epoch: Epoch,
     },
-    /// The primary steps down and asks a backup to start an election at once.
+    /// The primary steps down and requests a backup to start an election at once.
     TransferLeadership {
         /// The primary's epoch.
         epoch: EpochNumber,
     },
-    /// Phase 1 of an election: asks for a promise to accept nothing below `number`.
+    /// Phase 1 of an election: requests a promise to accept nothing below `number`.
     Prepare {
-        /// The number of the epoch that the candidate wants to propose.
+        /// The number of the epoch that the candidate will propose.
         number: EpochNumber,
     },
     /// Reply to [`ReplicationBody::Prepare`], with the highest epoch accepted so far. The promise is on disk.
@@ -175,7 +175,7 @@
         /// The version on the sender's disk; `None` while a newer one is being written.
         version: Option<Version>,
     },
-    /// A keeper without a vote asks to join the replica set.
+    /// A keeper without a vote requests to join the replica set.
     Join {
         /// The sender, as a voter.
         voter: Voter,
@@ -194,6 +194,6 @@
         /// The changes, oldest first.
         changes: Vec<NumberedChange>,
     },
-    /// A backup is about to shut down and asks to be removed from the in-sync replicas and the voters.
+    /// A backup is about to shut down and requests to be removed from the in-sync replicas and the voters.
     Leave,
 }
--- a/crates/protocol/src/session.rs
+++ b/crates/protocol/src/session.rs
@@ -31,8 +31,8 @@
 pub enum SessionCall {
     /// Before a turn is sent to an endpoint: reserves tokens and fetches the chain of turns before it.
     Begin(BeginTurn),
-    /// After a turn has ended, complete or not: replaces the reservation by the tokens used, and stores the turn where
-    /// the route says so.
+    /// After a turn has ended, complete or not: replaces the reservation by the tokens used, and stores the turn if
+    /// the route is configured to.
     Finish(FinishTurn),
     /// Looks for a turn in other partitions, if its program's own partition does not have it.
     Find {
--- a/crates/protocol/src/transfer.rs
+++ b/crates/protocol/src/transfer.rs
@@ -46,12 +46,12 @@
         /// The records.
         records: Vec<Record>,
     },
-    /// The primary asks whether its epochs are still the newest; the reply is [`TransferReply::Written`] if all are.
+    /// The primary queries whether its epochs are still the newest; the reply is [`TransferReply::Written`] if all are.
     Confirm {
         /// The partitions with the primary's epochs.
         partitions: Vec<PartitionEpoch>,
     },
-    /// Asks for digests of the records, one for each of `ranges` equal ranges of the keys' hashes.
+    /// Requests digests of the records, one for each of `ranges` equal ranges of the keys' hashes.
     Digests {
         /// The partition.
         partition: PartitionId,
@@ -62,7 +62,7 @@
         /// Programs that expire before this time, in milliseconds since the Unix epoch, are left out.
         live_after_ms: u64,
     },
-    /// Asks for one page of the records of some of these ranges.
+    /// Requests one page of the records of some of these ranges.
     Records {
         /// The partition.
         partition: PartitionId,
--- a/crates/relay/src/admission.rs
+++ b/crates/relay/src/admission.rs
@@ -14,7 +14,7 @@
 use crate::discovery::Discovery;
 use crate::journal::Journal;
 
-/// How many of the latest ids are remembered: more than can come while one of them is live.
+/// The number of the latest ids that are remembered: more than can be submitted while one of them is live.
 const MAX_REMEMBERED_IDS: usize = 8_192;
 
 /// The responses to the latest ids.
@@ -28,7 +28,7 @@
 }
 
 impl Admission {
-    /// The topic type of a notification that can be accepted, or the response to one that can't.
+    /// The topic type of a notification that can be accepted, or the response to one that cannot.
     pub fn admit(
         &mut self, submission: &Submission, settings: &Settings, journal: &Journal, discovery: &Discovery,
     ) -> Result<Arc<TopicType>, SubmissionResponse> {
--- a/crates/relay/src/client_connections.rs
+++ b/crates/relay/src/client_connections.rs
@@ -1,6 +1,6 @@
 //! Connections of clients: reads their requests and writes the responses.
 //!
-//! It answers by itself only requests that cannot be parsed, that lack something, or that are no submissions.
+//! It responds by itself only to requests that cannot be parsed, that are incomplete, or that are not submissions.
 
 mod submission;
 
@@ -12,12 +12,12 @@
 use crate::http::{self, Request};
 pub use submission::{Submission, SubmissionResponse};
 
-/// A request has to be complete so long after its first byte, and the first on a connection so long after the connection
-/// was accepted; otherwise the connection is closed. No client waits as long for its response.
+/// The time within which a request has to be complete, from its first byte, or from the accept for the first request of a
+/// connection; otherwise the connection is closed. No client waits as long for its response.
 const REQUEST_TIMEOUT: Span = Span::from_millis(2_000);
-/// A connection without a request for so long is closed.
+/// The time after which a connection without a request is closed.
 const IDLE_TIMEOUT: Span = Span::from_millis(60_000);
-/// A client for which more bytes of responses wait is disconnected: it sends requests and does not read.
+/// A client with more unread bytes of responses is disconnected: it sends requests and does not read.
 const MAX_UNREAD_RESPONSE_BYTES: usize = 16 * 1024;
 
 struct Client {
@@ -25,7 +25,7 @@
     idle_since: Time,
     /// Whether it has sent a complete request.
     has_sent_request: bool,
-    /// When the first byte of the incomplete request came.
+    /// When the first byte of the incomplete request arrived.
     request_started_at: Option<Time>,
     /// While a request is being decided on: whether the connection stays open after it.
     pending_keep_alive: Option<bool>,
@@ -53,8 +53,8 @@
 #[derive(Default)]
 pub struct ClientConnections {
     clients: BTreeMap<Token, Client>,
-    /// Makes `/ready` answer 503.
-    pub is_stopping: bool,
+    /// Makes `/ready` respond with 503.
+    pub is_shutting_down: bool,
     /// Makes each response close its connection, so that no further request crosses the closing.
     pub is_closing: bool,
 }
@@ -74,7 +74,7 @@
             ConnectionEvent::Connected => None,
             ConnectionEvent::Readable => self.read_requests(net, token, now),
             ConnectionEvent::PeerClosed => {
-                // Requests that were complete before the end were read with it and are answered in this turn.
+                // Requests that were complete before the end were read with it and are answered in this iteration.
                 if self.clients.get(&token).is_some_and(Client::is_idle) {
                     self.close(net, token);
                 }
@@ -146,11 +146,11 @@
         }
     }
 
-    /// Answers a request unless it is a submission, which is returned.
+    /// Responds to a request unless it is a submission, which is returned.
     fn handle_request(&mut self, net: &mut Net, token: Token, request: Request) -> Option<Submission> {
         match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/ready") => {
-                let status = if self.is_stopping { 503 } else { 200 };
+                let status = if self.is_shutting_down { 503 } else { 200 };
                 self.respond(net, token, status, &[]);
             }
             (_, "/ready") => self.respond(net, token, 405, &[("Allow", "GET")]),
@@ -163,7 +163,7 @@
         None
     }
 
-    /// Answers the notification that a client has submitted.
+    /// Responds to the client that has submitted a notification.
     pub fn respond_to_submission(&mut self, net: &mut Net, token: Token, response: SubmissionResponse) {
         match response {
             SubmissionResponse::Accepted => self.respond(net, token, 202, &[]),
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Answers a request that cannot be processed, and closes the connection: the bytes behind it cannot be delimited.
+    /// Responds to a request that cannot be processed, and closes the connection: the bytes after it cannot be delimited.
     fn reject(&mut self, net: &mut Net, token: Token, status: u16) {
         if let Some(client) = self.clients.get_mut(&token) {
             client.pending_keep_alive = Some(false);
@@ -214,7 +214,7 @@
 
     /// Closes every connection that has no request being decided on. Returns whether no connection is left.
     pub fn close_idle(&mut self, net: &mut Net) -> bool {
-        // Not those with a request that has come since the last turn, or is about to, on a connection just made.
+        // Not those with a request that arrived since the last iteration, or is about to, on a connection just established.
         let is_closable = |net: &mut Net, token: Token, client: &Client| {
             client.has_sent_request && client.is_idle() && !net.has_unread(token)
         };
@@ -225,7 +225,7 @@
     }
 }
 
-/// Sets the deadline of a request of which more bytes have to come, and asks for its body if its sender waits for that.
+/// Sets the deadline of an incomplete request, and sends `100 Continue` if its sender waits for that.
 fn await_rest_of_request(net: &mut Net, token: Token, client: &mut Client, now: Time) {
     let input = net.input(token).map_or(&[][..], |input| input.as_slice());
     let must_send_continue = !client.has_sent_continue && http::expects_continue(input);
--- a/crates/relay/src/client_connections/submission.rs
+++ b/crates/relay/src/client_connections/submission.rs
@@ -11,7 +11,7 @@
 /// A notification as a client submitted it.
 #[derive(Debug, PartialEq)]
 pub struct Submission {
-    /// What the client says of it.
+    /// Its attributes, as the client set them.
     pub attributes: Attributes,
     /// For how long it may be delivered.
     pub time_left: Span,
@@ -22,13 +22,13 @@
 /// The response to a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubmissionResponse {
-    /// Accepted, with its end still to come.
+    /// Accepted; its final outcome follows later.
     Accepted,
     /// Rejected by a rate limit, with the delay after which the client is to retry; zero if none is advised.
     Throttled(Span),
     /// Rejected for lack of capacity.
     Unavailable,
-    /// Given up at once.
+    /// Expired in the iteration in which it was submitted.
     Expired,
     /// Malformed, or naming what the settings do not know.
     Malformed,
--- a/crates/relay/src/config.rs
+++ b/crates/relay/src/config.rs
@@ -17,7 +17,7 @@
 const RESERVED_DESCRIPTORS: usize = 32;
 /// More than any one process uses, and fewer than the event loop can number.
 const MAX_SOCKETS: usize = 1 << 18;
-/// The least that `limits.disk_mb` may be, in megabytes.
+/// The minimum of `limits.disk_mb`, in megabytes.
 const MIN_DISK_MB: f64 = 0.1;
 
 /// The configuration cannot be used.
--- a/crates/relay/src/core_driver.rs
+++ b/crates/relay/src/core_driver.rs
@@ -1,4 +1,4 @@
-//! Hands the core the events of a turn and takes its commands.
+//! Passes the events of an iteration to the core and returns its commands.
 //!
 //! It owns the core and its wake-up, and neither adds a command nor leaves one out.
 
--- a/crates/relay/src/discovery.rs
+++ b/crates/relay/src/discovery.rs
@@ -19,7 +19,8 @@
 use watch::Watch;
 pub use watch::{WatchError, WatchMessages};
 
-/// A watch without a message for so long is dead: while nothing changes, discovery writes an empty line every 2 s.
+/// The time after which a watch without a message counts as dead: while nothing changes, discovery writes an empty line
+/// every 2 s.
 const WATCH_TIMEOUT: Span = Span::from_millis(3_000);
 
 /// What a list changed.
@@ -38,12 +39,12 @@
     pub address: SocketAddr,
     list_version: u64,
     watch: Option<Watch>,
-    /// Whether the core has asked for a watch.
+    /// Whether the core has requested a watch.
     is_watch_requested: bool,
     /// Whether any watch had a message, so that the list is not that of an earlier process any more.
     has_received_message: bool,
     endpoints: BTreeMap<EndpointId, KnownEndpoint>,
-    /// Destinations that have endpoints on the list, or had some lately, with the time at which they are forgotten.
+    /// Destinations that have endpoints on the list, or had some recently, with the time at which they are removed.
     destinations: BTreeMap<DestinationId, Time>,
 }
 
@@ -61,12 +62,12 @@
         }
     }
 
-    /// Whether a destination has endpoints, or had some so lately that they may be about to be replaced.
+    /// Whether a destination has endpoints, or had some so recently that they may be about to be replaced.
     pub fn is_known_destination(&self, destination: DestinationId) -> bool {
         self.destinations.contains_key(&destination)
     }
 
-    /// Whether the list is what discovery says now.
+    /// Whether the list is discovery's current one.
     pub fn is_current(&self) -> bool {
         self.watch.as_ref().is_some_and(|watch| watch.has_message)
     }
@@ -155,7 +156,7 @@
         Ok(())
     }
 
-    /// Discovery is at another address from now on. A watch that the core has asked for is opened there at once, from the
+    /// Discovery is at another address from now on. A watch that the core has requested is opened there at once, from the
     /// version of the list.
     ///
     /// # Errors
--- a/crates/relay/src/discovery/list.rs
+++ b/crates/relay/src/discovery/list.rs
@@ -58,7 +58,7 @@
         self.entry.zone.clone()
     }
 
-    /// The most notifications in one call.
+    /// The maximum number of notifications in one call.
     pub fn max_notifications_per_call(&self) -> usize {
         self.entry.kind.max_notifications_per_call.max(1)
     }
--- a/crates/relay/src/discovery/watch.rs
+++ b/crates/relay/src/discovery/watch.rs
@@ -35,9 +35,9 @@
 pub struct WatchMessages {
     /// In the order received.
     pub lists: Vec<EndpointList>,
-    /// Whether there was any message: a list, or an empty line, which says that nothing has changed.
+    /// Whether there was any message: a list, or an empty line, which means that nothing has changed.
     pub has_message: bool,
-    /// Why there will be no more.
+    /// Why the watch ended; `None` while it is open.
     pub failure: Option<WatchError>,
 }
 
--- a/crates/relay/src/endpoint_response.rs
+++ b/crates/relay/src/endpoint_response.rs
@@ -1,6 +1,6 @@
 //! Interprets the response of an endpoint as the result of each push in the call.
 //!
-//! It judges no endpoint, and reads no body but that of a batch.
+//! It does not evaluate the endpoint's health, and reads no body except that of a batch.
 
 use juniperwing::interface::{CallStatus, RateLimitReport};
 use juniperwing::time::Span;
@@ -35,7 +35,7 @@
     state: String,
 }
 
-/// The results of the notifications with these ids, which were pushed in one call; `is_batch` says whether the call
+/// The results of the notifications with these ids, which were pushed in one call; `is_batch`: whether the call
 /// named each.
 pub fn push_results(response: &Response, ids: &[&str], is_batch: bool) -> Vec<PushResult> {
     let result = match response.status {
@@ -77,7 +77,7 @@
     ids.iter().map(result).collect()
 }
 
-/// How long the endpoint asks to wait before the next call, by the head of its response.
+/// The delay before the next call that the head of an endpoint's response requests.
 pub fn retry_after(headers: &Headers) -> Option<Span> {
     let secs = headers.get("Retry-After")?.parse().ok().filter(|secs: &f64| secs.is_finite())?;
     Some(Span::from_secs_f64(secs)).filter(|wait| *wait > Span::ZERO)
--- a/crates/relay/src/event_loop.rs
+++ b/crates/relay/src/event_loop.rs
@@ -65,13 +65,13 @@
     pub event: ConnectionEvent,
 }
 
-/// What happened in a turn.
+/// The events of one iteration.
 #[derive(Debug, Default)]
 pub struct Turn {
     /// In the order in which they are to be handled.
     pub events: Vec<QueuedEvent>,
-    /// A signal to stop was received.
-    pub is_stop_requested: bool,
+    /// A signal to shut down was received.
+    pub is_shutdown_requested: bool,
     /// A signal to read the configuration again was received.
     pub is_reload_requested: bool,
 }
@@ -98,7 +98,7 @@
     deadlines: BTreeSet<(Time, Token)>,
     /// Connections whose output may be written.
     unflushed: BTreeSet<Token>,
-    /// Events for the next turn.
+    /// Events for the next iteration.
     deferred_events: Vec<QueuedEvent>,
     client_count: usize,
     max_clients: usize,
@@ -131,7 +131,7 @@
         })
     }
 
-    /// Waits for events, no longer than `until`, and returns all that there are.
+    /// Waits for events until `until` at the latest, and returns all that are pending.
     pub fn poll(&mut self, until: Time) -> Turn {
         let until =
             self.deadlines.first().map_or(until, |first| first.0.min(until)).min(self.accept_retry_at);
@@ -141,13 +141,13 @@
             timeout = Duration::ZERO;
         }
         self.events.clear();
-        // An interrupted wait is a turn in which nothing happened.
+        // An interrupted wait is an iteration without events.
         let _ = self.poller.wait(&mut self.events, Some(timeout));
         let events: Vec<Event> = self.events.iter().collect();
         for event in events {
             match event.key {
                 LISTENER_KEY => self.accept(&mut turn),
-                STOP_KEY => turn.is_stop_requested |= drain_signals(&self.signals.stop),
+                STOP_KEY => turn.is_shutdown_requested |= drain_signals(&self.signals.stop),
                 RELOAD_KEY => turn.is_reload_requested |= drain_signals(&self.signals.reload),
                 key => self.handle_readiness(Token(key), &mut turn),
             }
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Begins a connection; what is written before it is established goes out then.
+    /// Starts to connect; what is written before the connection is established is sent then.
     pub fn open(&mut self, address: SocketAddr, role: ConnectionRole) -> io::Result<Token> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
@@ -257,7 +257,7 @@
         self.connection(token).map(|connection| &mut connection.input)
     }
 
-    /// Queues bytes; they go out with the next [`Net::flush`], once the connection is established.
+    /// Queues bytes; they are sent with the next [`Net::flush`], once the connection is established.
     pub fn write(&mut self, token: Token, bytes: &[u8]) {
         if let Some(connection) = self.connection(token) {
             connection.output.extend(bytes);
@@ -291,7 +291,7 @@
             FlushResult::Complete if is_closing && connection.is_peer_closed => self.close(token),
             FlushResult::Complete => {
                 if is_closing {
-                    // The peer may be gone already.
+                    // The peer may have disconnected already.
                     let _ = connection.socket.shutdown(Shutdown::Write);
                 }
                 self.set_interest(token, Interest { reads, writes: false });
@@ -335,14 +335,14 @@
         self.connection(token).is_some_and(|connection| connection.deadline == Time::NEVER)
     }
 
-    /// Has the input looked at again in the next turn.
+    /// Schedules the input to be processed again in the next iteration.
     pub fn read_again(&mut self, token: Token) {
         if let Some(role) = self.connection(token).map(|connection| connection.role) {
             self.deferred_events.push(QueuedEvent { token, role, event: ConnectionEvent::Readable });
         }
     }
 
-    /// Closes a connection once the queued output has gone out. What is still received is dropped for a while, or the
+    /// Closes a connection once the queued output has been sent. What is still received is dropped for a while, or the
     /// peer's system would discard the response unread.
     pub fn close_after_flush(&mut self, token: Token) {
         let until = self.clock.now() + LINGER_TIMEOUT;
@@ -357,7 +357,7 @@
     pub fn shutdown_write(&mut self, token: Token) {
         if let Some(connection) = self.connection(token) {
             connection.output.clear();
-            // The peer may be gone already.
+            // The peer may have disconnected already.
             let _ = connection.socket.shutdown(Shutdown::Write);
         }
     }
--- a/crates/relay/src/event_loop/connection.rs
+++ b/crates/relay/src/event_loop/connection.rs
@@ -9,15 +9,16 @@
 
 use super::ConnectionRole;
 
-/// The most bytes read from one socket in a turn, so that one busy peer does not keep others waiting.
+/// The maximum number of bytes read from one socket in an iteration, so that one busy peer does not delay others.
 const MAX_READ_BYTES_PER_TURN: usize = 64 * 1024;
 /// The size of one read, in bytes.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
-/// The most bytes that may wait in a client's input; no more are read. A request with all its chunk frames is shorter.
+/// The maximum number of unprocessed bytes in a client's input buffer; no more are read. A request with all its chunk
+/// frames is shorter.
 const MAX_CLIENT_INPUT_BYTES: usize = 160 * 1024;
 /// The same for any other connection; a line of discovery's is shorter.
 const MAX_INPUT_BYTES: usize = 8 * 1024 * 1024;
-/// A token is a slot of the table and the number of its uses, so that an event of a closed connection reaches nobody.
+/// A token is a slot of the table and the number of its uses, so that an event of a closed connection is ignored.
 const SLOT_BITS: u32 = 20;
 
 /// Names an open connection; never used twice.
@@ -50,14 +51,14 @@
     pub(super) const READS: Interest = Interest { reads: true, writes: false };
 }
 
-/// How an attempt to connect stands.
+/// The state of an attempt to connect.
 pub(super) enum ConnectProgress {
     Pending,
     Connected,
     Failed,
 }
 
-/// What a read brought.
+/// The result of a read.
 pub(super) struct ReadResult {
     pub(super) has_new_input: bool,
     pub(super) is_peer_closed: bool,
@@ -76,7 +77,7 @@
     pub(super) role: ConnectionRole,
     pub(super) is_connected: bool,
     pub(super) is_peer_closed: bool,
-    /// Given up by its owner: only the queued output is still written.
+    /// Closed by its owner: only the queued output is still written.
     pub(super) is_closing: bool,
     pub(super) input: Vec<u8>,
     pub(super) output: VecDeque<u8>,
@@ -177,7 +178,7 @@
         Token::new(slot, self.slots[slot].use_count)
     }
 
-    /// Gives back a reserved slot that was not used.
+    /// Releases a reserved slot that was not used.
     pub(super) fn release(&mut self, token: Token) {
         self.free_slots.push(token.slot());
     }
--- a/crates/relay/src/event_loop/listener.rs
+++ b/crates/relay/src/event_loop/listener.rs
@@ -9,9 +9,9 @@
 
 use super::{ConnectionEvent, ConnectionRole, LISTENER_KEY, Net, QueuedEvent, Turn};
 
-/// After a connection could not be accepted for lack of a resource, the next attempt waits for so long.
+/// The delay before the next attempt after a connection could not be accepted for lack of a resource.
 const ACCEPT_RETRY_INTERVAL: Span = Span::from_millis(100);
-/// Connections that may wait to be accepted.
+/// The length of the backlog of connections to be accepted.
 const LISTEN_BACKLOG: i32 = 1_024;
 
 pub(super) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
@@ -37,7 +37,7 @@
                 Ok((stream, _)) => stream,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(_) => {
-                    // Descriptors or memory are exhausted: the poller would report the same client in every turn.
+                    // Descriptors or memory are exhausted: the poller would report the same client in every iteration.
                     self.accept_retry_at = self.clock.now() + ACCEPT_RETRY_INTERVAL;
                     return self.set_accepting(false);
                 }
@@ -80,7 +80,7 @@
         self.accept(&mut last_turn);
         self.deferred_events.extend(last_turn.events);
         if let Some(listener) = self.listener.take() {
-            // The listener is closed with it, whatever the poller says.
+            // The listener is closed with it, even if the poller returns an error.
             let _ = self.poller.delete(&listener);
         }
     }
--- a/crates/relay/src/http.rs
+++ b/crates/relay/src/http.rs
@@ -1,6 +1,6 @@
 //! Parses and encodes HTTP/1.1 messages: heads by `httparse`, bodies by length, in chunks or until the connection closes.
 //!
-//! Nothing here touches a socket or knows what a message is for. Every parser is given all bytes received so far and
+//! Nothing here touches a socket or depends on the purpose of a message. Every parser is given all bytes received so far and
 //! returns `Ok(None)` until the message is complete.
 
 mod body;
@@ -22,14 +22,14 @@
 
 /// The longest head that is accepted, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The most header lines that are accepted.
+/// The maximum number of header lines.
 const MAX_HEADERS: usize = 64;
 
 /// A message cannot be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("the message is invalid (status {status})"))]
 pub struct ParseError {
-    /// The HTTP status that tells the sender what is wrong.
+    /// The HTTP status of the response to the sender.
     pub status: u16,
 }
 
--- a/crates/relay/src/http/body.rs
+++ b/crates/relay/src/http/body.rs
@@ -19,7 +19,7 @@
     UntilClose,
 }
 
-/// How the body behind these headers is delimited; `default` if they don't say.
+/// How the body behind these headers is delimited; `default` if they do not specify it.
 pub(super) fn body_framing(headers: &Headers, default: Framing) -> Result<Framing, ParseError> {
     let mut lengths = headers.values("content-length");
     let first_length = lengths.next();
@@ -62,7 +62,7 @@
     }
 }
 
-/// The body that begins at `start`, and where it ends in `input`. `is_closed` says that no more bytes will come.
+/// The body that begins at `start`, and where it ends in `input`. `is_closed`: no more bytes will arrive.
 pub(super) fn parse_body(
     input: &[u8], start: usize, framing: &Framing, is_closed: bool,
 ) -> Parsed<(Vec<u8>, usize)> {
--- a/crates/relay/src/http/response.rs
+++ b/crates/relay/src/http/response.rs
@@ -90,7 +90,7 @@
 pub fn parse_final_head(input: &[u8]) -> Parsed<ResponseHead> {
     let mut position = 0;
     loop {
-        // Interim responses may come without end.
+        // The number of interim responses is unbounded.
         check_head_length(&input[..position])?;
         let Some(head) = parse_response_head(&input[position..])? else { return Ok(None) };
         position += head.body_start;
@@ -100,8 +100,8 @@
     }
 }
 
-/// The first final response in `input` and its length in bytes, once it is complete. `is_closed` says that no more
-/// bytes will come.
+/// The first final response in `input` and its length in bytes, once it is complete. `is_closed`: no more
+/// bytes will arrive.
 ///
 /// # Errors
 ///
--- a/crates/relay/src/journal.rs
+++ b/crates/relay/src/journal.rs
@@ -1,5 +1,5 @@
-//! Keeps the notifications that were accepted and are still owed an end: in memory, and in a file that outlives the
-//! process.
+//! Stores the notifications that were accepted and have no acknowledged outcome yet: in memory, and in a file that
+//! outlives the process.
 //!
 //! The file is only appended to. Each record carries its length and a checksum, so that a torn tail is found and cut off.
 //! Once much of the file is obsolete, the live notifications are written to a new file that replaces it; space for both is
@@ -24,13 +24,13 @@
 const FILE_NAME: &str = "log";
 /// The name of the new file while the journal is compacted.
 const COMPACTED_FILE_NAME: &str = "log.new";
-/// Files occupy whole blocks of this size, in bytes.
+/// The size of a block of the file system, in bytes; files occupy multiples of it.
 const FILE_BLOCK_BYTES: u64 = 512;
-/// What a record may grow by, in bytes, when it is written again with all that has happened since.
+/// The number of bytes by which a record may grow when it is rewritten with its history.
 const MAX_HISTORY_BYTES: u64 = 256;
-/// The most that a record may need beside the body and its history, in bytes: its attributes, escaped.
+/// The maximum size of a record without the body and its history, in bytes: its attributes, escaped.
 const MAX_ATTRIBUTES_BYTES: u64 = 8 * 1024;
-/// A smaller file is not worth compacting.
+/// The minimum size of a file that is compacted, in bytes.
 const MIN_COMPACTION_BYTES: u64 = 64 * 1024;
 
 /// A live notification.
@@ -40,9 +40,9 @@
     pub notification: AcceptedNotification,
     /// Its body; empty once it has ended.
     pub body: Vec<u8>,
-    /// Pushes decided on. One whose connection never came up is in no record: for the next process it never was.
+    /// Pushes decided on. One whose connection was never established is in no record: the next process does not count it.
     pub decided_pushes: u32,
-    /// The most that it may occupy in the file, in bytes.
+    /// The maximum that it may occupy in the file, in bytes.
     max_record_bytes: u64,
 }
 
@@ -118,7 +118,7 @@
         Ok(torn_bytes)
     }
 
-    /// Applies a record whose frame has this length to what is kept in memory.
+    /// Applies a record whose frame has this length to the entries in memory.
     fn apply(&mut self, record: Record, body: Vec<u8>, frame_length: usize) {
         match record {
             Record::Accepted(number, notification) => {
@@ -222,7 +222,7 @@
         self.append(Record::Ended(number, end), Vec::new());
     }
 
-    /// Records that nothing more is owed for a notification, which is live no longer.
+    /// Records that a notification is complete: it is no longer live.
     pub fn close(&mut self, number: u64) {
         self.append(Record::Closed(number), Vec::new());
     }
@@ -247,7 +247,8 @@
         self.live.len()
     }
 
-    /// Hands all new records to the system, which keeps them if this process ends.
+    /// Writes all new records to the file. They survive the end of this process; the file is not synced, so they may not
+    /// survive a power loss.
     ///
     /// # Errors
     ///
--- a/crates/relay/src/journal/record.rs
+++ b/crates/relay/src/journal/record.rs
@@ -1,4 +1,4 @@
-//! What the journal keeps of a notification, and the records on disk that say so.
+//! What the journal stores of a notification, and the records on disk.
 //!
 //! The names on disk are those of the first release, kept by `serde(rename)`. All times are Unix time in nanoseconds.
 
@@ -7,7 +7,7 @@
 use serde::ser::SerializeTuple;
 use serde::{Deserialize, Serialize, Serializer};
 
-/// A push whose first byte may have gone out. On disk it is a pair.
+/// A push whose first byte may have been sent. On disk it is a pair.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(from = "(u64, String)")]
 pub struct SentPush {
@@ -42,7 +42,7 @@
     ReturnedToClient(u64),
 }
 
-/// What has been done with a notification.
+/// The history of a notification's pushes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct History {
     /// How many pushes may have sent a byte.
@@ -61,7 +61,7 @@
     pub end: Option<UndeliveredEnd>,
 }
 
-/// What a client says of a notification beside its body.
+/// The attributes of a notification that its client sets.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Attributes {
     /// The id, as the client gave it.
@@ -72,7 +72,7 @@
     pub account: Option<String>,
     /// The ordering key.
     pub key: Option<String>,
-    /// Handed to the endpoint, which recognises a repeat by it.
+    /// Sent to the endpoint, which recognises a duplicate by it.
     pub idempotency_key: Option<String>,
     /// The number of the destination.
     pub destination: u64,
@@ -81,13 +81,13 @@
 /// A notification that was accepted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AcceptedNotification {
-    /// What its client says of it.
+    /// The attributes set by its client.
     #[serde(rename = "words")]
     pub attributes: Attributes,
-    /// It may be delivered until then.
+    /// The end of its time to live.
     #[serde(rename = "valid_until")]
     pub valid_until_ns: u64,
-    /// What has been done with it.
+    /// The history of its pushes.
     pub history: History,
     /// What was promised when it was accepted; `None` in a journal of a release before guarantees.
     #[serde(default, rename = "kept")]
@@ -158,17 +158,17 @@
 /// A record of the journal; the first field is the notification's number.
 #[derive(Serialize, Deserialize)]
 pub(super) enum Record {
-    /// A notification with all that has been done with it.
+    /// A notification with its history.
     #[serde(rename = "Taken")]
     Accepted(u64, Box<AcceptedNotification>),
-    /// A push is about to be sent, at this time and to this zone; written in the turn in which its first byte may go out.
+    /// A push is about to be sent, at this time and to this zone; written in the iteration in which its first byte may be sent.
     Pushed(u64, u64, String),
     /// A push ended: whether it may have run, and since when it may still be running.
     #[serde(rename = "Returned")]
     PushEnded(u64, bool, Option<u64>),
     /// It ended undelivered.
     Ended(u64, UndeliveredEnd),
-    /// Nothing more is owed.
+    /// It is complete.
     #[serde(rename = "Over")]
     Closed(u64),
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,7 +1,7 @@
 //! The notification relay as a process: accepts notifications over HTTP, has the core decide, and pushes them.
 //!
-//! One thread runs an event loop. Each turn gathers what happened on the sockets, hands it to the core as events, carries
-//! out the core's commands, writes the journal, and only then lets bytes out. The modules follow a notification:
+//! One thread runs an event loop. Each iteration collects the events of the sockets, passes them to the core, carries out
+//! the core's commands, writes the journal, and only then sends bytes. The modules follow a notification:
 //! `client_connections`, `admission`, `core_driver`, `upstream`, `endpoint_response` and `notices`; `server` connects them.
 
 mod admission;
--- a/crates/relay/src/notices.rs
+++ b/crates/relay/src/notices.rs
@@ -1,6 +1,6 @@
 //! Notifies clients, by way of the platform, of notifications that ended undelivered.
 //!
-//! A notice is repeated until the platform acknowledges it.
+//! A notice is sent again until the platform acknowledges it.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -12,14 +12,14 @@
 use crate::http::{self, Response};
 use crate::journal::{Journal, UndeliveredEnd};
 
-/// The most notices in one request: their ids have up to 256 bytes, and a body up to 64 KiB.
+/// The maximum number of notices in one request: their ids have up to 256 bytes, and a body up to 64 KiB.
 const MAX_NOTICES_PER_REQUEST: usize = 100;
-/// A request that is not answered by then is repeated on a new connection.
+/// The time after which a request without a response is sent again on a new connection.
 const RESPONSE_TIMEOUT: Span = Span::from_millis(400);
-/// The same for a request on a connection that was kept open: the platform answers at once, so the connection is dead. An
-/// end at the time to live thus still arrives within its 300 ms.
+/// The same for a request on a connection that was kept open: the platform responds at once, so the connection is dead. A
+/// notice of an expiry at the time to live thus still arrives within its 300 ms.
 const REUSED_CONNECTION_RESPONSE_TIMEOUT: Span = Span::from_millis(100);
-/// The pause after the first failed request; it doubles with each further one.
+/// The backoff after the first failed request; it doubles with each further one.
 const INITIAL_BACKOFF: Span = Span::from_millis(20);
 const MAX_BACKOFF: Span = Span::from_millis(1_000);
 
@@ -32,7 +32,7 @@
     retry_in_ms: Option<u64>,
 }
 
-/// What became of notices, by the numbers of their notifications.
+/// The outcomes of notices, by the numbers of their notifications.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct NoticeResults {
     /// Those that the platform acknowledged.
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -1,7 +1,7 @@
 //! Connects the stages that a notification passes, and runs the event loop.
 //!
-//! In each turn the events are handed to their stages, the core decides on what came of them, its commands are carried
-//! out, the journal is written, and only then bytes go out: none may speak of what the journal does not have.
+//! In each iteration the events are passed to their stages, the core decides, its commands are carried out, the journal is
+//! written, and only then bytes are sent: no response may refer to what the journal does not contain.
 
 mod commands;
 mod endpoint_list;
@@ -35,7 +35,7 @@
 use recovery::Recovered;
 use shutdown::Shutdown;
 
-/// The relay cannot start or cannot go on.
+/// The relay cannot start or cannot continue.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ServeError {
@@ -61,15 +61,15 @@
     upstream: Upstream,
     notices: NoticeSender,
     journal: Journal,
-    /// Notifications submitted in this turn and not answered yet, with the connections that submitted them.
+    /// Notifications submitted in this iteration and not answered yet, with the connections that submitted them.
     unanswered: BTreeMap<NotificationId, Vec<Token>>,
     recovered: Recovered,
-    /// Set once a stop was requested.
+    /// The progress of a shutdown; `None` before one is requested.
     shutdown: Option<Shutdown>,
     log: Logger,
 }
 
-/// Serves, with the journal in `state_directory`, until a stop is requested and done.
+/// Serves, with the journal in `state_directory`, until a shutdown was requested and is complete.
 pub fn serve(
     config: Config, state_directory: &Path, signals: Signals, log: Logger,
 ) -> Result<(), ServeError> {
@@ -120,7 +120,7 @@
         loop {
             let turn = self.net.poll(self.next_turn_at());
             let now = clock.now();
-            let is_stop_requested = turn.is_stop_requested;
+            let is_shutdown_requested = turn.is_shutdown_requested;
             self.handle_turn(turn, now);
             self.report_outcomes(now);
             self.run_core(now);
@@ -131,7 +131,7 @@
             }
             self.journal.flush().context(WriteJournalSnafu)?;
             self.net.flush();
-            if is_stop_requested {
+            if is_shutdown_requested {
                 self.begin_shutdown(now);
             }
             if self.advance_shutdown(now) {
@@ -149,7 +149,7 @@
             "unpushed" => unpushed, "pushed" => outstanding - unpushed - ended);
     }
 
-    /// When the next turn is due, whatever happens on the sockets.
+    /// When the next iteration is due even without events of the sockets.
     fn next_turn_at(&self) -> Time {
         let decision_at =
             if self.upstream.has_outcomes() { Time::default() } else { self.core.next_decision_at() };
@@ -161,7 +161,7 @@
         self.client_connections.is_closing =
             self.shutdown.is_some_and(|shutdown| shutdown.is_admission_over(now));
         for queued in turn.events {
-            // A deadline that came in the turn in which what was waited for happened does not count.
+            // A deadline reached in the iteration in which the awaited event happened does not count.
             let is_deadline = queued.event == ConnectionEvent::DeadlineReached;
             if !is_deadline || self.net.has_no_deadline(queued.token) {
                 self.handle_connection_event(queued, now);
--- a/crates/relay/src/server/commands.rs
+++ b/crates/relay/src/server/commands.rs
@@ -20,8 +20,8 @@
 }
 
 impl Server {
-    /// Has the core decide and carries out its commands in order. What was submitted in this turn and not rejected by then
-    /// is accepted.
+    /// Runs the core and carries out its commands in order. What was submitted in this iteration and is not rejected by
+    /// a command is accepted.
     pub(super) fn run_core(&mut self, now: Time) {
         let commands = self.core.decide(now);
         let mut rest = commands.as_slice();
--- a/crates/relay/src/server/outcomes.rs
+++ b/crates/relay/src/server/outcomes.rs
@@ -1,4 +1,4 @@
-//! Ends of pushes and of notifications.
+//! Outcomes of pushes and of notifications.
 
 use juniperwing::interface::{Event, NotificationId, PushOutcome};
 use juniperwing::time::Time;
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The client of a notification knows its end: nothing more is owed.
+    /// The client has acknowledged the final outcome of its notification, which is complete.
     pub(super) fn handle_end_acknowledged(&mut self, notification: NotificationId) {
         debug!(self.log, "final answer acknowledged"; "notification" => notification.0);
         self.forget(notification);
--- a/crates/relay/src/server/recovery.rs
+++ b/crates/relay/src/server/recovery.rs
@@ -12,7 +12,7 @@
 use super::Server;
 use crate::journal::{AcceptedNotification, History, UndeliveredEnd};
 
-/// The notifications that an earlier process accepted and never pushed, and what has become of them.
+/// The notifications that an earlier process accepted and never pushed, and how many of them ended how.
 #[derive(Default)]
 pub(super) struct Recovered {
     /// Those that have neither been pushed nor ended.
@@ -29,7 +29,7 @@
     number: u64,
     /// A push of it was in flight when the earlier process ended.
     was_in_flight: bool,
-    /// `None` if nobody knows any more how to treat it.
+    /// `None` if neither the journal nor the settings have its topic type.
     notification: Option<Notification>,
 }
 
@@ -75,7 +75,7 @@
         Some(Arc::new(guarantee.apply_to(&topic.unwrap_or_else(missing))))
     }
 
-    /// Counts what became of a notification that an earlier process did not push, once it has been pushed or has ended.
+    /// Counts the outcome of a notification that an earlier process did not push, once it has been pushed or has ended.
     pub(super) fn count_recovered(&mut self, notification: NotificationId, now: Time) {
         let recovered = &mut self.recovered;
         if !recovered.pending.remove(&notification) {
@@ -95,7 +95,7 @@
     }
 }
 
-/// What the core has to know of an earlier process. A push that was in flight when that ended may have run, and may still
+/// The history that an earlier process leaves to the core. A push that was in flight when that ended may have run, and may still
 /// be running.
 fn past_of(history: &History, now: Time) -> NotificationHistory {
     let first_may_have_run = history.first_may_have_run.as_ref().or(history.in_flight.as_ref());
--- a/crates/relay/src/server/shutdown.rs
+++ b/crates/relay/src/server/shutdown.rs
@@ -1,4 +1,4 @@
-//! The phases of a stop.
+//! The phases of a shutdown.
 
 use juniperwing::interface::Event;
 use juniperwing::time::{Span, Time};
@@ -6,7 +6,7 @@
 
 use super::Server;
 
-/// How long after the request each phase ends. The last one is over well before a machine that is put down kills the
+/// How long after the request each phase ends. The last one is over well before a machine that shuts down kills the
 /// processes still running.
 const SERVING_ENDS_AFTER: Span = Span::from_millis(2_000);
 const ADMISSION_ENDS_AFTER: Span = Span::from_millis(2_800);
@@ -14,7 +14,7 @@
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ShutdownPhase {
-    /// Everything goes on, but `/ready` says that the relay stops.
+    /// Everything continues, but `/ready` responds with 503.
     Serving,
     /// No new calls are made; those in flight may end, and notifications are accepted for the next process.
     AdmittingOnly,
@@ -22,7 +22,7 @@
     Closing,
 }
 
-/// A stop that was requested.
+/// A shutdown in progress.
 #[derive(Clone, Copy)]
 pub(super) struct Shutdown {
     requested_at: Time,
@@ -46,18 +46,18 @@
 }
 
 impl Server {
-    /// Begins the stop, unless that was done before.
+    /// Starts the shutdown, unless it has started before.
     pub(super) fn begin_shutdown(&mut self, now: Time) {
         if self.shutdown.is_some() {
             return;
         }
         info!(self.log, "shutdown started"; "outstanding" => self.journal.live_count(),
             "calls_in_flight" => self.upstream.calls_in_flight());
-        self.client_connections.is_stopping = true;
+        self.client_connections.is_shutting_down = true;
         self.shutdown = Some(Shutdown { requested_at: now, phase: ShutdownPhase::Serving });
     }
 
-    /// Goes on to the next phase of a stop if that is due. Returns whether the stop is done.
+    /// Advances to the next phase if that is due. Returns whether the shutdown is complete.
     pub(super) fn advance_shutdown(&mut self, now: Time) -> bool {
         let Some(shutdown) = &mut self.shutdown else { return false };
         let is_phase_over = shutdown.phase_ends_at() <= now;
--- a/crates/relay/src/server/submissions.rs
+++ b/crates/relay/src/server/submissions.rs
@@ -15,7 +15,7 @@
 
 impl Server {
     pub(super) fn handle_submission(&mut self, token: Token, submission: Submission, now: Time) {
-        // An id that comes twice in a turn has one response: it is in the journal, and may still be rejected.
+        // An id that is submitted twice in an iteration has one response: it is in the journal, and may still be rejected.
         if let Some(tokens) = self.unanswered_with_id(&submission.attributes.id) {
             return tokens.push(token);
         }
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Answers the connections that submitted a notification.
+    /// Responds to the connections that submitted a notification.
     pub(super) fn respond(
         &mut self, tokens: Vec<Token>, notification: NotificationId, response: SubmissionResponse,
     ) {
--- a/crates/relay/src/upstream.rs
+++ b/crates/relay/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Calls to endpoints and the connections that they go by.
+//! Calls to endpoints and their connections.
 //!
 //! It neither chooses endpoints nor retries nor delays a push: the core decides that.
 
@@ -20,19 +20,19 @@
 pub use call::{CallOutcome, PushRequest};
 use pool::ConnectionPool;
 
-/// The connection of a call that ended without a response is read for so long, since the response may still come and ask
-/// for a pause.
+/// For how long the connection of a call that ended without a response is read: a late response may still carry a
+/// retry-after.
 const LATE_RESPONSE_TIMEOUT: Span = Span::from_millis(1_000);
 
-/// An endpoint asked for a pause in a response that is not complete or came after the end of its call.
+/// A retry-after in a response that is incomplete or arrived after the end of its call.
 pub struct RetryAfter {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// The pause.
+    /// The delay that it requests.
     pub delay: Span,
 }
 
-/// A notification in a call that is about to go out, and the zone of the call's endpoint.
+/// A notification in a call that is about to be sent, and the zone of the call's endpoint.
 pub struct SentNotification {
     /// Its number.
     pub notification: NotificationId,
@@ -85,7 +85,7 @@
         std::mem::take(&mut self.outcomes)
     }
 
-    /// The pauses asked for outside of outcomes since the last call.
+    /// The retry-afters outside of outcomes since the last call.
     pub fn take_retry_afters(&mut self) -> Vec<RetryAfter> {
         std::mem::take(&mut self.retry_afters)
     }
@@ -190,7 +190,7 @@
         net.open(known.address, ConnectionRole::Endpoint).ok()
     }
 
-    /// Writes the calls whose connections are established. Pushes that were cancelled, or would come too late, are left
+    /// Writes the calls whose connections are established. Pushes that were cancelled, or would be too late, are left
     /// out. Every call passes here after the events of a turn are known and decided on. Returns what the calls contain: it
     /// has to be in the journal before any byte goes out.
     pub fn write_ready_calls(&mut self, net: &mut Net, now: Time) -> Vec<SentNotification> {
@@ -246,7 +246,7 @@
         }
     }
 
-    /// Nothing more is sent for a notification.
+    /// Sends nothing more for a notification.
     pub fn forget(&mut self, notification: NotificationId) {
         self.unbatchable.remove(&notification);
     }
--- a/crates/relay/src/upstream/call.rs
+++ b/crates/relay/src/upstream/call.rs
@@ -30,12 +30,12 @@
     pub is_ordered: bool,
     /// How long its outcome may take.
     pub timeout: Span,
-    /// After that it must not go out to the endpoint any more.
+    /// After that it must not be sent any more.
     pub send_within: Span,
 }
 
 impl PushRequest<'_> {
-    /// The most that it takes in the body of a batch, in bytes.
+    /// The maximum that it occupies in the body of a batch, in bytes.
     pub(super) fn max_encoded_item_bytes(&self) -> usize {
         let escaped_text_bytes = 2 * (self.id.len() + self.idempotency_key.map_or(0, str::len));
         self.body.len().div_ceil(3) * 4 + escaped_text_bytes + MAX_ITEM_FRAME_BYTES
@@ -75,7 +75,7 @@
     pub(super) send_by: Time,
     /// Its item of a batch, until that is written.
     encoded_item: Vec<u8>,
-    /// Whether its outcome is still to come.
+    /// Whether it has no outcome yet.
     pub(super) is_pending: bool,
 }
 
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Whether it would come too late if it were sent now.
+    /// Whether it would be too late if it were sent now.
     pub(super) fn is_late_to_send(&self, now: Time) -> bool {
         self.is_pending && self.send_by <= now
     }
@@ -104,7 +104,7 @@
     }
 }
 
-/// What goes out once the connection is established.
+/// What is sent once the connection is established.
 pub(super) enum UnwrittenRequest {
     /// The message of a single push or of a probe.
     Encoded(Vec<u8>),
@@ -192,13 +192,13 @@
     pub result: PushResult,
     /// How long ago the call started.
     pub elapsed: Span,
-    /// The pause that the endpoint asked for in its response.
+    /// The delay before the next call that the endpoint requested in its response.
     pub retry_after: Option<Span>,
     /// What the endpoint reported of its rate limit.
     pub limit: Option<RateLimitReport>,
 }
 
-/// A span as a header states it: whole milliseconds, at least one.
+/// A span in milliseconds for a header, rounded down, at least one.
 fn format_millis(span: Span) -> String {
     (span.as_nanos() / 1_000_000).max(1).to_string()
 }
--- a/crates/relay/src/upstream/events.rs
+++ b/crates/relay/src/upstream/events.rs
@@ -10,16 +10,16 @@
 use crate::event_loop::{ConnectionEvent, Net, Token};
 use crate::http::{self, ParseError, Response};
 
-/// Idle connections are closed after this fraction of the time after which their endpoint closes them, so that no push
-/// crosses the closing.
+/// Idle connections are closed after this fraction of the endpoint's idle timeout, so that no push is sent while the
+/// endpoint closes the connection.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.9;
-/// A response has to be complete so long after its first byte.
+/// The time within which a response has to be complete, from its first byte.
 const RESPONSE_COMPLETION_TIMEOUT: Span = Span::from_millis(500);
 
 /// A complete response, and what it means for its connection.
 struct ReceivedResponse {
     response: Response,
-    /// The call had not gone out completely when it came.
+    /// Whether the call had not been sent completely when the response arrived.
     is_call_unsent: bool,
     /// The connection can be used for another call.
     is_connection_reusable: bool,
@@ -63,7 +63,7 @@
                 _ => {}
             }
         }
-        // Otherwise it is idle: its deadline has come, its endpoint closed it, or it sends what nobody asked for.
+        // Otherwise it is idle: its deadline has come, its endpoint closed it, or it sends unsolicited bytes.
         self.pool.close(net, token);
     }
 
@@ -121,7 +121,7 @@
             return self.end_call(net, token, status, now);
         }
         if !is_unsent {
-            // Only the time-outs of the pushes count from now on.
+            // Only the timeouts of the pushes count from now on.
             call.connect_by = Time::NEVER;
         }
         let has_ended = |push: &InFlightPush| push.is_overdue(now) || is_unsent && push.is_late_to_send(now);
@@ -146,7 +146,7 @@
             self.outcomes.push(outcome(None, result));
         }
         let results = results_of_call(&call, received);
-        // Such a notification would spoil every batch that it goes in.
+        // Such a notification would make every batch that contains it fail.
         if !received.is_call_unsent && call.is_batch && endpoint_response::is_rejected_as_malformed(response)
         {
             self.unbatchable.extend(call.pushes.iter().map(|push| push.notification));
@@ -197,7 +197,7 @@
 fn results_of_call(call: &Call, received: &ReceivedResponse) -> Vec<PushResult> {
     let ids: Vec<&str> = call.pushes.iter().map(|push| push.id.as_str()).collect();
     let mut results = endpoint_response::push_results(&received.response, &ids, call.is_batch);
-    // A response that comes before its call has gone out does not answer it, unless it rejects the connection: none of
+    // A response that arrives before its call has been sent does not answer it, unless it rejects the connection: none of
     // the call was run.
     if received.is_call_unsent {
         let is_rejection = |result: &PushResult| {
--- a/crates/replication/src/election.rs
+++ b/crates/replication/src/election.rs
@@ -7,7 +7,7 @@
 use juniperwing_protocol::{DiskId, EpochNumber};
 
 use crate::epoch::find_voter;
-use crate::membership::{EpochPlan, fill_in_sync};
+use crate::epoch_plan::{EpochPlan, fill_in_sync};
 
 /// An attempt to have an epoch chosen.
 #[derive(Clone, Debug)]
--- a/crates/replication/src/membership.rs
+++ b/crates/replication/src/epoch_plan.rs
@@ -1,4 +1,4 @@
-//! The voters and in-sync replicas that a primary wants for its next epoch.
+//! Plans the next epoch of a primary: its voters and in-sync replicas.
 
 use juniperwing_clock::Time;
 use juniperwing_protocol::DiskId;
@@ -86,7 +86,7 @@
     }
 
     /// Whether a voter has timed out, or has requested to leave.
-    fn is_leaving_or_silent(&self, disk: DiskId) -> bool {
+    fn is_leaving_or_timed_out(&self, disk: DiskId) -> bool {
         let Some(peer) = self.peer(disk) else { return false };
         peer.is_leaving(self.now) || self.now.since(peer.last_reply_at) >= self.settings.timings.voter_timeout
     }
@@ -108,7 +108,7 @@
         let same_disk = others().find(|(_, voter)| voter.disk == newcomer.disk);
         let same_machine =
             || others().find(|(_, voter)| voter.node == newcomer.node || voter.address == newcomer.address);
-        let leaving = || others().find(|(_, voter)| self.is_leaving_or_silent(voter.disk));
+        let leaving = || others().find(|(_, voter)| self.is_leaving_or_timed_out(voter.disk));
         same_disk.or_else(same_machine).or_else(leaving).map(|(index, _)| index)
     }
 
@@ -125,17 +125,17 @@
         }
     }
 
-    /// Drops voters that leave or have timed out, down to the minimum. An odd number is kept: an even one
+    /// Drops voters that are leaving or have timed out, down to the minimum. The number stays odd: an even one
     /// tolerates no more losses than one voter fewer.
     fn drop_surplus_voters(&self, voters: &mut Vec<Voter>) {
         let min_voters = self.settings.min_voters();
-        let leaving = voters.iter().filter(|voter| self.is_leaving_or_silent(voter.disk)).count();
+        let leaving = voters.iter().filter(|voter| self.is_leaving_or_timed_out(voter.disk)).count();
         let mut surplus = leaving.min(voters.len().saturating_sub(min_voters));
         if (voters.len() - surplus).is_multiple_of(2) {
             surplus = surplus.saturating_sub(1);
         }
         for _ in 0..surplus {
-            let dropped = voters.iter().position(|voter| self.is_leaving_or_silent(voter.disk));
+            let dropped = voters.iter().position(|voter| self.is_leaving_or_timed_out(voter.disk));
             dropped.map(|index| voters.remove(index));
         }
     }
--- a/crates/replication/src/interface.rs
+++ b/crates/replication/src/interface.rs
@@ -40,7 +40,7 @@
     Message(ReplicationMessage),
     /// The record is on disk: the file and its directory entry are synced.
     Persisted(PersistToken),
-    /// The record could not be written. It is returned again later; a primary steps down.
+    /// The record could not be written: a primary steps down, and the replica requests the write again later.
     PersistFailed(PersistToken),
     /// The time of the last [`Command::WakeAt`] has come. Has no effect at any other time.
     Tick,
--- a/crates/replication/src/leadership.rs
+++ b/crates/replication/src/leadership.rs
@@ -16,7 +16,7 @@
 /// The number of reads that may be pending.
 pub(crate) const MAX_PENDING_READS: usize = 1024;
 
-/// What the primary knows of another keeper.
+/// The progress of another keeper, as the primary tracks it.
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
     /// Its identity and address.
@@ -40,7 +40,7 @@
 }
 
 impl Peer {
-    /// A keeper of which nothing is known yet.
+    /// A keeper that has not replied yet.
     pub(crate) fn new(now: Time, voter: Voter) -> Self {
         Peer {
             voter,
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Removes keepers that are no voters and do not request to join. One that leaves is kept until it can
+    /// Removes keepers that are no voters and do not request to join. One that leaves is retained until it can
     /// have been notified of the epoch without it.
     pub(crate) fn remove_former_peers(&mut self, now: Time, epoch: &Epoch) {
         let is_voter = |disk: &DiskId| epoch.voters.iter().any(|voter| voter.disk == *disk);
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -11,7 +11,7 @@
 //!    acknowledged changes. Its own promise fences the old primary, whose writes need its acknowledgement.
 //! 2. **State.** The primary writes one change at a time to all in-sync replicas and acknowledges it when
 //!    each has it on disk and there are at least [`Settings::min_in_sync_replicas`] of them. There is no log:
-//!    a replica that lags is sent the changes it lacks, or the whole state.
+//!    a replica that lags is sent the changes it lacks, or the complete state.
 //!
 //! A new primary first brings all in-sync replicas to its own version, which completes whatever had been
 //! written and not acknowledged, and serves nothing until that is done. A process that has restarted is never
@@ -23,11 +23,11 @@
 mod acceptor;
 mod election;
 mod epoch;
+mod epoch_plan;
 mod error;
 mod interface;
 mod jitter;
 mod leadership;
-mod membership;
 mod persistence;
 mod pre_vote;
 mod recent_changes;
--- a/crates/replication/src/persistence.rs
+++ b/crates/replication/src/persistence.rs
@@ -13,11 +13,11 @@
 /// again.
 const MAX_DEFERRED_ACTIONS: usize = 256;
 
-/// Delay before a failed write is tried again.
+/// Delay before a failed write is retried.
 const WRITE_RETRY_INTERVAL: Span = Span::from_millis(200);
 
-/// A write that takes longer counts as failed: whatever needs this keeper's disk is better done by another
-/// one.
+/// A write that takes longer counts as failed: a primary whose disk hangs steps down, so that a keeper with a working
+/// disk can take over.
 const WRITE_STALL_TIMEOUT: Span = Span::from_millis(1_500);
 
 /// What is to be done once everything it depends on is on disk.
@@ -51,9 +51,9 @@
     durable_generation: u64,
     durable_version: Version,
     pending_write: Option<PendingWrite>,
-    /// When a failed write is tried again; `None` if the last one succeeded.
+    /// When a failed write is retried; `None` if the last one succeeded.
     retry_at: Option<Time>,
-    /// Whether the write in progress has exceeded the stall time-out.
+    /// Whether the write in progress has exceeded the stall timeout.
     is_stalled: bool,
     /// Each action with the generation that it waits for, in order.
     deferred: VecDeque<(u64, DeferredAction)>,
@@ -106,7 +106,7 @@
         has_stalled
     }
 
-    /// When a failed write is tried again, unless it is being tried now.
+    /// When a failed write is retried; never while a write is in progress.
     pub(crate) fn retry_at(&self) -> Time {
         self.retry_at.filter(|_| self.pending_write.is_none()).unwrap_or(Time::NEVER)
     }
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -37,7 +37,7 @@
 use crate::settings::Settings;
 use crate::state::{ReplicatedState, Versioned};
 
-/// Election time-out after a start of the keeper that was primary of the last epoch: the backups still wait
+/// Election timeout after a start of the keeper that was primary of the last epoch: the backups still wait
 /// for it.
 const FORMER_PRIMARY_ELECTION_TIMEOUT: Span = Span::from_millis(100);
 
--- a/crates/replication/src/replica/backup.rs
+++ b/crates/replication/src/replica/backup.rs
@@ -12,7 +12,7 @@
 use crate::state::{ReplicatedState, Versioned};
 
 impl<S: ReplicatedState> Replica<S> {
-    /// Starts a pre-vote when the election time-out has passed; requests to join where that is needed.
+    /// Starts a pre-vote when the election timeout has passed; requests to join where that is needed.
     pub(super) fn advance_following(&mut self, now: Time) {
         if now >= self.join_retry_at && self.must_request_join(now) {
             self.join_retry_at = now + self.settings.timings.join_interval;
--- a/crates/replication/src/replica/candidate.rs
+++ b/crates/replication/src/replica/candidate.rs
@@ -7,11 +7,11 @@
 use super::{Replica, Stage};
 use crate::election::{Election, Proposal};
 use crate::epoch::{electorate, is_newer};
-use crate::membership::EpochPlan;
+use crate::epoch_plan::EpochPlan;
 use crate::persistence::DeferredAction;
 use crate::state::ReplicatedState;
 
-/// The longest back-off after a failed election, in election time-outs.
+/// The longest back-off after a failed election, in election timeouts.
 const MAX_BACK_OFF_ELECTION_TIMEOUTS: u32 = 2;
 
 impl<S: ReplicatedState> Replica<S> {
--- a/crates/replication/src/replica/catch_up.rs
+++ b/crates/replication/src/replica/catch_up.rs
@@ -7,7 +7,7 @@
 use crate::state_transfer::TransferPlanner;
 
 impl<S: ReplicatedState> Replica<S> {
-    /// Sends each keeper that lacks the latest version the missing changes, or the whole state.
+    /// Sends each keeper that lacks the latest version the missing changes, or the complete state.
     pub(super) fn catch_up(&mut self, now: Time) {
         let timings = self.settings.timings;
         let latest = self.latest.version;
--- a/crates/replication/src/replica/epoch_change.rs
+++ b/crates/replication/src/replica/epoch_change.rs
@@ -3,8 +3,8 @@
 use juniperwing_clock::{Span, Time};
 
 use super::Replica;
+use crate::epoch_plan::{EpochPlan, EpochPlanner};
 use crate::leadership::Leadership;
-use crate::membership::{EpochPlan, EpochPlanner};
 use crate::state::ReplicatedState;
 
 /// The limit of the random part of the delay before an election for an epoch above a promised number.
@@ -34,7 +34,7 @@
         true
     }
 
-    /// The epoch that the primary wants next.
+    /// The voters and in-sync replicas of the next epoch.
     fn plan(&self, now: Time, leadership: &Leadership<S::Change>) -> EpochPlan {
         let committed = self.committed.as_ref().filter(|_| leadership.is_synchronized);
         let planner = EpochPlanner {
--- a/crates/replication/src/replica/handover.rs
+++ b/crates/replication/src/replica/handover.rs
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The primary of `epoch` steps down and wants this backup to take over.
+    /// The primary of `epoch` steps down and requests this backup to take over.
     pub(super) fn handle_leadership_transfer(&mut self, now: Time, epoch: EpochNumber) {
         let is_following = matches!(self.stage, Stage::Following) && self.acceptor.accepted.number == epoch;
         if is_following && self.acceptor.promised == epoch && self.is_eligible() {
--- a/crates/replication/src/replica/join.rs
+++ b/crates/replication/src/replica/join.rs
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Records a keeper that is no voter as a peer that wants to join, as far as the limit of peers permits.
+    /// Records a keeper that is no voter as a joining peer, unless the limit of peers is reached.
     fn record_join_request(&mut self, now: Time, voter: Voter) {
         let lifetime = self.settings.timings.join_interval.mul_f64(JOIN_REQUEST_LIFETIME_INTERVALS);
         let Some(leadership) = &mut self.leadership else { return };
--- a/crates/replication/src/replica/primary.rs
+++ b/crates/replication/src/replica/primary.rs
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Whether a majority of voters has replied within the election time-out.
+    /// Whether a majority of voters has replied within the election timeout.
     pub(super) fn has_majority(&self, now: Time) -> bool {
         let Some(leadership) = &self.leadership else { return false };
         let election_timeout = self.settings.timings.election_timeout;
@@ -121,7 +121,7 @@
         leadership.peers.get_mut(&disk)
     }
 
-    /// Completes proposals and reads that have waited longer than the request time-out.
+    /// Completes proposals and reads that have waited longer than the request timeout.
     fn expire_requests(&mut self, now: Time) {
         let request_timeout = self.settings.timings.request_timeout;
         let is_expired = |since: Time| now.since(since) > request_timeout;
--- a/crates/replication/src/replica/proposals.rs
+++ b/crates/replication/src/replica/proposals.rs
@@ -19,7 +19,7 @@
 const WRITE_PAUSE_ACK_TIMEOUTS: f64 = 1.5;
 
 impl<S: ReplicatedState> Replica<S> {
-    /// Queues a proposal, or refuses it if this keeper does not serve or the queue is full.
+    /// Queues a proposal, or rejects it if this keeper does not serve or the queue is full.
     pub(super) fn handle_propose(
         &mut self, now: Time, token: ProposeToken, base: Version, change: S::Change,
     ) {
--- a/crates/replication/src/replica/timer.rs
+++ b/crates/replication/src/replica/timer.rs
@@ -1,4 +1,4 @@
-//! The one timer of a replica, and the election time-out.
+//! The one timer of a replica, and the election timeout.
 
 use juniperwing_clock::{Span, Time};
 
--- a/crates/replication/src/replica/voting.rs
+++ b/crates/replication/src/replica/voting.rs
@@ -72,7 +72,7 @@
     }
 
     /// Whether a primary, or a candidate that may become one, has sent something within the election
-    /// time-out.
+    /// timeout.
     pub(super) fn has_recent_primary(&self, now: Time) -> bool {
         let election_timeout = self.settings.timings.election_timeout;
         self.last_primary_contact_at.is_some_and(|at| now.since(at) < election_timeout)
--- a/crates/replication/src/settings.rs
+++ b/crates/replication/src/settings.rs
@@ -16,17 +16,17 @@
     /// Addresses of other keepers, in any order; at the first start those of the keepers that bootstrap the
     /// tier.
     pub seeds: Vec<SocketAddr>,
-    /// Whether this is the first start of the whole tier, on empty disks.
+    /// Whether this is the first start of the tier, on empty disks.
     pub bootstrap: bool,
     /// The number of disks that must have a write before it is acknowledged, this keeper's included; at least
     /// 1.
     pub min_in_sync_replicas: usize,
-    /// Intervals and time-outs.
+    /// Intervals and timeouts.
     pub timings: Timings,
 }
 
 impl Settings {
-    /// The number of voters that is kept even if some have timed out: as many as bootstrapped the tier or are
+    /// The number of voters that are retained even if some have timed out: as many as bootstrapped the tier or are
     /// needed for the required in-sync replicas.
     pub(crate) fn min_voters(&self) -> usize {
         self.seeds.len().max(2 * self.min_in_sync_replicas - 1)
@@ -38,7 +38,7 @@
     }
 }
 
-/// Intervals and time-outs of a replica.
+/// Intervals and timeouts of a replica.
 #[derive(Clone, Copy, Debug)]
 pub struct Timings {
     /// Interval between two heartbeats of the primary.
@@ -62,7 +62,7 @@
     pub resend_interval: Span,
     /// The longest time that a proposal or a read may be pending.
     pub request_timeout: Span,
-    /// Bytes per millisecond on the slowest link that a whole state must be sent over: what has been in
+    /// Bytes per millisecond on the slowest link that a complete state must be sent over: what has been in
     /// flight for longer than that takes counts as lost.
     pub min_link_bytes_per_ms: f64,
 }
--- a/crates/replication/src/state_transfer.rs
+++ b/crates/replication/src/state_transfer.rs
@@ -1,5 +1,5 @@
 //! What is sent to a replica that lags: the changes that it lacks where they are retained, otherwise the
-//! whole state.
+//! complete state.
 //!
 //! What is in flight to a replica is not sent again before it must have arrived, however large it is; later
 //! changes are sent behind it. So changes that come faster than a snapshot is transferred do not keep a
--- a/crates/replication/tests/consecutive_losses.rs
+++ b/crates/replication/tests/consecutive_losses.rs
@@ -134,7 +134,7 @@
     simulation.remove(member);
 }
 
-// Guards: `membership.rs`, `drop_surplus_voters` and `find_replaced_voter` (a member that leaves counts as
+// Guards: `epoch_plan.rs`, `drop_surplus_voters` and `find_replaced_voter` (a member that leaves counts as
 // silent at once); `replica/join.rs`, `must_request_join` (it sends no join request); `replica/handover.rs`,
 // `can_shut_down` (it waits until its vote does not count).
 #[test]
@@ -211,7 +211,7 @@
     });
 }
 
-// Guard: `settings.rs`, `can_drop_one_of` and `membership.rs`, `drop_surplus_voters`: five of six voters
+// Guard: `settings.rs`, `can_drop_one_of` and `epoch_plan.rs`, `drop_surplus_voters`: five of six voters
 // stay.
 #[test]
 fn simultaneous_loss_of_two_of_five_after_a_replacement_is_tolerated() {
--- a/crates/replication/tests/epoch_model/mod.rs
+++ b/crates/replication/tests/epoch_model/mod.rs
@@ -14,12 +14,12 @@
 //! | [`rules::Rules::handle_heartbeat`] | `replica/backup.rs`: `handle_heartbeat`; `replica/voting.rs`: `commit_epoch` |
 //! | [`rules::Rules::handle_snapshot`] | `replica/backup.rs`: `accepts_write_from`, `handle_write`, `handle_snapshot`, `acknowledge_when_durable` |
 //! | [`rules::Rules::start_election`] | `replica/candidate.rs`: `start_election`; `replica.rs`: `is_eligible`, `next_number` |
-//! | [`rules::Rules::possible_epochs`] | `replica/candidate.rs`: `handle_promise`, `rebase`; `election.rs`: `has_promise_quorum`, `new_epoch`; `membership.rs`: `fill_in_sync` |
+//! | [`rules::Rules::possible_epochs`] | `replica/candidate.rs`: `handle_promise`, `rebase`; `election.rs`: `has_promise_quorum`, `new_epoch`; `epoch_plan.rs`: `fill_in_sync` |
 //! | [`rules::Rules::become_primary`] | `election.rs`: `is_chosen`; `replica/primary.rs`: `become_primary`; `leadership.rs`: `enter_epoch`; `replica/catch_up.rs` |
 //! | [`rules::Rules::commit`] | `replica/proposals.rs`: `is_replicated_to_all`, `commit_latest` |
 //! | [`rules::Rules::start_write`] | `replica/proposals.rs`: `start_writes`, `start_write`; `replica/catch_up.rs` |
 //! | [`rules::Rules::complete_read`] | `replica/reads.rs`: `handle_read`, `complete_reads` |
-//! | [`rules::Rules::possible_plans`] | `membership.rs`: `plan`, `admit_voters`, `find_replaced_voter`, `in_sync`, `is_up_to_date` |
+//! | [`rules::Rules::possible_plans`] | `epoch_plan.rs`: `plan`, `admit_voters`, `find_replaced_voter`, `in_sync`, `is_up_to_date` |
 //! | [`state::Epoch::is_quorum`] | `juniperwing_protocol::replication::Epoch::is_quorum` |
 //! | [`state::Epoch::electorate`], [`state::Epoch::is_newer`] | `epoch.rs`: the same names |
 //!
--- a/crates/replication/tests/epoch_model/rules.rs
+++ b/crates/replication/tests/epoch_model/rules.rs
@@ -31,7 +31,7 @@
     ChangesSupersededEpoch,
     /// `replica/reads.rs`, `complete_reads`: no majority is required.
     ConfirmsReadsWithoutMajority,
-    /// `membership.rs`, `is_up_to_date`: a newcomer joins the in-sync set whatever its state.
+    /// `epoch_plan.rs`, `is_up_to_date`: a newcomer joins the in-sync set whatever its state.
     AdmitsVoterWithoutState,
 }
 
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -21,7 +21,7 @@
     },
     /// A file's contents are not what was written. A loss of power cannot cause this, so acknowledged state may be
     /// missing: the directory counts as lost.
-    #[snafu(display("{} holds {found}", path.display()))]
+    #[snafu(display("{} is corrupt: it contains {found}", path.display()))]
     Corrupt {
         /// The file.
         path: PathBuf,
--- a/crates/storage/src/frame.rs
+++ b/crates/storage/src/frame.rs
@@ -10,7 +10,7 @@
 use crate::error::{CorruptSnafu, IoSnafu, StorageError, UnsupportedLayoutSnafu};
 use crate::file_system::{self, File};
 
-/// The first bytes of a frame, which tell its kind.
+/// The first bytes of a frame, which identify its kind.
 type Magic = [u8; 8];
 
 /// A batch of a segment. Snapshots of an earlier layout, without a version number, had it too.
--- a/crates/storage/src/identity.rs
+++ b/crates/storage/src/identity.rs
@@ -1,5 +1,5 @@
-//! The identity of a data directory: a number drawn once, which tells a directory that was lost and created anew from
-//! its predecessor.
+//! The identity of a data directory: a number drawn once, which distinguishes a directory that was lost and created anew
+//! from its predecessor.
 
 use std::path::Path;
 
@@ -8,8 +8,8 @@
 
 const FILE_PREFIX: &str = "identity";
 
-/// Reads the identity of the directory; a directory without a readable one is given `drawn`. The second value tells whether
-/// it was given a new identity.
+/// Reads the identity of the directory; a directory without a readable one is given `drawn`. The second value is
+/// whether it was given a new identity.
 ///
 /// # Errors
 ///
@@ -23,7 +23,7 @@
         files.write(&drawn.to_le_bytes())?;
         return Ok((drawn, true));
     };
-    // Intact, but not a number: another release wrote it. A new identity would give up the state in the directory.
+    // Intact, but not a number: another release wrote it. A new identity would abandon the state in the directory.
     match bytes.try_into() {
         Ok(stored) => Ok((u64::from_le_bytes(stored), false)),
         Err(_) => UnsupportedLayoutSnafu { path: directory }.fail(),
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,6 +1,6 @@
 //! Typed events, commands and configuration of a relay: what goes into the core and what comes out of it.
 //!
-//! Nothing here decides, and nothing here knows how a front end serialises these types.
+//! There is no logic here, and nothing depends on how a front end serialises these types.
 
 mod command;
 mod config;
--- a/src/interface/command.rs
+++ b/src/interface/command.rs
@@ -27,7 +27,7 @@
         /// Which of its pushes, counted from 0.
         push_index: u32,
     },
-    /// Final answer: rejected, trying again is harmless.
+    /// Final answer: rejected without any effect, so that the client may retry.
     Throttle {
         /// The notification.
         notification: NotificationId,
--- a/src/interface/endpoint_list.rs
+++ b/src/interface/endpoint_list.rs
@@ -16,7 +16,7 @@
     pub max_notifications_per_call: usize,
 }
 
-/// What the list says of an endpoint. It says nothing of health.
+/// The state of an endpoint in the list, which does not cover its health.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Readiness {
     /// It accepts calls.
@@ -39,7 +39,7 @@
     pub kind: Arc<DestinationKind>,
     /// The name of its zone.
     pub zone: Arc<str>,
-    /// What the list says of it.
+    /// Its state in the list.
     pub readiness: Readiness,
     /// The listed rate in calls a second; see [`Fleet::has_listed_rates`](super::Fleet::has_listed_rates).
     pub rate_per_second: f64,
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -8,11 +8,11 @@
 pub enum CallStatus {
     /// Delivered.
     Delivered,
-    /// The destination answered with an error; the push may have been executed.
+    /// The destination responded with an error; the push may have been executed.
     Error,
     /// Rejected before it was read; it was never executed.
     Busy,
-    /// No answer in time; it may have been executed or still be executing.
+    /// No response in time; it may have been executed or still be executing.
     TimedOut,
     /// No connection could be opened; it was never executed.
     NoConnection,
@@ -68,7 +68,7 @@
     pub elapsed: Span,
     /// Whether the notification has its final answer, by this push or earlier.
     pub has_final_answer: bool,
-    /// How long the destination asked to wait, however this push ended.
+    /// The delay before the next call that the destination requested, whatever the push's outcome.
     pub retry_after: Option<Span>,
     /// The destination's report of its rate limit.
     pub rate_limit: Option<RateLimitReport>,
@@ -83,11 +83,11 @@
     Accepted(Notification),
     /// A push ended.
     PushEnded(PushOutcome),
-    /// An endpoint asked to wait in the response to a call that had already ended.
+    /// A response to a call that had already ended requests a delay before the next call.
     RetryAfterReported {
         /// The endpoint.
         endpoint: EndpointId,
-        /// How long it asked to wait.
+        /// The delay that it requests.
         retry_after: Span,
     },
     /// The client has withdrawn the notification; no answer is owed any more.
@@ -96,7 +96,7 @@
     FinalAnswerAcknowledged(NotificationId),
     /// The configuration was replaced. Decisions already made stand; a notification keeps its topic type.
     ConfigChanged(RelayConfig),
-    /// The upper limit of calls in flight, whatever the configuration says.
+    /// The upper limit of calls in flight, which overrides the configuration's.
     SlotLimitChanged(usize),
     /// A wake-up that was requested.
     WakeUp,
--- a/src/interface/notification.rs
+++ b/src/interface/notification.rs
@@ -111,7 +111,7 @@
     pub account: Option<Arc<Account>>,
     /// The key that orders it, if its topic type is ordered.
     pub key: Option<String>,
-    /// Its deadline: it may be delivered until then.
+    /// Its deadline; it must not be delivered later.
     pub valid_until: Time,
     /// What was done with it before this process started; the default if it is new.
     pub history: NotificationHistory,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,7 +2,7 @@
 //! timeout, and when it is given up.
 //!
 //! The crate is pure: typed events and a clock go in, commands come out ([`Relay::handle`]). It does no I/O and
-//! knows no wire format; a front end such as `crates/adapter` or `crates/relay` carries both. `docs/design.md`
+//! has no wire format; a front end such as `crates/adapter` or `crates/relay` carries both. `docs/design.md`
 //! explains the design.
 
 pub mod interface;
--- a/src/message.rs
+++ b/src/message.rs
@@ -67,7 +67,8 @@
     CallSent(Call),
     /// All outcomes of a call are known.
     CallEnded(DestinationId),
-    /// A push ended. `is_first_of_call`: its call had no outcome before; all pushes of a call share one fate.
+    /// A push ended. `is_first_of_call`: its call had no outcome before. Only the first outcome of a call counts for health
+    /// and limits: all pushes of a call succeed or fail together.
     PushEnded {
         outcome: PushOutcome,
         is_first_of_call: bool,
@@ -103,12 +104,12 @@
     pub(crate) send_within: Span,
 }
 
-/// What a destination was given of late.
+/// The recent load of a destination.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RecentLoad {
     /// How many full calls would carry it.
     pub(crate) calls: f64,
-    /// The time in which it came.
+    /// The period over which it was measured.
     pub(crate) period: Span,
 }
 
@@ -127,7 +128,7 @@
     pub(crate) recent_load: RecentLoad,
     /// The listed rate limit in calls a second over all relays; zero if there is none.
     pub(crate) listed_rate_per_second: f64,
-    /// How long such a call usually lasts.
+    /// The usual duration of such a call.
     pub(crate) expected_duration: Span,
     /// It must not use a connection that has been idle.
     pub(crate) needs_fresh_connection: bool,
--- a/src/outbox.rs
+++ b/src/outbox.rs
@@ -1,4 +1,4 @@
-//! The messages, timers and commands of one round of a relay. Nothing here decides.
+//! The messages, timers and commands of one round of a relay. It makes no decisions.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/src/relay.rs
+++ b/src/relay.rs
@@ -1,4 +1,4 @@
-//! A relay: its components, where each event goes, and the loop that delivers their messages. Nothing here decides.
+//! A relay: its components, the routing of events, and the loop that delivers messages. It makes no decisions.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,10 +11,10 @@
 use crate::state::{Destination, DestinationLimiter, Endpoint, EndpointList, KeyQueues, Slots};
 use crate::time::Time;
 
-/// A relay's decisions. It knows only its own events, its clock and its seed.
+/// The core of a relay. Its decisions depend only on its events, its clock and its seed.
 pub struct Relay {
     config: Arc<RelayConfig>,
-    /// Upper limit of slots, whatever the configuration says.
+    /// Upper limit of slots, which overrides the configuration's.
     slot_limit: usize,
     /// When the next wake-up requested is due.
     next_wake_at: Time,
@@ -28,7 +28,7 @@
 }
 
 impl Relay {
-    /// A relay that has just started and knows no endpoint and no notification.
+    /// A relay that has just started, without endpoints and notifications.
     pub fn new(now: Time, seed: u64, config: RelayConfig) -> Self {
         let mut outbox = Outbox::new(seed);
         let subscribe_at = if config.fleet.is_list_on_request { now } else { Time::NEVER };
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Takes all that happened up to `now`, in order, and returns the commands that follow from it.
+    /// Handles the events up to `now`, in order, and returns the resulting commands.
     pub fn handle(&mut self, now: Time, events: Vec<Event>) -> Vec<Command> {
         self.outbox.begin_round(now);
         self.deliver_messages();
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Gives all components a new configuration. What they have seen and decided so far stays with them.
+    /// Gives all components a new configuration. Their state is retained.
     fn apply_config(&mut self, config: Arc<RelayConfig>) {
         // Updates of the list may have to be requested from now on. A subscription that exists loses nothing.
         if config.fleet.is_list_on_request && !self.config.fleet.is_list_on_request {
--- a/src/rules/destination.rs
+++ b/src/rules/destination.rs
@@ -1,4 +1,4 @@
-//! Destinations: what is pending, to which endpoint it is proposed, and when it is given up.
+//! Destinations: which notifications are pending, to which endpoint they are proposed, and when they expire.
 
 use super::tuning::{LOAD_MEMORY_FACTOR, MIN_TIME_LEFT};
 use crate::interface::{CallStatus, Command, Notification, PushOutcome};
@@ -57,9 +57,9 @@
         self.accepted_times.retain(|at| now.since(*at) < memory);
     }
 
-    /// Gives up what cannot succeed, requests a slot for what waits, and sets a timer for when time changes that.
+    /// Expires what cannot be delivered, requests a slot for what is ready, and sets a timer for the next deadline.
     fn update_schedule(&mut self, outbox: &mut Outbox) {
-        self.give_up_hopeless(outbox);
+        self.give_up_undeliverable(outbox);
         outbox.set_timer(Component::Destination(self.id), self.next_deadline(outbox.now));
         self.cancel_overdue(false, false, outbox);
         let is_waiting = |pending: &PendingNotification| {
@@ -140,10 +140,10 @@
         self.decline_slot(usable_from, outbox);
     }
 
-    /// Gives up what cannot succeed if no call is sent before `until`, and declines the slot.
+    /// Expires what cannot be delivered if no call is sent before `until`, and declines the slot.
     fn decline_slot(&mut self, until: Time, outbox: &mut Outbox) {
         (self.endpoints_tried, self.slot_usable_from) = (2 * self.endpoints.len(), until);
-        self.give_up_hopeless(outbox);
+        self.give_up_undeliverable(outbox);
         outbox.send(Component::Slots, Message::SlotDeclined { destination: self.id, until });
     }
 
@@ -157,7 +157,7 @@
     }
 
     fn handle_push_ended(&mut self, outcome: &PushOutcome, is_first_of_call: bool, now: Time) {
-        // Rejections and refused connections say nothing of latency.
+        // Rejections and refused connections are no evidence of latency.
         let (status, was_delivered) = (outcome.status, outcome.status == CallStatus::Delivered);
         let has_latency = was_delivered || matches!(status, CallStatus::TimedOut | CallStatus::Cancelled);
         if is_first_of_call && has_latency {
@@ -180,19 +180,19 @@
         }
     }
 
-    /// Gives up every notification that cannot succeed, if none can be sent before `slot_usable_from`.
-    fn give_up_hopeless(&mut self, outbox: &mut Outbox) {
+    /// Expires every notification that cannot be delivered, given that none can be sent before `slot_usable_from`.
+    fn give_up_undeliverable(&mut self, outbox: &mut Outbox) {
         let is_known = self.slot_usable_from < Time::NEVER;
         let sendable_from = if is_known { self.slot_usable_from.max(outbox.now) } else { outbox.now };
         for index in (0..self.pending.len()).rev() {
-            if self.is_hopeless(&self.pending[index], sendable_from, outbox.now) {
+            if self.is_undeliverable(&self.pending[index], sendable_from, outbox.now) {
                 self.give_up(index, sendable_from, outbox);
             }
         }
     }
 
     /// The design's cutoff: whether a notification that is not in flight cannot be pushed (again) in time.
-    fn is_hopeless(&self, pending: &PendingNotification, sendable_from: Time, now: Time) -> bool {
+    fn is_undeliverable(&self, pending: &PendingNotification, sendable_from: Time, now: Time) -> bool {
         if pending.in_flight.is_some() || pending.history.has_final_answer {
             return false;
         }
--- a/src/rules/destination_limiter.rs
+++ b/src/rules/destination_limiter.rs
@@ -160,7 +160,7 @@
             let RecentLoad { calls, period } = self.recent_load;
             ((period + equal_part).mul_f64(1.0 / calls).min(equal_part), PACING_GROWTH)
         } else {
-            // A wait says by how much: all who have to wait come back at its end, and use the limit up again.
+            // The reported wait determines the pacing: all relays resume at its end, and would exhaust the limit again.
             let wait = retry_after.mul_f64(PACING_WAIT_FACTOR);
             (self.time_for_calls(MIN_BACKOFF_CALLS).max(wait), PACING_GROWTH_WITHOUT_LIMIT)
         };
--- a/src/rules/endpoint.rs
+++ b/src/rules/endpoint.rs
@@ -123,7 +123,7 @@
         outbox.send(Component::Destination(destination), message(outcome));
     }
 
-    /// What the outcome of a call says of the endpoint's health.
+    /// Updates the endpoint's health by the outcome of a call.
     fn update_health(
         &mut self, sent_at: Time, status: CallStatus, rate_limit: Option<RateLimitReport>,
         outbox: &mut Outbox,
@@ -205,7 +205,7 @@
         }
     }
 
-    /// Guards against silence as well as failures: a call long overdue is evidence before its timeout.
+    /// Ejects the endpoint after enough failures or overdue calls: a call long overdue counts before it times out.
     fn eject_if_unhealthy(&mut self, outbox: &mut Outbox) {
         let (now, overload_duration) = (outbox.now, self.config.rules.overload_duration);
         let mut overdue = self.calls.iter().filter(|call| call.is_overdue(now)).count();
--- a/src/rules/selection.rs
+++ b/src/rules/selection.rs
@@ -1,4 +1,4 @@
-//! Which notifications go to an endpoint next, with what timeout, and how far apart calls are after an outage.
+//! Selects the notifications that go to an endpoint next, with what timeout, and how far apart calls are after an outage.
 
 use super::tuning::*;
 use crate::interface::{DeduplicationScope, EndpointId, PossibleRun, Semantics};
@@ -46,7 +46,7 @@
     }
 
     /// Until when a notification may wait for its call to be filled: one call counts once for the rate limit and uses
-    /// one slot, so full ones are worth waiting for.
+    /// one slot, so it pays to wait for full ones.
     pub(super) fn batching_deadline(&self, pending: &PendingNotification) -> Time {
         let left = pending.notification.valid_until.since(pending.accepted_at);
         let latency = self.latencies.ninetieth_percentile().unwrap_or_default();
@@ -123,7 +123,7 @@
             || self.pending.iter().any(is_overdue_there)
     }
 
-    /// When a call in flight is evidence of silence: well beyond the latency of deliveries, later after each call
+    /// When a call in flight counts as overdue: well beyond the latency of deliveries, later after each call
     /// cut short since.
     pub(super) fn overdue_after(&self) -> Span {
         let cut_short = self.latencies.consecutive_censored();
--- a/src/rules/tuning.rs
+++ b/src/rules/tuning.rs
@@ -17,7 +17,7 @@
 /// With calls still in flight at an ejected endpoint, the next trial follows so many overload durations later.
 pub(super) const TRIAL_DELAY_FACTOR: f64 = 3.0;
 
-/// A lost call older than so many overload durations says nothing of idle connections.
+/// A lost call older than so many overload durations is no evidence of a limit on idle connections.
 pub(super) const MAX_IDLE_EVIDENCE_AGE_FACTOR: f64 = TRIAL_DELAY_FACTOR;
 
 /// After an outage all relays together may always send so many calls in one overload duration, each an equal part.
@@ -88,7 +88,7 @@
 /// With no slots any more, before a planned restart: the next process can push after this delay.
 pub(super) const NEXT_PROCESS_DELAY: Span = Span::from_millis(2_300);
 
-/// With less time left than this nothing is worth sending.
+/// The minimum time left for a notification to be sent.
 pub(super) const MIN_TIME_LEFT: Span = Span::from_millis(20);
 
 /// A duplicate is sent at least this long before its deduplication window ends, to arrive in it over a connection
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,5 +1,5 @@
-//! What the components remember, and facts that follow from it. Nothing here decides, and no tuned value stands
-//! here: both belong to [`rules`](crate::rules).
+//! The state of the components, and facts derived from it. Decisions and tuned values belong to
+//! [`rules`](crate::rules).
 
 mod destination;
 mod destination_limiter;
--- a/src/state/destination.rs
+++ b/src/state/destination.rs
@@ -76,11 +76,11 @@
     pub(crate) rotation_start: usize,
     /// Endpoints to which the offered slot was proposed so far.
     pub(crate) endpoints_tried: usize,
-    /// From when one of those that declined accepts a call; [`Time::NEVER`] if none said so.
+    /// From when one of those that declined accepts a call; [`Time::NEVER`] if that is unknown.
     pub(crate) slot_usable_from: Time,
     /// In order of acceptance.
     pub(crate) pending: Vec<PendingNotification>,
-    /// When notifications were accepted of late.
+    /// The times of recently accepted notifications.
     pub(crate) accepted_times: VecDeque<Time>,
     /// Since when acceptances are recorded.
     pub(crate) first_seen_at: Option<Time>,
--- a/src/state/destination_limiter.rs
+++ b/src/state/destination_limiter.rs
@@ -20,7 +20,7 @@
 #[derive(Default)]
 pub(crate) struct DestinationLimiter {
     pub(crate) config: Arc<RelayConfig>,
-    /// No call before then: the destination asked to wait.
+    /// No call before then: the destination requested a delay.
     pub(crate) retry_after_until: Time,
     /// No call before then: calls were refused.
     pub(crate) backoff_until: Time,
