--- a/crates/soak/src/faulty_host/host.rs
+++ b/crates/soak/src/faulty_host/host.rs
@@ -1,4 +1,4 @@
-//! The machine as the role sees it.
+//! The host that a role runs on.
 
 use std::hash::{BuildHasher, RandomState};
 use std::io;
@@ -67,7 +67,7 @@
         Box::pin(async move {
             wait_until_reachable(&rules, address).await;
             let socket = TcpSocket::new_v4()?;
-            // By its address the other end knows whom the rules mean.
+            // The peer recognises by this address which rules apply.
             socket.bind(from)?;
             apply_rules(socket.connect(address).await?, &rules)
         })
@@ -124,7 +124,7 @@
     }
 
     fn try_send_to(&self, bytes: &[u8], to: SocketAddr) -> io::Result<usize> {
-        if self.rules.get(|rules| rules.cut_to.contains(&to.ip())) {
+        if self.rules.get(|rules| rules.blocked_destinations.contains(&to.ip())) {
             return Ok(bytes.len());
         }
         self.socket.try_send_to(bytes, to)
