--- a/crates/control/tests/plan.rs
+++ b/crates/control/tests/plan.rs
@@ -43,8 +43,11 @@
         assert!((0..3).all(|zone| zones.contains(&zone)), "a replica in each zone");
         *primaries.entry(assignment.primary).or_default() += 1;
     }
-    let share = usize::from(PARTITION_COUNT) / 6;
-    assert!(primaries.values().all(|count| (share - 1..=share + 2).contains(count)), "{primaries:?}");
+    let even_count = usize::from(PARTITION_COUNT) / 6;
+    assert!(
+        primaries.values().all(|count| (even_count - 1..=even_count + 2).contains(count)),
+        "{primaries:?}"
+    );
 }
 
 #[test]
--- a/crates/node/tests/keeper_orders.rs
+++ b/crates/node/tests/keeper_orders.rs
@@ -108,7 +108,7 @@
 /// Fails with a `trim_matches` or a plain `parse` in `parse_generation`, and if the first of several
 /// versions is used.
 #[tokio::test]
-async fn if_match_accepts_exactly_one_whole_number() {
+async fn if_match_accepts_exactly_one_unsigned_integer() {
     let keepers = Keepers::start(1).await;
     let body = configuration(1);
     let malformed = [
--- a/crates/node/tests/record_file.rs
+++ b/crates/node/tests/record_file.rs
@@ -29,9 +29,9 @@
 }
 
 fn incarnations() -> impl Strategy<Value = Vec<Incarnation>> {
-    let life = (0..MAX_DISK_CALLS, vec(any::<bool>(), 0..5), any::<bool>());
+    let incarnation = (0..MAX_DISK_CALLS, vec(any::<bool>(), 0..5), any::<bool>());
     vec(
-        life.prop_map(|(calls, writes, loses_power)| Incarnation {
+        incarnation.prop_map(|(calls, writes, loses_power)| Incarnation {
             max_disk_calls: calls,
             writes,
             loses_power,
@@ -87,15 +87,15 @@
 
     /// Fails if the newest acceptor state is not read, and if one of an older record is.
     #[test]
-    fn the_newest_confirmed_record_survives(seed: u64, lives in incarnations()) {
+    fn the_newest_confirmed_record_survives(seed: u64, incarnations in incarnations()) {
         let disk = Arc::new(ForgetfulDisk::new(seed));
         let _entered = file_system::simulate(disk.clone());
         let mut history = History::default();
-        for life in lives {
-            disk.die_after(life.max_disk_calls);
+        for incarnation in incarnations {
+            disk.die_after(incarnation.max_disk_calls);
             // The last call kills it.
-            let _ = history.run_incarnation(&life.writes);
-            if life.loses_power { disk.lose_power() } else { disk.restart() }
+            let _ = history.run_incarnation(&incarnation.writes);
+            if incarnation.loses_power { disk.lose_power() } else { disk.restart() }
         }
         history.run_incarnation(&[true, false]).expect("a healthy disk");
     }
--- a/crates/protocol/tests/golden.rs
+++ b/crates/protocol/tests/golden.rs
@@ -48,8 +48,9 @@
 }
 
 fn decode(bytes: &[u8]) -> Envelope {
-    let (envelope, taken) = Envelope::decode(bytes).expect("an envelope").expect("a whole one");
-    assert_eq!(taken, bytes.len());
+    let (envelope, decoded_bytes) =
+        Envelope::decode(bytes).expect("an envelope").expect("a complete envelope");
+    assert_eq!(decoded_bytes, bytes.len());
     envelope
 }
 
@@ -327,7 +328,7 @@
     let update = |update| call(Message::Update(update));
     let body = Arc::from(&br#"{"generation":8}"#[..]);
     // One update for each flag, so that the two cannot change places.
-    let whole = InstancesUpdate {
+    let snapshot = InstancesUpdate {
         revision: 342,
         is_snapshot: true,
         is_registry_complete: false,
@@ -342,7 +343,7 @@
     vec![
         ("update-keepers", update(Update::Keepers(vec![ipv4(7201), ipv6(7202)]))),
         ("update-configuration", update(Update::Configuration { version: version(340, 341), body })),
-        ("update-instances-whole", update(Update::Instances(whole))),
+        ("update-instances-whole", update(Update::Instances(snapshot))),
         ("update-instances-complete", update(Update::Instances(complete))),
         ("update-stores", update(Update::Stores(Arc::new(store_map())))),
     ]
--- a/crates/relay/src/endpoint_response.rs
+++ b/crates/relay/src/endpoint_response.rs
@@ -14,7 +14,7 @@
 pub struct PushResult {
     /// The status that is reported to the core.
     pub status: CallStatus,
-    /// Whether nothing more is owed for the notification.
+    /// Whether the notification is complete.
     pub is_final: bool,
 }
 
@@ -24,7 +24,7 @@
         PushResult { status, is_final: matches!(status, CallStatus::Delivered) }
     }
 
-    /// The push was not run, and nothing more is owed for the notification.
+    /// The push was not run, and the notification is complete.
     const FINAL_WITHOUT_RUN: PushResult = PushResult { status: CallStatus::Skipped, is_final: true };
 }
 
@@ -47,7 +47,7 @@
         // The endpoint has too many connections and does not even keep this one.
         503 if !response.is_keep_alive => PushResult::from_status(CallStatus::ConnectionLimitReached),
         429 | 503 => PushResult::from_status(CallStatus::Busy),
-        // The pushes of the notification are used up: this one was not sent, and its end is still owed.
+        // The pushes of the notification are used up: this one was not sent, and its outcome is still missing.
         504 => PushResult::from_status(CallStatus::Skipped),
         410 => PushResult::FINAL_WITHOUT_RUN,
         _ if is_rejected_as_malformed(response) => PushResult::from_status(CallStatus::Skipped),
--- a/crates/relay/src/event_loop.rs
+++ b/crates/relay/src/event_loop.rs
@@ -65,9 +65,9 @@
     pub event: ConnectionEvent,
 }
 
-/// The events of one iteration.
+/// The events and signals that one wait of the poller returned.
 #[derive(Debug, Default)]
-pub struct Turn {
+pub struct PollResult {
     /// In the order in which they are to be handled.
     pub events: Vec<QueuedEvent>,
     /// A signal to shut down was received.
@@ -132,12 +132,13 @@
     }
 
     /// Waits for events until `until` at the latest, and returns all that are pending.
-    pub fn poll(&mut self, until: Time) -> Turn {
+    pub fn poll(&mut self, until: Time) -> PollResult {
         let until =
             self.deadlines.first().map_or(until, |first| first.0.min(until)).min(self.accept_retry_at);
         let mut timeout = Duration::from_nanos(until.since(self.clock.now()).as_nanos());
-        let mut turn = Turn { events: std::mem::take(&mut self.deferred_events), ..Turn::default() };
-        if !turn.events.is_empty() {
+        let mut polled =
+            PollResult { events: std::mem::take(&mut self.deferred_events), ..PollResult::default() };
+        if !polled.events.is_empty() {
             timeout = Duration::ZERO;
         }
         self.events.clear();
@@ -146,25 +147,25 @@
         let events: Vec<Event> = self.events.iter().collect();
         for event in events {
             match event.key {
-                LISTENER_KEY => self.accept(&mut turn),
-                STOP_KEY => turn.is_shutdown_requested |= drain_signals(&self.signals.stop),
-                RELOAD_KEY => turn.is_reload_requested |= drain_signals(&self.signals.reload),
-                key => self.handle_readiness(Token(key), &mut turn),
+                LISTENER_KEY => self.accept(&mut polled),
+                STOP_KEY => polled.is_shutdown_requested |= drain_signals(&self.signals.stop),
+                RELOAD_KEY => polled.is_reload_requested |= drain_signals(&self.signals.reload),
+                key => self.handle_readiness(Token(key), &mut polled),
             }
         }
         let now = self.clock.now();
         self.retry_accepting(now);
-        self.expire_deadlines(now, &mut turn);
-        turn
+        self.expire_deadlines(now, &mut polled);
+        polled
     }
 
-    fn expire_deadlines(&mut self, now: Time, turn: &mut Turn) {
+    fn expire_deadlines(&mut self, now: Time, polled: &mut PollResult) {
         while let Some((_, token)) = self.deadlines.first().copied().filter(|first| first.0 <= now) {
             self.set_deadline(token, Time::NEVER);
             match self.connection(token).map(|connection| (connection.is_closing, connection.role)) {
                 Some((true, _)) => self.close(token),
                 Some((false, role)) => {
-                    turn.events.push(QueuedEvent { token, role, event: ConnectionEvent::DeadlineReached });
+                    polled.events.push(QueuedEvent { token, role, event: ConnectionEvent::DeadlineReached });
                 }
                 None => {}
             }
@@ -201,7 +202,7 @@
         self.connections.get_mut(token)
     }
 
-    fn handle_readiness(&mut self, token: Token, turn: &mut Turn) {
+    fn handle_readiness(&mut self, token: Token, polled: &mut PollResult) {
         let Some(connection) = self.connection(token) else { return };
         let role = connection.role;
         if !connection.is_connected {
@@ -210,26 +211,26 @@
                 ConnectProgress::Failed => {
                     connection.is_peer_closed = true;
                     self.set_interest(token, Interest::NONE);
-                    turn.events.push(QueuedEvent { token, role, event: ConnectionEvent::PeerClosed });
+                    polled.events.push(QueuedEvent { token, role, event: ConnectionEvent::PeerClosed });
                     return;
                 }
                 ConnectProgress::Connected => connection.is_connected = true,
             }
             self.set_interest(token, Interest::READS);
-            turn.events.push(QueuedEvent { token, role, event: ConnectionEvent::Connected });
+            polled.events.push(QueuedEvent { token, role, event: ConnectionEvent::Connected });
         }
         self.unflushed.insert(token);
-        self.read(token, turn);
+        self.read(token, polled);
     }
 
-    fn read(&mut self, token: Token, turn: &mut Turn) {
+    fn read(&mut self, token: Token, polled: &mut PollResult) {
         let Some(connection) = self.connection(token).filter(|connection| !connection.is_peer_closed) else {
             return;
         };
         let role = connection.role;
         let read = connection.read_available();
         if read.has_new_input {
-            turn.events.push(QueuedEvent { token, role, event: ConnectionEvent::Readable });
+            polled.events.push(QueuedEvent { token, role, event: ConnectionEvent::Readable });
         }
         if !read.is_peer_closed {
             return;
@@ -240,7 +241,7 @@
         }
         let interest = Interest { reads: false, ..connection.interest };
         self.set_interest(token, interest);
-        turn.events.push(QueuedEvent { token, role, event: ConnectionEvent::PeerClosed });
+        polled.events.push(QueuedEvent { token, role, event: ConnectionEvent::PeerClosed });
     }
 
     fn set_interest(&mut self, token: Token, interest: Interest) {
--- a/crates/relay/src/event_loop/listener.rs
+++ b/crates/relay/src/event_loop/listener.rs
@@ -7,7 +7,7 @@
 use polling::{Event, PollMode};
 use socket2::{Domain, Protocol, Socket, Type};
 
-use super::{ConnectionEvent, ConnectionRole, LISTENER_KEY, Net, QueuedEvent, Turn};
+use super::{ConnectionEvent, ConnectionRole, LISTENER_KEY, Net, PollResult, QueuedEvent};
 
 /// The delay before the next attempt after a connection could not be accepted for lack of a resource.
 const ACCEPT_RETRY_INTERVAL: Span = Span::from_millis(100);
@@ -30,7 +30,7 @@
     }
 
     /// Accepts all waiting clients, as far as the limit allows.
-    pub(super) fn accept(&mut self, turn: &mut Turn) {
+    pub(super) fn accept(&mut self, polled: &mut PollResult) {
         while self.client_count < self.max_clients {
             let Some(listener) = &self.listener else { return };
             let stream = match listener.accept() {
@@ -50,7 +50,7 @@
             let _ = socket.set_tcp_nodelay(true);
             let role = ConnectionRole::Client;
             if let Ok(token) = self.insert(socket, role, true) {
-                turn.events.push(QueuedEvent { token, role, event: ConnectionEvent::Accepted });
+                polled.events.push(QueuedEvent { token, role, event: ConnectionEvent::Accepted });
             }
         }
         // The limit is reached: further clients wait in the backlog.
@@ -76,9 +76,9 @@
 
     /// Accepts the clients that have connected already, and no further ones.
     pub fn stop_listening(&mut self) {
-        let mut last_turn = Turn::default();
-        self.accept(&mut last_turn);
-        self.deferred_events.extend(last_turn.events);
+        let mut last_result = PollResult::default();
+        self.accept(&mut last_result);
+        self.deferred_events.extend(last_result.events);
         if let Some(listener) = self.listener.take() {
             // The listener is closed with it, even if the poller returns an error.
             let _ = self.poller.delete(&listener);
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -28,7 +28,7 @@
 use crate::config::{Config, StaticConfig};
 use crate::core_driver::CoreDriver;
 use crate::discovery::Discovery;
-use crate::event_loop::{ConnectionEvent, ConnectionRole, Net, QueuedEvent, Signals, Token, Turn};
+use crate::event_loop::{ConnectionEvent, ConnectionRole, Net, PollResult, QueuedEvent, Signals, Token};
 use crate::journal::{Journal, OpenedJournal};
 use crate::notices::NoticeSender;
 use crate::upstream::{SentNotification, Upstream};
@@ -118,10 +118,10 @@
     fn run(&mut self, clock: Clock) -> Result<(), ServeError> {
         self.log_start();
         loop {
-            let turn = self.net.poll(self.next_turn_at());
+            let polled = self.net.poll(self.next_iteration_at());
             let now = clock.now();
-            let is_shutdown_requested = turn.is_shutdown_requested;
-            self.handle_turn(turn, now);
+            let is_shutdown_requested = polled.is_shutdown_requested;
+            self.handle_poll_result(polled, now);
             self.report_outcomes(now);
             self.run_core(now);
             for SentNotification { notification, zone } in self.upstream.write_ready_calls(&mut self.net, now)
@@ -150,24 +150,24 @@
     }
 
     /// When the next iteration is due even without events of the sockets.
-    fn next_turn_at(&self) -> Time {
+    fn next_iteration_at(&self) -> Time {
         let decision_at =
             if self.upstream.has_outcomes() { Time::default() } else { self.core.next_decision_at() };
         let phase_ends_at = self.shutdown.map_or(Time::NEVER, |shutdown| shutdown.phase_ends_at());
         decision_at.min(self.notices.next_send_at()).min(phase_ends_at)
     }
 
-    fn handle_turn(&mut self, turn: Turn, now: Time) {
+    fn handle_poll_result(&mut self, polled: PollResult, now: Time) {
         self.client_connections.is_closing =
             self.shutdown.is_some_and(|shutdown| shutdown.is_admission_over(now));
-        for queued in turn.events {
+        for queued in polled.events {
             // A deadline reached in the iteration in which the awaited event happened does not count.
             let is_deadline = queued.event == ConnectionEvent::DeadlineReached;
             if !is_deadline || self.net.has_no_deadline(queued.token) {
                 self.handle_connection_event(queued, now);
             }
         }
-        if turn.is_reload_requested {
+        if polled.is_reload_requested {
             self.reload(now);
         }
     }
--- a/crates/relay/src/upstream.rs
+++ b/crates/relay/src/upstream.rs
@@ -191,8 +191,8 @@
     }
 
     /// Writes the calls whose connections are established. Pushes that were cancelled, or would be too late, are left
-    /// out. Every call passes here after the events of a turn are known and decided on. Returns what the calls contain: it
-    /// has to be in the journal before any byte goes out.
+    /// out. Every call passes here after the events of an iteration are known and decided on. Returns what the calls contain: it
+    /// has to be in the journal before any byte is sent.
     pub fn write_ready_calls(&mut self, net: &mut Net, now: Time) -> Vec<SentNotification> {
         let mut sent = Vec::new();
         for token in std::mem::take(&mut self.writable_calls) {
--- a/crates/relay/src/upstream/events.rs
+++ b/crates/relay/src/upstream/events.rs
@@ -33,7 +33,7 @@
         let Some(call) = self.calls.get(&token) else {
             return self.handle_event_without_call(net, token, event);
         };
-        // A response that is read in the turn in which a push's time is up may have come after that, when it is about
+        // A response that is read in the iteration in which a push's time is up may have come after that, when it is about
         // a call that has ended.
         if event != ConnectionEvent::DeadlineReached && call.pushes.iter().any(|push| push.is_overdue(now)) {
             self.handle_deadline(net, token, now);
--- a/crates/relay/tests/serve/connections.rs
+++ b/crates/relay/tests/serve/connections.rs
@@ -76,7 +76,7 @@
 
 /// Asked for a pause by one endpoint, the relay must not send to another of the destination once that is connected.
 #[test]
-fn an_unsent_push_is_not_sent_during_a_pause_asked_for_meanwhile() {
+fn an_unsent_push_is_not_sent_during_a_retry_after_received_meanwhile() {
     let (_full, dial, _first) = unaccepting_listener();
     let harness = RelayHarness::start_with(|config| {
         let mut late = config["known"]["hosts"][0].clone();
--- a/crates/replication/tests/catch_up.rs
+++ b/crates/replication/tests/catch_up.rs
@@ -1,11 +1,11 @@
-//! A keeper that was down catches up while changes are made faster than the whole state is transmitted.
+//! A keeper that was down catches up while changes are made faster than the complete state is transmitted.
 
 mod common;
 
 use common::Simulation;
 use juniperwing_clock::Span;
 
-/// Slow enough that the whole state takes as long as several changes.
+/// Slow enough that the complete state takes as long as several changes.
 const LINK_BYTES_PER_MS: u64 = 5;
 
 /// Two keepers have made `changes` changes while the third was down; the links are slow.
--- a/crates/replication/tests/common/log.rs
+++ b/crates/replication/tests/common/log.rs
@@ -6,7 +6,7 @@
 pub struct Log(pub Vec<u64>);
 
 fn malformed() -> MalformedState {
-    MalformedState { reason: String::from("no whole number of entries") }
+    MalformedState { reason: String::from("not a multiple of the entry size") }
 }
 
 impl ReplicatedState for Log {
--- a/crates/replication/tests/epoch_model/state.rs
+++ b/crates/replication/tests/epoch_model/state.rs
@@ -182,7 +182,7 @@
     pub has_duplicate_number: bool,
 }
 
-/// A state of the whole tier.
+/// A state of the tier.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ModelState {
     pub keepers: [Keeper; MEMBER_COUNT as usize],
--- a/crates/storage/tests/common/mod.rs
+++ b/crates/storage/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A disk that forgets: after a loss of power each name made, renamed or removed since the last sync of its
-//! folder is kept or lost by itself, and each write since the last sync of its file is there, missing or torn.
-//! The sync of a new file does not keep its name here, though the disks of deployments promise that.
+//! A simulated disk with power losses: each name created, renamed or removed since the last sync of its directory is
+//! retained or lost independently, and each write since the last sync of its file is complete, missing or torn. Unlike
+//! the disks of deployments, the sync of a new file does not make its name durable.
 
 use std::collections::BTreeMap;
 use std::ffi::OsString;
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, Default)]
 struct File {
     synced: Vec<u8>,
-    /// What was done since, oldest first.
+    /// The changes since, oldest first.
     unsynced: Vec<Change>,
 }
 
@@ -42,16 +42,16 @@
         self.unsynced.clear();
     }
 
-    /// What a loss of power leaves.
+    /// Reduces the file to what a power loss leaves.
     fn lose_power(&mut self, random: &mut Random) {
         let mut contents = self.synced.clone();
-        let mut place = contents.len();
+        let mut offset = contents.len();
         for change in std::mem::take(&mut self.unsynced) {
             match change {
-                Change::Emptied if random.is_lucky() => place = 0,
+                Change::Emptied if random.is_lucky() => offset = 0,
                 Change::Emptied => {
                     contents.clear();
-                    place = 0;
+                    offset = 0;
                 }
                 Change::Appended(bytes) => {
                     let kept = match random.below(3) {
@@ -59,12 +59,12 @@
                         1 => random.below(bytes.len() + 1),
                         _ => bytes.len(),
                     };
-                    let end = place + kept;
+                    let end = offset + kept;
                     if kept > 0 {
                         contents.resize(contents.len().max(end), 0);
-                        contents[place..end].copy_from_slice(&bytes[..kept]);
+                        contents[offset..end].copy_from_slice(&bytes[..kept]);
                     }
-                    place += bytes.len();
+                    offset += bytes.len();
                 }
             }
         }
@@ -100,7 +100,7 @@
     names: BTreeMap<PathBuf, FileId>,
     synced_names: BTreeMap<PathBuf, FileId>,
     random: Random,
-    /// Calls before the process dies.
+    /// The calls before the process is killed.
     calls_left: Option<usize>,
 }
 
@@ -183,9 +183,9 @@
         Ok(self.call()?.file(path)?.now())
     }
 
-    fn read_dir(&self, folder: &Path) -> io::Result<Vec<OsString>> {
+    fn read_dir(&self, directory: &Path) -> io::Result<Vec<OsString>> {
         let contents = self.call()?;
-        let inside = contents.names.keys().filter(|path| path.parent() == Some(folder));
+        let inside = contents.names.keys().filter(|path| path.parent() == Some(directory));
         Ok(inside.filter_map(|path| path.file_name()).map(OsString::from).collect())
     }
 
--- a/crates/storage/tests/full_disk.rs
+++ b/crates/storage/tests/full_disk.rs
@@ -1,4 +1,4 @@
-//! A disk that takes half of a write and no more: nothing of it may pile up, and nothing that was confirmed is touched.
+//! A full disk, on which half of a write succeeds: failed writes do not accumulate, and acknowledged data is intact.
 
 use std::ffi::OsString;
 use std::fs::{self, OpenOptions};
@@ -10,7 +10,7 @@
 use juniperwing_storage::file_system::{FileSystem, simulate};
 use juniperwing_storage::{SegmentLog, SnapshotFiles};
 
-/// The real file system, except that it may be full.
+/// The real file system, which can be set to be full.
 #[derive(Debug, Default)]
 struct FullDisk(AtomicBool);
 
@@ -21,16 +21,16 @@
 }
 
 impl FileSystem for FullDisk {
-    fn create_dir_all(&self, folder: &Path) -> io::Result<()> {
-        fs::create_dir_all(folder)
+    fn create_dir_all(&self, directory: &Path) -> io::Result<()> {
+        fs::create_dir_all(directory)
     }
 
     fn read(&self, path: &Path) -> io::Result<Vec<u8>> {
         fs::read(path)
     }
 
-    fn read_dir(&self, folder: &Path) -> io::Result<Vec<OsString>> {
-        fs::read_dir(folder)?.map(|entry| Ok(entry?.file_name())).collect()
+    fn read_dir(&self, directory: &Path) -> io::Result<Vec<OsString>> {
+        fs::read_dir(directory)?.map(|entry| Ok(entry?.file_name())).collect()
     }
 
     fn create(&self, path: &Path) -> io::Result<()> {
@@ -57,52 +57,52 @@
     }
 }
 
-fn folder(name: &str) -> PathBuf {
+fn directory(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("juniperwing-full-{}-{name}", std::process::id()));
     let _ = fs::remove_dir_all(&path);
     path
 }
 
-fn bytes_in(folder: &Path) -> u64 {
-    fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().metadata().unwrap().len()).sum()
+fn bytes_in(directory: &Path) -> u64 {
+    fs::read_dir(directory).unwrap().map(|entry| entry.unwrap().metadata().unwrap().len()).sum()
 }
 
 #[test]
-fn batches_that_could_not_be_written_take_no_room() {
-    let folder = folder("segments");
+fn failed_batches_occupy_no_space() {
+    let directory = directory("segments");
     let disk = Arc::new(FullDisk::default());
-    let _entered = simulate(Arc::clone(&disk) as Arc<dyn FileSystem>);
-    let (mut segments, _) = SegmentLog::open(&folder).unwrap();
+    let _simulation = simulate(Arc::clone(&disk) as Arc<dyn FileSystem>);
+    let (mut segments, _) = SegmentLog::open(&directory).unwrap();
     segments.append(b"confirmed").unwrap();
     disk.set_full(true);
     segments.append(&[b'x'; 1_000]).unwrap_err();
-    let after_one = bytes_in(&folder);
+    let after_one = bytes_in(&directory);
     for _ in 0..20 {
         segments.append(&[b'x'; 1_000]).unwrap_err();
     }
-    assert_eq!(bytes_in(&folder), after_one, "what failed piles up");
+    assert_eq!(bytes_in(&directory), after_one, "failed writes accumulate");
     disk.set_full(false);
     segments.append(b"later").unwrap();
-    let (_, batches) = SegmentLog::open(&folder).unwrap();
+    let (_, batches) = SegmentLog::open(&directory).unwrap();
     let contents: Vec<&[u8]> = batches.iter().map(|batch| &*batch.contents).collect();
     assert_eq!(contents, [&b"confirmed"[..], b"later"]);
-    fs::remove_dir_all(folder).unwrap();
+    fs::remove_dir_all(directory).unwrap();
 }
 
 #[test]
-fn versions_that_could_not_be_written_take_no_room() {
-    let folder = folder("versions");
+fn failed_versions_occupy_no_space() {
+    let directory = directory("versions");
     let disk = Arc::new(FullDisk::default());
-    let _entered = simulate(Arc::clone(&disk) as Arc<dyn FileSystem>);
-    let (mut files, _) = SnapshotFiles::open(&folder, "state").unwrap();
+    let _simulation = simulate(Arc::clone(&disk) as Arc<dyn FileSystem>);
+    let (mut files, _) = SnapshotFiles::open(&directory, "state").unwrap();
     files.write(b"confirmed").unwrap();
     disk.set_full(true);
     files.write(&[b'x'; 1_000]).unwrap_err();
-    let after_one = bytes_in(&folder);
+    let after_one = bytes_in(&directory);
     for _ in 0..20 {
         files.write(&[b'x'; 1_000]).unwrap_err();
     }
-    assert_eq!(bytes_in(&folder), after_one, "what failed piles up");
-    assert_eq!(SnapshotFiles::open(&folder, "state").unwrap().1.as_deref(), Some(&b"confirmed"[..]));
-    fs::remove_dir_all(folder).unwrap();
+    assert_eq!(bytes_in(&directory), after_one, "failed writes accumulate");
+    assert_eq!(SnapshotFiles::open(&directory, "state").unwrap().1.as_deref(), Some(&b"confirmed"[..]));
+    fs::remove_dir_all(directory).unwrap();
 }
--- a/src/interface/command.rs
+++ b/src/interface/command.rs
@@ -34,7 +34,7 @@
         /// When the client should retry; zero if nothing is advised.
         retry_after: Span,
     },
-    /// Final answer: given up; whether it was executed is unknown.
+    /// Final answer: expired; whether it was executed is unknown.
     Expire(NotificationId),
     /// Send [`Event::WakeUp`](super::Event::WakeUp) after this delay.
     WakeAfter(Span),
--- a/src/interface/config.rs
+++ b/src/interface/config.rs
@@ -47,7 +47,7 @@
     pub can_probe: bool,
     /// Whether a push may be cancelled.
     pub can_cancel: bool,
-    /// Endpoints close connections idle for so long; the longest span if that is unknown.
+    /// The time after which endpoints close idle connections; the longest span if that is unknown.
     pub idle_timeout: Span,
 }
 
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -79,7 +79,7 @@
 pub enum Event {
     /// An update of the endpoint list arrived.
     EndpointListUpdated(EndpointListUpdate),
-    /// A notification was accepted; the relay owes it one final answer.
+    /// A notification was accepted; it must get exactly one final answer.
     Accepted(Notification),
     /// A push ended.
     PushEnded(PushOutcome),
@@ -90,7 +90,7 @@
         /// The delay that it requests.
         retry_after: Span,
     },
-    /// The client has withdrawn the notification; no answer is owed any more.
+    /// The client has withdrawn the notification; it needs no final answer any more.
     Withdrawn(NotificationId),
     /// The client has received the final answer that the relay gave.
     FinalAnswerAcknowledged(NotificationId),
