--- a/crates/soak/src/play.rs
+++ b/crates/soak/src/play.rs
@@ -1,4 +1,4 @@
-//! Plays one schedule on a tier of processes, and judges what was seen.
+//! Runs one play: a tier of processes under a schedule of faults and a load, and the checks after it.
 
 use std::fs;
 use std::io;
@@ -24,11 +24,11 @@
 const OPERATOR_COUNT: u64 = 2;
 /// How long the tier may take until it serves for the first time.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(20);
-/// `bounds.recoveryS`: how long it may take until all is well after the last fault.
+/// `bounds.recoveryS`: how long the tier may take to recover after the last fault.
 const RECOVERY_DURATION: Duration = Duration::from_secs(12);
 /// How long the load goes on after the recovery.
 const REST_DURATION: Duration = Duration::from_secs(4);
-/// How long the load may take to finish once it is told to stop.
+/// How long the load may take to finish once it is stopped.
 const LOAD_FINISH_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Options of a play.
@@ -36,30 +36,30 @@
 pub struct Options {
     /// The seed.
     pub seed: u64,
-    /// About how long faults come.
+    /// About how long faults are injected.
     pub length_ms: Millis,
-    /// The number of the network, or of the first that is attempt.
+    /// The number of the first network that is tried.
     pub network: u64,
-    /// Where files go; a folder of its own for each play.
+    /// The directory of the files of this play.
     pub folder: PathBuf,
     /// The program that processes run.
     pub program: PathBuf,
-    /// Whether files are kept where nothing was found.
+    /// Whether files are kept when nothing was found.
     pub keep: bool,
-    /// Faults to play in place of the drawn ones.
+    /// Faults to inject in place of the drawn ones.
     pub faults: Option<Vec<Fault>>,
 }
 
 /// The result of a play.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// What was played.
+    /// The schedule that was played.
     pub schedule: Schedule,
-    /// What must not be.
+    /// Violations of guarantees.
     pub findings: Vec<Finding>,
-    /// What was done meanwhile, in a line.
+    /// Counts of what was done, in one line.
     pub summary: String,
-    /// Where its files are, if they were kept.
+    /// The directory of its files, if they were kept.
     pub folder: Option<PathBuf>,
 }
 
@@ -67,14 +67,14 @@
 ///
 /// # Errors
 ///
-/// If files or processes cannot be made.
+/// If files or processes cannot be created.
 pub async fn play(options: &Options) -> io::Result<Report> {
     let mut schedule = Schedule::draw(options.seed, options.length_ms);
     if let Some(faults) = &options.faults {
         schedule.faults.clone_from(faults);
         schedule.flavor = Flavor::WithinTolerance;
     }
-    // What an earlier play of this seed left is of no more use.
+    // Files of an earlier play of this seed are obsolete.
     let _ = fs::remove_dir_all(&options.folder);
     fs::create_dir_all(&options.folder)?;
     fs::write(options.folder.join("schedule.txt"), schedule.to_string())?;
@@ -90,11 +90,11 @@
     let lines: Vec<String> =
         findings.iter().map(|found| format!("{}: {}", found.guarantee, found.details)).collect();
     fs::write(options.folder.join("findings.txt"), lines.join("\n"))?;
-    let kept = options.keep || !findings.is_empty();
-    if !kept {
+    let keeps_files = options.keep || !findings.is_empty();
+    if !keeps_files {
         fs::remove_dir_all(&options.folder)?;
     }
-    let folder = kept.then(|| options.folder.clone());
+    let folder = keeps_files.then(|| options.folder.clone());
     Ok(Report { schedule, findings, summary: summary.text, folder })
 }
 
@@ -103,10 +103,11 @@
     let mut findings = Vec::new();
     for (name, log) in tier.directories().read_logs()? {
         for line in log.lines() {
-            let is_planted = line.contains("the soak has the writing thread panic");
+            // The message of the fault `DiskPanic` (see `faulty_host::disk`).
+            let is_injected = line.contains("the soak has the writing thread panic");
             if line.contains("\"invariant violated\"") {
                 findings.push(Finding { guarantee: "an invariant", details: format!("{name}: {line}") });
-            } else if line.contains("panic") && !is_planted {
+            } else if line.contains("panic") && !is_injected {
                 findings.push(Finding { guarantee: "no panic", details: format!("{name}: {line}") });
             }
         }
@@ -191,10 +192,10 @@
 
     /// Injects each fault at its time and waits until the last one is over.
     async fn inject_faults(&self, schedule: &Schedule, load: &mut JoinSet<()>) {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let mut injections = JoinSet::new();
         for (number, fault) in schedule.faults.iter().enumerate() {
-            sleep_until(began + Duration::from_millis(fault.starts_at)).await;
+            sleep_until(started_at + Duration::from_millis(fault.starts_at)).await;
             if fault.kind == FaultKind::Burst {
                 burst(&self.shared, self.shared.history.now() + fault.duration_ms, load);
             }
@@ -202,7 +203,7 @@
                 tier: Arc::clone(&self.tier),
                 shared: Arc::clone(&self.shared),
                 endpoints: Arc::clone(&self.endpoints),
-                within_tolerance: schedule.is_within_tolerance(),
+                is_within_tolerance: schedule.is_within_tolerance(),
                 rng: Rng::for_named_purpose(schedule.seed, &format!("trouble {number}")),
             };
             injections.spawn(injector.run(*fault));
--- a/crates/soak/tests/log.rs
+++ b/crates/soak/tests/log.rs
@@ -1,4 +1,4 @@
-//! A log that nobody reads.
+//! A relay serves on while nobody reads its log.
 
 use std::path::PathBuf;
 use std::process::Stdio;
@@ -15,13 +15,13 @@
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 #[tokio::test]
-async fn a_log_that_nobody_reads_holds_up_nobody() {
+async fn relay_serves_while_its_log_pipe_is_full() {
     let answer = readiness_after_many_lines(Stdio::piped(), "unread").await;
     assert!(answer.is_ok(), "the relay stands still: {answer:?}");
 }
 
 #[tokio::test]
-async fn a_log_that_is_discarded_holds_up_nobody() {
+async fn relay_serves_while_its_log_is_discarded() {
     let answer = readiness_after_many_lines(Stdio::null(), "discarded").await;
     assert!(answer.is_ok(), "the relay stands still: {answer:?}");
 }
@@ -52,7 +52,7 @@
     let readiness = network.listener(Role::Relay, 0, READINESS_PORT);
     let until = Instant::now() + FILL_DURATION;
     while Instant::now() < until {
-        // Each is refused, and told in the log.
+        // Each is refused and logged.
         let refused = encode_request("GET", "/x", &[("Host", "h"), ("X-Request-Id", "q")], b"");
         let _ = exchange(frontend, &refused, RESPONSE_TIMEOUT).await;
         sleep(Duration::from_millis(5)).await;
--- a/crates/soak/tests/short.rs
+++ b/crates/soak/tests/short.rs
@@ -9,7 +9,7 @@
 use juniperwing_soak::play::{Options, Report, play};
 use juniperwing_soak::schedule::{Fault, Flavor, Schedule};
 
-/// About how long faults come, in milliseconds.
+/// About how long faults are injected, in milliseconds.
 const LENGTH_MS: u64 = 9_000;
 
 fn options(name: &str, seed: u64, faults: Option<Vec<Fault>>) -> Options {
@@ -29,7 +29,7 @@
 /// Plays at the same time: each takes most of a core in a debug build.
 const MAX_CONCURRENT_PLAYS: usize = 3;
 
-/// A place among the plays at the same time; given back when it is dropped.
+/// A permit to run a play; released when it is dropped.
 struct PlayPermit;
 
 static PERMITS_TAKEN: Mutex<usize> = Mutex::new(0);
@@ -68,23 +68,23 @@
 }
 
 #[test]
-fn planned_work_cuts_nothing() {
+fn planned_work_cuts_no_request() {
     assert_no_findings(&run_play(&options("planned", seed_of(Flavor::Planned), None)));
 }
 
 #[test]
-fn a_play_within_the_tolerance_finds_nothing() {
+fn play_within_tolerance_has_no_findings() {
     assert_no_findings(&run_play(&options("within", seed_of(Flavor::WithinTolerance), None)));
 }
 
 #[test]
-fn a_play_beyond_the_tolerance_loses_nothing() {
+fn play_beyond_tolerance_loses_no_acknowledged_state() {
     assert_no_findings(&run_play(&options("beyond", seed_of(Flavor::BeyondTolerance), None)));
 }
 
 /// A process that has lost a task does not go on with a part of its work.
 #[test]
-fn processes_whose_writing_task_panics_end_and_come_back() {
+fn process_restarts_after_panic_of_its_writing_task() {
     let panics = |starts_at, role, number| Fault {
         starts_at,
         duration_ms: 1_500,
@@ -96,13 +96,13 @@
 
 /// A disk that answers nothing costs one machine, not the service.
 #[test]
-fn disks_that_answer_nothing_stop_no_service() {
+fn stalled_disk_does_not_interrupt_service() {
     let stalls = |starts_at, role, number| Fault {
         starts_at,
         duration_ms: 12_000,
         kind: FaultKind::DiskStall(Machine { role, number }),
     };
-    // What is told to end meanwhile does so within its grace.
+    // A store that is stopped meanwhile ends within its grace period.
     let stop = Fault {
         starts_at: 9_000,
         duration_ms: 0,
