--- a/Makefile
+++ b/Makefile
@@ -11,6 +11,7 @@
 lint:
 	cargo fmt --all --check
 	cargo clippy --locked --workspace --all-targets -- -D warnings
+	RUSTDOCFLAGS="-D warnings" cargo doc --locked --workspace --no-deps --document-private-items --quiet
 
 # make run CONFIG=config.json [STATE=folder]
 STATE ?= target/state
--- a/crates/emulator/src/simulation/faults.rs
+++ b/crates/emulator/src/simulation/faults.rs
@@ -64,7 +64,7 @@
             FaultKind::Freeze => self.thaw(fault.machine),
             FaultKind::Kill | FaultKind::Stop => self.start_keeper(fault.machine),
             FaultKind::KillCore => {
-                self.members.clone().into_iter().for_each(|number| self.start_keeper(number))
+                self.members.clone().into_iter().for_each(|number| self.start_keeper(number));
             }
             FaultKind::LosePower | FaultKind::Wipe => self.power_on(fault.machine),
             FaultKind::LoseCorePower | FaultKind::WipeAndLoseCorePower => {
--- a/crates/lab/src/adapter.rs
+++ b/crates/lab/src/adapter.rs
@@ -93,13 +93,21 @@
 
 impl Adapter {
     /// Starts the program.
+    ///
+    /// # Errors
+    ///
+    /// If the program cannot be started.
     pub fn start(program: &Path) -> Result<Adapter, AdapterError> {
         let process = AdapterProcess::start(program)?;
         let name = program.file_name().and_then(|name| name.to_str()).unwrap_or("adapter").to_owned();
         Ok(Adapter { name, connection: Rc::new(RefCell::new(Connection::Open(process))) })
     }
 
-    /// Ends the run. With an error the run's metrics are worthless.
+    /// Ends the run.
+    ///
+    /// # Errors
+    ///
+    /// If the program failed or broke the protocol during the run, whose metrics are worthless then.
     pub fn finish(self) -> Result<(), AdapterError> {
         match self.connection.replace(Connection::Closed) {
             Connection::Failed(error) => Err(error),
--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -133,6 +133,10 @@
     }
 
     /// Plays runs on the cores that the options allow.
+    ///
+    /// # Errors
+    ///
+    /// As [`runner::play`].
     pub fn play(&self, runs: &[Run]) -> LabResult<Vec<Metrics>> {
         runner::play(runs, self.jobs, self.quiet)
     }
--- a/crates/lab/src/commands.rs
+++ b/crates/lab/src/commands.rs
@@ -16,6 +16,10 @@
 use crate::runner;
 
 /// Executes a command. Exit code 0, or 1 where a rule was violated or a run was stopped early.
+///
+/// # Errors
+///
+/// If a policy is unknown, a file cannot be read or written, or a run fails.
 pub fn execute(command: Command) -> LabResult<ExitCode> {
     match command {
         Command::Run { scenario, options, policy, time } => {
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -188,7 +188,10 @@
 }
 
 /// Shrinks a scenario as long as `evaluate` finds the same in a smaller one. It ends: each step takes something away.
-/// Fails if `evaluate` does.
+///
+/// # Errors
+///
+/// Those of `evaluate`.
 pub fn shrink(
     scenario: &Scenario, finding: &Finding, mut evaluate: impl FnMut(&Scenario) -> LabResult<Finding>,
 ) -> LabResult<(Scenario, Finding)> {
--- a/crates/lab/src/plots.rs
+++ b/crates/lab/src/plots.rs
@@ -38,7 +38,11 @@
     }
 }
 
-/// Draws lines as SVG text, with ranges of the x axis shaded. Fails only if the drawing library does.
+/// Draws lines as SVG text, with ranges of the x axis shaded.
+///
+/// # Errors
+///
+/// If the drawing library fails.
 pub fn line_plot(
     title: &str, x_label: &str, y_label: &str, lines: &[Line], shaded: &[(f64, f64)],
 ) -> LabResult<String> {
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -35,6 +35,10 @@
 }
 
 /// Writes the directory of one run. The report comes last: a directory with a report is complete.
+///
+/// # Errors
+///
+/// If a file cannot be written, or a plot not drawn.
 pub fn write_run(directory: &Path, scenario: &Scenario, metrics: &Metrics) -> LabResult {
     fs::create_dir_all(directory)?;
     let resolved = scenario.resolve(metrics.seed);
--- a/crates/lab/src/runner.rs
+++ b/crates/lab/src/runner.rs
@@ -54,6 +54,10 @@
 }
 
 /// Plays all runs on `cores` cores (0: all there are), with a progress bar on standard error unless `quiet`.
+///
+/// # Errors
+///
+/// If the program of an adapter cannot be started, or fails during a run.
 pub fn play(runs: &[Run], cores: usize, quiet: bool) -> LabResult<Vec<Metrics>> {
     let bar = if quiet { ProgressBar::hidden() } else { ProgressBar::new(runs.len() as u64) };
     bar.set_style(ProgressStyle::with_template(PROGRESS_TEMPLATE)?);
@@ -65,6 +69,10 @@
 }
 
 /// Plays one run and measures its time.
+///
+/// # Errors
+///
+/// As [`play`].
 pub fn play_timed(run: &Run) -> LabResult<TimedRun> {
     let (start, decisions) = (Instant::now(), Rc::new(Cell::new(Duration::ZERO)));
     let metrics = with_policies(run, |policies| {
--- a/crates/lab/src/scenario_file.rs
+++ b/crates/lab/src/scenario_file.rs
@@ -55,6 +55,10 @@
 }
 
 /// Reads a scenario: a file or, if there is none of that name, one of `lab/scenarios`.
+///
+/// # Errors
+///
+/// If the file cannot be read, is no scenario, or is not valid.
 pub fn read(name: &Path) -> Result<Scenario, ScenarioFileError> {
     let file = find(name);
     let path = file.display().to_string();
@@ -72,6 +76,10 @@
 }
 
 /// Reads a scenario from its text; `file` is its name in errors.
+///
+/// # Errors
+///
+/// If the text is no scenario, or not a valid one.
 pub fn parse(text: &str, file: &str) -> Result<Scenario, ScenarioFileError> {
     let scenario: Scenario = match toml::from_str(text) {
         Ok(scenario) => scenario,
@@ -115,7 +123,7 @@
             inner.or(start(table.span()))
         }),
         (Item::Value(value), Ok(index)) => {
-            start(value.as_array().and_then(|array| array.get(index)).and_then(|value| value.span()))
+            start(value.as_array().and_then(|array| array.get(index)).and_then(toml_edit::Value::span))
         }
         _ => item.get(key).and_then(|inner| start_of(inner, below)),
     };
@@ -123,6 +131,10 @@
 }
 
 /// The text of a scenario file.
+///
+/// # Errors
+///
+/// If the scenario has no TOML form.
 pub fn write(scenario: &Scenario) -> Result<String, ScenarioFileError> {
     toml::to_string_pretty(scenario).context(WriteSnafu)
 }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -87,7 +87,7 @@
             Event::Tick => self.tick(now),
             Event::Leave => self.leave(),
             Event::SeedsChanged(seeds) => {
-                self.reconciler.set_seeds(now, seeds, self.local_record.member.gossip_address)
+                self.reconciler.set_seeds(now, seeds, self.local_record.member.gossip_address);
             }
         }
         if !self.has_left {
--- a/crates/membership/tests/virtual_network/mod.rs
+++ b/crates/membership/tests/virtual_network/mod.rs
@@ -31,7 +31,7 @@
     pub datagrams: u64,
     /// Number of bytes sent.
     pub bytes: u64,
-    /// Size of the largest_datagram datagram, in bytes.
+    /// Size of the `largest_datagram` datagram, in bytes.
     pub largest_datagram: usize,
     /// Number of ticks.
     pub wake_ups: u64,
--- a/crates/model/src/metrics/recorder.rs
+++ b/crates/model/src/metrics/recorder.rs
@@ -47,6 +47,10 @@
 
 impl MetricsRecorder {
     /// A recorder for topic types and accounts with these names.
+    ///
+    /// # Panics
+    ///
+    /// Never: the bounds of the histograms are constants.
     pub fn new(topics: &[String], accounts: &[String]) -> MetricsRecorder {
         let group = |name: &String| GroupMetrics { name: name.clone(), ..GroupMetrics::default() };
         let metrics = Metrics {
--- a/crates/model/src/simulation.rs
+++ b/crates/model/src/simulation.rs
@@ -177,7 +177,7 @@
             SimulationEvent::ServiceFinished(call) => self.handle_service_finished(call),
             SimulationEvent::ResponseReceived { call, response } => self.handle_response(call, response),
             SimulationEvent::PushTimeout { call, notification_id } => {
-                self.handle_push_timeout(call, notification_id)
+                self.handle_push_timeout(call, notification_id);
             }
             SimulationEvent::ConnectTimeout(call) => self.handle_connect_timeout(call),
             SimulationEvent::CloseIdleConnections { relay, endpoint } => {
--- a/crates/model/src/simulation/commands.rs
+++ b/crates/model/src/simulation/commands.rs
@@ -45,10 +45,10 @@
     fn execute_command(&mut self, relay: usize, command: &Command) {
         match command {
             Command::Cancel { notification, push_index } => {
-                self.cancel_push(relay, notification.0, *push_index)
+                self.cancel_push(relay, notification.0, *push_index);
             }
             Command::Throttle { notification, retry_after } => {
-                self.throttle(relay, notification.0, *retry_after)
+                self.throttle(relay, notification.0, *retry_after);
             }
             Command::Expire(notification_id) => self.expire(relay, notification_id.0),
             Command::WakeAfter(after) => self.schedule_wake(relay, *after),
--- a/crates/model/src/traffic.rs
+++ b/crates/model/src/traffic.rs
@@ -182,7 +182,7 @@
     /// Single arrivals and clumps over the whole run.
     fn add_ordinary_sources(&mut self, scenario: &Scenario, fleet: &Fleet, rng: &RngStreams) {
         let plan = &scenario.traffic;
-        let rates: Vec<f64> = fleet.destinations.iter().map(|destination| destination.rate()).collect();
+        let rates: Vec<f64> = fleet.destinations.iter().map(super::fleet::DestinationPlan::rate).collect();
         let total: f64 = rates.iter().sum();
         let peak = total * plan.load.min * self.swing.peak();
         // Busy destinations have more clumps and larger ones.
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -9,10 +9,10 @@
 
 /// The monotonic time since the first call in this process.
 pub fn now() -> Time {
+    static START: OnceLock<Instant> = OnceLock::new();
     if let Some(host) = host::simulated_host() {
         return host.now();
     }
-    static START: OnceLock<Instant> = OnceLock::new();
     let start = START.get_or_init(Instant::now);
     Time::from_nanos(1 + start.elapsed().as_nanos() as u64)
 }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of a process in the text format of OpenMetrics, served on a listener of their own.
+//! Metrics of a process in the text format of `OpenMetrics`, served on a listener of their own.
 //!
 //! The setting `metrics` names the port and the path; without it nothing listens. Metrics are collected when they are
 //! requested.
--- a/crates/node/src/metrics/exposition.rs
+++ b/crates/node/src/metrics/exposition.rs
@@ -1,4 +1,4 @@
-//! Rendering of metrics in the text format of OpenMetrics.
+//! Rendering of metrics in the text format of `OpenMetrics`.
 
 use std::fmt;
 use std::sync::Arc;
--- a/crates/node/tests/keepers/peer.rs
+++ b/crates/node/tests/keepers/peer.rs
@@ -93,7 +93,7 @@
         match message {
             Message::Replication(message) => self.0.handle_replication_message(message),
             Message::Registry(message) if self.0.lock().gate.receives => {
-                self.0.handle_registry_message(message, reply)
+                self.0.handle_registry_message(message, reply);
             }
             _ => {}
         }
--- a/crates/node/tests/relay/support.rs
+++ b/crates/node/tests/relay/support.rs
@@ -353,7 +353,7 @@
 
 pub async fn read(response: Response<Incoming>) -> ClientResponse {
     let (parts, body) = response.into_parts();
-    let body = with_timeout(body.collect()).await.ok().map(|body| body.to_bytes());
+    let body = with_timeout(body.collect()).await.ok().map(http_body_util::Collected::to_bytes);
     ClientResponse { status: parts.status, headers: parts.headers, body }
 }
 
--- a/crates/node/tests/subscriber.rs
+++ b/crates/node/tests/subscriber.rs
@@ -147,14 +147,14 @@
     silent_keeper.wait_for_subscriptions(1).await;
     let established = async {
         while !subscriber.is_connected() {
-            sink.connection_changed.notified().await
+            sink.connection_changed.notified().await;
         }
     };
     timeout(TEST_TIMEOUT, established).await.expect("an established subscription");
     subscriber.set_suspended(true);
     let lost = async {
         while sink.connection_changes.lock().unwrap().last() != Some(&false) {
-            sink.connection_changed.notified().await
+            sink.connection_changed.notified().await;
         }
     };
     timeout(TEST_TIMEOUT, lost).await.expect("the loss of the subscription");
--- a/crates/random/src/lib.rs
+++ b/crates/random/src/lib.rs
@@ -6,10 +6,10 @@
 use rand_xoshiro::SplitMix64;
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 
-/// Odd, and without a pattern in its bits: the increment of SplitMix64, which spreads small numbers over all 64 bits.
+/// Odd, and without a pattern in its bits: the increment of `SplitMix64`, which spreads small numbers over all 64 bits.
 const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// A stream of pseudo-random numbers (SplitMix64).
+/// A stream of pseudo-random numbers (`SplitMix64`).
 #[derive(Clone, Debug)]
 pub struct Rng(SplitMix64);
 
--- a/crates/replication/tests/epoch_model/actions.rs
+++ b/crates/replication/tests/epoch_model/actions.rs
@@ -103,7 +103,7 @@
             Message::Accept { epoch } => self.handle_accept(state, to, epoch),
             Message::Snapshot { epoch, log } => self.handle_snapshot(state, to, epoch, log),
             Message::Heartbeat { epoch, confirms_read } => {
-                self.handle_heartbeat(state, to, epoch, confirms_read)
+                self.handle_heartbeat(state, to, epoch, confirms_read);
             }
             // Candidates and primaries look replies up among the messages.
             Message::Promise { .. }
--- a/crates/replication/tests/model_check.rs
+++ b/crates/replication/tests/model_check.rs
@@ -60,7 +60,7 @@
     let checker = checker.spawn_bfs().join();
     let discoveries = checker.discoveries();
     for name in SAFETY {
-        let path = discoveries.get(name).cloned().map(|path| path.into_actions());
+        let path = discoveries.get(name).cloned().map(stateright::Path::into_actions);
         assert_eq!(path, None, "{name}");
     }
     assert!(started_at.elapsed() < EXPLORATION_TIMEOUT, "not explored completely");
--- a/crates/sessions/src/admission.rs
+++ b/crates/sessions/src/admission.rs
@@ -119,7 +119,7 @@
 
     /// Whether memory or disk is used up so far that no further turn is admitted.
     fn is_capacity_exhausted(&self) -> bool {
-        let record_bytes: u64 = self.tables.values().map(|table| table.bytes()).sum();
+        let record_bytes: u64 = self.tables.values().map(super::table::Table::bytes).sum();
         record_bytes > self.limits.memory_bytes
             || self.segment_usage.bytes() > self.limits.disk_bytes
             || self.group_commit.is_paused()
--- a/crates/sessions/src/statistics.rs
+++ b/crates/sessions/src/statistics.rs
@@ -94,7 +94,7 @@
         let led_partitions = || self.led_partitions.keys();
         let led_records = led_partitions()
             .filter_map(|partition| self.tables.get(partition))
-            .flat_map(|table| table.records());
+            .flat_map(super::table::Table::records);
         let unavailable_replies = UnavailableReason::ALL
             .map(|reason| (reason.label(), self.unavailable_counts.0.get(&reason).copied().unwrap_or(0)));
         StoreStatistics {
@@ -102,7 +102,7 @@
             partitions_out_of_sync: led_partitions().filter(|led| !self.is_synchronized(**led)).count()
                 as u64,
             records: self.tables.values().map(|table| table.records().count() as u64).sum(),
-            record_bytes: self.tables.values().map(|table| table.bytes()).sum(),
+            record_bytes: self.tables.values().map(super::table::Table::bytes).sum(),
             disk_bytes: self.segment_usage.bytes(),
             reservations: led_records.filter(|record| !record.is_committed).count() as u64,
             pending_writes: self.pending_writes.len() as u64,
--- a/crates/sessions/src/transfer.rs
+++ b/crates/sessions/src/transfer.rs
@@ -53,7 +53,7 @@
             match self.check_epoch(*expected) {
                 EpochCheck::Current => {}
                 EpochCheck::Unknown => result = EpochCheck::Unknown,
-                fenced => return fenced,
+                fenced @ EpochCheck::Fenced { .. } => return fenced,
             }
         }
         result
--- a/crates/sessions/src/write.rs
+++ b/crates/sessions/src/write.rs
@@ -95,7 +95,7 @@
     pub(crate) fn confirming_replicas(&self, partition: PartitionId) -> BTreeSet<DiskId> {
         let Some(assignment) = self.map.assignment(partition) else { return BTreeSet::new() };
         let led = self.led_partitions.get(&partition);
-        let synchronized = led.into_iter().flat_map(|led| led.synchronized_replicas());
+        let synchronized = led.into_iter().flat_map(super::anti_entropy::LedPartition::synchronized_replicas);
         let joined = synchronized.filter(|replica| assignment.joining.contains(replica));
         let mut confirming: BTreeSet<DiskId> = assignment.in_sync.iter().copied().collect();
         confirming.extend(joined);
--- a/crates/sessions/tests/simulation/cluster.rs
+++ b/crates/sessions/tests/simulation/cluster.rs
@@ -191,7 +191,7 @@
                 }
             }
             Packet::SessionRequest { to, operation, request } => {
-                self.deliver_session_request(to, operation, request)
+                self.deliver_session_request(to, operation, request);
             }
             Packet::SessionReply { operation, reply } => {
                 let next = self.clients.handle_reply(operation, reply, self.now, &mut self.rng);
@@ -200,7 +200,7 @@
                 }
             }
             Packet::TransferRequest { from, incarnation, to, call, request } => {
-                self.deliver_transfer_request(from, incarnation, to, call, request)
+                self.deliver_transfer_request(from, incarnation, to, call, request);
             }
             Packet::TransferReply { to, incarnation, call, reply } => {
                 if self.incarnations[to] == incarnation {
@@ -293,7 +293,8 @@
             self.packets.push(Packet::SessionReply { operation, reply: None });
         }
         for number in 0..self.nodes.len() {
-            let wake_at = self.nodes[number].store.as_ref().and_then(|store| store.next_wake_at());
+            let wake_at =
+                self.nodes[number].store.as_ref().and_then(juniperwing_sessions::Store::next_wake_at);
             if wake_at.is_some_and(|at| at <= self.now) {
                 self.handle(number, Event::Tick);
             }
--- a/crates/sessions/tests/simulation/node.rs
+++ b/crates/sessions/tests/simulation/node.rs
@@ -68,7 +68,7 @@
 
     /// What the store reports to the keepers.
     pub fn caught_up(&self) -> Vec<CaughtUp> {
-        self.store.as_ref().map_or(Vec::new(), |store| store.caught_up_replicas())
+        self.store.as_ref().map_or(Vec::new(), Store::caught_up_replicas)
     }
 
     pub fn moment(&self, now: Time) -> Moment {
--- a/crates/soak/src/load/program.rs
+++ b/crates/soak/src/load/program.rs
@@ -65,10 +65,8 @@
         if !shared.is_running() {
             return;
         }
-        let next = match run_turn(shared, &program, budget, last.as_ref(), rng).await {
-            TurnOutcome::Completed(stored) => stored,
-            _ => return,
-        };
+        let outcome = run_turn(shared, &program, budget, last.as_ref(), rng).await;
+        let TurnOutcome::Completed(next) = outcome else { return };
         if rng.percent(15) {
             // Two turns continue the same turn concurrently.
             let mut other = rng.clone();
