--- /dev/null
+++ b/crates/node/tests/documentation.rs
@@ -0,0 +1,100 @@
+//! What the pages for operators and developers quote exists: log lines and metrics of `docs/on-call.md`, files and
+//! functions of `docs/architecture.md` and `docs/glossary.md`.
+
+use std::collections::BTreeSet;
+use std::fs;
+use std::path::{Path, PathBuf};
+
+#[test]
+fn every_log_line_that_the_on_call_page_quotes_is_written_by_the_code() {
+    let sources = sources_of(&["crates/node/src", "crates/relay/src", "crates/log/src", "src"]);
+    let text: String = sources.iter().map(|path| read(path)).collect();
+    let quoted = quoted_in_column("docs/on-call.md", "log line");
+    assert!(quoted.len() > 40, "{} log lines", quoted.len());
+    let missing: Vec<_> = quoted.iter().filter(|line| !text.contains(&format!("\"{line}\""))).collect();
+    assert!(missing.is_empty(), "no line of the log reads {missing:#?}");
+}
+
+#[test]
+fn every_metric_that_the_on_call_page_quotes_is_exposed() {
+    let golden = ["relay", "keeper", "store"]
+        .map(|role| read(&root().join(format!("crates/relay/tests/golden/metrics-{role}.txt"))))
+        .concat();
+    let exposed: BTreeSet<&str> = golden.lines().filter_map(|line| line.split(['{', ' ']).next()).collect();
+    let quoted = quoted_in_column("docs/on-call.md", "metric");
+    assert!(quoted.len() > 25, "{} metrics", quoted.len());
+    let missing: Vec<_> = quoted.iter().filter(|name| !exposed.contains(name.as_str())).collect();
+    assert!(missing.is_empty(), "no role exposes {missing:#?}");
+}
+
+#[test]
+fn every_file_and_function_that_the_architecture_names_exists() {
+    let mut places = 0;
+    for page in ["docs/architecture.md", "docs/glossary.md"] {
+        for span in code_spans(&read(&root().join(page))) {
+            let Some((path, function)) = place_of(&span) else { continue };
+            let file = root().join(path);
+            assert!(file.is_file(), "{page} names {path}, which does not exist");
+            if let Some(function) = function {
+                let declared = format!("fn {function}");
+                assert!(read(&file).contains(&declared), "{page}: {path} has no {declared}");
+            }
+            places += 1;
+        }
+    }
+    assert!(places > 30, "{places} places");
+}
+
+/// `crates/x/src/y.rs` or `crates/x/src/y.rs: function`; nothing else is a place.
+fn place_of(span: &str) -> Option<(&str, Option<&str>)> {
+    let (path, function) = match span.split_once(": ") {
+        Some((path, function)) => (path, Some(function)),
+        None => (span, None),
+    };
+    let is_place = path.ends_with(".rs") && (path.starts_with("crates/") || path.starts_with("src/"));
+    is_place.then_some((path, function))
+}
+
+/// The code spans in the cells of a column, over all tables of the page that have it.
+fn quoted_in_column(page: &str, heading: &str) -> BTreeSet<String> {
+    let mut quoted = BTreeSet::new();
+    let mut column = None;
+    for line in read(&root().join(page)).lines() {
+        if !line.starts_with('|') {
+            column = None;
+            continue;
+        }
+        let cells: Vec<&str> = line.split('|').map(str::trim).collect();
+        match column {
+            None => column = Some(cells.iter().position(|cell| *cell == heading)),
+            Some(Some(index)) => quoted.extend(code_spans(cells[index])),
+            Some(None) => {}
+        }
+    }
+    quoted
+}
+
+fn code_spans(text: &str) -> Vec<String> {
+    text.split('`').skip(1).step_by(2).map(str::to_owned).collect()
+}
+
+fn sources_of(folders: &[&str]) -> Vec<PathBuf> {
+    let mut found = Vec::new();
+    let mut left: Vec<PathBuf> = folders.iter().map(|folder| root().join(folder)).collect();
+    while let Some(path) = left.pop() {
+        if path.is_dir() {
+            left.extend(fs::read_dir(&path).expect("a folder").map(|entry| entry.expect("an entry").path()));
+        } else if path.extension().is_some_and(|extension| extension == "rs") {
+            found.push(path);
+        }
+    }
+    found
+}
+
+fn root() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
+}
+
+fn read(path: &Path) -> String {
+    fs::read_to_string(path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
+}
