--- a/crates/balancing/src/call_outcome.rs
+++ b/crates/balancing/src/call_outcome.rs
@@ -7,7 +7,7 @@
     Succeeded,
     /// With a response that is a server error.
     ServerError,
-    /// Without a response within the time-out.
+    /// Without a response within the timeout.
     TimedOut,
     /// The endpoint declined the call, mostly because it is full.
     Overloaded,
--- a/crates/balancing/src/latency.rs
+++ b/crates/balancing/src/latency.rs
@@ -1,4 +1,4 @@
-//! The time-outs of attempts, from the latencies of each destination: the restart timer of the data plane.
+//! The timeouts of attempts, from the latencies of each destination: the restart timer of the data plane.
 
 use std::collections::HashMap;
 
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The time-out of the next attempt, with `remaining` until the deadline and `attempts_left` endpoints to which
+    /// The timeout of the next attempt, with `remaining` until the deadline and `attempts_left` endpoints to which
     /// the request may still be sent, this one included.
     pub fn attempt_timeout(&self, destination: &Destination, remaining: Span, attempts_left: u32) -> Span {
         self.models.get(destination).map_or(remaining, |model| model.timeout(remaining, attempts_left))
--- a/crates/balancing/src/lib.rs
+++ b/crates/balancing/src/lib.rs
@@ -3,7 +3,7 @@
 //! Pure: there is no I/O, and the time is passed in as `now`. A [`Balancer`] is one relay's view of the ready endpoints
 //! of all services. Requests ask for an endpoint ([`Balancer::admit`]); where all are full they wait in a bounded
 //! queue, and a free slot goes to the most urgent priority, within it to the destination with the least recent slot
-//! time. [`LatencyModels`] set the time-outs of attempts.
+//! time. [`LatencyModels`] set the timeouts of attempts.
 
 mod balancer;
 mod call_outcome;
--- a/crates/balancing/src/placement_request.rs
+++ b/crates/balancing/src/placement_request.rs
@@ -42,7 +42,7 @@
     pub previous_endpoint: Option<InstanceId>,
     /// The program to which the request belongs.
     pub program: Option<ProgramId>,
-    /// The time-out of the attempt, which is what it costs if the endpoint fails.
+    /// The timeout of the attempt, which is what it costs if the endpoint fails.
     pub attempt_timeout: Span,
 }
 
--- a/crates/emulator/src/endpoints.rs
+++ b/crates/emulator/src/endpoints.rs
@@ -17,7 +17,7 @@
 
 /// The interval between heartbeats.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_200);
-/// The time-out of a request, after which another keeper is tried.
+/// The timeout of a request, after which another keeper is tried.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long an endpoint retries to have its draining or termination acknowledged.
 const MAX_TERMINATION_DURATION: Span = Span::from_millis(6_000);
--- a/crates/emulator/src/network/pipes.rs
+++ b/crates/emulator/src/network/pipes.rs
@@ -1,4 +1,4 @@
-//! The directions of connections: segments in flight, flow control, resets and time-outs.
+//! The directions of connections: segments in flight, flow control, resets and timeouts.
 
 use std::collections::VecDeque;
 use std::io;
@@ -161,7 +161,7 @@
         let Some(pipe) = self.pipes.get_mut(&id) else { return };
         if is_unacknowledged && pipe.unacknowledged_since.is_none() && matches!(segment, Segment::Bytes(_)) {
             pipe.unacknowledged_since = Some(now);
-            // Its own reader waits for the time-out as well.
+            // Its own reader waits for the timeout as well.
             let reader = self.pipes.get_mut(&reverse).and_then(|pipe| pipe.reader.take());
             self.wakers.extend(reader);
         }
--- a/crates/emulator/src/operators.rs
+++ b/crates/emulator/src/operators.rs
@@ -16,7 +16,7 @@
 use crate::history::{Event, History, OrderId};
 use crate::http::{Request, Response};
 
-/// The time-out of a request, after which another keeper is tried.
+/// The timeout of a request, after which another keeper is tried.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long an order without a conclusive response is retried.
 const MAX_RETRY_DURATION: Span = Span::from_millis(25_000);
--- a/crates/lab/src/baselines.rs
+++ b/crates/lab/src/baselines.rs
@@ -1,4 +1,4 @@
-//! Baseline policies to compare the core with: one attempt in the order of arrival; a fixed time-out with backoff; that
+//! Baseline policies to compare the core with: one attempt in the order of arrival; a fixed timeout with backoff; that
 //! with a circuit breaker and a retry budget; and an oracle that sees the true state of everything.
 //!
 //! They keep the rules that a single relay can keep by bookkeeping (lost, twice, drain, order, wait). No relay in
@@ -45,7 +45,7 @@
 baselines! {
     /// One attempt for each notification, in the order of arrival, with all the time that is left.
     OneTry, "one-try";
-    /// A fixed time-out and exponential backoff with full jitter.
+    /// A fixed timeout and exponential backoff with full jitter.
     Backoff, "backoff";
     /// Backoff with a circuit breaker for each endpoint and a retry budget.
     Breaker, "breaker";
--- a/crates/lab/src/baselines/sending.rs
+++ b/crates/lab/src/baselines/sending.rs
@@ -14,7 +14,7 @@
 
 /// With less time left a notification is not pushed.
 const MIN_TIME_LEFT: Span = Span::from_millis(20);
-/// The time-out of a push, as a multiple of the latency target.
+/// The timeout of a push, as a multiple of the latency target.
 const TIMEOUT_TARGETS: f64 = 1.0;
 /// How often a baseline checks again what it cannot send yet.
 const RETRY_INTERVAL: Span = Span::from_millis(20);
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -24,16 +24,16 @@
     pub local_member: Member,
     /// Gossip addresses of the members to contact first. The local one may be among them.
     pub seeds: Vec<SocketAddr>,
-    /// Intervals and time-outs.
+    /// Intervals and timeouts.
     pub timings: Timings,
 }
 
-/// Intervals and time-outs of the protocol. The defaults suit a network with a latency of a few milliseconds.
+/// Intervals and timeouts of the protocol. The defaults suit a network with a latency of a few milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Timings {
     /// Interval between probes.
     pub probe_interval: Span,
-    /// Time-out of a direct probe, after which indirect probes are requested; less than `probe_interval`.
+    /// Timeout of a direct probe, after which indirect probes are requested; less than `probe_interval`.
     pub probe_timeout: Span,
     /// Number of members that are asked for an indirect probe.
     pub indirect_probes: usize,
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -1,4 +1,4 @@
-//! The table of members: the newest record of each, with the time-outs of suspicions and of dead members.
+//! The table of members: the newest record of each, with the timeouts of suspicions and of dead members.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/node/src/relay/attempt_outcome.rs
+++ b/crates/node/src/relay/attempt_outcome.rs
@@ -32,7 +32,7 @@
     InvalidResponse,
     /// The endpoint responded with a server error.
     ServerError,
-    /// No response within the time-out of the attempt.
+    /// No response within the timeout of the attempt.
     TimedOut,
     /// The relay has no memory for the response.
     NoCapacity,
--- a/crates/node/src/relay/dispatcher.rs
+++ b/crates/node/src/relay/dispatcher.rs
@@ -195,12 +195,12 @@
         critical_section(|| self.lock().balancer.record_first_response(request, endpoint, elapsed));
     }
 
-    /// Records the duration of an attempt; censored if the attempt was abandoned at its time-out.
+    /// Records the duration of an attempt; censored if the attempt was abandoned at its timeout.
     pub fn record_latency(&self, destination: &Destination, duration: Span, is_censored: bool) {
         self.lock().latencies.record(now(), destination, duration, is_censored);
     }
 
-    /// The time-out of the next attempt.
+    /// The timeout of the next attempt.
     pub fn attempt_timeout(&self, destination: &Destination, remaining: Span, attempts_left: u32) -> Span {
         self.lock().latencies.attempt_timeout(destination, remaining, attempts_left)
     }
--- a/crates/node/src/relay/exchange.rs
+++ b/crates/node/src/relay/exchange.rs
@@ -51,7 +51,7 @@
     pub program: Option<ProgramId>,
     /// The endpoint that ran the previous turn.
     pub previous_endpoint: Option<InstanceId>,
-    /// The earlier of the client's deadline and the route's time-out.
+    /// The earlier of the client's deadline and the route's timeout.
     pub deadline: Time,
     /// Records what happens to the request.
     pub trace: Arc<RequestTrace>,
@@ -88,7 +88,7 @@
         id.map(|id| Bytes::copy_from_slice(id.as_bytes()))
     }
 
-    /// The request to the balancer for an attempt with the given time-out.
+    /// The request to the balancer for an attempt with the given timeout.
     pub fn placement_request(&self, excluded: Vec<InstanceId>, attempt_timeout: Span) -> PlacementRequest {
         PlacementRequest {
             destination: self.destination.clone(),
--- a/crates/node/src/relay/forward.rs
+++ b/crates/node/src/relay/forward.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// What an endpoint has sent by the end of the time-out.
+/// What an endpoint has sent by the end of the timeout.
 enum EndpointReply {
     /// A complete response.
     Complete(Response<RelayBody>),
--- a/crates/node/src/relay/metrics.rs
+++ b/crates/node/src/relay/metrics.rs
@@ -32,7 +32,7 @@
     pub forwarded: Counter,
     /// Attempts beyond the first of a request.
     pub retries: Counter,
-    /// Attempts abandoned at their time-out.
+    /// Attempts abandoned at their timeout.
     pub timed_out: Counter,
     /// Attempts that endpoints declined.
     pub declined: Counter,
--- a/crates/node/src/relay/upstream.rs
+++ b/crates/node/src/relay/upstream.rs
@@ -24,7 +24,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long an idle connection is kept at most, and where the endpoint does not say.
 const MAX_IDLE_TIME: Span = Span::from_millis(4_000);
-/// How long before the endpoint's own idle time-out a connection is closed.
+/// How long before the endpoint's own idle timeout a connection is closed.
 const IDLE_TIMEOUT_MARGIN: Span = Span::from_millis(700);
 /// The number of idle connections that are kept to one endpoint.
 const MAX_IDLE_PER_ENDPOINT: usize = 32;
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -257,7 +257,7 @@
         self.fault_tolerance.machines + 1
     }
 
-    /// The time-outs of keepers, derived from the bounds.
+    /// The timeouts of keepers, derived from the bounds.
     pub fn control_timings(&self) -> ControlTimings {
         ControlTimings::from_bounds(&self.bounds)
     }
--- a/crates/node/src/settings/control_timings.rs
+++ b/crates/node/src/settings/control_timings.rs
@@ -1,4 +1,4 @@
-//! Time-outs of keepers, derived from the time bounds of the settings.
+//! Timeouts of keepers, derived from the time bounds of the settings.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 
 /// Part of [`CALLER_TIMEOUT`] reserved for the response to a deregistration.
 const REPLY_MARGIN: Duration = Duration::from_millis(250);
-/// Difference between the time-outs of a call and of the call nested in it, for the hop between processes.
+/// Difference between the timeouts of a call and of the call nested in it, for the hop between processes.
 const HOP_ALLOWANCE: Duration = Duration::from_millis(50);
 /// Fraction of `contactMs` for which evidence of contact counts. The rest is for detecting a loss and reconnecting.
 const CONTACT_WINDOW_FRACTION: f64 = 0.4;
@@ -29,25 +29,25 @@
 /// Minimum of `drainMs` and `configApplyMs`: the loss of a subscriber cannot be detected sooner.
 const MIN_PROPAGATION_MS: u64 = LINK_TIMEOUT.as_millis() as u64;
 
-/// The time-outs of a keeper.
+/// The timeouts of a keeper.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ControlTimings {
     /// How long a reply or a message of another keeper counts as evidence of contact.
     pub contact_window: Span,
-    /// Time-out for propagating the termination of an endpoint; after it the request of the endpoint is rejected.
+    /// Timeout for propagating the termination of an endpoint; after it the request of the endpoint is rejected.
     pub propagation_timeout: Duration,
-    /// Time-out of a call to another keeper.
+    /// Timeout of a call to another keeper.
     pub peer_reply_timeout: Duration,
     /// How long a keeper waits for its own subscribers before it reports to another keeper that some lack a change.
     pub subscriber_apply_timeout: Duration,
-    /// Time-out of a confirmation that the committed state is current, after which it is requested again.
+    /// Timeout of a confirmation that the committed state is current, after which it is requested again.
     pub confirmation_timeout: Duration,
     /// How long subscribers may take to apply a configuration before it is acknowledged nevertheless.
     pub configuration_apply_timeout: Duration,
 }
 
 impl ControlTimings {
-    /// Derives the time-outs from the bounds.
+    /// Derives the timeouts from the bounds.
     pub fn from_bounds(bounds: &Bounds) -> ControlTimings {
         let spread_within = CALLER_TIMEOUT - REPLY_MARGIN;
         let peer_answers_within = spread_within - HOP_ALLOWANCE;
--- a/crates/node/src/subscriber.rs
+++ b/crates/node/src/subscriber.rs
@@ -1,6 +1,6 @@
 //! Subscriptions of a relay or a store to keepers.
 //!
-//! A subscriber maintains links to several keepers, more than may fail at once, so that it need not wait for a time-out
+//! A subscriber maintains links to several keepers, more than may fail at once, so that it need not wait for a timeout
 //! when one of them fails. Updates are passed to an [`UpdateSink`], which merges them by version.
 //!
 //! A keeper replies to a subscription with its first update, once a majority of the keepers has confirmed that it is
@@ -22,7 +22,7 @@
 
 /// Delay before a subscription to the next keeper is attempted.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Time-out of the first update. Keepers that elect a new primary need up to a second.
+/// Timeout of the first update. Keepers that elect a new primary need up to a second.
 const FIRST_UPDATE_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// Receiver of updates.
--- a/crates/node/tests/keepers/mod.rs
+++ b/crates/node/tests/keepers/mod.rs
@@ -26,7 +26,7 @@
 #[allow(unused_imports)]
 pub use peer::{Gate, Peer};
 
-/// The time-out of every wait, long enough for a busy machine.
+/// The timeout of every wait, long enough for a busy machine.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(40);
 
 const CONTROL_PORT: u16 = 8_144;
--- a/crates/node/tests/relay/deadlines.rs
+++ b/crates/node/tests/relay/deadlines.rs
@@ -13,14 +13,14 @@
 use crate::support::{RelayHarness, next_chunk, read, request, with_headers, with_timeout};
 
 const FIRST: &str = "id: 1\ndata: one\n\n";
-/// The time-out of the routes in [`short_timeout_routes`].
+/// The timeout of the routes in [`short_timeout_routes`].
 const TIMEOUT_MS: u64 = 300;
-/// The deadline of the clients here: much longer than the route's time-out.
+/// The deadline of the clients here: much longer than the route's timeout.
 const CLIENT_MS: &str = "60000";
 /// Far below the client's deadline. That a response comes within half a second is measured on idle machines.
 const ENDED_BY: Duration = Duration::from_secs(10);
 
-/// Routes of every type with a short time-out.
+/// Routes of every type with a short timeout.
 fn short_timeout_routes() -> String {
     let route = |prefix: &str, kind: &str, more: &str| {
         format!(
@@ -134,7 +134,7 @@
     );
 }
 
-// Guard: the time-out in `read_body`.
+// Guard: the timeout in `read_body`.
 #[tokio::test]
 async fn an_incomplete_body_is_answered_at_the_deadline() {
     let harness = RelayHarness::with_endpoints(&[]).await;
--- a/crates/node/tests/relay/planned_work.rs
+++ b/crates/node/tests/relay/planned_work.rs
@@ -18,7 +18,7 @@
 const MAX_CONCURRENT_REQUESTS: usize = 10;
 /// The platform checks every second whether a relay is ready.
 const TWO_READINESS_CHECKS: Duration = Duration::from_secs(2);
-/// Routes whose time-out is far longer than the grace period.
+/// Routes whose timeout is far longer than the grace period.
 const LONG_TIMEOUT_ROUTES: &str = r#"{"generation":2,"routes":[
     {"name":"n","hostname":"h.example","pathPrefix":"/n/","routeType":"non_idempotent","timeoutMs":60000,"targetLatencyMs":4000,"priority":2,"backend":"s","maxRetries":2},
     {"name":"k","hostname":"h.example","pathPrefix":"/k/","routeType":"streaming","timeoutMs":60000,"targetLatencyMs":4000,"priority":0,"backend":"s","maxRetries":2,"resumable":false,"kept":true,"retentionS":60}],
--- a/crates/node/tests/relay/support.rs
+++ b/crates/node/tests/relay/support.rs
@@ -63,7 +63,7 @@
     pub begin_gate: Mutex<Option<Arc<Notify>>>,
     /// What `finish_turn` waits for, if for anything.
     pub finish_gate: Mutex<Option<Arc<Notify>>>,
-    /// The time-out of each `finish_turn`.
+    /// The timeout of each `finish_turn`.
     pub finish_timeouts: Mutex<Vec<Duration>>,
     pub fail_finish: Mutex<bool>,
     /// What the end of all background commits waits for, if for anything.
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -83,11 +83,11 @@
     let longer = CORE.replace("contactMs = 3000", "contactMs = 4000").replace("Ms = 1500", "Ms = 9000");
     let timings = parse(&longer).unwrap().control_timings();
     assert_eq!(timings.contact_window, Span::from_millis(1_600));
-    // The rest of the caller's time-out is for committing, whatever the bounds.
+    // The rest of the caller's timeout is for committing, whatever the bounds.
     assert_eq!(timings.configuration_apply_timeout.as_millis(), 500);
 }
 
-/// Guard: each time-out is shorter than the one that contains it, and the outermost shorter than the caller's.
+/// Guard: each timeout is shorter than the one that contains it, and the outermost shorter than the caller's.
 #[test]
 fn nested_time_outs_are_shorter_than_the_callers_whatever_the_bounds() {
     for bound in [1_200, 2_000, 4_000, 60_000] {
@@ -102,7 +102,7 @@
         assert!(timings.propagation_timeout < CALLER_TIMEOUT);
         assert!(timings.configuration_apply_timeout < CALLER_TIMEOUT / 2 + CALLER_TIMEOUT / 10);
         assert!(timings.contact_window < Span::from_millis(bound));
-        // A dead subscriber is detected by the time-out of its link, so that it cannot block deregistrations for long.
+        // A dead subscriber is detected by the timeout of its link, so that it cannot block deregistrations for long.
         assert!(timings.propagation_timeout >= LINK_TIMEOUT);
     }
 }
--- a/crates/node/tests/store.rs
+++ b/crates/node/tests/store.rs
@@ -15,7 +15,7 @@
 use slog::{Discard, Logger, o};
 use stores::{STORE_COUNT, TEST_TIMEOUT, TestCluster};
 
-/// The time-out of calls that are expected to fail.
+/// The timeout of calls that are expected to fail.
 const SHORT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Segments that may be open when a directory is renamed: one, and another if a slow call was made twice.
 const MAX_OPEN_SEGMENTS: usize = 4;
@@ -59,7 +59,7 @@
 }
 
 /// Fills segments until a fault of the disk has been met, whichever segment is open. All turns are sent: on a busy machine
-/// one may miss its time-out although the disk still works.
+/// one may miss its timeout although the disk still works.
 async fn fill_segments_of_failing_disk(cluster: &TestCluster) {
     let mut has_failed = false;
     for number in 0..MAX_OPEN_SEGMENTS {
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug)]
 pub struct Registry {
     settings: RegistrySettings,
-    /// Heartbeat time-outs run from this time at the earliest.
+    /// Heartbeat timeouts run from this time at the earliest.
     timeouts_start_at: Time,
     entries: BTreeMap<InstanceId, Entry>,
     by_address: HashMap<SocketAddr, Vec<InstanceId>>,
@@ -157,7 +157,7 @@
 
     /// Expires the instances whose heartbeats have timed out and returns them.
     ///
-    /// Time-outs are measured up to `confirmed_until`, the latest time up to which contact with the other keepers is
+    /// Timeouts are measured up to `confirmed_until`, the latest time up to which contact with the other keepers is
     /// proved: heartbeats that they received later may be unknown here.
     pub fn expire(&mut self, now: Time, confirmed_until: Time) -> Vec<Instance> {
         self.remove_old_tombstones(now);
@@ -179,7 +179,7 @@
         expired
     }
 
-    /// Restarts all heartbeat time-outs, after the keeper was paused or partitioned from the others.
+    /// Restarts all heartbeat timeouts, after the keeper was paused or partitioned from the others.
     ///
     /// What it missed meanwhile arrives with the next heartbeats; until then the registry is incomplete.
     pub fn restart_timeouts(&mut self, now: Time) {
--- a/crates/registry/tests/registry.rs
+++ b/crates/registry/tests/registry.rs
@@ -132,7 +132,7 @@
     assert_eq!(registry.expire(at(13_000), at(13_000)).len(), 1);
 }
 
-/// Guard: time-outs are measured up to `confirmed_until`, not up to now. Heartbeats that the other keepers received
+/// Guard: timeouts are measured up to `confirmed_until`, not up to now. Heartbeats that the other keepers received
 /// since then are unknown.
 #[test]
 fn timeouts_run_only_while_contact_is_confirmed() {
--- a/crates/replication/tests/epoch_model/mod.rs
+++ b/crates/replication/tests/epoch_model/mod.rs
@@ -1,7 +1,7 @@
 //! A model of the epoch and replication rules, small enough to be explored completely.
 //!
 //! The state of a real `Replica` has no finite set of values: absolute times, jitter, heartbeat rounds and
-//! attempts grow with every step. The model keeps what safety depends on and lets each time-out fire at any
+//! attempts grow with every step. The model keeps what safety depends on and lets each timeout fire at any
 //! moment, so it allows every order of events that the code allows, and more. A message that was sent can be
 //! delivered at any later time: it may be lost, late, reordered or duplicated, which includes every network
 //! partition, in one direction or in both. The disk is synchronous here; that replies wait for the disk is
--- a/crates/replication/tests/guards.rs
+++ b/crates/replication/tests/guards.rs
@@ -94,7 +94,7 @@
         number
     }
 
-    /// Lets the election time-out pass and grants the pre-vote; returns the number of the election.
+    /// Lets the election timeout pass and grants the pre-vote; returns the number of the election.
     fn become_candidate(&mut self) -> EpochNumber {
         self.now = Time::from_nanos(10_000_000_000);
         let sent = self.handle_event(Event::Tick);
--- a/crates/replication/tests/partial_partitions.rs
+++ b/crates/replication/tests/partial_partitions.rs
@@ -10,7 +10,7 @@
 /// How soon a change is acknowledged after a fault that has to be tolerated.
 const MAX_FAILOVER_TIME: Span = Span::from_millis(2_500);
 
-/// Much longer than all time-outs.
+/// Much longer than all timeouts.
 const OBSERVATION_TIME: Span = Span::from_millis(20_000);
 
 /// Runs for `span` and returns the longest time in it without an acknowledgement.
@@ -82,7 +82,7 @@
     expect_primary_unaffected_by_blocked_backup(Direction::Outbound);
 }
 
-/// It leaves the in-sync set before its election time-out, so even a pre-vote that all grant would not make
+/// It leaves the in-sync set before its election timeout, so even a pre-vote that all grant would not make
 /// it primary.
 #[test]
 fn backup_that_the_primary_cannot_reach_does_not_replace_it() {
@@ -111,7 +111,7 @@
     }
 }
 
-/// The links of one member are blocked and unblocked at intervals near the time-outs.
+/// The links of one member are blocked and unblocked at intervals near the timeouts.
 #[test]
 fn flapping_links_of_one_member_are_tolerated() {
     for seed in 0..90 {
--- a/crates/sessions/src/limits.rs
+++ b/crates/sessions/src/limits.rs
@@ -1,4 +1,4 @@
-//! Limits, time-outs and intervals of a store.
+//! Limits, timeouts and intervals of a store.
 
 use juniperwing_clock::Span;
 
--- a/crates/soak/src/faulty_host/link.rs
+++ b/crates/soak/src/faulty_host/link.rs
@@ -1,7 +1,7 @@
 //! Connections whose bytes can be held back or delayed, and which can be reset.
 //!
 //! A task for each direction copies bytes between the process and the socket. While the link to the peer is cut, bytes
-//! wait; once they have waited for the connection's user time-out, both directions are reset, as the operating system
+//! wait; once they have waited for the connection's user timeout, both directions are reset, as the operating system
 //! would do.
 
 use std::io;
--- a/crates/soak/src/play.rs
+++ b/crates/soak/src/play.rs
@@ -167,7 +167,7 @@
         Ok(Summary { text: self.summary(), load_ended_at })
     }
 
-    /// Applies the first configuration and waits until relays are ready; a time-out is a finding.
+    /// Applies the first configuration and waits until relays are ready; a timeout is a finding.
     async fn wait_until_ready(&self) {
         let configured = Operators::apply_first_configuration(&self.shared, STARTUP_TIMEOUT).await;
         let ready = self.shared.platform.wait_until_all_ready(STARTUP_TIMEOUT).await;
