--- a/crates/node/tests/deploy_files.rs
+++ b/crates/node/tests/deploy_files.rs
@@ -1,5 +1,9 @@
 //! Keys of the files that say how the programs are built and run: whoever deploys them reads them by these names.
 
+use std::collections::BTreeSet;
+use std::fs;
+use std::path::{Path, PathBuf};
+
 use toml::Table;
 use toml::Value;
 
@@ -51,3 +55,24 @@
     let expected = ["build", "node", "packages", "policy", "run", "sim"];
     assert_eq!(keys(include_str!("../../../deploy/balancer.toml")), expected);
 }
+
+#[test]
+fn the_relay_s_deploy_file_lists_every_decision_file() {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
+    let deploy: Table = toml::from_str(include_str!("../../../deploy/balancer.toml")).expect("TOML");
+    let listed: BTreeSet<PathBuf> =
+        deploy["policy"].as_array().expect("a list").iter().map(path_of).collect();
+    let mut decisions: BTreeSet<PathBuf> = ["src/rules", "crates/restart/src"]
+        .into_iter()
+        .flat_map(|directory| {
+            let entries = fs::read_dir(root.join(directory)).expect("a directory");
+            entries.map(move |entry| Path::new(directory).join(entry.expect("an entry").file_name()))
+        })
+        .collect();
+    decisions.insert("src/rules.rs".into());
+    assert_eq!(listed, decisions);
+}
+
+fn path_of(value: &Value) -> PathBuf {
+    value.as_str().expect("a path").into()
+}
