--- a/crates/node/tests/golden_state.rs
+++ b/crates/node/tests/golden_state.rs
@@ -11,22 +11,22 @@
 //! and commit what is under `crates/node/tests/golden`. Identities are drawn, so the bytes differ at every renewal.
 
 mod keepers;
+mod loopback;
 // This file uses a part of it.
 #[allow(dead_code)]
 mod stores;
 
 use std::fs;
 use std::path::{Path, PathBuf};
-use std::sync::Arc;
 
 use juniperwing_node::sessions_client::{BegunTurn, SessionError};
-use juniperwing_protocol::session::{BeginTurn, FinishTurn, Turn};
+use juniperwing_protocol::session::{FinishTurn, Turn};
 use juniperwing_protocol::subscription::SubscriberKind;
 use juniperwing_protocol::{DiskId, ProgramId, RequestId};
 use juniperwing_sessions::{decode_batch, encode_batch};
 use juniperwing_storage::{SegmentLog, SnapshotFiles, identity};
 use keepers::{Keepers, Observer, configuration};
-use stores::{STORE_COUNT, TEST_TIMEOUT, TestCluster};
+use stores::{STORE_COUNT, TEST_TIMEOUT, TestCluster, begin, turn};
 
 /// When the committed records of a store expire: in the year 2100, in milliseconds since 1970.
 const EXPIRES_AT_MS: u64 = 4_102_444_800_000;
@@ -99,28 +99,6 @@
     assert_eq!(keepers.put(0, 7, &configuration(8)).await.status, 200, "a further order");
 }
 
-fn begin(request: &str, previous: Option<&str>, budget: Option<u64>) -> BeginTurn {
-    BeginTurn {
-        program: ProgramId::from("program"),
-        request: RequestId::from(request),
-        previous: previous.map(RequestId::from),
-        budget,
-        max_tokens: 40,
-        imported: Vec::new(),
-    }
-}
-
-fn turn(request: &str, previous: Option<&str>) -> Turn {
-    Turn {
-        request: RequestId::from(request),
-        previous: previous.map(RequestId::from),
-        input: Arc::from(format!("in {request}").into_bytes()),
-        output: Arc::from(format!("out {request}\n").into_bytes()),
-        retention_ms: 60_000,
-        endpoint: Some("i-1".into()),
-    }
-}
-
 /// The identity of a store's data folder.
 fn identity_of(folder: &Path) -> DiskId {
     let (known, is_new) = identity::open(folder, 0).unwrap();
@@ -149,12 +127,15 @@
     for kept in kept() {
         let request = kept.request.0.to_string();
         let previous = kept.previous.as_ref().map(|previous| previous.0.to_string());
-        client.begin(begin(&request, previous.as_deref(), Some(1_000)), TEST_TIMEOUT).await.unwrap();
+        client
+            .begin(begin("program", &request, previous.as_deref(), Some(1_000)), TEST_TIMEOUT)
+            .await
+            .unwrap();
         finish(&request, 10, Some(kept)).await.unwrap();
     }
-    client.begin(begin("settled", None, Some(1_000)), TEST_TIMEOUT).await.unwrap();
+    client.begin(begin("program", "settled", None, Some(1_000)), TEST_TIMEOUT).await.unwrap();
     finish("settled", 20, None).await.unwrap();
-    client.begin(begin("open", None, Some(1_000)), TEST_TIMEOUT).await.unwrap();
+    client.begin(begin("program", "open", None, Some(1_000)), TEST_TIMEOUT).await.unwrap();
     // Before it reports that others have caught up, a store writes the version of the map down.
     let mut others = cluster.keeper.wait_for_stores(STORE_COUNT).await;
     let disk = identity_of(&cluster.data_directory(0));
@@ -209,13 +190,14 @@
     }
     cluster.assign(&[found, empty[0], empty[1]], &[]);
 
-    let next = cluster.client.begin(begin("t3", Some("t2"), Some(1_000)), TEST_TIMEOUT).await;
+    let next = cluster.client.begin(begin("program", "t3", Some("t2"), Some(1_000)), TEST_TIMEOUT).await;
     assert_eq!(next, Ok(BegunTurn { chain: kept() }), "the turns");
-    let unknown = cluster.client.begin(begin("t4", Some("settled"), Some(1_000)), TEST_TIMEOUT).await;
+    let unknown =
+        cluster.client.begin(begin("program", "t4", Some("settled"), Some(1_000)), TEST_TIMEOUT).await;
     assert_eq!(unknown, Err(SessionError::UnknownTurn), "a turn settled and not kept");
     // Spent or set aside: 10 + 10 + 20 + 40 as committed, and 40 for the turn begun above.
-    let spent = cluster.client.begin(begin("t5", None, Some(159)), TEST_TIMEOUT).await;
+    let spent = cluster.client.begin(begin("program", "t5", None, Some(159)), TEST_TIMEOUT).await;
     assert_eq!(spent, Err(SessionError::BudgetExhausted), "the budget");
-    let left = cluster.client.begin(begin("t5", None, Some(160)), TEST_TIMEOUT).await;
+    let left = cluster.client.begin(begin("program", "t5", None, Some(160)), TEST_TIMEOUT).await;
     assert_eq!(left, Ok(BegunTurn::default()), "the budget");
 }
--- a/crates/node/tests/gossip.rs
+++ b/crates/node/tests/gossip.rs
@@ -1,11 +1,11 @@
 //! Membership over loopback: processes discover keepers that their settings do not name.
 
 mod keepers;
+mod loopback;
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
 use std::sync::Arc;
-use std::sync::atomic::{AtomicU8, Ordering};
 
 use juniperwing_membership::Role;
 use juniperwing_node::gossip::{Gossip, LocalProcess};
@@ -21,23 +21,21 @@
 use tokio::time::timeout;
 
 use keepers::{Keepers, Observer, TEST_TIMEOUT, configuration};
+use loopback::LoopbackNetwork;
 
 /// Number of a machine on which nothing listens.
 const DEAD_MACHINE: u8 = 250;
 
 /// The machines of one test, with loopback addresses of their own.
-struct Machines(Ipv4Addr);
+struct Machines(LoopbackNetwork);
 
 impl Machines {
     fn new() -> Self {
-        static TESTS: AtomicU8 = AtomicU8::new(1);
-        let process = (std::process::id() % 200) as u8 + 20;
-        Machines(Ipv4Addr::new(127, process, 200 + TESTS.fetch_add(1, Ordering::Relaxed), 0))
+        Machines(LoopbackNetwork::reserve())
     }
 
     fn address(&self, machine: u8) -> Ipv4Addr {
-        let [first, second, third, _] = self.0.octets();
-        Ipv4Addr::new(first, second, third, machine)
+        self.0.address(machine)
     }
 
     fn settings(&self, machine: u8, seeds: &[u8]) -> Settings {
--- a/crates/node/tests/keeper.rs
+++ b/crates/node/tests/keeper.rs
@@ -1,6 +1,7 @@
 //! Keepers over loopback: a single one, and three of which one may be lost.
 
 mod keepers;
+mod loopback;
 
 use juniperwing_protocol::DiskId;
 use juniperwing_protocol::registry::InstanceState;
--- a/crates/node/tests/keeper_contact.rs
+++ b/crates/node/tests/keeper_contact.rs
@@ -2,12 +2,10 @@
 //! is real; the two others are simulated by the test, which can block messages.
 
 mod keepers;
-
-use std::time::Duration;
+mod loopback;
 
 use juniperwing_protocol::registry::{Instance, InstanceState};
 use juniperwing_protocol::subscription::SubscriberKind;
-use tokio::time::timeout;
 
 use keepers::{Gate, Keepers, Observer, Peer, configuration, heartbeat};
 
@@ -16,10 +14,6 @@
 /// The real keeper as the first primary.
 const PRIMARY: usize = 0;
 
-/// Ample for an election among idle keepers.
-const ELECTION_PERIOD: Duration = Duration::from_secs(5);
-const MAX_ELECTION_ROUNDS: u32 = 4;
-
 fn set_gates(peers: &[Peer], gate: Gate) {
     peers.iter().for_each(|peer| peer.set_gate(gate));
 }
@@ -31,21 +25,16 @@
     }
 }
 
-/// Waits until a peer is primary. On a busy machine the real keeper may have won an election instead: it is partitioned
-/// from the peers then, for long enough that one of them succeeds it.
+/// Waits until a peer is primary. When this test's thread stands still for over half a second, another keeper wins an
+/// election; if that is the real one, it is partitioned until a peer has succeeded it.
 async fn wait_for_primary_among(peers: &[Peer]) -> &Peer {
-    for _ in 0..MAX_ELECTION_ROUNDS {
-        if let Ok(primary) = timeout(ELECTION_PERIOD, primary_among(peers)).await {
-            return primary;
-        }
-        set_gates(peers, Gate::CLOSED);
-        let succeeded = timeout(ELECTION_PERIOD, primary_among(peers)).await.is_ok();
-        set_gates(peers, Gate::OPEN);
-        if succeeded {
-            return primary_among(peers).await;
-        }
+    tokio::select! {
+        primary = primary_among(peers) => return primary,
+        () = peers[0].wait_until_real_keeper_leads() => set_gates(peers, Gate::CLOSED),
     }
-    panic!("no peer became primary");
+    let primary = primary_among(peers).await;
+    set_gates(peers, Gate::OPEN);
+    primary
 }
 
 async fn drain_status(keepers: &Keepers, keeper: usize, id: &str, sequence: u64) -> u16 {
--- a/crates/node/tests/keeper_disk.rs
+++ b/crates/node/tests/keeper_disk.rs
@@ -1,6 +1,7 @@
 //! Keepers with damaged disks: the damage is detected at start-up, and the keeper rejoins as one that lost its disk.
 
 mod keepers;
+mod loopback;
 
 use std::fs;
 use std::path::PathBuf;
--- a/crates/node/tests/keeper_growth.rs
+++ b/crates/node/tests/keeper_growth.rs
@@ -1,6 +1,7 @@
 //! Many changes: the disk usage of a keeper, and the catch-up of one that missed them.
 
 mod keepers;
+mod loopback;
 
 use std::fs;
 
--- a/crates/node/tests/keeper_orders.rs
+++ b/crates/node/tests/keeper_orders.rs
@@ -1,6 +1,7 @@
 //! Concurrent and repeated orders to any keeper, over loopback.
 
 mod keepers;
+mod loopback;
 
 use futures_util::future::join_all;
 use keepers::{Keepers, configuration};
--- a/crates/node/tests/keepers/mod.rs
+++ b/crates/node/tests/keepers/mod.rs
@@ -9,7 +9,6 @@
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
-use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::Duration;
 
 use juniperwing_node::keeper::run_until;
@@ -19,6 +18,8 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
+use crate::loopback::LoopbackNetwork;
+
 #[allow(unused_imports)]
 pub use http::Answer;
 #[allow(unused_imports)]
@@ -87,12 +88,10 @@
 
     /// Prepares a tier like [`Keepers::start`] without starting its keepers.
     pub fn prepare(count: u8) -> Self {
-        static TIERS: AtomicU8 = AtomicU8::new(1);
-        let tier = TIERS.fetch_add(1, Ordering::Relaxed);
-        let process = (std::process::id() % 200) as u8 + 20;
-        let folder = std::env::temp_dir().join(format!("juniperwing-keepers-{}-{tier}", std::process::id()));
-        let machines: Vec<Ipv4Addr> =
-            (1..=count).map(|number| Ipv4Addr::new(127, process, tier, number)).collect();
+        let network = LoopbackNetwork::reserve();
+        let folder_name = format!("juniperwing-keepers-{}-{}", std::process::id(), network.number());
+        let folder = std::env::temp_dir().join(folder_name);
+        let machines: Vec<Ipv4Addr> = (1..=count).map(|number| network.address(number)).collect();
         let settings = machines.iter().map(|machine| settings(*machine, &machines, &folder)).collect();
         let running = (0..count).map(|_| None).collect();
         Keepers { settings, running, folder }
--- a/crates/node/tests/keepers/peer.rs
+++ b/crates/node/tests/keepers/peer.rs
@@ -154,6 +154,15 @@
         self.wait_for(|state| state.replica.is_primary().then_some(())).await;
     }
 
+    /// Waits until the newest epoch that it knows has a real keeper as its primary.
+    pub async fn wait_until_real_keeper_leads(&self) {
+        self.wait_for(|state| {
+            let primary = state.replica.primary_address()?;
+            (!self.shared.peers.contains(&primary)).then_some(())
+        })
+        .await;
+    }
+
     /// Waits until this configuration is committed, as far as it knows.
     pub async fn wait_for_configuration(&self, generation: u64) {
         self.wait_for(|state| {
--- a/crates/node/tests/store.rs
+++ b/crates/node/tests/store.rs
@@ -1,5 +1,6 @@
 //! Stores on loopback: turns begin, are committed and stored, and survive the loss of a store.
 
+mod loopback;
 mod stores;
 
 use std::future::pending;
@@ -9,39 +10,17 @@
 
 use juniperwing_node::sessions_client::{BegunTurn, CommitUncertain, SessionError};
 use juniperwing_node::store::run_until;
-use juniperwing_protocol::session::{BeginTurn, FinishTurn, Turn};
+use juniperwing_protocol::session::{FinishTurn, Turn};
 use juniperwing_protocol::{ProgramId, RequestId};
 use juniperwing_storage::SegmentLog;
 use slog::{Discard, Logger, o};
-use stores::{STORE_COUNT, TEST_TIMEOUT, TestCluster};
+use stores::{STORE_COUNT, TEST_TIMEOUT, TestCluster, begin, turn};
 
 /// The timeout of calls that are expected to fail.
 const SHORT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Segments that may be open when a directory is renamed: one, and another if a slow call was made twice.
 const MAX_OPEN_SEGMENTS: usize = 4;
 
-fn begin(program: &str, request: &str, previous: Option<&str>, budget: Option<u64>) -> BeginTurn {
-    BeginTurn {
-        program: ProgramId::from(program),
-        request: RequestId::from(request),
-        previous: previous.map(RequestId::from),
-        budget,
-        max_tokens: 40,
-        imported: Vec::new(),
-    }
-}
-
-fn turn(request: &str, previous: Option<&str>) -> Turn {
-    Turn {
-        request: RequestId::from(request),
-        previous: previous.map(RequestId::from),
-        input: Arc::from(format!("in {request}").into_bytes()),
-        output: Arc::from(format!("out {request}\n").into_bytes()),
-        retention_ms: 60_000,
-        endpoint: Some("i-1".into()),
-    }
-}
-
 fn finish_stored(program: &str, request: &str, previous: Option<&str>) -> FinishTurn {
     FinishTurn {
         program: ProgramId::from(program),
--- a/crates/node/tests/store_files.rs
+++ b/crates/node/tests/store_files.rs
@@ -1,5 +1,6 @@
 //! A store keeps its files under the names, and its map version in the bytes, that earlier releases gave them.
 
+mod loopback;
 #[allow(dead_code)]
 mod stores;
 
--- a/crates/node/tests/stores/mod.rs
+++ b/crates/node/tests/stores/mod.rs
@@ -1,9 +1,7 @@
 //! Three stores on loopback, each on a thread of its own, with a keeper that publishes the maps it is given.
 
 use std::collections::BTreeMap;
-use std::net::Ipv4Addr;
 use std::path::{Path, PathBuf};
-use std::sync::atomic::{AtomicU8, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread::JoinHandle;
 use std::time::Duration;
@@ -11,14 +9,17 @@
 use juniperwing_node::link::{Link, LinkPool, ReplySender, Service, serve};
 use juniperwing_node::sessions_client::SessionsClient;
 use juniperwing_node::settings::Settings;
+use juniperwing_protocol::session::{BeginTurn, Turn};
 use juniperwing_protocol::subscription::{
     Assignment, CaughtUp, StoreMap, StoreNode, Subscribe, SubscriberKind, Update,
 };
-use juniperwing_protocol::{DiskId, EpochNumber, Message};
+use juniperwing_protocol::{DiskId, EpochNumber, Message, ProgramId, RequestId};
 use slog::{Discard, Logger, o};
 use tokio::net::TcpListener;
 use tokio::sync::{Notify, oneshot, watch};
 
+use crate::loopback::LoopbackNetwork;
+
 /// Far longer than anything takes; a test that waits for so long has failed.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 /// The number of stores.
@@ -198,7 +199,8 @@
         let listener = TcpListener::bind((network.address(KEEPER_NUMBER), FIRST_PORT + 1)).await.unwrap();
         let keeper = Arc::new(TestKeeper::default());
         tokio::spawn(serve(listener, keeper.clone()));
-        let directory = std::env::temp_dir().join(format!("juniperwing-store-{}-{name}", std::process::id()));
+        let directory_name = format!("juniperwing-store-{}-{}-{name}", std::process::id(), network.number());
+        let directory = std::env::temp_dir().join(directory_name);
         let _ = std::fs::remove_dir_all(&directory);
         let (map, watched) = watch::channel(Arc::default());
         let client = SessionsClient::new(Arc::new(LinkPool::new(Arc::new(TestKeeper::default()))), watched);
@@ -271,20 +273,26 @@
     }
 }
 
-/// The loopback addresses of one cluster, so that clusters of several tests never share a port.
-struct LoopbackNetwork {
-    process: u8,
-    cluster: u8,
-}
-
-impl LoopbackNetwork {
-    fn reserve() -> Self {
-        static CLUSTERS: AtomicU8 = AtomicU8::new(1);
-        let process = (std::process::id() % 200) as u8 + 20;
-        LoopbackNetwork { process, cluster: CLUSTERS.fetch_add(1, Ordering::Relaxed) }
+/// A turn of a program that is about to run.
+pub fn begin(program: &str, request: &str, previous: Option<&str>, budget: Option<u64>) -> BeginTurn {
+    BeginTurn {
+        program: ProgramId::from(program),
+        request: RequestId::from(request),
+        previous: previous.map(RequestId::from),
+        budget,
+        max_tokens: 40,
+        imported: Vec::new(),
     }
+}
 
-    fn address(&self, machine: u8) -> Ipv4Addr {
-        Ipv4Addr::new(127, self.process, self.cluster, machine)
+/// A stored turn.
+pub fn turn(request: &str, previous: Option<&str>) -> Turn {
+    Turn {
+        request: RequestId::from(request),
+        previous: previous.map(RequestId::from),
+        input: Arc::from(format!("in {request}").into_bytes()),
+        output: Arc::from(format!("out {request}\n").into_bytes()),
+        retention_ms: 60_000,
+        endpoint: Some("i-1".into()),
     }
 }
