--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,6 +1,6 @@
-//! Typed events, commands and configuration of a relay: what goes into the core and what comes out of it.
+//! Typed events, commands and configuration of a relay: the inputs and outputs of the core.
 //!
-//! There is no logic here, and nothing depends on how a front end serialises these types.
+//! These types contain no decision logic and do not depend on how a front end serialises them.
 
 mod command;
 mod config;
--- a/src/interface/command.rs
+++ b/src/interface/command.rs
@@ -1,12 +1,12 @@
-//! Commands: what a relay requests of its front end.
+//! Commands that a relay issues to its front end.
 
 use super::{EndpointId, NotificationId};
 use crate::time::Span;
 
-/// The longest delay of a wake-up that a relay requests; a front end need not support longer ones.
+/// The longest wake-up delay that a relay requests; a front end need not support longer ones.
 pub const MAX_WAKE_DELAY: Span = Span::from_millis(3_600_000);
 
-/// Something that the front end is to do.
+/// An action for the front end to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Push a notification to an endpoint.
@@ -15,26 +15,26 @@
         notification: NotificationId,
         /// The endpoint.
         endpoint: EndpointId,
-        /// When to abandon the push.
+        /// How long the push may take before it is abandoned.
         timeout: Span,
-        /// If the push is not sent within this time, because its connection is not up, it must not be sent at all.
+        /// If the connection is not established within this time, the push must not be sent at all.
         send_within: Span,
     },
     /// Cancel a push.
     Cancel {
         /// The notification.
         notification: NotificationId,
-        /// Which of its pushes, counted from 0.
+        /// The zero-based index of the push among the notification's pushes.
         push_index: u32,
     },
-    /// Final answer: rejected without any effect, so that the client may retry.
+    /// Final answer: the notification was rejected without being executed, and the client may retry it.
     Throttle {
         /// The notification.
         notification: NotificationId,
-        /// When the client should retry; zero if nothing is advised.
+        /// The delay after which the client should retry; zero if no delay is suggested.
         retry_after: Span,
     },
-    /// Final answer: expired; whether it was executed is unknown.
+    /// Final answer: the notification expired, and may have been executed.
     Expire(NotificationId),
     /// Send [`Event::WakeUp`](super::Event::WakeUp) after this delay.
     WakeAfter(Span),
@@ -44,8 +44,8 @@
     Probe(EndpointId),
     /// Close this relay's idle connections to an endpoint.
     CloseIdleConnections(EndpointId),
-    /// Drop the pushes to an endpoint that are not sent yet because their connection is not up.
+    /// Cancel the pushes to an endpoint that have not been sent yet because their connection is not established.
     CancelUnsent(EndpointId),
-    /// Write a line to the operators' log.
+    /// Write a line to the log.
     Log(String),
 }
--- a/src/interface/config.rs
+++ b/src/interface/config.rs
@@ -4,66 +4,68 @@
 
 use crate::time::Span;
 
-/// A relay's configuration: given at its start, and again whenever it changes.
+/// The configuration of a relay, passed at its start and whenever it changes.
 #[derive(Clone, Debug, Default)]
 pub struct RelayConfig {
-    /// The group of relays that it belongs to.
+    /// The group of relays that this relay belongs to.
     pub fleet: Fleet,
-    /// What it may use.
+    /// Resource limits and permitted operations.
     pub limits: RelayLimits,
-    /// The quantities in the rules of the service.
+    /// Parameters of the push rules.
     pub rules: RuleParameters,
 }
 
 /// The group of relays that this one belongs to.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
-    /// How many relays there are, this one included.
+    /// The number of relays, including this one.
     pub relay_count: usize,
-    /// Whether the rates of list entries are enforced limits, in calls a second over all relays, and not estimates.
+    /// Whether the rates of list entries are enforced limits, in calls per second over all relays, rather than
+    /// estimates.
     pub has_listed_rates: bool,
-    /// Whether updates of the endpoint list have to be requested.
+    /// Whether the relay must subscribe to receive updates of the endpoint list.
     pub is_list_on_request: bool,
-    /// Whether the relay is bound by what discovery has as soon as discovery has it, requested or not.
+    /// Whether a change of the endpoint list binds the relay as soon as discovery has it, even if the relay has not
+    /// received it.
     pub is_list_pushed: bool,
     /// The shortest interval between two calls of [`Relay::handle`](crate::Relay::handle).
     pub tick: Span,
-    /// The relay's own zone, where pushes to endpoints in other zones have a price.
+    /// The zone of the relay, if pushes to endpoints in other zones incur a cost.
     pub home_zone: Option<Arc<str>>,
 }
 
-/// What this relay may use.
+/// Resource limits and permitted operations of a relay.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RelayLimits {
-    /// Upper limit of calls in flight.
+    /// Maximum number of calls in flight.
     pub slots: usize,
-    /// Upper limit of pushes for one notification.
+    /// Maximum number of pushes of one notification.
     pub max_pushes: u32,
-    /// Upper limit of pending notifications, sent or not; beyond it the front end rejects submissions.
+    /// Maximum number of pending notifications, sent or not; above it the front end rejects submissions.
     pub max_pending: usize,
-    /// The longest retry delay that a client respects; zero if none may be given.
+    /// The longest retry delay that clients respect; zero if clients must not be given a delay.
     pub max_retry_after: Span,
     /// Whether endpoints may be probed.
     pub can_probe: bool,
-    /// Whether a push may be cancelled.
+    /// Whether pushes may be cancelled.
     pub can_cancel: bool,
-    /// The time after which endpoints close idle connections; the longest span if that is unknown.
+    /// The time after which endpoints close idle connections; the longest span if unknown.
     pub idle_timeout: Span,
 }
 
-/// The quantities in the rules of the service.
+/// Parameters of the push rules.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RuleParameters {
-    /// Without a subscription, a relay that has not requested the list for this long counts as notified.
+    /// A relay without a subscription counts as notified of list changes once its last request is this old.
     pub list_refresh_interval: Span,
-    /// The least fraction of its capacity that a destination has right after an outage, above 0 up to 1.
+    /// The minimum fraction of its capacity that a destination has right after an outage, above 0 and at most 1.
     pub warm_up_initial_fraction: f64,
-    /// How long after its return a destination has all of its capacity again, at the latest.
+    /// The maximum time from the end of an outage until the destination is back at full capacity.
     pub warm_up_duration: Span,
-    /// A destination that is warming up fails under load above this many times its present capacity...
+    /// A warming-up destination fails under a load above this multiple of its current capacity...
     pub overload_factor: f64,
     /// ...sustained for this long.
     pub overload_duration: Span,
-    /// How long a key has no push after one that may still be executing.
+    /// How long no push of a key is sent after a push of that key ended while possibly still executing.
     pub key_cooldown: Span,
 }
--- a/src/interface/endpoint_list.rs
+++ b/src/interface/endpoint_list.rs
@@ -9,22 +9,22 @@
 pub struct DestinationKind {
     /// Its name.
     pub name: String,
-    /// Whether its endpoints are separate routes, each with its own limit, waits and outages. The core treats them
-    /// as one destination all the same, which is stricter.
+    /// Whether its endpoints are independent routes, each with its own rate limit, retry-after delays and outages. The
+    /// core ignores this and always applies the stricter rules of a single destination.
     pub has_separate_routes: bool,
-    /// Upper limit of notifications in one call.
+    /// Maximum number of notifications in one call.
     pub max_notifications_per_call: usize,
 }
 
-/// The state of an endpoint in the list, which does not cover its health.
+/// The state of an endpoint in the list; it says nothing about the endpoint's health.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Readiness {
-    /// It accepts calls.
+    /// The endpoint accepts calls.
     #[default]
     Serving,
-    /// No new call may go to it.
+    /// No new calls may be sent to the endpoint.
     Draining,
-    /// It has left the list.
+    /// The endpoint has been removed from the list.
     Deleted,
 }
 
@@ -41,7 +41,7 @@
     pub zone: Arc<str>,
     /// Its state in the list.
     pub readiness: Readiness,
-    /// The listed rate in calls a second; see [`Fleet::has_listed_rates`](super::Fleet::has_listed_rates).
+    /// The listed rate in calls per second; see [`Fleet::has_listed_rates`](super::Fleet::has_listed_rates).
     pub rate_per_second: f64,
 }
 
@@ -50,9 +50,9 @@
 pub enum EndpointListUpdate {
     /// The entries that changed.
     Changes(Vec<EndpointEntry>),
-    /// All entries: endpoints that are missing have left the list.
+    /// All entries; endpoints that are absent have been removed from the list.
     Snapshot(Vec<EndpointEntry>),
-    /// All entries as an earlier process stored them; they may be outdated.
+    /// All entries as stored by an earlier process; they may be outdated.
     CachedSnapshot(Vec<EndpointEntry>),
     /// A request for the list failed or the subscription broke.
     Failed,
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -1,4 +1,4 @@
-//! Events: what a front end reports to the relay.
+//! Events that a front end reports to a relay.
 
 use super::{EndpointId, EndpointListUpdate, Notification, NotificationId, RelayConfig};
 use crate::time::Span;
@@ -10,19 +10,19 @@
     Delivered,
     /// The destination responded with an error; the push may have been executed.
     Error,
-    /// Rejected before it was read; it was never executed.
+    /// Rejected before the request was read; it was never executed.
     Busy,
-    /// No response in time; it may have been executed or still be executing.
+    /// No response in time; the push may have been executed or may still be executing.
     TimedOut,
     /// No connection could be opened; it was never executed.
     NoConnection,
     /// Rejected by an endpoint that is up but has too many connections; it was never executed.
     ConnectionLimitReached,
-    /// The connection broke; it may have been executed.
+    /// The connection was reset; the push may have been executed or may still be executing.
     Reset,
-    /// Cancelled; it may have been executed.
+    /// Cancelled; the push may have been executed or may still be executing.
     Cancelled,
-    /// Not sent at all.
+    /// Never sent.
     Skipped,
 }
 
@@ -47,62 +47,63 @@
 /// A destination's report of its rate limit.
 #[derive(Clone, Copy, Debug)]
 pub struct RateLimitReport {
-    /// The fraction of the limit that is left, 0 to 1.
+    /// The remaining fraction of the limit, 0 to 1.
     pub remaining_fraction: f64,
-    /// The limit in calls a second, over all relays; zero if there is none.
+    /// The limit in calls per second over all relays; zero if there is none.
     pub rate_per_second: f64,
 }
 
 /// How a push ended.
 #[derive(Clone, Debug)]
 pub struct PushOutcome {
-    /// The notification pushed.
+    /// The notification that was pushed.
     pub notification: NotificationId,
-    /// Which of its pushes, counted from 0.
+    /// The zero-based index of the push among the notification's pushes.
     pub push_index: u32,
     /// The endpoint it was pushed to.
     pub endpoint: EndpointId,
     /// How the push ended.
     pub status: CallStatus,
-    /// How long ago it was sent.
+    /// The time since the push was sent.
     pub elapsed: Span,
-    /// Whether the notification has its final answer, by this push or earlier.
+    /// Whether the notification has a final answer, from this push or an earlier one.
     pub has_final_answer: bool,
-    /// The delay before the next call that the destination requested, whatever the push's outcome.
+    /// The delay before the next call that the destination requested; possible with any status.
     pub retry_after: Option<Span>,
     /// The destination's report of its rate limit.
     pub rate_limit: Option<RateLimitReport>,
 }
 
-/// Something that happened to this relay.
+/// An event for a relay.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// An update of the endpoint list arrived.
     EndpointListUpdated(EndpointListUpdate),
-    /// A notification was accepted; it must get exactly one final answer.
+    /// A notification was accepted; it must receive exactly one final answer.
     Accepted(Notification),
     /// A push ended.
     PushEnded(PushOutcome),
-    /// A response to a call that had already ended requests a delay before the next call.
+    /// A response that arrived after its call had ended requests a delay before the next call.
     RetryAfterReported {
         /// The endpoint.
         endpoint: EndpointId,
-        /// The delay that it requests.
+        /// The requested delay.
         retry_after: Span,
     },
-    /// The client has withdrawn the notification; it needs no final answer any more.
+    /// The client withdrew the notification, which no longer needs a final answer.
     Withdrawn(NotificationId),
-    /// The client has received the final answer that the relay gave.
+    /// The client received the final answer.
     FinalAnswerAcknowledged(NotificationId),
-    /// The configuration was replaced. Decisions already made stand; a notification keeps its topic type.
+    /// The configuration was replaced. Earlier decisions remain in effect, and pending notifications keep their topic
+    /// type.
     ConfigChanged(RelayConfig),
-    /// The upper limit of calls in flight, which overrides the configuration's.
+    /// The maximum number of calls in flight changed; the lower of this and the configured limit applies.
     SlotLimitChanged(usize),
-    /// A wake-up that was requested.
+    /// A requested wake-up is due.
     WakeUp,
     /// A probe ended.
     ProbeEnded {
-        /// The endpoint probed.
+        /// The probed endpoint.
         endpoint: EndpointId,
         /// How the probe ended.
         status: CallStatus,
--- a/src/interface/ids.rs
+++ b/src/interface/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers, as the front end assigned them.
+//! Identifiers, assigned by the front end.
 
 use std::sync::Arc;
 
--- a/src/interface/notification.rs
+++ b/src/interface/notification.rs
@@ -14,30 +14,30 @@
     Zone,
 }
 
-/// What happens if a notification of a topic type is executed twice.
+/// The effect of executing a notification of a topic type more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Semantics {
-    /// Nothing: it may be executed again.
+    /// None: it may be executed again.
     Idempotent,
-    /// The endpoints in `scope` drop duplicates for `window`, counted from the first push that may have been executed.
+    /// The endpoints in `scope` drop duplicates for `window` after the first push that may have been executed.
     Deduplicated {
         /// The endpoints that drop duplicates.
         scope: DeduplicationScope,
         /// How long they drop duplicates.
         window: Span,
     },
-    /// It must never be executed twice.
+    /// It must not be executed more than once.
     #[default]
     NonIdempotent,
 }
 
 impl Semantics {
-    /// Whether a notification that may have been executed may be pushed again at all.
+    /// Whether a notification that may have been executed may ever be pushed again.
     pub const fn is_retryable(self) -> bool {
         !matches!(self, Semantics::NonIdempotent)
     }
 
-    /// How long duplicates are dropped; `None` where they are not.
+    /// How long duplicates are dropped; `None` if they are not dropped.
     pub const fn deduplication_window(self) -> Option<Span> {
         match self {
             Semantics::Deduplicated { window, .. } => Some(window),
@@ -46,31 +46,31 @@
     }
 }
 
-/// A topic type and what its clients require of it.
+/// A topic type and its delivery requirements.
 #[derive(Clone, Debug, Default)]
 pub struct TopicType {
     /// Its name.
     pub name: String,
-    /// What a second execution would do.
+    /// The effect of executing a notification more than once.
     pub semantics: Semantics,
-    /// The latency objective: delivered within this time, a notification earns its full benefit.
+    /// The latency objective: a notification delivered within this time has its full benefit.
     pub latency_target: Span,
-    /// Time to live: how long a notification may be delivered, counted from its submission.
+    /// Time to live: how long after its submission a notification may be delivered.
     pub ttl: Span,
     /// The benefit of a delivery within the latency target.
     pub benefit: f64,
-    /// The fraction of the benefit that is left at the TTL, 0 to 1.
+    /// The fraction of the benefit that remains at the end of the TTL, 0 to 1.
     pub late_benefit_fraction: f64,
-    /// Whether notifications with one key are delivered one at a time, in the order of acceptance.
+    /// Whether notifications with the same key are delivered one at a time, in order of acceptance.
     pub is_ordered: bool,
 }
 
-/// An account and the part of the service that it may use.
+/// An account and its quota.
 #[derive(Clone, Debug, Default)]
 pub struct Account {
     /// Its name.
     pub name: String,
-    /// Notifications a second within its quota share, over all relays.
+    /// Its quota in notifications per second over all relays.
     pub quota_per_second: f64,
 }
 
@@ -83,18 +83,18 @@
     pub zone: Arc<str>,
 }
 
-/// What an earlier process did with a notification that has no acknowledged final answer yet.
+/// The delivery history of a notification, as restored after a restart.
 #[derive(Clone, Debug, Default)]
 pub struct NotificationHistory {
-    /// How many times it was pushed.
+    /// The number of pushes so far.
     pub push_count: u32,
     /// The first push that may have been executed.
     pub first_possible_run: Option<PossibleRun>,
-    /// When a push last ended that may still be executing.
+    /// The latest time at which a push ended while possibly still executing.
     pub last_doubtful_end: Option<Time>,
-    /// It has its final answer, which its client has not acknowledged.
+    /// Whether it has a final answer that its client has not acknowledged.
     pub has_final_answer: bool,
-    /// It was accepted by an earlier process.
+    /// Whether it was accepted by an earlier process.
     pub is_recovered: bool,
 }
 
@@ -103,16 +103,16 @@
 pub struct Notification {
     /// Its id.
     pub id: NotificationId,
-    /// The destination it is for.
+    /// Its destination.
     pub destination: DestinationId,
     /// Its topic type.
     pub topic: Arc<TopicType>,
     /// Its account, if it has one.
     pub account: Option<Arc<Account>>,
-    /// The key that orders it, if its topic type is ordered.
+    /// Its ordering key, used if the topic type is ordered.
     pub key: Option<String>,
     /// Its deadline; it must not be delivered later.
     pub valid_until: Time,
-    /// What was done with it before this process started; the default if it is new.
+    /// Its history before this process started; the default if it is new.
     pub history: NotificationHistory,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
 //! The decisions of a notification relay: which notification is pushed to which endpoint, when, with what
 //! timeout, and when it expires.
 //!
-//! The crate is pure: typed events and a clock go in, commands come out ([`Relay::handle`]). It does no I/O and
-//! has no wire format; a front end such as `crates/adapter` or `crates/relay` carries both. `docs/design.md`
-//! explains the design.
+//! The crate does no I/O and defines no wire format: [`Relay::handle`] takes typed events and the current time and
+//! returns commands. I/O and serialisation belong to a front end such as `crates/adapter` or `crates/relay`.
+//! `docs/design.md` explains the design.
 
 pub mod interface;
 mod message;
--- a/src/relay.rs
+++ b/src/relay.rs
@@ -1,4 +1,4 @@
-//! A relay: its components, the routing of events, and the loop that delivers messages. It makes no decisions.
+//! A relay: its components, the routing of events, and the message loop. Decisions are made in [`rules`](crate::rules).
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,12 +11,12 @@
 use crate::state::{Destination, DestinationLimiter, Endpoint, EndpointList, KeyQueues, Slots};
 use crate::time::Time;
 
-/// The core of a relay. Its decisions depend only on its events, its clock and its seed.
+/// The core of a relay. It is deterministic: its commands depend only on its configuration, events, clock and seed.
 pub struct Relay {
     config: Arc<RelayConfig>,
-    /// Upper limit of slots, which overrides the configuration's.
+    /// Upper limit on slots, in addition to the configured one.
     slot_limit: usize,
-    /// When the next wake-up requested is due.
+    /// When the earliest requested wake-up is due.
     next_wake_at: Time,
     outbox: Outbox,
     endpoint_list: EndpointList,
@@ -28,7 +28,7 @@
 }
 
 impl Relay {
-    /// A relay that has just started, without endpoints and notifications.
+    /// Creates a relay without endpoints or notifications.
     pub fn new(now: Time, seed: u64, config: RelayConfig) -> Self {
         let mut outbox = Outbox::new(seed);
         let subscribe_at = if config.fleet.is_list_on_request { now } else { Time::NEVER };
@@ -61,7 +61,7 @@
         std::mem::take(&mut self.outbox.commands)
     }
 
-    /// The component that an event goes to, and the message.
+    /// Maps an event to a component and the message for it; `None` if no component handles it.
     fn route(&mut self, event: Event) -> Option<(Component, Message)> {
         Some(match event {
             Event::EndpointListUpdated(update) => {
@@ -93,15 +93,15 @@
         })
     }
 
-    /// The destination at which a notification is pending.
+    /// The destination that has a notification pending.
     fn destination_of(&self, id: NotificationId) -> Option<Component> {
         let (destination, _) =
             self.destinations.iter().find(|(_, destination)| destination.is_pending(id))?;
         Some(Component::Destination(*destination))
     }
 
-    /// Requests a wake-up for the next timer, unless one that was requested earlier will do. One that is due within
-    /// a tick may have come by now, for a front end's clock can be coarser than this one.
+    /// Requests a wake-up for the next timer, unless one requested earlier is soon enough. A wake-up due within one
+    /// tick is not relied on: the front end may have delivered it already, as its clock can be coarser than this one.
     fn request_wake_up(&mut self, now: Time) {
         let next = self.outbox.next_timer().min(now + MAX_WAKE_DELAY);
         if self.next_wake_at <= now + self.config.fleet.tick || next < self.next_wake_at {
@@ -110,9 +110,9 @@
         }
     }
 
-    /// Gives all components a new configuration. Their state is retained.
+    /// Passes a new configuration to all components, which keep their state.
     fn apply_config(&mut self, config: Arc<RelayConfig>) {
-        // Updates of the list may have to be requested from now on. A subscription that exists loses nothing.
+        // List updates may now require a subscription. Subscribing again is harmless if one exists.
         if config.fleet.is_list_on_request && !self.config.fleet.is_list_on_request {
             self.outbox.set_timer(Component::EndpointList, self.outbox.now);
         }
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -1,10 +1,10 @@
-//! All decisions of a relay, a module for each concern; no I/O, no wire format. `docs/design.md` gives the reasons.
+//! The decision logic of a relay, one module for each concern. `docs/design.md` explains the reasons.
 //!
-//! Components have inboxes and communicate only by messages (`message.rs`), which one loop (`relay.rs`) delivers. A
-//! call passes them in turn: `Slots` offers a slot to a `Destination`, which selects notifications (cutoff,
-//! semantics, order) and proposes the call to an `Endpoint` (drains, health), which passes it to its
-//! `DestinationLimiter` (waits, limits, recovery), which sends it. The restart timer and the release of slots are
-//! `juniperwing-restart`'s. The tuned values are in `tuning.rs`.
+//! Components communicate only through messages (`message.rs`), delivered by the loop in `relay.rs`. A call goes
+//! through them in this order: `Slots` offers a slot to a `Destination`, which selects notifications (cutoff,
+//! semantics, order) and proposes a call to an `Endpoint` (draining, health). The endpoint forwards it to the
+//! `DestinationLimiter` (retry-after delays, rate limits, recovery), which sends it. `juniperwing-restart` implements
+//! the restart timer and the scheduling of slots. The tuning constants are in `tuning.rs`.
 
 mod backoff;
 mod destination;
--- a/src/rules/backoff.rs
+++ b/src/rules/backoff.rs
@@ -4,8 +4,8 @@
 use crate::outbox::Outbox;
 use crate::time::Span;
 
-/// A backoff that grows with each `failures` in a row from `first` up to `longest` (or a multiple of `first`, if that
-/// is longer); jitter keeps many relays from coming back in step.
+/// Returns a backoff that grows exponentially from `first` with the number of consecutive `failures`, up to `longest`
+/// or [`MAX_BACKOFF_FACTOR`] times `first`, whichever is longer. Jitter prevents many relays from retrying in step.
 pub(super) fn backoff(first: Span, failures: i32, longest: Span, outbox: &mut Outbox) -> Span {
     let longest = longest.max(first.mul_f64(MAX_BACKOFF_FACTOR));
     let backoff = first.mul_f64(BACKOFF_GROWTH.powi(failures.min(8))).min(longest);
--- a/src/rules/destination.rs
+++ b/src/rules/destination.rs
@@ -1,4 +1,4 @@
-//! Destinations: which notifications are pending, to which endpoint they are proposed, and when they expire.
+//! Destinations: accepts notifications, proposes calls to endpoints, and rejects or expires what cannot be delivered.
 
 use super::tuning::{LOAD_MEMORY_FACTOR, MIN_TIME_LEFT};
 use crate::interface::{CallStatus, Command, Notification, PushOutcome};
@@ -31,10 +31,10 @@
                     return;
                 }
             }
-            Message::SlotOffered => return self.offer_slot(0, Time::NEVER, outbox),
+            Message::SlotOffered => return self.propose_call(0, Time::NEVER, outbox),
             Message::CallDeclined { until } => {
                 let usable_from = self.slot_usable_from.min(until);
-                return self.offer_slot(self.endpoints_tried + 1, usable_from, outbox);
+                return self.propose_call(self.endpoints_tried + 1, usable_from, outbox);
             }
             Message::SlotsUnavailable { until } => return self.decline_slot(until, outbox),
             Message::ShedLoad { includes_non_idempotent } => {
@@ -57,9 +57,10 @@
         self.accepted_times.retain(|at| now.since(*at) < memory);
     }
 
-    /// Expires what cannot be delivered, requests a slot for what is ready, and sets a timer for the next deadline.
+    /// Ends notifications that cannot be delivered, cancels overdue pushes, sets a timer for the next deadline, and
+    /// requests a slot if any notification is waiting.
     fn update_schedule(&mut self, outbox: &mut Outbox) {
-        self.give_up_undeliverable(outbox);
+        self.end_undeliverable(outbox);
         outbox.set_timer(Component::Destination(self.id), self.next_deadline(outbox.now));
         self.cancel_overdue(false, false, outbox);
         let is_waiting = |pending: &PendingNotification| {
@@ -70,7 +71,7 @@
         }
     }
 
-    /// When time alone next changes what may be done with a notification that is not in flight.
+    /// The next time at which the options for a notification that is not in flight change without an event.
     fn next_deadline(&self, now: Time) -> Time {
         let cutoff = self.latencies.median().max(MIN_TIME_LEFT) - Span::from_nanos(1);
         let deadlines = |pending: &PendingNotification| {
@@ -84,8 +85,8 @@
         waiting.flat_map(deadlines).filter(|at| *at > now).fold(Time::NEVER, Time::min)
     }
 
-    /// Cancels overdue pushes, or sets a timer for when they are: where slots are full, and where two or more of the
-    /// same key wait.
+    /// Cancels overdue pushes if all slots are in use or a push blocks two or more notifications of its key. Sets a
+    /// timer for pushes that are not overdue yet.
     fn cancel_overdue(&mut self, are_slots_full: bool, includes_non_idempotent: bool, outbox: &mut Outbox) {
         if !self.config.limits.can_cancel {
             return;
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Whether two or more notifications wait for one of the same key.
+    /// Whether two or more notifications with the same key wait for this one.
     fn blocks_key(&self, pending: &PendingNotification) -> bool {
         let is_behind = |other: &&PendingNotification| {
             !other.is_key_granted && other.notification.key == pending.notification.key
@@ -122,9 +123,10 @@
         pending.notification.topic.is_ordered && self.pending.iter().filter(is_behind).count() > 1
     }
 
-    /// Proposes a call to the next endpoint in rotation, those of the own zone first if crossing zones has a price. In
-    /// the first of two turns a retry goes to another endpoint than before.
-    fn offer_slot(&mut self, endpoints_tried: usize, usable_from: Time, outbox: &mut Outbox) {
+    /// Proposes a call to the next endpoint in rotation, trying endpoints of the home zone first if cross-zone pushes
+    /// incur a cost. The first of two passes over the endpoints skips notifications whose previous push went to the
+    /// same endpoint.
+    fn propose_call(&mut self, endpoints_tried: usize, usable_from: Time, outbox: &mut Outbox) {
         (self.endpoints_tried, self.slot_usable_from) = (endpoints_tried, usable_from);
         let order = self.rotation();
         while self.endpoints_tried < 2 * order.len() && !self.pending.is_empty() {
@@ -140,14 +142,14 @@
         self.decline_slot(usable_from, outbox);
     }
 
-    /// Expires what cannot be delivered if no call is sent before `until`, and declines the slot.
+    /// Ends notifications that cannot be delivered if no call is sent before `until`, and declines the slot.
     fn decline_slot(&mut self, until: Time, outbox: &mut Outbox) {
         (self.endpoints_tried, self.slot_usable_from) = (2 * self.endpoints.len(), until);
-        self.give_up_undeliverable(outbox);
+        self.end_undeliverable(outbox);
         outbox.send(Component::Slots, Message::SlotDeclined { destination: self.id, until });
     }
 
-    /// The indices of the endpoints in the order in which a call is proposed to them.
+    /// The indices of the endpoints in the order in which calls are proposed to them.
     fn rotation(&self) -> Vec<usize> {
         let count = self.endpoints.len();
         let mut order: Vec<usize> = (0..count).map(|i| (self.rotation_start + i) % count).collect();
@@ -157,7 +159,7 @@
     }
 
     fn handle_push_ended(&mut self, outcome: &PushOutcome, is_first_of_call: bool, now: Time) {
-        // Rejections and refused connections are no evidence of latency.
+        // Rejections and refused connections provide no information about latency.
         let (status, was_delivered) = (outcome.status, outcome.status == CallStatus::Delivered);
         let has_latency = was_delivered || matches!(status, CallStatus::TimedOut | CallStatus::Cancelled);
         if is_first_of_call && has_latency {
@@ -180,18 +182,18 @@
         }
     }
 
-    /// Expires every notification that cannot be delivered, given that none can be sent before `slot_usable_from`.
-    fn give_up_undeliverable(&mut self, outbox: &mut Outbox) {
+    /// Ends every notification that cannot be delivered, given that none can be sent before `slot_usable_from`.
+    fn end_undeliverable(&mut self, outbox: &mut Outbox) {
         let is_known = self.slot_usable_from < Time::NEVER;
         let sendable_from = if is_known { self.slot_usable_from.max(outbox.now) } else { outbox.now };
         for index in (0..self.pending.len()).rev() {
             if self.is_undeliverable(&self.pending[index], sendable_from, outbox.now) {
-                self.give_up(index, sendable_from, outbox);
+                self.reject_or_expire(index, sendable_from, outbox);
             }
         }
     }
 
-    /// The design's cutoff: whether a notification that is not in flight cannot be pushed (again) in time.
+    /// The cutoff: whether a notification that is not in flight can no longer be pushed in time.
     fn is_undeliverable(&self, pending: &PendingNotification, sendable_from: Time, now: Time) -> bool {
         if pending.in_flight.is_some() || pending.history.has_final_answer {
             return false;
@@ -201,8 +203,9 @@
         !(is_in_time && pending.can_run(now, None, self.config.limits.max_pushes))
     }
 
-    /// Rule: one final answer. The notification is removed, unless the next of its key waits for the acknowledgement.
-    fn give_up(&mut self, index: usize, sendable_from: Time, outbox: &mut Outbox) {
+    /// Gives the final answer, unless the notification has one, and removes the notification. An ordered notification
+    /// is kept until its final answer is acknowledged, because the next one of its key must wait for that.
+    fn reject_or_expire(&mut self, index: usize, sendable_from: Time, outbox: &mut Outbox) {
         let retry_after = self.latencies.median().max(MIN_TIME_LEFT).max(sendable_from.since(outbox.now));
         let retry_after = self.config.limits.max_retry_after.min(retry_after);
         let pending = &mut self.pending[index];
--- a/src/rules/destination_limiter.rs
+++ b/src/rules/destination_limiter.rs
@@ -1,4 +1,4 @@
-//! Limits of the calls to a destination: waits, rate limits, backoff, and slow start after an outage.
+//! Limits calls to a destination: retry-after delays, rate limits, backoff, and slow start after an outage.
 
 use super::backoff::backoff;
 use super::tuning::*;
@@ -9,7 +9,7 @@
 use crate::time::{Span, Time};
 
 impl RateLimitReport {
-    /// Whether there is a limit, and next to nothing left of it.
+    /// Whether there is a limit and less than [`NEARLY_EXHAUSTED_FRACTION`] of it remains.
     pub(super) fn is_nearly_exhausted(self) -> bool {
         self.rate_per_second > 0.0 && self.remaining_fraction < NEARLY_EXHAUSTED_FRACTION
     }
@@ -19,7 +19,7 @@
     pub(crate) fn handle(&mut self, message: Message, outbox: &mut Outbox) {
         match message {
             Message::CallProposed(call) => self.handle_call_proposed(call, outbox),
-            Message::RetryAfterReported(retry_after) => self.extend_wait(retry_after, outbox.now),
+            Message::RetryAfterReported(retry_after) => self.extend_retry_after(retry_after, outbox.now),
             Message::CallEnded(_) => self.calls_in_flight = self.calls_in_flight.saturating_sub(1),
             Message::Recovered { at, is_seen_by_all } => self.start_recovery(at, is_seen_by_all, outbox),
             Message::PushEnded { outcome, is_first_of_call } => {
@@ -60,14 +60,14 @@
         outbox.send(Component::Destination(call.destination), Message::CallSent(call));
     }
 
-    fn extend_wait(&mut self, retry_after: Span, now: Time) {
+    fn extend_retry_after(&mut self, retry_after: Span, now: Time) {
         self.retry_after_until = self.retry_after_until.max(now + retry_after);
     }
 
-    /// Begins a slow start at `at`. Where other relays do so at the same moment, the first call follows at random.
+    /// Starts a slow start at `at`. If other relays may do so at the same time, the first call is delayed randomly.
     fn start_recovery(&mut self, at: Time, is_seen_by_all: bool, outbox: &mut Outbox) {
         let max_delay = if is_seen_by_all {
-            self.equal_part_interval().min(self.config.rules.warm_up_duration)
+            self.equal_share_interval().min(self.config.rules.warm_up_duration)
         } else {
             Span::ZERO
         };
@@ -77,26 +77,26 @@
 
     fn handle_push_ended(&mut self, outcome: &PushOutcome, is_first_of_call: bool, outbox: &mut Outbox) {
         if let Some(retry_after) = outcome.retry_after {
-            self.extend_wait(retry_after, outbox.now);
-            // Guards against all who have to wait, when the wait ends: they would come back at the same time.
+            self.extend_retry_after(retry_after, outbox.now);
+            // All relays may have received this delay, and would otherwise all resume at full rate when it ends.
             let rate = outcome.rate_limit.map_or(self.rate_per_second, |limit| limit.rate_per_second);
             let min_outage = self.config.rules.overload_duration.mul_f64(MIN_OUTAGE_FACTOR);
-            let is_limit_wait = rate > 0.0 && retry_after < min_outage;
-            if is_first_of_call && !is_limit_wait {
+            let is_rate_limit_delay = rate > 0.0 && retry_after < min_outage;
+            if is_first_of_call && !is_rate_limit_delay {
                 self.start_recovery(self.retry_after_until, true, outbox);
             }
         }
         if is_first_of_call {
-            self.adapt(outcome, outbox);
+            self.adjust_limits(outcome, outbox);
         }
     }
 
-    /// The interval between this relay's calls right after an outage, if all relays send equal parts.
-    fn equal_part_interval(&self) -> Span {
+    /// The interval between this relay's calls right after an outage, if all relays send an equal share.
+    fn equal_share_interval(&self) -> Span {
         self.recovery_interval.mul_f64(1.0 / self.config.rules.warm_up_initial_fraction)
     }
 
-    /// The time that the rate limit allows for so many calls; zero if there is no limit.
+    /// The time that `count` calls take at the rate limit; zero if there is no limit.
     fn time_for_calls(&self, count: f64) -> Span {
         if self.rate_per_second > 0.0 {
             Span::from_secs_f64(count / self.rate_per_second)
@@ -105,7 +105,8 @@
         }
     }
 
-    /// Rules: no call during a wait; after an outage, no more than this relay's part. Returns when a call may be sent.
+    /// Returns the earliest time at which a call may be sent: not during a retry-after delay or a backoff, within the
+    /// rate limit, and after an outage within this relay's share of the destination's capacity.
     fn accepts_calls_from(&self, now: Time, push_count: usize) -> Time {
         if self.calls_in_flight as f64 >= self.concurrency_window {
             return Time::NEVER;
@@ -124,8 +125,8 @@
         from.max(recovery.first_call_at).max(self.last_sent_at + interval.mul_f64(weight))
     }
 
-    /// Adapts pacing, backoff and concurrency to the outcome of a call.
-    fn adapt(&mut self, outcome: &PushOutcome, outbox: &mut Outbox) {
+    /// Adjusts pacing, backoff and the concurrency window to the outcome of a call.
+    fn adjust_limits(&mut self, outcome: &PushOutcome, outbox: &mut Outbox) {
         let (status, rate_limit) = (outcome.status, outcome.rate_limit);
         if let Some(limit) = rate_limit {
             (self.rate_per_second, self.is_rate_reported) = (limit.rate_per_second, true);
@@ -153,19 +154,20 @@
         self.concurrency_window = (self.concurrency_window * factor).max(1.0);
     }
 
-    /// Rejected calls use the rate limit up too, so all that are sent must come more rarely.
+    /// Lengthens the pacing interval. A backoff alone is not enough, because rejected calls count against the rate
+    /// limit too.
     fn handle_limit_exceeded(&mut self, is_limit_reported: bool, retry_after: Span, outbox: &mut Outbox) {
-        let equal_part = self.time_for_calls(self.config.fleet.relay_count as f64);
-        let (own_part, growth) = if is_limit_reported {
+        let equal_share = self.time_for_calls(self.config.fleet.relay_count as f64);
+        let (own_share, growth) = if is_limit_reported {
             let RecentLoad { calls, period } = self.recent_load;
-            ((period + equal_part).mul_f64(1.0 / calls).min(equal_part), PACING_GROWTH)
+            ((period + equal_share).mul_f64(1.0 / calls).min(equal_share), PACING_GROWTH)
         } else {
-            // The reported wait determines the pacing: all relays resume at its end, and would exhaust the limit again.
+            // Pace by the requested delay: all relays resume when it ends and would otherwise exhaust the limit again.
             let wait = retry_after.mul_f64(PACING_WAIT_FACTOR);
             (self.time_for_calls(MIN_BACKOFF_CALLS).max(wait), PACING_GROWTH_WITHOUT_LIMIT)
         };
-        let longest = equal_part.mul_f64(MAX_PACING_FACTOR).max(own_part);
-        self.pacing_interval = self.pacing_interval.mul_f64(growth).max(own_part).min(longest);
+        let longest = equal_share.mul_f64(MAX_PACING_FACTOR).max(own_share);
+        self.pacing_interval = self.pacing_interval.mul_f64(growth).max(own_share).min(longest);
         let jitter = 0.5 + outbox.random_fraction();
         self.backoff_until = outbox.now + self.pacing_interval.mul_f64(jitter);
         if !is_limit_reported {
@@ -187,25 +189,26 @@
     }
 
     fn handle_refusal(&mut self, outcome: &PushOutcome, outbox: &mut Outbox) {
-        let is_mild = if outcome.status == CallStatus::Busy {
+        let is_likely_limit = if outcome.status == CallStatus::Busy {
             outcome.rate_limit.is_some_and(|limit| limit.rate_per_second > 0.0)
         } else {
-            // A full table of connections refuses at once, an endpoint out of reach does not.
+            // An endpoint at its connection limit refuses immediately; an unreachable one does not.
             outcome.elapsed < self.config.rules.overload_duration.mul_f64(IMMEDIATE_REFUSAL_FACTOR)
         };
-        self.back_off(outcome.status, if is_mild { 1 } else { 2 }, outbox);
+        self.back_off(outcome.status, if is_likely_limit { 1 } else { 2 }, outbox);
         self.shrink_window(WINDOW_REFUSAL_FACTOR);
     }
 
-    /// Backs off after a refusal; `growth` multiplies the count of refusals in a row. A relay with little traffic
-    /// cannot tell a limit from an outage, after which all relays count: it calls ever more rarely.
+    /// Backs off after a refusal; `growth` multiplies the number of consecutive refusals. The backoff keeps growing
+    /// because a relay with little traffic cannot distinguish a limit from an outage, after which the calls of all
+    /// relays add up.
     fn back_off(&mut self, status: CallStatus, growth: i32, outbox: &mut Outbox) {
         let first = MIN_BACKOFF.max(self.time_for_calls(MIN_BACKOFF_CALLS));
         let longest = match status {
             CallStatus::ConnectionLimitReached => Span::ZERO,
-            // No limit was reported, so nothing is lost by keeping to the equal part.
-            CallStatus::NoConnection => self.equal_part_interval(),
-            _ => self.equal_part_interval().min(self.config.rules.warm_up_duration),
+            // No limit was reported, so keeping to the equal share loses nothing.
+            CallStatus::NoConnection => self.equal_share_interval(),
+            _ => self.equal_share_interval().min(self.config.rules.warm_up_duration),
         };
         let delay = backoff(first, growth * self.consecutive_refusals, longest, outbox);
         self.backoff_until = self.backoff_until.max(outbox.now + delay);
--- a/src/rules/endpoint.rs
+++ b/src/rules/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints: drains, idle connections, and health.
+//! Endpoints: draining, idle connections and health checks by call outcomes.
 
 use super::tuning::{
     EJECTION_THRESHOLD, IDLE_LIMIT_FRACTION, IDLE_LIMIT_MEMORY, MAX_IDLE_EVIDENCE_AGE_FACTOR,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The listed rate limit in calls a second over all relays; zero if there is none.
+    /// The listed rate limit in calls per second over all relays; zero if there is none.
     fn listed_rate_per_second(&self) -> f64 {
         if self.config.fleet.has_listed_rates { self.entry.rate_per_second } else { 0.0 }
     }
@@ -56,13 +56,13 @@
         outbox.send(Component::DestinationLimiter(call.destination), Message::CallProposed(call));
     }
 
-    /// How long connections may be idle, if that is known to be limited.
+    /// How long connections may be idle; `None` if no limit is known.
     fn max_idle(&self, now: Time) -> Option<Span> {
         let limit = self.idle_limit.filter(|limit| now.since(limit.learned_at) < IDLE_LIMIT_MEMORY)?;
         Some(limit.max_idle)
     }
 
-    /// Rule: no call to an endpoint that drains or has left the list. Returns when a call may be sent.
+    /// Returns the earliest time at which a call may be sent; never to an endpoint that is draining or was removed.
     fn accepts_calls_from(&self, now: Time) -> Time {
         let max_notifications = self.entry.kind.max_notifications_per_call;
         if self.entry.readiness != Readiness::Serving {
@@ -72,10 +72,10 @@
             .last()
             .is_some_and(|call| call.sent_at == now && call.notifications.len() < max_notifications)
         {
-            // A second call in the same round would be joined to the first.
+            // A second call in the same round would be merged into the first.
             now + Span::from_nanos(1)
         } else if let Some(next_trial_at) = self.ejected_until {
-            // A call still in flight there reports the recovery by itself, and uses no further slot.
+            // Wait for a call still in flight, which detects the recovery without using another slot.
             let delay_factor = if self.calls.is_empty() { 0.0 } else { TRIAL_DELAY_FACTOR };
             next_trial_at + self.config.rules.overload_duration.mul_f64(delay_factor)
         } else {
@@ -106,13 +106,14 @@
             self.calls.remove(index);
             outbox.send(Component::DestinationLimiter(destination), Message::CallEnded(destination));
             outbox.send(Component::Slots, Message::CallEnded(destination));
-            // Guards against few connections, full of idle ones: where they are short, or this relay calls too rarely.
+            // Idle connections must not use up the endpoint's connection limit: close them if connections are
+            // scarce, or if this relay calls so rarely that the endpoint would close them first.
             if is_rarely_used || self.max_idle(outbox.now) == Some(Span::ZERO) {
                 outbox.commands.push(Command::CloseIdleConnections(self.entry.endpoint.clone()));
             }
         }
         if is_first_of_call {
-            // Guards against calls whose connections are not up yet: they would be sent during the wait.
+            // Calls whose connections are not established yet would otherwise be sent during the requested delay.
             if outcome.retry_after.is_some() {
                 outbox.send(Component::Destination(destination), Message::CancelUnsent);
             }
@@ -123,7 +124,7 @@
         outbox.send(Component::Destination(destination), message(outcome));
     }
 
-    /// Updates the endpoint's health by the outcome of a call.
+    /// Updates the endpoint's health from the outcome of a call.
     fn update_health(
         &mut self, sent_at: Time, status: CallStatus, rate_limit: Option<RateLimitReport>,
         outbox: &mut Outbox,
@@ -134,7 +135,7 @@
         if status == CallStatus::ConnectionLimitReached {
             self.handle_connection_shortage(outbox);
         }
-        if self.is_sign_of_outage(status, rate_limit, outbox.now) {
+        if self.indicates_outage(status, rate_limit, outbox.now) {
             self.consecutive_failures += 1;
         }
         if status == CallStatus::NoConnection {
@@ -143,28 +144,28 @@
         self.eject_if_unhealthy(outbox);
     }
 
-    fn is_sign_of_outage(&self, status: CallStatus, rate_limit: Option<RateLimitReport>, now: Time) -> bool {
+    fn indicates_outage(&self, status: CallStatus, rate_limit: Option<RateLimitReport>, now: Time) -> bool {
         match status {
             CallStatus::Delivered | CallStatus::ConnectionLimitReached | CallStatus::Skipped => false,
-            // Above a limit, it is up.
+            // A rejection by a rate limit shows that the endpoint is up.
             CallStatus::Busy => {
                 let has_listed_rate = self.listed_rate_per_second() > 0.0;
                 !rate_limit.map_or(has_listed_rate, RateLimitReport::is_nearly_exhausted)
             }
-            // Up, as a call in flight shows that is not overdue.
+            // The endpoint counts as up while a call in flight is not overdue.
             CallStatus::NoConnection => self.calls.iter().all(|call| call.is_overdue(now)),
             CallStatus::Error | CallStatus::TimedOut | CallStatus::Reset | CallStatus::Cancelled => true,
         }
     }
 
-    /// A call sent at `sent_at` was delivered.
+    /// Handles the delivery of a call that was sent at `sent_at`.
     fn handle_delivery(&mut self, sent_at: Time, outbox: &mut Outbox) {
         let now = outbox.now;
         let min_outage = self.config.rules.overload_duration.mul_f64(MIN_OUTAGE_FACTOR);
-        // Too short for an outage, as far as this relay saw: no reason to limit the load.
+        // From this relay's point of view, too short to be an outage: no slow start is needed.
         let is_brief = self.last_delivered_at.is_some_and(|at| now.since(at) < min_outage);
         let was_ejected = self.ejected_until.take().is_some();
-        // One connection refused some time ago is enough: most of many relays see no more of an outage.
+        // A single connection refused some time ago is enough: with many relays, most see no more of an outage.
         let refused_since = self.refused_since.take();
         let was_unreachable = refused_since.is_some_and(|at| now.since(at) >= min_outage);
         if (was_ejected || was_unreachable) && !is_brief {
@@ -173,7 +174,7 @@
             outbox.send(Component::DestinationLimiter(self.entry.destination), message);
         }
         self.limit_idle_connections(sent_at, outbox);
-        // Refused before it answers, one that is up is short of connections.
+        // An endpoint that refuses a connection shortly before a delivery is up but short of connections.
         if refused_since.is_some() && !was_unreachable && !was_ejected {
             self.handle_connection_shortage(outbox);
         }
@@ -181,8 +182,8 @@
         self.consecutive_failures = if was_ejected { 0 } else { self.consecutive_failures.saturating_sub(1) };
     }
 
-    /// Guards against connections that die unnoticed while idle, which shows when a call after an idle spell is lost
-    /// and one sent later is delivered: then all endpoints get fresh ones.
+    /// Limits idle connections at all endpoints if connections break unnoticed while idle. The evidence is a call lost
+    /// after an idle period while a call sent later is delivered.
     fn limit_idle_connections(&self, delivered_sent_at: Time, outbox: &mut Outbox) {
         let (now, overload_duration) = (outbox.now, self.config.rules.overload_duration);
         let min_idle = overload_duration.mul_f64(MIN_IDLE_FACTOR);
@@ -196,8 +197,8 @@
         }
     }
 
-    /// Guards against few connections, which many relays fill with idle ones: at endpoints of this kind none is left
-    /// idle.
+    /// Leaves no connection idle at endpoints of this kind, because the idle connections of many relays would use up
+    /// the endpoint's connection limit.
     fn handle_connection_shortage(&self, outbox: &mut Outbox) {
         if self.max_idle(outbox.now) != Some(Span::ZERO) {
             let kind = Some(self.entry.kind.clone());
@@ -205,7 +206,8 @@
         }
     }
 
-    /// Ejects the endpoint after enough failures or overdue calls: a call long overdue counts before it times out.
+    /// Ejects the endpoint after enough failures or overdue calls. Overdue calls count before they time out, unless a
+    /// delivery was recent.
     fn eject_if_unhealthy(&mut self, outbox: &mut Outbox) {
         let (now, overload_duration) = (outbox.now, self.config.rules.overload_duration);
         let mut overdue = self.calls.iter().filter(|call| call.is_overdue(now)).count();
--- a/src/rules/endpoint_list.rs
+++ b/src/rules/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! When the endpoint list is requested, and what of it holds.
+//! Requests the endpoint list and applies its updates.
 
 use super::backoff::backoff;
 use super::tuning::{LIST_RETRY_FRACTION, MAX_LIST_RETRY_DELAY, MIN_LIST_RETRY_DELAY};
@@ -17,8 +17,8 @@
                 self.handle_update(update, refresh_interval, is_pushed, outbox);
             }
             Message::IdleLimited { max_idle, kind } => {
-                let is_concerned = |entry: &&EndpointEntry| kind.as_ref().is_none_or(|k| *k == entry.kind);
-                for entry in self.entries.values().filter(is_concerned) {
+                let is_affected = |entry: &&EndpointEntry| kind.as_ref().is_none_or(|k| *k == entry.kind);
+                for entry in self.entries.values().filter(is_affected) {
                     let message = Message::IdleLimited { max_idle, kind: None };
                     outbox.send(Component::Endpoint(entry.endpoint.clone()), message);
                 }
@@ -39,10 +39,11 @@
             self.merge(cached, outbox);
         }
         match update {
-            // Guards against drains while there was no process: where the list is pushed, they bind from its start.
+            // Endpoints may have been drained while no process ran, and where the list is pushed, drains bind this
+            // process from its start: hold the cached list back until discovery responds or fails.
             EndpointListUpdate::CachedSnapshot(entries) if is_pushed => self.cached_snapshot = Some(entries),
             EndpointListUpdate::Failed if !self.is_retry_scheduled => {
-                // Guards against an overload of discovery: never in step, and ever later unless the list is pushed.
+                // Jitter and, unless the list is pushed, a growing backoff avoid overloading discovery.
                 let first = refresh_interval
                     .mul_f64(LIST_RETRY_FRACTION)
                     .clamp(MIN_LIST_RETRY_DELAY, MAX_LIST_RETRY_DELAY);
@@ -65,7 +66,7 @@
         entries.retain(|entry| self.entries.get(&entry.endpoint) != Some(entry));
         for entry in entries {
             let old = self.entries.insert(entry.endpoint.clone(), entry.clone());
-            // Guards against an endpoint that moves to another destination: it has left the one that it had.
+            // An endpoint that moved to another destination is removed from the previous one.
             if let Some(old) = old.filter(|old| old.destination != entry.destination) {
                 let deleted = EndpointEntry { readiness: Readiness::Deleted, ..old };
                 let destination = Component::Destination(deleted.destination);
--- a/src/rules/key_queues.rs
+++ b/src/rules/key_queues.rs
@@ -1,11 +1,11 @@
-//! Which notification of a key is pushed next.
+//! Grants each key to one ordered notification at a time.
 
 use crate::message::{Component, Message};
 use crate::outbox::Outbox;
 use crate::state::{KeyQueues, QueuedNotification};
 use crate::time::{Span, Time};
 
-/// Rule: notifications of one key are pushed one at a time, in the order of acceptance, over all ordered topic types.
+/// Notifications with the same key are pushed one at a time, in order of acceptance, across all ordered topic types.
 impl KeyQueues {
     pub(crate) fn handle(&mut self, message: Message, key_cooldown: Span, outbox: &mut Outbox) {
         match message {
--- a/src/rules/selection.rs
+++ b/src/rules/selection.rs
@@ -1,4 +1,5 @@
-//! Selects the notifications that go to an endpoint next, with what timeout, and how far apart calls are after an outage.
+//! Selects the notifications of the next call and their timeouts, and computes the interval between calls after an
+//! outage.
 
 use super::tuning::*;
 use crate::interface::{DeduplicationScope, EndpointId, PossibleRun, Semantics};
@@ -7,10 +8,11 @@
 use crate::time::{Span, Time};
 
 impl Destination {
-    /// The interval between calls after an outage, at one of so many equal parts of the destination, by the load.
-    fn recovery_interval(&self, part_count: usize, now: Time) -> Span {
+    /// The interval between this relay's calls after an outage, by its recent load, to one of `share_count` equal
+    /// shares of the destination's capacity.
+    fn recovery_interval(&self, share_count: usize, now: Time) -> Span {
         let load =
-            self.accepted_times.len() as f64 / (self.load_period(now).as_secs_f64() * part_count as f64);
+            self.accepted_times.len() as f64 / (self.load_period(now).as_secs_f64() * share_count as f64);
         let rules = &self.config.rules;
         let relay_count = self.config.fleet.relay_count.max(1) as f64;
         let min_rate = MIN_RECOVERY_CALLS / (rules.overload_duration.as_secs_f64() * relay_count);
@@ -18,14 +20,14 @@
         Span::from_secs_f64(1.0 / rate)
     }
 
-    /// The time in which the recent load came: shorter than the memory in a relay that has just started.
+    /// The period that the recent load covers; shorter than the full memory for a destination seen only recently.
     fn load_period(&self, now: Time) -> Span {
         let rules = &self.config.rules;
         let age = now.since(self.first_seen_at.unwrap_or(now)) + rules.overload_duration;
         age.min(rules.warm_up_duration.mul_f64(LOAD_MEMORY_FACTOR))
     }
 
-    /// The call with these pushes.
+    /// Builds a call from these pushes.
     pub(super) fn plan_call(&self, endpoint: EndpointId, pushes: Vec<PlannedPush>, now: Time) -> Call {
         let accepted = self.accepted_times.len().max(1) as f64;
         Call {
@@ -45,8 +47,8 @@
         }
     }
 
-    /// Until when a notification may wait for its call to be filled: one call counts once for the rate limit and uses
-    /// one slot, so it pays to wait for full ones.
+    /// The latest time until which a notification waits for its call to fill up. Full calls are more efficient, because
+    /// each call counts once against the rate limit and uses one slot.
     pub(super) fn batching_deadline(&self, pending: &PendingNotification) -> Time {
         let left = pending.notification.valid_until.since(pending.accepted_at);
         let latency = self.latencies.ninetieth_percentile().unwrap_or_default();
@@ -54,14 +56,15 @@
         pending.accepted_at + (target - latency.mul_f64(BATCHING_RESERVE_FACTOR)).mul_f64(BATCHING_FRACTION)
     }
 
-    /// What goes to an endpoint next; empty if nothing does, or what is ready may still wait for its call to be filled.
+    /// Selects the pushes of the next call to an endpoint. Empty if nothing is ready, or if everything that is ready
+    /// can still wait for the call to fill up.
     pub(super) fn select_pushes(&self, now: Time, endpoint: &ServingEndpoint) -> Vec<PlannedPush> {
         let mut ready = self.ready_for(now, endpoint);
         let is_full = ready.len() >= self.max_notifications_per_call;
         if !is_full && ready.iter().all(|pending| now < self.batching_deadline(pending)) {
             return Vec::new();
         }
-        // First what can still meet its latency target.
+        // Notifications that can still meet their latency target, and recovered ones, come first.
         ready.sort_by_key(|pending| {
             let expected = now.since(pending.accepted_at) + self.latencies.median();
             !pending.history.is_recovered && expected > pending.notification.topic.latency_target
@@ -83,8 +86,8 @@
         ready
     }
 
-    /// Rule: a call ends with the first TTL in it, so only those join for whom that leaves their timeout, or the 90th
-    /// percentile of latency.
+    /// Fills a call. A call must end by the earliest deadline in it, so a notification is added only if every push in
+    /// the call still has its timeout or the 90th percentile of latency, whichever is shorter.
     fn fill_call(&self, now: Time, ready: &[&PendingNotification]) -> Vec<PlannedPush> {
         let assumed = self.config.rules.overload_duration.mul_f64(ASSUMED_LATENCY_FACTOR);
         let sufficient = self.latencies.ninetieth_percentile().unwrap_or(assumed);
@@ -107,8 +110,8 @@
         pushes
     }
 
-    /// Guards against an endpoint that fails one topic type: its notifications go to other endpoints, for longer after
-    /// each failure.
+    /// Whether an endpoint is avoided for the topic type of a notification, because pushes of that type failed or are
+    /// overdue there. Each consecutive failure lengthens the avoidance.
     fn is_failing_topic(&self, pending: &PendingNotification, endpoint: &EndpointId, now: Time) -> bool {
         let topic = &pending.notification.topic.name;
         let key = TopicAtEndpoint { endpoint: endpoint.clone(), topic: topic.clone() };
@@ -123,8 +126,8 @@
             || self.pending.iter().any(is_overdue_there)
     }
 
-    /// When a call in flight counts as overdue: well beyond the latency of deliveries, later after each call
-    /// cut short since.
+    /// How long a call may last before it counts as overdue: well above the latency of deliveries, and longer after
+    /// each call since the last delivery that was abandoned.
     pub(super) fn overdue_after(&self) -> Span {
         let cut_short = self.latencies.consecutive_censored();
         let latency = self.latencies.ninetieth_percentile();
@@ -146,8 +149,8 @@
 }
 
 impl PendingNotification {
-    /// Rule: no second execution that its semantics forbid. Every push passes here; with no endpoint given, whether
-    /// any would do.
+    /// Whether a push to `endpoint`, or to any endpoint if `None`, is allowed. Every push is checked here against its
+    /// semantics, so that no notification is executed twice if they forbid it.
     pub(super) fn can_run(&self, now: Time, endpoint: Option<&ServingEndpoint>, max_pushes: u32) -> bool {
         let is_safe = match (&self.history.first_possible_run, self.notification.topic.semantics) {
             (None, _) | (Some(_), Semantics::Idempotent) => true,
@@ -162,13 +165,13 @@
         is_safe && self.history.push_count < max_pushes && !self.is_finished && self.in_flight.is_none()
     }
 
-    /// When the deduplication window ends, once a push may have been executed.
+    /// The end of the deduplication window; `None` if no push may have been executed or duplicates are not dropped.
     fn window_end(&self) -> Option<Time> {
         let run = self.history.first_possible_run.as_ref()?;
         Some(run.sent_at + self.notification.topic.semantics.deduplication_window()?)
     }
 
-    /// The last moment at which a duplicate may be sent, once a push may have been executed.
+    /// The latest time at which a duplicate may be sent; `None` if there is no deduplication window.
     pub(super) fn last_duplicate_at(&self) -> Option<Time> {
         self.window_end().map(|end| end - DUPLICATE_ARRIVAL_MARGIN)
     }
--- a/src/rules/slots.rs
+++ b/src/rules/slots.rs
@@ -1,4 +1,4 @@
-//! Which destination sends the next call.
+//! Assigns free slots to destinations.
 
 use std::collections::BTreeSet;
 
@@ -29,7 +29,7 @@
         }
         let in_use = self.slot_times.slots_in_use();
         if in_use < slot_count && !self.is_offered {
-            // The design's choice: least slot time, calls in flight included at what they are likely to take.
+            // The destination with the least slot time is next; calls in flight count with their expected duration.
             if let Some(&next) = self.slot_times.next_destination(now, overload_duration) {
                 self.is_offered = true;
                 outbox.send(Component::Destination(next), Message::SlotOffered);
@@ -41,7 +41,8 @@
         }
     }
 
-    /// Guards against notifications that only the next process could push, if that is too late for them.
+    /// Tells waiting destinations that only the next process can push, so that they end now what would then be too
+    /// late.
     fn announce_no_slots(&self, outbox: &mut Outbox) {
         let until: Time = outbox.now + NEXT_PROCESS_DELAY;
         for &destination in self.slot_times.waiting_destinations(outbox.now) {
@@ -49,7 +50,8 @@
         }
     }
 
-    /// Guards against silent destinations that occupy every slot; non-idempotent pushes go if most slots are stuck.
+    /// Asks destinations to cancel overdue calls, so that unresponsive destinations do not occupy every slot. Includes
+    /// non-idempotent pushes if most slots are stuck.
     fn shed_load(&self, slot_count: usize, overload_duration: Span, outbox: &mut Outbox) {
         let now = outbox.now;
         let is_stuck = |began: Time| now.since(began) >= overload_duration;
--- a/src/rules/tuning.rs
+++ b/src/rules/tuning.rs
@@ -1,81 +1,82 @@
-//! The tuned values of the decisions. A `..._FACTOR` multiplies what its comment names.
+//! Tuning constants of the decision logic. A `..._FACTOR` multiplies the quantity named in its comment.
 
 use crate::time::Span;
 
-/// How long an endpoint that failed a topic type is avoided for it, for each failure.
+/// How long an endpoint is avoided for a topic type, per consecutive failure of that type.
 pub(super) const TOPIC_AVOIDANCE_PER_FAILURE: Span = Span::from_millis(10_000);
 
-/// Signs of an outage (failures less deliveries, calls overdue) that eject an endpoint.
+/// The number of signs of an outage (failures minus deliveries, plus overdue calls) that ejects an endpoint.
 pub(super) const EJECTION_THRESHOLD: usize = 3;
 
-/// A report with less than this fraction of the rate limit left is evidence of the limit.
+/// A rejection is attributed to the rate limit if less than this fraction of the limit remains.
 pub(super) const NEARLY_EXHAUSTED_FRACTION: f64 = 0.2;
 
-/// A failure between two deliveries that are closer than so many overload durations is no outage.
+/// A failure between two deliveries less than this many overload durations apart is not an outage.
 pub(super) const MIN_OUTAGE_FACTOR: f64 = 2.0;
 
-/// With calls still in flight at an ejected endpoint, the next trial follows so many overload durations later.
+/// With calls still in flight to an ejected endpoint, the next trial call is this many overload durations later.
 pub(super) const TRIAL_DELAY_FACTOR: f64 = 3.0;
 
-/// A lost call older than so many overload durations is no evidence of a limit on idle connections.
+/// A lost call older than this many overload durations is not evidence of a limit on idle connections.
 pub(super) const MAX_IDLE_EVIDENCE_AGE_FACTOR: f64 = TRIAL_DELAY_FACTOR;
 
-/// After an outage all relays together may always send so many calls in one overload duration, each an equal part.
+/// After an outage, all relays together may always send this many calls per overload duration, in equal shares.
 pub(super) const MIN_RECOVERY_CALLS: f64 = 9.0;
 
-/// Accepted notifications count as recent load for so many warm-up durations.
+/// Accepted notifications count as recent load for this many warm-up durations.
 pub(super) const LOAD_MEMORY_FACTOR: f64 = 2.0;
 
-/// How long a limit on idle connections holds after it was last learned.
+/// How long a limit on idle connections applies after it was last observed.
 pub(super) const IDLE_LIMIT_MEMORY: Span = Span::from_millis(30_000);
 
-/// A limit on idle connections is this fraction of the idle time after which a call was lost.
+/// The limit on idle connections, as a fraction of the idle time after which a call was lost.
 pub(super) const IDLE_LIMIT_FRACTION: f64 = 0.9;
 
-/// A call is overdue after so many times the 90th percentile of latency...
+/// A call is overdue after this multiple of the 90th percentile of latency...
 pub(super) const OVERDUE_FACTOR: f64 = 2.5;
-/// ...and after so many overload durations at least...
+/// ...but no earlier than this many overload durations...
 pub(super) const MIN_OVERDUE_FACTOR: f64 = 0.5;
-/// ...or after so many if the percentile is unknown.
+/// ...or this many if the percentile is unknown.
 pub(super) const UNKNOWN_LATENCY_OVERDUE_FACTOR: f64 = 2.0;
 
-/// How long a call is assumed to last, in overload durations, if the 90th percentile is unknown.
+/// The assumed duration of a call, in overload durations, if the 90th percentile is unknown.
 pub(super) const ASSUMED_LATENCY_FACTOR: f64 = MIN_OVERDUE_FACTOR;
 
-/// A connection refused within so many overload durations was refused at once.
+/// A connection refused within this many overload durations counts as refused immediately.
 pub(super) const IMMEDIATE_REFUSAL_FACTOR: f64 = MIN_OVERDUE_FACTOR;
 
-/// A connection idle for so many overload durations may have died unnoticed.
+/// A connection idle for this many overload durations may have broken unnoticed.
 pub(super) const MIN_IDLE_FACTOR: f64 = MIN_OVERDUE_FACTOR;
 
-/// A call may wait to be filled for this fraction of the latency target (or a shorter TTL)...
+/// A call may wait to fill up for this fraction of the latency target (or of a shorter TTL)...
 pub(super) const BATCHING_FRACTION: f64 = 0.5;
-/// ...less so many times the 90th percentile of latency.
+/// ...after subtracting this multiple of the 90th percentile of latency.
 pub(super) const BATCHING_RESERVE_FACTOR: f64 = 2.0;
 
-/// The first backoff after a refusal that reported no wait: at least this...
+/// The first backoff after a refusal without a requested delay: at least this...
 pub(super) const MIN_BACKOFF: Span = Span::from_millis(100);
-/// ...and the time that the rate limit allows for so many calls.
+/// ...and at least the time that this many calls take at the rate limit.
 pub(super) const MIN_BACKOFF_CALLS: f64 = 3.0;
-/// Growth of a backoff with each refusal in a row.
+/// The growth of a backoff per consecutive refusal.
 pub(super) const BACKOFF_GROWTH: f64 = 8.0;
-/// The longest backoff, in first backoffs, unless a caller allows longer.
+/// The longest backoff, as a multiple of the first, unless the caller allows a longer one.
 pub(super) const MAX_BACKOFF_FACTOR: f64 = 16.0;
 
-/// Growth of the pacing interval with a rejection above the rate limit...
+/// The growth of the pacing interval on a rejection above the rate limit...
 pub(super) const PACING_GROWTH: f64 = 2.0;
-/// ...with one that reported a wait and no limit...
+/// ...on a rejection with a requested delay but no reported limit...
 pub(super) const PACING_GROWTH_WITHOUT_LIMIT: f64 = 8.0;
-/// ...up to so many times this relay's equal part of the limit.
+/// ...up to this multiple of the interval at this relay's equal share of the limit.
 pub(super) const MAX_PACING_FACTOR: f64 = 4.0;
-/// A rejection that reported a wait and no limit sets the pacing interval to so many times the wait.
+/// A rejection with a requested delay but no reported limit sets the pacing interval to at least this multiple of the
+/// delay.
 pub(super) const PACING_WAIT_FACTOR: f64 = PACING_GROWTH;
-/// The fraction left of the rate limit that keeps the pacing interval as it is.
+/// The remaining fraction of the rate limit at which the pacing interval stays the same.
 pub(super) const TARGET_REMAINING_FRACTION: f64 = 0.5;
-/// The fraction left of a listed rate that a delivery is taken to report, where answers report no limit.
+/// The remaining fraction of a listed rate that is assumed after a delivery if responses report no limit.
 pub(super) const ASSUMED_REMAINING_FRACTION: f64 = 0.75;
 
-/// Factors of the concurrency window with a refusal, and with a call that timed out or broke.
+/// The concurrency window is multiplied by these on a refusal, and on a call that timed out or was reset.
 pub(super) const WINDOW_REFUSAL_FACTOR: f64 = 0.6;
 pub(super) const WINDOW_LOSS_FACTOR: f64 = 0.95;
 
@@ -85,15 +86,15 @@
 pub(super) const MIN_LIST_RETRY_DELAY: Span = Span::from_millis(20);
 pub(super) const MAX_LIST_RETRY_DELAY: Span = Span::from_millis(200);
 
-/// With no slots any more, before a planned restart: the next process can push after this delay.
+/// Before a planned restart, when no slots are left: the delay until the next process can push.
 pub(super) const NEXT_PROCESS_DELAY: Span = Span::from_millis(2_300);
 
-/// The minimum time left for a notification to be sent.
+/// A notification with less time left than this is not sent.
 pub(super) const MIN_TIME_LEFT: Span = Span::from_millis(20);
 
-/// A duplicate is sent at least this long before its deduplication window ends, to arrive in it over a connection
-/// that is still to be opened.
+/// A duplicate is sent at least this long before its deduplication window ends, so that it arrives in time even if a
+/// connection has to be opened first.
 pub(super) const DUPLICATE_ARRIVAL_MARGIN: Span = Span::from_millis(200);
 
-/// Weight of each further notification in a call, for a destination that is warming up.
+/// The weight of each notification after the first in a call to a warming-up destination, relative to the first.
 pub(super) const FURTHER_NOTIFICATION_WEIGHT: f64 = 0.25;
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,5 +1,5 @@
-//! The state of the components, and facts derived from it. Decisions and tuned values belong to
-//! [`rules`](crate::rules).
+//! The state of the components, with accessors and updates that involve no policy. Decisions and tuning constants are
+//! in [`rules`](crate::rules).
 
 mod destination;
 mod destination_limiter;
--- a/src/state/destination.rs
+++ b/src/state/destination.rs
@@ -12,15 +12,15 @@
 use crate::message::Call;
 use crate::time::Time;
 
-/// A notification without a final answer, or whose final answer its client has not acknowledged.
+/// A notification without a final answer, or with one that its client has not acknowledged.
 #[derive(Debug, Default)]
 pub(crate) struct PendingNotification {
     pub(crate) notification: Notification,
-    /// What was done with it, also before a restart. While `has_final_answer`, the next of its key waits for the
-    /// acknowledgement.
+    /// Its history, including before a restart. While `has_final_answer` is set, the next notification of its key waits
+    /// for the acknowledgement.
     pub(crate) history: NotificationHistory,
     pub(crate) accepted_at: Time,
-    /// Whether it is unordered, or the first of its key.
+    /// Whether it may be pushed as far as ordering is concerned: it is unordered, or its key was granted to it.
     pub(crate) is_key_granted: bool,
     /// The push in flight.
     pub(crate) in_flight: Option<PossibleRun>,
@@ -31,7 +31,7 @@
 }
 
 impl PendingNotification {
-    /// Whether its semantics allow a second execution at all.
+    /// Whether its semantics ever allow another push after one that may have been executed.
     pub(crate) fn is_retryable(&self) -> bool {
         self.notification.topic.semantics.is_retryable()
     }
@@ -49,7 +49,7 @@
     pub(crate) zone: Arc<str>,
 }
 
-/// A topic type as delivered by one endpoint.
+/// A topic type at one endpoint.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct TopicAtEndpoint {
     pub(crate) endpoint: EndpointId,
@@ -57,7 +57,7 @@
     pub(crate) topic: String,
 }
 
-/// Pushes of one topic type that may have been executed, with no delivery since.
+/// Consecutive failures of a topic type; only pushes that may have been executed count.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct TopicFailures {
     pub(crate) count: u32,
@@ -72,17 +72,17 @@
     pub(crate) max_notifications_per_call: usize,
     /// Sorted by id.
     pub(crate) endpoints: Vec<ServingEndpoint>,
-    /// Where the rotation over the endpoints begins.
+    /// The index at which the rotation over the endpoints starts.
     pub(crate) rotation_start: usize,
-    /// Endpoints to which the offered slot was proposed so far.
+    /// The number of endpoints tried for the offered slot so far.
     pub(crate) endpoints_tried: usize,
-    /// From when one of those that declined accepts a call; [`Time::NEVER`] if that is unknown.
+    /// The earliest time at which an endpoint that declined accepts a call; [`Time::NEVER`] if unknown.
     pub(crate) slot_usable_from: Time,
     /// In order of acceptance.
     pub(crate) pending: Vec<PendingNotification>,
     /// The times of recently accepted notifications.
     pub(crate) accepted_times: VecDeque<Time>,
-    /// Since when acceptances are recorded.
+    /// The time of the first message, from which on accepted notifications are recorded.
     pub(crate) first_seen_at: Option<Time>,
     pub(crate) latencies: LatencyModel,
     pub(crate) topic_failures: BTreeMap<TopicAtEndpoint, TopicFailures>,
@@ -93,7 +93,7 @@
         Destination { id, config, ..Destination::default() }
     }
 
-    /// Applies a list entry of one of its endpoints.
+    /// Applies a new or changed list entry of one of its endpoints.
     pub(crate) fn update_endpoint(&mut self, entry: EndpointEntry) {
         self.max_notifications_per_call = entry.kind.max_notifications_per_call.max(1);
         self.endpoints.retain(|endpoint| endpoint.id != entry.endpoint);
@@ -105,7 +105,7 @@
             .retain(|key, _| self.endpoints.iter().any(|endpoint| endpoint.id == key.endpoint));
     }
 
-    /// Adds a notification accepted now.
+    /// Adds a notification that was accepted at `now`.
     pub(crate) fn add_pending(&mut self, notification: Notification, now: Time, is_key_granted: bool) {
         self.pending.push(PendingNotification {
             history: notification.history.clone(),
@@ -118,7 +118,7 @@
         self.accepted_times.push_back(now);
     }
 
-    /// Records that a call was sent. Returns whether its endpoint still accepts calls; if not, nothing is recorded.
+    /// Records that a call was sent. Returns `false` and records nothing if its endpoint no longer accepts calls.
     pub(crate) fn record_call(&mut self, call: &Call, now: Time) -> bool {
         let Some(index) = self.endpoints.iter().position(|endpoint| endpoint.id == call.endpoint) else {
             return false;
@@ -137,7 +137,7 @@
         self.pending.iter().any(|pending| pending.notification.id == id)
     }
 
-    /// Applies a change to the pending notification with this id, if there is one.
+    /// Applies `change` to the pending notification with this id, if there is one.
     pub(crate) fn update_pending(
         &mut self, id: NotificationId, change: impl FnMut(&mut PendingNotification),
     ) {
--- a/src/state/destination_limiter.rs
+++ b/src/state/destination_limiter.rs
@@ -1,4 +1,4 @@
-//! The waits and limits of a destination.
+//! The retry-after delay, backoff and rate limit of a destination.
 
 use std::sync::Arc;
 
@@ -10,9 +10,9 @@
 #[derive(Clone, Copy)]
 pub(crate) struct Recovery {
     pub(crate) since: Time,
-    /// When this relay may send its first call.
+    /// The earliest time for this relay's first call.
     pub(crate) first_call_at: Time,
-    /// Deliveries since; the rate doubles with each.
+    /// The number of deliveries since then; each doubles the rate.
     pub(crate) deliveries: i32,
 }
 
@@ -20,22 +20,22 @@
 #[derive(Default)]
 pub(crate) struct DestinationLimiter {
     pub(crate) config: Arc<RelayConfig>,
-    /// No call before then: the destination requested a delay.
+    /// No call is sent before this time, because the destination requested a delay.
     pub(crate) retry_after_until: Time,
-    /// No call before then: calls were refused.
+    /// No call is sent before this time, because calls were refused.
     pub(crate) backoff_until: Time,
     pub(crate) calls_in_flight: usize,
-    /// Upper limit of calls in flight, by the latest outcomes.
+    /// The limit on calls in flight, adjusted by call outcomes.
     pub(crate) concurrency_window: f64,
     pub(crate) last_sent_at: Time,
-    /// The rate limit, reported or else listed, in calls a second over all relays; zero if there is none.
+    /// The reported rate limit, or else the listed one, in calls per second over all relays; zero if there is none.
     pub(crate) rate_per_second: f64,
     pub(crate) is_rate_reported: bool,
     pub(crate) consecutive_refusals: i32,
-    /// The interval that this relay keeps between its calls on account of the rate limit.
+    /// The minimum interval between this relay's calls, to stay within the rate limit.
     pub(crate) pacing_interval: Span,
     pub(crate) recent_load: RecentLoad,
-    /// The interval between this relay's calls after an outage, were the destination at full capacity.
+    /// The interval between this relay's calls after an outage if the destination were at full capacity.
     pub(crate) recovery_interval: Span,
     pub(crate) recovery: Option<Recovery>,
 }
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -6,14 +6,14 @@
 use crate::message::Call;
 use crate::time::{Span, Time};
 
-/// A call that is in flight, or has outcomes missing.
+/// A call with at least one outcome missing.
 pub(crate) struct InFlightCall {
     pub(crate) destination: DestinationId,
     pub(crate) sent_at: Time,
-    /// For how long nothing had been sent to the endpoint.
+    /// The time since the previous call to the endpoint.
     pub(crate) idle_before: Span,
     pub(crate) overdue_at: Time,
-    /// The notifications whose outcomes are missing.
+    /// The notifications without an outcome.
     pub(crate) notifications: Vec<NotificationId>,
     pub(crate) has_outcome: bool,
 }
@@ -25,7 +25,7 @@
     }
 }
 
-/// A limit of the time for which connections may be idle.
+/// A limit on how long connections may be idle.
 #[derive(Clone, Copy)]
 pub(crate) struct IdleLimit {
     pub(crate) max_idle: Span,
@@ -41,14 +41,14 @@
     pub(crate) calls: Vec<InFlightCall>,
     pub(crate) last_sent_at: Time,
     pub(crate) last_delivered_at: Option<Time>,
-    /// Failures less deliveries since the last ejection.
+    /// Failures minus deliveries since the last recovery from an ejection; not below zero.
     pub(crate) consecutive_failures: usize,
-    /// When a connection was first refused since the last delivery.
+    /// The time of the first refused connection since the last delivery.
     pub(crate) refused_since: Option<Time>,
     pub(crate) idle_limit: Option<IdleLimit>,
-    /// If ejected: when the next trial call may be sent.
+    /// The earliest time for the next trial call; `None` if the endpoint is not ejected.
     pub(crate) ejected_until: Option<Time>,
-    /// The interval between this relay's calls in an outage, were the endpoint at full capacity.
+    /// The interval between this relay's calls during an outage if the endpoint were at full capacity.
     pub(crate) recovery_interval: Span,
 }
 
@@ -70,7 +70,7 @@
         });
     }
 
-    /// Whether it has left the list and has no call in flight.
+    /// Whether it was removed from the list and has no call in flight.
     pub(crate) fn is_removable(&self) -> bool {
         self.entry.readiness == Readiness::Deleted && self.calls.is_empty()
     }
--- a/src/state/endpoint_list.rs
+++ b/src/state/endpoint_list.rs
@@ -4,20 +4,20 @@
 
 use crate::interface::{EndpointEntry, EndpointId, Readiness};
 
-/// The list of endpoints, as far as it is known.
+/// The known endpoints.
 #[derive(Default)]
 pub(crate) struct EndpointList {
     pub(crate) entries: BTreeMap<EndpointId, EndpointEntry>,
-    /// The list of an earlier process, until discovery has answered or is known to be unreachable.
+    /// The list stored by an earlier process, held back until discovery has responded or a request has failed.
     pub(crate) cached_snapshot: Option<Vec<EndpointEntry>>,
-    /// Failed requests in a row.
+    /// The number of consecutive failed requests.
     pub(crate) consecutive_failures: i32,
-    /// Whether a timer for the next request runs.
+    /// Whether a timer for the next request is set.
     pub(crate) is_retry_scheduled: bool,
 }
 
 impl EndpointList {
-    /// The entries that a complete list leaves out, as deleted.
+    /// The known entries that are absent from a complete list, marked as deleted.
     pub(crate) fn missing_from(&self, snapshot: &[EndpointEntry]) -> Vec<EndpointEntry> {
         let present: BTreeSet<&EndpointId> = snapshot.iter().map(|entry| &entry.endpoint).collect();
         let missing = self.entries.values().filter(|old| !present.contains(&old.endpoint));
--- a/src/state/key_queues.rs
+++ b/src/state/key_queues.rs
@@ -15,9 +15,9 @@
 #[derive(Default)]
 pub(crate) struct KeyQueue {
     pub(crate) waiting: VecDeque<QueuedNotification>,
-    /// Whether the first may be pushed.
+    /// Whether the first notification may be pushed.
     pub(crate) is_granted: bool,
-    /// No grant before then: a push of the key may still be executing.
+    /// No grant before this time, because a push of the key may still be executing.
     pub(crate) cooldown_until: Time,
 }
 
