--- a/tests/rules/calls.rs
+++ b/tests/rules/calls.rs
@@ -1,11 +1,11 @@
-//! Slots, and calls that carry several.
+//! Slot limits and batched calls.
 
 use expect_test::expect;
 use juniperwing::interface::CallStatus;
 
 use crate::harness::{ONE_ENDPOINT, RelayHarness, TTL_MS, TWO_ENDPOINTS};
 
-/// When all slots are in use, overdue calls are cancelled; non-idempotent ones are not.
+/// When all slots are in use, overdue calls are cancelled unless they are non-idempotent.
 #[test]
 fn overdue_calls_are_cancelled_when_slots_run_out() {
     let mut relay = RelayHarness::new(4, 1, TWO_ENDPOINTS).warmed_up(20, 100);
@@ -43,8 +43,8 @@
     "#]]);
 }
 
-/// A call ends with the first TTL in it, so only those join for whom that leaves enough: their own timeout,
-/// or what nine in ten calls last (here 900 ms).
+/// A call ends at the earliest deadline in it, so a notification joins only if every push still has its own timeout or
+/// the 90th percentile of latency, here 900 ms.
 #[test]
 fn a_call_ends_with_its_first_ttl_and_leaves_each_push_enough_time() {
     let mut relay = RelayHarness::new(8, 4, ONE_ENDPOINT).warmed_up(6, 200);
@@ -62,7 +62,8 @@
     "#]]);
 }
 
-/// Non-idempotent pushes occupy most slots while others wait: they are given up, or the relay would come to a halt.
+/// Non-idempotent pushes without a response occupy most slots while others wait. Unless they are cancelled, the relay
+/// stops making progress.
 #[test]
 fn non_idempotent_pushes_are_cancelled_when_most_slots_are_stuck() {
     let mut relay = RelayHarness::new(3, 1, ONE_ENDPOINT).warmed_up(20, 100);
@@ -87,7 +88,8 @@
     "#]]);
 }
 
-/// Filling must leave time within the objective for the call itself: where calls last long, they wait less.
+/// Waiting for a call to fill up must leave time for the call itself within the latency target, so long calls wait
+/// less.
 #[test]
 fn long_calls_wait_less_to_be_filled() {
     let mut relay = RelayHarness::new(4, 10, ONE_ENDPOINT);
--- a/tests/rules/connections.rs
+++ b/tests/rules/connections.rs
@@ -1,4 +1,4 @@
-//! Connections: idle, short or not to be had.
+//! Idle, scarce and refused connections.
 
 use std::fmt::Write;
 
@@ -8,7 +8,7 @@
 
 use crate::harness::{ONE_ENDPOINT, RelayHarness, TTL_MS, TWO_ENDPOINTS, config};
 
-/// Calls after an idle period are lost while later ones are answered: connections die unnoticed while idle.
+/// Connections break unnoticed while idle: calls after an idle period are lost while later ones get a response.
 #[test]
 fn connections_that_die_while_idle_are_closed_before_the_next_call() {
     let mut relay = RelayHarness::new(8, 1, ONE_ENDPOINT).warmed_up(6, 100);
@@ -29,9 +29,10 @@
     "#]]);
 }
 
-/// The few connections of a destination are used by others: refused once, delivered next. None is left idle there.
+/// Other clients use up the few connections of a destination, so one push is refused and the next is delivered. The
+/// relay must not leave connections idle there.
 #[test]
-fn no_connection_is_left_idle_where_connections_are_short() {
+fn no_connection_is_left_idle_where_connections_are_scarce() {
     let mut relay = RelayHarness::new(4, 1, ONE_ENDPOINT).warmed_up(6, 100);
     relay.accept(10, "idempotent", None, TTL_MS);
     for status in [CallStatus::NoConnection, CallStatus::Delivered] {
@@ -48,7 +49,8 @@
     "#]]);
 }
 
-/// An endpoint that reports that its connections are exhausted is up: no sign of an outage, and none is left idle.
+/// An endpoint that reports that its connections are exhausted is up: it is not ejected, and no connection to it is
+/// left idle.
 #[test]
 fn an_endpoint_short_of_connections_is_not_ejected() {
     let mut relay = RelayHarness::new(4, 1, ONE_ENDPOINT);
@@ -87,8 +89,8 @@
     "#]]);
 }
 
-/// A connection that its endpoint would have closed before this relay's next call is closed at once: of few
-/// connections, most are idle where many relays each call rarely.
+/// A connection that its endpoint would close before this relay's next call is closed immediately. Otherwise, if many
+/// relays each call rarely, idle connections use up the endpoint's limit.
 #[test]
 fn a_rarely_used_connection_is_not_left_idle() {
     let mut config = config(50, 8);
@@ -109,10 +111,11 @@
     "#]]);
 }
 
-/// A connection refused at once may be a full table and is tried again soon; one that did not come up for long is
-/// out of reach, and the second in a row backs off nearly to the relay's equal part.
+/// A connection refused immediately may be due to a connection limit and is retried soon. One that fails only after a
+/// long time indicates an unreachable endpoint: the second consecutive failure backs off nearly to the interval of the
+/// relay's equal share.
 #[test]
-fn a_connection_that_does_not_come_up_backs_off_longer_than_one_refused_at_once() {
+fn a_connection_that_is_not_established_backs_off_longer_than_one_refused_immediately() {
     let mut trace = String::new();
     for ms in [50, 1_000] {
         let mut relay = RelayHarness::with_config(config(300, 8), 1, TWO_ENDPOINTS);
--- a/tests/rules/effects.rs
+++ b/tests/rules/effects.rs
@@ -1,4 +1,4 @@
-//! What semantics, an order or a withdrawal allows.
+//! Semantics, ordering and withdrawal of notifications.
 
 use expect_test::expect;
 use juniperwing::interface::{CallStatus, Event, NotificationId};
@@ -72,8 +72,7 @@
     "#]]);
 }
 
-/// On sockets a notice takes time: a client that receives the final answer late must not see the next of the key
-/// before it.
+/// A final answer takes time to reach its client, which must not see the next notification of the key before it.
 #[test]
 fn the_next_of_a_key_waits_for_the_acknowledgement_of_the_one_before() {
     let mut relay = RelayHarness::new(4, 1, ONE_ENDPOINT);
@@ -91,7 +90,7 @@
     "#]]);
 }
 
-/// A duplicate over a new connection takes time: the end of the window is for its arrival, not its sending.
+/// A duplicate must arrive, not just be sent, before its window ends, and opening a new connection takes time.
 #[test]
 fn a_duplicate_is_sent_early_enough_to_arrive_in_its_window() {
     let mut relay = RelayHarness::new(4, 1, ONE_ENDPOINT).warmed_up(6, 400);
@@ -109,9 +108,10 @@
     "#]]);
 }
 
-/// One answer never arrives, with others of its key queued behind it: cancelled long before its TTL, and they proceed.
+/// A push without a response is cancelled long before its TTL if others of its key are queued behind it, so that they
+/// proceed.
 #[test]
-fn an_unanswered_ordered_push_is_cancelled_for_those_queued_behind_it() {
+fn an_ordered_push_without_a_response_is_cancelled_if_others_are_queued_behind_it() {
     let mut relay = RelayHarness::new(8, 1, TWO_ENDPOINTS).warmed_up(6, 100);
     for id in 10..13 {
         relay.accept(id, "non-idempotent", Some("k"), TTL_MS);
--- a/tests/rules/harness.rs
+++ b/tests/rules/harness.rs
@@ -1,4 +1,4 @@
-//! Drives one relay by hand and records its decisions as a trace.
+//! Drives one relay with explicit events and records its commands as a trace.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 pub const ONE_ENDPOINT: Endpoints = &[("a", "z")];
 pub const TWO_ENDPOINTS: Endpoints = &[("a", "z"), ("b", "z")];
 
-/// The usual TTL.
+/// The default TTL.
 pub const TTL_MS: u64 = 16_000;
 
 /// The longest time that [`RelayHarness::advance_until_in_flight`] waits.
@@ -33,20 +33,20 @@
     now_ms: u64,
     pub trace: String,
     in_flight: Vec<InFlightPush>,
-    /// Pushes cancelled; each ends with the next round.
+    /// Notifications with a cancelled push, which ends in the next round.
     cancelled: Vec<u64>,
     kind: Arc<DestinationKind>,
     /// The wake-up that the relay last requested.
     next_wake_at: Time,
     /// Whether clients acknowledge each final answer at once.
     pub acknowledges_answers: bool,
-    /// The rate limit that destinations report.
+    /// The rate limit that destinations report with each outcome.
     pub rate_limit: Option<RateLimitReport>,
-    /// The rate that the list gives for endpoints.
+    /// The rate of the endpoints in the list.
     pub listed_rate_per_second: f64,
 }
 
-/// Topic types: `idempotent`, `deduplicated` (in its zone for 4 s) and `non-idempotent` (and ordered).
+/// Returns a topic type: `idempotent`, `deduplicated` (in one zone for 4 s) or `non-idempotent` (and ordered).
 fn topic_type(name: &str) -> Arc<TopicType> {
     let zone = DeduplicationScope::Zone;
     let semantics = match name {
@@ -66,7 +66,7 @@
     })
 }
 
-/// The configuration of one of so many relays, with so many slots.
+/// The configuration of one of `relay_count` relays.
 pub fn config(relay_count: usize, slots: usize) -> RelayConfig {
     let ms = Span::from_millis;
     RelayConfig {
@@ -91,19 +91,19 @@
     }
 }
 
-/// A point in time, in milliseconds since the start.
+/// The time `ms` milliseconds after the start.
 fn time(ms: u64) -> Time {
     Time::from_nanos(ms * 1_000_000)
 }
 
 impl RelayHarness {
-    /// One of two relays, with eight pushes for each notification and a list of endpoints of destination 1, whose calls
-    /// carry up to `per_call` notifications.
+    /// Creates one of two relays, with up to eight pushes for each notification. The endpoints belong to destination 1,
+    /// whose calls carry up to `per_call` notifications.
     pub fn new(slots: usize, per_call: usize, endpoints: Endpoints) -> Self {
         Self::with_config(config(2, slots), per_call, endpoints)
     }
 
-    /// The same with another configuration.
+    /// Creates a relay like [`RelayHarness::new`], with another configuration.
     pub fn with_config(config: RelayConfig, per_call: usize, endpoints: Endpoints) -> Self {
         let mut relay = RelayHarness {
             relay: Relay::new(time(0), 7, config),
@@ -126,7 +126,7 @@
         relay
     }
 
-    /// One of so many relays, with eight slots, whose list gives an enforced rate for each endpoint.
+    /// Creates one of `relay_count` relays, with eight slots and an enforced listed rate for each endpoint.
     pub fn with_listed_rate(relay_count: usize, rate_per_second: f64, endpoints: Endpoints) -> Self {
         let mut config = config(relay_count, 8);
         config.fleet.has_listed_rates = true;
@@ -137,14 +137,14 @@
         relay
     }
 
-    /// After `count` deliveries, numbered from 1, each after `latency_ms`.
+    /// Delivers `count` notifications, numbered from 1, each after `latency_ms`.
     pub fn warmed_up(mut self, count: u64, latency_ms: u64) -> Self {
         self.deliver_in_turn(1, count, latency_ms);
         self
     }
 
-    /// Delivers `count` notifications, numbered from `first`, one after the other, each after `latency_ms`. The trace
-    /// begins afterwards.
+    /// Delivers `count` notifications sequentially, numbered from `first`, each after `latency_ms`, then clears the
+    /// trace.
     pub fn deliver_in_turn(&mut self, first: u64, count: u64, latency_ms: u64) {
         for id in first..first + count {
             self.accept(id, "idempotent", None, TTL_MS);
@@ -155,19 +155,19 @@
         self.trace.clear();
     }
 
-    /// Compares the trace with a kept one.
+    /// Compares the trace with the expected one.
     pub fn assert_trace(&self, expected: Expect) {
         expected.assert_eq(&self.trace);
     }
 
-    /// Gives the relay one event and records what follows.
+    /// Passes one event to the relay and records the resulting commands.
     pub fn handle(&mut self, event: Event) {
         let mut answered = Vec::new();
         for command in self.relay.handle(time(self.now_ms), vec![event]) {
             if let Command::Throttle { notification, .. } | Command::Expire(notification) = command {
                 answered.push(notification);
             }
-            if let Some(line) = self.carry_out(command) {
+            if let Some(line) = self.execute(command) {
                 writeln!(self.trace, "{:<6} {line}", self.now_ms).expect("a string takes any text");
             }
         }
@@ -176,8 +176,8 @@
         }
     }
 
-    /// Carries out a command. Returns its line in the trace, if it has one.
-    fn carry_out(&mut self, command: Command) -> Option<String> {
+    /// Executes a command. Returns its line in the trace, if it has one.
+    fn execute(&mut self, command: Command) -> Option<String> {
         Some(match command {
             Command::Push { notification, endpoint, timeout, .. } => {
                 let timeout_ms = timeout.as_nanos() / 1_000_000;
@@ -194,7 +194,7 @@
             }
             Command::Probe(endpoint) => format!("probe {}", endpoint.0),
             Command::CloseIdleConnections(endpoint) => format!("close idle connections to {}", endpoint.0),
-            Command::CancelUnsent(endpoint) => format!("recall what is not out to {}", endpoint.0),
+            Command::CancelUnsent(endpoint) => format!("cancel unsent pushes to {}", endpoint.0),
             Command::Log(line) => line,
             Command::WakeAfter(delay) => {
                 self.next_wake_at = time(self.now_ms) + delay;
@@ -232,28 +232,28 @@
         }));
     }
 
-    /// A push sent so many milliseconds ago to zone `z`.
+    /// A push sent to zone `z` `age_ms` milliseconds ago.
     pub fn possible_run(&self, age_ms: u64) -> PossibleRun {
         PossibleRun { sent_at: time(self.now_ms - age_ms), zone: Arc::from("z") }
     }
 
-    /// The push of `id` that is in flight ends.
+    /// Ends the push of `id` that is in flight.
     pub fn end_push(&mut self, id: u64, status: CallStatus) {
-        self.end_push_with_wait(id, status, None);
+        self.end_push_with_retry_after(id, status, None);
     }
 
-    /// Every push that is in flight ends.
+    /// Ends all pushes in flight.
     pub fn end_all_pushes(&mut self, status: CallStatus) {
         self.in_flight().into_iter().for_each(|id| self.end_push(id, status));
     }
 
-    /// The push of `id` that is in flight is rejected, with a time to wait.
+    /// Rejects the push of `id` that is in flight and requests a delay.
     pub fn reject_push(&mut self, id: u64, retry_after_ms: u64) {
-        self.end_push_with_wait(id, CallStatus::Busy, Some(retry_after_ms));
+        self.end_push_with_retry_after(id, CallStatus::Busy, Some(retry_after_ms));
     }
 
-    /// The push of `id` that is in flight ends; its answer may ask to wait.
-    pub fn end_push_with_wait(&mut self, id: u64, status: CallStatus, retry_after_ms: Option<u64>) {
+    /// Ends the push of `id` that is in flight; the response may request a delay.
+    pub fn end_push_with_retry_after(&mut self, id: u64, status: CallStatus, retry_after_ms: Option<u64>) {
         let is_push = |push: &InFlightPush| push.notification == NotificationId(id);
         let index = self.in_flight.iter().position(is_push).expect("a push of it is in flight");
         let push = self.in_flight.remove(index);
@@ -279,7 +279,7 @@
         self.in_flight.first().expect("a push is in flight").notification.0
     }
 
-    /// Lets time pass in steps of 10 ms, waking the relay with each.
+    /// Advances the time in steps of 10 ms and wakes the relay at each.
     pub fn advance(&mut self, ms: u64) {
         let until = self.now_ms + ms;
         while self.now_ms < until {
@@ -291,7 +291,7 @@
         }
     }
 
-    /// Lets time pass until a push of a notification is in flight, a minute at the most.
+    /// Advances the time until a push of a notification is in flight, by at most [`MAX_ADVANCE_MS`].
     pub fn advance_until_in_flight(&mut self, id: u64) {
         let until = self.now_ms + MAX_ADVANCE_MS;
         while self.now_ms < until && !self.in_flight().contains(&id) {
@@ -299,7 +299,7 @@
         }
     }
 
-    /// Lets time pass, waking the relay only when it requests it. Returns how often it did.
+    /// Advances the time and wakes the relay only when it requested that. Returns the number of wake-ups.
     pub fn advance_by_wake_ups(&mut self, ms: u64) -> usize {
         let (until, mut wake_ups) = (self.now_ms + ms, 0);
         while self.next_wake_at <= time(until) {
@@ -313,7 +313,7 @@
         wake_ups
     }
 
-    /// Gives the relay an update of the endpoint list.
+    /// Passes an update of the endpoint list to the relay.
     pub fn update_list(&mut self, update: EndpointListUpdate) {
         self.handle(Event::EndpointListUpdated(update));
     }
--- a/tests/rules/list.rs
+++ b/tests/rules/list.rs
@@ -1,4 +1,4 @@
-//! The list of endpoints: drains, an unreachable list, zones.
+//! The endpoint list: draining, failed requests and zones.
 
 use std::fmt::Write;
 
@@ -27,19 +27,20 @@
     "#]]);
 }
 
-/// Where the relay is bound by it at once, each moment without a watch may miss a drain; else an unreachable list is
-/// requested ever more rarely, until an update arrives. Whatever the refresh interval is, the first delay is short, and not zero.
+/// Where changes of the list bind the relay immediately, a failure subscription may miss a drain and is renewed soon.
+/// Otherwise an unreachable list is requested with a growing backoff until an update arrives. For any refresh
+/// interval the first delay is short but not zero.
 #[test]
-fn an_unreachable_list_is_requested_soon_where_it_is_pushed_and_ever_later_where_it_is_not() {
+fn an_unreachable_list_is_requested_soon_if_pushed_and_with_growing_backoff_otherwise() {
     let mut trace = String::new();
-    for (pushed, ask_every) in [(true, 10_000), (false, 10_000), (false, 60_000), (false, 0)] {
+    for (pushed, refresh_interval_ms) in [(true, 10_000), (false, 10_000), (false, 60_000), (false, 0)] {
         let mut config = config(2, 4);
         (config.fleet.is_list_pushed, config.rules.list_refresh_interval) =
-            (pushed, Span::from_millis(ask_every));
+            (pushed, Span::from_millis(refresh_interval_ms));
         let mut relay = RelayHarness::with_config(config, 1, ONE_ENDPOINT);
-        let mut pauses = Vec::new();
-        for broken in 0..6 {
-            if broken == 4 {
+        let mut delays = Vec::new();
+        for failure in 0..6 {
+            if failure == 4 {
                 relay.update_list(EndpointListUpdate::Changes(Vec::new()));
             }
             relay.trace.clear();
@@ -49,21 +50,22 @@
                 relay.advance(10);
                 ms += 10;
             }
-            pauses.push(ms);
+            delays.push(ms);
         }
-        writeln!(trace, "pushed {pushed}, ask every {ask_every} ms: {pauses:?}").expect("a string");
+        writeln!(trace, "pushed {pushed}, refresh interval {refresh_interval_ms} ms: {delays:?}")
+            .expect("a string");
     }
     expect![[r#"
-        pushed true, ask every 10000 ms: [180, 260, 280, 200, 170, 210]
-        pushed false, ask every 10000 ms: [180, 2050, 4370, 3160, 170, 1620]
-        pushed false, ask every 60000 ms: [180, 2050, 4370, 3160, 170, 1620]
-        pushed false, ask every 0 ms: [20, 210, 440, 320, 20, 170]
+        pushed true, refresh interval 10000 ms: [180, 260, 280, 200, 170, 210]
+        pushed false, refresh interval 10000 ms: [180, 2050, 4370, 3160, 170, 1620]
+        pushed false, refresh interval 60000 ms: [180, 2050, 4370, 3160, 170, 1620]
+        pushed false, refresh interval 0 ms: [20, 210, 440, 320, 20, 170]
     "#]]
     .assert_eq(&trace);
 }
 
-/// Where crossing zones has a price, the endpoints of the relay's own zone are tried first, in rotation; those of
-/// others get what these rejected, and all when these drain.
+/// If cross-zone pushes incur a cost, endpoints of the relay's own zone are tried first, in rotation. Endpoints of
+/// other zones get retries of what failed there, and everything once the own zone's endpoints are draining.
 #[test]
 fn endpoints_of_the_own_zone_are_tried_first() {
     let mut config = config(2, 8);
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -1,4 +1,4 @@
-//! Short traces of decisions, compared with kept ones.
+//! Compares short traces of a relay's commands with expected ones.
 
 mod calls;
 mod connections;
--- a/tests/rules/outages.rs
+++ b/tests/rules/outages.rs
@@ -1,13 +1,14 @@
-//! Endpoints that fall silent, fail or recover.
+//! Endpoints that stop responding, fail or recover.
 
 use expect_test::expect;
 use juniperwing::interface::CallStatus;
 
 use crate::harness::{ONE_ENDPOINT, RelayHarness, TTL_MS, TWO_ENDPOINTS, config};
 
-/// A silent endpoint is ejected before any timeout, then tried by few calls, whose rate doubles when it has recovered.
+/// An unresponsive endpoint is ejected before any timeout and gets few trial calls. After its recovery the rate doubles
+/// with each delivery.
 #[test]
-fn a_silent_destination_gets_few_calls_and_recovers_by_slow_start() {
+fn an_unresponsive_destination_gets_few_calls_and_recovers_by_slow_start() {
     let mut relay = RelayHarness::new(8, 1, ONE_ENDPOINT).warmed_up(20, 100);
     relay.accept_all(100..103, "idempotent", 30_000);
     relay.advance(500);
@@ -42,7 +43,8 @@
     "#]]);
 }
 
-/// A full call outweighs the first interval of a recovering endpoint; it must still be sent, or nothing ever would.
+/// A full call weighs more than the first interval of a recovering endpoint allows. It must still be sent, or no call
+/// would ever be.
 #[test]
 fn a_recovering_endpoint_gets_full_calls_too() {
     let mut relay = RelayHarness::new(8, 4, ONE_ENDPOINT).warmed_up(6, 400);
@@ -68,7 +70,7 @@
     "#]]);
 }
 
-/// Most pushes fail at once, but not all: a delivery in between must not clear the endpoint.
+/// Most pushes fail immediately: one delivery among them must not reset the count of failures.
 #[test]
 fn failures_with_a_delivery_between_eject_an_endpoint() {
     let mut relay = RelayHarness::new(8, 1, ONE_ENDPOINT);
@@ -96,7 +98,7 @@
     "#]]);
 }
 
-/// Nobody listens at one of two: it is ejected like any that fails, and the other does not wait for it.
+/// One of two endpoints refuses all connections: it is ejected like any failing endpoint, without delaying the other.
 #[test]
 fn an_endpoint_that_refuses_all_connections_is_ejected() {
     let mut relay = RelayHarness::new(4, 1, TWO_ENDPOINTS).warmed_up(6, 100);
@@ -126,8 +128,8 @@
     "#]]);
 }
 
-/// Of many relays most see no more of an outage than one refused connection, while together they have enough pending to
-/// overload a destination that is warming up.
+/// With many relays, most see only one refused connection during an outage, yet together they have enough notifications
+/// pending to overload a warming-up destination.
 #[test]
 fn one_refused_connection_is_enough_for_a_slow_start() {
     let mut relay = RelayHarness::with_config(config(100, 8), 1, TWO_ENDPOINTS);
@@ -154,8 +156,8 @@
     "#]]);
 }
 
-/// One of two endpoints answers for one topic type and not for another: what is of the other goes to its sibling,
-/// and the first keeps its part of the rest.
+/// One of two endpoints responds for one topic type but not for another: notifications of the failing type go to the
+/// other endpoint, and the first keeps its share of the rest.
 #[test]
 fn an_endpoint_that_fails_one_topic_type_is_avoided_for_that_type() {
     let mut relay = RelayHarness::new(8, 1, TWO_ENDPOINTS).warmed_up(6, 100);
@@ -189,10 +191,11 @@
     "#]]);
 }
 
-/// Where no connection can be opened, a relay with little traffic keeps to its equal part in full, longer than a
-/// destination takes to warm up: many such relays, one notification each, would overload it together.
+/// If no connection can be opened, a relay with little traffic backs off up to the full interval of its equal share,
+/// even beyond the warm-up duration. Otherwise many such relays with one notification each would overload the
+/// destination.
 #[test]
-fn refused_connections_back_off_up_to_the_full_equal_part() {
+fn refused_connections_back_off_up_to_the_full_equal_share() {
     let mut relay = RelayHarness::with_listed_rate(300, 5.0, TWO_ENDPOINTS);
     relay.advance(20_000);
     relay.accept(1, "idempotent", None, 90_000);
--- a/tests/rules/restarts.rs
+++ b/tests/rules/restarts.rs
@@ -1,14 +1,14 @@
-//! Starts, stops and configuration changes of a running relay.
+//! Startup, shutdown and configuration changes of a running relay.
 
 use expect_test::expect;
 use juniperwing::interface::{CallStatus, Event, NotificationHistory, NotificationId};
 
 use crate::harness::{ONE_ENDPOINT, RelayHarness, TTL_MS, config};
 
-/// Before a planned restart: what the next process could not push in time is rejected at once, with a time to
-/// retry; the rest is kept for it. Pushes in flight may end.
+/// Before a planned restart, notifications that the next process could not push in time are rejected immediately with a
+/// retry delay. The rest are kept for it, and pushes in flight may end.
 #[test]
-fn without_slots_what_the_next_process_could_not_push_in_time_is_throttled_at_once() {
+fn without_slots_what_the_next_process_could_not_push_in_time_is_throttled_immediately() {
     let mut relay = RelayHarness::new(1, 1, ONE_ENDPOINT);
     for (id, ttl) in [(1, TTL_MS), (2, 2_000), (3, TTL_MS)] {
         relay.accept(id, "idempotent", None, ttl);
@@ -32,8 +32,8 @@
     "#]]);
 }
 
-/// What an earlier process never pushed has waited longest: it goes before what was accepted since, past its
-/// latency target too.
+/// Notifications that an earlier process never pushed have waited longest, so they go before newer ones even past their
+/// latency target.
 #[test]
 fn recovered_notifications_that_were_never_pushed_go_first() {
     let mut relay = RelayHarness::new(1, 1, ONE_ENDPOINT);
@@ -60,28 +60,28 @@
     "#]]);
 }
 
-/// A push that was in flight when the relay was killed may have run.
+/// A push that was in flight when the relay was killed may have been executed.
 #[test]
 fn after_a_restart_what_may_have_run_is_pushed_again_only_where_that_is_safe() {
     let mut relay = RelayHarness::new(4, 1, &[("a", "z"), ("b", "y")]);
     relay.advance(5_000);
-    let out = |relay: &RelayHarness, ms| NotificationHistory {
+    let in_flight = |relay: &RelayHarness, ms| NotificationHistory {
         push_count: 1,
         first_possible_run: Some(relay.possible_run(ms)),
         last_doubtful_end: Some(relay.possible_run(0).sent_at),
         has_final_answer: false,
         is_recovered: true,
     };
-    for (id, topic, past) in [
-        (1, "non-idempotent", out(&relay, 1_000)),
+    for (id, topic, history) in [
+        (1, "non-idempotent", in_flight(&relay, 1_000)),
         (2, "non-idempotent", NotificationHistory::default()),
-        (3, "deduplicated", out(&relay, 1_000)),
-        (4, "deduplicated", out(&relay, 4_500)),
-        (5, "idempotent", NotificationHistory { push_count: 8, ..out(&relay, 1_000) }),
-        (6, "non-idempotent", NotificationHistory { has_final_answer: true, ..out(&relay, 1_000) }),
+        (3, "deduplicated", in_flight(&relay, 1_000)),
+        (4, "deduplicated", in_flight(&relay, 4_500)),
+        (5, "idempotent", NotificationHistory { push_count: 8, ..in_flight(&relay, 1_000) }),
+        (6, "non-idempotent", NotificationHistory { has_final_answer: true, ..in_flight(&relay, 1_000) }),
         (7, "non-idempotent", NotificationHistory::default()),
     ] {
-        relay.accept_recovered(id, topic, Some("k").filter(|_| topic == "non-idempotent"), past);
+        relay.accept_recovered(id, topic, Some("k").filter(|_| topic == "non-idempotent"), history);
     }
     relay.advance(400);
     relay.end_push(2, CallStatus::Delivered);
@@ -113,8 +113,8 @@
     "#]]);
 }
 
-/// Another configuration: fewer slots than calls in flight only mean no new ones; accepted notifications keep
-/// their semantics; waits stay; the way back is the same step.
+/// With fewer slots than calls in flight, no new calls start. Accepted notifications keep their semantics, requested
+/// delays stay in effect, and reverting the configuration works the same way.
 #[test]
 fn a_configuration_change_takes_effect_in_a_running_relay_and_can_be_reverted() {
     let mut relay = RelayHarness::new(3, 1, &[("a", "z"), ("b", "y")]);
@@ -141,8 +141,8 @@
         10     push 3 to b for 15990 ms
         20     expire 3
         20     push 4 to b for 15980 ms
-        30     recall what is not out to a
-        30     recall what is not out to b
+        30     cancel unsent pushes to a
+        30     cancel unsent pushes to b
         1520   push 4 to a for 14480 ms
         3020   push 5 to b for 13010 ms
         6020   b set aside
@@ -150,15 +150,14 @@
     "#]]);
 }
 
-/// Listed rates are enforced as soon as the configuration says so, and no longer once it does not: the
-/// list itself has not changed.
+/// Listed rates are enforced exactly while the configuration says so, although the list itself does not change.
 #[test]
-fn listed_rates_come_and_go_with_the_configuration() {
+fn listed_rates_are_enforced_only_while_the_configuration_says_so() {
     let mut relay = RelayHarness::new(8, 1, ONE_ENDPOINT);
-    for listed in [false, true, false] {
-        let mut other = config(2, 8);
-        other.fleet.has_listed_rates = listed;
-        relay.handle(Event::ConfigChanged(other));
+    for has_listed_rates in [false, true, false] {
+        let mut changed = config(2, 8);
+        changed.fleet.has_listed_rates = has_listed_rates;
+        relay.handle(Event::ConfigChanged(changed));
         relay.accept_all(1..=2, "idempotent", TTL_MS);
         relay.advance(1_500);
         relay.end_all_pushes(CallStatus::Delivered);
--- a/tests/rules/time.rs
+++ b/tests/rules/time.rs
@@ -1,4 +1,4 @@
-//! Timeouts, the cutoff, and what is answered at once for want of time.
+//! Timeouts, the cutoff, and notifications that end early because too little time is left.
 
 use std::fmt::Write;
 
@@ -9,14 +9,14 @@
 
 use crate::harness::{ONE_ENDPOINT, RelayHarness, TTL_MS};
 
-/// The paper's own example (Table 1): best at three restarts, whatever more pushes are allowed.
+/// The paper's example (Table 1): three restarts are best, however many more pushes are allowed.
 #[test]
 fn algorithm_2_on_the_papers_example() {
     let fit = Fit { mu: -2.3, sigma: 0.97 };
     let mut trace = String::new();
     for pushes in [1, 2, 3, 4, 5, 8] {
-        let time_out = fit.timeout(Span::from_millis(700), pushes);
-        writeln!(trace, "{pushes} pushes: {} ms", time_out.as_nanos() / 1_000_000).expect("a string");
+        let timeout = fit.timeout(Span::from_millis(700), pushes);
+        writeln!(trace, "{pushes} pushes: {} ms", timeout.as_nanos() / 1_000_000).expect("a string");
     }
     expect![[r#"
         1 pushes: 700 ms
@@ -29,18 +29,18 @@
     .assert_eq(&trace);
 }
 
-/// With a TTL of many medians the chance of success is 1 in floating point; the search must not stop there.
+/// With a TTL of many median latencies, the probability of success rounds to 1; the search must not stop there.
 #[test]
 fn algorithm_2_where_success_is_nearly_certain() {
-    let time_out = Fit { mu: -2.3, sigma: 0.6 }.timeout(Span::from_millis(TTL_MS), 8);
-    expect!["2000 ms"].assert_eq(&format!("{} ms", time_out.as_nanos() / 1_000_000));
-    // A tenth of a millisecond, as on one machine: the chance of a miss is 0 in floating point.
-    let time_out = Fit { mu: -9.2, sigma: 0.25 }.timeout(Span::from_millis(4_000), 8);
-    expect!["500 ms"].assert_eq(&format!("{} ms", time_out.as_nanos() / 1_000_000));
+    let timeout = Fit { mu: -2.3, sigma: 0.6 }.timeout(Span::from_millis(TTL_MS), 8);
+    expect!["2000 ms"].assert_eq(&format!("{} ms", timeout.as_nanos() / 1_000_000));
+    // A median of 0.1 ms, as on one machine: the probability of failure rounds to 0.
+    let timeout = Fit { mu: -9.2, sigma: 0.25 }.timeout(Span::from_millis(4_000), 8);
+    expect!["500 ms"].assert_eq(&format!("{} ms", timeout.as_nanos() / 1_000_000));
 }
 
 #[test]
-fn the_cutoff_answers_at_once_what_has_less_time_left_than_the_median_latency() {
+fn the_cutoff_ends_immediately_what_has_less_time_left_than_the_median_latency() {
     let mut relay = RelayHarness::new(4, 1, ONE_ENDPOINT).warmed_up(6, 400);
     relay.accept(10, "idempotent", None, 300);
     relay.accept(11, "idempotent", None, 900);
@@ -50,7 +50,7 @@
     "#]]);
 }
 
-/// A pending notification is looked at when its deadline has come, however often the cutoff has changed.
+/// Pending notifications cause wake-ups only at their deadlines, however often the cutoff changes.
 #[test]
 fn many_pending_notifications_need_few_wake_ups() {
     let mut relay = RelayHarness::new(1, 1, ONE_ENDPOINT).warmed_up(6, 100);
@@ -62,15 +62,15 @@
         relay.advance_by_wake_ups(10 * latency);
         relay.end_push(relay.oldest_in_flight(), CallStatus::Delivered);
     }
-    let wakes = relay.advance_by_wake_ups(TTL_MS);
-    assert!(wakes < 100, "{wakes} wake-ups for 20 notifications");
+    let wake_ups = relay.advance_by_wake_ups(TTL_MS);
+    assert!(wake_ups < 100, "{wake_ups} wake-ups for 20 notifications");
     assert_eq!(relay.trace.lines().filter(|line| line.contains("throttle")).count(), 19);
 }
 
-/// Calls cut short say that a call lasts longer, not how long: what the fit says beyond the longest delivery must
-/// not end what has all its time, or nothing would be sent again and nothing learned.
+/// An abandoned call shows only that its latency is longer. If estimates above the longest delivery counted for the
+/// cutoff, new notifications with all their time left would be ended unsent, and no latency would be observed again.
 #[test]
-fn calls_cut_short_do_not_make_the_relay_give_up_all_that_follows() {
+fn abandoned_calls_do_not_make_the_relay_end_all_later_notifications() {
     let mut relay = RelayHarness::new(8, 1, ONE_ENDPOINT).warmed_up(6, 100);
     for id in 10..18 {
         relay.accept(id, "non-idempotent", None, TTL_MS);
@@ -87,10 +87,10 @@
     "#]]);
 }
 
-/// A wait, or a backoff, that ends after the deadline of a notification: it is answered at once, not kept until near
-/// its TTL, whether it waits already or comes later.
+/// If a requested delay or backoff ends after the deadline of a notification, the notification is ended immediately
+/// instead of near its TTL, whether it was accepted before or after the delay began.
 #[test]
-fn what_cannot_be_sent_in_time_is_answered_at_once() {
+fn what_cannot_be_sent_in_time_is_ended_immediately() {
     let mut relay = RelayHarness::new(4, 1, ONE_ENDPOINT);
     relay.accept(1, "idempotent", None, TTL_MS);
     relay.accept(2, "idempotent", None, 9_000);
@@ -104,7 +104,7 @@
         0      subscribe
         0      push 1 to a for 16000 ms
         0      push 2 to a for 9000 ms
-        0      recall what is not out to a
+        0      cancel unsent pushes to a
         0      throttle 2
         100    throttle 3
         12270  push 4 to a for 17830 ms
