--- a/crates/restart/src/fit.rs
+++ b/crates/restart/src/fit.rs
@@ -1,26 +1,26 @@
-//! The lognormal fit of a destination's latencies, and the restart interval that follows from it.
+//! The lognormal fit of a destination's latencies, and the restart interval derived from it.
 
 use std::collections::VecDeque;
 use std::f64::consts::{PI, SQRT_2};
 
 use juniperwing_clock::{Span, Time};
 
-/// A sample of this age has half the weight of the newest.
+/// The age at which a sample has half the weight of the newest one.
 const SAMPLE_HALF_LIFE: Span = Span::from_millis(8_000);
-/// The least weight of a sample.
+/// The minimum weight of a sample.
 const MIN_SAMPLE_WEIGHT: f64 = 1e-9;
-/// Lower limit of the standard deviation of the logarithm of latency.
+/// Lower bound on the standard deviation of the logarithm of latency.
 const MIN_SIGMA: f64 = 0.25;
-/// Upper limit of the attempts that Algorithm 2 considers, whatever the caller allows.
+/// Upper bound on the number of attempts that Algorithm 2 considers, even if the caller allows more.
 const MAX_ATTEMPTS: u32 = 1_024;
-/// Iterations of expectation and maximisation: with no censored sample the second reproduces the first.
+/// Iterations of the expectation-maximisation algorithm. Without censored samples, the second reproduces the first.
 const ITERATIONS: usize = 2;
 const ITERATIONS_WITH_CENSORED: usize = 12;
-/// Where the upper tail of the normal distribution is still above zero in floating point.
+/// Bounds at which the upper tail of the normal distribution is still above zero in floating point.
 const MAX_Z: f64 = 36.0;
 const MIN_UPPER_TAIL: f64 = 1e-300;
 
-/// One latency observed; a censored one lasted at least that long.
+/// An observed latency; for a censored sample, a lower bound of the latency.
 #[derive(Debug)]
 pub(crate) struct Sample {
     pub(crate) observed_at: Time,
@@ -29,7 +29,7 @@
     pub(crate) is_censored: bool,
 }
 
-/// Mean and standard deviation of the logarithm of a destination's latency.
+/// Mean and standard deviation of the natural logarithm of a destination's latency in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
     /// The mean; its exponential is the median in seconds.
@@ -39,9 +39,9 @@
 }
 
 impl Fit {
-    /// Maximum likelihood, weighted by age, by expectation and maximisation: a censored sample counts with the mean and
-    /// variance of the part of the distribution beyond it. `None` without samples.
-    pub(crate) fn of(samples: &VecDeque<Sample>) -> Option<Fit> {
+    /// Computes the maximum likelihood fit, with samples weighted by age, by expectation-maximisation: a censored
+    /// sample contributes the mean and variance of the distribution above it. Returns `None` without samples.
+    pub(crate) fn from_samples(samples: &VecDeque<Sample>) -> Option<Fit> {
         let newest_at = samples.back()?.observed_at;
         let weighted: Vec<(f64, &Sample)> =
             samples.iter().map(|sample| (sample.weight(newest_at), sample)).collect();
@@ -50,17 +50,20 @@
         let mut fit = Fit { mu, sigma: 1.0 };
         let has_censored = samples.iter().any(|sample| sample.is_censored);
         for _ in 0..if has_censored { ITERATIONS_WITH_CENSORED } else { ITERATIONS } {
-            fit = fit.maximised(&weighted, total);
+            fit = fit.next_iteration(&weighted, total);
         }
         Some(fit)
     }
 
-    /// One iteration of expectation and maximisation.
-    fn maximised(&self, weighted: &[(f64, &Sample)], total: f64) -> Fit {
+    /// Performs one iteration of expectation-maximisation.
+    fn next_iteration(&self, weighted: &[(f64, &Sample)], total: f64) -> Fit {
         let (mut first_moment, mut second_moment) = (0.0, 0.0);
         for (weight, sample) in weighted {
-            let (mean, variance) =
-                if sample.is_censored { self.beyond(sample.ln_secs) } else { (sample.ln_secs, 0.0) };
+            let (mean, variance) = if sample.is_censored {
+                self.conditional_tail(sample.ln_secs)
+            } else {
+                (sample.ln_secs, 0.0)
+            };
             first_moment += weight * mean;
             second_moment += weight * (mean * mean + variance);
         }
@@ -68,8 +71,8 @@
         Fit { mu, sigma: (second_moment / total - mu * mu).max(0.0).sqrt().max(MIN_SIGMA) }
     }
 
-    /// Mean and variance of the part of the distribution beyond a point.
-    fn beyond(&self, ln_secs: f64) -> (f64, f64) {
+    /// Mean and variance of the normal distribution of the logarithm, conditional on values above `ln_secs`.
+    fn conditional_tail(&self, ln_secs: f64) -> (f64, f64) {
         let z = (ln_secs - self.mu) / self.sigma;
         let density = (-z * z / 2.0).exp() / (2.0 * PI).sqrt();
         let hazard = (density / upper_tail(z).max(MIN_UPPER_TAIL)).max(z);
@@ -77,16 +80,17 @@
         (self.mu + self.sigma * hazard, variance)
     }
 
-    /// The logarithm of the probability that evenly spaced attempts all fail: the probability itself saturates.
+    /// The logarithm of the probability that evenly spaced attempts all fail, because the probability itself
+    /// saturates in floating point.
     fn ln_failure_probability(&self, left: Span, attempts: u32) -> f64 {
         let interval_secs = left.as_secs_f64() / f64::from(attempts);
         let z = ((interval_secs.ln() - self.mu) / self.sigma).min(MAX_Z);
         f64::from(attempts) * upper_tail(z).ln()
     }
 
-    /// Algorithm 2 of the paper: raises the number of attempts until the probability of success in the time left first
-    /// falls, or to `attempts_left`. Returns the restart interval, which is no longer than the time left, and zero only
-    /// if that is.
+    /// Computes the restart interval by Algorithm 2 of the paper: increases the number of attempts until the
+    /// probability of success in the time left first falls, or up to `attempts_left`. The interval is at most the
+    /// time left, and zero only if no time is left.
     pub fn timeout(&self, left: Span, attempts_left: u32) -> Span {
         let failure = |attempts| self.ln_failure_probability(left, attempts);
         let mut attempts = 1;
@@ -98,14 +102,14 @@
 }
 
 impl Sample {
-    /// Its weight by its age, where the newest sample has 1.
+    /// Its weight by its age, relative to the newest sample.
     fn weight(&self, newest_at: Time) -> f64 {
         let age = newest_at.since(self.observed_at);
         0.5f64.powf(age.as_secs_f64() / SAMPLE_HALF_LIFE.as_secs_f64()).max(MIN_SAMPLE_WEIGHT)
     }
 }
 
-/// The probability that a standard normal variable lies beyond `z`.
+/// The probability that a standard normal variable exceeds `z`.
 fn upper_tail(z: f64) -> f64 {
     libm::erfc(z / SQRT_2) / 2.0
 }
--- a/crates/restart/src/latency_model.rs
+++ b/crates/restart/src/latency_model.rs
@@ -1,4 +1,4 @@
-//! The latest latencies of a destination, and what follows from them: timeout, cutoff and percentile.
+//! The recent latencies of a destination, and the timeout, cutoff and percentile derived from them.
 
 use std::collections::VecDeque;
 
@@ -6,57 +6,57 @@
 
 use crate::fit::{Fit, Sample};
 
-/// Latencies kept of each destination.
+/// The maximum number of latencies kept for each destination.
 const MAX_SAMPLES: usize = 32;
-/// Latencies observed before the fit is used.
+/// The minimum number of latencies required for a fit.
 pub const MIN_FIT_SAMPLES: usize = 5;
-/// A shorter latency counts as this, in seconds.
+/// Shorter latencies are recorded as this one, in seconds.
 const MIN_LATENCY_SECS: f64 = 1e-4;
 
-/// The latest latencies of one destination, and their fit.
+/// The recent latencies of one destination, and their fit.
 #[derive(Debug, Default)]
 pub struct LatencyModel {
-    /// In order of observation.
+    /// In order of recording.
     samples: VecDeque<Sample>,
     fit: Option<Fit>,
 }
 
 impl LatencyModel {
-    /// Records how long an attempt lasted that ended at `now`; censored if it was abandoned before its end.
+    /// Records the duration of an attempt that ended at `now`; censored if the attempt was abandoned.
     pub fn record(&mut self, now: Time, latency: Span, is_censored: bool) {
         let ln_secs = latency.as_secs_f64().max(MIN_LATENCY_SECS).ln();
         self.samples.push_back(Sample { observed_at: now, ln_secs, is_censored });
         if self.samples.len() > MAX_SAMPLES {
             self.samples.pop_front();
         }
-        self.fit = if self.samples.len() < MIN_FIT_SAMPLES { None } else { Fit::of(&self.samples) };
+        self.fit = if self.samples.len() < MIN_FIT_SAMPLES { None } else { Fit::from_samples(&self.samples) };
     }
 
-    /// The fit; `None` with fewer than [`MIN_FIT_SAMPLES`].
+    /// The fit; `None` with fewer than [`MIN_FIT_SAMPLES`] samples.
     pub fn fit(&self) -> Option<Fit> {
         self.fit
     }
 
-    /// The fitted median, no longer than the longest attempt completed; zero without a fit. Attempts cut short do not
-    /// say how long they would last: without the bound, a caller with little traffic would give up all that follows,
-    /// for good.
+    /// The fitted median, at most the longest latency of a completed attempt; zero without a fit. Abandoned attempts do
+    /// not show how long they would have lasted. Without the bound, they could raise the median of a caller with little
+    /// traffic so far that it never starts another attempt.
     pub fn median(&self) -> Span {
         let longest = Span::from_secs_f64(self.completed().reduce(f64::max).map_or(0.0, f64::exp));
         self.fit.map_or(Span::ZERO, |fit| Span::from_secs_f64(fit.mu.exp()).min(longest))
     }
 
-    /// How long the next attempt may last: without a fit, all the time left. A request that must not be executed a
-    /// second time has one attempt left.
+    /// How long the next attempt may last; all the time left without a fit. Pass one attempt left for a request that
+    /// must not be executed twice.
     pub fn timeout(&self, left: Span, attempts_left: u32) -> Span {
         self.fit.map_or(left, |fit| fit.timeout(left, attempts_left))
     }
 
-    /// The cutoff: whether the time left is no shorter than the median.
+    /// The cutoff: whether any time is left, and at least the median latency.
     pub fn has_time_for_attempt(&self, left: Span) -> bool {
         left > Span::ZERO && left >= self.median()
     }
 
-    /// The 90th percentile of the latencies of completed attempts; `None` with fewer than [`MIN_FIT_SAMPLES`].
+    /// The 90th percentile of the latencies of completed attempts; `None` with fewer than [`MIN_FIT_SAMPLES`] of them.
     pub fn ninetieth_percentile(&self) -> Option<Span> {
         let mut completed: Vec<f64> = self.completed().collect();
         completed.sort_by(f64::total_cmp);
@@ -67,12 +67,12 @@
         Some(Span::from_secs_f64(ln_secs.exp()))
     }
 
-    /// How many attempts in a row, up to the latest, were censored.
+    /// The number of consecutive censored attempts up to the latest one.
     pub fn consecutive_censored(&self) -> usize {
         self.samples.iter().rev().take_while(|sample| sample.is_censored).count()
     }
 
-    /// The logarithms of the latencies of completed attempts, in order of observation.
+    /// The logarithms of the latencies of completed attempts, in order of recording.
     fn completed(&self) -> impl Iterator<Item = f64> {
         self.samples.iter().filter(|sample| !sample.is_censored).map(|sample| sample.ln_secs)
     }
--- a/crates/restart/src/lib.rs
+++ b/crates/restart/src/lib.rs
@@ -1,7 +1,7 @@
-//! "Meeting Deadlines through Restart" (van Moorsel and Wolter) as a library: how long an attempt may last, when none
-//! has enough time left, and which destination gets a freed slot.
+//! Implements "Meeting Deadlines through Restart" (van Moorsel and Wolter): how long an attempt may last, and when too
+//! little time is left for one. Also schedules slots between destinations.
 //!
-//! It is pure: no I/O, and no clock but the `now` of the caller.
+//! The crate does no I/O and reads no clock; callers pass the current time.
 
 mod fit;
 mod latency_model;
--- a/crates/restart/src/slot_times.rs
+++ b/crates/restart/src/slot_times.rs
@@ -1,12 +1,12 @@
-//! The slot-time release: a freed slot goes to the waiting destination with the least recent slot time.
+//! Slot-time scheduling: a free slot goes to the waiting destination with the least slot time recently used.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use juniperwing_clock::{Span, Time};
 
-/// Slot time counts for this long.
+/// The period over which slot time is counted.
 const SLOT_TIME_MEMORY: Span = Span::from_millis(10_000);
-/// Calls kept of each destination; beyond that, those that have ended are dropped early.
+/// The maximum number of calls kept for each destination; above it, calls that have ended are dropped early.
 const MAX_CALLS_PER_DESTINATION: usize = 16_384;
 
 #[derive(Debug)]
@@ -17,8 +17,8 @@
 }
 
 impl Call {
-    /// The slot time since `since`. A call in flight counts with its expected duration, and one that is stuck with no
-    /// more than that or `stuck_after`, whichever is longer.
+    /// The slot time used since `since`. A call in flight counts with at least its expected duration, and any call
+    /// with at most its expected duration or `stuck_after`, whichever is longer.
     fn slot_time(&self, since: Time, now: Time, stuck_after: Span) -> Span {
         let end = self.ended_at.unwrap_or(now.max(self.began_at + self.expected_duration));
         let end = end.min(self.began_at + self.expected_duration.max(stuck_after));
@@ -26,23 +26,23 @@
     }
 }
 
-/// Slot time by destination, calls in flight included, and which destinations wait for a slot.
+/// The slot time of each destination, including calls in flight, and the destinations that wait for a slot.
 #[derive(Debug, Default)]
 pub struct SlotTimes<Key> {
     slots_in_use: usize,
-    /// In order of their beginning.
+    /// In order of their start.
     calls: BTreeMap<Key, VecDeque<Call>>,
-    /// From when a destination may use a slot.
+    /// The earliest time at which each waiting destination may use a slot.
     waiting: BTreeMap<Key, Time>,
 }
 
 impl<Key: Ord> SlotTimes<Key> {
-    /// A destination has something to send, which may be sent from a time on.
+    /// Records that a destination waits for a slot, which it may use at or after `from`.
     pub fn set_waiting(&mut self, key: Key, from: Time) {
         self.waiting.insert(key, from);
     }
 
-    /// A call takes a slot; its destination does not wait any more.
+    /// Records that a call takes a slot; its destination no longer waits.
     pub fn begin_call(&mut self, now: Time, key: Key, expected_duration: Span) {
         self.slots_in_use += 1;
         self.waiting.remove(&key);
@@ -52,8 +52,8 @@
         calls.push_back(Call { began_at: now, ended_at: None, expected_duration });
     }
 
-    /// A call releases its slot: the oldest in flight, for calls of one destination are alike. Without one in flight
-    /// nothing changes.
+    /// Records that a call released its slot. Calls of a destination are interchangeable, so the oldest in flight is
+    /// ended. Does nothing if none is in flight.
     pub fn end_call(&mut self, now: Time, key: &Key) {
         let mut calls = self.calls.get_mut(key).into_iter().flatten();
         if let Some(call) = calls.find(|call| call.ended_at.is_none()) {
@@ -62,29 +62,29 @@
         }
     }
 
-    /// How many slots are in use.
+    /// The number of slots in use.
     pub fn slots_in_use(&self) -> usize {
         self.slots_in_use
     }
 
-    /// The calls in flight, each with when it began, destination by destination.
+    /// The calls in flight with their start times, grouped by destination.
     pub fn calls_in_flight(&self) -> impl Iterator<Item = (&Key, Time)> {
         let calls = self.calls.iter().flat_map(|(key, calls)| calls.iter().map(move |call| (key, call)));
         calls.filter(|(_, call)| call.ended_at.is_none()).map(|(key, call)| (key, call.began_at))
     }
 
-    /// The destinations with something that may be sent now.
+    /// The waiting destinations that may use a slot at `now`.
     pub fn waiting_destinations(&self, now: Time) -> impl Iterator<Item = &Key> {
         self.waiting.iter().filter(move |(_, from)| **from <= now).map(|(key, _)| key)
     }
 
-    /// The destination that gets a freed slot: least slot time; at a tie, the first by key.
+    /// The destination that gets the next free slot: the one with the least slot time, and the lowest key among equals.
     pub fn next_destination(&self, now: Time, stuck_after: Span) -> Option<&Key> {
         self.waiting_destinations(now).min_by_key(|key| (self.recent_slot_time(now, key, stuck_after), *key))
     }
 
-    /// A destination's recent slot time. A call in flight counts with its expected duration, and one that is stuck with
-    /// no more than that or `stuck_after`, whichever is longer.
+    /// The slot time that a destination used recently. A call in flight counts with at least its expected duration,
+    /// and any call with at most its expected duration or `stuck_after`, whichever is longer.
     pub fn recent_slot_time(&self, now: Time, key: &Key, stuck_after: Span) -> Span {
         let since = now - SLOT_TIME_MEMORY;
         let calls = self.calls.get(key).into_iter().flatten();
--- a/crates/restart/tests/restart.rs
+++ b/crates/restart/tests/restart.rs
@@ -10,7 +10,7 @@
     Span::from_millis(millis)
 }
 
-/// A model of attempts that completed after so many milliseconds, one each second.
+/// A model of attempts that completed after these latencies in milliseconds, one per second.
 fn model_of(latencies: &[u64]) -> LatencyModel {
     let mut model = LatencyModel::default();
     for (second, latency) in (1..).zip(latencies) {
@@ -19,14 +19,14 @@
     model
 }
 
-/// The paper's sequence of probabilities of success, taken literally: `1 - (1 - F(d / n))^n`.
+/// The probability of success as written in the paper: `1 - (1 - F(d / n))^n`.
 fn success_probability(fit: Fit, left: Span, attempts: u32) -> f64 {
     let z = ((left.as_secs_f64() / f64::from(attempts)).ln() - fit.mu) / fit.sigma;
     let within = 1.0 - libm::erfc(z / std::f64::consts::SQRT_2) / 2.0;
     1.0 - (1.0 - within).powi(attempts as i32)
 }
 
-/// The number of attempts before the first drop, over the whole sequence.
+/// The number of attempts before the probability of success first drops, by brute force.
 fn best_attempt_count(fit: Fit, left: Span, attempts_left: u32) -> u32 {
     let probabilities: Vec<f64> =
         (1..=attempts_left).map(|attempts| success_probability(fit, left, attempts)).collect();
@@ -42,11 +42,11 @@
 }
 
 #[test]
-fn a_slow_first_attempt_is_abandoned_at_its_part_of_the_time_left() {
+fn a_slow_first_attempt_is_abandoned_after_its_share_of_the_time_left() {
     let model = model_of(&[60, 80, 100, 120, 160, 400]);
     let left = millis(2_000);
     let attempts = best_attempt_count(model.fit().expect("enough samples"), left, ATTEMPTS);
-    assert!(attempts > 1, "restarts pay for latencies that vary so much");
+    assert!(attempts > 1, "restarts are beneficial for latencies with this variance");
     assert_eq!(model.timeout(left, ATTEMPTS), left.mul_f64(1.0 / f64::from(attempts)));
 }
 
@@ -122,14 +122,13 @@
 #[test]
 fn the_ninetieth_percentile_needs_enough_samples() {
     assert_eq!(model_of(&[100; MIN_FIT_SAMPLES - 1]).ninetieth_percentile(), None);
-    let percentile = model_of(&[10, 20, 30, 40, 50, 60, 70, 80, 90, 100])
-        .ninetieth_percentile()
-        .expect("enough are known");
+    let percentile =
+        model_of(&[10, 20, 30, 40, 50, 60, 70, 80, 90, 100]).ninetieth_percentile().expect("enough samples");
     assert!(percentile.as_nanos().abs_diff(millis(100).as_nanos()) < 1_000, "{percentile:?}");
 }
 
 #[test]
-fn zero_and_endless_latencies_do_no_harm() {
+fn extreme_latencies_yield_a_finite_fit() {
     for latency in
         [Span::ZERO, Span::from_nanos(u64::MAX), Span::from_secs_f64(f64::NAN), Span::from_secs_f64(-1.0)]
     {
@@ -140,14 +139,14 @@
         }
         let fit = model.fit().expect("enough samples");
         assert!(fit.mu.is_finite() && fit.sigma.is_finite(), "{latency:?}: {fit:?}");
-        let endless = Span::from_nanos(u64::MAX);
-        assert!(model.timeout(endless, u32::MAX) > Span::ZERO);
+        let longest = Span::from_nanos(u64::MAX);
+        assert!(model.timeout(longest, u32::MAX) > Span::ZERO);
         assert_eq!(model.timeout(Span::ZERO, u32::MAX), Span::ZERO);
     }
 }
 
 #[test]
-fn a_fit_that_is_not_a_number_does_no_harm() {
+fn a_fit_that_is_not_finite_yields_a_valid_timeout() {
     let numbers = [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, 0.0];
     for (mu, sigma) in numbers.into_iter().flat_map(|mu| numbers.map(|sigma| (mu, sigma))) {
         let timeout = Fit { mu, sigma }.timeout(millis(1_000), u32::MAX);
@@ -156,7 +155,7 @@
 }
 
 proptest! {
-    /// Where the probabilities differ enough for floating point, the search ends where brute force does.
+    /// If the probabilities are distinguishable in floating point, the search agrees with brute force.
     #[test]
     fn algorithm_2_finds_the_best_attempt_count_before_the_first_drop(
         mu in -5.0..1.0f64, sigma in 0.25..2.0f64, left_ms in 20..20_000u64, attempts_left in 1..12u32,
--- a/crates/restart/tests/slot_times.rs
+++ b/crates/restart/tests/slot_times.rs
@@ -1,4 +1,4 @@
-//! The slot-time release.
+//! Slot-time scheduling.
 
 use juniperwing_clock::{Span, Time};
 use juniperwing_restart::SlotTimes;
@@ -11,7 +11,7 @@
     Time::default() + Span::from_millis(millis)
 }
 
-/// Two destinations that both wait for a slot.
+/// Two destinations that wait for a slot.
 fn two_waiting() -> SlotTimes<&'static str> {
     let mut slots = SlotTimes::default();
     slots.set_waiting("models", at(0));
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn no_destination_gets_a_slot_before_its_time() {
+fn no_destination_gets_a_slot_before_it_may_use_one() {
     let mut slots = SlotTimes::default();
     assert_eq!(slots.next_destination(at(0), STUCK_AFTER), None);
     slots.set_waiting("models", at(100));
@@ -105,7 +105,7 @@
 }
 
 proptest! {
-    /// The slots in use are the calls in flight, and the next destination has the least slot time of those that wait.
+    /// The slots in use equal the calls in flight, and the next destination has the least slot time of those that wait.
     #[test]
     fn the_next_destination_has_the_least_slot_time(
         events in prop::collection::vec((0..3u8, 0..4u8, 0..2_000u64), 0..200),
