--- a/crates/adapter/src/error.rs
+++ b/crates/adapter/src/error.rs
@@ -1,11 +1,11 @@
-//! Errors of the adapter. Each ends the program; its text follows the number of the line.
+//! Errors of the adapter. Each ends the program, which prints the number of the input line and the error.
 
 use std::io;
 use std::str::Utf8Error;
 
 use snafu::Snafu;
 
-/// Why a line of the input has no reply.
+/// The reason why an input line has no reply.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub(crate) enum AdapterError {
@@ -18,13 +18,13 @@
     /// The line is not a batch.
     #[snafu(display("not a batch: {source}"))]
     NotABatch { source: serde_json::Error },
-    /// An event does not have the form of its kind.
+    /// An event does not match the schema of its kind.
     #[snafu(display("malformed {kind}: {source}"))]
     Malformed { kind: String, source: serde_json::Error },
-    /// An update of the endpoint list refers to a bank without entries.
+    /// An update of the endpoint list refers to a bank that was never defined.
     #[snafu(display("Endpoints names a bank with no Inventory"))]
     UnknownBank,
-    /// A notification has a topic type that the settings lack.
+    /// A notification has a topic type that is not in the settings.
     #[snafu(display("Accept names no known class: {name:?}"))]
     UnknownTopicType { name: String },
     /// The reply cannot be serialised.
--- a/crates/adapter/src/events.rs
+++ b/crates/adapter/src/events.rs
@@ -1,4 +1,4 @@
-//! Conversion of the wire's events into the core's.
+//! Conversion of wire events to the core's events.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,26 +16,26 @@
 use crate::error::{AdapterError, MalformedSnafu, UnknownBankSnafu, UnknownTopicTypeSnafu};
 use crate::wire;
 
-/// The word of an answer's status that comes with a wait.
+/// The push status on the wire that can come with a retry delay.
 const BUSY: &str = "busy";
 
 /// The entries of a bank, shared by all relays.
 pub(crate) type Bank = Vec<BankEntry>;
 
-/// A list entry. Each relay has its own settings for the kind with this name.
+/// A list entry without its kind, which is resolved by name because each relay has its own settings for it.
 pub(crate) struct BankEntry {
     kind_name: String,
-    /// All but the kind.
+    /// The entry, with a default kind.
     entry: EndpointEntry,
 }
 
-/// Parses an event of this kind.
+/// Deserialises an event; `kind` names it in errors.
 pub(crate) fn parse<'a, T: Deserialize<'a>>(kind: &str, event: &'a RawValue) -> Result<T, AdapterError> {
     serde_json::from_str(event.get()).context(MalformedSnafu { kind })
 }
 
-/// The core's event; `None` for a kind that does not concern a relay here, such as streams, peers and whatever a later
-/// version of the wire adds.
+/// Converts an event to the core's form. Returns `None` for kinds that the core does not handle, such as streams, peers
+/// and kinds added by later versions of the protocol.
 pub(crate) fn to_event(
     kind: &str, event: &RawValue, settings: &Settings, banks: &BTreeMap<usize, Bank>,
 ) -> Result<Option<Event>, AdapterError> {
@@ -60,13 +60,13 @@
     })
 }
 
-/// An update of the endpoint list; `None` if its kind is unknown.
+/// Converts an update of the endpoint list; `None` if its kind is unknown.
 fn list_update(
     endpoints: wire::Endpoints, settings: &Settings, banks: &BTreeMap<usize, Bank>,
 ) -> Result<Option<EndpointListUpdate>, AdapterError> {
     let entries = || {
         let bank = banks.get(&endpoints.bank).context(UnknownBankSnafu)?;
-        Ok(bank.iter().map(|of_bank| of_bank.with_kind(settings)).collect())
+        Ok(bank.iter().map(|entry| entry.with_kind(settings)).collect())
     };
     Ok(match endpoints.update_kind.as_str() {
         "broken" => Some(EndpointListUpdate::Failed),
@@ -90,20 +90,20 @@
 }
 
 fn push_outcome(answer: wire::Answer, settings: &Settings) -> PushOutcome {
-    let has_wait = answer.status == BUSY && answer.retry_after_ms > 0;
+    let has_retry_after = answer.status == BUSY && answer.retry_after_ms > 0;
     PushOutcome {
         notification: NotificationId(answer.notification),
         push_index: answer.push_index,
         endpoint: endpoint_id(&answer.endpoint),
         status: call_status(&answer.status),
-        retry_after: has_wait.then(|| Span::from_millis(answer.retry_after_ms)),
+        retry_after: has_retry_after.then(|| Span::from_millis(answer.retry_after_ms)),
         elapsed: Span::from_nanos(answer.elapsed_ns),
         has_final_answer: answer.has_final_answer,
         rate_limit: settings.rate_limit(&answer.load_report),
     }
 }
 
-/// A list entry from a record.
+/// Converts a record to a list entry.
 pub(crate) fn list_entry(record: wire::Record) -> BankEntry {
     let entry = EndpointEntry {
         endpoint: endpoint_id(&record.endpoint),
@@ -121,7 +121,7 @@
 }
 
 impl BankEntry {
-    /// The entry with what a relay's settings say of its kind.
+    /// The entry with its kind resolved from a relay's settings.
     fn with_kind(&self, settings: &Settings) -> EndpointEntry {
         EndpointEntry { kind: settings.kind(&self.kind_name), ..self.entry.clone() }
     }
@@ -131,8 +131,8 @@
     EndpointId(Arc::from(name))
 }
 
-fn call_status(word: &str) -> CallStatus {
-    match word {
+fn call_status(status: &str) -> CallStatus {
+    match status {
         "done" => CallStatus::Delivered,
         BUSY => CallStatus::Busy,
         "etimedout" => CallStatus::TimedOut,
@@ -140,7 +140,7 @@
         "econnreset" => CallStatus::Reset,
         "ecanceled" => CallStatus::Cancelled,
         "skipped" => CallStatus::Skipped,
-        // "err", and any word not known here: it may have been executed.
+        // "err" and unknown values: the push may have been executed.
         _ => CallStatus::Error,
     }
 }
--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The relays that the adapter hosts, and the batches that concern them.
+//! Hosts relays and processes batches of events for them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,14 +14,14 @@
 use crate::events::{Bank, list_entry, parse, to_event};
 use crate::wire;
 
-/// A relay and what has happened to it in the present batch.
+/// A relay and its events in the current batch.
 struct HostedRelay {
     relay: Relay,
     settings: Settings,
     events: Vec<Event>,
 }
 
-/// The relays by name, and the banks by number.
+/// The hosted relays by name, and the banks by number.
 #[derive(Default)]
 pub(crate) struct Host {
     relays: BTreeMap<String, HostedRelay>,
@@ -29,7 +29,7 @@
 }
 
 impl Host {
-    /// Handles one batch and returns the reply to it. Relays reply in the order in which the batch names them first.
+    /// Handles one batch and returns the reply. Commands are ordered by the first mention of their relay in the batch.
     pub(crate) fn handle_batch(&mut self, text: &str) -> Result<String, AdapterError> {
         let batch: wire::Batch = serde_json::from_str(text).context(NotABatchSnafu)?;
         let now = Time::from_nanos(batch.now_ns);
@@ -82,22 +82,24 @@
         HostedRelay { relay, settings, events: Vec::new() }
     }
 
-    /// Gives the relay the events of the batch. On this wire a final answer is acknowledged as soon as it is given.
+    /// Passes the events of the batch to the relay. The wire has no acknowledgements, so each final answer counts as
+    /// acknowledged immediately.
     fn run(&mut self, now: Time) -> Vec<Command> {
         let mut commands = self.relay.handle(now, std::mem::take(&mut self.events));
-        let mut acknowledged = 0;
+        let mut acknowledged_count = 0;
         loop {
-            let answers: Vec<Event> = commands[acknowledged..].iter().filter_map(acknowledgement).collect();
-            if answers.is_empty() {
+            let acknowledgements: Vec<Event> =
+                commands[acknowledged_count..].iter().filter_map(acknowledgement).collect();
+            if acknowledgements.is_empty() {
                 return commands;
             }
-            acknowledged = commands.len();
-            commands.extend(self.relay.handle(now, answers));
+            acknowledged_count = commands.len();
+            commands.extend(self.relay.handle(now, acknowledgements));
         }
     }
 }
 
-/// The acknowledgement of a command that ends a notification.
+/// The acknowledgement for a command that is a final answer.
 fn acknowledgement(command: &Command) -> Option<Event> {
     match command {
         Command::Throttle { notification, .. } | Command::Expire(notification) => {
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,6 +1,6 @@
-//! Carries basalt-6b6a, one JSON batch a line, to relays of the juniperwing core and their commands back.
+//! Adapter between the basalt-6b6a protocol, with one JSON batch per line, and relays of the juniperwing core.
 //!
-//! It hosts any number of relays, shares nothing between them and decides nothing.
+//! It hosts any number of independent relays and contains no decision logic.
 
 mod commands;
 mod error;
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -1,5 +1,5 @@
-//! The wire's messages, as serde reads and writes them. Types have the wire's names, which errors quote; fields and
-//! variants have the field's names, with the wire's beside them.
+//! The messages of the wire protocol. Types keep the protocol's names, because error messages contain them; fields and
+//! variants are renamed by attributes.
 
 use std::borrow::Cow;
 
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, value::RawValue};
 
-/// A line of the input: what happened up to now.
+/// An input line: the events up to `now_ns`.
 #[derive(Deserialize)]
 pub(crate) struct Batch<'a> {
     #[serde(rename = "now")]
@@ -16,7 +16,7 @@
     pub(crate) events: Vec<&'a RawValue>,
 }
 
-/// The part of an event that says what it is and which relay it concerns.
+/// The fields common to all events: the kind and the relay.
 #[derive(Deserialize)]
 pub(crate) struct Head<'a> {
     #[serde(borrow, rename = "m")]
@@ -25,7 +25,7 @@
     pub(crate) relay: Cow<'a, str>,
 }
 
-/// A relay starts.
+/// Starts a relay.
 #[derive(Deserialize)]
 pub(crate) struct Spawn {
     #[serde(default, rename = "prng")]
@@ -35,13 +35,13 @@
 }
 
 impl Spawn {
-    /// The seed as 64 bits, whichever integer the wire has; zero if it has none.
+    /// The seed from a signed or unsigned integer; zero if it is neither.
     pub(crate) fn seed(&self) -> u64 {
         self.seed.as_u64().or_else(|| self.seed.as_i64().map(i64::cast_unsigned)).unwrap_or(0)
     }
 }
 
-/// The entries of a bank.
+/// Defines the entries of a bank.
 #[derive(Deserialize)]
 pub(crate) struct Inventory {
     pub(crate) bank: usize,
@@ -65,7 +65,7 @@
     pub(crate) rate_per_second: f64,
 }
 
-/// An update of the endpoint list, whose entries are those of a bank.
+/// An update of the endpoint list with the entries of a bank.
 #[derive(Deserialize)]
 pub(crate) struct Endpoints {
     #[serde(default)]
@@ -126,7 +126,7 @@
     pub(crate) notification: u64,
 }
 
-/// A line of the output: the commands that follow from a batch.
+/// An output line: the commands that result from a batch.
 #[derive(Serialize)]
 pub(crate) struct Reply<'a> {
     pub(crate) cmds: Vec<Cmd<'a>>,
--- a/crates/adapter/tests/command_line.rs
+++ b/crates/adapter/tests/command_line.rs
@@ -1,14 +1,14 @@
-//! The adapter as a program: no options, batches by standard input, and its exit codes.
+//! The command line of the adapter: no options, batches on standard input, and exit codes.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-/// Exit code, standard output and standard error for this input.
+/// Runs the adapter on `input` and returns its exit code, standard output and standard error.
 fn run(input: &str) -> (Option<i32>, String, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_juniperwing-adapter"));
     command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
     let mut child = command.spawn().expect("the program starts");
-    child.stdin.take().expect("a pipe").write_all(input.as_bytes()).expect("the program reads");
+    child.stdin.take().expect("a pipe").write_all(input.as_bytes()).expect("the program reads its input");
     let output = child.wait_with_output().expect("the program ends");
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("UTF-8");
     (output.status.code(), text(output.stdout), text(output.stderr))
@@ -26,7 +26,7 @@
     assert!(error.starts_with("juniperwing-adapter: line 1: not a batch: "), "{error}");
 }
 
-/// The events of one batch that the adapter rejects, and its error.
+/// Events that the adapter rejects, each with the expected error.
 const REJECTED_EVENTS: [(&str, &str); 8] = [
     ("3", "malformed an event: invalid type: integer `3`, expected struct Head at line 1 column 1"),
     (r#"{"relay":"r"}"#, "malformed an event: missing field `m` at line 1 column 13"),
--- a/crates/adapter/tests/golden.rs
+++ b/crates/adapter/tests/golden.rs
@@ -1,14 +1,14 @@
-//! The adapter's JSON lines, byte for byte: batches of events of every kind, and the replies to them.
+//! Compares the adapter's replies to batches with every kind of event with the committed ones, byte for byte.
 //!
-//! The wire belongs to others: it stays as it is when names in the source change. Replies also change with the core's
-//! decisions; then they are regenerated, and the difference must show no other key and no other word. Run
+//! The wire protocol is an external interface and must not change when names in the source do. When the core's
+//! decisions change, regenerate the replies and check that no key or keyword differs. Run
 //!
 //! ```text
 //! UPDATE_GOLDEN=1 cargo test -p juniperwing-adapter --test golden
 //! ```
 //!
-//! `golden/input.jsonl` is the input of the test, and is not regenerated. The core gives no command to probe, so
-//! `SoundOut` is in no reply.
+//! `golden/input.jsonl` is the input of the test and is never regenerated. The core never issues a probe command, so no
+//! reply contains `SoundOut`.
 
 use std::collections::BTreeSet;
 use std::fs::{self, File};
@@ -21,7 +21,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
 
-/// The kinds of messages in the field `list` of all lines of JSON.
+/// The kinds of the messages in the array `list` of all JSON lines.
 fn kinds(lines: &str, list: &str) -> BTreeSet<String> {
     let lines = lines.lines().map(|line| serde_json::from_str::<Value>(line).expect("a line of JSON"));
     let messages = lines.flat_map(|line| line[list].as_array().expect("a list").clone());
--- a/crates/settings/src/conversion.rs
+++ b/crates/settings/src/conversion.rs
@@ -1,4 +1,4 @@
-//! Conversion of settings as they are written into the core's types.
+//! Conversion of settings from their serialised form to the core's types.
 
 use std::sync::Arc;
 
@@ -11,13 +11,13 @@
 use crate::raw::{
     RawAccount, RawLimits, RawRules, RawSettings, RawTopicType, deduplication_scope, semantics,
 };
-use crate::settings::{Connections, LoadReportLayout, Settings, plain_kind};
+use crate::settings::{Connections, LoadReportLayout, Settings, default_kind};
 
-/// The value of `discovery` where the list is sent to subscribers only.
+/// The value of `discovery` if the list is sent to subscribers only.
 const DISCOVERY_BY_SUBSCRIPTION: &str = "subscribe";
-/// The value of `weight-source` where listed rates are enforced limits.
+/// The value of `weight-source` if listed rates are enforced limits.
 const ENFORCED_RATES: &str = "nominal";
-/// The fields of a load report that concern the rate limit: the fraction left, and the limit.
+/// The fields of a load report for the rate limit: its remaining fraction, and the limit itself.
 const REMAINING_FRACTION_FIELD: &str = "x0";
 const RATE_FIELD: &str = "x1";
 
@@ -48,14 +48,14 @@
 }
 
 fn fleet(raw: &RawSettings) -> Fleet {
-    let crossing_has_price = raw.costs.cross_zone > 0.0 && !raw.zone.is_empty();
+    let has_cross_zone_cost = raw.costs.cross_zone > 0.0 && !raw.zone.is_empty();
     Fleet {
         relay_count: raw.relay_count,
         has_listed_rates: raw.rate_source == ENFORCED_RATES,
         is_list_on_request: raw.discovery == DISCOVERY_BY_SUBSCRIPTION,
         is_list_pushed: raw.discovery != DISCOVERY_BY_SUBSCRIPTION,
         tick: Span::from_nanos(raw.tick_ns),
-        home_zone: crossing_has_price.then(|| Arc::from(raw.zone.as_str())),
+        home_zone: has_cross_zone_cost.then(|| Arc::from(raw.zone.as_str())),
     }
 }
 
@@ -94,7 +94,7 @@
     }
 }
 
-/// The semantics of a topic type; unknown ones are non-idempotent, which is the strictest.
+/// The semantics of a topic type. Unknown values are treated as non-idempotent, the strictest semantics.
 fn semantics_of(raw: &RawTopicType) -> Semantics {
     match raw.semantics.as_str() {
         semantics::IDEMPOTENT => Semantics::Idempotent,
@@ -114,7 +114,7 @@
     DestinationKind {
         has_separate_routes: raw.kind_info.has_separate_routes.get(index).copied().unwrap_or(false),
         max_notifications_per_call: raw.kind_info.max_notifications_per_call.get(index).copied().unwrap_or(1),
-        ..plain_kind(name)
+        ..default_kind(name)
     }
 }
 
--- a/crates/settings/src/display.rs
+++ b/crates/settings/src/display.rs
@@ -1,4 +1,4 @@
-//! A summary of settings for the operators' log.
+//! A one-line summary of settings for operators.
 
 use std::fmt;
 
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of settings.
+//! Errors in settings.
 
 use snafu::Snafu;
 
@@ -6,13 +6,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("settings.{key} {problem}"))]
 pub struct InvalidSetting {
-    /// The path of its key, such as `classes[0].name`.
+    /// The path of the key, such as `classes[0].name`.
     pub key: String,
-    /// What is wrong with it.
+    /// The problem with its value.
     pub problem: SettingProblem,
 }
 
-/// What is wrong with a setting.
+/// A problem with the value of a setting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum SettingProblem {
     /// It is zero.
@@ -47,16 +47,16 @@
     KindNotUnique,
 }
 
-/// Settings that cannot replace the present ones.
+/// The reason why settings cannot replace the current ones.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum IncompatibleSettings {
-    /// A topic type with pending notifications is missing.
+    /// A topic type that has pending notifications is missing.
     #[snafu(display("settings.classes lacks {name:?}, of which notifications are held"))]
     TopicTypeMissing {
         /// Its name.
         name: String,
     },
-    /// A kind with listed endpoints is missing.
+    /// A kind that has listed endpoints is missing.
     #[snafu(display("settings.kinds lacks {name:?}, of which endpoints are listed"))]
     KindMissing {
         /// Its name.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! Reads the settings of a relay into the core's types.
+//! Reads, validates and converts the settings of a relay to the core's types.
 //!
-//! Both front ends share it: the adapter finds the settings in `Spawn`, the relay on sockets in its configuration file.
-//! It has no defaults of its own and decides nothing.
+//! Both front ends use this crate: the adapter reads the settings from `Spawn` events, and the relay on sockets from
+//! its configuration file. It has no defaults of its own and contains no decision logic.
 
 mod conversion;
 mod display;
--- a/crates/settings/src/raw.rs
+++ b/crates/settings/src/raw.rs
@@ -1,9 +1,9 @@
-//! Settings as they are written. Their keys are those of the operators' pages; `expecting` keeps the texts of errors.
+//! The serialised form of settings. Keys are part of the documented format, so fields are renamed by attributes;
+//! `expecting` keeps the type names in error messages stable.
 
 use serde::Deserialize;
 
-/// Settings as they are written. Unknown keys are ignored; absent ones are zero, empty or false. Times are in
-/// nanoseconds.
+/// The settings of a relay. Unknown keys are ignored; absent ones are zero, empty or false. Times are in nanoseconds.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default, expecting = "struct Written")]
 pub struct RawSettings {
@@ -28,7 +28,7 @@
     pub(crate) zone: String,
 }
 
-/// Prices.
+/// Costs.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default, expecting = "struct Costs")]
 pub(crate) struct RawCosts {
@@ -44,7 +44,7 @@
     pub(crate) quota_per_second: f64,
 }
 
-/// What a relay may use.
+/// Resource limits and permitted operations.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default, expecting = "struct Ceilings")]
 pub(crate) struct RawLimits {
@@ -90,7 +90,7 @@
     pub(crate) is_ordered: bool,
 }
 
-/// What is known of the kinds of destinations, in the order of [`RawSettings::kinds`], and the slots.
+/// Properties of the kinds of destinations, in the order of [`RawSettings::kinds`], and the number of slots.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default, expecting = "struct FamilyInfo")]
 pub(crate) struct RawKindInfo {
@@ -101,7 +101,7 @@
     pub(crate) slots: usize,
 }
 
-/// The quantities in the rules of the service.
+/// Parameters of the push rules.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default, expecting = "struct Rules")]
 pub(crate) struct RawRules {
@@ -119,21 +119,21 @@
     pub(crate) key_cooldown_ns: u64,
 }
 
-/// The fields of a load report, in order.
+/// The layout of a load report: its fields, in order.
 #[derive(Deserialize, Default)]
 #[serde(default, expecting = "struct LoadReport")]
 pub(crate) struct RawLoadReport {
     pub(crate) fields: Vec<String>,
 }
 
-/// How a topic type's semantics are written.
+/// The values of a topic type's semantics.
 pub(crate) mod semantics {
     pub(crate) const IDEMPOTENT: &str = "pure";
     pub(crate) const DEDUPLICATED: &str = "token";
     pub(crate) const NON_IDEMPOTENT: &str = "side_effect";
 }
 
-/// How a deduplication scope is written; the default is empty.
+/// The values of a deduplication scope, which may also be empty.
 pub(crate) mod deduplication_scope {
     pub(crate) const ALL: &str = "all";
     pub(crate) const ZONE: &str = "zone";
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings in the core's types.
+//! Settings, converted to the core's types.
 
 use std::sync::Arc;
 
@@ -7,23 +7,23 @@
 
 use crate::error::IncompatibleSettings;
 
-/// What connections to endpoints may do.
+/// Settings of connections to endpoints.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Connections {
-    /// An idle one is closed by its endpoint after this time; zero if that is unknown.
+    /// The time after which endpoints close idle connections; zero if unknown.
     pub idle_timeout: Span,
-    /// One that is not up within this time never comes up; zero if that is unknown.
+    /// A connection that is not established within this time never will be; zero if unknown.
     pub connect_timeout: Span,
-    /// Whether two pushes of one notification may be in flight together.
+    /// Whether two pushes of one notification may be in flight at the same time.
     pub is_hedging_allowed: bool,
 }
 
-/// Settings in the core's types.
+/// The settings of a relay, converted to the core's types.
 #[derive(Debug, Default)]
 pub struct Settings {
     /// The core's configuration.
     pub relay_config: RelayConfig,
-    /// Connections to endpoints.
+    /// Settings of connections to endpoints.
     pub connections: Connections,
     pub(crate) topic_types: Vec<Arc<TopicType>>,
     pub(crate) kinds: Vec<Arc<DestinationKind>>,
@@ -31,7 +31,7 @@
     pub(crate) load_report: LoadReportLayout,
 }
 
-/// The names of the values in a load report, and the indices of those that concern the rate limit.
+/// The names of the values in a load report, and the indices of those for the rate limit.
 #[derive(Debug, Default)]
 pub(crate) struct LoadReportLayout {
     pub(crate) fields: Vec<String>,
@@ -60,17 +60,18 @@
     ///
     /// # Errors
     ///
-    /// The first topic type or kind in use that these settings have and the replacement has not.
+    /// Returns the first topic type or kind in use that is in these settings but not in the replacement.
     pub fn check_replacement<'a>(
         &self, replacement: &Settings, mut topic_types: impl Iterator<Item = &'a str>,
         mut kinds: impl Iterator<Item = &'a str>,
     ) -> Result<(), IncompatibleSettings> {
-        let is_lost = |name: &&str| self.topic_type(name).is_some() && replacement.topic_type(name).is_none();
-        if let Some(name) = topic_types.find(is_lost) {
+        let is_removed =
+            |name: &&str| self.topic_type(name).is_some() && replacement.topic_type(name).is_none();
+        if let Some(name) = topic_types.find(is_removed) {
             return Err(IncompatibleSettings::TopicTypeMissing { name: name.to_owned() });
         }
-        let is_lost = |name: &&str| self.has_kind(name) && !replacement.has_kind(name);
-        match kinds.find(is_lost) {
+        let is_removed = |name: &&str| self.has_kind(name) && !replacement.has_kind(name);
+        match kinds.find(is_removed) {
             Some(name) => Err(IncompatibleSettings::KindMissing { name: name.to_owned() }),
             None => Ok(()),
         }
@@ -80,18 +81,18 @@
         self.kinds.iter().any(|kind| kind.name == name)
     }
 
-    /// The kind with this name, or one with nothing but the name.
+    /// The kind with this name, or one with default properties if it is unknown.
     pub fn kind(&self, name: &str) -> Arc<DestinationKind> {
         let known = self.kinds.iter().find(|kind| kind.name == name).cloned();
-        known.unwrap_or_else(|| Arc::new(plain_kind(name)))
+        known.unwrap_or_else(|| Arc::new(default_kind(name)))
     }
 
-    /// A destination's report of its rate limit, from a load report with its values in the order of the settings.
+    /// Reads a destination's rate limit from a load report with its values in the configured order.
     pub fn rate_limit(&self, values: &[f64]) -> Option<RateLimitReport> {
         self.rate_limit_from(|index| values.get(index).copied())
     }
 
-    /// The same, from a load report whose values have their names.
+    /// Reads a destination's rate limit from a load report with named values.
     pub fn rate_limit_by_name(&self, value: impl Fn(&str) -> Option<f64>) -> Option<RateLimitReport> {
         self.rate_limit_from(|index| value(self.load_report.fields.get(index)?))
     }
@@ -104,7 +105,7 @@
     }
 }
 
-/// A kind of which nothing but the name is known.
-pub(crate) fn plain_kind(name: &str) -> DestinationKind {
+/// A kind with default properties.
+pub(crate) fn default_kind(name: &str) -> DestinationKind {
     DestinationKind { name: name.to_owned(), has_separate_routes: false, max_notifications_per_call: 1 }
 }
--- a/crates/settings/src/validation.rs
+++ b/crates/settings/src/validation.rs
@@ -1,4 +1,4 @@
-//! Validation of settings, as far as a relay depends on it.
+//! Validation of settings.
 
 use crate::error::{InvalidSetting, SettingProblem};
 use crate::raw::{RawSettings, RawTopicType, deduplication_scope, semantics};
@@ -10,7 +10,7 @@
     ///
     /// # Errors
     ///
-    /// The first setting that it cannot use.
+    /// Returns the first setting that a relay cannot use.
     pub fn validate(&self) -> Result<(), InvalidSetting> {
         self.validate_limits()?;
         self.validate_rules()?;
@@ -60,7 +60,7 @@
     Err(InvalidSetting { key: key.into(), problem })
 }
 
-/// The first key of a topic type with a problem.
+/// The first key of a topic type that has a problem, and the problem.
 fn topic_type_problem(
     topic_type: &RawTopicType, earlier: &[RawTopicType],
 ) -> Option<(&'static str, SettingProblem)> {
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: the error texts of the keys, and what may replace what.
+//! Validation errors, replacement of settings, and reading of rate limits.
 
 use juniperwing_settings::{RawSettings, Settings};
 use serde_json::{Value, json};
@@ -16,20 +16,20 @@
     })
 }
 
-fn read(written: Value) -> RawSettings {
-    serde_json::from_value(written).expect("settings")
+fn read(raw: Value) -> RawSettings {
+    serde_json::from_value(raw).expect("settings")
 }
 
-/// The error for settings with one value replaced, at a JSON pointer; `None` if there is none.
+/// The error for valid settings with one value replaced, at a JSON pointer; `None` if they are still valid.
 fn error_with(pointer: &str, value: Value) -> Option<String> {
-    let mut written = valid();
+    let mut raw = valid();
     let (parent, key) = pointer.rsplit_once('/').expect("a pointer");
-    match written.pointer_mut(parent) {
+    match raw.pointer_mut(parent) {
         Some(Value::Array(items)) => items[key.parse::<usize>().expect("an index")] = value,
         Some(parent) => parent[key] = value,
-        None => written[&parent[1..]] = json!({ key: value }),
+        None => raw[&parent[1..]] = json!({ key: value }),
     }
-    read(written).validate().err().map(|error| error.to_string())
+    read(raw).validate().err().map(|error| error.to_string())
 }
 
 #[test]
@@ -72,14 +72,14 @@
 
 #[test]
 fn a_replacement_needs_the_topic_types_and_kinds_in_use() {
-    let present = Settings::from(&read(valid()));
-    let mut written = valid();
-    written["classes"] = json!([{ "name": "alerts", "semantics": "pure" }]);
-    written["kinds"] = json!(["push"]);
-    let replacement = Settings::from(&read(written));
+    let current = Settings::from(&read(valid()));
+    let mut raw = valid();
+    raw["classes"] = json!([{ "name": "alerts", "semantics": "pure" }]);
+    raw["kinds"] = json!(["push"]);
+    let replacement = Settings::from(&read(raw));
     let error = |topic_types: &[&str], kinds: &[&str]| {
         let result =
-            present.check_replacement(&replacement, topic_types.iter().copied(), kinds.iter().copied());
+            current.check_replacement(&replacement, topic_types.iter().copied(), kinds.iter().copied());
         result.err().map(|error| error.to_string())
     };
     assert_eq!(error(&["alerts", "unknown"], &["push", "unknown"]), None);
@@ -95,9 +95,9 @@
 
 #[test]
 fn a_rate_limit_is_read_by_position_and_by_name() {
-    let mut written = valid();
-    written["load-report"] = json!({ "fields": ["load", "x1", "x0"] });
-    let settings = Settings::from(&read(written));
+    let mut raw = valid();
+    raw["load-report"] = json!({ "fields": ["load", "x1", "x0"] });
+    let settings = Settings::from(&read(raw));
     let report = settings.rate_limit(&[9.0, 20.0, 0.5]).expect("a report");
     assert_eq!((report.remaining_fraction, report.rate_per_second), (0.5, 20.0));
     assert!(settings.rate_limit(&[9.0, 20.0]).is_none());
