--- a/crates/adapter/src/commands.rs
+++ b/crates/adapter/src/commands.rs
@@ -1,4 +1,4 @@
-//! Conversion of the core's commands to wire commands.
+//! Conversion of the core's commands to the wire protocol.
 
 use juniperwing::interface::Command;
 
@@ -7,7 +7,7 @@
 /// The label of wake-ups.
 const WAKE_UP_LABEL: &str = "wake";
 
-/// Converts a command to its wire form; `None` if the wire has no such command.
+/// Converts a command to its wire form; `None` if the protocol has no such command.
 pub(crate) fn to_wire<'a>(relay: &'a str, command: &'a Command) -> Option<Cmd<'a>> {
     Some(match command {
         Command::Push { notification, endpoint, timeout, .. } => Cmd::Push {
@@ -30,7 +30,7 @@
         Command::CloseIdleConnections(endpoint) => Cmd::CloseIdleConnections { relay, endpoint: &endpoint.0 },
         Command::Log(line) => Cmd::Log { relay, line },
         Command::Probe(endpoint) => Cmd::Probe { relay, endpoint: &endpoint.0 },
-        // On this wire pushes are sent immediately, so there are none to cancel.
+        // In this protocol pushes are sent immediately, so none are left to cancel.
         Command::CancelUnsent(_) => return None,
     })
 }
--- a/crates/adapter/src/error.rs
+++ b/crates/adapter/src/error.rs
@@ -22,12 +22,12 @@
     #[snafu(display("malformed {kind}: {source}"))]
     Malformed { kind: String, source: serde_json::Error },
     /// An update of the endpoint list refers to a bank that was never defined.
-    #[snafu(display("Endpoints names a bank with no Inventory"))]
+    #[snafu(display("Endpoints refers to a bank without an Inventory"))]
     UnknownBank,
     /// A notification has a topic type that is not in the settings.
-    #[snafu(display("Accept names no known class: {name:?}"))]
+    #[snafu(display("Accept has an unknown class: {name:?}"))]
     UnknownTopicType { name: String },
     /// The reply cannot be serialised.
-    #[snafu(display("no reply can be written: {source}"))]
+    #[snafu(display("cannot serialise the reply: {source}"))]
     Reply { source: serde_json::Error },
 }
--- a/crates/adapter/src/events.rs
+++ b/crates/adapter/src/events.rs
@@ -1,4 +1,4 @@
-//! Conversion of wire events to the core's events.
+//! Conversion of the wire protocol's events to the core's events.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 use crate::error::{AdapterError, MalformedSnafu, UnknownBankSnafu, UnknownTopicTypeSnafu};
 use crate::wire;
 
-/// The push status on the wire that can come with a retry delay.
+/// The push status that may come with a retry delay.
 const BUSY: &str = "busy";
 
 /// The entries of a bank, shared by all relays.
--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -35,7 +35,7 @@
         let now = Time::from_nanos(batch.now_ns);
         let (mut relays, mut seen) = (Vec::new(), BTreeSet::new());
         for event in batch.events {
-            let head: wire::Head = parse("an event", event)?;
+            let head: wire::Head = parse("event", event)?;
             self.handle_event(now, &head, event)?;
             if !head.relay.is_empty() && seen.insert(head.relay.clone()) {
                 relays.push(head.relay);
@@ -82,7 +82,7 @@
         HostedRelay { relay, settings, events: Vec::new() }
     }
 
-    /// Passes the events of the batch to the relay. The wire has no acknowledgements, so each final answer counts as
+    /// Passes the events of the batch to the relay. The protocol has no acknowledgements, so each final answer counts as
     /// acknowledged immediately.
     fn run(&mut self, now: Time) -> Vec<Command> {
         let mut commands = self.relay.handle(now, std::mem::take(&mut self.events));
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -35,7 +35,7 @@
 }
 
 impl Spawn {
-    /// The seed from a signed or unsigned integer; zero if it is neither.
+    /// The seed as 64 bits, from a signed or unsigned integer; zero if it is neither.
     pub(crate) fn seed(&self) -> u64 {
         self.seed.as_u64().or_else(|| self.seed.as_i64().map(i64::cast_unsigned)).unwrap_or(0)
     }
--- a/crates/adapter/tests/command_line.rs
+++ b/crates/adapter/tests/command_line.rs
@@ -28,8 +28,8 @@
 
 /// Events that the adapter rejects, each with the expected error.
 const REJECTED_EVENTS: [(&str, &str); 8] = [
-    ("3", "malformed an event: invalid type: integer `3`, expected struct Head at line 1 column 1"),
-    (r#"{"relay":"r"}"#, "malformed an event: missing field `m` at line 1 column 13"),
+    ("3", "malformed event: invalid type: integer `3`, expected struct Head at line 1 column 1"),
+    (r#"{"relay":"r"}"#, "malformed event: missing field `m` at line 1 column 13"),
     (
         r#"{"m":"Spawn","relay":"s","boot-info":{"ceilings":3}}"#,
         "malformed Spawn: invalid type: integer `3`, expected struct Ceilings at line 1 column 50",
@@ -40,9 +40,12 @@
     ),
     (
         r#"{"m":"Accept","relay":"r","ticket":1,"bound-for":1,"valid-until":3,"cls":"zz"}"#,
-        r#"Accept names no known class: "zz""#,
+        r#"Accept has an unknown class: "zz""#,
+    ),
+    (
+        r#"{"m":"Endpoints","relay":"r","kind":"whole","bank":7}"#,
+        "Endpoints refers to a bank without an Inventory",
     ),
-    (r#"{"m":"Endpoints","relay":"r","kind":"whole","bank":7}"#, "Endpoints names a bank with no Inventory"),
     (r#"{"m":"Withdrawn","relay":"r"}"#, "malformed Withdrawn: missing field `ticket` at line 1 column 29"),
     (r#"{"m":"Inventory"}"#, "malformed Inventory: missing field `bank` at line 1 column 17"),
 ];
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -51,13 +51,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum IncompatibleSettings {
     /// A topic type that has pending notifications is missing.
-    #[snafu(display("settings.classes lacks {name:?}, of which notifications are held"))]
+    #[snafu(display("settings.classes lacks {name:?}, which has pending notifications"))]
     TopicTypeMissing {
         /// Its name.
         name: String,
     },
     /// A kind that has listed endpoints is missing.
-    #[snafu(display("settings.kinds lacks {name:?}, of which endpoints are listed"))]
+    #[snafu(display("settings.kinds lacks {name:?}, which has listed endpoints"))]
     KindMissing {
         /// Its name.
         name: String,
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -85,11 +85,11 @@
     assert_eq!(error(&["alerts", "unknown"], &["push", "unknown"]), None);
     assert_eq!(
         error(&["alerts", "invites"], &["mail"]).as_deref(),
-        Some("settings.classes lacks \"invites\", of which notifications are held")
+        Some("settings.classes lacks \"invites\", which has pending notifications")
     );
     assert_eq!(
         error(&["alerts"], &["push", "mail"]).as_deref(),
-        Some("settings.kinds lacks \"mail\", of which endpoints are listed")
+        Some("settings.kinds lacks \"mail\", which has listed endpoints")
     );
 }
 
--- a/src/interface/notification.rs
+++ b/src/interface/notification.rs
@@ -83,7 +83,7 @@
     pub zone: Arc<str>,
 }
 
-/// The delivery history of a notification, as restored after a restart.
+/// The push history of a notification without an acknowledged final answer, carried across restarts.
 #[derive(Clone, Debug, Default)]
 pub struct NotificationHistory {
     /// The number of pushes so far.
--- a/tests/rules/connections.rs
+++ b/tests/rules/connections.rs
@@ -127,7 +127,7 @@
             relay.end_push(1, CallStatus::NoConnection);
         }
         relay.advance_until_in_flight(1);
-        writeln!(trace, "{}", relay.trace).expect("a string");
+        writeln!(trace, "{}", relay.trace).expect("writing to a string succeeds");
     }
     expect![[r#"
         0      subscribe
--- a/tests/rules/harness.rs
+++ b/tests/rules/harness.rs
@@ -168,7 +168,7 @@
                 answered.push(notification);
             }
             if let Some(line) = self.execute(command) {
-                writeln!(self.trace, "{:<6} {line}", self.now_ms).expect("a string takes any text");
+                writeln!(self.trace, "{:<6} {line}", self.now_ms).expect("writing to a string succeeds");
             }
         }
         if self.acknowledges_answers {
--- a/tests/rules/list.rs
+++ b/tests/rules/list.rs
@@ -53,7 +53,7 @@
             delays.push(ms);
         }
         writeln!(trace, "pushed {pushed}, refresh interval {refresh_interval_ms} ms: {delays:?}")
-            .expect("a string");
+            .expect("writing to a string succeeds");
     }
     expect![[r#"
         pushed true, refresh interval 10000 ms: [180, 260, 280, 200, 170, 210]
--- a/tests/rules/time.rs
+++ b/tests/rules/time.rs
@@ -16,7 +16,8 @@
     let mut trace = String::new();
     for pushes in [1, 2, 3, 4, 5, 8] {
         let timeout = fit.timeout(Span::from_millis(700), pushes);
-        writeln!(trace, "{pushes} pushes: {} ms", timeout.as_nanos() / 1_000_000).expect("a string");
+        writeln!(trace, "{pushes} pushes: {} ms", timeout.as_nanos() / 1_000_000)
+            .expect("writing to a string succeeds");
     }
     expect![[r#"
         1 pushes: 700 ms
