--- a/crates/balancing/benches/choice.rs
+++ b/crates/balancing/benches/choice.rs
@@ -1,4 +1,4 @@
-//! How long the choice of an endpoint takes, by the number of endpoints.
+//! Measures the time to choose an endpoint, by the number of endpoints.
 
 use std::hint::black_box;
 
@@ -10,7 +10,7 @@
 use juniperwing_clock::{Span, Time};
 use juniperwing_protocol::identity::{InstanceId, ProgramId, ServiceName};
 
-/// Numbers of endpoints: those of a large deployment today, and those of the target.
+/// Numbers of endpoints, from that of a large deployment today to the target.
 const SIZES: [usize; 3] = [57, 1_000, 11_000];
 const NOW: Time = Time::from_nanos(100_000_000_000);
 
--- a/crates/balancing/src/balancer.rs
+++ b/crates/balancing/src/balancer.rs
@@ -37,7 +37,6 @@
     seed: u64,
     limits: BalancerLimits,
     services: BTreeMap<ServiceName, Service>,
-    /// The service of each endpoint.
     service_of: BTreeMap<InstanceId, ServiceName>,
     /// The endpoint that ran the last turn of each program, as far as this relay knows.
     last_endpoints: BTreeMap<ProgramId, InstanceId>,
@@ -45,7 +44,7 @@
 }
 
 impl Balancer {
-    /// A balancer without endpoints. `zone` is the relay's own; `seed` breaks ties differently at each relay.
+    /// Creates a balancer without endpoints. `zone` is the relay's own; `seed` makes relays break ties differently.
     pub fn new(zone: Arc<str>, seed: u64, limits: BalancerLimits) -> Self {
         Balancer {
             zone,
@@ -58,7 +57,7 @@
         }
     }
 
-    /// Adds an endpoint that is ready, or changes it.
+    /// Adds a ready endpoint, or updates a known one.
     pub fn insert(&mut self, info: &EndpointInfo) {
         if self.service_of.get(&info.id).is_some_and(|service| *service != info.service) {
             self.remove(&info.id);
@@ -71,7 +70,7 @@
         endpoint.set_capacity(info.capacity);
     }
 
-    /// Removes an endpoint, which gets no more requests. Its calls in flight end as usual.
+    /// Removes an endpoint, so that it gets no more requests. Its calls in flight are not affected.
     pub fn remove(&mut self, id: &InstanceId) {
         let Some(service) = self.service_of.remove(id) else { return };
         if let Some(service) = self.services.get_mut(&service) {
@@ -84,8 +83,8 @@
         self.service_of.contains_key(id)
     }
 
-    /// Chooses an endpoint for a request and occupies a slot there, or queues the request. `expected_duration` is how
-    /// long calls to its destination usually take.
+    /// Chooses an endpoint for a request and occupies a slot there, or queues the request. `expected_duration` is the
+    /// typical duration of calls to its destination.
     pub fn admit(&mut self, now: Time, request: PlacementRequest, expected_duration: Span) -> Admission {
         let Some(service) = self.services.get(&request.destination.service) else {
             return Admission::Rejected(RejectionReason::NoEndpoint);
@@ -93,8 +92,8 @@
         if !service.has_endpoint_for(&request) {
             return Admission::Rejected(RejectionReason::NoEndpoint);
         }
-        let is_next = !service.queue.iter().any(|(_, queued)| queued.priority <= request.priority);
-        if is_next && let Some(id) = self.choose(now, &request) {
+        let is_first_in_line = !service.queue.iter().any(|(_, queued)| queued.priority <= request.priority);
+        if is_first_in_line && let Some(id) = self.choose(now, &request) {
             self.begin_call(now, &request, &id, expected_duration);
             return Admission::Granted(id);
         }
@@ -115,14 +114,15 @@
         Admission::Queued(ticket)
     }
 
-    /// Removes a request from the queue, if it still is there.
+    /// Removes a request from the queue, if it is still queued.
     pub fn cancel(&mut self, service: &ServiceName, ticket: Ticket) {
         if let Some(service) = self.services.get_mut(service) {
             service.queue.remove(ticket);
         }
     }
 
-    /// Records the end of a call. Slots may be free now: see [`Balancer::grant_slots`].
+    /// Records the end of a call. The caller should follow up with [`Balancer::grant_slots`], because slots may be free
+    /// now.
     pub fn end_call(&mut self, now: Time, destination: &Destination, id: &InstanceId, outcome: CallOutcome) {
         if let Some(service) = self.services.get_mut(&destination.service) {
             service.end_call(now, destination, id, outcome);
@@ -137,7 +137,8 @@
         }
     }
 
-    /// Records that an endpoint began to respond, `elapsed` after the request was sent. Ignored without a prompt.
+    /// Records that an endpoint began to respond, `elapsed` after the request was sent. Does nothing for requests
+    /// without a prompt.
     pub fn record_first_response(&mut self, request: &PlacementRequest, id: &InstanceId, elapsed: Span) {
         if request.prompt.is_empty() {
             return;
@@ -167,7 +168,8 @@
         grants
     }
 
-    /// When the first backoff of a service's overloaded endpoints ends; `None` if no request waits for that.
+    /// Returns when the first backoff of a service's overloaded endpoints ends; `None` if there is none or no request
+    /// is queued.
     pub fn next_backoff_end(&self, now: Time, service: &ServiceName) -> Option<Time> {
         let service = self.services.get(service)?;
         let ends = service.endpoints.values().map(Endpoint::overloaded_until).filter(|end| *end > now);
@@ -185,9 +187,9 @@
             self.cancel(name, ticket);
             return Some(Grant { ticket, destination, endpoint: None });
         }
-        let next = service.queue.next_by_destination(now);
+        let heads = service.queue.next_by_destination(now);
         let (ticket, id) =
-            next.iter().find_map(|(ticket, request)| Some((*ticket, self.choose(now, request)?)))?;
+            heads.iter().find_map(|(ticket, request)| Some((*ticket, self.choose(now, request)?)))?;
         let request = self.services.get_mut(name)?.queue.remove(ticket)?;
         self.begin_call(now, &request, &id, Span::ZERO);
         Some(Grant { ticket, destination: request.destination, endpoint: Some(id) })
@@ -207,8 +209,8 @@
     }
 }
 
-/// The endpoint that ran the program's previous turn. The stores know it better than this relay, because other relays
-/// serve turns of the program as well.
+/// Returns the endpoint that ran the program's previous turn. What the stores report takes precedence over this
+/// relay's own record, because other relays serve turns of the program as well.
 fn last_endpoint<'a>(
     last_endpoints: &'a BTreeMap<ProgramId, InstanceId>, request: &'a PlacementRequest,
 ) -> Option<&'a InstanceId> {
--- a/crates/balancing/src/decaying_mean.rs
+++ b/crates/balancing/src/decaying_mean.rs
@@ -1,11 +1,11 @@
 //! A mean in which older samples lose weight.
 
-/// The number of samples that a mean represents: beyond it each new sample has the weight of one in so many, and a
-/// sample that is as many samples old has little more than a third of that.
+/// The number of samples over which the mean is effectively taken. Once there are this many, a new sample has the
+/// weight `1 / WINDOW_SAMPLES`, and one that is this many samples old has decayed to about a third (1/e) of that.
 const WINDOW_SAMPLES: f64 = 64.0;
 
-/// A mean in which older samples lose weight. It starts with one sample of zero, so that the first real one does not
-/// count for all.
+/// A mean in which older samples lose weight. It starts with one sample of zero, so that the first real sample alone
+/// does not determine the mean.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DecayingMean {
     samples: f64,
--- a/crates/balancing/src/endpoint.rs
+++ b/crates/balancing/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint as a relay sees it: its load, its failures and its prefix cache.
+//! A relay's record of one endpoint: load, failures and prefix cache.
 
 use std::collections::VecDeque;
 
@@ -8,9 +8,9 @@
 use crate::prefix_cache::PrefixCache;
 use crate::server_load::ServerLoad;
 
-/// The time over which a reported load loses its weight.
+/// The time over which the weight of a reported load falls to zero.
 const REPORTED_LOAD_LIFETIME: Span = Span::from_millis(1_500);
-/// An endpoint queues a few requests beyond its slots: this fraction of the slots is sent in addition.
+/// The fraction of its slots by which an endpoint may be overcommitted; it queues these few extra requests itself.
 const OVERCOMMIT_FRACTION: f64 = 0.25;
 /// The first backoff after an endpoint was overloaded.
 const OVERLOAD_BACKOFF: Span = Span::from_millis(30);
@@ -18,23 +18,23 @@
 const FAILURE_BACKOFF: Span = Span::from_millis(200);
 /// The longest backoff.
 const MAX_BACKOFF: Span = Span::from_millis(4_000);
-/// The number of times that a backoff doubles.
+/// The maximum number of times that a backoff doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 /// The weight of the latest call in the failure rate.
 const FAILURE_RATE_WEIGHT: f64 = 0.2;
-/// The time in which the failure rate halves without calls, so that an endpoint is tried again.
+/// The half-life of the failure rate while there are no calls, so that a failed endpoint is tried again.
 const FAILURE_RATE_HALF_LIFE: Span = Span::from_millis(1_000);
 
 #[derive(Clone, Copy, Debug)]
 struct ReportedLoad {
     at: Time,
     load: ServerLoad,
-    /// This relay's own calls at that time.
+    /// This relay's own calls in flight at that time.
     own_calls: u32,
 }
 
 impl ReportedLoad {
-    fn calls_of_others(&self) -> u32 {
+    fn calls_of_other_relays(&self) -> u32 {
         self.load.running.saturating_add(self.load.waiting).saturating_sub(self.own_calls)
     }
 }
@@ -44,7 +44,7 @@
     pub(crate) is_in_own_zone: bool,
     pub(crate) prefix_cache: PrefixCache,
     capacity: u32,
-    /// When this relay's calls that are in flight began, oldest first.
+    /// The start times of this relay's calls in flight, oldest first.
     in_flight: VecDeque<Time>,
     last_call_at: Time,
     reported_load: Option<ReportedLoad>,
@@ -52,7 +52,7 @@
     consecutive_overloads: u32,
     overloaded_until: Time,
     ejected_until: Time,
-    /// The share of recent calls that ended badly, at `failure_rate_at`.
+    /// The share of recent calls that failed, as of `failure_rate_at`.
     failure_rate: f64,
     failure_rate_at: Time,
 }
@@ -89,8 +89,8 @@
         self.last_call_at
     }
 
-    /// Records the end of a call; returns for how long it occupied its slot, if it succeeded. The oldest call counts as
-    /// the one that ended, which does not change the mean.
+    /// Records the end of a call; returns for how long it occupied its slot, if it succeeded. Calls are not told apart:
+    /// the oldest one is taken to have ended, which leaves the mean unchanged.
     pub(crate) fn end_call(&mut self, now: Time, outcome: CallOutcome) -> Option<Span> {
         let began_at = self.in_flight.pop_front();
         if outcome != CallOutcome::Cancelled {
@@ -118,18 +118,18 @@
         self.failure_rate_at = now;
     }
 
-    /// The share of recent calls that were declined, failed, timed out or brought a server error. An endpoint may pass
-    /// its health checks and serve some requests while it fails others.
+    /// The share of recent calls that were declined, failed, timed out or returned a server error. It detects endpoints
+    /// that pass their health checks and serve some requests but fail others.
     pub(crate) fn failure_rate(&self, now: Time) -> f64 {
         let half_lives = now.since(self.failure_rate_at).as_secs_f64() / FAILURE_RATE_HALF_LIFE.as_secs_f64();
         self.failure_rate * 0.5_f64.powf(half_lives)
     }
 
-    /// Records the load that the endpoint has reported; returns the calls of others in it.
+    /// Records the load that the endpoint has reported; returns how many of these calls are from other relays.
     pub(crate) fn record_load(&mut self, now: Time, load: ServerLoad) -> u32 {
         let reported = ReportedLoad { at: now, load, own_calls: self.own_calls() };
         self.reported_load = Some(reported);
-        reported.calls_of_others()
+        reported.calls_of_other_relays()
     }
 
     fn own_calls(&self) -> u32 {
@@ -148,13 +148,13 @@
         self.overloaded_until
     }
 
-    /// The expected number of calls at the endpoint: this relay's own and those of others. Without a recent report
-    /// there are taken to be `usual_calls_of_others`.
-    pub(crate) fn expected_load(&self, now: Time, usual_calls_of_others: f64) -> f64 {
-        f64::from(self.own_calls()) + self.expected_calls_of_others(now, usual_calls_of_others)
+    /// The expected number of calls at the endpoint: this relay's own and those of other relays. Without a recent
+    /// report the latter are assumed to be `mean_calls_of_other_relays`.
+    pub(crate) fn expected_load(&self, now: Time, mean_calls_of_other_relays: f64) -> f64 {
+        f64::from(self.own_calls()) + self.expected_calls_of_other_relays(now, mean_calls_of_other_relays)
     }
 
-    /// The expected seconds that a call loses to the endpoint's failures, if a failure costs `attempt_timeout`.
+    /// The expected delay of a call, in seconds, because of the endpoint's failures, if each costs `attempt_timeout`.
     pub(crate) fn expected_failure_secs(&self, now: Time, attempt_timeout: Span) -> f64 {
         let is_ejected = now < self.ejected_until;
         let ejection = if is_ejected { self.ejected_until.since(now) + attempt_timeout } else { Span::ZERO };
@@ -166,12 +166,12 @@
         self.reported_load.map_or(self.capacity, |reported| reported.load.slots.max(1))
     }
 
-    /// The calls of others: the reported number changes linearly into the usual one as the report ages.
-    fn expected_calls_of_others(&self, now: Time, usual: f64) -> f64 {
-        let Some(reported) = self.reported_load else { return usual };
+    /// The expected calls of other relays. As the report ages, this moves linearly from the reported number to `mean`.
+    fn expected_calls_of_other_relays(&self, now: Time, mean: f64) -> f64 {
+        let Some(reported) = self.reported_load else { return mean };
         let elapsed = now.since(reported.at).as_secs_f64();
         let age = (elapsed / REPORTED_LOAD_LIFETIME.as_secs_f64()).min(1.0);
-        f64::from(reported.calls_of_others()) * (1.0 - age) + usual * age
+        f64::from(reported.calls_of_other_relays()) * (1.0 - age) + mean * age
     }
 }
 
--- a/crates/balancing/src/latency.rs
+++ b/crates/balancing/src/latency.rs
@@ -1,4 +1,5 @@
-//! The timeouts of attempts, from the latencies of each destination: the restart timer of the data plane.
+//! Sets the timeouts of attempts, after which a request is sent to another endpoint, from the latencies of each
+//! destination.
 
 #![expect(clippy::disallowed_types, reason = "only looked up by key, once per endpoint of a choice")]
 
@@ -33,13 +34,13 @@
         self.models.get(destination).map_or(remaining, |model| model.timeout(remaining, attempts_left))
     }
 
-    /// The cutoff: whether the remaining time is at least the fitted median.
+    /// Whether an attempt is worthwhile: the remaining time is at least the fitted median latency.
     pub fn has_time_for_attempt(&self, destination: &Destination, remaining: Span) -> bool {
         remaining > Span::ZERO
             && self.models.get(destination).is_none_or(|model| model.has_time_for_attempt(remaining))
     }
 
-    /// The fitted median; zero until there are enough samples.
+    /// The fitted median latency; zero until there are enough samples.
     pub fn median(&self, destination: &Destination) -> Span {
         self.models.get(destination).map_or(Span::ZERO, LatencyModel::median)
     }
--- a/crates/balancing/src/lib.rs
+++ b/crates/balancing/src/lib.rs
@@ -1,9 +1,9 @@
-//! The decisions of the data plane: which endpoint a request goes to, when, and how long an attempt may last.
+//! Load balancing for the data plane: decides which endpoint serves a request, when, and how long an attempt may last.
 //!
-//! Pure: there is no I/O, and the time is passed in as `now`. A [`Balancer`] is one relay's view of the ready endpoints
-//! of all services. Requests ask for an endpoint ([`Balancer::admit`]); where all are full they wait in a bounded
-//! queue, and a free slot goes to the most urgent priority, within it to the destination with the least recent slot
-//! time. [`LatencyModels`] set the timeouts of attempts.
+//! The crate does no I/O, and the current time is passed in as `now`. A [`Balancer`] holds one relay's view of the
+//! ready endpoints of all services. Requests are placed with [`Balancer::admit`]. While all endpoints are full they
+//! wait in a bounded queue, from which a free slot goes to the most urgent priority and, within it, to the destination
+//! with the least recent slot time. [`LatencyModels`] set the timeouts of attempts.
 
 mod balancer;
 mod call_outcome;
--- a/crates/balancing/src/placement_request.rs
+++ b/crates/balancing/src/placement_request.rs
@@ -1,4 +1,4 @@
-//! What a balancer is asked for, and what it replies.
+//! The requests to a balancer and its replies.
 
 use std::sync::Arc;
 
@@ -32,17 +32,17 @@
     pub destination: Destination,
     /// The priority of the route; 0 is the most urgent.
     pub priority: u32,
-    /// Endpoints that have had the request already.
+    /// Endpoints to which the request must not be sent, because they were tried already.
     pub excluded: Vec<InstanceId>,
     /// The sections of the prompt in order; empty for plain requests.
     pub prompt: Vec<PromptSection>,
-    /// The fraction of the prompt that was in no earlier turn, as far as is known; 1 for a first turn.
+    /// The fraction of the prompt that is new in this turn, as far as is known; 1 for a first turn.
     pub new_prompt_fraction: f64,
     /// The endpoint that ran the previous turn, according to the stores.
     pub previous_endpoint: Option<InstanceId>,
     /// The program to which the request belongs.
     pub program: Option<ProgramId>,
-    /// The timeout of the attempt, which is what it costs if the endpoint fails.
+    /// The timeout of the attempt, which is the time lost if the endpoint fails.
     pub attempt_timeout: Span,
 }
 
@@ -53,7 +53,7 @@
 /// The reply to a [`PlacementRequest`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// The request may be sent to this endpoint now; a slot is occupied.
+    /// The request may be sent to this endpoint now; a slot is occupied for it.
     Granted(InstanceId),
     /// All endpoints are full: the request waits for a [`Grant`].
     Queued(Ticket),
@@ -64,24 +64,24 @@
 /// Why a request cannot be placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionReason {
-    /// No endpoint is ready that has not had the request already.
+    /// No endpoint is ready, except those that were tried already.
     NoEndpoint,
     /// Too many requests are queued.
     QueueFull,
 }
 
-/// A queued request may be sent: a slot at the endpoint is occupied for it.
+/// Ends the wait of a queued request, normally with a slot that is occupied for it at an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Grant {
     /// The queued request.
     pub ticket: Ticket,
     /// The class of the request.
     pub destination: Destination,
-    /// The endpoint; `None` if none is left that could serve the request.
+    /// The endpoint to which the request may be sent; `None` if no endpoint is left that could serve it.
     pub endpoint: Option<InstanceId>,
 }
 
-/// What is known of a ready endpoint.
+/// The properties of a ready endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointInfo {
     /// The incarnation of the endpoint.
@@ -90,6 +90,6 @@
     pub service: ServiceName,
     /// The zone.
     pub zone: Arc<str>,
-    /// Requests that the endpoint runs at a time.
+    /// The number of requests that the endpoint runs concurrently.
     pub capacity: u32,
 }
--- a/crates/balancing/src/prefix_cache.rs
+++ b/crates/balancing/src/prefix_cache.rs
@@ -1,4 +1,4 @@
-//! Estimates what is in an endpoint's prefix cache.
+//! Estimates the contents of an endpoint's prefix cache.
 
 #![expect(
     clippy::disallowed_types,
@@ -9,36 +9,36 @@
 
 use crate::prompt::PromptSection;
 
-/// The number of sections that are assumed to be in the cache of an endpoint; the oldest are evicted.
+/// The maximum number of sections that are assumed to be in an endpoint's cache; the oldest are evicted.
 const MAX_CACHED_SECTIONS: usize = 2_048;
-/// A probability of being cached below this is taken as zero.
+/// Probabilities of being cached below this are treated as zero.
 const NEGLIGIBLE_PROBABILITY: f64 = 0.01;
 
-/// The sections that an endpoint has prefilled lately for this relay, which are assumed to be in its prefix cache.
+/// The sections that an endpoint has recently prefilled for this relay, which are assumed to be in its prefix cache.
 #[derive(Debug, Default)]
 pub(crate) struct PrefixCache {
     sections: HashMap<u64, CachedSection>,
-    /// The ids of all prefilled sections, oldest first, with repetitions.
+    /// The ids of all prefilled sections, oldest first, with duplicates.
     order: VecDeque<u64>,
 }
 
 #[derive(Debug, Default)]
 struct CachedSection {
-    /// How often the section is in the order.
+    /// How often the id of the section occurs in `order`.
     occurrences: u32,
-    /// The greatest length: the section of a session grows from turn to turn.
+    /// The greatest length so far: a session's section grows with every turn.
     tokens: u32,
 }
 
-/// A section of a prompt, with the probability that an endpoint has cached it for other relays.
+/// A section of a prompt, with the probability that an endpoint has cached it because of other relays' requests.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CacheableSection {
     pub(crate) section: PromptSection,
-    pub(crate) cached_for_others: f64,
+    pub(crate) shared_cache_probability: f64,
 }
 
 impl PrefixCache {
-    /// Records a prompt that the endpoint prefills.
+    /// Records a prompt that the endpoint has prefilled.
     pub(crate) fn insert(&mut self, prompt: &[PromptSection]) {
         for section in prompt {
             let cached = self.sections.entry(section.id).or_default();
@@ -63,13 +63,13 @@
     /// The expected number of a prompt's tokens that are cached. A section is cached only if all before it are.
     pub(crate) fn cached_tokens(&self, prompt: &[CacheableSection]) -> f64 {
         let (mut cached_tokens, mut prefix_probability) = (0.0, 1.0);
-        for CacheableSection { section, cached_for_others } in prompt {
+        for CacheableSection { section, shared_cache_probability } in prompt {
             let own_tokens = self.sections.get(&section.id).map(|cached| cached.tokens.min(section.tokens));
-            let expected = own_tokens.map_or(cached_for_others * f64::from(section.tokens), f64::from);
+            let expected = own_tokens.map_or(shared_cache_probability * f64::from(section.tokens), f64::from);
             cached_tokens += prefix_probability * expected;
-            // What follows a section that has grown was not prefilled after its new tokens.
+            // The sections after one that has grown are not cached: they were prefilled without its new tokens.
             let is_cached = own_tokens == Some(section.tokens);
-            prefix_probability *= if is_cached { 1.0 } else { *cached_for_others };
+            prefix_probability *= if is_cached { 1.0 } else { *shared_cache_probability };
             if prefix_probability < NEGLIGIBLE_PROBABILITY {
                 break;
             }
--- a/crates/balancing/src/prompt.rs
+++ b/crates/balancing/src/prompt.rs
@@ -1,20 +1,20 @@
 //! The sections of prompts.
 
-/// The number of sections of a prompt that are considered.
+/// The maximum number of sections considered per prompt.
 const MAX_SECTIONS: usize = 64;
 
 /// A section of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptSection {
-    /// Identifies the content, which several requests may share.
+    /// Identifies the content; requests with the same content have the same id.
     pub id: u64,
     /// The length in tokens.
     pub tokens: u32,
 }
 
 impl PromptSection {
-    /// Parses a comma-separated list of `ID:TOKENS` with hexadecimal ids. The list ends at the first malformed entry:
-    /// a prefix cache could not serve the sections after it.
+    /// Parses a comma-separated list of `ID:TOKENS` with hexadecimal ids. Everything from the first malformed entry on
+    /// is ignored, because a prefix cache could not serve the sections after it.
     pub fn parse_list(text: &str) -> Vec<PromptSection> {
         text.split(',').map_while(Self::parse).take(MAX_SECTIONS).collect()
     }
--- a/crates/balancing/src/queue.rs
+++ b/crates/balancing/src/queue.rs
@@ -7,7 +7,7 @@
 
 use crate::placement_request::{Destination, PlacementRequest, Ticket};
 
-/// A call that takes longer than its expected duration and this counts as stuck: its slot time does not grow any more.
+/// A call that exceeds its expected duration by more than this counts as stuck, and its slot time stops growing.
 const STUCK_CALL_ALLOWANCE: Span = Span::from_millis(1_000);
 
 /// The queued requests by priority and destination, and the slot times of the destinations.
@@ -45,8 +45,8 @@
         removed
     }
 
-    /// The first request of each destination, in the order in which they get free slots: the most urgent priority
-    /// first, within it the destination with the least recent slot time.
+    /// Returns the first request of each destination, in the order in which they get free slots: by priority, then by
+    /// the recent slot time of the destination, least first.
     pub(crate) fn next_by_destination(&self, now: Time) -> Vec<(Ticket, &PlacementRequest)> {
         let mut next = Vec::new();
         for by_destination in self.waiting.values() {
@@ -66,7 +66,7 @@
         requests.flatten().map(|(ticket, request)| (*ticket, request))
     }
 
-    /// Records the start of a call, whose slot time counts for its destination.
+    /// Records the start of a call, whose slot time is charged to its destination.
     pub(crate) fn begin_call(&mut self, now: Time, destination: &Destination, expected_duration: Span) {
         self.slot_times.begin_call(now, destination.clone(), expected_duration);
     }
--- a/crates/balancing/src/server_load.rs
+++ b/crates/balancing/src/server_load.rs
@@ -7,7 +7,7 @@
     pub running: u32,
     /// Requests waiting.
     pub waiting: u32,
-    /// Requests that the endpoint runs at a time.
+    /// The number of requests that the endpoint runs concurrently.
     pub slots: u32,
 }
 
--- a/crates/balancing/src/service.rs
+++ b/crates/balancing/src/service.rs
@@ -1,4 +1,4 @@
-//! The endpoints of one service, the requests that wait for them, and what is measured of their calls.
+//! The endpoints of one service, the requests queued for them, and measurements of their calls.
 
 use std::collections::BTreeMap;
 
@@ -21,9 +21,9 @@
     pub(crate) endpoints: BTreeMap<InstanceId, Endpoint>,
     pub(crate) queue: Queue,
     service_time: ServiceTime,
-    /// The calls of others at an endpoint when it reports its load.
-    calls_of_others: DecayingMean,
-    /// This relay's own calls in flight, at all endpoints together, at those times.
+    /// The mean number of calls of other relays at an endpoint, taken when it reports its load.
+    calls_of_other_relays: DecayingMean,
+    /// The mean number of this relay's own calls in flight at all endpoints, taken at the same times.
     own_calls: DecayingMean,
     in_flight: u32,
     shared_sections: SharedSections,
@@ -56,11 +56,11 @@
     /// Records the load that an endpoint has reported.
     pub(crate) fn record_load(&mut self, now: Time, id: &InstanceId, load: ServerLoad) {
         let Some(endpoint) = self.endpoints.get_mut(id) else { return };
-        self.calls_of_others.add(f64::from(endpoint.record_load(now, load)));
+        self.calls_of_other_relays.add(f64::from(endpoint.record_load(now, load)));
         self.own_calls.add(f64::from(self.in_flight));
     }
 
-    /// Records that an endpoint began to respond, which shows that it has prefilled the prompt.
+    /// Records that an endpoint began to respond, which implies that it has prefilled the prompt.
     pub(crate) fn record_first_response(
         &mut self, request: &PlacementRequest, id: &InstanceId, ran_previous_turn: bool, elapsed: Span,
     ) {
@@ -75,31 +75,31 @@
         }
     }
 
-    /// Whether an endpoint is ready that has not had the request already.
+    /// Whether an endpoint is ready that is not excluded by the request.
     pub(crate) fn has_endpoint_for(&self, request: &PlacementRequest) -> bool {
         self.candidates(request).next().is_some()
     }
 
-    /// The endpoint with capacity at which the call adds the least time ([`Rank`]). `last_endpoint` ran the program's
-    /// previous turn; `seed` gives each relay an order of its own among equal endpoints.
+    /// Chooses the endpoint with capacity at which the call adds the least delay ([`Rank`]). `last_endpoint` ran the
+    /// program's previous turn; `seed` makes each relay order equal endpoints differently.
     pub(crate) fn choose(
         &self, now: Time, request: &PlacementRequest, last_endpoint: Option<&InstanceId>, seed: u64,
     ) -> Option<InstanceId> {
         let has_prompt = !request.prompt.is_empty();
         let prompt = self.cacheable_sections(request);
         let times = self.service_time.expect(has_prompt, self.mean_slots());
-        let usual_calls_of_others = self.calls_of_others.get();
+        let mean_calls_of_other_relays = self.calls_of_other_relays.get();
         let own_calls_per_endpoint = f64::from(self.in_flight) / self.endpoints.len() as f64;
-        let usual_load = usual_calls_of_others + own_calls_per_endpoint;
+        let mean_load = mean_calls_of_other_relays + own_calls_per_endpoint;
         let candidates = self.candidates(request).filter(|(_, endpoint)| endpoint.has_capacity(now));
         let ranks = candidates.map(|(id, endpoint)| {
             let ran_previous_turn = last_endpoint == Some(id);
-            let load = endpoint.expected_load(now, usual_calls_of_others);
+            let load = endpoint.expected_load(now, mean_calls_of_other_relays);
             let uncached_tokens = uncached_tokens(endpoint, request, &prompt, ran_previous_turn);
-            let added_secs = times.added_secs(load, endpoint.slots(), uncached_tokens, usual_load)
+            let added_secs = times.added_secs(load, endpoint.slots(), uncached_tokens, mean_load)
                 + endpoint.expected_failure_secs(now, request.attempt_timeout);
             Rank {
-                added_calls: (added_secs / times.delay_per_call) as u64,
+                quantized_delay: (added_secs / times.delay_per_call) as u64,
                 is_cache_cold: !ran_previous_turn,
                 is_in_other_zone: !endpoint.is_in_own_zone,
                 last_turn_at: if has_prompt { endpoint.last_call_at() } else { Time::default() },
@@ -123,13 +123,14 @@
 
     fn cacheable_sections(&self, request: &PlacementRequest) -> Vec<CacheableSection> {
         let own_calls = self.own_calls.get();
-        let others_per_own_call = if own_calls > 0.0 { self.calls_of_others.get() / own_calls } else { 0.0 };
-        self.shared_sections.cacheable(&request.prompt, others_per_own_call)
+        let other_calls_per_own_call =
+            if own_calls > 0.0 { self.calls_of_other_relays.get() / own_calls } else { 0.0 };
+        self.shared_sections.cacheable(&request.prompt, other_calls_per_own_call)
     }
 }
 
-/// The tokens of a prompt that an endpoint has yet to prefill. One that ran the previous turn has cached all that is
-/// not new.
+/// The expected number of a prompt's tokens that an endpoint has to prefill. An endpoint that ran the previous turn has
+/// cached everything that is not new.
 fn uncached_tokens(
     endpoint: &Endpoint, request: &PlacementRequest, prompt: &[CacheableSection], ran_previous_turn: bool,
 ) -> f64 {
--- a/crates/balancing/src/service_time.rs
+++ b/crates/balancing/src/service_time.rs
@@ -1,25 +1,25 @@
-//! How long calls to the endpoints of a service take, measured on the calls of this relay.
+//! The duration of calls to the endpoints of a service, measured on this relay's own calls.
 
 use juniperwing_clock::Span;
 
 use crate::decaying_mean::DecayingMean;
 
-/// The duration of a call that is assumed before the first one has ended. Any figure above zero gives the same order of
-/// endpoints then, because their load is all that is known.
+/// The duration of a call that is assumed until the first one has ended. Any value above zero yields the same ranking,
+/// because until then only the load of endpoints is known.
 const ASSUMED_CALL_DURATION: Span = Span::from_millis(100);
 
-/// Measures the times of a service's calls: how long a call occupies its slot, and, by a linear regression of the time
-/// to the first event over the tokens that are not in the prefix cache, how long the prefill of a token takes.
+/// Measures how long a service's calls occupy their slots and how long the prefill of a token takes. The latter is the
+/// slope of a linear regression of the time to the first event on the tokens that are not in the prefix cache.
 #[derive(Debug, Default)]
 pub(crate) struct ServiceTime {
-    /// Seconds for which a call occupies its slot.
+    /// The seconds for which a call occupies its slot.
     slot_secs: DecayingMean,
-    /// Tokens of a prompt that are not in the prefix cache.
+    /// The tokens of a prompt that are not in the prefix cache.
     uncached_tokens: DecayingMean,
     first_event_secs: DecayingMean,
     uncached_tokens_squared: DecayingMean,
     /// Uncached tokens times seconds to the first event.
-    product: DecayingMean,
+    tokens_times_secs: DecayingMean,
 }
 
 impl ServiceTime {
@@ -33,10 +33,11 @@
         self.uncached_tokens.add(uncached_tokens);
         self.first_event_secs.add(elapsed.as_secs_f64());
         self.uncached_tokens_squared.add(uncached_tokens * uncached_tokens);
-        self.product.add(uncached_tokens * elapsed.as_secs_f64());
+        self.tokens_times_secs.add(uncached_tokens * elapsed.as_secs_f64());
     }
 
-    /// What is expected of the next call, with or without a prompt, at endpoints of `slots` slots on average.
+    /// Returns the expected times of the next call, with or without a prompt, at endpoints with `slots` slots on
+    /// average.
     pub(crate) fn expect(&self, has_prompt: bool, slots: f64) -> ExpectedTime {
         let measured = self.slot_secs.get();
         let slot_secs = if measured > 0.0 { measured } else { ASSUMED_CALL_DURATION.as_secs_f64() };
@@ -47,15 +48,15 @@
         ExpectedTime { slot_secs, prefill_secs_per_token, delay_per_call }
     }
 
-    /// Seconds by which each uncached token delays the first event: the slope of the regression line. It is bounded by
-    /// zero and by the whole time, and zero as long as all samples are alike.
+    /// The seconds by which each uncached token delays the first event: the slope of the regression line, clamped
+    /// between zero and the mean time per token. It is zero while all samples have the same number of tokens.
     fn prefill_secs_per_token(&self) -> f64 {
         let (tokens, secs) = (self.uncached_tokens.get(), self.first_event_secs.get());
         let variance = self.uncached_tokens_squared.get() - tokens * tokens;
         if tokens <= 0.0 || variance <= 0.0 {
             return 0.0;
         }
-        let covariance = self.product.get() - tokens * secs;
+        let covariance = self.tokens_times_secs.get() - tokens * secs;
         (covariance / variance).clamp(0.0, secs / tokens)
     }
 }
@@ -65,23 +66,23 @@
 pub(crate) struct ExpectedTime {
     /// For which a call occupies its slot.
     slot_secs: f64,
-    /// That the prefill of a token takes.
+    /// For the prefill of one token.
     prefill_secs_per_token: f64,
-    /// By which a call at an endpoint delays each other call there: the prefill of its prompt comes between the decode
-    /// steps of the others; calls without prompts share the endpoint's speed.
+    /// By which a call at an endpoint delays each other call there. The prefill of a prompt interrupts the decode steps
+    /// of other calls; calls without prompts share the endpoint's throughput.
     pub(crate) delay_per_call: f64,
 }
 
 impl ExpectedTime {
-    /// The seconds by which one more call at an endpoint makes calls longer, itself included. The call shares the
-    /// endpoint with `load` others and waits while they occupy all `slots`; and while its `uncached_tokens` are
-    /// prefilled, it and as many calls as usual, `usual_load`, wait. The usual load is taken there, not the present
-    /// one, because what is prefilled serves for longer than a reported load is valid.
-    pub(crate) fn added_secs(&self, load: f64, slots: u32, uncached_tokens: f64, usual_load: f64) -> f64 {
+    /// The total delay in seconds that one more call at an endpoint causes, to itself and to other calls. The call
+    /// shares the endpoint with `load` others and waits while they occupy all `slots`. While its `uncached_tokens` are
+    /// prefilled, it and `mean_load` other calls wait. The prefill uses the mean load instead of the current one,
+    /// because a cached prefix is useful for longer than a reported load is valid.
+    pub(crate) fn added_secs(&self, load: f64, slots: u32, uncached_tokens: f64, mean_load: f64) -> f64 {
         let slots = f64::from(slots);
         let sharing = self.delay_per_call * load;
         let waiting = self.slot_secs * (load + 1.0 - slots).max(0.0) / slots;
-        let prefill = self.prefill_secs_per_token * uncached_tokens * (1.0 + usual_load);
+        let prefill = self.prefill_secs_per_token * uncached_tokens * (1.0 + mean_load);
         sharing + waiting + prefill
     }
 }
--- a/crates/balancing/src/shared_sections.rs
+++ b/crates/balancing/src/shared_sections.rs
@@ -9,10 +9,10 @@
 use crate::prefix_cache::CacheableSection;
 use crate::prompt::PromptSection;
 
-/// The number of sections that are remembered.
+/// The maximum number of sections that are remembered.
 const MAX_SECTIONS: usize = 2_048;
 
-/// How many programs have sent each section through this relay lately.
+/// How many programs have recently sent each section through this relay.
 #[derive(Debug, Default)]
 pub(crate) struct SharedSections {
     senders: HashMap<u64, Senders>,
@@ -22,7 +22,7 @@
 struct Senders {
     /// The last program that sent the section.
     last: ProgramId,
-    /// How often the program changed.
+    /// How often the section came from another program than the time before.
     changes: u32,
 }
 
@@ -41,11 +41,11 @@
                 }
             }
         }
-        self.bound();
+        self.enforce_size_limit();
     }
 
-    /// Forgets sections of a single program if there are too many sections, then all.
-    fn bound(&mut self) {
+    /// If there are too many sections, removes those that only one program has sent; if that is not enough, all.
+    fn enforce_size_limit(&mut self) {
         if self.senders.len() > MAX_SECTIONS {
             self.senders.retain(|_, senders| senders.changes > 0);
         }
@@ -54,17 +54,18 @@
         }
     }
 
-    /// The sections of a prompt, each with the probability that an endpoint has cached it for other relays. They send a
-    /// shared section as often as this relay does, in proportion to their calls: `others_per_own_call` is the number of
-    /// their calls that one endpoint gets for each call of this relay, to whichever endpoint. A section that only one
-    /// program has sent belongs to that program alone.
+    /// Returns the sections of a prompt, each with the probability that an endpoint has cached it because of other
+    /// relays' requests. Other relays are assumed to send a shared section as often as this one, in proportion to their
+    /// calls:
+    /// `other_calls_per_own_call` is the number of their calls that one endpoint gets for each call of this relay to any
+    /// endpoint. A section that only one program has sent is taken to belong to that program alone.
     pub(crate) fn cacheable(
-        &self, prompt: &[PromptSection], others_per_own_call: f64,
+        &self, prompt: &[PromptSection], other_calls_per_own_call: f64,
     ) -> Vec<CacheableSection> {
         let cacheable = |section: &PromptSection| {
             let changes = self.senders.get(&section.id).map_or(0, |senders| senders.changes);
-            let cached_for_others = 1.0 - (-f64::from(changes) * others_per_own_call).exp();
-            CacheableSection { section: *section, cached_for_others }
+            let shared_cache_probability = 1.0 - (-f64::from(changes) * other_calls_per_own_call).exp();
+            CacheableSection { section: *section, shared_cache_probability }
         };
         prompt.iter().map(cacheable).collect()
     }
--- a/crates/balancing/tests/balancing.rs
+++ b/crates/balancing/tests/balancing.rs
@@ -1,4 +1,4 @@
-//! Choice of endpoints, admission and grants of slots.
+//! Tests of endpoint selection, admission and the grants of slots.
 
 mod common;
 
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn load_is_spread_and_ties_go_to_the_own_zone() {
+fn load_is_spread_and_ties_go_to_the_relays_own_zone() {
     let mut balancer = balancer(&[("far", "b", 4), ("near", "a", 4)]);
     let chosen: Vec<_> =
         (0..4).map(|_| granted_endpoint(&mut balancer, at(0), plain_request("/", 0))).collect();
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_reported_load_counts_and_fades() {
+fn a_reported_load_counts_and_decays() {
     let mut balancer = balancer(&[("far", "b", 4), ("near", "a", 4)]);
     balancer.record_load(at(0), &"near".into(), ServerLoad { running: 4, waiting: 1, slots: 4 });
     assert_eq!(granted_endpoint(&mut balancer, at(1), plain_request("/", 0)), "far".into());
@@ -130,7 +130,7 @@
         prompt: PromptSection::parse_list(prompt),
         ..plain_request("/", 0)
     };
-    // The prefill is measured to be fast: a prompt of this length costs less than waiting in a queue.
+    // Trains a fast prefill, so that prefilling this prompt costs less than waiting in a queue.
     balancer.record_first_response(&turn("z", "ee:100000"), &"i-0".into(), EXPECTED_DURATION);
     let first = granted_endpoint(&mut balancer, at(0), turn("p", "aa:100,bb:50"));
     balancer.record_first_response(&turn("p", "aa:100,bb:50"), &first, EXPECTED_DURATION);
@@ -150,26 +150,26 @@
         ..plain_request("/", 0)
     };
     balancer.record_first_response(&turn("ee:1000"), &"two".into(), EXPECTED_DURATION);
-    let hint = granted_endpoint(&mut balancer, at(0), plain_request("/", 0));
-    let hinted = PlacementRequest {
-        previous_endpoint: Some(hint.clone()),
+    let previous_endpoint = granted_endpoint(&mut balancer, at(0), plain_request("/", 0));
+    let next_turn = PlacementRequest {
+        previous_endpoint: Some(previous_endpoint.clone()),
         new_prompt_fraction: 0.1,
         ..turn("dd:5000")
     };
-    assert_eq!(granted_endpoint(&mut balancer, at(4), hinted), hint);
+    assert_eq!(granted_endpoint(&mut balancer, at(4), next_turn), previous_endpoint);
 }
 
 #[test]
-fn the_restart_timer_warms_up_restarts_and_cuts_off() {
+fn latencies_shorten_attempt_timeouts_and_rule_out_hopeless_attempts() {
     let mut latencies = LatencyModels::default();
-    let left = Span::from_millis(1_000);
-    assert_eq!(latencies.attempt_timeout(&destination("/"), left, 3), left);
+    let remaining = Span::from_millis(1_000);
+    assert_eq!(latencies.attempt_timeout(&destination("/"), remaining, 3), remaining);
     assert!(latencies.has_time_for_attempt(&destination("/"), Span::from_millis(1)));
     for step in 0..10 {
         latencies.record(at(step), &destination("/"), Span::from_millis(50), false);
     }
-    assert!(latencies.attempt_timeout(&destination("/"), left, 3) < left);
-    assert_eq!(latencies.attempt_timeout(&destination("/"), left, 1), left);
+    assert!(latencies.attempt_timeout(&destination("/"), remaining, 3) < remaining);
+    assert_eq!(latencies.attempt_timeout(&destination("/"), remaining, 1), remaining);
     assert!(!latencies.has_time_for_attempt(&destination("/"), Span::from_millis(20)));
     assert!(latencies.has_time_for_attempt(&destination("/"), Span::from_millis(200)));
     latencies.retain(|_| false);
@@ -179,14 +179,14 @@
 #[test]
 fn malformed_sections_and_loads_are_ignored() {
     assert_eq!(PromptSection::parse_list("5c1e07a2:800,91:41").len(), 2);
-    assert_eq!(PromptSection::parse_list("5c:8,rubbish,7:7").len(), 1);
+    assert_eq!(PromptSection::parse_list("5c:8,malformed,7:7").len(), 1);
     assert_eq!(ServerLoad::parse("3,0,8"), Some(ServerLoad { running: 3, waiting: 0, slots: 8 }));
     assert_eq!(ServerLoad::parse("3,0"), None);
 }
 
 proptest! {
-    /// Whatever calls begin and end, no endpoint gets more than its slots and the overcommitted ones, and all queued
-    /// requests are granted once slots are free.
+    /// For any sequence of calls, no endpoint gets more calls than its slots and the allowed overcommitment, and queued
+    /// requests are granted as soon as slots are free.
     #[test]
     fn slots_are_never_exceeded_and_never_lost(steps in prop::collection::vec((0_u8..3, 0_u32..3), 1..200)) {
         let mut balancer = balancer(&[("one", "a", 4), ("two", "b", 4)]);
@@ -216,18 +216,23 @@
 
 #[test]
 fn a_partially_failing_endpoint_is_avoided() {
-    for bad in [CallOutcome::Overloaded, CallOutcome::ServerError, CallOutcome::TimedOut] {
-        let mut balancer = balancer(&[("grey", "a", 4), ("sound", "b", 4)]);
-        let mut to_grey = 0;
+    for failure in [CallOutcome::Overloaded, CallOutcome::ServerError, CallOutcome::TimedOut] {
+        let mut balancer = balancer(&[("flaky", "a", 4), ("healthy", "b", 4)]);
+        let mut calls_to_flaky = 0;
         for step in 0..40 {
             let now = at(100 * step);
             let id = granted_endpoint(&mut balancer, now, plain_request("/", 0));
-            let grey = id == InstanceId::from("grey");
-            to_grey += u32::from(grey);
-            let fails = grey && to_grey % 2 == 1;
-            balancer.end_call(now, &destination("/"), &id, if fails { bad } else { CallOutcome::Succeeded });
+            let is_flaky = id == InstanceId::from("flaky");
+            calls_to_flaky += u32::from(is_flaky);
+            let fails = is_flaky && calls_to_flaky % 2 == 1;
+            balancer.end_call(
+                now,
+                &destination("/"),
+                &id,
+                if fails { failure } else { CallOutcome::Succeeded },
+            );
         }
-        assert!(to_grey < 10, "{bad:?}: {to_grey} of 40 calls");
+        assert!(calls_to_flaky < 10, "{failure:?}: {calls_to_flaky} of 40 calls");
     }
 }
 
--- a/crates/balancing/tests/common/mod.rs
+++ b/crates/balancing/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers of the balancer's tests.
+//! Shared helpers for the balancer's tests.
 
 use juniperwing_balancing::{
     Admission, Balancer, BalancerLimits, Destination, EndpointInfo, PlacementRequest,
@@ -9,12 +9,12 @@
 /// The expected duration of a call.
 pub const EXPECTED_DURATION: Span = Span::from_millis(20);
 
-/// A time, in milliseconds of the test.
+/// Converts milliseconds since the start of the test to a time.
 pub fn at(millis: u64) -> Time {
     Time::default() + Span::from_millis(100_000 + millis)
 }
 
-/// A balancer in zone `a` over endpoints of one service, each with its zone and its slots.
+/// Creates a balancer in zone `a` with endpoints of one service, each given as id, zone and slots.
 pub fn balancer_of(seed: u64, endpoints: &[(&str, &str, u32)]) -> Balancer {
     let mut balancer = Balancer::new("a".into(), seed, BalancerLimits { max_queued_per_service: 4 });
     for (id, zone, capacity) in endpoints {
@@ -28,7 +28,7 @@
     balancer
 }
 
-/// The destination of a route of that service.
+/// The destination of a route to that service.
 pub fn destination(prefix: &str) -> Destination {
     Destination { service: ServiceName::from("s"), host: "h".into(), prefix: prefix.into() }
 }
@@ -47,7 +47,7 @@
     }
 }
 
-/// The endpoint that a request gets at once.
+/// Returns the endpoint that a request is granted without queueing.
 pub fn granted_endpoint(balancer: &mut Balancer, now: Time, request: PlacementRequest) -> InstanceId {
     match balancer.admit(now, request, EXPECTED_DURATION) {
         Admission::Granted(id) => id,
--- a/crates/balancing/tests/placement.rs
+++ b/crates/balancing/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Properties of the choice of an endpoint.
+//! Property tests of endpoint selection.
 
 mod common;
 
@@ -24,9 +24,9 @@
 }
 
 fn turn(program: &str, prompt: &[(u64, u32)]) -> PlacementRequest {
-    let parts = prompt.iter().map(|(id, tokens)| PromptSection { id: *id, tokens: *tokens });
+    let sections = prompt.iter().map(|(id, tokens)| PromptSection { id: *id, tokens: *tokens });
     PlacementRequest {
-        prompt: parts.collect(),
+        prompt: sections.collect(),
         program: Some(ProgramId::from(program)),
         ..plain_request("/", 0)
     }
@@ -43,7 +43,7 @@
     }
 }
 
-/// Whether a program's second turn stays where its first one ran, if that endpoint reports this load.
+/// Whether a program's second turn goes to the endpoint of its first one, if that endpoint reports this load.
 fn stays_with_its_prefix_cache(history: u32, load: u32) -> bool {
     let mut balancer = balancer(6, 7);
     record_measurements(&mut balancer, 26);
@@ -78,9 +78,9 @@
         }
     }
 
-    /// If no endpoint reports a load, or all report the same, first turns are spread evenly.
+    /// First turns are spread evenly if no endpoint reports a load, or all report the same.
     #[test]
-    fn equal_knowledge_spreads_evenly(endpoints in 1_usize..60, rounds in 1_usize..5, is_reported in any::<bool>(), seed in any::<u64>()) {
+    fn first_turns_are_spread_evenly_over_equally_loaded_endpoints(endpoints in 1_usize..60, rounds in 1_usize..5, is_reported in any::<bool>(), seed in any::<u64>()) {
         let mut balancer = balancer(endpoints, seed);
         if is_reported {
             let load = ServerLoad { running: 3, waiting: 0, slots: SLOTS };
@@ -96,7 +96,8 @@
         prop_assert!(counts.len() == endpoints && counts.values().all(|count| *count == rounds), "{counts:?}");
     }
 
-    /// A reported load may be any numbers: the choice neither panics nor rejects while there is capacity elsewhere.
+    /// Whatever numbers an endpoint reports as its load, the choice neither panics nor rejects a request while another
+    /// endpoint has capacity.
     #[test]
     fn arbitrary_reported_loads_leave_a_choice(running in any::<u32>(), waiting in any::<u32>(), slots in any::<u32>(), new_prompt_fraction in any::<f64>()) {
         let mut balancer = balancer(3, 1);
@@ -105,7 +106,7 @@
         prop_assert!(matches!(balancer.admit(at(1), request, EXPECTED_DURATION), Admission::Granted(_)));
     }
 
-    /// A program stays with its prefix cache up to some load; the longer its history, the higher that load.
+    /// A program stays with its prefix cache up to some load, which grows with the length of its history.
     #[test]
     fn a_turn_goes_to_its_prefix_cache_unless_that_costs_more(history in 100_u32..6_000, more in 0_u32..6_000, load in 0_u32..12) {
         prop_assert!(stays_with_its_prefix_cache(history, 0));
@@ -122,7 +123,8 @@
     assert!(!stays_with_its_prefix_cache(100, 12));
 }
 
-/// Sections that several programs send are cached for other relays, too; sections of one program are not.
+/// Guards against all programs going to the first endpoints that cached a shared section: other relays send that
+/// section as well, so that other endpoints probably have it cached, too.
 #[test]
 fn a_shared_section_does_not_bind_programs_to_the_endpoints_that_cached_it() {
     let mut balancer = balancer(20, 5);
