--- a/crates/node/tests/relay/resumption.rs
+++ b/crates/node/tests/relay/resumption.rs
@@ -1,4 +1,4 @@
-//! Streams resumed after an event: by the client, by the relay, and by both in turn.
+//! Streams resumed after an event: by the client, by the relay, and by both.
 
 use std::sync::Arc;
 
@@ -9,13 +9,13 @@
 use crate::support::{RelayHarness, next_chunk, read, request, with_headers, with_timeout};
 
 const THIRD: &str = "id: 3\ndata: three\n\n";
-/// An event at which the version of the weights changes.
+/// An event with which the version of the model's weights changes.
 const FOURTH: &str = "versions: 7\nid: 4\ndata: four\n\n";
 const FIFTH: &str = "id: 5\ndata: five\n\n";
 
 type Script = fn(&ReceivedRequest) -> Vec<Step>;
 
-/// Two endpoints, of which the first gets the first request.
+/// Starts two endpoints, of which the first gets the first request.
 async fn endpoints_in_order(first: Script, second: Script) -> (RelayHarness, [Arc<FakeEndpoint>; 2]) {
     let endpoints = [FakeEndpoint::start("i-1", first).await, FakeEndpoint::start("i-2", second).await];
     let harness = RelayHarness::with_endpoints(&[&endpoints[0]]).await;
@@ -27,7 +27,7 @@
     with_headers(request("POST", path, "9c41", "in"), &[("last-event-id", "2")])
 }
 
-// Guards: the client's headers are forwarded; `ForwardedStream::last_event_id` advances from the client's.
+// Covers the forwarding of the client's `Last-Event-Id`, from which `ForwardedStream::last_event_id` then advances.
 #[tokio::test]
 async fn client_and_relay_each_resume_after_their_last_event() {
     let first: Script = |request| {
@@ -49,7 +49,7 @@
     assert_eq!(last_event_ids, ["2", "3"]);
 }
 
-// Guard: `ForwardedStream::last_event_id` starts with the client's `Last-Event-Id`.
+// Covers `ForwardedStream::last_event_id`, which starts as the client's `Last-Event-Id`.
 #[tokio::test]
 async fn events_that_the_client_has_are_not_repeated() {
     let first: Script =
@@ -62,7 +62,7 @@
     assert_eq!(response.body.as_deref(), Some(format!("id: 2\ndata: two\n\n{THIRD}").as_bytes()));
 }
 
-// Guard: a retry before the first event carries the client's Last-Event-Id.
+// A retry before the first event carries the client's `Last-Event-Id`.
 #[tokio::test]
 async fn a_retry_before_the_first_event_resumes_after_the_clients_last_event() {
     let first: Script = |request| vec![stream_head(request, "s1"), chunk("id: 3\nda"), Step::Reset];
@@ -70,11 +70,11 @@
     let (harness, endpoints) = endpoints_in_order(first, second).await;
     let response = read(harness.send(request_after_second_event("/r/x")).await).await;
     assert_eq!(response.body.as_deref(), Some(THIRD.as_bytes()));
-    assert_eq!(response.header("x-server-signature"), "s2", "the first that gave an event");
+    assert_eq!(response.header("x-server-signature"), "s2", "the first endpoint that sent an event");
     assert_eq!(endpoints[1].received()[0].header("last-event-id"), Some("2"));
 }
 
-// Guard: `EventSplitter` splits at empty lines only and keeps every line.
+// Covers `EventSplitter`, which splits only at empty lines and keeps every line.
 #[tokio::test]
 async fn events_with_another_version_are_forwarded_unchanged() {
     let script: Script = |request| {
@@ -91,7 +91,7 @@
     assert_eq!(&*stored.output, b"four\nfive\n", "only data is stored");
 }
 
-// Guard: `ForwardedStream` ends with its source.
+// Covers `ForwardedStream`, which ends only when its source does.
 #[tokio::test]
 async fn a_stream_ends_no_sooner_than_at_the_endpoint() {
     let proceed = Arc::new(Notify::new());
@@ -107,7 +107,7 @@
     for path in ["/e/x", "/r/x", "/k/x"] {
         let mut body = harness.send(request("POST", path, "9c41", "")).await.into_body();
         assert_eq!(next_chunk(&mut body).await.unwrap().unwrap(), THIRD);
-        // Time for a premature end to arrive: other requests are served in the meantime.
+        // Other requests are served meanwhile, which gives a premature end time to arrive.
         for _ in 0..4 {
             assert_eq!(harness.get("/i/x").await.status, StatusCode::OK);
         }
--- a/crates/node/tests/relay/retries.rs
+++ b/crates/node/tests/relay/retries.rs
@@ -1,4 +1,4 @@
-//! Retries: which requests are sent to another endpoint, and when none is.
+//! Retries: which requests are sent to another endpoint, and which are not.
 
 use http::StatusCode;
 use juniperwing_clock::Span;
@@ -20,7 +20,7 @@
     let response = read(harness.send(request("POST", "/n/x", "second", "")).await).await;
     assert_eq!(response.status, StatusCode::BAD_GATEWAY);
     assert_eq!(endpoint.received().len(), 2);
-    assert_eq!(*endpoint.connections.lock().unwrap(), 1, "the kept connection was used");
+    assert_eq!(*endpoint.connections.lock().unwrap(), 1, "the idle connection was reused");
     assert!(other.received().is_empty());
 }
 
@@ -73,7 +73,7 @@
     assert_eq!(response.status, StatusCode::OK);
     assert_eq!(endpoints.each_ref().map(|endpoint| endpoint.received().len()), [1, 1]);
     let waited = started_at.elapsed().as_millis();
-    assert!(waited >= 500, "half of the time left, not {waited} ms");
+    assert!(waited >= 500, "waited {waited} ms instead of half of the remaining time");
     // The connection of the abandoned attempt is closed.
     with_timeout(async {
         tokio::select! {
--- a/crates/node/tests/relay/returned_requests.rs
+++ b/crates/node/tests/relay/returned_requests.rs
@@ -1,5 +1,5 @@
-//! A request that the HTTP library returns as unsent may be sent elsewhere even if it is not idempotent: no byte of it
-//! was written.
+//! A request that the HTTP library returns as unsent may be sent to another endpoint even if it is not idempotent. That
+//! relies on no byte of it having been written, which is tested here.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -14,8 +14,8 @@
 
 use crate::support::with_timeout;
 
-/// The number of races between the endpoint's interference and the next request.
-const RACES: usize = 150;
+/// The number of rounds in which the endpoint's interference races with the next request.
+const RACE_ROUNDS: usize = 150;
 const FIRST_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
 const SURPLUS: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno";
 const BODY: &str = "the body";
@@ -31,7 +31,7 @@
     PartialSurplus,
 }
 
-const ALL: [Interference; 5] = [
+const ALL_INTERFERENCES: [Interference; 5] = [
     Interference::Nothing,
     Interference::HalfClose,
     Interference::Surplus,
@@ -39,12 +39,12 @@
     Interference::PartialSurplus,
 ];
 
-/// An endpoint on a thread of its own, which runs while the relay's runtime is blocked.
+/// An endpoint on its own thread, which runs even while the test's runtime is blocked.
 struct InterferingEndpoint {
     address: SocketAddr,
     start: mpsc::Sender<Interference>,
     done: mpsc::Receiver<()>,
-    /// The bytes that arrived after the first request, sent at the end of the connection.
+    /// Yields the bytes received after the first request, once the next request or the connection has ended.
     later_bytes: oneshot::Receiver<Vec<u8>>,
 }
 
@@ -67,10 +67,10 @@
     }
 }
 
-/// Reads a request, or as much of one as arrives before the end of the connection.
+/// Reads a request, or the part of it that arrives before the end of the connection.
 fn read_request(stream: &mut TcpStream) -> Vec<u8> {
     let (mut request, mut byte) = (Vec::new(), [0]);
-    // A reset because of unread bytes ends the connection as well.
+    // A reset because of unread bytes also ends the connection.
     while !request.ends_with(REQUEST_END) && stream.read_exact(&mut byte).is_ok() {
         request.extend_from_slice(&byte);
     }
@@ -78,7 +78,7 @@
 }
 
 fn interfere(stream: &mut TcpStream, interference: Interference) {
-    // The other end may have closed already.
+    // The other end may have closed the connection already.
     let _ = match interference {
         Interference::Nothing => Ok(()),
         Interference::HalfClose => stream.shutdown(Shutdown::Write),
@@ -105,25 +105,25 @@
 
 /// When the second request is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Moment {
-    /// The interference has reached the socket, but the library has not polled it.
-    BeforeItIsPolled,
-    /// The library has seen the interference.
-    OnceItIsSeen,
-    /// At the same time as the interference.
-    Racing,
+enum SendTime {
+    /// After the interference has reached the socket, but before the library polls it.
+    BeforePoll,
+    /// After the library has detected the interference.
+    AfterDetection,
+    /// Concurrently with the interference.
+    Concurrent,
 }
 
 /// Whether the second request was returned as unsent.
-async fn is_returned_unsent(interference: Interference, moment: Moment) -> bool {
+async fn is_returned_unsent(interference: Interference, send_time: SendTime) -> bool {
     let endpoint = InterferingEndpoint::start();
     let mut connection = first_exchange(endpoint.address).await;
     endpoint.start.send(interference).unwrap();
-    if moment != Moment::Racing {
-        // Blocks the only thread of the runtime: the connection is not polled meanwhile.
+    if send_time != SendTime::Concurrent {
+        // Blocks the only thread of the runtime, so that the connection is not polled meanwhile.
         endpoint.done.recv().unwrap();
     }
-    while moment == Moment::OnceItIsSeen && !connection.sender.is_closed() {
+    while send_time == SendTime::AfterDetection && !connection.sender.is_closed() {
         tokio::task::yield_now().await;
     }
     let sent = with_timeout(connection.sender.try_send_request(request())).await;
@@ -132,7 +132,7 @@
     let later_bytes = with_timeout(endpoint.later_bytes).await.unwrap();
     assert!(
         !is_returned || later_bytes.is_empty(),
-        "{interference:?} {moment:?}: {:?}",
+        "{interference:?} {send_time:?}: {:?}",
         String::from_utf8_lossy(&later_bytes)
     );
     is_returned
@@ -140,9 +140,9 @@
 
 #[tokio::test]
 async fn a_request_on_a_connection_seen_closed_is_returned_unsent() {
-    for interference in &ALL[1..] {
+    for interference in &ALL_INTERFERENCES[1..] {
         assert!(
-            with_timeout(is_returned_unsent(*interference, Moment::OnceItIsSeen)).await,
+            with_timeout(is_returned_unsent(*interference, SendTime::AfterDetection)).await,
             "{interference:?}"
         );
     }
@@ -150,15 +150,17 @@
 
 #[tokio::test]
 async fn no_byte_of_a_returned_request_was_written() {
-    for interference in ALL {
-        // Whether it is returned depends on when the runtime polls; that nothing was written then, must not.
+    for interference in ALL_INTERFERENCES {
+        // Whether the request is returned depends on when the runtime polls. If it is, nothing may have been written,
+        // which
+        // `is_returned_unsent` asserts.
         if interference != Interference::Nothing {
-            with_timeout(is_returned_unsent(interference, Moment::BeforeItIsPolled)).await;
+            with_timeout(is_returned_unsent(interference, SendTime::BeforePoll)).await;
         }
     }
-    for round in 0..RACES {
-        let interference = ALL[1 + round % (ALL.len() - 1)];
-        with_timeout(is_returned_unsent(interference, Moment::Racing)).await;
+    for round in 0..RACE_ROUNDS {
+        let interference = ALL_INTERFERENCES[1 + round % (ALL_INTERFERENCES.len() - 1)];
+        with_timeout(is_returned_unsent(interference, SendTime::Concurrent)).await;
     }
 }
 
@@ -168,7 +170,7 @@
     let mut connection = first_exchange(endpoint.address).await;
     endpoint.start.send(Interference::Nothing).unwrap();
     let sending = connection.sender.try_send_request(request());
-    // The task of the connection ends without having been polled again.
+    // The task of the connection ends without being polled again.
     drop(connection);
     let mut error = with_timeout(sending).await.unwrap_err();
     assert!(error.take_message().is_some());
--- a/crates/node/tests/relay/smuggling.rs
+++ b/crates/node/tests/relay/smuggling.rs
@@ -1,5 +1,5 @@
-//! Request smuggling: of a request that two parsers could read differently, an endpoint gets what the client sent as one
-//! request, or nothing.
+//! Request smuggling: of a request that two parsers could read differently, an endpoint gets what the client sent as
+//! one request, or nothing.
 
 use std::sync::Arc;
 
@@ -10,18 +10,18 @@
 use crate::hostile::wire::split_head;
 use crate::support::{RelayHarness, with_timeout};
 
-/// A request that must not run.
+/// A smuggled request, which must not reach the endpoint.
 const SMUGGLED: &str =
     "POST /n/evil HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: evil\r\nContent-Length: 0\r\n\r\n";
 
-/// A request with these headers beside the usual ones.
+/// A request with additional headers.
 fn post(headers: &str, body: &str) -> String {
     format!(
         "POST /n/x HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: 9c41\r\nX-Deadline-Ms: 5000\r\n{headers}\r\n{body}"
     )
 }
 
-/// Sends bytes; returns the statuses of all responses, and the ids and bodies that reached the endpoint.
+/// Sends bytes to a relay. Returns the statuses of all responses, and the ids and bodies that reached the endpoint.
 async fn send(bytes: &str) -> (Vec<String>, Vec<(String, Vec<u8>)>) {
     let endpoint: Arc<FakeEndpoint> = FakeEndpoint::start("i-1", |request| ok(request, "")).await;
     let harness = RelayHarness::with_endpoints(&[&endpoint]).await;
@@ -37,7 +37,7 @@
                 let length = head.header("content-length").map_or(0, |length| length.parse().unwrap());
                 responses = rest[length..].to_vec();
             }
-            // The relay responds to what is complete, and closes when the client does.
+            // The relay responds to complete requests, and closes the connection when the client does.
             if !statuses.is_empty() {
                 let _ = stream.shutdown().await;
             }
@@ -76,7 +76,8 @@
         post("Host: other.example\r\n", ""),
     ];
     for request in requests {
-        // Wherever the request is taken to end, what follows must not run.
+        // The ambiguous request must not reach the endpoint. `SMUGGLED` may, where it is a valid next request for every
+        // parser.
         let (statuses, received) = send(&format!("{request}{SMUGGLED}")).await;
         let own: Vec<_> = received.iter().filter(|(id, _)| id != "evil").collect();
         assert!(own.is_empty(), "{request:?}: {own:?}");
@@ -113,7 +114,7 @@
     assert_eq!(received, [("9c41".to_owned(), Vec::new())]);
 }
 
-// Guard: the check of the version in `respond`.
+// Covers the check of the HTTP version in `respond`.
 #[tokio::test]
 async fn http_1_0_clients_get_no_streams() {
     let request = post("", "").replace("/n/x HTTP/1.1", "/e/x HTTP/1.0");
--- a/crates/node/tests/relay/streams.rs
+++ b/crates/node/tests/relay/streams.rs
@@ -1,4 +1,4 @@
-//! Streams of events.
+//! Forwarding of event streams.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 const SECOND: &str = "id: 2\r\ndata: two\r\n\r\n";
 const THIRD: &str = "id: 3\ndata: three\n\n";
 
-/// An endpoint that sends three events in chunks which end within events, and waits between them.
+/// Starts an endpoint that sends three events in chunks whose boundaries are within events, and waits between chunks.
 async fn endpoint_with_split_events(gate: Arc<Notify>) -> Arc<FakeEndpoint> {
     FakeEndpoint::start("i-1", move |request| {
         let wait = || Step::Wait(Arc::clone(&gate));
@@ -144,7 +144,8 @@
     with_timeout(endpoint.client_disconnected()).await;
 }
 
-// Guard: `Exchange::memory`. A stream retains its body for a resumption, and a stored turn its output, to the end.
+// Covers `Exchange::memory`: until its end a stream retains its request body for a resumption, and a stored turn its
+// output.
 #[tokio::test]
 async fn a_stream_reserves_memory_for_its_bodies_until_its_end() {
     let proceed = Arc::new(Notify::new());
--- a/crates/node/tests/relay/support.rs
+++ b/crates/node/tests/relay/support.rs
@@ -1,4 +1,4 @@
-//! A relay under test, a client, and the updates that keepers would send.
+//! The relay under test, a client, and the updates that keepers would publish.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -32,10 +32,10 @@
 
 use crate::endpoint::FakeEndpoint;
 
-/// Generous: nothing in these tests takes that long unless it fails.
+/// The timeout of every wait. It is generous: only a failing test takes that long.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Awaits a future, and fails the test if that takes too long.
+/// Awaits a future, and fails the test after [`TEST_TIMEOUT`].
 pub async fn with_timeout<T>(future: impl Future<Output = T>) -> T {
     tokio::time::timeout(TEST_TIMEOUT, future).await.expect("the test timed out")
 }
@@ -50,7 +50,7 @@
     .await;
 }
 
-/// Stands in for the stores.
+/// A fake for the stores.
 #[derive(Default)]
 pub struct FakeStores {
     pub begun_turns: Mutex<Vec<BeginTurn>>,
@@ -59,14 +59,14 @@
     pub background_finishes: Mutex<Vec<FinishTurn>>,
     /// The result of `begin_turn`.
     pub begin_result: Mutex<Option<Result<Vec<Turn>, TurnError>>>,
-    /// What `begin_turn` waits for, if for anything.
+    /// Delays the result of `begin_turn` until notified.
     pub begin_gate: Mutex<Option<Arc<Notify>>>,
-    /// What `finish_turn` waits for, if for anything.
+    /// Delays the result of `finish_turn` until notified.
     pub finish_gate: Mutex<Option<Arc<Notify>>>,
     /// The timeout of each `finish_turn`.
     pub finish_timeouts: Mutex<Vec<Duration>>,
     pub fail_finish: Mutex<bool>,
-    /// What the end of all background commits waits for, if for anything.
+    /// Delays the end of all background commits until notified.
     pub background_commits_gate: Mutex<Option<Arc<Notify>>>,
     /// Notified when a turn is finished, in the background or not.
     pub finish_called: Notify,
@@ -179,7 +179,7 @@
     "limits":{"maxHeaderBytes":16384,"maxBodyBytes":65536,"headerTimeoutMs":3000,"idleTimeoutMs":15000}}"#;
 
 impl RelayHarness {
-    /// A relay that knows nothing yet.
+    /// Starts a relay that has received no updates.
     pub async fn start() -> RelayHarness {
         let settings = Settings::parse(Path::new("test.toml"), SETTINGS).unwrap();
         let stores = Arc::new(FakeStores::default());
@@ -202,7 +202,7 @@
         }
     }
 
-    /// A relay that knows routes of every type, the stores and these endpoints.
+    /// Starts a relay with routes of every type, the stores and these endpoints.
     pub async fn with_endpoints(endpoints: &[&Arc<FakeEndpoint>]) -> RelayHarness {
         let harness = RelayHarness::start().await;
         harness.configure(1, CONFIGURATION);
@@ -236,7 +236,8 @@
         }));
     }
 
-    /// Publishes an endpoint of another zone: of two equally loaded endpoints the relay chooses the one in its own.
+    /// Publishes an endpoint in another zone. Of two equally loaded endpoints the relay chooses the one in its own
+    /// zone.
     pub fn publish_in_other_zone(&self, endpoint: &FakeEndpoint) {
         let instance = Instance { zone: "b".into(), ..instance(endpoint, InstanceState::Ready, 1) };
         self.publish_instances(false, vec![instance]);
@@ -248,12 +249,12 @@
         stop.send(()).unwrap();
     }
 
-    /// Waits until the relay does not want new connections any more.
+    /// Waits until the relay is no longer ready.
     pub async fn wait_until_not_ready(&self) {
         wait_until(|| !self.state.is_ready()).await;
     }
 
-    /// Waits until the relay accepts no connections any more.
+    /// Waits until the relay no longer accepts connections.
     pub async fn wait_until_not_accepting(&self) {
         with_timeout(async {
             while TcpStream::connect(self.frontend).await.is_ok() {
@@ -269,7 +270,7 @@
         with_timeout(served).await.unwrap().unwrap();
     }
 
-    /// Records enough attempts of this duration for a latency model.
+    /// Records enough attempts of this duration to train the latency model of a route.
     pub fn record_latencies(&self, prefix: &str, duration: Span) {
         let destination =
             Destination { service: "s".into(), host: "h.example".into(), prefix: prefix.into() };
@@ -278,7 +279,7 @@
         }
     }
 
-    /// Sends a request on a connection of its own.
+    /// Sends a request on a new connection.
     pub async fn send(&self, request: Request<Full<Bytes>>) -> Response<Incoming> {
         self.try_send(request).await.unwrap()
     }
@@ -319,14 +320,14 @@
     sender
 }
 
-/// A request to the host of the routes.
+/// Creates a request to the host of the routes.
 pub fn request(method: &str, path: &str, id: &str, body: &str) -> Request<Full<Bytes>> {
     let builder = Request::builder().method(method).uri(path).header("Host", "h.example");
     let builder = builder.header("X-Request-Id", id).header("X-Deadline-Ms", "8000");
     builder.body(Full::new(Bytes::copy_from_slice(body.as_bytes()))).unwrap()
 }
 
-/// The request with more headers, which replace existing ones.
+/// Adds headers to a request, replacing existing ones.
 pub fn with_headers(
     mut request: Request<Full<Bytes>>, headers: &[(&'static str, &str)],
 ) -> Request<Full<Bytes>> {
@@ -357,7 +358,7 @@
     ClientResponse { status: parts.status, headers: parts.headers, body }
 }
 
-/// The next bytes of a stream; `None` at its proper end, an error if it is aborted.
+/// Reads the next bytes of a stream; `None` at its regular end, an error if it is aborted.
 pub async fn next_chunk(body: &mut Incoming) -> Option<Result<Bytes, hyper::Error>> {
     let frame = with_timeout(body.frame()).await?;
     Some(frame.map(|frame| frame.into_data().unwrap()))
--- a/crates/node/tests/relay/turns.rs
+++ b/crates/node/tests/relay/turns.rs
@@ -29,11 +29,11 @@
 async fn a_stored_turn_is_sent_with_its_history_and_stored_before_its_end() {
     let endpoint = FakeEndpoint::start("i-1", two_events).await;
     let harness = RelayHarness::with_endpoints(&[&endpoint]).await;
-    let chain =
+    let earlier_turns =
         vec![stored_turn("t1", None, "in1", "out1\n"), stored_turn("t2", Some("t1"), "in2", "out2\n")];
-    *harness.stores.begin_result.lock().unwrap() = Some(Ok(chain));
-    let hold = Arc::new(Notify::new());
-    *harness.stores.finish_gate.lock().unwrap() = Some(Arc::clone(&hold));
+    *harness.stores.begin_result.lock().unwrap() = Some(Ok(earlier_turns));
+    let gate = Arc::new(Notify::new());
+    *harness.stores.finish_gate.lock().unwrap() = Some(Arc::clone(&gate));
     let sent = with_headers(turn("/k/x", "t3", "in3"), &[("previous", "t2")]);
     let mut body = harness.send(sent).await.into_body();
     let mut events = Vec::new();
@@ -45,24 +45,24 @@
     tokio::pin!(end);
     tokio::select! {
         biased;
-        _ = &mut end => panic!("the end came before the turn was kept"),
+        _ = &mut end => panic!("the end came before the turn was stored"),
         () = std::future::ready(()) => {}
     }
-    hold.notify_one();
+    gate.notify_one();
     assert!(end.await.is_none());
     assert_eq!(endpoint.received()[0].body, b"in1out1\nin2out2\nin3");
-    let started_at = harness.stores.begun_turns.lock().unwrap()[0].clone();
-    assert_eq!((&*started_at.program.0, &*started_at.request.0), ("p1", "t3"));
+    let begun = harness.stores.begun_turns.lock().unwrap()[0].clone();
+    assert_eq!((&*begun.program.0, &*begun.request.0), ("p1", "t3"));
     assert_eq!(
-        (started_at.previous, started_at.budget, started_at.max_tokens),
+        (begun.previous, begun.budget, begun.max_tokens),
         (Some(RequestId::from("t2")), Some(1080), 135)
     );
     let finished = harness.stores.finished_turns.lock().unwrap()[0].clone();
-    assert_eq!(finished.tokens, 6, "a stride of three for each event");
-    let kept = finished.stored_turn.unwrap();
-    assert_eq!((&*kept.input, &*kept.output), (&b"in3"[..], &b"one\ntwo\nmore\n"[..]));
-    assert_eq!((kept.previous, kept.endpoint.as_deref()), (Some(RequestId::from("t2")), Some("i-1")));
-    assert_eq!(kept.retention_ms, 60_000);
+    assert_eq!(finished.tokens, 6, "three tokens for each event");
+    let stored = finished.stored_turn.unwrap();
+    assert_eq!((&*stored.input, &*stored.output), (&b"in3"[..], &b"one\ntwo\nmore\n"[..]));
+    assert_eq!((stored.previous, stored.endpoint.as_deref()), (Some(RequestId::from("t2")), Some("i-1")));
+    assert_eq!(stored.retention_ms, 60_000);
     assert!(harness.stores.background_finishes.lock().unwrap().is_empty());
 }
 
@@ -83,8 +83,8 @@
     let response = read(harness.send(turn("/e/x", "t1", "in")).await).await;
     assert_eq!(response.status, StatusCode::OK);
     with_timeout(harness.stores.finish_called.notified()).await;
-    let later_bytes = harness.stores.background_finishes.lock().unwrap()[0].clone();
-    assert_eq!((&*later_bytes.request.0, later_bytes.tokens, later_bytes.stored_turn), ("t1", 6, None));
+    let finished = harness.stores.background_finishes.lock().unwrap()[0].clone();
+    assert_eq!((&*finished.request.0, finished.tokens, finished.stored_turn), ("t1", 6, None));
 }
 
 #[tokio::test]
@@ -122,13 +122,13 @@
             StatusCode::SERVICE_UNAVAILABLE,
         ),
     ];
-    for (fault, status) in denials {
-        *harness.stores.begin_result.lock().unwrap() = Some(Err(fault));
+    for (error, status) in denials {
+        *harness.stores.begin_result.lock().unwrap() = Some(Err(error));
         let response = read(harness.send(turn("/k/x", "t1", "in")).await).await;
         assert_eq!(response.status, status);
     }
     assert!(endpoint.received().is_empty());
-    // Only if the result is uncertain may there be a reservation to release.
+    // Only after the uncertain result may there be a reservation to release.
     assert_eq!(harness.stores.background_finishes.lock().unwrap().len(), 1);
 }
 
--- a/crates/node/tests/relay/unary.rs
+++ b/crates/node/tests/relay/unary.rs
@@ -6,7 +6,7 @@
 use juniperwing_protocol::registry::InstanceState;
 
 use crate::endpoint::{FakeEndpoint, Step, ok, response};
-use crate::hostile::script::End;
+use crate::hostile::script::CloseMode;
 use crate::support::{RelayHarness, connect, instance, read, request, with_headers, with_timeout};
 
 #[tokio::test]
@@ -92,22 +92,22 @@
 
 #[tokio::test]
 async fn invalid_success_responses_are_not_forwarded() {
-    // Without a length the response ends with the connection: only a reset shows that it is incomplete.
+    // Without a length the response is delimited by the connection, so that only a reset makes it incomplete.
     let heads = [
-        ("X-Request-Id: ID\r\nContent-Length: 2\r\n", End::Close),
+        ("X-Request-Id: ID\r\nContent-Length: 2\r\n", CloseMode::Close),
         (
             "X-Request-Id: ID\r\nX-Server-Signature: s\r\nContent-Encoding: gzip\r\nContent-Length: 2\r\n",
-            End::Close,
+            CloseMode::Close,
         ),
-        ("X-Request-Id: ID\r\nX-Server-Signature: s\r\n", End::Reset),
-        ("X-Request-Id: ID\r\n", End::Close),
-        ("X-Request-Id: ID\r\nX-Server-Signature: s\r\nContent-Length: 9\r\n", End::Close),
-        ("X-Request-Id: ID\r\nX-Server-Signature: s\r\nTransfer-Encoding: chunked\r\n", End::Close),
+        ("X-Request-Id: ID\r\nX-Server-Signature: s\r\n", CloseMode::Reset),
+        ("X-Request-Id: ID\r\n", CloseMode::Close),
+        ("X-Request-Id: ID\r\nX-Server-Signature: s\r\nContent-Length: 9\r\n", CloseMode::Close),
+        ("X-Request-Id: ID\r\nX-Server-Signature: s\r\nTransfer-Encoding: chunked\r\n", CloseMode::Close),
     ];
     for (head, end) in heads {
         let endpoint = FakeEndpoint::start("i-1", move |request| {
             let head = head.replace("ID", request.id());
-            let end = if end == End::Reset { Step::Reset } else { Step::Close };
+            let end = if end == CloseMode::Reset { Step::Reset } else { Step::Close };
             vec![Step::Send(format!("HTTP/1.1 200 OK\r\n{head}\r\nhi").into_bytes()), end]
         })
         .await;
@@ -144,7 +144,7 @@
     }
     harness.publish_instances(false, vec![instance(&leaving, InstanceState::Draining, 2)]);
     let before = leaving.received().len();
-    // A late heartbeat does not bring it back.
+    // A late heartbeat does not restore it.
     harness.publish_instances(false, vec![instance(&leaving, InstanceState::Ready, 3)]);
     for _ in 0..8 {
         assert_eq!(harness.get("/i/x").await.status, StatusCode::OK);
