--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,9 +1,9 @@
 //! The replicated control state and the decisions that change it.
 //!
-//! [`ControlState`] holds the configuration in force, the digests of accepted and rejected orders, the store map
+//! [`ControlState`] holds the active configuration, the digests of accepted and rejected orders, the store map
 //! and the retirements of store machines. The crate does no I/O: [`decide_put`] and [`decide_retire`] turn an
 //! operator's order into a [`ControlChange`] or a rejection, [`StoreTracker`] distinguishes lost stores from
-//! those that are expected back, and [`plan_store_map`] computes the next store map.
+//! those that are expected to return, and [`plan_store_map`] computes the next store map.
 
 mod order;
 mod order_history;
@@ -21,7 +21,7 @@
     RetireDecision, completed_retirements, decide_retire, retirement_of_replaced_disk, retirement_state,
 };
 pub use state::{
-    ConfigurationInForce, ControlChange, ControlState, MAX_REMEMBERED_ORDERS, MAX_REMEMBERED_REJECTIONS,
+    ActiveConfiguration, ControlChange, ControlState, MAX_REMEMBERED_ORDERS, MAX_REMEMBERED_REJECTIONS,
     MAX_REMEMBERED_RETIREMENTS, Retirement, RetirementState,
 };
 pub use tracker::{StoreTracker, StoreView};
--- a/crates/control/src/order.rs
+++ b/crates/control/src/order.rs
@@ -1,39 +1,40 @@
 //! Accepts or rejects a configuration that an operator submitted.
 //!
-//! The decision rests on a state that a majority confirmed after the order arrived, but other copies of the order
-//! may still be in flight to other keepers and be decided later. Every decision therefore depends only on facts
-//! that no later state changes: generations only increase, so a base below the one in force never becomes current
-//! again; validity depends on the order's own base and body; accepted and rejected orders are remembered.
+//! The decision is based on a state that a majority confirmed after the order arrived. Other copies of the
+//! order may still be in flight to other keepers and be decided on a later state. Every decision therefore
+//! depends only on facts that no later state changes: generations only increase, so a base below the active
+//! generation never becomes current again; validity depends on the order's own base and body; accepted and
+//! rejected orders are remembered.
 
 use juniperwing_configuration::{Configuration, Findings, digest};
 
-use crate::state::{ConfigurationInForce, ControlChange, ControlState};
+use crate::state::{ActiveConfiguration, ControlChange, ControlState};
 
 /// The decision on a submitted configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PutDecision {
-    /// The same order was accepted before, whatever was accepted since.
+    /// The same order was accepted before, even if others have been accepted since.
     AlreadyAccepted,
-    /// It is valid and builds on the configuration in force: propose this change.
+    /// Valid, and based on the active configuration: propose this change.
     Accept(ControlChange),
-    /// It builds on a configuration that is no longer in force, and can never be accepted.
+    /// Based on a configuration that is no longer active; it can never be accepted.
     Stale {
-        /// The generation in force.
+        /// The active generation.
         current: u64,
     },
-    /// It builds on a generation above the one in force, which may yet be accepted. Reply that it is stale only
-    /// after this change is committed: a copy of the order that arrives later must not be accepted.
+    /// Based on a generation above the active one, which may still be accepted. Reply that the order is stale
+    /// only after this change is committed: a copy of the order that arrives later must not be accepted.
     Reject {
-        /// The generation in force.
+        /// The active generation.
         current: u64,
         /// Records the rejection.
         change: ControlChange,
     },
-    /// It is invalid on any state.
+    /// Invalid regardless of the state.
     Invalid(Findings),
 }
 
-/// Decides on the configuration `body` (JSON), which builds on the generation `base` (0 for the first).
+/// Decides on the configuration `body` (JSON), which is based on the generation `base` (0 for the first).
 pub fn decide_put(state: &ControlState, base: u64, body: &[u8]) -> PutDecision {
     let digest = digest(base, body);
     if state.has_accepted(digest) {
@@ -43,17 +44,17 @@
     if base < current || state.has_rejected(digest) {
         return PutDecision::Stale { current };
     }
-    let checked = Configuration::read(body).and_then(|configuration| {
+    let validated_generation = Configuration::read(body).and_then(|configuration| {
         configuration.check_generation_follows(base)?;
         Ok(configuration.generation)
     });
-    match checked {
+    match validated_generation {
         Err(findings) => PutDecision::Invalid(findings),
         Ok(_) if base > current => {
             PutDecision::Reject { current, change: ControlChange::RejectConfiguration(digest) }
         }
         Ok(generation) => {
-            let configuration = ConfigurationInForce { generation, body: body.into() };
+            let configuration = ActiveConfiguration { generation, body: body.into() };
             PutDecision::Accept(ControlChange::ApplyConfiguration { digest, configuration })
         }
     }
--- a/crates/control/src/placement.rs
+++ b/crates/control/src/placement.rs
@@ -8,8 +8,8 @@
 /// The number of partitions; fixed for the lifetime of a tier.
 pub const PARTITION_COUNT: u16 = 32;
 
-/// Replicas of a partition beyond the required ones, where enough stores are eligible: after one loss the
-/// remaining replicas suffice without copying.
+/// Replicas of a partition in addition to the required ones, if enough stores are eligible. After the loss of
+/// one replica, the others are enough without copying data.
 pub const EXTRA_REPLICAS: usize = 1;
 
 /// The number of replicas and of primaries on each store.
@@ -60,15 +60,15 @@
 
 /// The rendezvous weight of a store for a partition.
 pub(crate) fn weight(partition: PartitionId, disk: DiskId) -> u64 {
-    // The finalizer of SplitMix64: equal on every machine and in every release.
+    // The SplitMix64 finalizer. The result must be the same on all machines and in all releases.
     let mut mixed = disk.0 ^ u64::from(partition.0).wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     mixed ^ (mixed >> 31)
 }
 
-/// Selects the next replica beside `members`: preferably in a zone without a replica, then on a store that does
-/// not exceed `max_replicas_per_store`, then by the highest rendezvous weight.
+/// Selects a store for one more replica, in addition to `members`: preferably in a zone without a replica,
+/// then on a store that does not exceed `max_replicas_per_store`, then by the highest rendezvous weight.
 pub(crate) fn next_replica(
     partition: PartitionId, eligible: &BTreeMap<DiskId, StoreNode>, members: &[DiskId],
     member_zones: &BTreeSet<&str>, load: &Load, max_replicas_per_store: usize,
@@ -88,13 +88,15 @@
 }
 
 /// The initial assignment of all partitions.
-pub(crate) fn first_assignments(eligible: &BTreeMap<DiskId, StoreNode>, replicas: usize) -> Vec<Assignment> {
+pub(crate) fn initial_assignments(
+    eligible: &BTreeMap<DiskId, StoreNode>, replicas: usize,
+) -> Vec<Assignment> {
     let mut load = Load::default();
     let max_replicas_per_store = balanced_replicas_per_store(replicas, eligible.len());
     let mut assignments = Vec::new();
     for partition in (0..PARTITION_COUNT).map(PartitionId) {
         let members =
-            first_members(partition, eligible, replicas, &load, max_replicas_per_store.saturating_sub(1));
+            initial_replicas(partition, eligible, replicas, &load, max_replicas_per_store.saturating_sub(1));
         let by_load = |disk: &&DiskId| (load.primaries(**disk), u64::MAX - weight(partition, **disk));
         let primary = members.iter().min_by_key(by_load).copied().unwrap_or_default();
         let assignment = Assignment {
@@ -111,7 +113,7 @@
 }
 
 /// The initial in-sync replicas of a partition.
-fn first_members(
+fn initial_replicas(
     partition: PartitionId, eligible: &BTreeMap<DiskId, StoreNode>, replicas: usize, load: &Load,
     max_replicas_per_store: usize,
 ) -> Vec<DiskId> {
--- a/crates/control/src/plan.rs
+++ b/crates/control/src/plan.rs
@@ -1,14 +1,15 @@
-//! Computes the store map that follows the one in force.
+//! Computes the successor of the current store map.
 //!
 //! A store enters `in_sync` of a partition only with the first map, or after the partition's primary has
 //! reported that it caught up. From that report on, the primary must wait for the store's acknowledgement of
-//! every further write, even before the map names the store: the map that admits it may come into force at any
-//! time, and may make it primary next. A store leaves `in_sync` when it is lost and another one of them is seen; the
-//! last one never does.
+//! every further write, even before the map lists the store as in sync: the map that admits it may be
+//! committed at any time, and may make it primary next. A store is removed from `in_sync` when it is lost and
+//! another in-sync store is reported. The last one is never removed.
 //!
-//! Fewer replicas than required suffice (`lost_replicas`) only while no other store could hold one, because the
-//! loss of all others is certain: the fault model allows no further loss of a disk until they have been back for
-//! the catch-up time. As soon as one of them returns, the full number is required again.
+//! Writes may be acknowledged on fewer replicas than required (`lost_replicas`) only while no other store can
+//! hold one because the loss of all others is certain. This is safe because the fault model allows no further
+//! loss of a disk until the others have been back for the catch-up time. As soon as one of them returns, the
+//! full number is required again.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -17,7 +18,7 @@
 use juniperwing_protocol::{DiskId, EpochNumber, PartitionId};
 
 use crate::placement::{
-    EXTRA_REPLICAS, Load, PARTITION_COUNT, balanced_replicas_per_store, first_assignments, next_replica,
+    EXTRA_REPLICAS, Load, PARTITION_COUNT, balanced_replicas_per_store, initial_assignments, next_replica,
 };
 use crate::state::ControlState;
 use crate::tracker::StoreView;
@@ -32,26 +33,26 @@
     pub state: &'input ControlState,
     /// The live and the lost stores.
     pub view: &'input StoreView,
-    /// Reports of the partitions' primaries; only those of the present epochs count.
+    /// Reports of the partitions' primaries; those of other epochs than the current one are ignored.
     pub caught_up_reports: &'input [CaughtUp],
     /// The number of replicas that must hold every acknowledged write.
     pub required_replicas: usize,
 }
 
-/// The store map to propose now; `None` if the present one stays in force.
+/// Returns the store map to propose; `None` if the current one stays.
 pub fn plan_store_map(input: PlanInput) -> Option<Arc<StoreMap>> {
     let planner = Planner::new(input);
-    let present = &input.state.store_map;
-    let partitions = if present.partitions.is_empty() {
-        planner.first_assignments()?
+    let current = &input.state.store_map;
+    let partitions = if current.partitions.is_empty() {
+        planner.initial_assignments()?
     } else {
-        planner.next_assignments(&present.partitions)
+        planner.next_assignments(&current.partitions)
     };
-    let stores = planner.named_stores(&partitions);
-    if partitions == present.partitions && stores == present.stores {
+    let stores = planner.listed_stores(&partitions);
+    if partitions == current.partitions && stores == current.stores {
         return None;
     }
-    Some(Arc::new(StoreMap { version: present.version + 1, stores, partitions }))
+    Some(Arc::new(StoreMap { version: current.version + 1, stores, partitions }))
 }
 
 /// Partitions whose in-sync replicas were all on disks that have been replaced.
@@ -62,20 +63,20 @@
     partitions.filter(|(_, assignment)| is_lost(assignment)).map(|(partition, _)| partition).collect()
 }
 
-/// Disks whose machine came back with another disk: they will not return.
-fn replaced_disks(placed: &[StoreNode], alive: &BTreeMap<DiskId, StoreNode>) -> BTreeSet<DiskId> {
+/// Disks whose machine has returned with another disk, so that they will not return.
+fn replaced_disks(map_stores: &[StoreNode], alive: &BTreeMap<DiskId, StoreNode>) -> BTreeSet<DiskId> {
     let is_replaced = |store: &&StoreNode| {
         !alive.contains_key(&store.disk) && alive.values().any(|other| other.node == store.node)
     };
-    placed.iter().filter(is_replaced).map(|store| store.disk).collect()
+    map_stores.iter().filter(is_replaced).map(|store| store.disk).collect()
 }
 
 /// Computes the assignments of one plan.
 struct Planner<'input> {
     input: PlanInput<'input>,
-    /// Live stores that are not retiring: they may be given replicas.
+    /// Live stores that are not retiring; only these are assigned replicas.
     eligible: BTreeMap<DiskId, StoreNode>,
-    /// Disks of the present map that will not return.
+    /// Disks of the current map that will not return.
     replaced: BTreeSet<DiskId>,
     /// The number of replicas that each partition should have.
     target_replicas: usize,
@@ -95,17 +96,17 @@
     }
 
     /// The assignments of a tier's first map; `None` while too few stores have joined.
-    fn first_assignments(&self) -> Option<Vec<Assignment>> {
+    fn initial_assignments(&self) -> Option<Vec<Assignment>> {
         let is_ready =
             self.input.view.is_initial_wait_over && self.eligible.len() >= self.input.required_replicas;
-        is_ready.then(|| first_assignments(&self.eligible, self.target_replicas))
+        is_ready.then(|| initial_assignments(&self.eligible, self.target_replicas))
     }
 
-    /// The assignments that follow `present`. Each changed assignment gets the next epoch.
-    fn next_assignments(&self, present: &[Assignment]) -> Vec<Assignment> {
-        let mut load = Load::of(present);
-        let mut next = Vec::with_capacity(present.len());
-        for (partition, assignment) in (0..).map(PartitionId).zip(present) {
+    /// Computes the successors of the `current` assignments. Each changed assignment gets the next epoch.
+    fn next_assignments(&self, current: &[Assignment]) -> Vec<Assignment> {
+        let mut load = Load::of(current);
+        let mut next = Vec::with_capacity(current.len());
+        for (partition, assignment) in (0..).map(PartitionId).zip(current) {
             let mut planned = assignment.clone();
             self.remove_lost_replicas(&mut planned);
             self.admit_caught_up_replicas(partition, assignment, &mut planned);
@@ -115,10 +116,10 @@
             planned.lost_replicas = self.allowed_lost_replicas(&planned, assignment.lost_replicas);
             next.push(planned);
         }
-        if self.input.view.is_stable && next == *present {
+        if self.input.view.is_stable && next == *current {
             self.balance_primaries(&mut next, &mut load);
         }
-        for (planned, assignment) in next.iter_mut().zip(present) {
+        for (planned, assignment) in next.iter_mut().zip(current) {
             if planned != assignment {
                 planned.epoch = EpochNumber(assignment.epoch.0 + 1);
             }
@@ -126,9 +127,9 @@
         next
     }
 
-    /// Removes lost stores, but never all of `in_sync`, and no store that may still return while none of the others is
-    /// seen: where several vanish at nearly the same time, the one that counts as lost first may be the one that keeps
-    /// its disk.
+    /// Removes lost stores, but never all of `in_sync`, and while no in-sync store is reported only those
+    /// whose disk was replaced: if several stores fail at nearly the same time, the first one that counts as
+    /// lost may be the only one whose disk survives.
     fn remove_lost_replicas(&self, planned: &mut Assignment) {
         let lost = &self.input.view.lost;
         planned.joining.retain(|disk| !lost.contains(disk) && !self.replaced.contains(disk));
@@ -138,17 +139,17 @@
         }
     }
 
-    /// Moves stores to `in_sync` that caught up in the present epoch with a primary that stays.
+    /// Moves stores that caught up in the current epoch to `in_sync`, provided that the primary stays.
     fn admit_caught_up_replicas(
-        &self, partition: PartitionId, present: &Assignment, planned: &mut Assignment,
+        &self, partition: PartitionId, current: &Assignment, planned: &mut Assignment,
     ) {
-        let primary_stays = planned.in_sync.contains(&present.primary)
-            && self.input.view.alive.contains_key(&present.primary);
+        let primary_stays = planned.in_sync.contains(&current.primary)
+            && self.input.view.alive.contains_key(&current.primary);
         if !primary_stays {
             return;
         }
         for report in self.input.caught_up_reports {
-            let is_current = report.partition == partition && report.epoch == present.epoch;
+            let is_current = report.partition == partition && report.epoch == current.epoch;
             if is_current && planned.joining.contains(&report.replica) {
                 planned.joining.retain(|disk| *disk != report.replica);
                 planned.in_sync.push(report.replica);
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Chooses another primary if the present one is not in sync.
+    /// Chooses another primary if the current one is not in sync.
     fn choose_primary(&self, planned: &mut Assignment, load: &mut Load) {
         if planned.in_sync.contains(&planned.primary) {
             return;
@@ -200,19 +201,20 @@
         }
     }
 
-    /// The number of required replicas that may be missing: 0 while another store could hold one. Once allowed, it
-    /// stays allowed until another store is reported, also at a keeper that has no reports yet.
-    fn allowed_lost_replicas(&self, planned: &Assignment, before: u16) -> u16 {
+    /// The number of required replicas that may be missing: 0 while another store can hold one. Once allowed,
+    /// this remains allowed until another store is reported, even on a keeper that has received no reports
+    /// yet.
+    fn allowed_lost_replicas(&self, planned: &Assignment, previously_allowed: u16) -> u16 {
         let missing = self.input.required_replicas.saturating_sub(planned.in_sync.len());
         let missing = u16::try_from(missing).unwrap_or(u16::MAX);
-        let others_seen = self.eligible.keys().any(|disk| !planned.in_sync.contains(disk));
-        if others_seen || !planned.joining.is_empty() {
+        let others_reported = self.eligible.keys().any(|disk| !planned.in_sync.contains(disk));
+        if others_reported || !planned.joining.is_empty() {
             return 0;
         }
-        if missing <= before || self.are_others_lost(planned) { missing } else { 0 }
+        if missing <= previously_allowed || self.are_others_lost(planned) { missing } else { 0 }
     }
 
-    /// Whether the loss of every store that is not in sync is certain, or the store is replaced or retiring.
+    /// Whether every store that is not in sync is replaced, retiring or confirmed lost.
     fn are_others_lost(&self, planned: &Assignment) -> bool {
         let view = self.input.view;
         let known =
@@ -225,18 +227,20 @@
         })
     }
 
-    /// Whether another replica should join. While enough replicas are left, a recently lost store is expected
-    /// back, unless a store is retiring: the operator set a time limit for that.
+    /// Whether another replica should join. While enough replicas remain, a recently lost store is expected
+    /// to return and is not replaced, unless a store is retiring: the operator's time limit applies to a
+    /// retirement.
     fn lacks_replicas(&self, planned: &Assignment) -> bool {
         let members = planned.in_sync.iter().chain(&planned.joining);
         let staying = members.filter(|disk| self.eligible.contains_key(disk)).count();
-        let unseen = planned.in_sync.iter().filter(|disk| !self.input.view.alive.contains_key(disk)).count();
-        if staying + unseen >= self.target_replicas {
+        let unreported =
+            planned.in_sync.iter().filter(|disk| !self.input.view.alive.contains_key(disk)).count();
+        if staying + unreported >= self.target_replicas {
             return false;
         }
         let has_retiring = planned.in_sync.iter().any(|disk| self.input.state.is_retiring(*disk));
         let returning = if has_retiring { 0 } else { self.returning_stores(planned) };
-        staying < self.input.required_replicas || staying + unseen + returning < self.target_replicas
+        staying < self.input.required_replicas || staying + unreported + returning < self.target_replicas
     }
 
     /// The number of recently lost stores that may return.
@@ -259,39 +263,40 @@
                 return;
             }
             let candidates = assignment.in_sync.iter().filter(|disk| self.eligible.contains_key(disk));
-            let Some(least) = candidates.min_by_key(|disk| (load.primaries(**disk), **disk)).copied() else {
+            let Some(least_loaded) = candidates.min_by_key(|disk| (load.primaries(**disk), **disk)).copied()
+            else {
                 continue;
             };
-            if load.primaries(assignment.primary) >= load.primaries(least) + 2 {
-                load.move_primary(assignment.primary, least);
-                assignment.primary = least;
+            if load.primaries(assignment.primary) >= load.primaries(least_loaded) + 2 {
+                load.move_primary(assignment.primary, least_loaded);
+                assignment.primary = least_loaded;
                 moves += 1;
             }
         }
     }
 
-    /// The stores that the map names: live stores, recently lost ones, and all that hold a replica.
-    fn named_stores(&self, partitions: &[Assignment]) -> Vec<StoreNode> {
+    /// The stores that the map lists: live stores, recently lost ones, and all that hold a replica.
+    fn listed_stores(&self, partitions: &[Assignment]) -> Vec<StoreNode> {
         let holders: BTreeSet<DiskId> = partitions
             .iter()
             .flat_map(|assignment| assignment.in_sync.iter().chain(&assignment.joining))
             .copied()
             .collect();
-        let mut named: BTreeMap<DiskId, StoreNode> = BTreeMap::new();
+        let mut listed: BTreeMap<DiskId, StoreNode> = BTreeMap::new();
         for store in &self.input.state.store_map.stores {
             let recent =
                 !self.input.view.replaceable.contains(&store.disk) && !self.replaced.contains(&store.disk);
             if holders.contains(&store.disk) || recent {
-                named.insert(store.disk, store.clone());
+                listed.insert(store.disk, store.clone());
             }
         }
-        // A live store may have another address now.
-        named.extend(self.input.view.alive.iter().map(|(disk, store)| (*disk, store.clone())));
-        named.into_values().collect()
+        // The address of a live store may have changed.
+        listed.extend(self.input.view.alive.iter().map(|(disk, store)| (*disk, store.clone())));
+        listed.into_values().collect()
     }
 }
 
-/// Retains the disks for which `keep` holds, or all if it holds for none.
+/// Retains the disks for which `keep` is true, or all disks if there are none.
 fn retain_unless_empty(disks: &mut Vec<DiskId>, keep: impl Fn(DiskId) -> bool) {
     if disks.iter().any(|disk| keep(*disk)) {
         disks.retain(|disk| keep(*disk));
--- a/crates/control/src/retire.rs
+++ b/crates/control/src/retire.rs
@@ -13,7 +13,7 @@
     AlreadyAccepted,
     /// Propose this change.
     Accept(ControlChange),
-    /// This keeper has not observed the stores for long enough to reject the order.
+    /// This keeper has not received reports for long enough to reject the order.
     StoresUncertain,
     /// No store machine has this name.
     UnknownMachine,
@@ -28,8 +28,8 @@
 pub fn decide_retire(
     state: &ControlState, view: &StoreView, node: &NodeName, required_replicas: usize,
 ) -> RetireDecision {
-    let present = known_stores(state, view).into_iter().rfind(|store| store.node == *node);
-    let Some(store) = present else {
+    let newest_store = known_stores(state, view).into_iter().rfind(|store| store.node == *node);
+    let Some(store) = newest_store else {
         return match newest_retirement(state, node) {
             Some(_) => RetireDecision::AlreadyAccepted,
             None if view.is_settled => RetireDecision::UnknownMachine,
@@ -49,21 +49,22 @@
     }
 }
 
-/// The state of a machine's retirement; `None` if none was ordered, or only for an earlier machine of this
-/// name.
+/// The state of a machine's retirement; `None` if no retirement was ordered, or only that of an earlier
+/// machine with the same name.
 pub fn retirement_state(state: &ControlState, view: &StoreView, node: &NodeName) -> Option<RetirementState> {
     let newest = newest_retirement(state, node)?;
-    let another = |store: &&StoreNode| store.node == *node && !state.is_retiring(store.disk);
-    let came_anew = newest.state == RetirementState::Completed && view.alive.values().any(|s| another(&s));
-    (!came_anew).then_some(newest.state)
+    let is_unretired = |store: &&StoreNode| store.node == *node && !state.is_retiring(store.disk);
+    let is_new_machine =
+        newest.state == RetirementState::Completed && view.alive.values().any(|s| is_unretired(&s));
+    (!is_new_machine).then_some(newest.state)
 }
 
-/// Extends an active retirement to the machine's new disk, if it came back with one: that disk must not be given
-/// replicas either.
+/// Extends an active retirement to the machine's new disk, if it has returned with one. The new disk must not
+/// be assigned replicas either.
 pub fn retirement_of_replaced_disk(state: &ControlState, view: &StoreView) -> Option<ControlChange> {
-    let renewed =
+    let needs_retirement =
         |store: &&StoreNode| !state.is_retiring(store.disk) && has_active_retirement(state, &store.node);
-    let store = view.alive.values().find(renewed)?;
+    let store = view.alive.values().find(needs_retirement)?;
     Some(ControlChange::BeginRetirement(store.clone()))
 }
 
@@ -75,7 +76,8 @@
     newest_retirement(state, node).is_some_and(|newest| newest.state == RetirementState::Active)
 }
 
-/// Stores that hold no replica any more and whose retirement is still active.
+/// Stores whose retirement is active and can be completed: they hold no replica any more, and every partition
+/// has enough other replicas.
 pub fn completed_retirements(state: &ControlState, required_replicas: usize) -> Vec<DiskId> {
     let partitions = &state.store_map.partitions;
     let has_enough_others = |disk: DiskId| {
@@ -99,7 +101,7 @@
         .collect()
 }
 
-/// All known stores: those of the store map, then those alive.
+/// All known stores: those of the store map, followed by the live ones.
 fn known_stores<'state>(state: &'state ControlState, view: &'state StoreView) -> Vec<&'state StoreNode> {
     state.store_map.stores.iter().chain(view.alive.values()).collect()
 }
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -23,9 +23,9 @@
 /// The number of retirements that are retained; the oldest completed ones are dropped.
 pub const MAX_REMEMBERED_RETIREMENTS: usize = 1_000;
 
-/// The configuration in force.
+/// The active configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ConfigurationInForce {
+pub struct ActiveConfiguration {
     /// The number that the operator assigned; it increases with every accepted configuration.
     pub generation: u64,
     /// The configuration as the operator submitted it (JSON).
@@ -54,8 +54,8 @@
 /// The state that all keepers replicate.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlState {
-    /// The configuration in force; `None` before the first.
-    pub configuration: Option<ConfigurationInForce>,
+    /// The active configuration; `None` before the first.
+    pub configuration: Option<ActiveConfiguration>,
     /// The number of configurations ever accepted.
     pub configurations_accepted: u64,
     /// The assignment of partitions to stores.
@@ -71,14 +71,15 @@
 /// A change of the control state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ControlChange {
-    /// Puts an operator's configuration into force.
+    /// Activates an operator's configuration.
     ApplyConfiguration {
         /// The digest that identifies the order.
         digest: OrderDigest,
         /// The configuration.
-        configuration: ConfigurationInForce,
+        configuration: ActiveConfiguration,
     },
-    /// Rejects an operator's configuration permanently, although the generation it builds on may yet be accepted.
+    /// Rejects an operator's configuration permanently, although the generation it is based on may still be
+    /// accepted.
     RejectConfiguration(OrderDigest),
     /// Replaces the store map.
     SetStoreMap(Arc<StoreMap>),
@@ -89,13 +90,13 @@
 }
 
 impl ControlState {
-    /// The generation of the configuration in force; 0 if there is none.
+    /// The generation of the active configuration; 0 if there is none.
     pub fn generation(&self) -> u64 {
         self.configuration.as_ref().map_or(0, |configuration| configuration.generation)
     }
 
-    /// The version of the configuration in force, for subscribers. It increases with every accepted configuration
-    /// and does not depend on the epoch in which it was written.
+    /// The version of the active configuration, for subscribers. It increases with every accepted
+    /// configuration and does not depend on the epoch in which it was written.
     pub fn configuration_version(&self) -> Version {
         Version { epoch: EpochNumber(0), sequence: self.configurations_accepted }
     }
@@ -110,12 +111,12 @@
         self.rejected.contains(digest)
     }
 
-    /// Whether the store's retirement is active or completed; such a store is given no replicas.
+    /// Whether the store's retirement is active or completed; such a store is assigned no replicas.
     pub fn is_retiring(&self, disk: DiskId) -> bool {
         self.retirements.iter().any(|retirement| retirement.store.disk == disk)
     }
 
-    fn apply_configuration(&mut self, digest: OrderDigest, configuration: ConfigurationInForce) {
+    fn apply_configuration(&mut self, digest: OrderDigest, configuration: ActiveConfiguration) {
         self.accepted.insert(digest, MAX_REMEMBERED_ORDERS);
         self.configurations_accepted += 1;
         self.configuration = Some(configuration);
@@ -176,7 +177,7 @@
 }
 
 fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    // Writing to memory values of types that postcard supports cannot fail.
+    // Serialization to memory cannot fail: all types are supported by postcard.
     postcard::to_stdvec(value).expect("postcard encodes every value of this type")
 }
 
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -18,7 +18,7 @@
     store_on(disk, disk)
 }
 
-/// A store with a disk of its own on a machine.
+/// A store with the given disk, on the given machine.
 pub fn store_on(disk: u64, machine: u64) -> StoreNode {
     StoreNode {
         disk: DiskId(disk),
@@ -35,7 +35,7 @@
 }
 
 impl Tier {
-    /// A tier whose first store map is in force.
+    /// A tier whose first store map is committed.
     pub fn with_first_map(stores: impl IntoIterator<Item = u64>) -> Self {
         let view = StoreView {
             alive: stores.into_iter().map(|disk| (DiskId(disk), store(disk))).collect(),
@@ -48,7 +48,7 @@
         tier
     }
 
-    /// Plans once and commits the resulting map; `None` if the present one stays.
+    /// Plans once and commits the resulting map; `None` if the current one stays.
     pub fn plan_and_commit(&mut self, caught_up: &[CaughtUp]) -> Option<Arc<StoreMap>> {
         let input = PlanInput {
             state: &self.state,
@@ -61,7 +61,7 @@
         Some(map)
     }
 
-    /// Plans and commits until the map does not change any more.
+    /// Plans and commits until the map no longer changes.
     pub fn plan_until_stable(&mut self) {
         for _ in 0..100 {
             let caught_up = self.caught_up_reports();
@@ -69,10 +69,10 @@
                 return;
             }
         }
-        panic!("the map never comes to rest");
+        panic!("the map still changes after 100 plans");
     }
 
-    /// Reports that every joining replica has caught up in the present epoch.
+    /// Reports that every joining replica has caught up in the current epoch.
     pub fn caught_up_reports(&self) -> Vec<CaughtUp> {
         let partitions = (0..).map(PartitionId).zip(&self.state.store_map.partitions);
         let report = |(partition, assignment): (PartitionId, &Assignment)| {
@@ -89,7 +89,7 @@
         self.view.lost.insert(DiskId(disk));
     }
 
-    /// Marks a store as lost, with certainty.
+    /// Marks the loss of a store as certain.
     pub fn confirm_loss(&mut self, disk: u64) {
         self.lose_store(disk);
         self.view.confirmed_lost.insert(DiskId(disk));
@@ -101,7 +101,7 @@
         self.view.replaceable.insert(DiskId(disk));
     }
 
-    /// Marks a store as alive, whether it was before or not.
+    /// Marks a store as alive; it may be new, lost or already alive.
     pub fn add_live_store(&mut self, node: StoreNode) {
         self.view.lost.remove(&node.disk);
         self.view.confirmed_lost.remove(&node.disk);
@@ -127,32 +127,29 @@
 pub fn check_successor(before: &StoreMap, after: &StoreMap, caught_up: &[CaughtUp]) {
     assert!(after.version > before.version);
     for (index, (old, new)) in before.partitions.iter().zip(&after.partitions).enumerate() {
-        assert_eq!(new == old, new.epoch == old.epoch, "an epoch for each change, none without");
+        assert_eq!(new == old, new.epoch == old.epoch, "the epoch changes exactly when the assignment does");
         assert!(new.epoch >= old.epoch);
         assert!(!new.in_sync.is_empty());
         assert!(new.in_sync.contains(&new.primary));
-        assert!(old.in_sync.contains(&new.primary), "only who holds everything becomes primary");
+        assert!(old.in_sync.contains(&new.primary), "only an in-sync replica may become primary");
         for member in new.in_sync.iter().filter(|member| !old.in_sync.contains(member)) {
             let reported = |report: &CaughtUp| {
                 report.partition == PartitionId(index as u16)
                     && report.replica == *member
                     && report.epoch == old.epoch
             };
-            assert!(caught_up.iter().any(reported), "nobody is in sync without a report");
-            assert_eq!(new.primary, old.primary, "a report counts only with the primary that gave it");
+            assert!(caught_up.iter().any(reported), "a replica is in sync without a report");
+            assert_eq!(new.primary, old.primary, "a report is valid only while its primary stays");
         }
         assert!(new.joining.iter().all(|joining| !new.in_sync.contains(joining)));
         if new.lost_replicas > 0 {
-            assert!(
-                new.joining.is_empty(),
-                "nothing is acknowledged on fewer copies while one is being made"
-            );
+            assert!(new.joining.is_empty(), "fewer replicas must not be allowed while another one joins");
             assert!(
                 new.in_sync.len() + usize::from(new.lost_replicas) <= REQUIRED_REPLICAS,
-                "no more than are missing"
+                "more lost replicas allowed than are missing"
             );
         }
         let members: BTreeSet<_> = new.in_sync.iter().chain(&new.joining).collect();
-        assert_eq!(members.len(), new.in_sync.len() + new.joining.len(), "nobody twice");
+        assert_eq!(members.len(), new.in_sync.len() + new.joining.len(), "a store holds two replicas");
     }
 }
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Golden files: the encoding of the control state and of every change equals that of earlier releases, on disk
-//! and between keepers.
+//! Golden files: the encoding of the control state and of every change, on disk and between keepers, must
+//! equal that of earlier releases.
 
 #[path = "../../protocol/tests/golden_files/mod.rs"]
 mod golden_files;
@@ -9,7 +9,7 @@
 
 use golden_files::assert_golden;
 use juniperwing_configuration::{DIGEST_BYTES, OrderDigest, digest};
-use juniperwing_control::{ConfigurationInForce, ControlChange, ControlState};
+use juniperwing_control::{ActiveConfiguration, ControlChange, ControlState};
 use juniperwing_protocol::subscription::{Assignment, StoreMap, StoreNode};
 use juniperwing_protocol::{DiskId, EpochNumber, NodeName};
 use juniperwing_replication::ReplicatedState;
@@ -45,7 +45,7 @@
     ]
 }
 
-/// One retirement active and one completed, orders accepted and rejected.
+/// A state with an active and a completed retirement, and with accepted and rejected orders.
 fn filled_state() -> ControlState {
     let mut state = ControlState::default();
     let earlier_changes = [
@@ -59,7 +59,7 @@
 }
 
 fn apply_configuration(order: u8, generation: u64, body: &[u8]) -> ControlChange {
-    let configuration = ConfigurationInForce { generation, body: body.into() };
+    let configuration = ActiveConfiguration { generation, body: body.into() };
     ControlChange::ApplyConfiguration { digest: order_digest(order), configuration }
 }
 
--- a/crates/control/tests/growth.rs
+++ b/crates/control/tests/growth.rs
@@ -1,7 +1,7 @@
 //! The encoded size of the control state and its changes after many changes of large configurations.
 
 use juniperwing_configuration::digest;
-use juniperwing_control::{ConfigurationInForce, ControlChange, ControlState, MAX_REMEMBERED_ORDERS};
+use juniperwing_control::{ActiveConfiguration, ControlChange, ControlState, MAX_REMEMBERED_ORDERS};
 use juniperwing_replication::ReplicatedState;
 
 /// The encoded size of a remembered order.
@@ -9,8 +9,8 @@
 /// The encoded size of everything else: numbers, lengths, empty lists.
 const OVERHEAD_BYTES: usize = 128;
 
-/// Puts a configuration with `routes` routes into force.
-fn change(generation: u64, routes: usize) -> ControlChange {
+/// A change that activates a configuration with `routes` routes.
+fn apply_configuration(generation: u64, routes: usize) -> ControlChange {
     let route = |number: usize| {
         format!(
             r#"{{"name":"r-{number}","hostname":"h-{number}.example","pathPrefix":"/a/","routeType":"streaming","timeoutMs":5000,"targetLatencyMs":250,"priority":0,"backend":"b","maxRetries":2,"kept":true,"retentionS":60.0,"sessionAffinity":true,"resumable":false,"gap_aim_ms":400}}"#
@@ -21,7 +21,7 @@
         r#"{{"generation":{generation},"routes":[{}],"backends":[{{"name":"b"}}]}}"#,
         routes.join(",")
     );
-    let configuration = ConfigurationInForce { generation, body: body.as_bytes().into() };
+    let configuration = ActiveConfiguration { generation, body: body.as_bytes().into() };
     ControlChange::ApplyConfiguration { digest: digest(generation - 1, body.as_bytes()), configuration }
 }
 
@@ -29,15 +29,15 @@
     state.configuration.as_ref().map_or(0, |configuration| configuration.body.len())
 }
 
-/// Fails if the state keeps older configurations, or more of an order than its digest.
+/// Guards against a state that retains older configurations, or more of an order than its digest.
 #[test]
 fn the_state_keeps_one_configuration_and_one_digest_for_each_order() {
     for routes in [10, 1_000, 3_000] {
         let mut state = ControlState::default();
         for generation in 1..=1_000 {
-            // Digests differ by generation; most need not be those of large bodies.
+            // Each generation has its own digest; most bodies can be small.
             let is_measured = [1, 100, 1_000].contains(&generation);
-            let change = change(generation, if is_measured { routes } else { 1 });
+            let change = apply_configuration(generation, if is_measured { routes } else { 1 });
             state.apply(&change);
             if is_measured {
                 let body = body_bytes(&state);
@@ -55,12 +55,12 @@
     }
 }
 
-/// Fails without the limit in `OrderHistory::insert`.
+/// Guard: the limit in `OrderHistory::insert`.
 #[test]
 fn the_state_size_is_bounded_by_the_remembered_orders() {
     let mut state = ControlState::default();
     for generation in 1..=MAX_REMEMBERED_ORDERS as u64 + 1_000 {
-        state.apply(&change(generation, 0));
+        state.apply(&apply_configuration(generation, 0));
     }
     let encoded = state.encode().len();
     assert!(
--- a/crates/control/tests/orders.rs
+++ b/crates/control/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Decisions on operators' configurations, and the history of accepted and rejected orders.
+//! Tests of the decisions on submitted configurations and of the history of accepted and rejected orders.
 
 use juniperwing_configuration::digest;
 use juniperwing_control::{ControlChange, ControlState, OrderHistory, PutDecision, decide_put};
@@ -15,7 +15,7 @@
     }
 }
 
-/// Rejects an order that builds on a generation that is not in force yet.
+/// Rejects an order that is based on a generation that is not active yet.
 fn reject(state: &mut ControlState, base: u64, body: &[u8]) {
     match decide_put(state, base, body) {
         PutDecision::Reject { current, change } => {
@@ -52,9 +52,9 @@
 fn of_two_configurations_with_one_generation_only_one_is_ever_accepted() {
     let mut state = ControlState::default();
     accept(&mut state, 0, &configuration(3));
-    let rival = b" {\"generation\":3,\"routes\":[],\"backends\":[]}";
-    assert_eq!(decide_put(&state, 0, rival), PutDecision::Stale { current: 3 });
-    assert!(matches!(decide_put(&state, 3, rival), PutDecision::Invalid(_)));
+    let conflicting = b" {\"generation\":3,\"routes\":[],\"backends\":[]}";
+    assert_eq!(decide_put(&state, 0, conflicting), PutDecision::Stale { current: 3 });
+    assert!(matches!(decide_put(&state, 3, conflicting), PutDecision::Invalid(_)));
 }
 
 #[test]
--- a/crates/control/tests/orders_model.rs
+++ b/crates/control/tests/orders_model.rs
@@ -1,11 +1,12 @@
-//! A randomized model of operators, lost replies and changes of primary over the real decisions and state.
+//! A randomized model of operators, lost replies and changes of primary, which runs the real decisions and
+//! state.
 //!
-//! In a step a copy of an order is sent, is delivered to a primary (which confirms its state and decides), or its
-//! decision is executed (possibly much later), or a write is committed, or lost with its primary. The oracle sees
-//! only what operators see: replies, and configurations read back.
+//! In each step, a copy of an order is sent or delivered to a primary (which confirms its state and decides),
+//! a decision is executed (possibly much later), or a write is committed or lost with its primary. The oracle
+//! observes only what operators observe: replies, and configurations read back.
 //!
-//! Guards: `has_accepted` and `has_rejected` in `decide_put`, and its `Reject` (the test fails with `Stale` in its
-//! place).
+//! Guards: `has_accepted` and `has_rejected` in `decide_put`, and its decision `Reject` (the test fails if it
+//! is replaced by `Stale`).
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -41,7 +42,7 @@
     Duplicate(usize),
     /// A copy in flight reaches the primary, which confirms its state and decides.
     Deliver(usize),
-    /// A decision is executed: replied or proposed.
+    /// A decision is executed: a reply is sent or a change is proposed.
     Execute(usize),
     /// The pending write is committed, and its reply is lost or not.
     Commit { is_reply_lost: bool },
@@ -49,7 +50,7 @@
     ChangePrimary { keeps_write: bool },
 }
 
-/// A decision that is not executed yet; the primary may have been frozen since.
+/// A decision that has not been executed yet, for example because the primary was frozen after it.
 #[derive(Clone, Debug)]
 struct PendingDecision {
     order: Order,
@@ -74,7 +75,7 @@
     oracle: Oracle,
 }
 
-/// The replies and reads that operators saw.
+/// The replies and reads that operators have observed.
 #[derive(Default)]
 struct Oracle {
     sent: BTreeSet<Order>,
@@ -90,8 +91,9 @@
         match status {
             200 => {
                 self.confirmed.insert(order);
-                let rivals = self.confirmed.iter().filter(|other| other.base == order.base).count();
-                assert_eq!(rivals, 1, "two confirmed on base {}", order.base);
+                let confirmed_on_base =
+                    self.confirmed.iter().filter(|other| other.base == order.base).count();
+                assert_eq!(confirmed_on_base, 1, "two orders confirmed on base {}", order.base);
             }
             _ => drop(self.rejected.insert(order)),
         }
@@ -104,7 +106,10 @@
     fn record_read(&mut self, state: &ControlState) {
         let Some(configuration) = &state.configuration else { return };
         let generation = configuration.generation;
-        assert!(generation >= self.newest_read_generation, "an older configuration comes back");
+        assert!(
+            generation >= self.newest_read_generation,
+            "the configuration reverts to an older generation"
+        );
         self.newest_read_generation = generation;
         let body = configuration.body.to_vec();
         let rejected =
@@ -114,7 +119,7 @@
             self.sent.iter().filter(same).count() > 1
         };
         // The same content may also have been sent on another base, and accepted there.
-        assert!(rejected.is_none_or(was_sent_twice), "{rejected:?} was rejected and is in force");
+        assert!(rejected.is_none_or(was_sent_twice), "{rejected:?} was rejected and is active");
         let before = self.read_bodies.entry(generation).or_insert_with(|| body.clone());
         assert_eq!(*before, body, "two contents under one generation");
     }
@@ -139,12 +144,12 @@
             }
             Step::Execute(index) => {
                 let Some(position) = index_of(&self.pending_decisions, index) else { return };
-                let decided = self.pending_decisions.remove(position);
-                self.execute(decided);
+                let pending = self.pending_decisions.remove(position);
+                self.execute(pending);
             }
             Step::Commit { is_reply_lost } => self.commit(is_reply_lost),
             Step::ChangePrimary { keeps_write } => match keeps_write {
-                // The primary before does not know the outcome.
+                // The previous primary does not know the outcome.
                 true => self.commit(true),
                 false => self.pending_write = None,
             },
@@ -163,7 +168,7 @@
         if version == self.version && self.pending_write.is_none() {
             self.pending_write = Some(PendingWrite { order, change, status });
         } else {
-            // A conflict: the order is decided again.
+            // A conflict: the order has to be decided again.
             self.in_flight.push(order);
         }
     }
--- a/crates/control/tests/plan.rs
+++ b/crates/control/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Store maps: the first one, losses, returns, rebalancing, and invariants under random events.
+//! Tests of store maps: the first one, losses, returns, rebalancing, and invariants under random events.
 
 mod common;
 
@@ -87,7 +87,7 @@
     tier.lose_store(3);
     tier.plan_and_commit(&[]);
     assert!(tier.partitions().iter().all(|assignment| assignment.in_sync == [DiskId(3)]));
-    // The others return: they hold less, and must not become primary.
+    // The others return. They lack the latest writes and must not become primary.
     tier.add_live_store(store(1));
     tier.add_live_store(store(2));
     tier.plan_and_commit(&[]);
@@ -101,17 +101,22 @@
     assert!(tier.partitions().iter().all(|assignment| assignment.in_sync.len() == 3));
 }
 
-/// Two stores lose power at the same moment, and one of them its disk. Which of them counts as lost first is a matter of
-/// milliseconds, and must not decide whether the other's disk is all that counts.
+/// Two stores lose power at the same time, and one of them also loses its disk. Milliseconds decide which of
+/// them counts as lost first. The store that does must stay in sync, because the other one may have lost its
+/// disk.
 #[test]
-fn of_replicas_that_vanish_together_none_is_removed_before_one_is_seen() {
+fn of_replicas_that_fail_together_none_is_removed_before_one_is_reported() {
     let mut tier = Tier::with_first_map(1..=2);
     tier.lose_store(1);
     tier.view.alive.remove(&DiskId(2));
-    assert_eq!(tier.plan_and_commit(&[]), None, "store 2 is not seen, though it does not count as lost yet");
+    assert_eq!(
+        tier.plan_and_commit(&[]),
+        None,
+        "store 2 is not reported, though it does not count as lost yet"
+    );
     tier.lose_store(2);
     assert_eq!(tier.plan_and_commit(&[]), None);
-    // Store 2 comes back with an empty disk, store 1 with its own.
+    // Store 2 returns with an empty disk, store 1 with its old one.
     tier.add_live_store(store_on(9, 2));
     tier.add_live_store(store(1));
     tier.plan_and_commit(&[]).unwrap();
@@ -137,7 +142,7 @@
 
 #[test]
 fn fewer_replicas_suffice_only_while_the_loss_of_the_others_is_certain() {
-    // Guards: `are_others_lost` and `others_seen` in `allowed_lost_replicas`.
+    // Guards: `are_others_lost` and `others_reported` in `allowed_lost_replicas`.
     let mut tier = Tier::with_first_map(1..=2);
     let allows_lost = |tier: &Tier, replicas: u16| {
         tier.partitions().iter().all(|assignment| assignment.lost_replicas == replicas)
@@ -149,8 +154,8 @@
     let before = tier.state.store_map.clone();
     let after = tier.plan_and_commit(&[]).unwrap();
     check_successor(&before, &after, &[]);
-    assert!(allows_lost(&tier, 1), "in an epoch of its own");
-    // Replaceable, and no longer named by the map: still allowed.
+    assert!(allows_lost(&tier, 1), "the allowance changes the epoch");
+    // Still allowed after the store became replaceable and is no longer listed by the map.
     tier.make_replaceable(1);
     tier.plan_until_stable();
     assert!(allows_lost(&tier, 1) && tier.state.store_map.store(DiskId(1)).is_none());
@@ -181,7 +186,7 @@
 
 #[test]
 fn a_keeper_without_reports_keeps_the_allowed_lost_replicas() {
-    // Guard: `missing <= before` in `allowed_lost_replicas`.
+    // Guard: `missing <= previously_allowed` in `allowed_lost_replicas`.
     let mut tier = Tier::with_first_map(1..=2);
     tier.lose_store(1);
     tier.plan_and_commit(&[]).unwrap();
@@ -248,7 +253,7 @@
 fn a_replaced_disk_is_removed_at_once() {
     let mut tier = Tier::with_first_map(1..=3);
     tier.view.alive.remove(&DiskId(1));
-    // The same machine with another disk: the old one is not waited for.
+    // The machine returns with another disk; the old disk is removed without waiting for the loss timeout.
     tier.add_live_store(store_on(11, 1));
     tier.plan_and_commit(&[]).unwrap();
     assert!(tier.partitions().iter().all(|assignment| !assignment.in_sync.contains(&DiskId(1))));
@@ -308,8 +313,8 @@
         before.partitions.iter().zip(&after.partitions).filter(|(old, new)| old.primary != new.primary);
     assert!((1..=4).contains(&moved.count()));
     tier.plan_until_stable();
-    let own = tier.partitions().iter().filter(|assignment| assignment.primary == DiskId(1)).count();
-    assert!((9..=12).contains(&own), "{own}");
+    let primaries = tier.partitions().iter().filter(|assignment| assignment.primary == DiskId(1)).count();
+    assert!((9..=12).contains(&primaries), "{primaries}");
 }
 
 #[derive(Clone, Debug)]
--- a/crates/control/tests/retire.rs
+++ b/crates/control/tests/retire.rs
@@ -1,4 +1,4 @@
-//! Retirement of store machines.
+//! Tests of the retirement of store machines.
 
 mod common;
 
@@ -59,7 +59,7 @@
         .cloned()
         .collect();
     assert!(!moving.is_empty());
-    assert!(moving.iter().all(|assignment| assignment.joining.len() == 1), "another joins first");
+    assert!(moving.iter().all(|assignment| assignment.joining.len() == 1), "another replica joins first");
     complete(&mut tier);
     assert_eq!(retirement_state(&tier.state, &tier.view, &node(1)), Some(RetirementState::Active));
     tier.plan_until_stable();
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_retired_machine_that_is_still_alive_is_given_no_replicas() {
+fn a_retired_machine_that_is_still_alive_is_assigned_no_replicas() {
     let mut tier = Tier::with_first_map(1..=4);
     begin(&mut tier, 1);
     tier.plan_until_stable();
@@ -143,7 +143,7 @@
 
 #[test]
 fn a_new_machine_under_the_name_of_a_retired_one_is_not_retired() {
-    // Guard: `came_anew` in `retirement_state`.
+    // Guard: `is_new_machine` in `retirement_state`.
     let mut tier = Tier::with_first_map(1..=4);
     begin(&mut tier, 1);
     tier.plan_until_stable();
@@ -171,13 +171,13 @@
     begin(&mut tier, 1);
     tier.view.alive.remove(&DiskId(1));
     tier.add_live_store(store_on(11, 1));
-    // The accepted order is not rejected, although too few machines would remain for another one.
+    // The order was accepted and is not rejected now, although too few machines would remain for a new order.
     tier.make_replaceable(3);
     assert_eq!(decide(&tier, 1), RetireDecision::AlreadyAccepted);
     tier.add_live_store(common::store(3));
-    let renewed =
+    let extended =
         retirement_of_replaced_disk(&tier.state, &tier.view).expect("the retirement of the new disk");
-    tier.state.apply(&renewed);
+    tier.state.apply(&extended);
     assert_eq!(retirement_of_replaced_disk(&tier.state, &tier.view), None);
     tier.plan_until_stable();
     complete(&mut tier);
--- a/crates/control/tests/tracker.rs
+++ b/crates/control/tests/tracker.rs
@@ -1,4 +1,4 @@
-//! Detection of lost stores from traces of keepers' reports.
+//! Tests of the detection of lost stores, on traces of keepers' reports.
 
 mod common;
 
