--- a/crates/replication/src/acceptor.rs
+++ b/crates/replication/src/acceptor.rs
@@ -1,9 +1,9 @@
-//! What a voter has promised and accepted.
+//! The acceptor state of a voter.
 
 use juniperwing_protocol::EpochNumber;
 use juniperwing_protocol::replication::Epoch;
 
-/// The state of an acceptor (Paxos). It is on disk before any reply that depends on it is sent.
+/// The state of an acceptor (Paxos). It must be on disk before any reply that depends on it is sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AcceptorState {
     /// No epoch below this number is accepted. Never decreases.
--- a/crates/replication/src/election.rs
+++ b/crates/replication/src/election.rs
@@ -1,4 +1,4 @@
-//! The state of an election: the promises and acceptances that a candidate has for its epoch.
+//! The state of an election: the promises and acceptances that a candidate has received for its epoch.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -41,12 +41,12 @@
 }
 
 impl Proposal {
-    /// A proposal that nobody has accepted yet.
+    /// A proposal that no keeper has accepted yet.
     pub(crate) fn new(epoch: Epoch, is_bootstrap_epoch: bool) -> Self {
         Proposal { epoch, accepted: BTreeSet::new(), is_bootstrap_epoch }
     }
 
-    /// Whether the epoch is chosen: all that must have accepted it, `local_disk` among them.
+    /// Whether the epoch is chosen: accepted by all required keepers, including the one with `local_disk`.
     pub(crate) fn is_chosen(&self, local_disk: DiskId) -> bool {
         let has_accepted = |disk: DiskId| self.accepted.contains(&disk);
         let is_accepted = if self.is_bootstrap_epoch {
@@ -81,26 +81,26 @@
         Election { proposal, ..Election::new(epoch.number, epoch, None, now, Time::NEVER) }
     }
 
-    /// When something is due if no message arrives.
+    /// The next time at which the election must act if no message arrives.
     pub(crate) fn next_deadline(&self) -> Time {
         let straggler_deadline =
             self.straggler_deadline.filter(|_| self.proposal.is_none()).unwrap_or(Time::NEVER);
         self.resend_at.min(self.expires_at).min(straggler_deadline)
     }
 
-    /// Whether it is about the bootstrap epoch.
+    /// Whether the proposed epoch is the bootstrap epoch.
     pub(crate) fn is_bootstrap_election(&self) -> bool {
         self.proposal.as_ref().is_some_and(|proposal| proposal.is_bootstrap_epoch)
     }
 
-    /// Whether a quorum has promised and this keeper's own promise is on disk: the old primary is fenced by
+    /// Whether a quorum has promised and this keeper's own promise is on disk. The old primary is fenced by
     /// then.
     pub(crate) fn has_promise_quorum(&self, local_disk: DiskId) -> bool {
         let has_promised = |disk: DiskId| self.promises.contains_key(&disk);
         has_promised(local_disk) && self.base.is_quorum(has_promised)
     }
 
-    /// Whether all replicas that are to be in sync and have a vote have promised.
+    /// Whether all voters that should be in sync in the new epoch have promised.
     pub(crate) fn has_all_in_sync_promises(&self) -> bool {
         let mut voting = self.target_in_sync().iter().filter(|disk| find_voter(&self.base, **disk).is_some());
         voting.all(|disk| self.promises.contains_key(disk))
@@ -114,12 +114,12 @@
         Epoch { number: self.number, primary, in_sync, voters, previous_voters }
     }
 
-    /// The replicas that are to be in sync.
+    /// The replicas that should be in sync in the new epoch.
     fn target_in_sync(&self) -> &[DiskId] {
         self.epoch_plan.as_ref().map_or(&self.base.in_sync, |plan| &plan.in_sync)
     }
 
-    /// The voters of the new epoch. They change only where the base is known to be chosen.
+    /// The voters of the new epoch. They change only if the base is known to be chosen.
     fn new_voters(&self) -> Vec<Voter> {
         match &self.epoch_plan {
             Some(plan) if self.base.previous_voters.is_empty() => plan.voters.clone(),
@@ -127,8 +127,8 @@
         }
     }
 
-    /// The voters besides the new ones that must accept too. Where the base is not known to be chosen, the
-    /// voters before it may be choosing another epoch at this moment.
+    /// The voters that must accept in addition to the new ones. If the base is not known to be chosen, its
+    /// previous voters may be choosing another epoch concurrently.
     fn previous_voters(&self, voters: &[Voter]) -> Vec<Voter> {
         if !self.base.previous_voters.is_empty() {
             self.base.previous_voters.clone()
@@ -139,7 +139,7 @@
         }
     }
 
-    /// The target replicas that are available, filled up to the required number with those that are not.
+    /// The target replicas that are available, supplemented by unavailable ones up to the required number.
     fn new_in_sync(&self, primary: DiskId, voters: &[Voter], min_in_sync_replicas: usize) -> Vec<DiskId> {
         let is_new = |disk: &DiskId| find_voter(&self.base, *disk).is_none();
         let is_available = |disk: &DiskId| self.promises.contains_key(disk) || is_new(disk);
--- a/crates/replication/src/epoch.rs
+++ b/crates/replication/src/epoch.rs
@@ -1,6 +1,6 @@
-//! Arithmetic of epochs: their numbers, who decides on the next one, and which of two is newer.
+//! Epoch numbers, the keepers that decide on the next epoch, and the order of epochs.
 //!
-//! A number consists of a term (the high bits) and the identity of its proposer (the low bits).
+//! An epoch number consists of a term (the high bits) and the identity of its proposer (the low bits).
 
 use juniperwing_protocol::replication::{Epoch, Voter};
 use juniperwing_protocol::{DiskId, EpochNumber};
@@ -28,7 +28,8 @@
     number.0 >> PROPOSER_BITS == BOOTSTRAP_TERM
 }
 
-/// All keepers that decide on what follows `epoch`: its voters and the previous ones, each once.
+/// All keepers that decide on the successor of `epoch`: its voters and its previous voters, without
+/// duplicates.
 pub(crate) fn electorate(epoch: &Epoch) -> Vec<Voter> {
     let mut electorate = epoch.voters.clone();
     for voter in &epoch.previous_voters {
@@ -44,8 +45,8 @@
     epoch.voters.iter().find(|voter| voter.disk == disk)
 }
 
-/// Whether the two epochs are equal, if they have the same number. The previous voters may differ: they are
-/// empty once the epoch is known to be chosen.
+/// Whether the two epochs have different numbers or are equal. The previous voters may differ: they are empty
+/// once the epoch is known to be chosen.
 pub(crate) fn is_same_epoch(one: &Epoch, other: &Epoch) -> bool {
     let is_equal = one.primary == other.primary && one.in_sync == other.in_sync && one.voters == other.voters;
     one.number != other.number || is_equal
--- a/crates/replication/src/epoch_plan.rs
+++ b/crates/replication/src/epoch_plan.rs
@@ -1,4 +1,4 @@
-//! Plans the next epoch of a primary: its voters and in-sync replicas.
+//! Plans the voters and in-sync replicas of a primary's next epoch.
 
 use juniperwing_clock::Time;
 use juniperwing_protocol::DiskId;
@@ -19,16 +19,18 @@
     /// Whether it differs from `epoch`. The order of the in-sync replicas does not count.
     pub(crate) fn differs_from(&self, epoch: &Epoch) -> bool {
         let mut planned = self.in_sync.clone();
-        let mut present = epoch.in_sync.clone();
+        let mut current = epoch.in_sync.clone();
         planned.sort_unstable();
-        present.sort_unstable();
-        self.voters != epoch.voters || planned != present
+        current.sort_unstable();
+        self.voters != epoch.voters || planned != current
     }
 }
 
-/// Adds replicas of `from` that are voters until there are `required` of them, as far as possible.
-pub(crate) fn fill_in_sync(in_sync: &mut Vec<DiskId>, from: &[DiskId], voters: &[Voter], required: usize) {
-    for disk in from {
+/// Adds voters among `candidates` to `in_sync` until it has `required` replicas, as far as possible.
+pub(crate) fn fill_in_sync(
+    in_sync: &mut Vec<DiskId>, candidates: &[DiskId], voters: &[Voter], required: usize,
+) {
+    for disk in candidates {
         let is_voter = voters.iter().any(|voter| voter.disk == *disk);
         if in_sync.len() < required && is_voter && !in_sync.contains(disk) {
             in_sync.push(*disk);
@@ -36,21 +38,23 @@
     }
 }
 
-/// What an epoch plan depends on.
+/// The input of an epoch plan.
 pub(crate) struct EpochPlanner<'a> {
     pub(crate) now: Time,
     pub(crate) settings: &'a Settings,
-    /// The present epoch.
+    /// The current epoch.
     pub(crate) epoch: &'a Epoch,
     pub(crate) peers: Vec<&'a Peer>,
     /// The primary's own version.
     pub(crate) latest: Version,
-    /// The newest committed version, if no newer one can be committed in this epoch without the primary.
+    /// The newest committed version; set only if no newer one can be committed in this epoch without the
+    /// primary.
     pub(crate) committed: Option<Version>,
 }
 
 impl EpochPlanner<'_> {
-    /// The plan; equal to the present epoch if nothing is to be changed or too few replicas would be in sync.
+    /// Computes the plan. It is equal to the current epoch if no change is needed or too few replicas would
+    /// be in sync.
     pub(crate) fn plan(&self) -> EpochPlan {
         let mut voters = self.epoch.voters.clone();
         self.admit_voters(&mut voters);
@@ -67,7 +71,7 @@
         self.peers.iter().find(|peer| peer.voter.disk == disk).copied()
     }
 
-    /// Whether a keeper responds and has all acknowledged changes on disk.
+    /// Whether a keeper is responsive and has all acknowledged changes on disk.
     fn is_up_to_date(&self, peer: &Peer) -> bool {
         let is_responsive = self.now.since(peer.last_reply_at) < self.settings.timings.ack_timeout;
         let has_latest = peer.durable_version == Some(self.latest);
@@ -85,13 +89,13 @@
             || peer.behind_since.is_some_and(has_timed_out)
     }
 
-    /// Whether a voter has timed out, or has requested to leave.
+    /// Whether a voter has requested to leave or has timed out.
     fn is_leaving_or_timed_out(&self, disk: DiskId) -> bool {
         let Some(peer) = self.peer(disk) else { return false };
         peer.is_leaving(self.now) || self.now.since(peer.last_reply_at) >= self.settings.timings.voter_timeout
     }
 
-    /// Whether a keeper requests to join and may become a voter.
+    /// Whether a keeper has requested to join and may become a voter.
     fn is_admissible(&self, peer: &Peer, voters: &[Voter]) -> bool {
         let is_joining = peer.is_joining(self.now) && !voters.contains(&peer.voter);
         let proposer = proposer_id(peer.voter.disk);
@@ -100,14 +104,14 @@
         is_joining && self.is_up_to_date(peer) && has_unique_id
     }
 
-    /// The index of the voter that `newcomer` replaces: an earlier incarnation of it, or one that leaves or
-    /// has timed out.
-    fn find_replaced_voter(&self, newcomer: &Voter, voters: &[Voter]) -> Option<usize> {
+    /// The index of the voter that `joining` replaces: an earlier incarnation of it, or a voter that is
+    /// leaving or has timed out.
+    fn find_replaced_voter(&self, joining: &Voter, voters: &[Voter]) -> Option<usize> {
         let primary = self.epoch.primary;
         let others = || voters.iter().enumerate().filter(move |(_, voter)| voter.disk != primary);
-        let same_disk = others().find(|(_, voter)| voter.disk == newcomer.disk);
+        let same_disk = others().find(|(_, voter)| voter.disk == joining.disk);
         let same_machine =
-            || others().find(|(_, voter)| voter.node == newcomer.node || voter.address == newcomer.address);
+            || others().find(|(_, voter)| voter.node == joining.node || voter.address == joining.address);
         let leaving = || others().find(|(_, voter)| self.is_leaving_or_timed_out(voter.disk));
         same_disk.or_else(same_machine).or_else(leaving).map(|(index, _)| index)
     }
@@ -125,8 +129,8 @@
         }
     }
 
-    /// Drops voters that are leaving or have timed out, down to the minimum. The number stays odd: an even one
-    /// tolerates no more losses than one voter fewer.
+    /// Drops voters that are leaving or have timed out, down to the minimum. The number of voters stays odd,
+    /// because an even number tolerates no more losses than one voter fewer.
     fn drop_surplus_voters(&self, voters: &mut Vec<Voter>) {
         let min_voters = self.settings.min_voters();
         let leaving = voters.iter().filter(|voter| self.is_leaving_or_timed_out(voter.disk)).count();
@@ -140,8 +144,8 @@
         }
     }
 
-    /// The primary, the in-sync replicas that stay, and those that have caught up; filled up to the required
-    /// number with present in-sync replicas, responsive ones first.
+    /// The primary, the in-sync replicas that stay, and those that have caught up; supplemented up to the
+    /// required number by current in-sync replicas, responsive ones first.
     fn in_sync(&self, voters: &[Voter]) -> Vec<DiskId> {
         let primary = self.epoch.primary;
         let required = self.settings.min_in_sync_replicas;
--- a/crates/replication/src/error.rs
+++ b/crates/replication/src/error.rs
@@ -2,7 +2,7 @@
 
 use snafu::Snafu;
 
-/// Why a proposal was not acknowledged.
+/// The reason why a proposal was not acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(module)]
 pub enum ProposeError {
@@ -15,15 +15,15 @@
     /// Too many proposals are pending; this one was rejected.
     #[snafu(display("too many pending proposals"))]
     Busy,
-    /// It was pending for too long and has not been started; it will not take effect.
+    /// The proposal timed out before its write was started; it will not take effect.
     #[snafu(display("too few replicas in sync"))]
     Unavailable,
-    /// It has been started and may or may not take effect.
+    /// The write was started; it may or may not take effect.
     #[snafu(display("outcome unknown"))]
     Unknown,
 }
 
-/// Why a read was not confirmed.
+/// The reason why a read was not confirmed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(module)]
 pub enum ReadError {
--- a/crates/replication/src/interface.rs
+++ b/crates/replication/src/interface.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReadToken(pub u64);
 
-/// Everything that a keeper has on disk, in one file that is replaced as a unit.
+/// Everything that a keeper stores on disk, in one file that is replaced atomically.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
     /// The promise and the accepted epoch.
@@ -42,9 +42,9 @@
     Persisted(PersistToken),
     /// The record could not be written: a primary steps down, and the replica requests the write again later.
     PersistFailed(PersistToken),
-    /// The time of the last [`Command::WakeAt`] has come. Has no effect at any other time.
+    /// The time of the last [`Command::WakeAt`] has been reached. Has no effect at any other time.
     Tick,
-    /// A change to be replicated by the primary.
+    /// Requests the replication of a change; only the primary accepts it.
     Propose {
         /// Identifies the outcome.
         token: ProposeToken,
@@ -58,14 +58,14 @@
         /// Identifies the outcome.
         token: ReadToken,
     },
-    /// The process is about to end: a primary transfers its leadership, and the keeper takes part in no
+    /// The process is about to exit: a primary transfers its leadership, and the keeper takes part in no
     /// further election.
     PrepareShutdown,
-    /// Addresses where other keepers may listen, besides the seeds; replaces those given before.
+    /// Addresses where other keepers may listen, in addition to the seeds. Replaces the previous addresses.
     ContactsChanged(Vec<SocketAddr>),
 }
 
-/// An output of a replica. Commands are carried out in the order in which they are returned.
+/// An output of a replica. Commands must be executed in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Send a message; it may be lost.
@@ -83,9 +83,9 @@
         /// The record.
         record: Record,
     },
-    /// Pass in [`Event::Tick`] at this time. Replaces an earlier one.
+    /// Pass in [`Event::Tick`] at this time. Replaces an earlier request.
     WakeAt(Time),
-    /// The committed state is now of this version (see [`crate::Replica::committed`]).
+    /// The committed state now has this version (see [`crate::Replica::committed`]).
     Committed(Version),
     /// A proposal has completed, with the version that it produced.
     ProposeCompleted {
@@ -94,7 +94,7 @@
         /// The outcome.
         outcome: Result<Version, ProposeError>,
     },
-    /// A read has completed: if confirmed, the committed state of this moment may be returned for it.
+    /// A read has completed. If it is confirmed, the current committed state may be returned for it.
     ReadCompleted {
         /// Identifies the request.
         token: ReadToken,
@@ -108,13 +108,13 @@
 /// The role of a keeper.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// No voter; requests to join.
+    /// Not a voter; requests to join.
     Joining,
     /// A voter that follows a primary or waits for one.
     Backup,
     /// Requests pre-votes or has an election in progress.
     Candidate,
-    /// Chosen as primary; the in-sync replicas do not all have its state yet, so it serves nothing.
+    /// Chosen as primary, but not all in-sync replicas have its state yet: serves no requests.
     Recovering,
     /// Primary: serves proposals and reads.
     Primary,
--- a/crates/replication/src/jitter.rs
+++ b/crates/replication/src/jitter.rs
@@ -1,4 +1,4 @@
-//! Random spans that prevent candidates from acting at the same time.
+//! Random delays that prevent keepers from starting elections at the same time.
 
 use juniperwing_clock::Span;
 use juniperwing_random::Rng;
--- a/crates/replication/src/leadership.rs
+++ b/crates/replication/src/leadership.rs
@@ -1,4 +1,4 @@
-//! The state of a primary. It survives changes of the epoch that the primary makes itself.
+//! The state of a primary. It is retained when the primary changes its own epoch.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -21,26 +21,26 @@
 pub(crate) struct Peer {
     /// Its identity and address.
     pub(crate) voter: Voter,
-    /// When it last replied.
+    /// The time of its last reply.
     pub(crate) last_reply_at: Time,
-    /// The version that it has on disk, as acknowledged in this epoch.
+    /// The version that it has on disk, as acknowledged in the current epoch.
     pub(crate) durable_version: Option<Version>,
-    /// Since when it has lacked the primary's version.
+    /// The time since which it has lacked the primary's version.
     pub(crate) behind_since: Option<Time>,
-    /// Since when it has been out of the in-sync set and has lacked each newest version.
+    /// The time since which it has been out of the in-sync set without ever having the newest version.
     pub(crate) out_of_sync_since: Option<Time>,
     /// The changes or the snapshot in flight to it.
     pub(crate) transfer: Option<StateTransfer>,
-    /// The newest round of heartbeats that it answered in this epoch.
+    /// The newest round of heartbeats that it answered in the current epoch.
     pub(crate) acknowledged_round: u64,
-    /// Until when its last request to join is valid.
+    /// The time until which its last request to join is valid.
     pub(crate) join_requested_until: Time,
-    /// Until when its last request to leave is valid.
+    /// The time until which its last request to leave is valid.
     pub(crate) leave_requested_until: Time,
 }
 
 impl Peer {
-    /// A keeper that has not replied yet.
+    /// A keeper that has not replied yet; its timeouts start at `now`.
     pub(crate) fn new(now: Time, voter: Voter) -> Self {
         Peer {
             voter,
@@ -66,7 +66,7 @@
     }
 }
 
-/// A change that has been written and is not committed yet.
+/// A change that is being replicated and is not committed yet.
 #[derive(Clone, Debug)]
 pub(crate) struct InFlightWrite {
     /// The proposal; `None` once its outcome has been reported.
@@ -77,7 +77,7 @@
     pub(crate) version: Version,
 }
 
-/// A change that is queued.
+/// A queued proposal.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingProposal<C> {
     pub(crate) token: ProposeToken,
@@ -101,7 +101,7 @@
 pub(crate) struct Leadership<C> {
     /// The other voters, and the keepers that request to join.
     pub(crate) peers: BTreeMap<DiskId, Peer>,
-    /// Whether all in-sync replicas have acknowledged the state in this epoch.
+    /// Whether all in-sync replicas have acknowledged the state in the current epoch.
     pub(crate) is_synchronized: bool,
     /// Whether `is_synchronized` has been true since this keeper became primary.
     pub(crate) has_served: bool,
@@ -109,22 +109,22 @@
     pub(crate) heartbeat_round: u64,
     /// When the next heartbeat is due.
     pub(crate) heartbeat_at: Time,
-    /// When an election for an epoch above a number that some voter promised is due.
+    /// When to start an election for an epoch above a number that some voter has promised.
     pub(crate) new_epoch_at: Option<Time>,
-    /// Whether the leadership is to be transferred before a shutdown.
+    /// Whether this keeper prepares for shutdown and must transfer its leadership.
     pub(crate) is_handing_over: bool,
     /// The change that is being replicated.
     pub(crate) in_flight_write: Option<InFlightWrite>,
     /// The newest changes written since this keeper became primary.
     pub(crate) recent_changes: RecentChanges,
-    /// The proposals that wait, oldest first.
+    /// The queued proposals, oldest first.
     pub(crate) pending_proposals: VecDeque<PendingProposal<C>>,
-    /// The reads that wait, oldest first.
+    /// The reads to be confirmed, oldest first.
     pub(crate) pending_reads: VecDeque<PendingRead>,
 }
 
 impl<C> Leadership<C> {
-    /// The state of a primary that has done nothing yet.
+    /// The initial state of a primary.
     pub(crate) fn new(now: Time) -> Self {
         Leadership {
             peers: BTreeMap::new(),
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Starts a new epoch: what was acknowledged in an older one does not count any more.
+    /// Starts a new epoch; acknowledgements of older epochs no longer count.
     pub(crate) fn enter_epoch(&mut self, now: Time, local_disk: DiskId, epoch: &Epoch) {
         self.is_synchronized = false;
         self.new_epoch_at = None;
@@ -162,8 +162,8 @@
         }
     }
 
-    /// Removes keepers that are no voters and do not request to join. One that leaves is retained until it can
-    /// have been notified of the epoch without it.
+    /// Removes keepers that are not voters and do not request to join. A keeper that is leaving is retained
+    /// long enough to be notified of the epoch without it.
     pub(crate) fn remove_former_peers(&mut self, now: Time, epoch: &Epoch) {
         let is_voter = |disk: &DiskId| epoch.voters.iter().any(|voter| voter.disk == *disk);
         self.peers.retain(|disk, peer| is_voter(disk) || peer.is_joining(now) || peer.is_leaving(now));
--- a/crates/replication/src/persistence.rs
+++ b/crates/replication/src/persistence.rs
@@ -1,4 +1,4 @@
-//! Tracks what is on disk, and defers actions until what they depend on is there.
+//! Tracks which state is on disk, and defers actions until the state that they depend on is durable.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -9,18 +9,17 @@
 
 use crate::interface::PersistToken;
 
-/// The number of actions that may be deferred. Beyond it they are dropped: their peers send the requests
-/// again.
+/// The maximum number of deferred actions. Further ones are dropped; the peers resend their requests.
 const MAX_DEFERRED_ACTIONS: usize = 256;
 
 /// Delay before a failed write is retried.
 const WRITE_RETRY_INTERVAL: Span = Span::from_millis(200);
 
-/// A write that takes longer counts as failed: a primary whose disk hangs steps down, so that a keeper with a working
-/// disk can take over.
+/// A write that takes longer counts as stalled: a primary whose disk hangs steps down, so that a keeper with
+/// a working disk can take over.
 const WRITE_STALL_TIMEOUT: Span = Span::from_millis(1_500);
 
-/// What is to be done once everything it depends on is on disk.
+/// An action that is executed once everything that it depends on is on disk.
 #[derive(Clone, Debug)]
 pub(crate) enum DeferredAction {
     /// Send a message.
@@ -34,16 +33,17 @@
 /// The write in progress.
 #[derive(Clone, Copy, Debug)]
 struct PendingWrite {
-    /// The generation that is on disk when it has succeeded.
+    /// The generation that is on disk once the write has succeeded.
     generation: u64,
     /// The version of the state in it.
     version: Version,
     started_at: Time,
 }
 
-/// What is on disk. One record is written at a time; all changes made meanwhile are part of the next one.
+/// The state of the disk. One record is written at a time; all changes made meanwhile are part of the next
+/// record.
 ///
-/// Each change of what belongs on disk starts a new generation.
+/// Each change of the persistent state starts a new generation.
 #[derive(Clone, Debug)]
 pub(crate) struct Persistence {
     latest_generation: u64,
@@ -53,9 +53,9 @@
     pending_write: Option<PendingWrite>,
     /// When a failed write is retried; `None` if the last one succeeded.
     retry_at: Option<Time>,
-    /// Whether the write in progress has exceeded the stall timeout.
+    /// Whether the write in progress has reached the stall timeout.
     is_stalled: bool,
-    /// Each action with the generation that it waits for, in order.
+    /// The deferred actions in order, each with the generation that it waits for.
     deferred: VecDeque<(u64, DeferredAction)>,
 }
 
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Something that belongs on disk has changed.
+    /// Records a change of the persistent state.
     pub(crate) fn mark_dirty(&mut self) {
         self.latest_generation += 1;
     }
@@ -83,7 +83,7 @@
         self.durable_version
     }
 
-    /// Whether everything that belongs on disk is there.
+    /// Whether the newest generation is on disk.
     pub(crate) fn is_up_to_date(&self) -> bool {
         self.durable_generation == self.latest_generation
     }
@@ -93,20 +93,20 @@
         self.retry_at.is_some() || self.is_stalled
     }
 
-    /// When the write in progress will count as stalled.
+    /// When the write in progress will count as stalled; [`Time::NEVER`] if there is none or it already does.
     pub(crate) fn stall_deadline(&self) -> Time {
         let write = self.pending_write.filter(|_| !self.is_stalled);
         write.map_or(Time::NEVER, |write| write.started_at + WRITE_STALL_TIMEOUT)
     }
 
-    /// `true` if the write in progress has stalled since the last call.
+    /// Returns `true` once when the write in progress has stalled.
     pub(crate) fn detect_stall(&mut self, now: Time) -> bool {
         let has_stalled = now >= self.stall_deadline();
         self.is_stalled |= has_stalled;
         has_stalled
     }
 
-    /// When a failed write is retried; never while a write is in progress.
+    /// When a failed write is retried; [`Time::NEVER`] while a write is in progress.
     pub(crate) fn retry_at(&self) -> Time {
         self.retry_at.filter(|_| self.pending_write.is_none()).unwrap_or(Time::NEVER)
     }
@@ -138,7 +138,7 @@
         Some(PersistToken(generation))
     }
 
-    /// The record of `token` is on disk.
+    /// Records that the write of `token` has succeeded.
     pub(crate) fn complete_write(&mut self, token: PersistToken) {
         let Some(write) = self.pending_write.take_if(|write| write.generation == token.0) else { return };
         self.durable_generation = write.generation;
@@ -147,7 +147,7 @@
         self.is_stalled = false;
     }
 
-    /// The record of `token` could not be written.
+    /// Records that the write of `token` has failed.
     pub(crate) fn fail_write(&mut self, now: Time, token: PersistToken) {
         if self.pending_write.take_if(|write| write.generation == token.0).is_some() {
             self.retry_at = Some(now + WRITE_RETRY_INTERVAL);
--- a/crates/replication/src/recent_changes.rs
+++ b/crates/replication/src/recent_changes.rs
@@ -1,4 +1,4 @@
-//! The newest changes of a primary, retained for replicas that lag.
+//! The newest changes of a primary, retained for lagging replicas.
 
 use std::collections::VecDeque;
 
@@ -25,8 +25,8 @@
     }
 }
 
-/// The newest changes, in sequence. Together they are not larger than the state: beyond that, a snapshot is
-/// smaller.
+/// The newest changes, in sequence. Their total size is limited to that of the state, because beyond it a
+/// snapshot is smaller.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RecentChanges {
     entries: VecDeque<RetainedChange>,
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -1,7 +1,6 @@
-//! The replica as a state machine: its state and what it shows of it.
+//! The replica as a state machine: its state and its accessors.
 //!
-//! The submodules handle the events, each for one concern: voting on epochs, elections, the backup's side,
-//! the primary's side.
+//! Each submodule handles the events of one concern, for example voting, elections, backups or primaries.
 
 mod backup;
 mod bootstrap;
@@ -37,11 +36,11 @@
 use crate::settings::Settings;
 use crate::state::{ReplicatedState, Versioned};
 
-/// Election timeout after a start of the keeper that was primary of the last epoch: the backups still wait
-/// for it.
+/// Election timeout after a start of the keeper that was primary of the last epoch. It is short because the
+/// backups still wait for this primary.
 const FORMER_PRIMARY_ELECTION_TIMEOUT: Span = Span::from_millis(100);
 
-/// What a replica is doing about epochs.
+/// The stage of a replica in the epoch protocol.
 #[derive(Clone, Debug)]
 enum Stage {
     /// Follows a primary, or waits for one.
@@ -54,7 +53,7 @@
     Primary,
 }
 
-/// One keeper's part in the replication, as a state machine.
+/// The replica of one keeper, as a state machine.
 #[derive(Clone, Debug)]
 pub struct Replica<S: ReplicatedState> {
     settings: Settings,
@@ -72,19 +71,19 @@
     leadership: Option<Leadership<S::Change>>,
     /// When the last heartbeat of a primary or request of a candidate arrived.
     last_primary_contact_at: Option<Time>,
-    /// When a pre-vote starts if no primary sends anything.
+    /// When a pre-vote starts if no message of a primary arrives.
     election_at: Time,
     /// Failed elections since the last heartbeat of a primary.
     election_attempts: u32,
     /// When the next join requests are due.
     join_retry_at: Time,
-    /// Addresses where other keepers may listen, besides the seeds.
+    /// Addresses where other keepers may listen, in addition to the seeds.
     contacts: Vec<SocketAddr>,
-    /// Whether the process is about to end: it takes part in no election any more.
+    /// Whether the process is about to exit and takes part in no further election.
     is_shutting_down: bool,
-    /// Seeds that are ready for the bootstrap, by address; used by the coordinator only.
-    bootstrap_offers: BTreeMap<SocketAddr, Voter>,
-    /// The output of the present event.
+    /// Seeds that have announced themselves for the bootstrap, by address; used by the coordinator only.
+    announced_seeds: BTreeMap<SocketAddr, Voter>,
+    /// The output of the event that is being handled.
     commands: Vec<Command>,
     /// The time of the last [`Command::WakeAt`].
     timer_at: Option<Time>,
@@ -93,10 +92,10 @@
 }
 
 impl<S: ReplicatedState> Replica<S> {
-    /// A replica that starts at `now` with what its disk holds, or with `initial` (the same on all keepers)
-    /// if the disk is empty. `seed` should differ between keepers and starts.
+    /// Creates a replica that starts at `now` with the record on its disk, or with `initial` (the same on all
+    /// keepers) if the disk is empty. `seed` should differ between keepers and between starts.
     ///
-    /// Pass in [`Event::Tick`] at once; it returns the first commands.
+    /// Pass in [`Event::Tick`] immediately; it returns the first commands.
     ///
     /// [`Event::Tick`]: crate::Event::Tick
     ///
@@ -135,7 +134,7 @@
             join_retry_at: now,
             contacts: Vec::new(),
             is_shutting_down: false,
-            bootstrap_offers: BTreeMap::new(),
+            announced_seeds: BTreeMap::new(),
             commands: Vec::new(),
             timer_at: None,
             reported_role: Role::Joining,
@@ -149,7 +148,7 @@
         self.role() == Role::Primary
     }
 
-    /// The present role.
+    /// The current role.
     pub fn role(&self) -> Role {
         match (&self.leadership, &self.stage) {
             (Some(leadership), _) if leadership.has_served => Role::Primary,
@@ -165,12 +164,12 @@
         find_voter(&self.known_epoch, self.known_epoch.primary).map(|voter| voter.address)
     }
 
-    /// The newest state known to be committed, the only one that may be shown to clients.
+    /// The newest state known to be committed; the only one that may be returned to clients.
     pub fn committed(&self) -> Option<&Versioned<S>> {
         self.committed.as_ref()
     }
 
-    /// The newest state, to compute the next change on. It may contain a change that is not committed.
+    /// The newest state, on which the next change is computed. It may contain a change that is not committed.
     pub fn latest(&self) -> &Versioned<S> {
         &self.latest
     }
@@ -195,8 +194,7 @@
         self.settings.local_voter.clone()
     }
 
-    /// Whether the highest epoch known lists this keeper, with its present address and disk, among the
-    /// voters.
+    /// Whether this keeper, with its current address and disk, is a voter of the highest epoch known.
     fn is_voter(&self) -> bool {
         find_voter(&self.known_epoch, self.local_disk()) == Some(&self.settings.local_voter)
     }
@@ -214,12 +212,12 @@
         next_epoch_number(seen, self.local_disk())
     }
 
-    /// Appends a command to the output of the present event.
+    /// Appends a command to the output of the event that is being handled.
     fn command(&mut self, command: Command) {
         self.commands.push(command);
     }
 
-    /// Sends a message at once.
+    /// Sends a message immediately.
     fn send(&mut self, to: SocketAddr, body: ReplicationBody) {
         let message =
             ReplicationMessage { from: self.local_disk(), address: self.settings.local_voter.address, body };
@@ -234,7 +232,7 @@
         }
     }
 
-    /// Sends a message once everything that has changed so far is on disk.
+    /// Sends a message once all changes made so far are on disk.
     fn send_when_durable(&mut self, to: SocketAddr, body: ReplicationBody) {
         self.persistence.defer(DeferredAction::Send(to, body));
     }
--- a/crates/replication/src/replica/backup.rs
+++ b/crates/replication/src/replica/backup.rs
@@ -1,4 +1,4 @@
-//! The backup's side: heartbeats, writes and snapshots of the primary.
+//! Backups: handling of the primary's heartbeats, writes and snapshots.
 
 use std::net::SocketAddr;
 
@@ -12,12 +12,12 @@
 use crate::state::{ReplicatedState, Versioned};
 
 impl<S: ReplicatedState> Replica<S> {
-    /// Starts a pre-vote when the election timeout has passed; requests to join where that is needed.
+    /// Starts a pre-vote when the election timeout has passed; requests to join if necessary.
     pub(super) fn advance_following(&mut self, now: Time) {
         if now >= self.join_retry_at && self.must_request_join(now) {
             self.join_retry_at = now + self.settings.timings.join_interval;
             self.request_join();
-            self.offer_bootstrap(now);
+            self.announce_seed(now);
         }
         self.bootstrap(now);
         if now >= self.election_at && matches!(self.stage, Stage::Following) {
@@ -28,7 +28,8 @@
         }
     }
 
-    /// Follows the primary of an epoch that is not below the promise, and replies with the durable version.
+    /// Follows the primary of an epoch that is not below the promised number, and replies with the durable
+    /// version.
     pub(super) fn handle_heartbeat(
         &mut self, now: Time, to: SocketAddr, epoch: Epoch, committed: Version, round: u64,
     ) {
@@ -59,7 +60,8 @@
         }
     }
 
-    /// Whether a write or snapshot of that epoch may be applied; a sender of an older epoch is rejected.
+    /// Whether a write or snapshot of that epoch may be applied. Replies with a rejection if the epoch is
+    /// older than the promise.
     fn accepts_write_from(&mut self, now: Time, to: SocketAddr, epoch: EpochNumber) -> bool {
         if self.reject_below_promise(to, epoch) {
             return false;
@@ -71,8 +73,8 @@
         is_accepted
     }
 
-    /// Applies a write. One that does not fit is acknowledged with the version that this replica has, and the
-    /// primary sends what is missing.
+    /// Applies a write whose base is the latest version. Any other write is answered with the version that
+    /// this replica has, and the primary sends the missing changes.
     pub(super) fn handle_write(
         &mut self, now: Time, to: SocketAddr, epoch: EpochNumber, base: Version, version: Version,
         change: &[u8],
@@ -107,16 +109,17 @@
         self.acknowledge_when_durable(to, epoch);
     }
 
-    /// Replaces the state, unless the snapshot is older than what this epoch has already written here.
+    /// Replaces the state, unless the snapshot is not newer than a write of the same epoch that was applied
+    /// here.
     pub(super) fn handle_snapshot(
         &mut self, now: Time, to: SocketAddr, epoch: EpochNumber, version: Version, state: Vec<u8>,
     ) {
         if !self.accepts_write_from(now, to, epoch) {
             return;
         }
-        let present = self.latest.version;
-        let is_late = present.epoch == epoch && version <= present;
-        if version != present && !is_late {
+        let current = self.latest.version;
+        let is_late = current.epoch == epoch && version <= current;
+        if version != current && !is_late {
             let Ok(latest) = Versioned::decode(version, state) else { return };
             self.latest = latest;
             self.persistence.mark_dirty();
--- a/crates/replication/src/replica/bootstrap.rs
+++ b/crates/replication/src/replica/bootstrap.rs
@@ -1,4 +1,5 @@
-//! The very first epoch: the seeds name themselves to the coordinator, and all of them must accept it.
+//! The bootstrap epoch: the seeds announce themselves to the coordinator, which proposes the epoch. All seeds
+//! must accept it.
 //!
 //! The bootstrap coordinator is the seed with the lowest address.
 
@@ -13,25 +14,26 @@
 use crate::state::ReplicatedState;
 
 impl<S: ReplicatedState> Replica<S> {
-    /// Whether this keeper takes part in the bootstrap: it is a seed of the first start, and knows no epoch.
+    /// Whether this keeper takes part in the bootstrap: it is a seed of the first start and knows no epoch
+    /// yet.
     fn can_bootstrap(&self) -> bool {
         let is_seed = self.settings.seeds.contains(&self.settings.local_voter.address);
         self.settings.bootstrap && is_seed && self.known_epoch.number == EpochNumber::default()
     }
 
-    /// Whether this keeper proposes the first epoch: of the seeds it has the lowest address.
+    /// Whether this keeper proposes the bootstrap epoch.
     fn is_bootstrap_coordinator(&self) -> bool {
         self.settings.seeds.iter().min() == Some(&self.settings.local_voter.address)
     }
 
-    /// Names this seed to the bootstrap coordinator.
-    pub(super) fn offer_bootstrap(&mut self, now: Time) {
+    /// Announces this seed to the bootstrap coordinator.
+    pub(super) fn announce_seed(&mut self, now: Time) {
         if !self.can_bootstrap() {
             return;
         }
         let voter = self.local_voter();
         if self.is_bootstrap_coordinator() {
-            self.handle_bootstrap_offer(voter);
+            self.handle_seed_announcement(voter);
             self.bootstrap(now);
         } else if let Some(coordinator) = self.settings.seeds.iter().min().copied() {
             self.send(coordinator, ReplicationBody::Bootstrap { voter });
@@ -39,23 +41,23 @@
     }
 
     /// Records a seed that takes part in the bootstrap.
-    pub(super) fn handle_bootstrap_offer(&mut self, voter: Voter) {
+    pub(super) fn handle_seed_announcement(&mut self, voter: Voter) {
         let is_seed = self.settings.seeds.contains(&voter.address);
         if self.can_bootstrap() && self.is_bootstrap_coordinator() && is_seed {
-            self.bootstrap_offers.insert(voter.address, voter);
+            self.announced_seeds.insert(voter.address, voter);
         }
     }
 
-    /// Proposes the first epoch once all seeds are known.
+    /// Proposes the bootstrap epoch once all seeds have announced themselves.
     pub(super) fn bootstrap(&mut self, now: Time) {
         if !self.can_bootstrap() || self.acceptor.promised != EpochNumber::default() {
             return;
         }
         let mut seeds = self.settings.seeds.iter();
-        if !seeds.all(|seed| self.bootstrap_offers.contains_key(seed)) {
+        if !seeds.all(|seed| self.announced_seeds.contains_key(seed)) {
             return;
         }
-        let voters: Vec<Voter> = self.bootstrap_offers.values().cloned().collect();
+        let voters: Vec<Voter> = self.announced_seeds.values().cloned().collect();
         let epoch = Epoch {
             number: next_epoch_number(EpochNumber::default(), self.local_disk()),
             primary: self.local_disk(),
--- a/crates/replication/src/replica/candidate.rs
+++ b/crates/replication/src/replica/candidate.rs
@@ -1,4 +1,4 @@
-//! The candidate's side of elections: promises and acceptances.
+//! Elections on the side of the candidate: promises and acceptances.
 
 use juniperwing_clock::Time;
 use juniperwing_protocol::replication::{Epoch, ReplicationBody, Version};
@@ -15,7 +15,7 @@
 const MAX_BACK_OFF_ELECTION_TIMEOUTS: u32 = 2;
 
 impl<S: ReplicatedState> Replica<S> {
-    /// Starts an election by requests for promises. A primary passes in its plan for the new epoch.
+    /// Starts an election by requesting promises. A primary passes in its plan for the new epoch.
     pub(super) fn start_election(&mut self, now: Time, plan: Option<EpochPlan>) {
         let number = self.next_number();
         self.acceptor.promised = number;
@@ -29,8 +29,8 @@
         self.send_all(&electorate(&self.known_epoch), &ReplicationBody::Prepare { number });
     }
 
-    /// This keeper's own promise is on disk and counts.
-    pub(super) fn persisted_own_promise(&mut self, number: EpochNumber) {
+    /// Counts this keeper's own promise, which is now on disk.
+    pub(super) fn handle_own_promise_persisted(&mut self, number: EpochNumber) {
         let local_disk = self.local_disk();
         let version = self.latest.version;
         let Stage::Candidate(election) = &mut self.stage else { return };
@@ -54,7 +54,8 @@
         }
     }
 
-    /// The epoch to follow is a higher one than was known when the election began.
+    /// Restarts the requests for promises on a newer base than the one known when the election began. The
+    /// election is abandoned if this keeper is primary, or is not eligible on the new base.
     fn rebase(&mut self, now: Time) {
         if self.leadership.is_some() || !self.is_eligible() {
             self.become_follower(now);
@@ -69,8 +70,8 @@
         self.send_all(&targets, &body);
     }
 
-    /// This keeper's own acceptance is on disk and counts.
-    pub(super) fn persisted_own_accept(&mut self, number: EpochNumber) {
+    /// Counts this keeper's own acceptance, which is now on disk.
+    pub(super) fn handle_own_accept_persisted(&mut self, number: EpochNumber) {
         let local_disk = self.local_disk();
         self.handle_accepted(local_disk, number);
         if matches!(&self.stage, Stage::Candidate(election) if election.is_bootstrap_election()) {
@@ -87,7 +88,7 @@
         }
     }
 
-    /// A keeper has promised a higher number to another candidate.
+    /// Handles the rejection by a keeper that has promised a higher number to another candidate.
     pub(super) fn handle_rejection(&mut self, now: Time, promised: EpochNumber) {
         self.highest_number = self.highest_number.max(promised);
         match &self.stage {
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Proposes an epoch once the promises suffice, and becomes primary once the epoch is chosen.
+    /// Proposes an epoch once there are enough promises, and becomes primary once the epoch is chosen.
     pub(super) fn advance_election(&mut self, now: Time) {
         let local_disk = self.local_disk();
         let Stage::Candidate(election) = &mut self.stage else { return };
@@ -131,7 +132,7 @@
         self.send_accepts();
     }
 
-    /// Sends the proposed epoch to all that have not accepted it.
+    /// Sends the proposed epoch to all voters that have not accepted it.
     fn send_accepts(&mut self) {
         let Stage::Candidate(election) = &self.stage else { return };
         let Some(proposal) = &election.proposal else { return };
@@ -141,14 +142,14 @@
         self.send_all(&missing, &ReplicationBody::Accept { epoch });
     }
 
-    /// Whether all that must have accepted the proposed epoch, this keeper among them.
+    /// Whether the proposed epoch is chosen.
     fn is_chosen(&self) -> bool {
         let Stage::Candidate(election) = &self.stage else { return false };
         let Some(proposal) = &election.proposal else { return false };
         proposal.is_chosen(self.local_disk())
     }
 
-    /// Repeats the requests that have had no reply within the resend interval.
+    /// Resends the requests that have not been answered within the resend interval.
     fn resend_requests(&mut self, now: Time) {
         let resend_interval = self.settings.timings.resend_interval;
         let local_disk = self.local_disk();
@@ -170,7 +171,8 @@
         self.send_all(&missing, &body);
     }
 
-    /// Ends a pre-vote or an election; the next attempt waits longer than the last.
+    /// Ends a pre-vote or an election and schedules the next attempt. The random back-off grows up to its
+    /// limit.
     pub(super) fn back_off(&mut self, now: Time) {
         self.election_attempts = self.election_attempts.saturating_add(1);
         let max_back_off = self
@@ -182,7 +184,7 @@
         self.stage = Stage::Following;
     }
 
-    /// Ends leadership, pre-vote or election of this keeper, and follows.
+    /// Ends this keeper's leadership, pre-vote or election and becomes a follower.
     pub(super) fn become_follower(&mut self, now: Time) {
         if matches!(self.stage, Stage::Candidate(_) | Stage::PreVote(_)) {
             self.back_off(now);
--- a/crates/replication/src/replica/catch_up.rs
+++ b/crates/replication/src/replica/catch_up.rs
@@ -1,4 +1,4 @@
-//! How the primary brings the others up to its version.
+//! The primary brings other keepers up to its version.
 
 use juniperwing_clock::Time;
 
--- a/crates/replication/src/replica/epoch_change.rs
+++ b/crates/replication/src/replica/epoch_change.rs
@@ -1,4 +1,4 @@
-//! When a primary starts an election for a new epoch of its own.
+//! Decides when a primary starts an election for its own next epoch.
 
 use juniperwing_clock::{Span, Time};
 
@@ -11,8 +11,9 @@
 const MAX_NEW_EPOCH_JITTER: Span = Span::from_millis(100);
 
 impl<S: ReplicatedState> Replica<S> {
-    /// A voter has promised a number above that of this epoch. If nobody becomes primary with it, this
-    /// primary starts an election for an epoch above it, so that the voter can follow again.
+    /// Schedules an election because a voter has promised a number above that of this epoch. Unless another
+    /// keeper becomes primary with that number, this primary starts an election for a higher epoch, so that
+    /// the voter can follow it again.
     pub(super) fn schedule_new_epoch(&mut self, now: Time) {
         let delay =
             self.settings.timings.election_timeout.mul_f64(0.5) + self.jitter.below(MAX_NEW_EPOCH_JITTER);
@@ -20,7 +21,8 @@
         leadership.new_epoch_at.get_or_insert(now + delay);
     }
 
-    /// Starts an election if the present epoch differs from the plan. `true` if it has started one.
+    /// Starts an election if one is due or the plan differs from the current epoch. Returns whether it has
+    /// started one.
     pub(super) fn change_epoch(&mut self, now: Time) -> bool {
         let Some(leadership) = &self.leadership else { return false };
         let plan = self.plan(now, leadership);
--- a/crates/replication/src/replica/events.rs
+++ b/crates/replication/src/replica/events.rs
@@ -11,7 +11,7 @@
 use crate::state::ReplicatedState;
 
 impl<S: ReplicatedState> Replica<S> {
-    /// Handles an event and returns the commands to carry out, in order.
+    /// Handles an event and returns the commands to execute, in order.
     pub fn handle(&mut self, now: Time, event: Event<S>) -> Vec<Command> {
         match event {
             Event::Message(message) => self.handle_message(now, message),
@@ -70,17 +70,17 @@
                 self.handle_heartbeat_reply(now, from, epoch, round, version);
             }
             ReplicationBody::Join { voter } => self.handle_join_request(now, from, voter),
-            ReplicationBody::Bootstrap { voter } => self.handle_bootstrap_offer(voter),
+            ReplicationBody::Bootstrap { voter } => self.handle_seed_announcement(voter),
             ReplicationBody::Leave => self.handle_leave_request(now, from),
         }
     }
 
-    /// The record of `token` is on disk.
+    /// Handles a completed write of a record.
     fn handle_persisted(&mut self, token: PersistToken) {
         self.persistence.complete_write(token);
     }
 
-    /// The record of `token` could not be written: a primary steps down.
+    /// Handles a failed write of a record: a primary steps down.
     fn handle_persist_failed(&mut self, now: Time, token: PersistToken) {
         self.persistence.fail_write(now, token);
         if self.persistence.is_failing() {
@@ -88,18 +88,19 @@
         }
     }
 
-    /// Runs the deferred actions whose changes are on disk now.
+    /// Runs the deferred actions whose changes are on disk.
     fn run_released_actions(&mut self) {
         while let Some(action) = self.persistence.next_released() {
             match action {
                 DeferredAction::Send(to, body) => self.send(to, body),
-                DeferredAction::CountOwnPromise(number) => self.persisted_own_promise(number),
-                DeferredAction::CountOwnAccept(number) => self.persisted_own_accept(number),
+                DeferredAction::CountOwnPromise(number) => self.handle_own_promise_persisted(number),
+                DeferredAction::CountOwnAccept(number) => self.handle_own_accept_persisted(number),
             }
         }
     }
 
-    /// Does what is due in each stage. A stage may be entered on the way, so the order follows an election.
+    /// Runs the work that is due in each stage. One stage may lead to the next within this call, so they are
+    /// handled in the order of an election.
     fn advance(&mut self, now: Time) {
         if matches!(self.stage, Stage::Following) {
             self.advance_following(now);
--- a/crates/replication/src/replica/handover.rs
+++ b/crates/replication/src/replica/handover.rs
@@ -1,4 +1,4 @@
-//! Shutdown without a gap: a primary transfers its leadership, a backup leaves the voters.
+//! Graceful shutdown: a primary transfers its leadership, a backup leaves the set of voters.
 
 use juniperwing_clock::Time;
 use juniperwing_protocol::replication::ReplicationBody;
@@ -12,9 +12,9 @@
 use crate::state::ReplicatedState;
 
 impl<S: ReplicatedState> Replica<S> {
-    /// Whether this process may end and never come back: the epoch known to be chosen has enough replicas
-    /// without it, and tolerates no more losses with its vote than without.
-    /// [`Event::PrepareShutdown`](crate::Event::PrepareShutdown) leads to this, where enough other keepers
+    /// Whether this process may exit and never return: the highest epoch is known to be chosen, has enough
+    /// replicas without this keeper, and tolerates no more losses with its vote than without.
+    /// [`Event::PrepareShutdown`](crate::Event::PrepareShutdown) leads to this state if enough other keepers
     /// are available.
     pub fn can_shut_down(&self) -> bool {
         let epoch = &self.known_epoch;
@@ -30,8 +30,8 @@
         is_committed && is_dispensable && !self.settings.can_drop_one_of(epoch.voters.len())
     }
 
-    /// Takes part in no election any more. A primary transfers its leadership; a backup requests to leave the
-    /// voters.
+    /// Stops taking part in elections. A primary transfers its leadership; a backup requests to leave the set
+    /// of voters.
     pub(super) fn prepare_shutdown(&mut self, now: Time) {
         self.is_shutting_down = true;
         let Some(leadership) = &mut self.leadership else {
@@ -52,8 +52,9 @@
         }
     }
 
-    /// The in-sync replica that can take over from a primary that shuts down: the one that replied last.
-    /// While there is none, the primary continues as before, so that its state reaches other disks.
+    /// The in-sync replica that can take over from a primary that is shutting down; of several, the one that
+    /// replied last. Without a successor, the primary continues as before, so that its state reaches other
+    /// disks.
     pub(super) fn find_successor(&self, now: Time) -> Option<&Peer> {
         let latest = self.latest.version;
         let in_sync = &self.acceptor.accepted.in_sync;
@@ -79,7 +80,7 @@
         }
     }
 
-    /// The primary of `epoch` steps down and requests this backup to take over.
+    /// Handles the request of the primary of `epoch`, which is shutting down, that this backup take over.
     pub(super) fn handle_leadership_transfer(&mut self, now: Time, epoch: EpochNumber) {
         let is_following = matches!(self.stage, Stage::Following) && self.acceptor.accepted.number == epoch;
         if is_following && self.acceptor.promised == epoch && self.is_eligible() {
--- a/crates/replication/src/replica/join.rs
+++ b/crates/replication/src/replica/join.rs
@@ -1,4 +1,4 @@
-//! How a keeper becomes a voter: its requests, and the primary's side of them.
+//! Join requests: how a keeper requests to become a voter, and how the primary records the request.
 
 use std::net::SocketAddr;
 
@@ -11,18 +11,18 @@
 use crate::settings::MAX_VOTERS;
 use crate::state::ReplicatedState;
 
-/// The number of contacts that receive join requests, besides seeds and voters.
+/// The maximum number of contacts that receive join requests, in addition to seeds and voters.
 const MAX_CONTACTS: usize = 16;
 
-/// The number of keepers that a primary tracks: voters and those that request to join.
+/// The maximum number of keepers that a primary tracks: voters and keepers that request to join.
 const MAX_PEERS: usize = 2 * MAX_VOTERS;
 
 /// How long a join request stays valid, in units of [`crate::Timings::join_interval`].
 const JOIN_REQUEST_LIFETIME_INTERVALS: f64 = 4.0;
 
 impl<S: ReplicatedState> Replica<S> {
-    /// Whether this keeper has to request to join: it is no voter, or it may have been removed without
-    /// notice.
+    /// Whether this keeper has to request to join: it is not a voter, or it may have been removed without
+    /// being notified.
     pub(super) fn must_request_join(&self, now: Time) -> bool {
         if self.is_shutting_down {
             return false;
@@ -30,7 +30,8 @@
         !self.is_voter() || (!self.is_eligible() && !self.has_recent_primary(now))
     }
 
-    /// Replaces the contacts. A keeper that has to join sends its requests at once if there are new ones.
+    /// Replaces the contacts. If there are new ones, a keeper that has to join sends its requests
+    /// immediately.
     pub(super) fn set_contacts(&mut self, now: Time, mut contacts: Vec<SocketAddr>) {
         contacts.truncate(MAX_CONTACTS);
         let has_new = contacts.iter().any(|contact| !self.contacts.contains(contact));
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Sends a join request to all keepers known.
+    /// Sends a join request to all known addresses of keepers.
     pub(super) fn request_join(&mut self) {
         let mut addresses = self.settings.seeds.clone();
         addresses.extend(&self.contacts);
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Records a join request at the primary. Other keepers forward it to the primary, once only.
+    /// Records a join request on the primary. Other keepers forward it to the primary.
     pub(super) fn handle_join_request(&mut self, now: Time, from: DiskId, voter: Voter) {
         if voter.disk == self.local_disk() {
             return;
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Records a keeper that is no voter as a joining peer, unless the limit of peers is reached.
+    /// Records a keeper that is not a voter as a joining peer, unless the limit of peers is reached.
     fn record_join_request(&mut self, now: Time, voter: Voter) {
         let lifetime = self.settings.timings.join_interval.mul_f64(JOIN_REQUEST_LIFETIME_INTERVALS);
         let Some(leadership) = &mut self.leadership else { return };
--- a/crates/replication/src/replica/pre_vote.rs
+++ b/crates/replication/src/replica/pre_vote.rs
@@ -1,4 +1,4 @@
-//! The candidate's side of pre-votes.
+//! Pre-votes on the side of the candidate.
 
 use std::collections::BTreeSet;
 
@@ -12,7 +12,7 @@
 use crate::state::ReplicatedState;
 
 impl<S: ReplicatedState> Replica<S> {
-    /// Requests a pre-vote of all voters.
+    /// Requests a pre-vote from all voters.
     pub(super) fn start_pre_vote(&mut self, now: Time) {
         let number = self.next_number();
         let granted = BTreeSet::from([self.local_disk()]);
@@ -21,7 +21,7 @@
         self.send_all(&electorate(&self.known_epoch), &ReplicationBody::PreVote { number });
     }
 
-    /// Counts a pre-vote, and records the epoch that the voter knows.
+    /// Counts a granted pre-vote, and records the epoch that the voter knows.
     pub(super) fn handle_pre_vote_reply(
         &mut self, from: DiskId, number: EpochNumber, granted: bool, epoch: Epoch,
     ) {
--- a/crates/replication/src/replica/primary.rs
+++ b/crates/replication/src/replica/primary.rs
@@ -1,4 +1,4 @@
-//! The primary's side: how leadership begins and ends, heartbeats and acknowledgements.
+//! Primaries: start and end of leadership, heartbeats and acknowledgements.
 
 use juniperwing_clock::Time;
 use juniperwing_protocol::replication::{ReplicationBody, Version, Voter, is_majority};
@@ -11,7 +11,7 @@
 use crate::state::ReplicatedState;
 
 impl<S: ReplicatedState> Replica<S> {
-    /// The epoch is chosen: this keeper is its primary.
+    /// Becomes primary of the proposed epoch, which is chosen.
     pub(super) fn become_primary(&mut self, now: Time) {
         let Stage::Candidate(election) = &self.stage else { return };
         let promises = election.promises.clone();
@@ -32,11 +32,11 @@
         self.last_primary_contact_at = None;
     }
 
-    /// Does what is due as primary: expiry, commits, writes, reads, changes of the epoch, heartbeats,
+    /// Runs the work that is due on a primary: expiry, commits, writes, reads, epoch changes, heartbeats and
     /// transfers.
     pub(super) fn advance_primary(&mut self, now: Time) {
-        // A late reply to a pre-vote may name a higher epoch. This keeper may lack what was acknowledged
-        // there, so it must not change that epoch as if it were its own.
+        // A late reply to a pre-vote may contain a higher epoch. This keeper may lack changes that were
+        // acknowledged in it, so it must not change that epoch as if it were its own.
         let is_superseded = self.known_epoch.number > self.acceptor.accepted.number;
         if is_superseded || !self.has_majority(now) {
             self.become_follower(now);
@@ -58,7 +58,7 @@
         self.catch_up(now);
     }
 
-    /// Ends leadership. A write in flight may or may not take effect, pending proposals will not.
+    /// Ends leadership. A write in flight may or may not take effect; pending proposals will not.
     pub(super) fn step_down(&mut self, now: Time) {
         let Some(leadership) = self.leadership.take() else { return };
         self.election_at = now + self.draw_election_timeout();
@@ -114,7 +114,7 @@
         peer.durable_version = Some(version);
     }
 
-    /// The peer with that disk, if this keeper is primary of that epoch and is not seeking another one.
+    /// The peer with that disk, if this keeper is primary of that epoch and has no election in progress.
     fn peer_in_epoch(&mut self, disk: DiskId, epoch: EpochNumber) -> Option<&mut Peer> {
         let is_primary = matches!(self.stage, Stage::Primary) && epoch == self.acceptor.accepted.number;
         let leadership = self.leadership.as_mut().filter(|_| is_primary)?;
--- a/crates/replication/src/replica/proposals.rs
+++ b/crates/replication/src/replica/proposals.rs
@@ -1,4 +1,4 @@
-//! The path of a change at the primary: proposal, write to all in-sync replicas, commit.
+//! Changes on the primary: proposal, write to all in-sync replicas, commit.
 
 use juniperwing_clock::{Span, Time};
 use juniperwing_invariants::{Invariant, check};
@@ -12,14 +12,14 @@
 use crate::recent_changes::RetainedChange;
 use crate::state::ReplicatedState;
 
-/// The interval between two pauses of writes for a replica that lags.
+/// The interval between two pauses of writes for a lagging replica.
 const WRITE_PAUSE_INTERVAL: Span = Span::from_millis(5_000);
 
 /// The length of such a pause, in units of [`crate::Timings::ack_timeout`].
 const WRITE_PAUSE_ACK_TIMEOUTS: f64 = 1.5;
 
 impl<S: ReplicatedState> Replica<S> {
-    /// Queues a proposal, or rejects it if this keeper does not serve or the queue is full.
+    /// Queues a proposal, or rejects it if this keeper does not serve as primary or the queue is full.
     pub(super) fn handle_propose(
         &mut self, now: Time, token: ProposeToken, base: Version, change: S::Change,
     ) {
@@ -45,7 +45,7 @@
 
     /// Starts the next write, if none is in flight.
     pub(super) fn start_writes(&mut self, now: Time) {
-        if self.find_successor(now).is_some() || self.pauses_writes_for_laggard(now) {
+        if self.find_successor(now).is_some() || self.must_pause_writes_for_lagging_replica(now) {
             return;
         }
         loop {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Applies a proposal locally and puts it in flight.
+    /// Applies a proposal locally and starts its replication.
     fn start_write(&mut self, now: Time, proposal: PendingProposal<S::Change>) {
         let base = self.latest.version;
         let epoch = self.acceptor.accepted.number;
@@ -82,7 +82,7 @@
 
     /// Whether the next write is delayed, so that a replica that is always a few changes behind can reach the
     /// newest version and join the in-sync set.
-    fn pauses_writes_for_laggard(&self, now: Time) -> bool {
+    fn must_pause_writes_for_lagging_replica(&self, now: Time) -> bool {
         let Some(leadership) = &self.leadership else { return false };
         let ack_timeout = self.settings.timings.ack_timeout;
         let is_in_pause = |since: Time| {
@@ -95,7 +95,7 @@
         })
     }
 
-    /// Whether every in-sync replica has the latest version on disk, and there are enough of them.
+    /// Whether there are enough in-sync replicas and all of them have the latest version on disk.
     fn is_replicated_to_all(&self) -> bool {
         let Some(leadership) = &self.leadership else { return false };
         let latest = self.latest.version;
@@ -109,7 +109,7 @@
         in_sync.len() >= self.settings.min_in_sync_replicas && in_sync.iter().all(has_latest)
     }
 
-    /// Commits the latest version once all in-sync replicas have it, and notifies the backups at once.
+    /// Commits the latest version once all in-sync replicas have it, and notifies the backups immediately.
     pub(super) fn commit_latest(&mut self, now: Time) {
         if !self.is_replicated_to_all() {
             return;
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Checks that what is committed now is on the own disk, and that every other in-sync replica has
-    /// acknowledged it in this epoch.
+    /// Checks that the version to be committed is on this keeper's disk, and that every other in-sync replica
+    /// has acknowledged it in this epoch.
     fn check_durable(&self) {
         let Some(leadership) = &self.leadership else { return };
         let latest = self.latest.version;
--- a/crates/replication/src/replica/reads.rs
+++ b/crates/replication/src/replica/reads.rs
@@ -1,4 +1,4 @@
-//! Reads at the primary: each is confirmed by a round of heartbeats that began after it.
+//! Reads on the primary: each is confirmed by a round of heartbeats that began after it.
 
 use std::collections::BTreeSet;
 
@@ -14,7 +14,7 @@
 
 impl<S: ReplicatedState> Replica<S> {
     /// Queues a read for a round of heartbeats that begins after it. While the round of an earlier read is in
-    /// progress, the next one begins when that has been answered, so many reads share one.
+    /// progress, the next round begins when a majority has answered it, so that many reads share one round.
     pub(super) fn handle_read(&mut self, now: Time, token: ReadToken) {
         let error = match &mut self.leadership {
             Some(leadership) if leadership.pending_reads.len() >= MAX_PENDING_READS => ReadError::Busy,
--- a/crates/replication/src/replica/timer.rs
+++ b/crates/replication/src/replica/timer.rs
@@ -1,4 +1,4 @@
-//! The one timer of a replica, and the election timeout.
+//! The timer of a replica and its election timeout.
 
 use juniperwing_clock::{Span, Time};
 
@@ -8,7 +8,7 @@
 use crate::state::ReplicatedState;
 
 impl<S: ReplicatedState> Replica<S> {
-    /// Requests a tick if the one requested has expired or would come too late.
+    /// Requests a tick if the requested one has expired or would be too late.
     pub(super) fn arm_timer(&mut self, now: Time) {
         let deadline =
             self.next_deadline(now).min(self.persistence.retry_at()).min(self.persistence.stall_deadline());
@@ -19,7 +19,7 @@
         }
     }
 
-    /// When the present stage has something to do if no message arrives.
+    /// The next time at which the current stage must act if no message arrives.
     fn next_deadline(&self, now: Time) -> Time {
         match &self.stage {
             Stage::Following if self.must_request_join(now) => self.join_retry_at.min(self.election_at),
@@ -32,8 +32,8 @@
         }
     }
 
-    /// How long to wait for a primary. The in-sync replicas wait one after the other, so that they do not
-    /// compete in one election.
+    /// Draws the time to wait for a primary. It increases with the position in the in-sync set, so that the
+    /// in-sync replicas do not compete in an election.
     pub(super) fn draw_election_timeout(&mut self) -> Span {
         let Timings { election_timeout, election_stagger, .. } = self.settings.timings;
         let position =
--- a/crates/replication/src/replica/voting.rs
+++ b/crates/replication/src/replica/voting.rs
@@ -1,4 +1,4 @@
-//! The acceptor's side of elections: votes, promises, acceptances, and which epochs are known.
+//! Elections on the side of the acceptor: votes, promises, acceptances, and known epochs.
 
 use std::net::SocketAddr;
 
@@ -61,7 +61,7 @@
         self.send_when_durable(to, ReplicationBody::Accepted { number });
     }
 
-    /// Rejects a request for an epoch number below the promise; `true` if it has.
+    /// Rejects a request for an epoch number below the promise. Returns whether it was rejected.
     pub(super) fn reject_below_promise(&mut self, to: SocketAddr, number: EpochNumber) -> bool {
         let promised = self.acceptor.promised;
         let is_rejected = number < promised;
@@ -71,14 +71,14 @@
         is_rejected
     }
 
-    /// Whether a primary, or a candidate that may become one, has sent something within the election
-    /// timeout.
+    /// Whether a message of a primary, or of a candidate that may become primary, has arrived within the
+    /// election timeout.
     pub(super) fn has_recent_primary(&self, now: Time) -> bool {
         let election_timeout = self.settings.timings.election_timeout;
         self.last_primary_contact_at.is_some_and(|at| now.since(at) < election_timeout)
     }
 
-    /// Records an epoch that another keeper knows, if it is newer than the one known.
+    /// Records an epoch that another keeper knows, if it is newer than the highest epoch known here.
     pub(super) fn observe_epoch(&mut self, epoch: &Epoch) {
         self.highest_number = self.highest_number.max(epoch.number);
         check(Invariant::EpochNumberIsUnique, is_same_epoch(epoch, &self.known_epoch), || {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Accepts an epoch. Replies that depend on it wait for the disk.
+    /// Accepts an epoch. Replies that depend on it must be deferred until it is on disk.
     pub(super) fn accept_epoch(&mut self, epoch: Epoch) {
         let min_number = self.acceptor.accepted.number.max(self.acceptor.promised);
         check(Invariant::EpochNeverDecreases, epoch.number >= min_number, || {
@@ -101,7 +101,7 @@
         self.persistence.mark_dirty();
     }
 
-    /// The accepted epoch is known to be chosen: its previous voters take part in no decision any more.
+    /// Records that the accepted epoch is chosen: its previous voters take no further part in decisions.
     pub(super) fn commit_epoch(&mut self) {
         if !self.acceptor.accepted.previous_voters.is_empty() {
             self.acceptor.accepted.previous_voters = Vec::new();
--- a/crates/replication/src/settings.rs
+++ b/crates/replication/src/settings.rs
@@ -13,26 +13,26 @@
 pub struct Settings {
     /// This keeper.
     pub local_voter: Voter,
-    /// Addresses of other keepers, in any order; at the first start those of the keepers that bootstrap the
-    /// tier.
+    /// Addresses of other keepers, in any order; at the first start, the addresses of all keepers that
+    /// bootstrap the tier.
     pub seeds: Vec<SocketAddr>,
     /// Whether this is the first start of the tier, on empty disks.
     pub bootstrap: bool,
-    /// The number of disks that must have a write before it is acknowledged, this keeper's included; at least
-    /// 1.
+    /// The number of disks, including this keeper's, that must hold a write before it is acknowledged; at
+    /// least 1.
     pub min_in_sync_replicas: usize,
     /// Intervals and timeouts.
     pub timings: Timings,
 }
 
 impl Settings {
-    /// The number of voters that are retained even if some have timed out: as many as bootstrapped the tier or are
-    /// needed for the required in-sync replicas.
+    /// The number of voters that are retained even if some have timed out: the number that bootstrapped the
+    /// tier or the number needed for the required in-sync replicas, whichever is larger.
     pub(crate) fn min_voters(&self) -> usize {
         self.seeds.len().max(2 * self.min_in_sync_replicas - 1)
     }
 
-    /// Whether one of `voters` may be dropped and as many losses are tolerated as before.
+    /// Whether one of `voters` may be dropped without tolerating fewer losses.
     pub(crate) fn can_drop_one_of(&self, voters: usize) -> bool {
         voters > self.min_voters() && voters.is_multiple_of(2)
     }
@@ -46,24 +46,24 @@
     /// The first backup starts a pre-vote after this time without a heartbeat; a primary steps down after
     /// this time without replies of a majority.
     pub election_timeout: Span,
-    /// How much longer than the previous one each further backup waits.
+    /// The additional time that each further backup waits compared to the previous one.
     pub election_stagger: Span,
     /// A backup that acknowledges nothing for this time leaves the in-sync set.
     pub ack_timeout: Span,
-    /// A voter that replies nothing for this time may be replaced by a keeper that requests to join.
+    /// A voter that does not reply for this time may be replaced by a keeper that requests to join.
     pub voter_timeout: Span,
     /// Interval between two requests to join.
     pub join_interval: Span,
     /// A pre-vote fails after this time, an election after twice this time.
     pub attempt_timeout: Span,
-    /// How long a candidate with a quorum waits for the promises of the other in-sync replicas.
+    /// The time that a candidate with a quorum waits for the promises of the other in-sync replicas.
     pub straggler_wait: Span,
     /// Delay before a request for a promise or acceptance is sent again.
     pub resend_interval: Span,
     /// The longest time that a proposal or a read may be pending.
     pub request_timeout: Span,
-    /// Bytes per millisecond on the slowest link that a complete state must be sent over: what has been in
-    /// flight for longer than that takes counts as lost.
+    /// Bytes per millisecond on the slowest link that must be supported. Data that has been in flight for
+    /// longer than the transfer takes on this link counts as lost.
     pub min_link_bytes_per_ms: f64,
 }
 
--- a/crates/replication/src/state.rs
+++ b/crates/replication/src/state.rs
@@ -16,7 +16,7 @@
     /// Applies a change.
     fn apply(&mut self, change: &Self::Change);
 
-    /// Encodes the state, for the disk and for replicas that lag.
+    /// Encodes the state, for the disk and for lagging replicas.
     fn encode(&self) -> Vec<u8>;
 
     /// Decodes a state.
--- a/crates/replication/src/state_transfer.rs
+++ b/crates/replication/src/state_transfer.rs
@@ -1,9 +1,9 @@
-//! What is sent to a replica that lags: the changes that it lacks where they are retained, otherwise the
+//! The transfer of state to a lagging replica: the changes that it lacks if they are retained, otherwise the
 //! complete state.
 //!
-//! What is in flight to a replica is not sent again before it must have arrived, however large it is; later
-//! changes are sent behind it. So changes that come faster than a snapshot is transferred do not keep a
-//! replica from catching up, and the number of bytes in flight to it is bounded.
+//! Data in flight to a replica is not resent before it must have arrived, regardless of its size; later
+//! changes are sent after it. A replica can therefore catch up even if changes are made faster than a
+//! snapshot is transferred, and the number of bytes in flight to it is bounded.
 
 use juniperwing_clock::{Span, Time};
 use juniperwing_protocol::EpochNumber;
@@ -11,25 +11,25 @@
 
 use crate::recent_changes::{RecentChanges, RetainedChange};
 
-/// The limit of bytes in flight to one replica, as a multiple of the size of the state...
+/// The variable part of the limit of bytes in flight to one replica, as a multiple of the size of the state.
 const MAX_STATES_IN_FLIGHT: usize = 2;
-/// ... plus this number of bytes.
+/// The constant part of the limit of bytes in flight to one replica.
 const MAX_BYTES_IN_FLIGHT: usize = 64 << 10;
 
-/// What is in flight to a replica.
+/// The data in flight to a replica.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StateTransfer {
     /// The version that the replica had when it last made progress.
     acknowledged: Version,
-    /// The version that it will have.
+    /// The version that it will have once the data has arrived.
     target: Version,
     /// Bytes that it has not acknowledged.
     bytes_in_flight: usize,
-    /// When they count as lost.
+    /// When these bytes count as lost.
     lost_at: Time,
 }
 
-/// What the decision on the next transfer depends on.
+/// The input of the decision on the next transfer.
 pub(crate) struct TransferPlanner<'a> {
     pub(crate) now: Time,
     pub(crate) epoch: EpochNumber,
@@ -38,15 +38,15 @@
     /// The primary's state, encoded.
     pub(crate) state: &'a [u8],
     pub(crate) changes: &'a RecentChanges,
-    /// How long an acknowledgement may take in addition to the transfer.
+    /// The time that an acknowledgement may take in addition to the transfer.
     pub(crate) resend_interval: Span,
     /// Bytes per millisecond on the slowest link.
     pub(crate) link_bytes_per_ms: f64,
 }
 
 impl TransferPlanner<'_> {
-    /// The message to send now to a replica that has acknowledged `acknowledged`; updates what is in flight
-    /// to it.
+    /// Returns the message to send now to a replica that has acknowledged the version `acknowledged`, and
+    /// updates the data in flight to it.
     pub(crate) fn next_message(
         &self, in_flight: &mut Option<StateTransfer>, acknowledged: Version,
     ) -> Option<ReplicationBody> {
@@ -72,7 +72,7 @@
         Some(body)
     }
 
-    /// What is left of a transfer; `None` if all of it has arrived or the rest counts as lost.
+    /// The remainder of a transfer; `None` if all of it has arrived or the remainder counts as lost.
     fn remaining_transfer(
         &self, mut transfer: StateTransfer, acknowledged: Version,
     ) -> Option<StateTransfer> {
@@ -93,12 +93,12 @@
         MAX_STATES_IN_FLIGHT * self.state.len() + MAX_BYTES_IN_FLIGHT
     }
 
-    /// How long the slowest link takes.
+    /// The transfer time on the slowest link.
     fn transfer_time(&self, bytes: usize) -> Span {
         Span::from_millis((bytes as f64 / self.link_bytes_per_ms) as u64)
     }
 
-    /// One missing change, or all of them in one message so that they cannot be reordered.
+    /// A message with the missing changes. All of them are in one message so that they cannot be reordered.
     fn changes_message<'m>(
         &self, base: Version, changes: impl Iterator<Item = &'m RetainedChange>,
     ) -> ReplicationBody {
--- a/crates/replication/tests/catch_up.rs
+++ b/crates/replication/tests/catch_up.rs
@@ -1,14 +1,15 @@
-//! A keeper that was down catches up while changes are made faster than the complete state is transmitted.
+//! Tests that a restarted keeper catches up while changes are made faster than the complete state is
+//! transferred.
 
 mod common;
 
 use common::Simulation;
 use juniperwing_clock::Span;
 
-/// Slow enough that the complete state takes as long as several changes.
+/// Slow enough that the transfer of the complete state takes as long as several changes.
 const LINK_BYTES_PER_MS: u64 = 5;
 
-/// Two keepers have made `changes` changes while the third was down; the links are slow.
+/// Runs two keepers for `changes` changes while the third is down, and then slows the links down.
 fn run_without_one_keeper(seed: u64, changes: usize) -> (Simulation, usize) {
     let mut simulation = Simulation::new(seed, 3, 2);
     simulation.timings.min_link_bytes_per_ms = LINK_BYTES_PER_MS as f64;
@@ -24,7 +25,7 @@
     (simulation, absent)
 }
 
-/// How long the absent keeper takes to be in sync, in milliseconds, and the bytes sent meanwhile.
+/// Starts the absent keeper; returns the milliseconds until it is in sync and the bytes sent meanwhile.
 fn catch_up(simulation: &mut Simulation, absent: usize) -> (u64, u64) {
     let started_at = simulation.now;
     let bytes_before = simulation.bytes_sent;
@@ -33,8 +34,8 @@
     (simulation.now.since(started_at).as_nanos() / 1_000_000, simulation.bytes_sent - bytes_before)
 }
 
-/// Fails without retained changes (snapshots alone never reach the newest version), and if what is in flight
-/// counts as lost before a slow link can have transmitted it.
+/// Fails without retained changes, because snapshots alone never reach the newest version, and if data in
+/// flight counts as lost before a slow link can have transmitted it.
 #[test]
 fn restarted_keeper_catches_up_after_hundreds_of_changes() {
     for (changes, max_ms) in [(1, 2_000), (100, 2_000), (300, 2_500), (500, 3_000)] {
@@ -46,7 +47,7 @@
     }
 }
 
-/// Fails without retained changes: snapshots alone amounted to five times the state.
+/// Fails without retained changes: snapshots alone sent five times the size of the state.
 #[test]
 fn keeper_with_an_empty_disk_is_sent_the_state_about_once() {
     for seed in 0..10 {
@@ -59,7 +60,7 @@
     }
 }
 
-/// Fails without retained changes: it never catches up.
+/// Fails without retained changes, because the keeper then never catches up.
 #[test]
 fn keeper_does_not_become_primary_before_it_has_caught_up() {
     for seed in 0..10 {
--- a/crates/replication/tests/common/consistency_checker.rs
+++ b/crates/replication/tests/common/consistency_checker.rs
@@ -1,4 +1,4 @@
-//! Checks what keepers commit, acknowledge, reject and read.
+//! Checks the consistency of committed states, acknowledgements, rejections and reads.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -35,16 +35,20 @@
         self.committed_by_process.remove(&machine);
     }
 
-    /// A keeper reports a committed state.
+    /// Checks a committed state that a keeper reports.
     pub fn state_committed(&mut self, machine: usize, version: Version, state: &Log) {
-        assert_eq!(state.0.len() as u64, version.sequence, "the sequence counts all writes");
+        assert_eq!(
+            state.0.len() as u64,
+            version.sequence,
+            "the sequence number differs from the number of writes"
+        );
         let common = state.0.len().min(self.committed.len());
-        assert_eq!(state.0[..common], self.committed[..common], "a committed write is lost");
+        assert_eq!(state.0[..common], self.committed[..common], "a committed write was lost");
         if state.0.len() > self.committed.len() {
             self.committed = state.0.clone();
         }
         let first = *self.versions.entry(version.sequence).or_insert(version);
-        assert_eq!(first, version, "two versions of one list");
+        assert_eq!(first, version, "one committed list has two versions");
         let before = self.committed_by_process.insert(machine, version);
         assert!(before.is_none_or(|before| before <= version), "the version of keeper {machine} decreases");
         let rejected = state.0.iter().find(|entry| self.rejected.contains(entry));
@@ -60,17 +64,21 @@
         match outcome {
             Ok(version) => {
                 let base = base.expect("a pending proposal");
-                assert_eq!(base.sequence + 1, version.sequence, "applied to another base");
+                assert_eq!(base.sequence + 1, version.sequence, "the change was applied to another base");
                 let committed = self.versions.get(&base.sequence);
                 assert!(committed.is_none_or(|committed| *committed == base), "the base is not committed");
                 let position = version.sequence as usize - 1;
-                assert_eq!(self.committed.get(position), Some(&token.0), "acknowledged, not committed");
-                assert!(self.acknowledged.insert(token.0), "acknowledged twice");
+                assert_eq!(
+                    self.committed.get(position),
+                    Some(&token.0),
+                    "the acknowledged change is not committed"
+                );
+                assert!(self.acknowledged.insert(token.0), "the change was acknowledged twice");
                 self.acknowledged_length = self.acknowledged_length.max(version.sequence);
             }
             Err(ProposeError::Unknown) => {}
             Err(_) => {
-                assert!(!self.committed.contains(&token.0), "rejected, but has taken effect");
+                assert!(!self.committed.contains(&token.0), "the rejected change has taken effect");
                 self.rejected.insert(token.0);
             }
         }
@@ -87,7 +95,10 @@
         let min_length = self.pending_reads.remove(&token).expect("a pending read");
         if outcome.is_ok() {
             let length = committed.expect("a committed state").sequence;
-            assert!(length >= min_length, "read {length} after {min_length} was acknowledged");
+            assert!(
+                length >= min_length,
+                "a read returned length {length}, but {min_length} was acknowledged before it"
+            );
             self.confirmed_reads += 1;
         }
     }
--- a/crates/replication/tests/common/disk.rs
+++ b/crates/replication/tests/common/disk.rs
@@ -1,4 +1,4 @@
-//! Disks: writes that succeed, fail, take long or never end.
+//! Simulated disks: writes succeed, fail, are slow or never complete.
 
 use juniperwing_clock::Span;
 use juniperwing_replication::{Event, PersistToken, Record};
@@ -40,12 +40,12 @@
         self.handle_event(machine, Event::Persisted(token));
     }
 
-    /// The disk of a machine completes nothing until [`Simulation::release_disk`].
+    /// Stalls the disk of a machine: it completes no write until [`Simulation::release_disk`].
     pub fn stall_disk(&mut self, machine: usize) {
         self.stalled_disks.insert(machine);
     }
 
-    /// A stalled disk works again, and completes the write that was started meanwhile.
+    /// Ends the stall of a disk, which then completes the pending write.
     pub fn release_disk(&mut self, machine: usize) {
         self.stalled_disks.remove(&machine);
         if let Some((token, _)) = self.machines[machine].pending_write {
--- a/crates/replication/tests/common/event_queue.rs
+++ b/crates/replication/tests/common/event_queue.rs
@@ -11,10 +11,10 @@
 use super::log::Log;
 use super::simulation::Simulation;
 
-/// The number of steps at one moment above which a keeper is taken to wake itself for nothing.
-const MAX_STEPS_WITHOUT_TIME: u32 = 10_000;
+/// The number of steps without an advance of virtual time above which a keeper counts as busy-looping.
+const MAX_STEPS_PER_INSTANT: u32 = 10_000;
 
-/// What happens at a scheduled time.
+/// An event that is scheduled for a certain time.
 #[derive(Clone, Debug)]
 pub(super) enum ScheduledEvent {
     Deliver { to: SocketAddr, message: ReplicationMessage },
@@ -25,13 +25,13 @@
     GenerateLoad,
 }
 
-/// Events in the order of their times; those of one moment in the order in which they were scheduled.
+/// Events ordered by time; events of the same time in the order in which they were scheduled.
 #[derive(Default)]
 pub(super) struct EventQueue {
     times: BinaryHeap<Reverse<(Time, u64)>>,
     events: BTreeMap<u64, ScheduledEvent>,
     last_id: u64,
-    steps_without_time: u32,
+    steps_at_instant: u32,
 }
 
 impl EventQueue {
@@ -60,7 +60,7 @@
         self.queue.push(time, event);
     }
 
-    /// Passes an event to a keeper as soon as it is not frozen.
+    /// Passes an event to a keeper as soon as the keeper is not frozen.
     pub fn schedule_event(&mut self, machine: usize, event: Event<Log>) {
         self.schedule_at(self.now, ScheduledEvent::HandleEvent { machine, event });
     }
@@ -76,7 +76,7 @@
         self.now = end;
     }
 
-    /// Runs until `condition` holds, for `limit` at most; whether it holds.
+    /// Runs until `condition` is true, but no longer than `limit`. Returns whether it is true.
     pub fn run_until(&mut self, limit: Span, condition: impl Fn(&Simulation) -> bool) -> bool {
         let end = self.now + limit;
         while !condition(self) {
@@ -92,11 +92,11 @@
 
     fn step(&mut self) {
         let Some((time, event)) = self.queue.pop() else { return };
-        let steps = &mut self.queue.steps_without_time;
+        let steps = &mut self.queue.steps_at_instant;
         *steps = if time > self.now { 0 } else { *steps + 1 };
-        let has_progress = *steps < MAX_STEPS_WITHOUT_TIME;
+        let has_progress = *steps < MAX_STEPS_PER_INSTANT;
         self.now = self.now.max(time);
-        assert!(has_progress, "{event:?} for nothing\n{}", self.describe());
+        assert!(has_progress, "busy loop at {event:?}\n{}", self.describe());
         if let Some(machine) = self.target_machine(&event)
             && self.is_frozen(machine)
         {
--- a/crates/replication/tests/common/load.rs
+++ b/crates/replication/tests/common/load.rs
@@ -8,8 +8,8 @@
 use super::simulation::Simulation;
 
 impl Simulation {
-    /// Proposes or reads at a random machine, or in half of the cases at the primary, so that it always has
-    /// load.
+    /// Proposes or reads at a random machine, or in half of the cases at the primary, so that the primary
+    /// always has load.
     pub(super) fn generate_load(&mut self) {
         let interval = random_span(&mut self.rng, 5, 40);
         self.schedule_after(interval, ScheduledEvent::GenerateLoad);
@@ -30,7 +30,7 @@
         self.propose(index, ProposeToken(token), base);
     }
 
-    /// Proposes a change that is unique to `token`.
+    /// Proposes a change whose value is `token`, so that it is unique.
     pub fn propose(&mut self, machine: usize, token: ProposeToken, base: Version) {
         self.checker.proposal_started(token, base);
         self.handle_event(machine, Event::Propose { token, base, change: token.0 });
--- a/crates/replication/tests/common/log.rs
+++ b/crates/replication/tests/common/log.rs
@@ -1,4 +1,4 @@
-//! The state that the tests replicate: the list of all changes.
+//! The replicated state of the tests: a list of all changes.
 
 use juniperwing_replication::{MalformedState, ReplicatedState};
 
--- a/crates/replication/tests/common/machine.rs
+++ b/crates/replication/tests/common/machine.rs
@@ -1,4 +1,4 @@
-//! Machines: their processes, disks and clocks, and the faults that strike them.
+//! Simulated machines: their processes, disks and clocks, and faults of these.
 
 use juniperwing_clock::{Span, Time};
 use juniperwing_protocol::DiskId;
@@ -16,17 +16,17 @@
     pub voter: Voter,
     /// The running process.
     pub replica: Option<Replica<Log>>,
-    /// What is on disk.
+    /// The contents of the disk.
     pub record: Option<Record>,
-    /// Whether the machine has been taken away for good.
+    /// Whether the machine has been permanently removed.
     pub is_removed: bool,
     pub(super) pending_write: Option<(PersistToken, Record)>,
-    /// Counts the processes that have run here.
+    /// Incremented at every kill, so that events of an earlier process are recognized.
     pub(super) incarnation: u64,
     pub(super) frozen_until: Time,
-    /// Whether its clock stands still while it is frozen.
+    /// Whether its clock is stopped while it is frozen.
     is_clock_stopped: bool,
-    /// By how much its clock has fallen behind in such freezes.
+    /// The time by which its clock lags because of such freezes.
     pub(super) clock_lag: Span,
     bootstrap: bool,
 }
@@ -54,7 +54,7 @@
         index
     }
 
-    /// Starts the keeper of a machine after `delay`, unless it runs already then.
+    /// Starts the keeper of a machine after `delay`, unless it is running by then.
     pub fn start_after(&mut self, machine: usize, delay: Span) {
         self.schedule_after(delay, ScheduledEvent::StartProcess { machine });
     }
@@ -80,7 +80,8 @@
         self.handle_event(index, Event::Tick);
     }
 
-    /// The seeds of the first start for machines that bootstrap; later, machines of the present.
+    /// The seeds for a machine: those of the first start if it bootstraps, otherwise machines that are not
+    /// removed.
     fn seeds_of(&self, index: usize) -> Vec<std::net::SocketAddr> {
         if self.machines[index].bootstrap {
             return self.seeds.clone();
@@ -89,7 +90,7 @@
         present.map(|machine| machine.voter.address).take(self.seeds.len()).collect()
     }
 
-    /// Ends a keeper's process; a write in progress reaches the disk or not.
+    /// Kills a keeper's process; a write in progress may or may not reach the disk.
     pub fn kill(&mut self, index: usize) {
         let reaches_disk = self.rng.one_in(2);
         let machine = &mut self.machines[index];
@@ -115,22 +116,23 @@
         machine.voter.disk = disk;
     }
 
-    /// Takes a machine away for good.
+    /// Permanently removes a machine.
     pub fn remove(&mut self, index: usize) {
         self.kill(index);
         self.machines[index].is_removed = true;
     }
 
-    /// Prepares a keeper for shutdown, and waits until it can shut down, for `grace` at most. It still runs.
-    pub fn prepare_shutdown(&mut self, index: usize, grace: Span) -> bool {
+    /// Prepares a keeper for shutdown and waits until it can shut down, but no longer than `limit`. The
+    /// process continues to run.
+    pub fn prepare_shutdown(&mut self, index: usize, limit: Span) -> bool {
         self.handle_event(index, Event::PrepareShutdown);
-        self.run_until(grace, |simulation| {
+        self.run_until(limit, |simulation| {
             let replica = simulation.machines[index].replica.as_ref();
             replica.is_none_or(Replica::can_shut_down)
         })
     }
 
-    /// Freezes a machine; its clock goes on.
+    /// Freezes a machine; its clock continues to run.
     pub fn freeze(&mut self, index: usize, span: Span) {
         if !self.is_frozen(index) {
             self.machines[index].frozen_until = self.now + span;
@@ -138,7 +140,7 @@
         }
     }
 
-    /// Freezes a machine and its clock: for it, no time passes meanwhile.
+    /// Freezes a machine and stops its clock, so that the machine observes no passage of time.
     pub fn freeze_with_clock(&mut self, index: usize, span: Span) {
         if !self.is_frozen(index) {
             self.freeze(index, span);
--- a/crates/replication/tests/common/mod.rs
+++ b/crates/replication/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! A simulated network of keepers in virtual time: delay, loss, duplication and reordering of messages,
-//! network partitions, kills, losses of power and of disks, freezes, replaced machines. A seed determines
-//! everything.
+//! network partitions, kills, losses of power and of disks, freezes, replaced machines. Each run is
+//! determined by its seed.
 
 #![allow(dead_code)]
 
@@ -18,7 +18,7 @@
 
 pub use simulation::Simulation;
 
-/// How soon all machines are in sync again after a fault.
+/// The maximum time until all machines are in sync again after a fault.
 pub const MAX_FULL_REPLICATION_TIME: Span = Span::from_millis(8_000);
 
 /// Three keepers of which two must be in sync, some time after their start, and the index of the primary.
--- a/crates/replication/tests/common/network.rs
+++ b/crates/replication/tests/common/network.rs
@@ -1,4 +1,4 @@
-//! The network: conditions, blocked links, delays.
+//! The simulated network: conditions, blocked links, delays.
 
 use std::net::SocketAddr;
 
@@ -86,7 +86,8 @@
         machine.and_then(|machine| self.extra_latencies.get(&machine).copied()).unwrap_or_default()
     }
 
-    /// When a slow link has transmitted a change or a state; these queue there.
+    /// The time at which a slow link has transmitted a message with changes or a state, after those queued
+    /// before it.
     fn transmission_end(&mut self, from: usize, to: SocketAddr, message: &ReplicationMessage) -> Time {
         let bytes = match &message.body {
             ReplicationBody::Write { change, .. } => change.len(),
--- a/crates/replication/tests/common/simulation.rs
+++ b/crates/replication/tests/common/simulation.rs
@@ -1,4 +1,4 @@
-//! The simulated tier: its machines, the network between them, and what the tests expect of it.
+//! The simulated tier: its machines, the network between them, and common expectations of the tests.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -28,9 +28,9 @@
     pub extra_latencies: BTreeMap<usize, Span>,
     /// Whether some writes to disk fail.
     pub has_failing_disks: bool,
-    /// Whether some writes to disk take long.
+    /// Whether some writes to disk are slow.
     pub has_slow_disks: bool,
-    /// Machines whose disk completes nothing.
+    /// Machines whose disk completes no write.
     pub(super) stalled_disks: BTreeSet<usize>,
     /// Bytes of changes and states that a link transmits per millisecond; `None` for no limit.
     pub link_bytes_per_ms: Option<u64>,
@@ -46,7 +46,7 @@
 }
 
 impl Simulation {
-    /// `seeds` keepers that bootstrap the tier, started within 0.3 s in any order.
+    /// Creates a tier with `seeds` keepers that bootstrap it and start within 0.3 s in any order.
     pub fn new(seed: u64, seeds: usize, min_in_sync_replicas: usize) -> Simulation {
         let mut simulation = Simulation {
             now: Time::from_nanos(1_000_000_000),
@@ -80,7 +80,7 @@
         self.machines[machine].replica.as_ref().expect("a running process")
     }
 
-    /// Passes an event to a keeper, if it runs, and executes its commands.
+    /// Passes an event to a keeper, if it is running, and executes its commands.
     pub fn handle_event(&mut self, machine: usize, event: Event<Log>) {
         let local_now = self.now - self.machines[machine].clock_lag;
         let Some(replica) = self.machines[machine].replica.as_mut() else { return };
@@ -114,7 +114,8 @@
         }
     }
 
-    /// Ends all faults: all machines that are left run, no link is blocked, nothing is frozen.
+    /// Ends all faults except stalled disks and slow links: no link is blocked, no machine is frozen, and all
+    /// machines that are not removed are started.
     pub fn heal(&mut self) {
         self.blocked_links.clear();
         self.network = RELIABLE_NETWORK;
@@ -129,16 +130,17 @@
         }
     }
 
-    /// The machine whose keeper serves as primary; of several, the one that knows the highest epoch.
+    /// The machine whose keeper serves as primary; if there are several, the one that knows the highest
+    /// epoch.
     pub fn primary(&self) -> Option<usize> {
         let is_primary = |machine: &Machine| machine.replica.as_ref().is_some_and(Replica::is_primary);
         let primaries = (0..self.machines.len()).filter(|index| is_primary(&self.machines[*index]));
         primaries.max_by_key(|index| self.replica(*index).epoch().number)
     }
 
-    /// Whether a primary serves, all machines that have not been removed are voters and in sync, and the next
-    /// loss of as many machines as are to be tolerated leaves a majority. (A removed voter may stay where it
-    /// makes their number odd.)
+    /// Whether a primary serves, all machines that are not removed are voters and in sync, and the next loss
+    /// of as many machines as must be tolerated leaves a majority. A removed machine may remain a voter if
+    /// that makes the number of voters odd.
     pub fn is_fully_replicated(&self) -> bool {
         let Some(primary) = self.primary() else { return false };
         let replica = self.replica(primary);
@@ -149,12 +151,12 @@
         in_sync.sort_unstable();
         let voters = replica.voters();
         let all_vote = expected.iter().all(|disk| voters.iter().any(|voter| voter.disk == *disk));
-        let left = expected.len() + 1 - self.min_in_sync_replicas;
+        let remaining = expected.len() + 1 - self.min_in_sync_replicas;
         let is_committed = replica.epoch().previous_voters.is_empty();
-        is_committed && all_vote && in_sync == expected && 2 * left > voters.len()
+        is_committed && all_vote && in_sync == expected && 2 * remaining > voters.len()
     }
 
-    /// The state of every keeper, for the report of a failure.
+    /// Describes the state of every keeper, for failure messages.
     pub fn describe(&self) -> String {
         let mut lines = vec![format!("at {} ms", self.now.since(Time::default()).as_nanos() / 1_000_000)];
         let machines = self.machines.iter().enumerate();
@@ -180,13 +182,13 @@
         )
     }
 
-    /// The machines that have those disks; `None` where a disk is lost.
+    /// The indices of the machines with those disks; `None` for a lost disk.
     fn machine_indices<'a>(&self, disks: impl Iterator<Item = &'a DiskId>) -> Vec<Option<usize>> {
         let index = |disk: &DiskId| self.machines.iter().position(|machine| machine.voter.disk == *disk);
         disks.map(index).collect()
     }
 
-    /// Runs until a change that was acknowledged after now.
+    /// Runs until a further change is acknowledged; panics if that takes longer than `limit`.
     pub fn expect_progress(&mut self, limit: Span, fault: &str) {
         let before = self.checker.acknowledged_count();
         let has_progress =
@@ -194,7 +196,7 @@
         assert!(has_progress, "no progress after {fault}\n{}", self.describe());
     }
 
-    /// Runs until all machines are in sync.
+    /// Runs until the tier is fully replicated; panics if that takes longer than `limit`.
     pub fn expect_fully_replicated(&mut self, limit: Span, fault: &str) {
         let is_replicated = self.run_until(limit, Simulation::is_fully_replicated);
         assert!(is_replicated, "not fully replicated after {fault}\n{}", self.describe());
--- a/crates/replication/tests/consecutive_losses.rs
+++ b/crates/replication/tests/consecutive_losses.rs
@@ -1,5 +1,6 @@
-//! A first loss, repair, replacement or growth, and then the next loss, at every moment from which on the
-//! fault model allows it: a member counts as lost until it, or its replacement, has run for `CATCH_UP_TIME`.
+//! Tests of a first loss, repair, replacement or growth, followed by the next loss after various delays from
+//! the earliest time at which the fault model allows it: a member counts as lost until it, or its
+//! replacement, has run for `CATCH_UP_TIME`.
 
 mod common;
 
@@ -10,17 +11,17 @@
 use juniperwing_clock::Span;
 use juniperwing_replication::ProposeToken;
 
-/// A member counts as repaired so long after its start (`catchUpS` of the deployments).
+/// A member counts as repaired this long after its start (`catchUpS` of the deployments).
 const CATCH_UP_TIME: Span = Span::from_millis(4_100);
 
-/// How long the shutdown of a member may take.
+/// The maximum duration of the shutdown of a member.
 const MAX_SHUTDOWN_TIME: Span = Span::from_millis(6_000);
 
-/// How soon a change is acknowledged after a loss that has to be tolerated.
+/// The maximum time until a change is acknowledged after a loss that must be tolerated.
 const MAX_FAILOVER_TIME: Span = Span::from_millis(2_500);
 
-/// Delays of the next loss after the first moment at which it is allowed, in milliseconds, up to twice the
-/// time of a repair.
+/// Delays of the next loss after the earliest time at which it is allowed, in milliseconds, up to twice the
+/// repair time.
 const LOSS_DELAYS_MS: [u64; 13] = [0, 5, 15, 40, 90, 160, 300, 500, 900, 1_300, 2_000, 4_100, 8_200];
 
 /// The kind of the next loss.
@@ -37,13 +38,13 @@
 const LOSSES: [Loss; 6] =
     [Loss::Kill, Loss::ReplaceDisk, Loss::Isolate, Loss::BlockInbound, Loss::BlockOutbound, Loss::Freeze];
 
-/// The machine that a loss strikes.
+/// The machine that is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Victim {
     Primary,
-    /// A backup that was there from the start.
+    /// A backup other than the newest machine.
     OldBackup,
-    /// The machine that came last.
+    /// The machine that was added last.
     Newest,
 }
 
@@ -75,7 +76,7 @@
     }
 }
 
-/// Runs every kind of next loss on every victim after every delay, each after `first_fault`.
+/// Runs `first_fault` and then each combination of a loss, a victim and a delay.
 fn run_all_losses(
     seeds: usize, machines: usize, min_in_sync_replicas: usize,
     first_fault: impl Fn(&mut Simulation, u64) + Sync,
@@ -105,7 +106,7 @@
             });
         }
     });
-    println!("acknowledged again after {} ms at most", longest_pause_ms.load(Ordering::Relaxed));
+    println!("longest time until a change was acknowledged: {} ms", longest_pause_ms.load(Ordering::Relaxed));
 }
 
 fn start_simulation(seed: u64, seeds: usize, machines: usize, min_in_sync_replicas: usize) -> Simulation {
@@ -118,7 +119,7 @@
     simulation
 }
 
-/// The primary or a backup, by seed.
+/// The primary or a backup, depending on the seed.
 fn pick_member(simulation: &Simulation, seed: u64) -> usize {
     let primary = simulation.primary().expect("a primary");
     let rank = seed as usize % 2;
@@ -128,15 +129,15 @@
 fn shut_down(simulation: &mut Simulation, member: usize) {
     assert!(
         simulation.prepare_shutdown(member, MAX_SHUTDOWN_TIME),
-        "it cannot shut down\n{}",
+        "member {member} cannot shut down\n{}",
         simulation.describe()
     );
     simulation.remove(member);
 }
 
-// Guards: `epoch_plan.rs`, `drop_surplus_voters` and `find_replaced_voter` (a member that leaves counts as
-// silent at once); `replica/join.rs`, `must_request_join` (it sends no join request); `replica/handover.rs`,
-// `can_shut_down` (it waits until its vote does not count).
+// Guards: `epoch_plan.rs`, `drop_surplus_voters` and `find_replaced_voter` (a member that is leaving is
+// treated like one that has timed out); `replica/join.rs`, `must_request_join` (it sends no join request);
+// `replica/handover.rs`, `can_shut_down` (it waits until its vote is no longer needed).
 #[test]
 fn loss_after_a_planned_replacement_is_tolerated() {
     run_all_losses(3, 3, 2, |simulation, seed| {
@@ -204,15 +205,15 @@
         assert_ne!(primary, isolated);
         let voters = simulation.replica(primary).voters();
         assert!(voters.iter().all(|voter| voter.disk != old_disk), "{}", simulation.describe());
-        // It returns, requests to join, and shuts down.
+        // The isolated member returns, requests to join, and shuts down.
         simulation.blocked_links.clear();
         simulation.run_for(CATCH_UP_TIME);
         shut_down(simulation, isolated);
     });
 }
 
-// Guard: `settings.rs`, `can_drop_one_of` and `epoch_plan.rs`, `drop_surplus_voters`: five of six voters
-// stay.
+// Guards: `settings.rs`, `can_drop_one_of` and `epoch_plan.rs`, `drop_surplus_voters`: five of six voters
+// remain.
 #[test]
 fn simultaneous_loss_of_two_of_five_after_a_replacement_is_tolerated() {
     for seed in 0..60 {
@@ -232,11 +233,12 @@
     }
 }
 
-/// The member that leaves and one backup have the newest state; the third has been isolated and returns while
-/// the member shuts down. Then the backup loses its disk.
-// Guards: `replica/handover.rs`, `find_successor` (a primary continues while nobody can take over) and
-// `can_shut_down` (`has_enough_replicas`); `replica/epoch_change.rs`, `change_epoch` (it admits replicas
-// meanwhile).
+/// Guards against a shutdown that leaves the newest state on a single disk: the member that shuts down and
+/// one backup have the newest state, while the third member was isolated and returns during the shutdown.
+/// Then the backup loses its disk.
+// Guards: `replica/handover.rs`, `find_successor` (a primary continues while no other keeper can take over)
+// and `can_shut_down` (`has_enough_replicas`); `replica/epoch_change.rs`, `change_epoch` (the primary admits
+// replicas meanwhile).
 #[test]
 fn member_that_shuts_down_leaves_more_than_one_replica() {
     for seed in 0..120 {
@@ -268,7 +270,8 @@
     }
 }
 
-/// A primary whose in-sync backups are unreachable continues until another replica has caught up.
+/// A primary that shuts down while its in-sync backups are unreachable continues until another replica has
+/// caught up.
 #[test]
 fn primary_without_a_successor_shuts_down_only_after_it_has_one() {
     for seed in 0..60 {
@@ -288,7 +291,7 @@
     }
 }
 
-/// A rolling restart: each member prepares for shutdown, ends when it can, and starts again soon.
+/// A rolling restart: each member prepares for shutdown, exits once it can, and restarts shortly afterwards.
 #[test]
 fn loss_after_a_rolling_restart_is_tolerated() {
     run_all_losses(3, 3, 2, |simulation, seed| {
@@ -304,9 +307,9 @@
     });
 }
 
-/// A member that was isolated for hundreds of changes receives them while more are made, and can become
-/// primary only then.
-// Guard: `replica.rs`, `is_eligible`, `in_sync`: out of sync it starts no election.
+/// A member that was isolated for hundreds of changes catches up while more are made, and cannot become
+/// primary before that.
+// Guard: `replica.rs`, `is_eligible`, `in_sync`: a member that is out of sync starts no election.
 #[test]
 fn isolated_member_catches_up_before_it_becomes_primary() {
     for seed in 0..30 {
@@ -321,11 +324,11 @@
         assert!(reached, "seed {seed}");
         simulation.blocked_links.clear();
         if seed % 2 == 0 {
-            // The others are lost before it has caught up: no keeper may serve.
+            // The others are lost before the member has caught up: no keeper may serve.
             simulation.kill(primary);
             simulation.kill(backup);
             simulation.run_for(Span::from_millis(5_000));
-            assert_eq!(simulation.primary(), None, "seed {seed}: it is primary with a stale state");
+            assert_eq!(simulation.primary(), None, "seed {seed}: a member with a stale state is primary");
             simulation.heal();
         }
         simulation.expect_fully_replicated(Span::from_millis(5_000), "300 changes");
@@ -334,8 +337,8 @@
     }
 }
 
-/// Proposes one change after the other at the primary until the tier is fully replicated; returns their
-/// number.
+/// Proposes changes one after another at the primary until the tier is fully replicated; returns the number
+/// of proposals.
 fn propose_until_fully_replicated(simulation: &mut Simulation, limit: Span) -> u64 {
     const FIRST_TOKEN: u64 = 1 << 40;
     let end = simulation.now + limit;
@@ -351,9 +354,9 @@
     proposals
 }
 
-/// Changes are made faster than the state reaches a distant member.
-// Guard: `replica/proposals.rs`, `pauses_writes_for_laggard`: without it, the member always lacks some
-// changes.
+/// A member with a high latency gets in sync although changes are made faster than the state reaches it.
+// Guard: `replica/proposals.rs`, `must_pause_writes_for_lagging_replica`: without it, the member always lacks
+// some changes.
 #[test]
 fn distant_member_gets_in_sync_under_constant_load() {
     for seed in 0..30 {
--- a/crates/replication/tests/epoch_model/acceptor_rules.rs
+++ b/crates/replication/tests/epoch_model/acceptor_rules.rs
@@ -1,11 +1,11 @@
-//! The rules of acceptors and backups: what a member does with a message of a candidate or a primary.
+//! The rules of acceptors and backups: how a member handles messages of a candidate or a primary.
 
 use super::member_set::MemberSet;
 use super::rules::{Mutation, Rules};
 use super::state::{Epoch, EpochNumber, Keeper, Log, MEMBER_COUNT, Message, ModelState, Stage};
 
 impl Rules {
-    /// A candidate requests a promise.
+    /// Handles a candidate's request for a promise.
     pub fn handle_prepare(&self, state: &mut ModelState, member: u8, number: EpochNumber) {
         if number < state.keeper(member).promised {
             return;
@@ -18,7 +18,7 @@
         state.send(Message::Promise { number, from: member, accepted, log });
     }
 
-    /// A candidate requests that its epoch be accepted.
+    /// Handles a candidate's request to accept its epoch.
     pub fn handle_accept(&self, state: &mut ModelState, member: u8, epoch: Epoch) {
         let keeper = state.keeper(member);
         if epoch.number < keeper.promised && !self.has_mutation(Mutation::AcceptsBelowPromise) {
@@ -31,7 +31,7 @@
         self.record_accepted(state, member, epoch);
     }
 
-    /// The heartbeat of a primary arrives. Its epoch is chosen.
+    /// Handles the heartbeat of a primary, whose epoch is chosen.
     pub fn handle_heartbeat(&self, state: &mut ModelState, member: u8, epoch: Epoch, confirms_read: bool) {
         let keeper = state.keeper(member);
         if epoch.number < keeper.promised {
@@ -50,7 +50,8 @@
         }
     }
 
-    /// A primary sends its state. A single write is handled alike, but applied only to the state before it.
+    /// Handles the state that a primary sends. The model also represents single writes as snapshots; the code
+    /// applies a write only to its base.
     pub fn handle_snapshot(&self, state: &mut ModelState, member: u8, epoch: EpochNumber, log: Log) {
         let keeper = state.keeper_mut(member);
         if epoch != keeper.promised || epoch != keeper.accepted.number {
@@ -86,7 +87,7 @@
         keeper.accepted = epoch;
     }
 
-    /// Ends leadership or election of a member.
+    /// Ends the leadership or the election of a member.
     pub fn become_follower(state: &mut ModelState, member: u8) {
         let keeper = state.keeper_mut(member);
         keeper.stage = Stage::Following;
--- a/crates/replication/tests/epoch_model/actions.rs
+++ b/crates/replication/tests/epoch_model/actions.rs
@@ -1,4 +1,4 @@
-//! The actions that are possible in a state, and their effect.
+//! The actions that are possible in a state, and their effects.
 
 use super::member_set::MemberSet;
 use super::rules::{Mutation, Rules};
@@ -21,7 +21,7 @@
 }
 
 impl Rules {
-    /// The deliveries of all messages that were sent.
+    /// Adds the deliveries of all messages that were sent.
     pub fn delivery_actions(&self, state: &ModelState, actions: &mut Vec<Action>) {
         let voters =
             state.keepers.iter().fold(MemberSet::default(), |all, keeper| all.or(keeper.accepted.voters));
@@ -40,7 +40,7 @@
         }
     }
 
-    /// What a member may do without a message.
+    /// Adds the actions that a member may take without receiving a message.
     pub fn member_actions(&self, state: &ModelState, member: u8, actions: &mut Vec<Action>) {
         let keeper = state.keeper(member);
         if state.remaining_elections > 0 && !self.must_admit_newcomer(state) {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// What a primary may do without a message.
+    /// Adds the actions that a primary may take without receiving a message.
     fn primary_actions(&self, state: &ModelState, member: u8, actions: &mut Vec<Action>) {
         let Some(leadership) = state.keeper(member).leadership else { return };
         let has_uncommitted = !leadership.is_synchronized || leadership.in_flight_write != 0;
@@ -105,7 +105,7 @@
             Message::Heartbeat { epoch, confirms_read } => {
                 self.handle_heartbeat(state, to, epoch, confirms_read);
             }
-            // Candidates and primaries look replies up among the messages.
+            // Replies are not delivered: candidates and primaries look them up in the set of sent messages.
             Message::Promise { .. }
             | Message::Accepted { .. }
             | Message::WriteAck { .. }
@@ -113,9 +113,9 @@
         }
     }
 
-    /// A keeper loses its disk and keeps its identity. The real one returns with a new identity, which is the
-    /// newcomer; that the old one never acts again is one of the orders of events that are explored in any
-    /// case.
+    /// A keeper loses its disk but keeps its identity. A real keeper returns with a new identity, which the
+    /// model represents by the newcomer. That the old identity never acts again is one of the orders of
+    /// events that are explored in any case.
     pub fn wipe(state: &mut ModelState, member: u8) {
         state.can_wipe = false;
         Rules::become_follower(state, member);
--- a/crates/replication/tests/epoch_model/election_rules.rs
+++ b/crates/replication/tests/epoch_model/election_rules.rs
@@ -6,7 +6,7 @@
 use super::state::{Epoch, EpochNumber, EpochPlan, Message, ModelState, Stage};
 
 impl Rules {
-    /// A member starts an election: for an epoch of its own, or as primary with a plan.
+    /// Starts an election: as a backup that wants to become primary, or as primary with a plan.
     pub fn start_election(&self, state: &mut ModelState, member: u8, base: Epoch, plan: Option<EpochPlan>) {
         state.remaining_elections -= 1;
         if plan.is_none() {
@@ -20,8 +20,8 @@
         state.send(Message::Prepare { number });
     }
 
-    /// The epochs that a keeper may know when it starts an election: the one that it accepted, and those in
-    /// the replies to its pre-vote.
+    /// The epochs that a keeper may know when it starts an election: the one that it has accepted, and those
+    /// in the replies to its pre-vote.
     pub fn known_epochs(state: &ModelState, member: u8) -> Vec<Epoch> {
         let own = state.keeper(member).accepted;
         let others = state.keepers.iter().filter(|keeper| keeper.is_up).map(|keeper| keeper.accepted);
@@ -38,8 +38,8 @@
         base.voters.has(member) && in_sync
     }
 
-    /// Every epoch that a candidate may propose now: for each set of promises of a quorum, and for each
-    /// choice of those that fill the in-sync set up.
+    /// Every epoch that a candidate may propose now: for each set of promises of a quorum, and for each way
+    /// to supplement the in-sync set.
     pub fn possible_epochs(&self, state: &ModelState, member: u8) -> Vec<Epoch> {
         let keeper = state.keeper(member);
         let Stage::Candidate { number, base: first_base, plan, proposed: false } = keeper.stage else {
@@ -51,8 +51,8 @@
         for others in all.subsets() {
             let promised = others.with(member);
             let mut base = first_base;
-            let seen = promises.iter().filter(|(from, _)| others.has(*from));
-            for (_, accepted) in seen.filter(|_| !self.has_mutation(Mutation::IgnoresAcceptedEpochs)) {
+            let counted = promises.iter().filter(|(from, _)| others.has(*from));
+            for (_, accepted) in counted.filter(|_| !self.has_mutation(Mutation::IgnoresAcceptedEpochs)) {
                 if accepted.is_newer(&base) {
                     base = *accepted;
                 }
@@ -80,7 +80,7 @@
         promises.collect()
     }
 
-    /// Adds the epochs that may follow `base`, given the members that promised.
+    /// Adds the possible successors of `base`, given the members that promised.
     fn new_epochs(
         &self, number: EpochNumber, base: &Epoch, plan: Option<EpochPlan>, promised: MemberSet,
         epochs: &mut Vec<Epoch>,
@@ -106,7 +106,7 @@
         }
     }
 
-    /// A candidate proposes an epoch.
+    /// Proposes an epoch as a candidate.
     pub fn propose_epoch(&self, state: &mut ModelState, member: u8, epoch: Epoch) {
         let newest = &mut state.history.last_proposed[usize::from(member)];
         let is_used = epoch.number <= *newest;
@@ -128,7 +128,7 @@
         keeper.accepted.number == number && keeper.accepted.is_quorum(Rules::acceptors(state, number))
     }
 
-    /// The epoch is chosen: the member brings all to its own state first.
+    /// Makes a member primary of its chosen epoch; it first sends its own state to all keepers.
     pub fn become_primary(&self, state: &mut ModelState, member: u8) {
         let keeper = state.keeper_mut(member);
         keeper.accepted = keeper.accepted.committed();
--- a/crates/replication/tests/epoch_model/in_sync.rs
+++ b/crates/replication/tests/epoch_model/in_sync.rs
@@ -1,11 +1,11 @@
-//! The choice of in-sync replicas.
+//! The possible choices of in-sync replicas.
 
 use super::member_set::MemberSet;
 
-/// The number of disks that must have a write before it is acknowledged.
+/// The number of disks that must hold a write before it is acknowledged.
 pub const MIN_IN_SYNC_REPLICAS: u32 = 2;
 
-/// Every way to fill `present` up to the required number with members of `first`, then of `second`.
+/// Every way to supplement `present` up to the required number with members of `first`, then of `second`.
 pub fn fill_in_sync(present: MemberSet, first: MemberSet, second: MemberSet) -> Vec<MemberSet> {
     if present.count() >= MIN_IN_SYNC_REPLICAS {
         return vec![present];
--- a/crates/replication/tests/epoch_model/mod.rs
+++ b/crates/replication/tests/epoch_model/mod.rs
@@ -1,11 +1,11 @@
 //! A model of the epoch and replication rules, small enough to be explored completely.
 //!
-//! The state of a real `Replica` has no finite set of values: absolute times, jitter, heartbeat rounds and
-//! attempts grow with every step. The model keeps what safety depends on and lets each timeout fire at any
-//! moment, so it allows every order of events that the code allows, and more. A message that was sent can be
-//! delivered at any later time: it may be lost, late, reordered or duplicated, which includes every network
-//! partition, in one direction or in both. The disk is synchronous here; that replies wait for the disk is
-//! shown by `guards.rs`.
+//! The state space of a real `Replica` is infinite: absolute times, jitter, heartbeat rounds and attempts
+//! change with every step. The model retains the state that safety depends on and lets each timeout expire at
+//! any time, so it allows every order of events that the code allows, and more. A message that was sent can
+//! be delivered at any later time: it may be lost, delayed, reordered or duplicated, which includes every
+//! network partition, in one direction or in both. Disk writes are synchronous in the model; `guards.rs`
+//! tests that replies wait for the disk.
 //!
 //! | model | code |
 //! |---|---|
@@ -23,9 +23,9 @@
 //! | [`state::Epoch::is_quorum`] | `juniperwing_protocol::replication::Epoch::is_quorum` |
 //! | [`state::Epoch::electorate`], [`state::Epoch::is_newer`] | `epoch.rs`: the same names |
 //!
-//! Not modelled: the pre-vote, which binds nobody (here every eligible keeper may start an election at any
-//! moment), the bootstrap epoch (here chosen from the start), rejections (they only make a candidate give up
-//! sooner).
+//! Not modelled: the pre-vote, which is not binding (every eligible keeper may start an
+//! election at any time), the choice of the bootstrap epoch (it is chosen in the initial state), and
+//! rejections (they only make a candidate abandon its election sooner).
 
 mod acceptor_rules;
 mod actions;
--- a/crates/replication/tests/epoch_model/primary_rules.rs
+++ b/crates/replication/tests/epoch_model/primary_rules.rs
@@ -8,7 +8,7 @@
 };
 
 impl Rules {
-    /// The primary writes a change and sends it.
+    /// Writes a change on the primary and sends it.
     pub fn start_write(&self, state: &mut ModelState, member: u8) {
         state.started_writes += 1;
         let write = state.started_writes;
@@ -22,7 +22,7 @@
         state.send(Message::Snapshot { epoch, log });
     }
 
-    /// Whether all in-sync replicas have the latest state, and there are enough of them.
+    /// Whether there are enough in-sync replicas and all of them have the latest state.
     pub fn is_replicated_to_all(&self, state: &ModelState, member: u8) -> bool {
         let Keeper { accepted, log, .. } = *state.keeper(member);
         let mut others = accepted.in_sync.without(member).iter();
@@ -35,7 +35,7 @@
         accepted.in_sync.count() >= MIN_IN_SYNC_REPLICAS && is_replicated
     }
 
-    /// Whether `member` has acknowledged, in the present epoch of the primary, that it has `log` on disk.
+    /// Whether `member` has acknowledged, in the primary's `epoch`, that it has `log` on disk.
     fn has_acknowledged(&self, state: &ModelState, epoch: EpochNumber, member: u8, log: Log) -> bool {
         state.messages.iter().any(|message| match message {
             Message::WriteAck { epoch: number, from, log: durable }
@@ -46,7 +46,7 @@
         })
     }
 
-    /// All in-sync replicas have the latest state: it is committed, and the write in flight acknowledged.
+    /// Commits the latest state, which all in-sync replicas have, and acknowledges the write in flight.
     pub fn commit(&self, state: &mut ModelState, member: u8) {
         let keeper = state.keeper_mut(member);
         let (epoch, log) = (keeper.accepted.number, keeper.log);
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The primary receives a read, and starts a round of heartbeats.
+    /// Starts a read on the primary, and a round of heartbeats that confirms it.
     pub fn start_read(&self, state: &mut ModelState, member: u8) {
         state.can_read = false;
         let acknowledged = state.history.acknowledged.iter().enumerate();
@@ -77,7 +77,7 @@
         state.send(Message::Heartbeat { epoch, confirms_read: true });
     }
 
-    /// Whether a majority has answered the round.
+    /// Whether a majority has answered the round of heartbeats.
     pub fn can_complete_read(&self, state: &ModelState, member: u8) -> bool {
         let epoch = state.keeper(member).accepted;
         let has_replied =
@@ -87,7 +87,7 @@
             || self.has_mutation(Mutation::ConfirmsReadsWithoutMajority)
     }
 
-    /// A majority answered a round of heartbeats that began after the read.
+    /// Completes a read: a majority has answered a round of heartbeats that began after it.
     pub fn complete_read(&self, state: &mut ModelState, member: u8) {
         let Some(read) = state.read.take() else { return };
         let Some(leadership) = &state.keeper(member).leadership else { return };
@@ -98,8 +98,8 @@
         state.history.has_confirmed_read = true;
     }
 
-    /// Every change of voters and in-sync replicas that a primary may want: whichever of them are slow,
-    /// silent or up to date, in all combinations.
+    /// Every change of voters and in-sync replicas that a primary may plan, for all combinations of replicas
+    /// that are slow, unresponsive or up to date.
     pub fn possible_plans(&self, state: &ModelState, member: u8) -> Vec<EpochPlan> {
         let Keeper { accepted: epoch, log, leadership, .. } = *state.keeper(member);
         let Some(leadership) = leadership else { return Vec::new() };
--- a/crates/replication/tests/epoch_model/properties.rs
+++ b/crates/replication/tests/epoch_model/properties.rs
@@ -1,4 +1,5 @@
-//! Properties that must always hold, and states that must be reached for that to mean anything.
+//! Safety properties, which must always hold, and states that must be reached so that the safety checks are
+//! not vacuous.
 
 use stateright::Property;
 
@@ -51,8 +52,8 @@
     !state.history.has_stale_read
 }
 
-/// The in-sync replicas of the newest chosen epoch have all writes that were acknowledged before it: any of
-/// them can become primary.
+/// The in-sync replicas of the newest chosen epoch have all writes that were acknowledged before it, because
+/// any of them can become primary.
 fn in_sync_replicas_have_acknowledged_writes(_: &Rules, state: &ModelState) -> bool {
     let newest = state.history.newest_chosen;
     newest
--- a/crates/replication/tests/epoch_model/rules.rs
+++ b/crates/replication/tests/epoch_model/rules.rs
@@ -1,4 +1,4 @@
-//! What is explored: the limits, the mutation, and the model for the checker.
+//! The limits of an exploration, its mutation, and the model for the checker.
 
 use stateright::{Model, Property};
 
@@ -10,7 +10,7 @@
 /// The primary of the bootstrap epoch.
 const BOOTSTRAP_PRIMARY: u8 = 0;
 
-/// A guard that is taken out, to show that the properties need it.
+/// A guard that is removed, to show that the properties depend on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
     /// `replica/voting.rs`, `handle_accept`: no comparison with the promise.
@@ -23,7 +23,7 @@
     WipedKeeperKeepsVote,
     /// `replica/proposals.rs`, `is_replicated_to_all`: `any` in place of `all`.
     AcknowledgesBeforeAllInSync,
-    /// `election.rs`, `previous_voters`: it stays empty.
+    /// `election.rs`, `previous_voters`: always empty.
     ChangesVotersWithoutPreviousVoters,
     /// `replica/candidate.rs`, `handle_promise`: no `rebase` on the highest accepted epoch.
     IgnoresAcceptedEpochs,
@@ -31,29 +31,29 @@
     ChangesSupersededEpoch,
     /// `replica/reads.rs`, `complete_reads`: no majority is required.
     ConfirmsReadsWithoutMajority,
-    /// `epoch_plan.rs`, `is_up_to_date`: a newcomer joins the in-sync set whatever its state.
+    /// `epoch_plan.rs`, `is_up_to_date`: a newcomer joins the in-sync set regardless of its state.
     AdmitsVoterWithoutState,
 }
 
-/// The limits of an exploration, and the mutation in it.
+/// The limits of an exploration and its mutation.
 #[derive(Clone, Debug)]
 pub struct Rules {
     /// The number of elections after the bootstrap.
     pub max_elections: u8,
     pub max_writes: u8,
     pub max_restarts: u8,
-    /// Whether the first election must admit the newcomer, which takes no part in anything before.
+    /// Whether the first election must admit the newcomer, which is inactive before.
     pub admits_newcomer_first: bool,
     /// A keeper that has lost its disk before the first step.
     pub lost_keeper: Option<u8>,
-    /// Whether an empty keeper may join: as a further voter, or in place of one that has lost its disk.
+    /// Whether an empty keeper may join in place of another voter, which may have lost its disk.
     pub has_newcomer: bool,
     pub has_read: bool,
     pub mutation: Option<Mutation>,
 }
 
 impl Rules {
-    /// Whether the guard of that mutation is taken out.
+    /// Whether the guard of that mutation is removed.
     pub fn has_mutation(&self, mutation: Mutation) -> bool {
         self.mutation == Some(mutation)
     }
@@ -63,7 +63,8 @@
         self.admits_newcomer_first && state.remaining_elections == self.max_elections
     }
 
-    /// Whether a mutation makes a keeper accept what it would reject: then no message becomes obsolete.
+    /// Whether the mutation makes keepers accept messages that they would otherwise reject, so that no
+    /// message becomes obsolete.
     fn accepts_stale_messages(&self) -> bool {
         let mutations = [Mutation::AcceptsBelowPromise, Mutation::WipedKeeperKeepsVote];
         self.mutation.is_some_and(|mutation| mutations.contains(&mutation))
--- a/crates/replication/tests/epoch_model/state.rs
+++ b/crates/replication/tests/epoch_model/state.rs
@@ -1,11 +1,11 @@
-//! The states of the model: keepers, messages in flight, and the history that the properties are about.
+//! The states of the model: keepers, messages in flight, and the history that the properties refer to.
 
 use super::member_set::MemberSet;
 
-/// The number of identities: three keepers, and the one with which the wiped keeper returns.
+/// The number of identities: three keepers, and the new identity of a keeper that lost its disk.
 pub const MEMBER_COUNT: u8 = 4;
 
-/// The identity of a keeper that lost its disk, after its return.
+/// The identity with which a keeper that lost its disk returns.
 pub const NEWCOMER: u8 = 3;
 
 /// The largest number of writes.
@@ -28,13 +28,13 @@
 }
 
 impl Epoch {
-    /// Whether `present` may decide on what follows this epoch.
+    /// Whether `present` is a quorum that may decide on the successor of this epoch.
     pub fn is_quorum(&self, present: MemberSet) -> bool {
         let previous = self.previous_voters;
         self.voters.is_majority(present) && (previous.is_empty() || previous.is_majority(present))
     }
 
-    /// All that decide on what follows this epoch.
+    /// All members that decide on the successor of this epoch.
     pub fn electorate(&self) -> MemberSet {
         self.voters.or(self.previous_voters)
     }
@@ -45,13 +45,13 @@
         self.number > than.number || (self.number == than.number && is_committed_now)
     }
 
-    /// This epoch, known to be chosen.
+    /// This epoch once it is known to be chosen.
     pub fn committed(self) -> Epoch {
         Epoch { previous_voters: MemberSet::default(), ..self }
     }
 }
 
-/// The replicated state with its version: all writes in their order.
+/// The replicated state with its version: all writes in order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Log {
     /// The epoch of the newest write.
@@ -103,12 +103,12 @@
     pub in_sync: MemberSet,
 }
 
-/// What a keeper is doing about epochs.
+/// The stage of a keeper in the epoch protocol.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Stage {
     #[default]
     Following,
-    /// Has an election in progress; `base` is the epoch that the new one was to follow at first.
+    /// Has an election in progress; `base` is the predecessor of the new epoch as known at the start.
     Candidate {
         number: EpochNumber,
         base: Epoch,
@@ -147,7 +147,7 @@
         matches!(self.stage, Stage::Candidate { number, .. } if number == candidate_number)
     }
 
-    /// Whether it is primary of that epoch, or a candidate that still was.
+    /// Whether it is primary of that epoch, or as its primary has an election in progress.
     fn is_primary_of(&self, number: EpochNumber) -> bool {
         self.leadership.is_some() && self.accepted.number == number
     }
@@ -213,8 +213,8 @@
         }
     }
 
-    /// Removes messages that cannot change anything any more: replies that no keeper waits for, and requests
-    /// that every keeper would reject. States that differ only by such messages are equal then.
+    /// Removes messages without any further effect: replies that no keeper waits for, and requests that every
+    /// keeper would reject. States that differ only in such messages become equal.
     pub fn remove_obsolete_messages(&mut self) {
         let keepers = self.keepers;
         let can_be_accepted = |proposer: u8, number: EpochNumber| {
--- a/crates/replication/tests/guards.rs
+++ b/crates/replication/tests/guards.rs
@@ -1,4 +1,5 @@
-//! Guards that random faults seldom need, each against the messages that need it.
+//! Tests of guards that random faults seldom exercise, each with a sequence of messages that requires the
+//! guard.
 
 mod common;
 
@@ -20,7 +21,7 @@
     EpochNumber((term << 32) | 2)
 }
 
-/// The epoch of term `term` whose voters are keepers 1, 2 and 3 and whose primary is 2.
+/// The epoch of term `term` with voters 1, 2 and 3 and primary 2.
 fn epoch(term: u64) -> Epoch {
     let voters = vec![voter(1), voter(2), voter(3)];
     let in_sync = vec![DiskId(2), DiskId(1), DiskId(3)];
@@ -83,7 +84,7 @@
         sent
     }
 
-    /// Has itself elected by all three keepers; returns the number of the epoch.
+    /// Runs an election that all three keepers support; returns the number of the epoch.
     fn become_primary(&mut self) -> EpochNumber {
         let number = self.become_candidate();
         self.complete_writes();
@@ -266,7 +267,7 @@
 }
 
 // Guard: `replica/primary.rs`, `advance_primary`, `is_superseded`. Without it, the primary would change the
-// higher epoch as if it were its own, with a state that lacks what was acknowledged there.
+// higher epoch as if it were its own, with a state that lacks the changes acknowledged in it.
 #[test]
 fn primary_steps_down_on_a_late_reply_with_a_higher_epoch() {
     let mut keeper = Keeper::new(epoch(1));
@@ -276,7 +277,7 @@
     higher.in_sync = vec![DiskId(2), DiskId(3)];
     let late = ReplicationBody::PreVoteReply { number: first, granted: true, epoch: higher.clone() };
     keeper.receive(3, late);
-    // A newcomer with its state would make it change its epoch.
+    // A joining keeper that has the primary's state would otherwise make it change its epoch.
     let newcomer = Voter { node: voter(3).node, ..voter(4) };
     let mut sent = keeper.receive(4, ReplicationBody::Join { voter: newcomer });
     sent.extend(keeper.receive(4, ReplicationBody::WriteAck { epoch: first, version: version(1, 7) }));
@@ -307,8 +308,8 @@
     assert!(!sent.iter().any(|body| matches!(body, ReplicationBody::Join { .. })), "{sent:?}");
 }
 
-// Guard: `replica/handover.rs`, `can_shut_down`, `can_drop_one_of`: one of four voters waits until it is no
-// voter, even if it is not in sync any more.
+// Guard: `replica/handover.rs`, `can_shut_down`, `can_drop_one_of`: one of four voters waits until it is
+// no longer a voter, even if it is no longer in sync.
 #[test]
 fn keeper_with_a_surplus_vote_shuts_down_only_after_its_removal() {
     let mut four = epoch(2);
--- a/crates/replication/tests/model_check.rs
+++ b/crates/replication/tests/model_check.rs
@@ -1,8 +1,8 @@
-//! Explores every order of events of a small tier: three keepers, two writes, one lost disk, messages that
-//! are lost, late and duplicated at will. Each guard that is taken out must violate a property.
+//! Explores every order of events of a small tier: three keepers, two writes, one lost disk, and messages
+//! that may be lost, delayed and duplicated arbitrarily. Removing any guard must violate a property.
 //!
-//! Explorations that are too large for every build are listed in `docs/control-voters.md`, with their numbers
-//! of states.
+//! Explorations that are too large to run in every build are listed in `docs/control-voters.md`, with their
+//! numbers of states.
 
 mod epoch_model;
 
@@ -29,10 +29,10 @@
     mutation: None,
 };
 
-/// A read beside the writes, around one change of epoch.
+/// A read concurrent with the writes, around one change of epoch.
 const READS: Rules = Rules { max_elections: 1, has_read: true, ..WRITES };
 
-/// A newcomer joins as a further voter, or in place of any of them, around two writes.
+/// A newcomer replaces any of the voters, around two writes.
 const ADMISSION: Rules =
     Rules { max_elections: 1, admits_newcomer_first: true, has_newcomer: true, ..WRITES };
 
@@ -49,8 +49,9 @@
     ..ADMISSION
 };
 
-/// Explores all states. None may violate a property, and each of `reached` must occur.
-fn explore(rules: Rules, reached: &[&str]) {
+/// Explores all states. None may violate a safety property, and each of the properties `must_reach` must be
+/// reached.
+fn explore(rules: Rules, must_reach: &[&str]) {
     let started_at = Instant::now();
     let checker = rules
         .checker()
@@ -63,14 +64,14 @@
         let path = discoveries.get(name).cloned().map(stateright::Path::into_actions);
         assert_eq!(path, None, "{name}");
     }
-    assert!(started_at.elapsed() < EXPLORATION_TIMEOUT, "not explored completely");
-    for name in reached {
-        assert!(discoveries.contains_key(name), "never reached: {name}");
+    assert!(started_at.elapsed() < EXPLORATION_TIMEOUT, "the exploration timed out");
+    for name in must_reach {
+        assert!(discoveries.contains_key(name), "state never reached: {name}");
     }
     println!("{} states, {:?}", checker.unique_state_count(), started_at.elapsed());
 }
 
-/// Takes a guard out; some property must be violated.
+/// Removes a guard; some safety property must be violated.
 fn expect_violation(rules: Rules, mutation: Mutation) {
     let rules = Rules { mutation: Some(mutation), ..rules };
     let checker = rules
@@ -81,7 +82,7 @@
     let checker = checker.spawn_bfs().join();
     let violated = SAFETY.iter().find(|name| checker.discoveries().contains_key(*name));
     println!("{mutation:?}: {violated:?}, {} states", checker.unique_state_count());
-    assert!(violated.is_some(), "{mutation:?} is not caught");
+    assert!(violated.is_some(), "{mutation:?} violates no safety property");
 }
 
 #[test]
--- a/crates/replication/tests/partial_partitions.rs
+++ b/crates/replication/tests/partial_partitions.rs
@@ -1,5 +1,5 @@
-//! Network partitions in one direction, flapping links, freezes: a healthy primary stays, and the tier is
-//! never long without one.
+//! Tests of one-way network partitions, flapping links and freezes: a healthy primary stays primary, and the
+//! tier is never without a primary for long.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use common::{MAX_FULL_REPLICATION_TIME, Simulation, known_epoch_number, random_span, start_three_keepers};
 use juniperwing_clock::Span;
 
-/// How soon a change is acknowledged after a fault that has to be tolerated.
+/// The maximum time until a change is acknowledged after a fault that must be tolerated.
 const MAX_FAILOVER_TIME: Span = Span::from_millis(2_500);
 
 /// Much longer than all timeouts.
@@ -58,7 +58,7 @@
     }
 }
 
-/// A backup is partitioned in one direction; the primary and its epoch stay, and writes continue.
+/// Partitions a backup in one direction: the primary and its epoch must stay, and writes must continue.
 fn expect_primary_unaffected_by_blocked_backup(direction: Direction) {
     for seed in 0..60 {
         let (mut simulation, primary) = start_three_keepers(seed);
@@ -82,8 +82,8 @@
     expect_primary_unaffected_by_blocked_backup(Direction::Outbound);
 }
 
-/// It leaves the in-sync set before its election timeout, so even a pre-vote that all grant would not make
-/// it primary.
+/// The backup is removed from the in-sync set before its election timeout, so it could not become primary
+/// even if all voters granted its pre-vote.
 #[test]
 fn backup_that_the_primary_cannot_reach_does_not_replace_it() {
     for seed in 0..60 {
@@ -94,7 +94,7 @@
     }
 }
 
-/// Each pair of keepers, partitioned in one direction or in both: the third reaches both.
+/// Partitions each pair of keepers, in one direction or in both; the third keeper reaches both.
 #[test]
 fn one_blocked_link_is_tolerated() {
     for seed in 0..90 {
@@ -140,7 +140,7 @@
     }
 }
 
-/// Freezes of each primary one after the other, with its clock and without.
+/// Freezes each new primary, alternately with a running and a stopped clock.
 #[test]
 fn repeatedly_frozen_primaries_are_replaced() {
     for seed in 0..60 {
--- a/crates/replication/tests/random_faults.rs
+++ b/crates/replication/tests/random_faults.rs
@@ -1,4 +1,4 @@
-//! Random faults from thousands of seeds.
+//! Random faults, determined by thousands of seeds.
 
 mod common;
 
@@ -12,10 +12,10 @@
 
 const SEEDS: u64 = 1_500;
 
-/// How soon a change is acknowledged once all faults have ended.
+/// The maximum time until a change is acknowledged once all faults have ended.
 const MAX_RECOVERY_TIME: Span = Span::from_millis(4_000);
 
-/// Faults add machines up to this number.
+/// The number of machines up to which faults add further ones.
 const MAX_MACHINES: usize = 6;
 
 const THREADS: u64 = 4;
@@ -26,7 +26,7 @@
     (first, second)
 }
 
-/// One fault of any kind but the loss of a disk; several may be active at once.
+/// Injects one fault of any kind except the loss of a disk. Several faults may be active at the same time.
 fn inject_fault(simulation: &mut Simulation) {
     let count = simulation.machines.len();
     let mut rng = Rng::new(simulation.rng.next_u64());
@@ -69,7 +69,7 @@
     simulation.start_after(machine, delay);
 }
 
-/// Several faults one after the other, which all end with it.
+/// Injects several faults one after another, then ends all of them.
 fn run_with_faults(simulation: &mut Simulation) {
     simulation.network = UNRELIABLE_NETWORK;
     simulation.has_failing_disks = simulation.rng.one_in(3);
@@ -82,7 +82,7 @@
     simulation.heal();
 }
 
-/// As many machines as are tolerated lose their disk or are replaced; in half of the cases all others
+/// Makes as many machines as may be lost lose their disk or be replaced; in half of the cases all others
 /// restart.
 fn lose_disks(simulation: &mut Simulation, tolerated_losses: usize) {
     let present: Vec<usize> =
@@ -156,7 +156,7 @@
     run_seeds(3, 5, 3, SEEDS / 2);
 }
 
-/// It loses nothing as long as it keeps its disk.
+/// A single keeper loses nothing as long as its disk survives.
 #[test]
 fn single_keeper_recovers_without_loss() {
     for seed in 0..SEEDS / 10 {
--- a/crates/replication/tests/single_faults.rs
+++ b/crates/replication/tests/single_faults.rs
@@ -1,4 +1,4 @@
-//! Single faults, each with the effects that it must and must not have.
+//! Tests of single faults, each with the effects that it must and must not have.
 
 mod common;
 
@@ -94,7 +94,7 @@
         simulation.expect_progress(Span::from_millis(2_000), "the freeze of the primary");
         simulation.run_for(Span::from_millis(400));
         simulation.checker.read_started(ReadToken(u64::MAX));
-        // It waits for the end of the freeze; what was sent before comes first.
+        // The read waits for the end of the freeze; messages sent earlier are delivered first.
         simulation.schedule_event(primary, Event::Read { token: ReadToken(u64::MAX) });
         simulation.run_for(Span::from_millis(3_000));
         simulation.expect_fully_replicated(Span::from_millis(3_000), "the end of the freeze");
@@ -122,8 +122,8 @@
 }
 
 #[test]
-fn keeper_does_not_spin_while_its_disk_fails() {
-    // Fails in `Simulation::step` if a keeper wakes itself for nothing while a failed write is tried again.
+fn keeper_does_not_busy_loop_while_its_disk_fails() {
+    // Fails in `Simulation::step` if a keeper busy-loops on its timer while a failed write is to be retried.
     let (mut simulation, _) = start_simulation(3);
     simulation.has_failing_disks = true;
     simulation.run_for(Span::from_millis(20_000));
@@ -141,7 +141,8 @@
         let restart_delay = Span::from_millis(50);
         simulation.start_after(0, restart_delay);
         let is_replicated = simulation.run_until(Span::from_millis(4_000), Simulation::is_fully_replicated);
-        // Restarted without `bootstrap` before any keeper had accepted: no coordinator is left.
+        // If the coordinator restarts without `bootstrap` before any keeper has accepted, the tier has no
+        // coordinator.
         let has_no_coordinator = simulation.machines.iter().all(|machine| machine.record.is_none());
         assert!(is_replicated || has_no_coordinator, "seed {seed}\n{}", simulation.describe());
     }
--- a/crates/replication/tests/stalled_disk.rs
+++ b/crates/replication/tests/stalled_disk.rs
@@ -1,12 +1,12 @@
-//! A stalled disk: its writes neither fail nor complete, and a keeper that waits for it must not delay the
-//! others.
+//! Tests of stalled disks, whose writes neither fail nor complete. A keeper that waits for its disk must not
+//! delay the others.
 
 mod common;
 
 use common::{MAX_FULL_REPLICATION_TIME, start_three_keepers};
 use juniperwing_clock::Span;
 
-/// How soon changes are acknowledged again after a disk has stalled.
+/// The maximum time until changes are acknowledged again after a disk has stalled.
 const MAX_FAILOVER_TIME: Span = Span::from_millis(3_500);
 const SEEDS: u64 = 20;
 
