--- a/crates/control/src/retire.rs
+++ b/crates/control/src/retire.rs
@@ -32,7 +32,7 @@
     let Some(store) = newest_store else {
         return match newest_retirement(state, node) {
             Some(_) => RetireDecision::AlreadyAccepted,
-            None if view.is_settled => RetireDecision::UnknownMachine,
+            None if view.is_past_grace_period => RetireDecision::UnknownMachine,
             None => RetireDecision::StoresUncertain,
         };
     };
@@ -42,7 +42,7 @@
     let others = remaining_machines(state, view, node);
     if others >= required_replicas {
         RetireDecision::Accept(ControlChange::BeginRetirement(store.clone()))
-    } else if view.is_settled {
+    } else if view.is_past_grace_period {
         RetireDecision::TooFewRemaining { others }
     } else {
         RetireDecision::StoresUncertain
--- a/crates/control/src/tracker.rs
+++ b/crates/control/src/tracker.rs
@@ -44,8 +44,9 @@
     pub confirmed_lost: BTreeSet<DiskId>,
     /// The subset of `lost` that other stores should replace.
     pub replaceable: BTreeSet<DiskId>,
-    /// Whether this keeper has run without a pause for long enough to know every live store.
-    pub is_settled: bool,
+    /// Whether this keeper has run without a pause for the startup grace period, so that it knows every live
+    /// store.
+    pub is_past_grace_period: bool,
     /// Whether the stores of a new tier have had enough time to join.
     pub is_initial_wait_over: bool,
     /// Whether no store was lost or returned for some seconds.
@@ -61,7 +62,7 @@
     unreported_since: BTreeMap<DiskId, Time>,
     /// The live stores as of the last tick.
     last_alive: BTreeSet<DiskId>,
-    /// The time of the first report that named a store.
+    /// The time of the first report that contained a store.
     first_reported_at: Option<Time>,
     /// No store counts as lost before this time.
     grace_until: Time,
@@ -113,7 +114,7 @@
             lost: lost_after(LOSS_TIMEOUT),
             confirmed_lost: lost_after(CONFIRMED_LOSS_TIMEOUT),
             replaceable: lost_after(REPLACEMENT_DELAY),
-            is_settled: !is_in_grace_period,
+            is_past_grace_period: !is_in_grace_period,
             is_initial_wait_over: self
                 .first_reported_at
                 .is_some_and(|first| now.since(first) >= INITIAL_PLACEMENT_DELAY),
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -40,7 +40,7 @@
         let view = StoreView {
             alive: stores.into_iter().map(|disk| (DiskId(disk), store(disk))).collect(),
             is_initial_wait_over: true,
-            is_settled: true,
+            is_past_grace_period: true,
             ..StoreView::default()
         };
         let mut tier = Tier { state: ControlState::default(), view };
--- a/crates/control/tests/retire.rs
+++ b/crates/control/tests/retire.rs
@@ -120,15 +120,15 @@
 
 #[test]
 fn a_keeper_without_reports_rejects_no_retirement() {
-    // Guard: `is_settled` in `decide_retire`.
+    // Guard: `is_past_grace_period` in `decide_retire`.
     let tier = Tier::with_first_map(1..=2);
     let empty = StoreView::default();
     let unknown = decide_retire(&ControlState::default(), &empty, &node(1), REQUIRED_REPLICAS);
     assert_eq!(unknown, RetireDecision::StoresUncertain);
     let too_few = decide_retire(&tier.state, &empty, &node(1), REQUIRED_REPLICAS);
     assert_eq!(too_few, RetireDecision::StoresUncertain);
-    let settled = StoreView { is_settled: true, ..empty };
-    let unknown = decide_retire(&ControlState::default(), &settled, &node(1), REQUIRED_REPLICAS);
+    let past_grace_period = StoreView { is_past_grace_period: true, ..empty };
+    let unknown = decide_retire(&ControlState::default(), &past_grace_period, &node(1), REQUIRED_REPLICAS);
     assert_eq!(unknown, RetireDecision::UnknownMachine);
 }
 
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -5,7 +5,7 @@
 //!
 //! The protocol has two layers:
 //!
-//! 1. **Epochs.** An epoch names the primary, the in-sync replicas and the voters. The next one is chosen by
+//! 1. **Epochs.** An epoch specifies the primary, the in-sync replicas and the voters. The next one is chosen by
 //!    promises and acceptances (Paxos) of a majority of the current voters (and of the new ones, if they
 //!    differ). Only a member of the highest epoch's in-sync set can become primary, so a primary has all
 //!    acknowledged changes. Its own promise fences the old primary, whose writes need its acknowledgement.
