--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -24,7 +24,7 @@
 }
 
 impl Buckets {
-    /// Adds `record` to the checksum of its range, or removes it again.
+    /// Adds `record` to the checksum of its range, or removes it if it was added before.
     pub fn toggle(&mut self, record: &Record) {
         let hash = hash_of(&record.member.id);
         let sum = checksum(hash, record);
@@ -83,7 +83,7 @@
     mix_bits(hasher.finish()) as u32
 }
 
-/// Distributes the last bytes over all bits; names often differ in their last character only.
+/// Mixes the low bits into the high bits, which select the range: names often differ in their last character only.
 fn mix_bits(hash: u64) -> u64 {
     let mixed = (hash ^ (hash >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
     mixed ^ (mixed >> 32)
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -1,4 +1,4 @@
-//! Dissemination: the queue of updates to be piggybacked, and how often each was sent.
+//! Dissemination: the queue of updates to piggyback, with the number of transmissions of each.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -42,18 +42,18 @@
 
     /// Removes the update of `id`.
     pub fn remove(&mut self, id: &MemberId) {
-        if let Some(rank) = self.priorities.remove(id) {
-            self.queue.remove(&(rank, id.clone()));
+        if let Some(priority) = self.priorities.remove(id) {
+            self.queue.remove(&(priority, id.clone()));
         }
     }
 
     /// Counts a transmission of the update of `id`; after `limit` transmissions it is removed.
     pub fn record_transmission(&mut self, id: &MemberId, limit: u32) {
-        let Some(mut rank) = self.priorities.get(id).cloned() else { return };
+        let Some(mut priority) = self.priorities.get(id).cloned() else { return };
         self.remove(id);
-        rank.transmissions += 1;
-        if rank.transmissions < limit {
-            self.insert(id.clone(), rank);
+        priority.transmissions += 1;
+        if priority.transmissions < limit {
+            self.insert(id.clone(), priority);
         }
     }
 
@@ -67,8 +67,8 @@
         self.queue.is_empty()
     }
 
-    fn insert(&mut self, id: MemberId, rank: Priority) {
-        self.queue.insert((rank.clone(), id.clone()));
-        self.priorities.insert(id, rank);
+    fn insert(&mut self, id: MemberId, priority: Priority) {
+        self.queue.insert((priority.clone(), id.clone()));
+        self.priorities.insert(id, priority);
     }
 }
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -10,15 +10,15 @@
 /// An input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
-    /// A datagram was received. Pass all datagrams that wait in the socket before a tick, so that no ack counts as
-    /// missing that has already arrived.
+    /// A datagram was received. Pass all datagrams in the socket buffer before a tick; otherwise an ack that has
+    /// already arrived counts as missing.
     Datagram {
         /// The address of the sender.
         from: SocketAddr,
         /// The encoded datagram.
         bytes: &'a [u8],
     },
-    /// The time of the last [`Command::WakeAt`] has come. Earlier ticks are harmless.
+    /// The time of the last [`Command::WakeAt`] was reached. Earlier ticks have no effect on the protocol.
     Tick,
     /// The process is about to terminate. Other members are notified; from then on only pings are replied to.
     Leave,
--- a/crates/membership/src/failure_detection.rs
+++ b/crates/membership/src/failure_detection.rs
@@ -17,10 +17,10 @@
         now >= self.prober.next_probe_at
     }
 
-    /// When the next probe starts or the present one needs indirect probes.
+    /// When the next probe starts or the current one times out and needs indirect probes.
     pub(crate) fn next_probe_event_at(&self) -> Time {
-        let time_out = self.prober.probe.as_ref().and_then(|probe| probe.times_out_at);
-        self.prober.next_probe_at.min(time_out.unwrap_or(Time::NEVER))
+        let timeout_at = self.prober.probe.as_ref().and_then(|probe| probe.times_out_at);
+        self.prober.next_probe_at.min(timeout_at.unwrap_or(Time::NEVER))
     }
 
     /// Sends ping-reqs if the probe in flight was not acked in time.
@@ -33,9 +33,9 @@
         let Probe { target, sequence, .. } = probe.clone();
         let id = target.member.id;
         let address = target.member.gossip_address;
-        for helper in self.pick_random_live(self.timings.indirect_probes, Some(&id)) {
+        for proxy in self.pick_random_live(self.timings.indirect_probes, Some(&id)) {
             let request = Message::PingRequest { sequence, target: id.clone(), address };
-            self.send_to(helper.member.gossip_address, &helper.member.id, &request);
+            self.send_to(proxy.member.gossip_address, &proxy.member.id, &request);
         }
     }
 
@@ -44,7 +44,7 @@
         let Some(probe) = self.prober.probe.take() else { return };
         let id = &probe.target.member.id;
         let Some(known) = self.table.get(id).cloned() else { return };
-        // Another record was received after the ping.
+        // A newer record was received after the ping, so the missing ack is no evidence any more.
         if known != probe.target || known.status != Status::Alive {
             return;
         }
@@ -61,9 +61,9 @@
         self.ping_suspects();
         let Some(target) = self.next_target() else { return };
         let sequence = self.prober.next_sequence();
-        let time_out = Some(now + self.timings.probe_timeout);
+        let timeout_at = Some(now + self.timings.probe_timeout);
         self.send_to(target.member.gossip_address, &target.member.id, &Message::Ping { sequence });
-        self.prober.probe = Some(Probe { target, sequence, times_out_at: time_out });
+        self.prober.probe = Some(Probe { target, sequence, times_out_at: timeout_at });
     }
 
     /// Pings suspects again: the pings carry the suspicion, and the acks the refutation.
@@ -109,7 +109,7 @@
         self.prober.position = 0;
     }
 
-    /// Up to `count` different live members, chosen at random, without `except`.
+    /// Up to `count` distinct live members, chosen at random, excluding `except`.
     pub(crate) fn pick_random_live(&mut self, count: usize, except: Option<&MemberId>) -> Vec<Record> {
         let mut picked: Vec<Record> = Vec::with_capacity(count);
         for _ in 0..count * MAX_PICK_ATTEMPTS {
@@ -127,7 +127,7 @@
         picked
     }
 
-    /// Sends datagrams that carry nothing but updates, while there are any.
+    /// Sends datagrams that carry only updates, while there are any.
     pub(crate) fn send_gossip(&mut self) {
         for record in self.pick_random_live(self.timings.gossip_fanout, None) {
             if self.dissemination.is_empty() {
@@ -155,7 +155,8 @@
         self.complete_probe(sequence, target);
     }
 
-    /// Completes the probe in flight. An ack counts only if it comes from the target: addresses are reused.
+    /// Completes the probe in flight. An ack counts only if it comes from the target, since another member may
+    /// reuse the address.
     fn complete_probe(&mut self, sequence: Sequence, id: &MemberId) {
         let is_acked = |probe: &Probe| probe.sequence == sequence && probe.target.member.id == *id;
         if self.prober.probe.as_ref().is_some_and(is_acked) {
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Pings `target` on behalf of `origin`, which is sent the ack.
+    /// Pings `target` on behalf of `origin`; the ack is forwarded to `origin`.
     pub(crate) fn handle_ping_request(
         &mut self, origin: SocketAddr, origin_sequence: Sequence, target: MemberId, address: SocketAddr,
     ) {
--- a/crates/membership/src/jitter.rs
+++ b/crates/membership/src/jitter.rs
@@ -1,4 +1,4 @@
-//! Random jitter of intervals, so that members do not act in step.
+//! Random jitter of intervals, so that members do not act in lockstep.
 
 use juniperwing_clock::Span;
 use juniperwing_random::Rng;
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DuplicateProcess {
     pub(crate) run_id: RunId,
-    /// How often a record of it was seen that superseded the local one.
+    /// The number of its records received that superseded the local one.
     pub(crate) sightings: u32,
 }
 
@@ -120,11 +120,11 @@
             self.send_gossip();
             self.sync_if_due(now);
         }
-        self.contact_unreached_if_due(now);
+        self.contact_unreachable_if_due(now);
     }
 
-    /// A process that was paused (frozen, or without processor time) has received nothing meanwhile, and must not
-    /// count that against other members.
+    /// Resets probes and extends suspicions after a pause of this process (suspended, or without CPU time). It received
+    /// nothing during the pause, so missing replies are no evidence against other members.
     fn detect_pause(&mut self, now: Time) {
         let delay = now.since(self.wake_at);
         if delay <= self.timings.probe_interval {
--- a/crates/membership/src/message_handlers.rs
+++ b/crates/membership/src/message_handlers.rs
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Sends a sender the known record of it if that supersedes its own: that it is suspected or dead, or a record
-    /// of its previous run.
+    /// Sends the sender the record of it that is known here if that supersedes the record that it sent: a suspicion, a
+    /// death, or a record of its previous run.
     fn correct_sender(&mut self, to: SocketAddr, claimed: &Record, message: &Message) {
         if *message == Message::Correction {
             return;
--- a/crates/membership/src/prober.rs
+++ b/crates/membership/src/prober.rs
@@ -12,7 +12,7 @@
 use crate::table::MAX_MEMBERS;
 use crate::wire::Sequence;
 
-/// Fraction by which the probe interval varies, so that members do not probe in step.
+/// Fraction by which the probe interval varies, so that members do not probe in lockstep.
 pub(crate) const PROBE_JITTER: f64 = 0.1;
 
 /// Maximum number of probes made for other members whose acks are awaited.
@@ -21,7 +21,7 @@
 /// Maximum number of suspects that are pinged again in one probe interval.
 pub(crate) const MAX_REPEATED_PINGS: usize = 2;
 
-/// Attempts to pick a random member, per member that is wanted: picks may be repeated or not live.
+/// Maximum number of attempts per random member requested: a pick may be a duplicate or not live.
 pub(crate) const MAX_PICK_ATTEMPTS: usize = 4;
 
 /// The probe in flight.
@@ -49,7 +49,7 @@
     pub(crate) probe_interval: Span,
     pub(crate) next_probe_at: Time,
     pub(crate) probe: Option<Probe>,
-    /// The probe round: members in random order. Some may not be live any more when their turn comes.
+    /// The probe round: members in random order. Some may no longer be live when they are due.
     pub(crate) round: Vec<MemberId>,
     /// Index in the round of the next target.
     pub(crate) position: usize,
--- a/crates/membership/src/reconciler.rs
+++ b/crates/membership/src/reconciler.rs
@@ -32,7 +32,8 @@
     pub(crate) preferred_peer: Option<MemberId>,
     pub(crate) next_contact_at: Time,
     pub(crate) contact_interval: Span,
-    /// Whether this member still learns what the others have known for long, which it need not disseminate.
+    /// Whether this member is still fetching the table that the others already have. Records from a table sync are
+    /// not disseminated meanwhile.
     pub(crate) is_catching_up: bool,
     /// Pages and page replies that may still be sent in this probe interval.
     pub(crate) remaining_pages: usize,
@@ -64,17 +65,19 @@
         self.next_contact_at = now;
     }
 
-    /// Whether this member still learns what the others have known for long, which it need not disseminate.
+    /// Whether this member is still fetching the table that the others already have.
     pub fn is_catching_up(&self) -> bool {
         self.is_catching_up
     }
 
-    /// Handles a datagram of a member that was unknown or not live: its table may differ in many members.
+    /// Handles a datagram of a member that was unknown or not live: the tables may differ in many members, so they are
+    /// compared next.
     pub fn handle_new_sender(&mut self, id: &MemberId) {
         self.schedule_sync_with(id.clone());
     }
 
-    /// Handles a comparison that found an unknown or not live member: there may be more of them.
+    /// Handles a comparison that found a member that was unknown or not live: there may be more, so the next comparison
+    /// is due soon.
     pub fn handle_new_member(&mut self, now: Time, timings: &Timings) {
         self.current_sync_interval = timings.probe_interval;
         self.next_sync_at = self.next_sync_at.min(now + timings.probe_interval);
--- a/crates/membership/src/reconciliation.rs
+++ b/crates/membership/src/reconciliation.rs
@@ -27,12 +27,12 @@
         let wait = self.reconciler.current_sync_interval;
         self.reconciler.next_sync_at = now + jitter(&mut self.rng, wait, SYNC_JITTER);
         self.reconciler.current_sync_interval = (wait + wait).min(self.timings.sync_interval);
-        let partner = self.reconciler.preferred_peer.take();
-        if partner.is_none() && wait >= self.timings.sync_interval {
-            // It has had enough time to catch up.
+        let peer = self.reconciler.preferred_peer.take();
+        if peer.is_none() && wait >= self.timings.sync_interval {
+            // The interval has reached its maximum, which leaves enough time to catch up.
             self.reconciler.is_catching_up = false;
         }
-        let record = partner.and_then(|id| self.table.get_live(&id).cloned());
+        let record = peer.and_then(|id| self.table.get_live(&id).cloned());
         let record = record.or_else(|| self.pick_random_live(1, None).pop());
         if let Some(record) = record {
             self.send_digest(record.member.gossip_address);
@@ -40,7 +40,7 @@
     }
 
     /// Contacts seeds that are not live members, and one dead member, if that is due.
-    pub(crate) fn contact_unreached_if_due(&mut self, now: Time) {
+    pub(crate) fn contact_unreachable_if_due(&mut self, now: Time) {
         if now < self.reconciler.next_contact_at {
             return;
         }
@@ -48,7 +48,7 @@
         self.reconciler.next_contact_at = now + wait;
         let doubled = self.reconciler.contact_interval + self.reconciler.contact_interval;
         self.reconciler.contact_interval = doubled.min(self.timings.reconnect_interval);
-        for seed in self.unreached_seeds() {
+        for seed in self.seeds_without_live_member() {
             self.send_digest(seed);
         }
         if let Some(dead) = self.pick_random_dead() {
@@ -56,7 +56,7 @@
         }
     }
 
-    fn unreached_seeds(&self) -> Vec<SocketAddr> {
+    fn seeds_without_live_member(&self) -> Vec<SocketAddr> {
         let mut seeds = self.reconciler.seeds.clone();
         for record in self.table.records() {
             if record.status.is_live() {
@@ -78,7 +78,7 @@
         self.send(to, &Message::Digest { buckets }, Vec::new());
     }
 
-    /// Sends a digest with the record of the member's death, so that it can refute that at once if it is alive.
+    /// Sends a digest with the record of the member's death, which it refutes at once if it is alive.
     fn send_digest_to_dead(&mut self, dead: &Record) {
         let buckets = self.table.buckets().clone();
         self.send(dead.member.gossip_address, &Message::Digest { buckets }, vec![dead.clone()]);
@@ -96,27 +96,29 @@
         let allowed = self.allowed_pages();
         let pages = ranges.into_iter().flat_map(|range| self.pages_in(range));
         let mut pages: Vec<Page> = pages.take(allowed + 1).collect();
-        let more = pages.len() > allowed;
+        let has_more = pages.len() > allowed;
         pages.truncate(allowed);
         self.reconciler.remaining_pages = self.reconciler.remaining_pages.saturating_sub(pages.len());
         for Page { range, records } in pages {
-            self.send_bare(from, &Message::Page { range, has_more: more }, &records);
+            self.send_bare(from, &Message::Page { range, has_more }, &records);
         }
     }
 
-    /// The number of pages that may be sent now; at least one, as that is no more than was received.
+    /// The number of pages that may be sent now. At least one: a single page per datagram received does not amplify
+    /// traffic.
     fn allowed_pages(&self) -> usize {
         MAX_PAGES_PER_DIGEST.min(self.reconciler.remaining_pages).max(1)
     }
 
     /// The live members of `range`, in pages of one datagram each.
     fn pages_in(&self, range: HashRange) -> Vec<Page> {
-        let widest = Message::Page { range: HashRange { first: u64::MAX, last: u64::MAX }, has_more: true };
+        let largest_header =
+            Message::Page { range: HashRange { first: u64::MAX, last: u64::MAX }, has_more: true };
         let mut pages = Vec::new();
         let mut first = range.first;
         let mut last = range.first;
         let mut records: Vec<Record> = Vec::new();
-        let mut datagram = DatagramBuilder::new(&self.local_record, &widest);
+        let mut datagram = DatagramBuilder::new(&self.local_record, &largest_header);
         for (hash, record) in self.table.range(range) {
             if !record.status.is_live() {
                 continue;
@@ -124,7 +126,7 @@
             if !datagram.push(record) {
                 pages.push(Page { range: HashRange { first, last }, records: std::mem::take(&mut records) });
                 first = last.saturating_add(1);
-                datagram = DatagramBuilder::new(&self.local_record, &widest);
+                datagram = DatagramBuilder::new(&self.local_record, &largest_header);
                 datagram.push(record);
             }
             last = hash;
@@ -134,24 +136,24 @@
         pages
     }
 
-    /// Replies to a page with the records that its sender lacks.
+    /// Replies to a page with the records that its sender is missing.
     pub(crate) fn handle_page(
-        &mut self, from: SocketAddr, sender: MemberId, range: HashRange, more: bool, listed: &[Record],
+        &mut self, from: SocketAddr, sender: MemberId, range: HashRange, has_more: bool, received: &[Record],
     ) {
-        if more {
+        if has_more {
             self.reconciler.schedule_sync_with(sender);
         } else {
             self.reconciler.is_catching_up = false;
         }
-        let mut lacking = Vec::new();
+        let mut missing = Vec::new();
         for (_, known) in self.table.range(range) {
-            let theirs = listed.iter().find(|record| record.member.id == known.member.id);
-            let is_lacking = theirs.map_or(known.status.is_live(), |theirs| known.supersedes(theirs));
-            if is_lacking {
-                lacking.push(known.clone());
+            let theirs = received.iter().find(|record| record.member.id == known.member.id);
+            let is_missing = theirs.map_or(known.status.is_live(), |theirs| known.supersedes(theirs));
+            if is_missing {
+                missing.push(known.clone());
             }
         }
-        self.send_records(from, &Message::PageReply, &lacking);
+        self.send_records(from, &Message::PageReply, &missing);
     }
 
     /// Replies to a page reply with the records that supersede those in it.
--- a/crates/membership/src/send.rs
+++ b/crates/membership/src/send.rs
@@ -15,7 +15,7 @@
         self.send(to, message, Vec::from_iter(known));
     }
 
-    /// Sends a message with the records `first`, and as many updates as fit behind them.
+    /// Sends a message with the records `first`, followed by as many updates as fit.
     pub(crate) fn send(&mut self, to: SocketAddr, message: &Message, first: Vec<Record>) {
         let mut datagram = DatagramBuilder::new(&self.local_record, message);
         let fits = first.iter().all(|record| datagram.push(record));
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -39,7 +39,7 @@
     pub indirect_probes: usize,
     /// Duration of a suspicion in probe intervals among ten members; twice as long among a hundred.
     pub suspicion_multiplier: f64,
-    /// Number of datagrams per probe interval that carry nothing but updates, while there are any.
+    /// Number of datagrams per probe interval that carry only updates, while there are any.
     pub gossip_fanout: usize,
     /// Maximum interval between comparisons of digests with a random member.
     pub sync_interval: Span,
@@ -95,7 +95,7 @@
         allowed: &'static str,
     },
     /// There are more than [`MAX_SEEDS`] seeds.
-    #[snafu(display("{count} seeds; {MAX_SEEDS} at most"))]
+    #[snafu(display("{count} seeds exceed the limit of {MAX_SEEDS}"))]
     TooManySeeds {
         /// The number of seeds.
         count: usize,
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -65,7 +65,7 @@
         &self.buckets
     }
 
-    /// All records, in a fixed order that has no meaning.
+    /// All records, ordered by the hash of their names.
     pub fn records(&self) -> impl Iterator<Item = &Record> {
         self.entries.values().map(|entry| &entry.record)
     }
--- a/crates/membership/src/update.rs
+++ b/crates/membership/src/update.rs
@@ -1,4 +1,4 @@
-//! Updates of the table: precedence of records, refutation of statements about this member, and expiry.
+//! Updates of the table: precedence of records, refutation of records about this member, and expiry.
 
 use juniperwing_clock::Time;
 
@@ -10,7 +10,7 @@
 /// How often the records of another run id under the local name are refuted before its process counts as running.
 const MAX_DUPLICATE_REFUTATIONS: u32 = 3;
 
-/// Where a record comes from; it decides how far the record is trusted.
+/// The source of a record, which determines how far the record is trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum UpdateSource {
     /// The member that the record is about, in a datagram of its own.
@@ -90,8 +90,8 @@
 
     /// Whether `claim` comes from another process with the local name that is still running.
     ///
-    /// A record of the local member's previous run is refuted once and does not return; a running process refutes in
-    /// turn, without end.
+    /// A record of the local member's previous run is refuted once and does not return. A running process refutes in
+    /// turn, so the two would raise their incarnations indefinitely.
     fn must_yield_to(&mut self, claim: &Record) -> bool {
         let run_id = claim.member.run_id;
         if run_id == self.local_record.member.run_id || claim.status != Status::Alive {
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -17,7 +17,7 @@
 /// Maximum length of the name of a node or zone, in bytes.
 pub const MAX_TEXT_BYTES: usize = 64;
 
-/// The highest incarnation that is accepted, so that a corrupt one cannot exhaust the range.
+/// The highest incarnation that is accepted, so that a corrupt record cannot exhaust the range.
 pub const MAX_INCARNATION: Incarnation = Incarnation(1 << 48);
 
 /// Version of the encoding; the first byte of every datagram.
@@ -56,21 +56,22 @@
         /// The member that sent the ack.
         target: MemberId,
     },
-    /// Carries nothing but updates.
+    /// Carries only updates.
     Gossip,
     /// The checksums of the sender's table; requests a [`Message::Page`] for each range that differs.
     Digest {
         /// The checksums.
         buckets: Buckets,
     },
-    /// All live members in a range; requests a [`Message::PageReply`] with the records that the sender lacks.
+    /// All live members in a range; requests a [`Message::PageReply`] with the records that the sender is missing.
     Page {
         /// The range.
         range: HashRange,
         /// Whether the tables differ in other ranges for which no page was sent.
         has_more: bool,
     },
-    /// Records that the sender of a page lacks; requests a [`Message::Correction`] for those that it can supersede.
+    /// Records that the sender of a page is missing; requests a [`Message::Correction`] for those that the
+    /// receiver can supersede.
     PageReply,
     /// Records that supersede those sent by the receiver. Never replied to.
     Correction,
@@ -91,40 +92,40 @@
 #[derive(Clone, Debug, Snafu, PartialEq)]
 pub enum DecodeError {
     /// The datagram is empty.
-    #[snafu(display("an empty datagram"))]
+    #[snafu(display("datagram is empty"))]
     Empty,
     /// The datagram exceeds [`MAX_DATAGRAM_BYTES`].
-    #[snafu(display("a datagram of {bytes} bytes; {MAX_DATAGRAM_BYTES} at most"))]
+    #[snafu(display("datagram has {bytes} bytes; the limit is {MAX_DATAGRAM_BYTES}"))]
     TooLarge {
         /// The size of the datagram.
         bytes: usize,
     },
     /// The datagram has another version of the encoding.
-    #[snafu(display("version {version} of the encoding; {WIRE_VERSION} is spoken here"))]
+    #[snafu(display("unsupported encoding version {version}; this member uses version {WIRE_VERSION}"))]
     UnsupportedVersion {
         /// The version of the datagram.
         version: u8,
     },
     /// The bytes do not follow the encoding.
-    #[snafu(display("not a datagram: {source}"))]
+    #[snafu(display("datagram cannot be decoded: {source}"))]
     Malformed {
         /// The error of the decoder.
         source: postcard::Error,
     },
     /// A name is empty or exceeds [`MAX_TEXT_BYTES`].
-    #[snafu(display("a name of {bytes} bytes; 1 to {MAX_TEXT_BYTES} are allowed"))]
+    #[snafu(display("name has {bytes} bytes; 1 to {MAX_TEXT_BYTES} are allowed"))]
     InvalidNameLength {
         /// The length of the name.
         bytes: usize,
     },
     /// An incarnation exceeds [`MAX_INCARNATION`].
-    #[snafu(display("incarnation {} is not plausible", incarnation.0))]
+    #[snafu(display("incarnation {} exceeds the limit of {}", incarnation.0, MAX_INCARNATION.0))]
     ImplausibleIncarnation {
         /// The incarnation.
         incarnation: Incarnation,
     },
-    /// A digest has another number of ranges.
-    #[snafu(display("a digest with another number of ranges"))]
+    /// A digest does not have one checksum per range.
+    #[snafu(display("digest has the wrong number of ranges"))]
     InvalidDigest,
 }
 
@@ -233,7 +234,7 @@
     }
 }
 
-/// Appends a value. Serializing plain data of known lengths into a growing buffer does not fail.
+/// Appends a value. Serializing data of known length into a growing buffer does not fail.
 fn append<T: Serialize>(buffer: Vec<u8>, value: &T) -> Vec<u8> {
     postcard::to_extend(value, buffer).unwrap_or_default()
 }
--- a/crates/membership/tests/conflict.rs
+++ b/crates/membership/tests/conflict.rs
@@ -9,7 +9,7 @@
 };
 use juniperwing_protocol::NodeName;
 
-/// More rounds of mutual refutation than a conflict should take.
+/// The number of rounds of mutual refutation, larger than it takes until the conflict is reported.
 const ROUNDS: usize = 50;
 
 fn member(node: &str, run_id: u64, address: &str) -> Member {
--- a/crates/membership/tests/cost.rs
+++ b/crates/membership/tests/cost.rs
@@ -10,9 +10,9 @@
 }
 
 /// The traffic of `count` settled members in 20 s.
-fn traffic_at_rest(count: usize) -> Traffic {
+fn steady_state_traffic(count: usize) -> Traffic {
     let mut network = Network::with_known_members(count, 3);
-    // The few updates from the start have been disseminated by then.
+    // By then the updates from the start-up have been disseminated.
     network.run(seconds(60.0));
     assert!(network.running().all(|machine| pending_updates_of(&network, machine) == 0));
     assert!(network.traffic.largest_datagram <= MAX_DATAGRAM_BYTES);
@@ -23,9 +23,9 @@
 }
 
 #[test]
-fn the_cost_at_rest_does_not_grow_with_members() {
+fn the_steady_state_cost_does_not_grow_with_members() {
     for count in [20, 760] {
-        let traffic = traffic_at_rest(count);
+        let traffic = steady_state_traffic(count);
         let per_second = |total: u64| total as f64 / count as f64 / 20.0;
         let datagrams = per_second(traffic.datagrams);
         let bytes = traffic.bytes as f64 / traffic.datagrams as f64;
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn traffic_during_waves_of_deaths_and_returns_is_bounded() {
+fn traffic_while_many_members_die_and_restart_is_bounded() {
     let mut network = Network::settled(100, 4);
     network.traffic = Traffic::default();
     for round in 0..4 {
@@ -55,10 +55,10 @@
         network.run(seconds(15.0));
     }
     let per_second = network.traffic.datagrams as f64 / 100.0 / 120.0;
-    println!("{per_second:.1} datagrams/s for each member in the wave");
+    println!("{per_second:.1} datagrams/s per member during the failures");
     assert!(per_second < 16.0, "{per_second} datagrams per second");
     assert!(network.traffic.largest_datagram <= MAX_DATAGRAM_BYTES);
-    network.run_until_true(seconds(20.0), "all members are back", Network::has_converged);
+    network.run_until_true(seconds(20.0), "all members are alive again", Network::has_converged);
     for machine in 0..100 {
         assert!(network.membership(machine).members().count() == 100);
     }
@@ -74,5 +74,5 @@
         let alive = |machine: &usize| network.view(150, *machine) == Some(Status::Alive);
         network.running().filter(alive).count() == 200
     });
-    println!("a new one of 200 knows all after {:.1} s", time.as_secs_f64());
+    println!("a new member among 200 knows all others after {:.1} s", time.as_secs_f64());
 }
--- a/crates/membership/tests/datagrams.rs
+++ b/crates/membership/tests/datagrams.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_datagram_survives_encoding_and_decoding() {
+fn a_datagram_round_trips_through_its_encoding() {
     let records: Vec<Record> = (0..5).map(|number| record(&format!("edge-{number}"))).collect();
     let message = Message::Ping { sequence: Sequence(9) };
     let bytes = encode(&record("me"), &message, &records);
--- a/crates/membership/tests/failures.rs
+++ b/crates/membership/tests/failures.rs
@@ -33,12 +33,15 @@
     for (count, bound) in [(3, 6.0), (13, 8.0), (60, 11.0), (200, 14.0)] {
         let mut network = Network::settled(count, 5);
         network.kill(count - 1);
-        let time = network.run_until_true(seconds(bound), "found dead", |network| {
+        let time = network.run_until_true(seconds(bound), "declared dead", |network| {
             network.all_view_as(count - 1, Status::Dead)
         });
         println!("{count} members: a death is known to all after {:.1} s", time.as_secs_f64());
         let dead = network.take_deaths();
-        assert!(dead.iter().all(|id| *id == network.machines[count - 1].me.id), "only that one");
+        assert!(
+            dead.iter().all(|id| *id == network.machines[count - 1].me.id),
+            "no other member is declared dead"
+        );
     }
 }
 
@@ -129,7 +132,7 @@
     network.move_to(6, 60);
     network.move_to(7, 6);
     network.start(7);
-    network.run_until_true(seconds(9.0), "the old one is dead", |network| {
+    network.run_until_true(seconds(9.0), "the previous member is dead", |network| {
         network.all_view_as(6, Status::Dead) && network.has_converged()
     });
 }
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Every datagram has the bytes that earlier releases gave it.
+//! Every datagram is encoded as in earlier releases.
 
 #[path = "../../protocol/tests/golden_files/mod.rs"]
 mod golden_files;
--- a/crates/membership/tests/probes.rs
+++ b/crates/membership/tests/probes.rs
@@ -23,7 +23,7 @@
     Record { member, incarnation: Incarnation(3), status: Status::Alive }
 }
 
-/// A member that knows one other, at incarnation 3.
+/// A member that knows one other member, at incarnation 3.
 fn pair() -> Membership {
     let me = record("me", "10.0.0.1:7380").member;
     let settings = Settings { local_member: me, seeds: Vec::new(), timings: Timings::default() };
@@ -87,7 +87,7 @@
 #[test]
 fn a_suspect_is_pinged_again_with_the_suspicion() {
     let (mut membership, mut now) = (pair(), Time::default());
-    // More members, so that the round alone does not return to the suspect each time.
+    // Adds members, so that the probe round alone does not ping the suspect every time.
     tick_to_ping(&mut membership, &mut now);
     for name in ["one", "two", "three", "four"] {
         deliver(&mut membership, now, &record(name, "10.0.0.9:7380"), &Message::Gossip);
--- a/crates/membership/tests/virtual_network/mod.rs
+++ b/crates/membership/tests/virtual_network/mod.rs
@@ -31,7 +31,7 @@
     pub datagrams: u64,
     /// Number of bytes sent.
     pub bytes: u64,
-    /// Size of the `largest_datagram` datagram, in bytes.
+    /// Size of the largest datagram, in bytes.
     pub largest_datagram: usize,
     /// Number of ticks.
     pub wake_ups: u64,
@@ -96,7 +96,7 @@
         network
     }
 
-    /// `count` machines, started within 0.3 s, after 20 s.
+    /// `count` machines, started within 0.3 s, 20 s later.
     pub fn settled(count: usize, seed: u64) -> Self {
         let mut network = Network::new(count, seed);
         network.start_all();
@@ -173,7 +173,7 @@
         self.machines[machine].is_paused = true;
     }
 
-    /// Resumes a machine: first its timers, then the datagrams in its socket (the worse order).
+    /// Resumes a machine: its timers fire before the datagrams in its socket are handled, which is the worst case.
     pub fn resume(&mut self, machine: usize) {
         self.machines[machine].is_paused = false;
         if self.machines[machine].wake_at <= self.now {
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Lets a member leave, and terminates its process.
+    /// Makes a member announce that it leaves, and terminates its process.
     pub fn leave(&mut self, machine: usize) {
         let now = self.now;
         let commands = self.membership(machine).handle(now, Event::Leave);
@@ -231,7 +231,7 @@
         self.running().all(|observer| self.view(observer, machine) == Some(status))
     }
 
-    /// Whether every running member regards every running one as alive, with its present run id and address, and no
+    /// Whether every running member regards every running one as alive, with its current run id and address, and no
     /// other as live.
     pub fn has_converged(&self) -> bool {
         let expected: BTreeMap<&MemberId, &Member> =
