--- a/crates/node/src/keeper.rs
+++ b/crates/node/src/keeper.rs
@@ -3,7 +3,7 @@
 //! - `consensus` drives the replica of the control state, `record_file` persists it.
 //! - `orders` handles operators' orders, `endpoints` the heartbeats of endpoints; both arrive at `control_listener`.
 //! - `store_placement` assigns partitions to stores, based on `store_reports`.
-//! - `publishing` sends what is in force to `subscribers`: relays and stores.
+//! - `publishing` sends the committed state and the registry to `subscribers`: relays and stores.
 //! - `controller` holds the shared state; `startup`, `housekeeping` and `shutdown` are the phases of its lifecycle.
 
 mod configuration_distribution;
@@ -41,7 +41,7 @@
 use crate::signals::ShutdownOrReload;
 use crate::sync::watch;
 
-/// Runs until the platform ends the process.
+/// Runs until the process receives a shutdown signal. A reload signal reloads the settings file.
 ///
 /// # Errors
 ///
@@ -51,7 +51,7 @@
     let resources = tokio::select! {
         biased;
         resources = StartupResources::acquire(&settings, &log) => resources?,
-        // This incarnation has promised nothing yet.
+        // The replica has not started, so there is no leadership to hand over.
         () = signals.wait_for_shutdown() => return Ok(()),
     };
     let (changed, changes) = watch::channel(settings.clone());
@@ -79,8 +79,8 @@
     run_with(settings, changes, log, shutdown).await
 }
 
-/// Runs until `shutdown` completes, and follows the seeds of changed settings. `shutdown` is first polled when all listeners
-/// serve.
+/// Runs until `shutdown` completes, and applies changes of the seeds in the settings. `shutdown` is first polled when
+/// all listeners serve.
 ///
 /// # Errors
 ///
--- a/crates/node/src/keeper/configuration_distribution.rs
+++ b/crates/node/src/keeper/configuration_distribution.rs
@@ -24,7 +24,7 @@
             calls.spawn(async move { drop(controller.peers.call(address, message, apply_timeout).await) });
         }
         self.distribute_to_own_subscribers(version, apply_deadline).await;
-        // Calls that are left after the deadline end with the set.
+        // Dropping the set cancels the calls that are still pending after the deadline.
         let _ = timeout_at(apply_deadline, async { while calls.join_next().await.is_some() {} }).await;
     }
 
--- a/crates/node/src/keeper/consensus.rs
+++ b/crates/node/src/keeper/consensus.rs
@@ -31,14 +31,14 @@
     pub(super) record: Record,
 }
 
-/// The location of the primary, which decides orders.
+/// The location of the primary, which executes orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PrimaryLocation {
     /// This keeper.
     Local,
     /// Another keeper, at this address.
     Remote(SocketAddr),
-    /// No primary is known at present.
+    /// No primary is known.
     Unknown,
 }
 
@@ -109,7 +109,7 @@
         receiver.await.unwrap_or(Err(ProposeError::Unknown))
     }
 
-    /// Reads the committed state, which a majority confirmed to be the newest after this call.
+    /// Reads the committed state after a majority has confirmed, during this call, that it is the newest.
     ///
     /// # Errors
     ///
@@ -181,7 +181,7 @@
             let outcome = file.write(&record);
             (file, outcome)
         });
-        // The task ends early only if the write panicked, and then the disk cannot be used any more.
+        // The task fails only if the write panicked, which drops the file: no more records can be written.
         let Ok((returned, outcome)) = written.await else { return };
         file = returned;
         match outcome {
@@ -203,8 +203,8 @@
             biased;
             () = tokio::time::sleep(delay) => {
                 controller.step_replica(Event::Tick);
-                // The time that the replica requests next may be there already: a message that was handled just before
-                // the tick, after the timer had expired, has requested it, and then the tick does not do so again.
+                // The next tick time may have been set just before this tick, by a message handled after the timer had
+                // expired. The tick does not set it again, so `changed` has to report that earlier change.
                 if timer_changes.changed().await.is_err() {
                     return;
                 }
--- a/crates/node/src/keeper/control_api.rs
+++ b/crates/node/src/keeper/control_api.rs
@@ -1,4 +1,4 @@
-//! The HTTP API of the control listener: routes, parsing of calls, and responses.
+//! The HTTP API of the control listener: routes, parsing of requests, and responses.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,7 +23,7 @@
 
 /// The maximum size of a configuration.
 const MAX_CONFIGURATION_BYTES: usize = 8 << 20;
-/// The maximum body size of any other call.
+/// The maximum body size of any other request.
 const MAX_BODY_BYTES: usize = 64 << 10;
 /// The time within which a body must arrive.
 const BODY_READ_TIMEOUT: Duration = Duration::from_secs(10);
@@ -31,7 +31,7 @@
 const RETRY_AFTER_S: HeaderValue = HeaderValue::from_static("0.2");
 const JSON_CONTENT_TYPE: HeaderValue = HeaderValue::from_static("application/json");
 
-/// The JSON body of a rejected call: what is wrong with it.
+/// The JSON body of the response to an invalid request, with all problems found.
 #[derive(Serialize)]
 struct Findings<T> {
     findings: T,
@@ -55,9 +55,9 @@
 }
 
 async fn put_instance(
-    State(controller): State<Arc<Controller>>, Path(id): Path<String>, call: Request,
+    State(controller): State<Arc<Controller>>, Path(id): Path<String>, request: Request,
 ) -> Response {
-    let body = match read_body(call, MAX_BODY_BYTES).await {
+    let body = match read_body(request, MAX_BODY_BYTES).await {
         Ok(body) => body,
         Err(reply) => return http_response(reply),
     };
@@ -68,15 +68,15 @@
 }
 
 async fn delete_instance(State(controller): State<Arc<Controller>>, Path(id): Path<String>) -> Response {
-    endpoint_response(controller.handle_instance_end(InstanceId::from(id.as_str())).await)
+    endpoint_response(controller.handle_deregistration(InstanceId::from(id.as_str())).await)
 }
 
-async fn put_configuration(State(controller): State<Arc<Controller>>, call: Request) -> Response {
-    let base = match base_generation(call.headers()) {
+async fn put_configuration(State(controller): State<Arc<Controller>>, request: Request) -> Response {
+    let base = match base_generation(request.headers()) {
         Ok(base) => base,
         Err(reply) => return http_response(reply),
     };
-    match read_body(call, MAX_CONFIGURATION_BYTES).await {
+    match read_body(request, MAX_CONFIGURATION_BYTES).await {
         Ok(body) => http_response(
             controller.handle_order(Order::PutConfiguration { base, body: body.to_vec() }).await,
         ),
@@ -89,9 +89,9 @@
 }
 
 async fn post_retire(
-    State(controller): State<Arc<Controller>>, Path(node): Path<String>, call: Request,
+    State(controller): State<Arc<Controller>>, Path(node): Path<String>, request: Request,
 ) -> Response {
-    let body = match read_body(call, MAX_BODY_BYTES).await {
+    let body = match read_body(request, MAX_BODY_BYTES).await {
         Ok(body) => body,
         Err(reply) => return http_response(reply),
     };
@@ -129,14 +129,18 @@
     inner.bytes().all(|byte| byte.is_ascii_digit()).then(|| inner.parse().ok())?
 }
 
-/// Reads a body of at most `limit` bytes. An error is the reply to send.
-async fn read_body(call: Request, limit: usize) -> Result<Bytes, OrderReply> {
-    let body: Body = call.into_body();
+/// Reads a body of at most `limit` bytes.
+///
+/// # Errors
+///
+/// The reply to send if the body is too large, malformed or too slow.
+async fn read_body(request: Request, limit: usize) -> Result<Bytes, OrderReply> {
+    let body: Body = request.into_body();
     match timeout(BODY_READ_TIMEOUT, Limited::new(body, limit).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(too_large_reply(limit)),
         Ok(Err(error)) => Err(bad_request_reply("body", &error.to_string())),
-        // A slow link is no reason to reject a call whose other copy may have been accepted.
+        // Not a rejection: the caller may have sent the same order to another keeper, which may have accepted it.
         Err(_) => Err(unavailable_reply()),
     }
 }
--- a/crates/node/src/keeper/controller.rs
+++ b/crates/node/src/keeper/controller.rs
@@ -64,13 +64,13 @@
     pub(super) peers: Arc<Peers>,
     pub(super) order_replies: OrderReplyCounters,
     pub(super) order_log_limit: RateLimit,
-    /// Something was confirmed, committed or lost: waiting tasks check their condition again.
+    /// Notified when something was confirmed, committed or lost, so that waiting tasks check their condition again.
     pub(super) state_changed: Notify,
-    /// Subscribers or other keepers have updates to be sent.
+    /// Notified when there are updates for subscribers or other keepers.
     pub(super) push_requested: Notify,
-    /// A new subscription is unconfirmed.
+    /// Notified when a new subscription has to be confirmed.
     pub(super) confirmation_requested: Notify,
-    /// The store map may have to change.
+    /// Notified when the store map may have to change.
     pub(super) planning_requested: Notify,
 }
 
@@ -101,7 +101,7 @@
         lock(&self.state)
     }
 
-    /// The voters without this keeper.
+    /// The voters except this keeper.
     pub(super) fn other_voters(&self, state: &State) -> Vec<Voter> {
         let voters = state.consensus.replica.voters().iter();
         voters.filter(|voter| voter.disk != self.local_voter.disk).cloned().collect()
--- a/crates/node/src/keeper/endpoints.rs
+++ b/crates/node/src/keeper/endpoints.rs
@@ -6,7 +6,7 @@
 use juniperwing_protocol::registry::{Instance, InstanceState, Refresh, RegistryMessage};
 use juniperwing_protocol::replication::Voter;
 use juniperwing_protocol::{DiskId, InstanceId, Message};
-use juniperwing_registry::{Batch, ChangeNumber, HeartbeatOutcome, needed_confirmations};
+use juniperwing_registry::{Batch, ChangeNumber, HeartbeatOutcome, required_confirmations};
 use slog::{debug, info};
 use tokio::time::Instant;
 
@@ -14,17 +14,18 @@
 use crate::clock;
 use crate::link::{LinkId, ReplySender};
 
-/// The reply to an endpoint's call.
+/// The reply to a request of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EndpointReply {
-    /// Recorded by a keeper with contact to a majority. Where the endpoint leaves, at least a majority, and enough
-    /// keepers for every relay to learn of it, have recorded the end, and the relays subscribed there applied it.
+    /// Recorded by a keeper with contact to a majority. A drain or termination has been recorded by a majority, and by
+    /// enough keepers for every relay to be subscribed to one of them; the relays subscribed there have applied it.
     Accepted,
-    /// This keeper is partitioned or full, or could not propagate an end in time: call another keeper.
+    /// This keeper is partitioned or full, or could not propagate a drain or termination in time: the endpoint should
+    /// try another keeper.
     Unavailable,
 }
 
-/// What must be confirmed before the call of a leaving endpoint is acknowledged.
+/// What must be confirmed before a drain or termination is acknowledged.
 struct Propagation {
     /// The revision of the instances that the relays subscribed here must apply.
     revision: u64,
@@ -58,8 +59,8 @@
         self.wait_until_propagated(propagation).await
     }
 
-    /// Records that an endpoint ends.
-    pub(super) async fn handle_instance_end(self: &Arc<Self>, id: InstanceId) -> EndpointReply {
+    /// Deregisters an endpoint.
+    pub(super) async fn handle_deregistration(self: &Arc<Self>, id: InstanceId) -> EndpointReply {
         let propagation = {
             let state = &mut *self.lock();
             if !self.has_majority_contact(state) {
@@ -88,23 +89,24 @@
         };
         let controller = Arc::clone(self);
         if !confirm {
-            return reply.send(controller.instances_merged(false));
+            return reply.send(controller.instances_merged_message(false));
         }
         tokio::spawn(async move {
             let deadline = Instant::now() + controller.control_timings.subscriber_apply_timeout;
             let applied = controller
                 .wait_until(deadline, |state| state.subscribers.have_applied_instances(revision))
                 .await;
-            reply.send(controller.instances_merged(applied));
+            reply.send(controller.instances_merged_message(applied));
         });
     }
 
-    fn instances_merged(&self, applied: bool) -> Message {
+    fn instances_merged_message(&self, applied: bool) -> Message {
         let epoch = self.lock().consensus.replica.epoch().number;
         Message::Registry(RegistryMessage::InstancesMerged { epoch, applied })
     }
 
-    /// Expires endpoints that sent no heartbeat to any keeper, while this keeper receives what the others receive.
+    /// Expires endpoints that sent no heartbeat to any keeper. Without contact to a majority, or after a pause, it restarts
+    /// the timeouts instead, since heartbeats that the other keepers received may not have arrived here.
     pub(super) fn expire_instances(&self, state: &mut State) {
         let now = clock::now();
         let epoch = state.consensus.replica.epoch();
@@ -119,7 +121,7 @@
         self.publish_instances(state, &expired);
     }
 
-    /// Sends the other keepers the batches of instances that are due. `is_periodic` includes plain heartbeats.
+    /// Sends the other keepers the batches of instances that are due. `is_periodic` includes those with heartbeats only.
     pub(super) fn send_instance_batches(self: &Arc<Self>, is_periodic: bool) {
         let batches = {
             let state = &mut *self.lock();
@@ -162,7 +164,7 @@
         self.state_changed.notify_waiters();
     }
 
-    /// Calls another keeper. Returns its reply and the link over which it came.
+    /// Sends a request to another keeper. Returns its reply and the link that it arrived on.
     async fn call_peer(&self, address: SocketAddr, message: Message) -> Option<(LinkId, RegistryMessage)> {
         let link = self.peers.link(address).await.ok()?;
         match link.call(message, self.control_timings.peer_reply_timeout).await {
@@ -177,14 +179,14 @@
             return;
         }
         state.subscribers.record_changed(changed);
-        // An acknowledgement must cover all present voters.
+        // An acknowledgement must cover all current voters.
         self.update_exchange_peers(state);
         state.exchange.record_changes(changed);
         self.push_requested.notify_one();
     }
 
-    /// Requests the other keepers to confirm an end that was recorded here, even if they or this keeper knew of it:
-    /// an earlier call may have been rejected because the end did not reach a majority.
+    /// Requests the other keepers to confirm a drain or termination that is recorded here, even if it was known before:
+    /// an earlier request may have failed because it did not reach a majority.
     fn propagate(&self, state: &mut State, id: &InstanceId) -> Propagation {
         self.update_exchange_peers(state);
         if let Some(instance) = state.registry.get(id).cloned() {
@@ -197,31 +199,31 @@
         }
     }
 
-    /// Waits a limited time until every reachable keeper has confirmed. Enough keepers must have confirmed in any
-    /// case, so that every relay is subscribed to one of them.
+    /// Waits a limited time until every reachable keeper has confirmed. In any case, enough keepers must have confirmed for
+    /// every relay to be subscribed to one of them.
     async fn wait_until_propagated(&self, propagation: Propagation) -> EndpointReply {
         let deadline = Instant::now() + self.control_timings.propagation_timeout;
         self.wait_until(deadline, |state| {
-            self.is_propagated_to_enough(state, &propagation)
+            self.is_propagated_to_quorum(state, &propagation)
                 && state.is_propagated_to_reachable(&propagation)
         })
         .await;
-        if self.is_propagated_to_enough(&self.lock(), &propagation) {
+        if self.is_propagated_to_quorum(&self.lock(), &propagation) {
             return EndpointReply::Accepted;
         }
         EndpointReply::Unavailable
     }
 
-    /// Whether the relays subscribed here have applied the end, and enough keepers for every relay to learn of it have
-    /// confirmed it.
-    fn is_propagated_to_enough(&self, state: &State, propagation: &Propagation) -> bool {
+    /// Whether the relays subscribed here have applied the drain or termination, and enough keepers have confirmed it
+    /// for every relay to be subscribed to one of them.
+    fn is_propagated_to_quorum(&self, state: &State, propagation: &Propagation) -> bool {
         let epoch = state.consensus.replica.epoch();
         let confirmed: Vec<DiskId> = state.exchange.confirmed_peers(propagation.change_number).collect();
         let has_confirmed =
             |voter: &&Voter| voter.disk == self.local_voter.disk || confirmed.contains(&voter.disk);
-        let needed = needed_confirmations(epoch.voters.len(), self.required_replicas - 1);
-        let is_enough = epoch.voters.iter().filter(has_confirmed).count() >= needed;
-        is_enough && state.subscribers.have_applied_instances(propagation.revision)
+        let required = required_confirmations(epoch.voters.len(), self.required_replicas - 1);
+        let has_quorum = epoch.voters.iter().filter(has_confirmed).count() >= required;
+        has_quorum && state.subscribers.have_applied_instances(propagation.revision)
     }
 }
 
--- a/crates/node/src/keeper/housekeeping.rs
+++ b/crates/node/src/keeper/housekeeping.rs
@@ -1,4 +1,4 @@
-//! Housekeeping: periodic work of a keeper that no event triggers.
+//! Housekeeping: periodic work of a keeper.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 /// The number of rounds between two reports of reachable stores, whose replies are also evidence of contact.
 /// Without contact to a majority every round sends one.
 const ROUNDS_PER_STORE_REPORT: u64 = 3;
-/// An interval between two rounds above this means that the process was paused.
+/// A longer interval between two rounds means that the process was paused.
 const PAUSE_THRESHOLD: Span = Span::from_millis(1_000);
 
 impl Controller {
@@ -45,11 +45,11 @@
         self.update_exchange_peers(&mut state);
         self.expire_instances(&mut state);
         drop(state);
-        // Voters and completeness change without an event of their own; subscribers get only what is new to them.
+        // Changes of the voters and of completeness trigger no event. Subscribers are sent only what is new to them.
         self.push_requested.notify_one();
     }
 
-    /// Sets the peers of the registry exchange to the present voters.
+    /// Sets the peers of the registry exchange to the current voters.
     pub(super) fn update_exchange_peers(&self, state: &mut State) {
         let others = self.other_voters(state);
         state.exchange.set_peers(&others);
--- a/crates/node/src/keeper/message_handler.rs
+++ b/crates/node/src/keeper/message_handler.rs
@@ -85,7 +85,7 @@
                 reply.send(Message::Registry(RegistryMessage::ReachableStoresReply { epoch }));
             }
             RegistryMessage::CaughtUp(reports) => self.handle_caught_up_reports(reports),
-            // Replies are delivered to their callers by the link.
+            // The link delivers replies to the tasks that wait for them.
             RegistryMessage::InstancesMerged { .. }
             | RegistryMessage::ConfigurationDistributed
             | RegistryMessage::CommittedVersion { .. }
--- a/crates/node/src/keeper/order_execution.rs
+++ b/crates/node/src/keeper/order_execution.rs
@@ -39,7 +39,7 @@
     ReadNotConfirmed,
     /// The change was not committed in time.
     ChangeNotCommitted,
-    /// This keeper has not observed the stores for long enough.
+    /// This keeper has not observed the stores for long enough to decide.
     StoresUncertain,
 }
 
--- a/crates/node/src/keeper/order_replies.rs
+++ b/crates/node/src/keeper/order_replies.rs
@@ -11,7 +11,7 @@
 #[derive(Serialize)]
 struct ErrorBody<'text> {
     error: &'text str,
-    /// The generation in force, where the order built on another one.
+    /// The current generation, if the order builds on another one.
     #[serde(skip_serializing_if = "Option::is_none")]
     current: Option<u64>,
 }
@@ -24,21 +24,21 @@
 
 /// A reply with a JSON body.
 pub(super) fn json_reply(status: u16, body: &impl Serialize) -> OrderReply {
-    // Plain structures of numbers and text always have a JSON form.
+    // Serializing structures of numbers and text does not fail.
     OrderReply { status, body: serde_json::to_vec(body).unwrap_or_default() }
 }
 
-/// The order was carried out.
+/// The order was executed.
 pub(super) fn accepted_reply() -> OrderReply {
     json_reply(200, &serde_json::json!({}))
 }
 
-/// No definite outcome: the order may come into force or not, and should be sent again.
+/// No definite outcome: the order may or may not take effect, and should be sent again.
 pub(super) fn unavailable_reply() -> OrderReply {
     error_reply(STATUS_UNAVAILABLE, "no primary can be reached")
 }
 
-/// The configuration in force.
+/// The current configuration.
 pub(super) fn configuration_reply(state: &ControlState) -> OrderReply {
     match &state.configuration {
         Some(configuration) => OrderReply { status: 200, body: configuration.body.to_vec() },
--- a/crates/node/src/keeper/orders.rs
+++ b/crates/node/src/keeper/orders.rs
@@ -15,16 +15,16 @@
 use super::order_execution::{OrderAttempt, RetryReason};
 use super::order_replies::{STATUS_UNAVAILABLE, unavailable_reply};
 
-/// The time for an order with a small body. Callers try the next keeper after a second.
+/// The time limit for an order with a small body. Clients try the next keeper after one second.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(930);
-/// Callers wait longer for large bodies: one further millisecond for this number of bytes.
+/// Clients wait longer for large bodies: one more millisecond for each of this number of bytes.
 const BODY_BYTES_PER_EXTRA_MS: u64 = 10_000;
 /// The interval between two attempts to find a primary.
 const PRIMARY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// How much earlier a keeper replies to a forwarded order, so that the reply arrives in time.
 const FORWARDING_ALLOWANCE: Duration = Duration::from_millis(30);
 
-/// The number of log lines for orders in a second; further ones are only counted.
+/// The maximum number of log lines for orders per second; further ones are only counted.
 pub(super) const MAX_ORDER_LOG_LINES_PER_SECOND: u32 = 50;
 
 /// How an order is identified in the log.
@@ -36,7 +36,7 @@
     digest: String,
 }
 
-/// The end of an order's processing, for the log.
+/// The outcome of an order, for the log.
 struct OrderOutcome<'reply> {
     reply: &'reply OrderReply,
     primary: PrimaryLocation,
@@ -145,9 +145,9 @@
     ORDER_TIMEOUT + Duration::from_millis(body_bytes / BODY_BYTES_PER_EXTRA_MS)
 }
 
-/// The reply, or 503 if the order is a read whose deadline has passed. A process that was frozen may send a reply
-/// long after the state that it reports was confirmed; it must not pass for the newest state then. Replies to
-/// changes depend only on facts that no later state changes, and are valid at any time.
+/// The reply, or 503 if the order is a read whose deadline has passed. A process that was suspended may send a reply
+/// long after the state in it was confirmed, when it may no longer be the newest. Replies to changes remain valid:
+/// no later state invalidates what they report.
 fn unless_expired(order: &Order, reply: OrderReply, deadline: Instant) -> OrderReply {
     let is_read = matches!(order, Order::GetConfiguration | Order::RetireState { .. });
     if is_read && Instant::now() > deadline { unavailable_reply() } else { reply }
--- a/crates/node/src/keeper/peer_discovery.rs
+++ b/crates/node/src/keeper/peer_discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery of the other keepers: from the membership and from reloaded settings, beside the seeds at start.
+//! Discovery of the other keepers: from the membership and from reloaded settings, in addition to the initial seeds.
 //!
 //! A keeper that is not a voter sends its join requests to these addresses.
 
@@ -29,7 +29,7 @@
 }
 
 impl KnownAddresses {
-    /// All addresses; members first, since they are alive.
+    /// All addresses; members first, since they are likely to be alive.
     fn all(&self) -> Vec<SocketAddr> {
         let mut all = self.members.clone();
         all.extend(self.seeds.iter().filter(|seed| !self.members.contains(seed)));
@@ -53,7 +53,7 @@
         Ok(Arc::new(PeerDiscovery { controller: Arc::clone(controller), gossip, known }))
     }
 
-    /// Follows the seeds of changed settings.
+    /// Applies changes of the seeds in the settings.
     pub(super) async fn follow_settings(self: Arc<Self>, mut changes: watch::Receiver<Settings>) {
         while changes.changed().await.is_ok() {
             let settings = changes.borrow_and_update().clone();
@@ -65,7 +65,7 @@
         std::future::pending().await
     }
 
-    /// Announces to the other members that this keeper ends.
+    /// Announces to the other members that this keeper leaves.
     pub(super) fn leave(&self) {
         self.gossip.leave();
     }
--- a/crates/node/src/keeper/peers.rs
+++ b/crates/node/src/keeper/peers.rs
@@ -10,9 +10,9 @@
 use crate::link::{CallError, Link, LinkPool, Service};
 use crate::sync::lock;
 
-/// The number of messages that are queued until a link is up; the oldest are dropped.
+/// The maximum number of messages queued for a keeper until its link is established; the oldest are dropped.
 const MAX_QUEUED_MESSAGES: usize = 64;
-/// The number of keepers above which unconnected ones are forgotten; more than a tier ever has.
+/// The number of entries at which unconnected keepers are removed; larger than any group of keepers.
 const MAX_PEERS: usize = 64;
 
 /// The links to other keepers.
@@ -25,18 +25,18 @@
 #[derive(Default)]
 struct Peer {
     link: Option<Link>,
-    /// Messages that are sent when the link is up.
+    /// Messages to send when the link is established.
     queued: VecDeque<Message>,
     is_connecting: bool,
 }
 
 impl Peers {
-    /// Starts without links; messages from other keepers go to `service`.
+    /// A pool without links; `service` handles messages from other keepers.
     pub(super) fn new(service: Arc<dyn Service>) -> Self {
         Peers { pool: LinkPool::new(service), peers: Mutex::default() }
     }
 
-    /// Sends a message without a reply. It may be lost.
+    /// Sends a message that has no reply. It may be lost.
     pub(super) fn send(self: &Arc<Self>, address: SocketAddr, message: Message) {
         let mut peers = self.lock();
         if peers.len() >= MAX_PEERS {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Calls another keeper and waits for its reply.
+    /// Sends a request to another keeper and waits for its reply.
     ///
     /// # Errors
     ///
--- a/crates/node/src/keeper/pending_outcomes.rs
+++ b/crates/node/src/keeper/pending_outcomes.rs
@@ -1,4 +1,4 @@
-//! Outcomes of the replica that tasks wait for.
+//! Tasks that wait for the outcome of a proposal or read.
 
 use std::collections::BTreeMap;
 
--- a/crates/node/src/keeper/publishing.rs
+++ b/crates/node/src/keeper/publishing.rs
@@ -10,7 +10,7 @@
 use crate::clock;
 
 impl Controller {
-    /// Sends updates for the lifetime of the keeper; all changes of one turn of the event loop go together.
+    /// Sends updates for the lifetime of the keeper. Changes made before the loop runs again are sent together.
     pub(super) async fn run_push_loop(self: Arc<Self>) {
         loop {
             self.push_requested.notified().await;
--- a/crates/node/src/keeper/record_file.rs
+++ b/crates/node/src/keeper/record_file.rs
@@ -1,12 +1,12 @@
 //! Persistence of a keeper: the identity of its disk and the durable record of its replica.
 //!
 //! A record is one file, which is replaced atomically. Where only the acceptor state has changed, it is written to a small
-//! file of its own that names the record it belongs to, so that elections do not write the state.
+//! file of its own that names the record it belongs to, so that an election does not rewrite the whole state.
 //!
 //! Both carry the identity of their directory. A directory whose newest record is torn, is an older one under the
 //! newest name, or belongs to another directory, counts as lost: the keeper starts with a new identity and an empty
-//! record, as after the loss of the disk, since it may have promised or acknowledged more than it finds. No power
-//! loss leads there, see `juniperwing_storage::SnapshotFiles`.
+//! record, as after the loss of the disk, since it may have promised or acknowledged more than it finds. A power
+//! loss does not cause this, see `juniperwing_storage::SnapshotFiles`.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -44,7 +44,7 @@
     #[snafu(display("the record of the newest acceptor state is missing"))]
     MissingRecord,
     /// The record belongs to another data directory.
-    #[snafu(display("the record on disk is that of disk {}, not of {}", found.0, expected.0))]
+    #[snafu(display("the record on disk belongs to disk {}, not to disk {}", found.0, expected.0))]
     ForeignRecord {
         /// The identity in the record.
         found: DiskId,
@@ -97,24 +97,24 @@
     pub loss: Option<DiskError>,
 }
 
-/// Opens the keeper's data directory. `draw` generates new identities where they are needed.
+/// Opens the keeper's data directory. `generate_identity` returns a random identity for a new or lost disk.
 ///
 /// # Errors
 ///
 /// If an operation on the disk fails, or the files have the layout of another release.
-pub fn open(directory: &Path, draw: impl Fn() -> u64) -> Result<OpenedRecordFile, DiskError> {
-    let (identity, _) = identity::open(directory, draw()).context(StorageSnafu)?;
+pub fn open(directory: &Path, generate_identity: impl Fn() -> u64) -> Result<OpenedRecordFile, DiskError> {
+    let (identity, _) = identity::open(directory, generate_identity()).context(StorageSnafu)?;
     let disk = DiskId(identity);
     layout::check(directory, STATE_NAME, LAYOUT_VERSION).context(StorageSnafu)?;
     match RecordFile::open(directory, disk) {
         Ok((record_file, record)) => Ok(OpenedRecordFile { disk, record_file, record, loss: None }),
-        Err(loss) if loss.is_loss() => reset_identity(directory, DiskId(draw()), loss),
+        Err(loss) if loss.is_loss() => reset_identity(directory, DiskId(generate_identity()), loss),
         Err(error) => Err(error),
     }
 }
 
-/// Starts with a new identity and no record. The identity is replaced first: a record that remains after a power
-/// loss is then a foreign one.
+/// Starts with a new identity and no record. The identity is replaced first, so that a record that remains
+/// after a power loss is recognized as foreign.
 fn reset_identity(directory: &Path, disk: DiskId, loss: DiskError) -> Result<OpenedRecordFile, DiskError> {
     identity::renew(directory, disk.0).context(StorageSnafu)?;
     let record_files = SnapshotFiles::clear(directory, STATE_NAME).context(StorageSnafu)?;
--- a/crates/node/src/keeper/shutdown.rs
+++ b/crates/node/src/keeper/shutdown.rs
@@ -1,4 +1,4 @@
-//! Shutdown: hands leadership over, drains open calls and ends the tasks of a keeper.
+//! Shutdown: hands leadership over, drains open requests and stops the tasks of a keeper.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,18 +17,18 @@
 /// The interval between two checks whether the replica may shut down.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A keeper that serves, with everything that its shutdown has to end.
+/// A running keeper, with everything that its shutdown has to stop.
 pub(super) struct RunningKeeper {
     pub(super) controller: Arc<Controller>,
     pub(super) peer_discovery: Arc<PeerDiscovery>,
     pub(super) control_server: ControlServer,
     pub(super) tasks: Vec<JoinHandle<()>>,
-    /// The time that the process has between the request to shut down and its end.
+    /// The time that the process has to shut down before it is killed.
     pub(super) grace_period: Duration,
 }
 
 impl RunningKeeper {
-    /// Leaves the membership, waits until other voters have taken over, and finishes open calls.
+    /// Leaves the membership, waits until other voters have taken over, and finishes open requests.
     pub(super) async fn shut_down(self) {
         info!(self.controller.log, "shutting down");
         self.peer_discovery.leave();
@@ -39,8 +39,8 @@
 }
 
 impl Controller {
-    /// Hands leadership over, and runs on until the other voters hold all acknowledged writes and decide without
-    /// this keeper, or the grace period is nearly over: it may never come back.
+    /// Hands leadership over, and runs on until the other voters hold all acknowledged writes and can commit without
+    /// this keeper, which may never restart, or until the grace period is nearly over.
     async fn step_down_and_wait(self: &Arc<Self>, grace_period: Duration) {
         self.step_replica(Event::PrepareShutdown);
         let deadline = Instant::now() + grace_period.saturating_sub(SHUTDOWN_MARGIN);
--- a/crates/node/src/keeper/startup.rs
+++ b/crates/node/src/keeper/startup.rs
@@ -29,7 +29,7 @@
 use crate::settings::{Port, Settings};
 use crate::sync::watch;
 
-/// A setting without which no keeper can start.
+/// A setting that a keeper requires is missing.
 #[derive(Debug, Snafu)]
 #[snafu(display("{key} is missing"))]
 struct MissingSettingError {
--- a/crates/node/src/keeper/store_placement.rs
+++ b/crates/node/src/keeper/store_placement.rs
@@ -26,7 +26,7 @@
         loop {
             let next_loss_at = self.lock().tracker.next_loss_at();
             let delay = clock::duration(next_loss_at.since(clock::now()));
-            // Whichever comes first: an update of the stores, or the time at which one counts as lost.
+            // Waits for an update of the stores, or until the time at which one counts as lost.
             let _ = timeout(delay, self.planning_requested.notified()).await;
             self.plan_store_map_change().await;
         }
@@ -85,7 +85,7 @@
 }
 
 impl State {
-    /// Advances the view of the stores, and drops caught-up reports of epochs that have passed.
+    /// Advances the view of the stores, and drops caught-up reports of past epochs.
     fn refresh_store_view(&mut self, committed: &ControlState) {
         let store_map = &committed.store_map;
         self.store_view = self.tracker.tick(clock::now(), &store_map.stores);
--- a/crates/node/src/keeper/subscribers.rs
+++ b/crates/node/src/keeper/subscribers.rs
@@ -1,7 +1,8 @@
 //! The subscribers of a keeper: what was sent to each and what each has applied.
 //!
-//! A new subscription is sent nothing until this keeper is confirmed to be current: the first update promises the
-//! subscriber a state that was in force when it subscribed. Later changes are newer, so they are sent at once.
+//! A new subscription is sent nothing until this keeper is confirmed to be current: the first update must
+//! not be older than the state that was committed when it subscribed. Later changes are newer, so they are sent at
+//! once.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -184,7 +185,7 @@
         self.relays().all(|relay| relay.applied.configuration >= version)
     }
 
-    /// The subscribed stores, including unconfirmed ones: their links are alive.
+    /// The subscribed stores with an open link, including unconfirmed ones.
     pub(super) fn subscribed_stores(&self) -> Vec<StoreNode> {
         let subscriptions = self.subscriptions.values().filter(|subscription| !subscription.link.is_closed());
         subscriptions.filter_map(|subscription| subscribing_store(&subscription.subscribe)).collect()
--- a/crates/node/src/keeper/subscription_confirmation.rs
+++ b/crates/node/src/keeper/subscription_confirmation.rs
@@ -2,9 +2,9 @@
 //! after the subscription arrived, has confirmed that the committed state of this keeper is current.
 //!
 //! The primary confirms its committed version by a round of heartbeats; a backup reads the primary's version and
-//! waits until it has reached that version itself. A keeper that is not a voter confirms nothing: the others do not
-//! send it endpoints. All subscriptions that wait at one time share one confirmation, and none is requested while
-//! no subscription waits.
+//! waits until it has reached that version itself. A keeper that is not a voter confirms nothing: the other keepers do
+//! not send it endpoints. All subscriptions that wait at the same time share one confirmation, and none is requested
+//! while no subscription waits.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/node/tests/keeper.rs
+++ b/crates/node/tests/keeper.rs
@@ -1,4 +1,4 @@
-//! Keepers over loopback: a single one, and three of which one may be lost.
+//! Keepers on loopback addresses: a single keeper, and three keepers that tolerate the loss of one.
 
 mod keepers;
 mod loopback;
@@ -27,7 +27,7 @@
 }
 
 #[tokio::test]
-async fn an_order_on_another_base_than_the_current_one_is_stale() {
+async fn an_order_with_a_base_other_than_the_current_generation_is_stale() {
     let keepers = Keepers::start(1).await;
     assert_eq!(keepers.put(0, 0, &configuration(3)).await.status, 200);
     assert_eq!(keepers.put(0, 0, &configuration(4)).await.status, 412);
@@ -35,7 +35,7 @@
 }
 
 #[tokio::test]
-async fn an_invalid_configuration_is_rejected_with_findings_and_is_not_in_force() {
+async fn an_invalid_configuration_is_rejected_with_findings_and_not_applied() {
     let keepers = Keepers::start(1).await;
     let rejected = keepers.put(0, 0, &configuration(0)).await;
     assert_eq!(rejected.status, 400);
@@ -66,7 +66,7 @@
 }
 
 #[tokio::test]
-async fn of_two_orders_on_one_base_exactly_one_is_accepted() {
+async fn of_two_concurrent_orders_with_the_same_base_exactly_one_is_accepted() {
     let keepers = Keepers::start(3).await;
     assert_eq!(keepers.put(0, 0, &configuration(3)).await.status, 200);
     let (five, six) = (configuration(5), configuration(6));
@@ -101,12 +101,12 @@
     assert_eq!(keepers.put(0, 0, &configuration(3)).await.status, 200);
     keepers.kill(1).await;
     keepers.kill(2).await;
-    assert_eq!(keepers.try_get(0).await.map(|answer| answer.status), Some(503));
+    assert_eq!(keepers.try_get(0).await.map(|response| response.status), Some(503));
     keepers.heartbeat_until_status(0, 503).await;
 }
 
 #[tokio::test]
-async fn a_relay_receives_the_configuration_in_force_and_its_changes() {
+async fn a_relay_receives_the_current_configuration_and_its_changes() {
     let keepers = Keepers::start(3).await;
     assert_eq!(keepers.put(0, 0, &configuration(3)).await.status, 200);
     let mut relay = Observer::subscribe(keepers.internal(1), SubscriberKind::Relay);
@@ -131,9 +131,9 @@
     assert_eq!(relay.instance_state("i-1"), Some(InstanceState::Terminated));
 }
 
-// Guard: `handle_instance_end` waits until what it changed has propagated.
+// `handle_deregistration` waits until the change has propagated.
 #[tokio::test]
-async fn an_end_without_a_drain_is_acknowledged_after_relays_of_other_keepers_applied_it() {
+async fn a_deregistration_without_a_drain_is_acknowledged_after_relays_of_other_keepers_applied_it() {
     let keepers = Keepers::start(3).await;
     assert_eq!(keepers.put(0, 0, &configuration(3)).await.status, 200);
     let mut relay = Observer::subscribe(keepers.internal(1), SubscriberKind::Relay);
@@ -141,7 +141,7 @@
     relay.wait_for_instance("i-1", InstanceState::Ready).await;
     keepers.delete_until_accepted(2, "i-1").await;
     assert_eq!(relay.instance_state("i-1"), Some(InstanceState::Terminated));
-    // The endpoint serves on for a while, and a heartbeat that it sent before may arrive seconds late.
+    // The endpoint keeps serving for a while, and a heartbeat that it sent before may arrive seconds late.
     keepers.heartbeat_until_accepted(0, "i-1", &heartbeat("ready", 2)).await;
     assert_eq!(relay.instance_state("i-1"), Some(InstanceState::Terminated));
 }
@@ -152,8 +152,8 @@
     assert_eq!(keepers.put(0, 0, &configuration(3)).await.status, 200);
     let rejected = keepers.heartbeat(0, "i-1", "{\"backend\":\"\",\"state\":\"asleep\"}").await.unwrap();
     assert_eq!(rejected.status, 400);
-    for place in ["backend", "address", "state", "sequence"] {
-        assert!(rejected.body.contains(place), "{}", rejected.body);
+    for field in ["backend", "address", "state", "sequence"] {
+        assert!(rejected.body.contains(field), "{}", rejected.body);
     }
 }
 
--- a/crates/node/tests/keeper_contact.rs
+++ b/crates/node/tests/keeper_contact.rs
@@ -1,5 +1,5 @@
-//! Keepers under network partitions, in one direction or both, or whose peers accept only some messages. One keeper
-//! is real; the two others are simulated by the test, which can block messages.
+//! Keepers under one-way and two-way network partitions, or whose peers accept only some messages. One keeper is real;
+//! the test simulates the other two and can block messages between them and the real one.
 
 mod keepers;
 mod loopback;
@@ -25,8 +25,8 @@
     }
 }
 
-/// Waits until a peer is primary. When this test's thread stands still for over half a second, another keeper wins an
-/// election; if that is the real one, it is partitioned until a peer has succeeded it.
+/// Waits until a peer is primary. If this test's thread is not scheduled for over half a second, another keeper wins an
+/// election; if that is the real one, it is partitioned until a peer has replaced it.
 async fn wait_for_primary_among(peers: &[Peer]) -> &Peer {
     tokio::select! {
         primary = primary_among(peers) => return primary,
@@ -38,7 +38,7 @@
 }
 
 async fn drain_status(keepers: &Keepers, keeper: usize, id: &str, sequence: u64) -> u16 {
-    keepers.heartbeat(keeper, id, &heartbeat("draining", sequence)).await.expect("an answer").status
+    keepers.heartbeat(keeper, id, &heartbeat("draining", sequence)).await.expect("a response").status
 }
 
 fn draining_instance(id: &str, sequence: u64) -> Instance {
@@ -53,7 +53,7 @@
     }
 }
 
-/// Guard: `Contact::has_majority` counts round trips. If received messages counted, the heartbeats would be
+/// `Contact::has_majority` counts round trips. If received messages counted, the heartbeats would be
 /// acknowledged indefinitely.
 #[tokio::test]
 async fn a_keeper_whose_messages_are_lost_acknowledges_nothing() {
@@ -79,7 +79,7 @@
     assert_eq!(keepers.try_get(BACKUP).await.unwrap().status, 503);
 }
 
-/// Guard: a keeper that has just started needs a majority as well; receiving messages of a primary is not enough.
+/// A keeper that has just started needs a majority as well; receiving messages of a primary is not enough.
 #[tokio::test]
 async fn a_restarted_keeper_whose_messages_are_lost_acknowledges_nothing() {
     let (mut keepers, peers) = Keepers::start_among_peers(BACKUP).await;
@@ -88,8 +88,8 @@
     set_gates(&peers, Gate::NO_INBOUND);
     keepers.restart(BACKUP).await;
     for sequence in 2..5 {
-        let answer = keepers.heartbeat(BACKUP, "i-1", &heartbeat("ready", sequence)).await;
-        assert_eq!(answer.unwrap().status, 503);
+        let response = keepers.heartbeat(BACKUP, "i-1", &heartbeat("ready", sequence)).await;
+        assert_eq!(response.unwrap().status, 503);
         // Takes as long as the keeper waits for a primary.
         assert_eq!(keepers.try_get(BACKUP).await.unwrap().status, 503);
     }
@@ -98,7 +98,8 @@
 }
 
 /// Partitions the real keeper by `gate` while the others accept another configuration, and subscribes a relay to it
-/// meanwhile. The relay must be sent nothing until the partition ends, and then the newer configuration only.
+/// during the partition. The relay must be sent nothing until the partition ends, and then only the newer
+/// configuration.
 async fn subscribe_relay_during_partition(real: usize, gate: Gate) {
     let (keepers, peers) = Keepers::start_among_peers(real).await;
     if real == PRIMARY {
@@ -126,7 +127,7 @@
     assert_eq!(before.configurations(), [configuration(3), configuration(4)]);
 }
 
-/// Guard: subscriptions wait for confirmation (`SubscriptionStage::Unconfirmed`).
+/// New subscriptions wait for confirmation (`SubscriptionStage::Unconfirmed`).
 #[tokio::test]
 async fn a_partitioned_backup_sends_nothing_to_a_new_relay() {
     subscribe_relay_during_partition(BACKUP, Gate::CLOSED).await;
@@ -156,8 +157,8 @@
     store.wait_for_update().await;
 }
 
-/// Guard: an end is acknowledged only with a majority (`is_propagated_to_enough`). The others reply to everything
-/// else.
+/// A drain is acknowledged only when a majority has recorded it (`is_propagated_to_quorum`). The other keepers reply to
+/// everything except instances.
 #[tokio::test]
 async fn a_drain_that_no_other_keeper_records_is_rejected() {
     let (keepers, peers) = Keepers::start_among_peers(BACKUP).await;
@@ -170,8 +171,7 @@
     assert!(peers.iter().any(|peer| peer.instance_state("i-1") == Some(InstanceState::Terminated)));
 }
 
-/// Guard: `InstancesMerged::applied`. A keeper whose relays have not applied the end records it without
-/// confirming it.
+/// A keeper whose relays have not applied the drain records it, but replies with `InstancesMerged::applied` unset.
 #[tokio::test]
 async fn a_drain_that_relays_of_other_keepers_have_not_applied_is_rejected() {
     let (keepers, peers) = Keepers::start_among_peers(BACKUP).await;
@@ -191,10 +191,10 @@
     assert_eq!(peers[1].instance_state("i-1"), Some(InstanceState::Draining));
 }
 
-/// Guard: `Controller::propagate` requests confirmation of an end that is already known here. Without it, an end that
-/// another keeper recorded and could not propagate would be acknowledged by this keeper alone.
+/// `Controller::propagate` requests confirmation of a drain that is already known here. Otherwise this keeper alone
+/// would acknowledge a drain that another keeper recorded and could not propagate.
 #[tokio::test]
-async fn a_known_end_is_rejected_until_a_majority_has_recorded_it() {
+async fn a_known_drain_is_rejected_until_a_majority_has_recorded_it() {
     let (keepers, peers) = Keepers::start_among_peers(BACKUP).await;
     // Acknowledged, so the others have confirmed everything.
     keepers.heartbeat_until_accepted(BACKUP, "i-0", &heartbeat("draining", 1)).await;
@@ -206,12 +206,12 @@
     keepers.heartbeat_until_accepted(BACKUP, "i-1", &heartbeat("draining", 4)).await;
 }
 
-/// Guard: the wait for this keeper's own relays ends with 503, not with an acknowledgement.
+/// When the wait for this keeper's own relays times out, the response is 503, not an acknowledgement.
 #[tokio::test]
 async fn a_drain_that_a_subscribed_relay_has_not_applied_is_rejected_until_its_link_closes() {
     let keepers = Keepers::start(1).await;
     keepers.heartbeat_until_accepted(0, "i-1", &heartbeat("ready", 1)).await;
-    let relay = Observer::subscribe_stuck(keepers.internal(0));
+    let relay = Observer::subscribe_without_confirming(keepers.internal(0));
     relay.wait_for_update().await;
     assert_eq!(drain_status(&keepers, 0, "i-1", 2).await, 503);
     assert_eq!(keepers.delete(0, "i-1").await.unwrap().status, 503);
@@ -219,8 +219,8 @@
     keepers.delete_until_accepted(0, "i-1").await;
 }
 
-/// Freezes a keeper while the others accept another configuration and a relay subscribes to it. Once it resumes, the
-/// relay must not be sent the older configuration, which the keeper still considers current.
+/// Freezes a keeper while the others accept another configuration and a relay subscribes to the frozen one. When it
+/// resumes, it must not send the relay the older configuration, which it still considers current.
 async fn subscribe_relay_to_frozen_keeper(frozen: usize) {
     let keepers = Keepers::start(3).await;
     let other = (frozen + 1) % 3;
@@ -236,7 +236,7 @@
     assert_eq!(relay.configurations(), [configuration(4)]);
 }
 
-/// Guard: subscriptions wait for confirmation (`SubscriptionStage::Unconfirmed`).
+/// New subscriptions wait for confirmation (`SubscriptionStage::Unconfirmed`).
 #[tokio::test]
 async fn a_primary_that_was_frozen_sends_no_stale_state_to_a_new_relay() {
     subscribe_relay_to_frozen_keeper(PRIMARY).await;
@@ -247,8 +247,8 @@
     subscribe_relay_to_frozen_keeper(BACKUP).await;
 }
 
-/// Guard: `Controller::is_committed_state_current` checks that this keeper is a voter. The others reply to one that is
-/// not, and its committed state may be current, but nobody sends it endpoints.
+/// `Controller::is_committed_state_current` checks that this keeper is a voter. The other keepers reply to a non-voter,
+/// and its committed state may be current, but none of them sends it endpoints.
 #[tokio::test]
 async fn a_keeper_that_is_not_a_voter_sends_nothing_to_a_new_relay() {
     let (mut keepers, peers) = Keepers::start_among_peers(BACKUP).await;
--- a/crates/node/tests/keeper_disk.rs
+++ b/crates/node/tests/keeper_disk.rs
@@ -47,7 +47,7 @@
 /// neither bootstrap the tier again nor become primary with its old state.
 async fn expect_restart_as_new_member(mut keepers: Keepers, before: &[u8]) {
     keepers.restart(0).await;
-    assert_ne!(identity(&keepers, 0), before, "it comes back with another identity");
+    assert_ne!(identity(&keepers, 0), before, "it restarts with another identity");
     assert_eq!(keepers.get(0).await.body, configuration(3));
     assert_eq!(keepers.put(0, 3, &configuration(4)).await.status, 200);
     wait_until_replaced(&keepers, before, &identity(&keepers, 0)).await;
@@ -80,7 +80,7 @@
     timeout(keepers::TEST_TIMEOUT, replaced).await.expect("the voter is replaced");
 }
 
-/// The number of times that a record names the disk of an identity file.
+/// The number of times that a record contains the disk id of an identity file.
 fn count_disk_id(record: &[u8], identity: &[u8]) -> usize {
     let disk = u64::from_le_bytes(*identity.last_chunk().expect("an identity"));
     let encoded = postcard::to_stdvec(&disk).expect("numbers have an encoding");
@@ -106,7 +106,7 @@
     expect_restart_as_new_member(keepers, &before).await;
 }
 
-/// Guard: `check_disk` in `decode_record`.
+/// `decode_record` rejects the record of another disk (`check_disk`).
 #[tokio::test]
 async fn a_record_of_another_keeper_counts_as_a_lost_disk() {
     let mut keepers = start_with_one_keeper_behind().await;
@@ -116,8 +116,8 @@
         fs::remove_file(record).unwrap();
     }
     let foreign = record_files(&keepers, 2).pop().expect("a record");
-    let folder = keepers.settings(0).data_directory.clone().expect("a folder");
-    fs::copy(&foreign, folder.join(foreign.file_name().unwrap())).unwrap();
+    let directory = keepers.settings(0).data_directory.clone().expect("a directory");
+    fs::copy(&foreign, directory.join(foreign.file_name().unwrap())).unwrap();
     keepers.restart(2).await;
     expect_restart_as_new_member(keepers, &before).await;
 }
@@ -141,7 +141,7 @@
     assert_eq!(identity(&keepers, 0), before);
 }
 
-/// An acceptor state that is torn or without its record may have contained a promise.
+/// An acceptor state that is torn or lacks its record may have contained a promise that is now unknown.
 #[tokio::test]
 async fn an_acceptor_state_that_is_torn_or_without_its_record_counts_as_a_lost_disk() {
     for is_torn in [true, false] {
@@ -151,7 +151,7 @@
         let before = identity(&keepers, 0);
         keepers.kill(0).await;
         if is_torn {
-            fs::write(acceptor_files(&keepers, 0).pop().expect("a ballot"), b"torn").unwrap();
+            fs::write(acceptor_files(&keepers, 0).pop().expect("an acceptor state"), b"torn").unwrap();
         } else {
             record_files(&keepers, 0).iter().for_each(|record| fs::remove_file(record).unwrap());
         }
@@ -161,7 +161,7 @@
     }
 }
 
-/// Fails if every change of the acceptor state writes the control state.
+/// Fails if a change of the acceptor state alone rewrites the control state.
 #[tokio::test]
 async fn elections_do_not_write_the_state() {
     const MAX_ACCEPTOR_FILE_BYTES: u64 = 1_024;
@@ -176,8 +176,8 @@
         assert_eq!(keepers.get(lost).await.body, configuration(3));
     }
     assert_eq!(record_files(&keepers, 0).pop(), Some(state), "no other record");
-    let ballot = acceptor_files(&keepers, 0).pop().expect("a ballot");
-    assert!(fs::metadata(ballot).unwrap().len() <= MAX_ACCEPTOR_FILE_BYTES);
+    let acceptor_file = acceptor_files(&keepers, 0).pop().expect("an acceptor state");
+    assert!(fs::metadata(acceptor_file).unwrap().len() <= MAX_ACCEPTOR_FILE_BYTES);
     // Promised and accepted epochs survive a restart.
     keepers.kill(0).await;
     keepers.restart(0).await;
@@ -202,5 +202,5 @@
             keepers.get(lost).await;
         }
     };
-    timeout(keepers::TEST_TIMEOUT, changed).await.expect("a ballot");
+    timeout(keepers::TEST_TIMEOUT, changed).await.expect("an acceptor state");
 }
--- a/crates/node/tests/keeper_growth.rs
+++ b/crates/node/tests/keeper_growth.rs
@@ -1,4 +1,4 @@
-//! Many changes: the disk usage of a keeper, and the catch-up of one that missed them.
+//! Many changes: the disk usage of a keeper, and the catch-up of a keeper that missed them.
 
 mod keepers;
 mod loopback;
@@ -11,9 +11,9 @@
 const CHANGE_COUNT: u64 = 40;
 /// The number of records that are on disk at a time.
 const MAX_RECORDS_ON_DISK: u64 = 2;
-/// The size of the rest of a record besides the configuration and the orders, and of the identity.
+/// An allowance for the identity and for the contents of a record other than the configuration and the orders.
 const OVERHEAD_BYTES: u64 = 2_048;
-/// The size of a remembered order.
+/// The size of an entry of the order history.
 const BYTES_PER_ORDER: u64 = 16;
 
 async fn put_configurations(keepers: &Keepers, at: usize, first: u64, last: u64) {
@@ -51,7 +51,7 @@
     keepers.kill(0).await;
     put_configurations(&keepers, 1, 3, CHANGE_COUNT).await;
     expect_caught_up(&mut keepers, CHANGE_COUNT).await;
-    // It is needed from now on: it must have all accepted orders.
+    // From here on, a majority needs the first keeper, so it must have all accepted orders.
     keepers.kill(1).await;
     assert_eq!(keepers.put(0, 0, &configuration(1)).await.status, 200);
     put_configurations(&keepers, 0, CHANGE_COUNT + 1, CHANGE_COUNT + 10).await;
--- a/crates/node/tests/keeper_orders.rs
+++ b/crates/node/tests/keeper_orders.rs
@@ -1,4 +1,4 @@
-//! Concurrent and repeated orders to any keeper, over loopback.
+//! Concurrent and repeated orders, sent to any keeper over loopback.
 
 mod keepers;
 mod loopback;
@@ -20,7 +20,7 @@
     let sends = bodies.iter().enumerate().flat_map(|(content, body)| {
         [content % 3, (content + 1) % 3].map(|keeper| keepers.put(keeper, base, body))
     });
-    let statuses: Vec<u16> = join_all(sends).await.iter().map(|answer| answer.status).collect();
+    let statuses: Vec<u16> = join_all(sends).await.iter().map(|response| response.status).collect();
     let mut accepted = Vec::new();
     for (content, copies) in statuses.chunks(2).enumerate() {
         assert_eq!(copies[0], copies[1], "two copies of one order get the same status: {statuses:?}");
@@ -33,7 +33,7 @@
     accepted[0]
 }
 
-/// Fails if a conflict of proposals is replied as a rejection in `put_configuration`, and without the order history.
+/// Fails if `put_configuration` reports a conflict of proposals as a rejection, and without the order history.
 #[tokio::test]
 async fn of_eight_concurrent_orders_of_one_generation_only_one_is_ever_accepted() {
     let keepers = Keepers::start(3).await;
@@ -54,7 +54,7 @@
     assert_eq!(keepers.get(1).await.body, configuration(13));
 }
 
-/// Fails if a conflict of proposals is replied as a rejection in `put_configuration`.
+/// Fails if `put_configuration` reports a conflict of proposals as a rejection.
 #[tokio::test]
 async fn of_concurrent_orders_only_one_is_accepted_through_the_loss_of_each_keeper() {
     let mut keepers = Keepers::start(3).await;
@@ -62,7 +62,7 @@
     let mut accepted = Vec::new();
     for lost in 0..3 {
         let base = lost as u64 + 1;
-        // Replies of the killed keeper may be lost; its calls are sent again to the others.
+        // Responses of the killed keeper may be lost; its orders are sent again to the others.
         let bodies: Vec<String> = (0..CONCURRENT_ORDERS).map(|content| variant(base + 1, content)).collect();
         let others = [(lost + 1) % 3, (lost + 2) % 3];
         let early: Vec<_> = bodies.iter().map(|body| keepers.start_put(lost, base, body)).collect();
@@ -73,8 +73,9 @@
         let late = join_all(sends).await;
         assert_eq!(first.status, late[0].status);
         for (early, late) in join_all(early).await.into_iter().zip(&late) {
-            let clear = early.expect("the call is made").filter(|answer| answer.status != 503);
-            assert!(clear.is_none_or(|answer| answer.status == late.status));
+            let definite =
+                early.expect("the request task does not panic").filter(|response| response.status != 503);
+            assert!(definite.is_none_or(|response| response.status == late.status));
         }
         let winners: Vec<usize> =
             (0..CONCURRENT_ORDERS).filter(|content| late[*content].status == 200).collect();
@@ -90,7 +91,7 @@
     }
 }
 
-/// Fails with a decision of `Stale` in place of `Reject` in `decide_put`.
+/// Fails if `decide_put` returns `Stale` in place of `Reject`, so that the rejection is not recorded.
 #[tokio::test]
 async fn an_order_rejected_before_its_base_was_accepted_stays_rejected_at_all_keepers() {
     let mut keepers = Keepers::start(3).await;
@@ -106,8 +107,8 @@
     assert_eq!(keepers.put(0, 2, &variant(3, 1)).await.status, 200);
 }
 
-/// Fails with a `trim_matches` or a plain `parse` in `parse_generation`, and if the first of several
-/// versions is used.
+/// Fails if `parse_generation` strips quotes with `trim_matches` or accepts what `parse` accepts, such as a sign, and
+/// if the first of several `If-Match` headers is used.
 #[tokio::test]
 async fn if_match_accepts_exactly_one_unsigned_integer() {
     let keepers = Keepers::start(1).await;
@@ -126,12 +127,12 @@
         "If-Match: 18446744073709551616\r\n",
     ];
     for headers in malformed {
-        let answer = keepers.put_with(0, headers, &body).await.expect("an answer");
-        assert_eq!(answer.status, 400, "{headers:?}");
-        assert!(answer.body.contains("If-Match"), "{headers:?}");
+        let response = keepers.put_with(0, headers, &body).await.expect("a response");
+        assert_eq!(response.status, 400, "{headers:?}");
+        assert!(response.body.contains("If-Match"), "{headers:?}");
     }
     assert_eq!(keepers.put(0, 0, &body).await.status, 200);
     for headers in ["If-Match: \"0\"\r\n", "If-Match:   0  \r\n", "if-match: 00\r\n"] {
-        assert_eq!(keepers.put_with(0, headers, &body).await.expect("an answer").status, 200, "{headers:?}");
+        assert_eq!(keepers.put_with(0, headers, &body).await.expect("a response").status, 200, "{headers:?}");
     }
 }
--- a/crates/node/tests/keepers/http.rs
+++ b/crates/node/tests/keepers/http.rs
@@ -1,4 +1,4 @@
-//! A minimal HTTP client: one call for each connection.
+//! A minimal HTTP client with one request per connection.
 
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
     pub body: String,
 }
 
-/// Sends a call with the request line and headers in `head`; `None` without a complete response.
+/// Sends a request with the request line and headers in `head`. Returns `None` without a complete response.
 pub async fn call(address: SocketAddr, head: &str, body: &str) -> Option<Answer> {
     let mut stream = TcpStream::connect(address).await.ok()?;
     let length = body.len();
--- a/crates/node/tests/keepers/mod.rs
+++ b/crates/node/tests/keepers/mod.rs
@@ -1,4 +1,4 @@
-//! Test harness: keepers on threads and loopback addresses of their own, with clients, subscribers and peers.
+//! Test harness: keepers, each on its own thread and loopback address, with clients, subscribers and simulated peers.
 
 // Each test file uses only some items.
 #![allow(dead_code)]
@@ -32,7 +32,7 @@
 
 const CONTROL_PORT: u16 = 8_144;
 
-/// A configuration of one route.
+/// A configuration with one route.
 pub fn configuration(generation: u64) -> String {
     format!(
         r#"{{"generation":{generation},"routes":[{{"name":"r","hostname":"h.example","pathPrefix":"/a/","routeType":"idempotent","timeoutMs":1000,"targetLatencyMs":100,"priority":0,"backend":"b","maxRetries":2}}],"backends":[{{"name":"b","healthCheck":"/healthz","maxConnections":10,"protocol":"h1","tls":false}}]}}"#
@@ -50,11 +50,11 @@
 pub struct Keepers {
     settings: Vec<Settings>,
     running: Vec<Option<Running>>,
-    folder: PathBuf,
+    directory: PathBuf,
 }
 
 struct Running {
-    stop: oneshot::Sender<End>,
+    stop: oneshot::Sender<StopMode>,
     freeze_requests: mpsc::UnboundedSender<FreezeRequest>,
     thread: std::thread::JoinHandle<()>,
 }
@@ -70,8 +70,8 @@
     _resume: std::sync::mpsc::Sender<()>,
 }
 
-/// How a keeper ends.
-enum End {
+/// How a keeper is stopped.
+enum StopMode {
     Graceful,
     Kill,
 }
@@ -89,12 +89,12 @@
     /// Prepares a tier like [`Keepers::start`] without starting its keepers.
     pub fn prepare(count: u8) -> Self {
         let network = LoopbackNetwork::reserve();
-        let folder_name = format!("juniperwing-keepers-{}-{}", std::process::id(), network.number());
-        let folder = std::env::temp_dir().join(folder_name);
+        let directory_name = format!("juniperwing-keepers-{}-{}", std::process::id(), network.number());
+        let directory = std::env::temp_dir().join(directory_name);
         let machines: Vec<Ipv4Addr> = (1..=count).map(|number| network.address(number)).collect();
-        let settings = machines.iter().map(|machine| settings(*machine, &machines, &folder)).collect();
+        let settings = machines.iter().map(|machine| settings(*machine, &machines, &directory)).collect();
         let running = (0..count).map(|_| None).collect();
-        Keepers { settings, running, folder }
+        Keepers { settings, running, directory }
     }
 
     /// Starts a tier of three keepers of which all but `real` are simulated by the test.
@@ -113,18 +113,18 @@
     /// Starts a keeper, also after a stop or kill. Returns when its listeners serve.
     pub async fn restart(&mut self, keeper: usize) {
         let settings = self.settings[keeper].clone();
-        let (listens, listening) = oneshot::channel();
+        let (ready, is_ready) = oneshot::channel();
         let (stop, mut stopped) = oneshot::channel();
         let (freeze_requests, mut requests) = mpsc::unbounded_channel::<FreezeRequest>();
         let thread = std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
             runtime.block_on(async {
-                let (orderly, ended) = oneshot::channel::<()>();
+                let (shutdown, shutdown_requested) = oneshot::channel::<()>();
                 let log = Logger::root(Discard, o!());
                 // First polled when all listeners serve.
                 let stop = async {
-                    let _ = listens.send(());
-                    let _ = ended.await;
+                    let _ = ready.send(());
+                    let _ = shutdown_requested.await;
                 };
                 // Blocks the only thread of the keeper, so that nothing else runs.
                 tokio::spawn(async move {
@@ -139,17 +139,17 @@
                     ended = role.as_mut() => return ended.unwrap(),
                     end = &mut stopped => end,
                 };
-                if let Ok(End::Graceful) = end {
-                    drop(orderly);
+                if let Ok(StopMode::Graceful) = end {
+                    drop(shutdown);
                     role.await.unwrap();
                 }
             });
         });
         self.running[keeper] = Some(Running { stop, freeze_requests, thread });
-        timeout(TEST_TIMEOUT, listening).await.expect("in time").expect("the keeper listens");
+        timeout(TEST_TIMEOUT, is_ready).await.expect("in time").expect("the keeper listens");
     }
 
-    /// Freezes a keeper, as by SIGSTOP: its sockets accept connections and bytes, but nothing reads them.
+    /// Freezes a keeper, as SIGSTOP does: its sockets accept connections and bytes, but nothing reads them.
     pub async fn freeze(&self, keeper: usize) -> Frozen {
         let (frozen, has_frozen) = oneshot::channel();
         let (resume_sender, resume) = std::sync::mpsc::channel();
@@ -161,12 +161,12 @@
 
     /// Shuts a keeper down gracefully.
     pub async fn stop(&mut self, keeper: usize) {
-        self.end(keeper, End::Graceful).await;
+        self.stop_with(keeper, StopMode::Graceful).await;
     }
 
     /// Kills a keeper.
     pub async fn kill(&mut self, keeper: usize) {
-        self.end(keeper, End::Kill).await;
+        self.stop_with(keeper, StopMode::Kill).await;
     }
 
     /// Removes the data directory of a keeper that does not run.
@@ -175,10 +175,10 @@
         std::fs::remove_dir_all(self.settings[keeper].data_directory.as_ref().unwrap()).unwrap();
     }
 
-    async fn end(&mut self, keeper: usize, end: End) {
+    async fn stop_with(&mut self, keeper: usize, mode: StopMode) {
         let running = self.running[keeper].take().expect("the keeper runs");
-        // The send fails if the keeper has ended by itself; a panic shows when its thread is joined.
-        let _ = running.stop.send(end);
+        // The send fails if the keeper has already terminated; joining its thread reports a panic.
+        let _ = running.stop.send(mode);
         tokio::task::spawn_blocking(move || running.thread.join().unwrap()).await.unwrap();
     }
 
@@ -203,7 +203,7 @@
         self.call(keeper, &format!("PUT /config HTTP/1.1\r\n{headers}"), body).await
     }
 
-    /// Sends a configuration once, in the background; the keeper may end meanwhile.
+    /// Sends a configuration once, in the background; the keeper may be stopped meanwhile.
     pub fn start_put(&self, keeper: usize, base: u64, body: &str) -> JoinHandle<Option<Answer>> {
         let address = self.settings[keeper].listeners_map.control_plane.unwrap();
         let head = format!("PUT /config HTTP/1.1\r\nIf-Match: {base}\r\n");
@@ -232,7 +232,7 @@
         self.call_until_definite(keeper, &format!("GET /retire/{node} HTTP/1.1\r\n"), "").await
     }
 
-    /// Waits until a store's retirement is completed.
+    /// Waits until the retirement of a store is completed.
     pub async fn wait_until_retired(&self, keeper: usize, node: &str) {
         let completed = async { while !self.retire_state(keeper, node).await.body.contains("completed") {} };
         timeout(TEST_TIMEOUT, completed).await.expect("the store is retired");
@@ -245,16 +245,16 @@
 
     /// Sends a heartbeat until it is acknowledged.
     pub async fn heartbeat_until_accepted(&self, keeper: usize, id: &str, body: &str) {
-        let answer =
+        let response =
             self.call_until_definite(keeper, &format!("PUT /instances/{id} HTTP/1.1\r\n"), body).await;
-        assert_eq!(answer.status, 200, "{}", answer.body);
+        assert_eq!(response.status, 200, "{}", response.body);
     }
 
     /// Deregisters an instance until it is acknowledged.
     pub async fn delete_until_accepted(&self, keeper: usize, id: &str) {
-        let answer =
+        let response =
             self.call_until_definite(keeper, &format!("DELETE /instances/{id} HTTP/1.1\r\n"), "").await;
-        assert_eq!(answer.status, 200, "{}", answer.body);
+        assert_eq!(response.status, 200, "{}", response.body);
     }
 
     /// Deregisters an instance once.
@@ -264,51 +264,53 @@
 
     /// Sends heartbeats until the keeper responds with this status.
     pub async fn heartbeat_until_status(&self, keeper: usize, status: u16) {
-        let answered = async {
+        let completed = async {
             for sequence in 1.. {
-                let answer = self.heartbeat(keeper, "i-probe", &heartbeat("ready", sequence)).await;
-                if answer.is_some_and(|answer| answer.status == status) {
+                let response = self.heartbeat(keeper, "i-probe", &heartbeat("ready", sequence)).await;
+                if response.is_some_and(|response| response.status == status) {
                     return;
                 }
-                // Takes as long as the keeper waits for a primary, which keeps this loop from spinning.
+                // Blocks for as long as the keeper waits for a primary, which keeps this loop from spinning.
                 self.try_get(keeper).await;
             }
         };
-        timeout(TEST_TIMEOUT, answered).await.expect("that status");
+        timeout(TEST_TIMEOUT, completed).await.expect("the expected status");
     }
 
-    /// Repeats a call until its status is not 503.
+    /// Repeats a request until its status is not 503.
     async fn call_until_definite(&self, keeper: usize, head: &str, body: &str) -> Answer {
-        let answered = async {
+        let completed = async {
             loop {
                 match self.call(keeper, head, body).await {
-                    Some(answer) if answer.status != 503 => return answer,
+                    Some(response) if response.status != 503 => return response,
                     // An order waits for a primary before it gets 503, which keeps this loop from spinning.
                     Some(_) => drop(self.try_get(keeper).await),
                     None => tokio::task::yield_now().await,
                 }
             }
         };
-        timeout(TEST_TIMEOUT, answered).await.expect("a definite response")
+        timeout(TEST_TIMEOUT, completed).await.expect("a definite response")
     }
 
     async fn call(&self, keeper: usize, head: &str, body: &str) -> Option<Answer> {
         let address = self.settings[keeper].listeners_map.control_plane.unwrap();
-        timeout(TEST_TIMEOUT, http::call(address, head, body)).await.expect("an answer or an end")
+        timeout(TEST_TIMEOUT, http::call(address, head, body))
+            .await
+            .expect("a response or a closed connection")
     }
 }
 
 impl Drop for Keepers {
     fn drop(&mut self) {
         for running in self.running.iter_mut().filter_map(Option::take) {
-            let _ = running.stop.send(End::Kill);
+            let _ = running.stop.send(StopMode::Kill);
             let _ = running.thread.join();
         }
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
-fn settings(machine: Ipv4Addr, machines: &[Ipv4Addr], folder: &Path) -> Settings {
+fn settings(machine: Ipv4Addr, machines: &[Ipv4Addr], directory: &Path) -> Settings {
     let number = machine.octets()[3];
     let seeds: Vec<String> = machines.iter().map(|seed| format!("\"{seed}:{CONTROL_PORT}\"")).collect();
     let text = format!(
@@ -319,7 +321,7 @@
 ephemeralPorts = [7380,7395]
 seedNodes = [{seeds}]
 bootstrap = true
-dataDirectory = "{folder}/{number}"
+dataDirectory = "{directory}/{number}"
 heartbeatMs = 1200
 [listenersMap]
 controlPlane = "{machine}:{CONTROL_PORT}"
@@ -327,7 +329,7 @@
 machines = {tolerated}
 "#,
         seeds = seeds.join(","),
-        folder = folder.display(),
+        directory = directory.display(),
         tolerated = (machines.len() - 1) / 2,
     );
     let settings = Settings::parse(Path::new("local.toml"), &text).unwrap();
--- a/crates/node/tests/keepers/observer.rs
+++ b/crates/node/tests/keepers/observer.rs
@@ -1,4 +1,4 @@
-//! A subscriber that records all updates and confirms them at once.
+//! A subscriber that records all updates and, by default, confirms them at once.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -33,8 +33,8 @@
 
 #[derive(Default)]
 struct Recorder {
-    /// Whether it confirms no update.
-    is_stuck: bool,
+    /// Whether it never confirms updates.
+    never_confirms: bool,
     observed: Mutex<ObservedState>,
     changed: Notify,
 }
@@ -61,7 +61,10 @@
         match update {
             Update::Keepers(_) => {}
             Update::Configuration { version, body } => {
-                assert!(version >= observed.applied.configuration, "a configuration never goes back");
+                assert!(
+                    version >= observed.applied.configuration,
+                    "the configuration version never decreases"
+                );
                 observed.applied.configuration = version;
                 let text = String::from_utf8(body.to_vec()).unwrap();
                 observed.configurations.push(text.clone());
@@ -75,12 +78,12 @@
                     .extend(instances.map(|instance| (instance.id.0.to_string(), instance.state)));
             }
             Update::Stores(map) => {
-                assert!(map.version >= observed.applied.stores, "the store map never goes back");
+                assert!(map.version >= observed.applied.stores, "the store map version never decreases");
                 observed.applied.stores = map.version;
                 observed.stores = map;
             }
         }
-        if !self.is_stuck {
+        if !self.never_confirms {
             link.send(Message::Applied(observed.applied.clone()));
         }
         drop(observed);
@@ -108,9 +111,9 @@
         Self::start(address, subscriber, Recorder::default())
     }
 
-    /// Subscribes as a relay that receives updates and never confirms one.
-    pub fn subscribe_stuck(address: SocketAddr) -> Self {
-        Self::start(address, SubscriberKind::Relay, Recorder { is_stuck: true, ..Recorder::default() })
+    /// Subscribes as a relay that receives updates and never confirms them.
+    pub fn subscribe_without_confirming(address: SocketAddr) -> Self {
+        Self::start(address, SubscriberKind::Relay, Recorder { never_confirms: true, ..Recorder::default() })
     }
 
     fn start(address: SocketAddr, subscriber: SubscriberKind, recorder: Recorder) -> Self {
--- a/crates/node/tests/keepers/peer.rs
+++ b/crates/node/tests/keepers/peer.rs
@@ -1,6 +1,6 @@
-//! A keeper that the test simulates beside real ones, with a gate that blocks messages between them.
+//! A keeper simulated by the test, with a gate that blocks messages between it and the real keepers.
 //!
-//! It takes part in the replication with a replica of its own, and replies to requests of other keepers.
+//! It takes part in the replication with its own replica, and replies to requests of other keepers.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -45,9 +45,9 @@
         confirms_instances: true,
         accepts_joins: true,
     };
-    /// The real keepers receive its messages; their own are lost.
+    /// The real keepers receive the messages of the peer; messages to the peer are lost.
     pub const NO_INBOUND: Gate = Gate { receives: false, ..Gate::OPEN };
-    /// It receives the messages of the real keepers; its own are lost.
+    /// The peer receives the messages of the real keepers; messages of the peer are lost.
     pub const NO_OUTBOUND: Gate = Gate { sends: false, ..Gate::OPEN };
     /// No message passes.
     pub const CLOSED: Gate = Gate { receives: false, sends: false, ..Gate::OPEN };
@@ -172,20 +172,20 @@
         .await;
     }
 
-    /// Takes a configuration as primary; it is committed when [`Peer::until_configuration`] says so.
+    /// Proposes a configuration as primary; [`Peer::wait_for_configuration`] waits until it is committed.
     pub fn propose(&self, base: u64, body: &str) {
         let event = {
             let mut state = self.shared.lock();
             let latest = state.replica.latest().clone();
             let PutDecision::Accept(change) = decide_put(&latest.state, base, body.as_bytes()) else {
-                panic!("a configuration that can be taken");
+                panic!("the configuration is not accepted");
             };
             Event::Propose { token: ProposeToken(state.next_token()), base: latest.version, change }
         };
         self.shared.handle(event);
     }
 
-    /// Sends an instance to a real keeper, as if the endpoint had called this peer.
+    /// Sends an instance to a real keeper, as if the endpoint had sent its heartbeat to this peer.
     pub async fn send_instance(&self, keeper: SocketAddr, instance: Instance) {
         let message = RegistryMessage::Instances {
             from: self.shared.me.disk,
@@ -193,7 +193,7 @@
             refreshed: Vec::new(),
             confirm: true,
         };
-        self.shared.pool.call(keeper, Message::Registry(message), TEST_TIMEOUT).await.expect("an answer");
+        self.shared.pool.call(keeper, Message::Registry(message), TEST_TIMEOUT).await.expect("a reply");
     }
 
     async fn wait_for<T>(&self, condition: impl Fn(&State) -> Option<T>) -> T {
@@ -276,8 +276,8 @@
     }
 
     fn handle(self: &Arc<Self>, event: Event<ControlState>) {
-        // An event that follows from a command waits until all earlier commands are executed: an older tick time
-        // must not replace a newer one.
+        // An event that results from a command is handled after all earlier commands are executed. Otherwise an older
+        // tick time would replace a newer one.
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             let commands = self.lock().replica.handle(self.now(), event);
@@ -312,7 +312,7 @@
         if self.peers.contains(&to) || self.lock().gate.sends {
             let pool = Arc::clone(&self.pool);
             tokio::spawn(async move {
-                // A keeper that does not listen yet will receive the next message.
+                // A message to a keeper that does not listen yet is lost; it receives later ones.
                 let _ = pool.send(to, Message::Replication(message)).await;
             });
         }
--- a/crates/registry/src/contact.rs
+++ b/crates/registry/src/contact.rs
@@ -1,9 +1,9 @@
-//! Quorum contact: which other keepers this one can exchange messages with, judged by round trips.
+//! Quorum contact: which other keepers this one can exchange messages with, based on round trips.
 //!
 //! A keeper whose outgoing messages are lost may still receive from the others, so an incoming message does not prove
-//! that this keeper can be reached. Contact therefore rests on replies: a reply shows that the peer was reached after
-//! the request had been sent. The time that counts is that of the request, so that replies delayed by a paused
-//! process or a queue prove nothing about the present.
+//! that this keeper can be reached. Contact is therefore based on replies: a reply shows that the peer was reached
+//! after the request had been sent. A round trip has the time of its request, not that of its reply, so that replies
+//! delayed by a paused process or a queue are no evidence of current contact.
 
 use std::collections::BTreeMap;
 
@@ -11,16 +11,16 @@
 use juniperwing_protocol::replication::{Epoch, Voter};
 use juniperwing_protocol::{DiskId, EpochNumber};
 
-/// Number of keepers from which on stale entries are removed; larger than any group of keepers.
+/// Number of entries at which stale ones are removed; larger than any group of keepers.
 const MAX_KEEPERS: usize = 256;
 
 /// The number of `voters` keepers that must have applied the termination of an endpoint before it is acknowledged.
 ///
-/// It is a majority, and large enough to overlap with the keepers that any relay subscribes to: relays subscribe to
-/// one keeper more than the `tolerated` failures.
-pub fn needed_confirmations(voters: usize, tolerated: usize) -> usize {
+/// It is a majority, and large enough to overlap with the keepers that any relay subscribes to: a relay subscribes to
+/// `tolerated_failures + 1` keepers.
+pub fn required_confirmations(voters: usize, tolerated_failures: usize) -> usize {
     let majority = voters / 2 + 1;
-    majority.max(voters.saturating_sub(tolerated))
+    majority.max(voters.saturating_sub(tolerated_failures))
 }
 
 /// A request that was replied to.
@@ -40,7 +40,7 @@
 }
 
 impl Contact {
-    /// A tracker without any contact. Evidence older than `window` does not count.
+    /// A tracker without entries. Messages and round trips older than `window` do not count.
     pub fn new(window: Span) -> Self {
         Contact { window, last_message_at: BTreeMap::new(), round_trips: BTreeMap::new() }
     }
@@ -60,40 +60,43 @@
         }
     }
 
-    /// Whether a message of `keeper` was received within the window. It does not show that `keeper` receives ours.
+    /// Whether a message of `keeper` was received within the window. It does not show that messages to `keeper`
+    /// arrive.
     pub fn has_recent_message(&self, now: Time, keeper: DiskId) -> bool {
         self.last_message_at.get(&keeper).is_some_and(|at| now.since(*at) <= self.window)
     }
 
-    /// Whether a majority of the voters of `epoch`, `me` included if it votes, has replied to a request sent within
-    /// the window. While the epoch still depends on the previous voters, a majority of those is required as well.
-    pub fn has_majority(&self, now: Time, me: DiskId, epoch: &Epoch) -> bool {
-        epoch.is_quorum(|disk| disk == me || self.has_recent_round_trip(now, disk, epoch.number))
+    /// Whether a majority of the voters of `epoch`, including `local_disk` if it is one, has replied to a request sent
+    /// within the window. While the epoch still depends on the previous voters, a majority of those is required as well.
+    pub fn has_majority(&self, now: Time, local_disk: DiskId, epoch: &Epoch) -> bool {
+        epoch.is_quorum(|disk| disk == local_disk || self.has_recent_round_trip(now, disk, epoch.number))
     }
 
     /// The latest time up to which contact is proved: a majority of the voters of `epoch` has replied to a request
     /// sent then or later, so whatever they sent before that time has been received. `None` without contact.
-    pub fn confirmed_until(&self, now: Time, me: DiskId, epoch: &Epoch) -> Option<Time> {
-        if !self.has_majority(now, me, epoch) {
+    pub fn confirmed_until(&self, now: Time, local_disk: DiskId, epoch: &Epoch) -> Option<Time> {
+        if !self.has_majority(now, local_disk, epoch) {
             return None;
         }
-        let current = self.majority_round_trip_at(now, me, epoch.number, &epoch.voters);
+        let current = self.majority_round_trip_at(now, local_disk, epoch.number, &epoch.voters);
         if epoch.previous_voters.is_empty() {
             return Some(current);
         }
-        Some(current.min(self.majority_round_trip_at(now, me, epoch.number, &epoch.previous_voters)))
+        Some(current.min(self.majority_round_trip_at(now, local_disk, epoch.number, &epoch.previous_voters)))
     }
 
     /// The latest time such that a majority of `voters` has replied to a request sent then or later.
-    fn majority_round_trip_at(&self, now: Time, me: DiskId, epoch: EpochNumber, voters: &[Voter]) -> Time {
+    fn majority_round_trip_at(
+        &self, now: Time, local_disk: DiskId, epoch: EpochNumber, voters: &[Voter],
+    ) -> Time {
         let request_sent_at = |voter: &Voter| match self.round_trips.get(&voter.disk) {
-            _ if voter.disk == me => now,
+            _ if voter.disk == local_disk => now,
             Some(round_trip) if round_trip.epoch <= epoch => round_trip.request_sent_at,
             _ => Time::default(),
         };
         let mut times: Vec<Time> = voters.iter().map(request_sent_at).collect();
         times.sort_unstable();
-        // Without this many of the earliest, what is left is the smallest majority.
+        // The voters after this many with the oldest requests are the smallest majority.
         let minority = voters.len() - (voters.len() / 2 + 1);
         times.get(minority).copied().unwrap_or_default()
     }
--- a/crates/registry/src/exchange.rs
+++ b/crates/registry/src/exchange.rs
@@ -6,10 +6,10 @@
 use juniperwing_protocol::replication::Voter;
 use juniperwing_protocol::{DiskId, InstanceId};
 
-/// Batches in flight to one peer at a time.
+/// Maximum number of batches in flight to one peer.
 const MAX_IN_FLIGHT: usize = 4;
 
-/// Number of a change of instances; numbers increase.
+/// Number of a change of instances; increases with every change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ChangeNumber(u64);
 
@@ -37,13 +37,13 @@
     voter: Voter,
     changed: BTreeMap<InstanceId, Instance>,
     refreshed: BTreeMap<InstanceId, u64>,
-    /// The first change that the peer has not confirmed and that no batch in flight asks it to confirm.
+    /// The first change that the peer has not confirmed and whose confirmation no batch in flight requests.
     first_unconfirmed: Option<ChangeNumber>,
     /// Batches without a reply, each with the first change that its reply confirms, if any.
     in_flight: BTreeMap<BatchNumber, Option<ChangeNumber>>,
     /// Whether the next batch must contain all instances.
     needs_snapshot: bool,
-    /// Whether the last batch was replied to; assumed until one fails.
+    /// Whether the last batch was replied to; `true` before the first reply or failure.
     is_reachable: bool,
     connection: Option<Connection>,
 }
@@ -104,15 +104,15 @@
         }
     }
 
-    /// Batches to be sent now: changes at once, all else only if `is_regular`, that is on the regular interval.
+    /// Batches to send now: changes at once, all else only if `is_periodic`, that is when the periodic batch is due.
     ///
     /// `instances` returns all instances; it is called for a peer that needs a snapshot.
     pub fn next_batches<'registry>(
-        &mut self, is_regular: bool, instances: impl Fn() -> Vec<&'registry Instance>,
+        &mut self, is_periodic: bool, instances: impl Fn() -> Vec<&'registry Instance>,
     ) -> Vec<Batch> {
         let mut batches = Vec::new();
         for peer in self.peers.values_mut() {
-            if !peer.is_due(is_regular) {
+            if !peer.is_due(is_periodic) {
                 continue;
             }
             if std::mem::take(&mut peer.needs_snapshot) {
@@ -139,7 +139,7 @@
     /// Handles a reply which says that the peer's relays have applied everything sent so far.
     ///
     /// Another connection than before may lead to a restarted keeper without any state, so earlier confirmations of
-    /// the peer are void and it is sent a snapshot.
+    /// the peer no longer count and it is sent a snapshot.
     pub fn handle_reply(&mut self, disk: DiskId, number: BatchNumber, connection: Connection) {
         let Some(peer) = self.peers.get_mut(&disk) else { return };
         peer.in_flight.remove(&number);
@@ -152,7 +152,7 @@
 
     /// Handles a reply which says that some relay of the peer has not applied everything yet.
     ///
-    /// Nothing is sent again; the next regular batch asks for confirmation again.
+    /// No instance is sent again; the next periodic batch requests confirmation again.
     pub fn handle_not_applied(&mut self, disk: DiskId, number: BatchNumber, connection: Connection) {
         let Some(peer) = self.peers.get_mut(&disk) else { return };
         let unconfirmed = peer.in_flight.get(&number).copied().flatten();
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Asks the peer again to confirm the changes from `first` on.
+    /// Requests confirmation of the changes from `first` on again.
     fn require_confirmation_from(&mut self, first: Option<ChangeNumber>) {
         self.first_unconfirmed = [self.first_unconfirmed, first].into_iter().flatten().min();
     }
@@ -215,12 +215,12 @@
         !is_unrequested && !is_in_flight
     }
 
-    fn is_due(&self, is_regular: bool) -> bool {
+    fn is_due(&self, is_periodic: bool) -> bool {
         let has_updates = self.needs_snapshot || !self.changed.is_empty() || !self.refreshed.is_empty();
         let is_waiting = has_updates || self.first_unconfirmed.is_some();
         if !self.is_reachable {
-            return is_regular && is_waiting && self.in_flight.is_empty();
+            return is_periodic && is_waiting && self.in_flight.is_empty();
         }
-        self.in_flight.len() < MAX_IN_FLIGHT && (!self.changed.is_empty() || (is_regular && is_waiting))
+        self.in_flight.len() < MAX_IN_FLIGHT && (!self.changed.is_empty() || (is_periodic && is_waiting))
     }
 }
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -2,15 +2,15 @@
 //!
 //! Instances are soft state: they come from heartbeats, are merged between keepers by
 //! [`Instance::supersedes`](juniperwing_protocol::registry::Instance::supersedes), and expire when no keeper receives
-//! heartbeats of them. Draining is final within one incarnation of an endpoint; a terminated instance leaves a
-//! tombstone that outlives delayed heartbeats.
+//! heartbeats of them. An instance cannot return from draining to ready; a terminated instance leaves a tombstone
+//! that is retained for longer than heartbeats are delayed.
 
 mod contact;
 mod exchange;
 mod heartbeat;
 mod registry;
 
-pub use contact::{Contact, needed_confirmations};
+pub use contact::{Contact, required_confirmations};
 pub use exchange::{Batch, BatchNumber, ChangeNumber, Exchange};
 pub use heartbeat::{FieldError, parse_heartbeat};
 pub use registry::{
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -15,7 +15,7 @@
 pub const TOMBSTONE_RETENTION: Span = Span::from_millis(60_000);
 /// Maximum number of instances, tombstones included.
 pub const MAX_INSTANCES: usize = 50_000;
-/// An instance without heartbeats for this long loses its address to another one that sends heartbeats from there.
+/// An instance without heartbeats for this long is terminated if a newer one sends heartbeats with the same address.
 const ADDRESS_TIMEOUT: Span = Span::from_millis(1_500);
 
 /// Settings of a registry.
@@ -43,8 +43,8 @@
 #[derive(Clone, Debug)]
 struct Entry {
     instance: Instance,
-    first_heard_at: Time,
-    last_heard_at: Time,
+    first_seen_at: Time,
+    last_seen_at: Time,
 }
 
 /// All instances that a keeper knows.
@@ -104,7 +104,7 @@
         if is_stale(&instance, &entry.instance) {
             return HeartbeatOutcome::Stale;
         }
-        entry.last_heard_at = now;
+        entry.last_seen_at = now;
         let is_unchanged = is_same_except_sequence(&entry.instance, &instance);
         if is_unchanged {
             entry.instance.sequence = instance.sequence;
@@ -135,7 +135,7 @@
         if entry.instance.state == InstanceState::Terminated {
             return None;
         }
-        entry.last_heard_at = now;
+        entry.last_seen_at = now;
         entry.instance.state = InstanceState::Terminated;
         Some(entry.instance.clone())
     }
@@ -158,15 +158,14 @@
     /// Expires the instances whose heartbeats have timed out and returns them.
     ///
     /// Timeouts are measured up to `confirmed_until`, the latest time up to which contact with the other keepers is
-    /// proved: heartbeats that they received later may be unknown here.
+    /// confirmed: heartbeats that they received later may not have reached this keeper yet.
     pub fn expire(&mut self, now: Time, confirmed_until: Time) -> Vec<Instance> {
         self.remove_old_tombstones(now);
         let limit = self.settings.heartbeat_interval.mul_f64(EXPIRY_TIMEOUT_HEARTBEATS);
         let mut expired = Vec::new();
         for entry in self.entries.values_mut() {
             let is_live = matches!(entry.instance.state, InstanceState::Ready | InstanceState::Draining);
-            let is_timed_out =
-                confirmed_until.since(entry.last_heard_at.max(self.timeouts_start_at)) >= limit;
+            let is_timed_out = confirmed_until.since(entry.last_seen_at.max(self.timeouts_start_at)) >= limit;
             if !(is_live && is_timed_out) {
                 continue;
             }
@@ -181,13 +180,13 @@
 
     /// Restarts all heartbeat timeouts, after the keeper was paused or partitioned from the others.
     ///
-    /// What it missed meanwhile arrives with the next heartbeats; until then the registry is incomplete.
+    /// The state that it missed arrives with the next heartbeats; until then the registry is incomplete.
     pub fn restart_timeouts(&mut self, now: Time) {
         self.timeouts_start_at = now;
     }
 
     /// The known state of an instance that another keeper declares expired although a later heartbeat was received
-    /// here. That keeper has notified its subscribers of the expiry, which a mere refresh would not revoke.
+    /// here. That keeper has notified its subscribers of the expiry, and a refresh alone is not sent to them.
     fn refutation_of(&self, instance: &Instance) -> Option<Instance> {
         let known = self.get(&instance.id)?;
         let is_alive = known.state == InstanceState::Ready && known.sequence > instance.sequence;
@@ -203,13 +202,13 @@
                 true
             }
             Some(entry) if instance.supersedes(&entry.instance) => {
-                entry.last_heard_at = now;
+                entry.last_seen_at = now;
                 self.replace(instance.clone());
                 true
             }
             Some(entry) => {
                 if instance.sequence == entry.instance.sequence {
-                    entry.last_heard_at = now;
+                    entry.last_seen_at = now;
                 }
                 false
             }
@@ -222,7 +221,7 @@
         if is_terminated || refresh.sequence < entry.instance.sequence {
             return None;
         }
-        entry.last_heard_at = now;
+        entry.last_seen_at = now;
         let is_revived =
             entry.instance.state == InstanceState::Expired && refresh.sequence > entry.instance.sequence;
         entry.instance.sequence = refresh.sequence;
@@ -236,16 +235,16 @@
     /// Terminates older instances at the address of `id` that have stopped sending heartbeats, and returns them.
     fn terminate_previous_at_address(&mut self, now: Time, id: &InstanceId) -> Vec<Instance> {
         let Some(newer) = self.entries.get(id) else { return Vec::new() };
-        let (address, first_heard_at) = (newer.instance.address, newer.first_heard_at);
+        let (address, first_seen_at) = (newer.instance.address, newer.first_seen_at);
         let others = self.by_address.get(&address).cloned().unwrap_or_default();
         let mut terminated = Vec::new();
         for other in others.iter().filter(|other| *other != id) {
             let Some(entry) = self.entries.get_mut(other) else { continue };
-            let is_older = entry.first_heard_at < first_heard_at;
-            let is_timed_out = now.since(entry.last_heard_at) >= ADDRESS_TIMEOUT;
+            let is_older = entry.first_seen_at < first_seen_at;
+            let is_timed_out = now.since(entry.last_seen_at) >= ADDRESS_TIMEOUT;
             if is_older && is_timed_out && entry.instance.state != InstanceState::Terminated {
                 entry.instance.state = InstanceState::Terminated;
-                entry.last_heard_at = now;
+                entry.last_seen_at = now;
                 terminated.push(entry.instance.clone());
             }
         }
@@ -260,7 +259,7 @@
             .filter(|(_, entry)| {
                 matches!(entry.instance.state, InstanceState::Terminated | InstanceState::Expired)
             })
-            .filter(|(_, entry)| now.since(entry.last_heard_at) >= TOMBSTONE_RETENTION)
+            .filter(|(_, entry)| now.since(entry.last_seen_at) >= TOMBSTONE_RETENTION)
             .map(|(id, _)| id.clone())
             .collect();
         for id in old {
@@ -272,7 +271,7 @@
 
     fn insert(&mut self, now: Time, instance: Instance) {
         self.by_address.entry(instance.address).or_default().push(instance.id.clone());
-        let entry = Entry { instance, first_heard_at: now, last_heard_at: now };
+        let entry = Entry { instance, first_seen_at: now, last_seen_at: now };
         self.entries.insert(entry.instance.id.clone(), entry);
     }
 
--- a/crates/registry/tests/contact.rs
+++ b/crates/registry/tests/contact.rs
@@ -3,7 +3,7 @@
 use juniperwing_clock::{Span, Time};
 use juniperwing_protocol::replication::{Epoch, Voter};
 use juniperwing_protocol::{DiskId, EpochNumber};
-use juniperwing_registry::{Contact, needed_confirmations};
+use juniperwing_registry::{Contact, required_confirmations};
 
 const ME: DiskId = DiskId(1);
 const WINDOW_MS: u64 = 1_200;
@@ -29,7 +29,7 @@
     Contact::new(Span::from_millis(WINDOW_MS))
 }
 
-/// Guard: only round trips count towards the majority. A keeper that receives from all others but reaches none of them
+/// Only round trips count towards the majority. A keeper that receives from all others but reaches none of them
 /// (a one-way partition) has no contact.
 #[test]
 fn messages_without_replies_are_no_contact() {
@@ -43,7 +43,7 @@
     assert!(contact.has_recent_message(at(20_000), DiskId(2)));
 }
 
-/// Guard: the primary alone does not stand for the majority, not even right after the start.
+/// Contact with the primary alone is no majority, not even right after the start.
 #[test]
 fn a_keeper_that_has_just_started_needs_a_majority() {
     let mut contact = contact();
@@ -72,7 +72,7 @@
     assert!(!contact.has_majority(at(101 + WINDOW_MS), ME, &epoch));
 }
 
-/// Guard: the time of the request counts, not that of the reply. A process that was paused finds old replies.
+/// The time of the request counts, not that of the reply: a process that was paused receives old replies afterwards.
 #[test]
 fn a_delayed_reply_does_not_prove_present_contact() {
     let mut contact = contact();
@@ -90,7 +90,7 @@
     assert!(contact.has_majority(at(2_000), ME, &epoch));
 }
 
-/// Guard: replies of keepers in a higher epoch do not count until this keeper knows that epoch.
+/// Replies of keepers in a higher epoch do not count until this keeper knows that epoch.
 #[test]
 fn a_keeper_with_an_outdated_epoch_has_no_contact_until_it_knows_the_newer_one() {
     let mut contact = contact();
@@ -100,7 +100,7 @@
     assert!(!contact.has_majority(at(20), ME, &epoch(6, &[1, 3, 4])));
 }
 
-/// Guard: an epoch that still depends on the previous voters needs a majority of both sets.
+/// An epoch that still depends on the previous voters needs a majority of both sets.
 #[test]
 fn an_uncommitted_change_of_voters_needs_both_majorities() {
     let mut contact = contact();
@@ -136,26 +136,27 @@
     assert!(contact.len() <= 257);
 }
 
-/// Guard: with more voters than the tolerated losses need, a majority alone could miss all keepers that a relay is
+/// With more voters than the tolerated failures require, a majority alone could miss all keepers that a relay is
 /// subscribed to.
 #[test]
 fn the_subscriptions_of_any_relay_overlap_with_the_confirming_keepers() {
-    for tolerated in 0..=4 {
+    for tolerated_failures in 0..=4 {
         for voters in 1..=9 {
-            let needed = needed_confirmations(voters, tolerated);
-            let subscriptions = (tolerated + 1).min(voters);
-            assert!(needed + subscriptions > voters, "{voters} voters, {tolerated} failures");
+            let needed = required_confirmations(voters, tolerated_failures);
+            let subscriptions = (tolerated_failures + 1).min(voters);
+            assert!(needed + subscriptions > voters, "{voters} voters, {tolerated_failures} failures");
             assert!(2 * needed > voters && needed <= voters);
         }
     }
     // Tolerated failures do not prevent a termination from being acknowledged.
     assert_eq!(
-        [(3, 1), (5, 2), (4, 1), (5, 1)].map(|(voters, tolerated)| needed_confirmations(voters, tolerated)),
+        [(3, 1), (5, 2), (4, 1), (5, 1)]
+            .map(|(voters, tolerated_failures)| required_confirmations(voters, tolerated_failures)),
         [2, 3, 3, 4]
     );
 }
 
-/// Guard: the time of the request counts, for the slowest keeper of the fastest majority.
+/// The confirmed time is that of the oldest request among the majority with the newest requests.
 #[test]
 fn contact_is_confirmed_until_the_request_that_a_majority_replied_to() {
     let mut contact = contact();
@@ -169,7 +170,7 @@
     assert_eq!(contact.confirmed_until(at(1_600), ME, &alone), Some(at(1_600)));
 }
 
-/// Guard: while an epoch is not committed, the previous voters count too.
+/// While an epoch is not committed, a majority of the previous voters is required as well.
 #[test]
 fn contact_with_both_sets_of_voters_is_confirmed_until_the_older_request() {
     let mut contact = contact();
--- a/crates/registry/tests/exchange.rs
+++ b/crates/registry/tests/exchange.rs
@@ -54,9 +54,9 @@
         self.exchange.record_changes(&[instance(id)])
     }
 
-    fn batch(&mut self, is_regular: bool) -> Option<Batch> {
+    fn batch(&mut self, is_periodic: bool) -> Option<Batch> {
         let known = &self.known;
-        let batches = self.exchange.next_batches(is_regular, || known.iter().collect());
+        let batches = self.exchange.next_batches(is_periodic, || known.iter().collect());
         assert!(batches.len() <= 1);
         batches.into_iter().next()
     }
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn changes_are_sent_at_once_and_refreshes_regularly() {
+fn changes_are_sent_at_once_and_refreshes_periodically() {
     let mut harness = Harness::with_synchronized_peer();
     harness.exchange.record_refresh(&Refresh { id: "a".into(), sequence: 2 });
     assert_eq!(harness.batch(false), None);
@@ -103,13 +103,13 @@
 }
 
 #[test]
-fn the_reply_to_a_regular_batch_does_not_confirm_a_later_change() {
+fn the_reply_to_a_periodic_batch_does_not_confirm_a_later_change() {
     let mut harness = Harness::with_synchronized_peer();
     harness.exchange.record_refresh(&Refresh { id: "a".into(), sequence: 2 });
-    let regular = harness.batch(true).unwrap();
+    let periodic = harness.batch(true).unwrap();
     let change = harness.change("b");
     harness.batch(false).unwrap();
-    harness.exchange.handle_reply(DiskId(2), regular.number, FIRST_CONNECTION);
+    harness.exchange.handle_reply(DiskId(2), periodic.number, FIRST_CONNECTION);
     assert!(!harness.exchange.is_confirmed_by_reachable_peers(change, NO_RECENT_MESSAGES));
 }
 
@@ -119,7 +119,7 @@
     let change = harness.change("a");
     let lost = harness.batch(false).unwrap();
     harness.exchange.handle_failure(DiskId(2), lost.number);
-    assert_eq!(harness.batch(false), None, "an unreachable peer is sent regular batches only");
+    assert_eq!(harness.batch(false), None, "an unreachable peer is sent periodic batches only");
     assert!(
         harness.exchange.is_confirmed_by_reachable_peers(change, NO_RECENT_MESSAGES),
         "an unreachable peer is not waited for"
@@ -161,7 +161,7 @@
     exchange.confirmed_peers(change).collect()
 }
 
-/// Guard: a new peer starts with everything unconfirmed.
+/// A new peer starts with everything unconfirmed.
 #[test]
 fn a_keeper_added_after_a_change_has_not_confirmed_it() {
     let mut harness = Harness::with_synchronized_peer();
@@ -184,7 +184,7 @@
     assert_eq!(confirmed_by(&harness.exchange, change), []);
 }
 
-/// Guard: a reply which says that a relay has not applied a change leaves it unconfirmed; confirmation is requested
+/// A reply which says that a relay has not applied a change leaves it unconfirmed; confirmation is requested
 /// again without sending the change again.
 #[test]
 fn confirmation_of_a_change_that_relays_have_not_applied_is_requested_again() {
@@ -202,7 +202,7 @@
     assert_eq!(confirmed_by(&harness.exchange, change), [DiskId(2)]);
 }
 
-/// Guard: confirmations of a keeper from before its restart are void.
+/// Confirmations that a keeper gave before its restart do not count.
 #[test]
 fn a_restarted_keeper_has_confirmed_nothing() {
     let mut harness = Harness::with_synchronized_peer();
@@ -211,8 +211,8 @@
     harness.exchange.handle_reply(DiskId(2), batch.number, FIRST_CONNECTION);
     assert_eq!(confirmed_by(&harness.exchange, change), [DiskId(2)]);
     harness.exchange.record_refresh(&Refresh { id: "a".into(), sequence: 2 });
-    let regular = harness.batch(true).unwrap();
-    assert!(!regular.needs_confirmation, "refreshes alone need no confirmation");
-    harness.exchange.handle_reply(DiskId(2), regular.number, FIRST_CONNECTION + 1);
+    let periodic = harness.batch(true).unwrap();
+    assert!(!periodic.needs_confirmation, "refreshes alone need no confirmation");
+    harness.exchange.handle_reply(DiskId(2), periodic.number, FIRST_CONNECTION + 1);
     assert_eq!(confirmed_by(&harness.exchange, change), []);
 }
--- a/crates/registry/tests/registry.rs
+++ b/crates/registry/tests/registry.rs
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_terminated_instance_leaves_a_tombstone_that_outlives_delayed_heartbeats() {
+fn a_terminated_instance_leaves_a_tombstone_that_rejects_delayed_heartbeats() {
     let mut registry = registry();
     registry.handle_heartbeat(at(0), ready("a", 1));
     assert_eq!(
@@ -132,8 +132,8 @@
     assert_eq!(registry.expire(at(13_000), at(13_000)).len(), 1);
 }
 
-/// Guard: timeouts are measured up to `confirmed_until`, not up to now. Heartbeats that the other keepers received
-/// since then are unknown.
+/// Timeouts are measured up to `confirmed_until`, not up to now. Heartbeats that the other keepers received
+/// since then may not have reached this one.
 #[test]
 fn timeouts_run_only_while_contact_is_confirmed() {
     let mut registry = registry();
@@ -142,8 +142,8 @@
     assert_eq!(registry.expire(at(3_900), at(3_000)).len(), 1);
 }
 
-/// Guard: `refutation_of`. The subscribers of the keeper that lost contact were notified of the expiry and would keep
-/// to it, since a heartbeat that changes nothing is not sent to them.
+/// Without `refutation_of`, the subscribers of the keeper that lost contact would regard the instance as expired
+/// indefinitely, since a heartbeat that changes nothing else is not sent to them.
 #[test]
 fn an_expiry_sent_by_a_keeper_that_missed_heartbeats_is_refuted() {
     let mut registry = registry();
@@ -195,7 +195,7 @@
     assert!(registry.is_complete(at(2_000)));
 }
 
-/// Guard: completeness counts from the end of a pause or partition, not from the start of the process.
+/// Completeness counts from the end of a pause or partition, not from the start of the process.
 #[test]
 fn the_registry_is_incomplete_until_two_heartbeat_intervals_after_a_partition() {
     let mut registry = registry();
