--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -13,7 +13,7 @@
 const BUCKET_SHIFT: u32 = u64::BITS - BUCKET_COUNT.trailing_zeros();
 
 /// The checksums of a table. Only live members count, with their incarnation and run id: a death is sent only to
-/// members that still regard the dead member as live, so that it can be forgotten.
+/// members that still regard the dead member as live, so that tables can remove dead members.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Buckets(Vec<[u8; 4]>);
 
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -17,7 +17,7 @@
 //!
 //! # Cost
 //!
-//! At rest a member sends one ping and one ack per probe interval and one digest per sync interval, whatever the
+//! In steady state a member sends one ping and one ack per probe interval and one digest per sync interval, whatever the
 //! number of members: with 760 of them (700 relays and 60 others), the datagrams per second and the bytes of
 //! each are those of a tier of 20. The table takes one entry per member (at most [`MAX_MEMBERS`]). While there are
 //! updates, up to `gossip_fanout` more datagrams per probe interval are sent, of at most
