--- a/crates/node/src/sessions_client.rs
+++ b/crates/node/src/sessions_client.rs
@@ -1,4 +1,4 @@
-//! The client of the stores: begins and finishes turns at the primary of a program's partition.
+//! Client of the stores: begins and finishes turns at the primary of a program's partition.
 
 mod background;
 mod error;
@@ -19,19 +19,19 @@
 use crate::link::LinkPool;
 use crate::sync::watch;
 
-/// How long one attempt may take.
+/// The timeout of one attempt.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(300);
-/// The delay before the next attempt, unless the map changes before.
+/// The delay before the next attempt; a change of the map ends it early.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// A turn that may run.
+/// A turn that the store has admitted.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BegunTurn {
     /// The previous turns, oldest first.
     pub chain: Vec<Turn>,
 }
 
-/// A client of the stores. Cheap to clone.
+/// A client of the stores. Clones are cheap and share connections and background commits.
 #[derive(Clone)]
 pub struct SessionsClient {
     pool: Arc<LinkPool>,
@@ -40,17 +40,17 @@
 }
 
 impl SessionsClient {
-    /// A client that follows the newest map in `map`.
+    /// Creates a client that routes requests by the newest value of `map`.
     pub fn new(pool: Arc<LinkPool>, map: watch::Receiver<Arc<StoreMap>>) -> Self {
         SessionsClient { pool, map, background: BackgroundCommits::new() }
     }
 
-    /// Reserves the most tokens that a turn may generate and fetches the previous turns. May be called again with the
-    /// same request, which counts once.
+    /// Reserves the maximum number of tokens that a turn may generate and fetches the previous turns. The call is
+    /// idempotent: repeated calls with the same request reserve tokens once.
     ///
     /// # Errors
     ///
-    /// If the turn must not run, or it is not certain within `max_wait` that it may.
+    /// If the turn was denied, or no definite reply arrives within `max_wait`.
     pub async fn begin(&self, begin: BeginTurn, max_wait: Duration) -> Result<BegunTurn, SessionError> {
         if begin.budget.is_none() && begin.previous.is_none() {
             return Ok(BegunTurn::default());
@@ -72,11 +72,11 @@
         }
     }
 
-    /// Commits a turn, and stores it where `finish` requests that.
+    /// Commits a turn, and stores its contents if `finish` includes them.
     ///
     /// # Errors
     ///
-    /// If it is not certain within `max_wait` that it is on enough disks.
+    /// If the commit is not confirmed by the required number of replicas within `max_wait`.
     pub async fn finish(&self, finish: FinishTurn, max_wait: Duration) -> Result<(), CommitUncertain> {
         let deadline = Instant::now() + max_wait;
         let program = finish.program.clone();
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Calls the primary of a program's partition until it decides, or the deadline passes. An attempt ends as soon as
-    /// the map names another primary or epoch: the store that was called may be down.
+    /// Calls the primary of a program's partition until it returns a definite reply or the deadline passes. An attempt
+    /// is cancelled as soon as the map names another primary or epoch, since the store that was called may be down.
     async fn call_primary(
         &self, program: &ProgramId, call: SessionCall, deadline: Instant,
     ) -> Result<SessionReply, StoreFailure> {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// One attempt.
+    /// Makes one attempt.
     async fn call_once(
         &self, primary: PartitionPrimary, call: SessionCall, deadline: Instant,
     ) -> Result<SessionReply, StoreFailureReason> {
@@ -126,13 +126,14 @@
     }
 }
 
-/// Waits for another map or the retry delay; `None` if that would pass the deadline.
+/// Waits for a map change or the retry delay, whichever comes first. Returns `None` without waiting if the delay would
+/// end at or after the deadline.
 async fn wait_before_retry(map: &mut watch::Receiver<Arc<StoreMap>>, deadline: Instant) -> Option<()> {
     let retry_at = Instant::now() + RETRY_DELAY;
     if retry_at >= deadline {
         return None;
     }
-    // There will be no further map: only the delay is left.
+    // The sender of the map is gone, so no change can end the delay early.
     if let Ok(Err(_)) = timeout_at(retry_at, map.changed()).await {
         sleep_until(retry_at).await;
     }
--- a/crates/node/src/sessions_client/background.rs
+++ b/crates/node/src/sessions_client/background.rs
@@ -1,4 +1,4 @@
-//! Commits of turns for which nobody waits.
+//! Background commits: turns that are committed without a waiting caller.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,12 +9,12 @@
 
 use super::SessionsClient;
 
-/// How long a commit in the background is tried.
+/// How long a background commit is retried.
 const BACKGROUND_COMMIT_TIMEOUT: Duration = Duration::from_secs(10);
-/// The number of commits in the background at the same time.
+/// The maximum number of concurrent background commits.
 const MAX_BACKGROUND_COMMITS: usize = 1_024;
 
-/// The commits in the background of a client and its clones.
+/// The background commits of a client, shared with its clones.
 #[derive(Clone)]
 pub(super) struct BackgroundCommits {
     permits: Arc<Semaphore>,
@@ -32,8 +32,8 @@
 }
 
 impl SessionsClient {
-    /// Commits a turn in the background, with retries for about ten seconds. If too many are in flight, or the time is
-    /// over, the turn's reservation counts in full.
+    /// Commits a turn in the background, with retries for up to ten seconds. If too many commits are in flight, or the
+    /// retries time out, the turn may stay uncommitted, and its reservation then counts in full against the budget.
     pub fn finish_in_background(&self, finish: FinishTurn) {
         let permits = Arc::clone(&self.background.permits);
         let Ok(permit) = permits.try_acquire_owned() else { return self.background.count_lost() };
@@ -46,18 +46,18 @@
         });
     }
 
-    /// Waits until no turn is being committed in the background.
+    /// Waits until no background commit is in flight.
     pub async fn wait_for_background_commits(&self) {
         // The semaphore is never closed.
         let _ = self.background.permits.acquire_many(MAX_BACKGROUND_COMMITS as u32).await;
     }
 
-    /// The number of turns that are being committed in the background.
+    /// The number of background commits in flight.
     pub fn background_commits(&self) -> usize {
         MAX_BACKGROUND_COMMITS - self.background.permits.available_permits()
     }
 
-    /// The number of turns that could not be committed in the background.
+    /// The number of background commits that failed or were dropped.
     pub fn lost_commits(&self) -> u64 {
         self.background.lost.load(Ordering::Relaxed)
     }
--- a/crates/node/src/sessions_client/error.rs
+++ b/crates/node/src/sessions_client/error.rs
@@ -1,4 +1,4 @@
-//! Why the stores did not decide, and why a turn must not run.
+//! Errors of the client of the stores.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -7,12 +7,12 @@
 
 use crate::link::CallError;
 
-/// The failure of the last attempt at the stores.
+/// The failure of the last attempt to call a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreFailure {
     /// The store that was called last, if one was.
     pub store: Option<SocketAddr>,
-    /// Why it did not decide.
+    /// Why there was no definite reply.
     pub reason: StoreFailureReason,
 }
 
@@ -32,10 +32,10 @@
     }
 }
 
-/// Why a store did not decide.
+/// Why a call returned no definite reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreFailureReason {
-    /// There is no map of the stores yet, or it names no primary for the program.
+    /// No store map has been received yet, or it names no primary for the program.
     NoPrimary,
     /// There is no connection to the primary.
     NotConnected,
@@ -43,18 +43,18 @@
     ConnectionLost,
     /// The call timed out.
     TimedOut,
-    /// The store is not the primary any more, or not certainly.
+    /// The store is no longer the primary, or cannot tell whether it is.
     NotPrimary,
-    /// The store cannot decide now.
+    /// The store cannot process the request now.
     Unavailable,
-    /// The reply does not fit the request.
+    /// The reply has the wrong type for the request.
     UnexpectedReply,
-    /// Some partition could not say whether it has the previous turn.
+    /// At least one partition could not tell whether it has the previous turn.
     Uncertain,
 }
 
 impl StoreFailureReason {
-    /// The name in logs.
+    /// The name used in logs.
     pub fn name(self) -> &'static str {
         match self {
             StoreFailureReason::NoPrimary => "no primary known",
@@ -79,17 +79,17 @@
     }
 }
 
-/// Why a turn must not run.
+/// Why a turn cannot run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum SessionError {
-    /// The budget is exhausted. The turn has not run and never will.
+    /// The budget is exhausted. The denial is final: the turn will not be admitted later.
     #[snafu(display("budget exhausted"))]
     BudgetExhausted,
-    /// The previous turn does not exist; all partitions are certain of that.
+    /// The previous turn does not exist in any partition; all of them have confirmed that.
     #[snafu(display("previous turn unknown"))]
     UnknownTurn,
-    /// No certain reply in time. The turn may have been reserved: commit it at 0 tokens.
-    #[snafu(display("no certain reply from the stores: {failure}"))]
+    /// No definite reply in time. Tokens may have been reserved for the turn: commit it with 0 tokens to release them.
+    #[snafu(display("no definite reply from the stores: {failure}"))]
     Unavailable {
         /// The failure of the last attempt.
         failure: StoreFailure,
@@ -108,9 +108,9 @@
     }
 }
 
-/// A turn was not committed in time, or not certainly.
+/// The commit of a turn was not confirmed in time; it may or may not have taken effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("the turn is not certain to be committed: {failure}"))]
+#[snafu(display("commit of the turn not confirmed: {failure}"))]
 pub struct CommitUncertain {
     /// The failure of the last attempt.
     pub failure: StoreFailure,
--- a/crates/node/src/sessions_client/lookup.rs
+++ b/crates/node/src/sessions_client/lookup.rs
@@ -1,4 +1,4 @@
-//! The lookup of a turn in all partitions.
+//! Lookup of a turn across all partitions.
 
 use std::sync::Arc;
 
@@ -11,22 +11,23 @@
 use super::routing::{LedPartitions, PartitionPrimary, partitions_by_primary};
 use super::{SessionError, SessionsClient, StoreFailureReason, wait_before_retry};
 
-/// What the stores know of a turn.
+/// The result of looking up a turn in all partitions.
 enum LookupResult {
-    /// The turn and those before it, oldest first.
+    /// The chain of turns that ends with this one, oldest first.
     Found(Vec<Turn>),
     /// No partition has it.
     NotFound,
-    /// Some partition was not certain.
+    /// No partition returned the turn, and at least one gave no definite reply.
     Uncertain,
 }
 
 impl SessionsClient {
-    /// Looks for a turn in all partitions until the result is certain; returns it with those before it, oldest first.
+    /// Looks up a turn in all partitions, with retries until the result is definite. Returns the chain that ends with
+    /// the turn, oldest first.
     ///
     /// # Errors
     ///
-    /// If no partition has it, or the result is not certain at the `deadline`.
+    /// If no partition has the turn, or there is no definite result by the `deadline`.
     pub(super) async fn find_turn(
         &self, turn: &RequestId, deadline: Instant,
     ) -> Result<Vec<Turn>, SessionError> {
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Calls each store once, for all the partitions that it leads.
+    /// Calls each primary once, for all the partitions that it leads.
     async fn look_up_once(&self, map: &StoreMap, turn: &RequestId, deadline: Instant) -> LookupResult {
         let Some(primaries) = partitions_by_primary(map) else { return LookupResult::Uncertain };
         let mut calls = JoinSet::new();
--- a/crates/node/src/sessions_client/routing.rs
+++ b/crates/node/src/sessions_client/routing.rs
@@ -1,4 +1,4 @@
-//! Which store leads which partitions, by the map.
+//! Routing: maps programs and partitions to their primaries according to the store map.
 
 use std::collections::BTreeMap;
 use std::future::pending;
@@ -19,13 +19,13 @@
     pub(super) address: SocketAddr,
 }
 
-/// The partitions that one store leads; there is at least one.
+/// The partitions that one store leads; never empty.
 pub(super) struct LedPartitions {
     pub(super) address: SocketAddr,
     pub(super) partitions: Vec<PartitionEpoch>,
 }
 
-/// The primary of a program's partition; `None` if the map names none.
+/// Returns the primary of a program's partition; `None` if the map names none.
 pub(super) fn primary_of(map: &StoreMap, program: &ProgramId) -> Option<PartitionPrimary> {
     let partition = map.partition_of(&program.0)?;
     let assignment = map.assignment(partition)?;
@@ -33,7 +33,7 @@
     Some(PartitionPrimary { partition, epoch: assignment.epoch, address })
 }
 
-/// Waits until the map names another primary or epoch than `current` for a program.
+/// Waits until the map names a primary or epoch other than `current` for a program.
 pub(super) async fn wait_until_replaced(
     map: &mut watch::Receiver<Arc<StoreMap>>, program: &ProgramId, current: PartitionPrimary,
 ) {
@@ -42,11 +42,12 @@
             return;
         }
     }
-    // There will be no further map.
+    // The sender of the map is gone, so it will not change again.
     pending().await
 }
 
-/// All partitions, by the stores that lead them; `None` if there are none or the map lacks a store.
+/// Groups all partitions by their primary; `None` if there are no partitions or a primary is not in the map's list of
+/// stores.
 pub(super) fn partitions_by_primary(map: &StoreMap) -> Option<Vec<LedPartitions>> {
     let mut by_primary = BTreeMap::new();
     for (number, assignment) in map.partitions.iter().enumerate() {
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -1,7 +1,8 @@
-//! The role of a store: keeps stored turns and budgets of agent programs.
+//! The store role: persists the turns and budgets of agent programs.
 //!
-//! What a store does is decided by [`juniperwing_sessions::Store`]; this is its process. It subscribes to all keepers,
-//! which assign partitions to it by their map, and ends when the platform asks it to.
+//! The logic is in the state machine [`juniperwing_sessions::Store`]; this module is the process around it. It
+//! subscribes to all keepers, which assign partitions to it through the store map, and exits when the platform requests
+//! a shutdown.
 
 mod clock;
 mod disk;
@@ -36,20 +37,20 @@
 use crate::signals::ShutdownOrReload;
 use crate::subscriber::Subscriber;
 
-/// The number of keepers that a store subscribes to; usually there are fewer.
+/// The maximum number of keepers that a store subscribes to; usually there are fewer.
 const MAX_SUBSCRIPTIONS: usize = 9;
-/// How long before the end of the grace period, when the platform kills the process, the shutdown no longer waits for a
-/// second replica.
+/// The part of the grace period that is reserved for the rest of the shutdown. The wait for a second replica ends this
+/// long before the platform kills the process.
 const GRACE_RESERVE: Duration = Duration::from_millis(1_500);
-/// How long the shutdown waits for pending requests.
+/// The time allowed for pending requests during shutdown.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
-/// The fraction of memory that records may take; the rest is for messages, batches and the process itself.
+/// The fraction of memory available to records; the rest is for messages, batches and the process itself.
 const RECORD_MEMORY_FRACTION: f64 = 0.4;
-/// The fraction of the disk that batches may take before no further turn is admitted.
+/// The fraction of the disk that batches may use; beyond it no further turn is admitted.
 const BATCH_DISK_FRACTION: f64 = 0.6;
 const BYTES_PER_MEGABYTE: f64 = 1_000_000.0;
 
-/// Runs until the platform ends the process.
+/// Runs until the platform requests a shutdown.
 ///
 /// # Errors
 ///
@@ -59,7 +60,7 @@
     let store = tokio::select! {
         biased;
         started = starting => started?,
-        // Nothing was acknowledged yet.
+        // No request has been acknowledged yet, so there is nothing to hand over.
         () = process.signals.wait_for_shutdown() => return Ok(()),
     };
     loop {
@@ -95,7 +96,7 @@
     subscriber: Arc<Subscriber>,
     gossip: Gossip,
     link_server: tokio::task::JoinHandle<()>,
-    /// How long the shutdown may wait for a second replica.
+    /// The time allowed for replication to a second store during shutdown.
     handover_timeout: Duration,
     log: Logger,
 }
@@ -127,11 +128,12 @@
         info!(self.log, "settings reloaded");
     }
 
-    /// Fills another store first, where this one has the only replica. Then leaves the keepers, so that they move the
-    /// partitions, and waits a short while for pending requests.
+    /// Shuts the store down. Where this store has the only replica of a partition, first waits until another store is
+    /// in sync. Then ends the subscriptions, so that the keepers reassign the partitions, and waits a short time for
+    /// pending requests.
     async fn stop(self) {
-        let filled = self.driver.wait_until(|store| !store.is_filling_second_replica());
-        if timeout(self.handover_timeout, filled).await.is_err() {
+        let replicated = self.driver.wait_until(|store| !store.is_syncing_second_replica());
+        if timeout(self.handover_timeout, replicated).await.is_err() {
             warn!(self.log, "shutting down with the only replica");
         }
         self.gossip.leave();
@@ -146,13 +148,13 @@
 /// Recovers the store from the data directory.
 async fn recover(settings: &Settings, log: &Logger) -> io::Result<RecoveredStore> {
     let directory = settings.data_directory.clone();
-    let directory = directory.ok_or_else(|| io::Error::other("dataDirectory: a store needs one"))?;
+    let directory = directory.ok_or_else(|| io::Error::other("dataDirectory: required for a store"))?;
     let (limits, log) = (limits(settings), log.clone());
     let recovered = run_disk_work(move || StoreDisk::open(&directory, limits, &log)).await;
     recovered.map_err(io::Error::other)?.map_err(io::Error::other)
 }
 
-/// The subscription of the store with this disk.
+/// Builds the subscription request of the store with this disk.
 fn subscription(settings: &Settings, disk: DiskId) -> Subscribe {
     Subscribe {
         node: NodeName::from(settings.node_name.as_str()),
--- a/crates/node/src/store/disk.rs
+++ b/crates/node/src/store/disk.rs
@@ -1,4 +1,4 @@
-//! The disk of a store: its jobs run one after the other, on a thread that may block.
+//! Disk I/O of a store: jobs run sequentially on a blocking thread.
 
 use std::future::Future;
 use std::path::Path;
@@ -10,19 +10,19 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-use super::clock::moment;
+use super::clock::read_clocks;
 use super::disk_health::DISK_LOST_TIMEOUT;
 use crate::clock::{duration, random};
 use crate::host::run_disk_write;
 use crate::rate_limit::RateLimit;
 
-/// The directory of the batches within the data directory.
+/// The subdirectory of the data directory that holds the batches.
 const BATCH_DIRECTORY: &str = "sessions";
-/// The layout of batches; another number with every change of what is in them.
+/// The layout version of batches; must change with every change of their format.
 const BATCH_LAYOUT: u32 = 1;
 /// The name of the snapshot with the map version.
 const MAP_VERSION: &str = "map-version";
-/// Log lines a second for failed disk operations, which are retried many times.
+/// The limit of log lines per second for failed disk operations, which are retried many times.
 const FAILURE_LOGS_PER_SECOND: u32 = 2;
 
 /// An operation on the disk.
@@ -32,12 +32,12 @@
     WriteMapVersion(u64),
 }
 
-/// Learns what becomes of the jobs.
+/// Receives the results of disk jobs.
 pub(super) trait DiskObserver {
-    /// Handles the end of a job.
+    /// Handles the result of a job.
     fn handle_event(&self, event: Event);
 
-    /// A job has taken [`DISK_LOST_TIMEOUT`], or has ended after all.
+    /// Handles the start of a stall, which is a job running longer than [`DISK_LOST_TIMEOUT`], or its end.
     fn set_stalled(&self, is_stalled: bool);
 }
 
@@ -45,27 +45,27 @@
 pub(super) struct RecoveredStore {
     /// The identity of the data directory.
     pub(super) disk: DiskId,
-    /// Whether the data directory is a new one.
+    /// Whether the data directory was created by this start.
     pub(super) is_new: bool,
-    /// Where its batches go.
+    /// The files that its batches and map version are written to.
     pub(super) files: StoreDisk,
-    /// The store, recovered but for [`Store::finish_recovery`].
+    /// The store with all its batches; [`Store::finish_recovery`] has not been called yet.
     pub(super) store: Store,
 }
 
-/// The batches of a store, and the map version that it must not fall behind.
+/// The files of a store: its batches, and the oldest map version that it may accept.
 pub(super) struct StoreDisk {
     batches: SegmentLog,
     map_version: SnapshotFiles,
 }
 
 impl StoreDisk {
-    /// Opens the data directory, with the identity that it has or is given now, and recovers the store from its batches.
+    /// Opens the data directory, which gets an identity if it has none, and recovers the store from its batches.
     /// Blocks.
     ///
     /// # Errors
     ///
-    /// If the disk fails, or holds what another release wrote.
+    /// If the disk fails, or holds data in a layout that this release does not support.
     pub(super) fn open(
         directory: &Path, limits: Limits, log: &Logger,
     ) -> Result<RecoveredStore, StorageError> {
@@ -78,7 +78,7 @@
         Ok(RecoveredStore { disk, is_new, files: StoreDisk { batches, map_version }, store })
     }
 
-    /// Runs the jobs that come, until no more can.
+    /// Runs jobs until the sending side of the channel is closed.
     pub(super) async fn run(
         self, mut jobs: mpsc::UnboundedReceiver<DiskJob>, observer: impl DiskObserver, log: Logger,
     ) {
@@ -116,7 +116,7 @@
                         outcome.failures.extend(failure);
                     }
                 },
-                // One that stays holds no live record; it is removed after the next start.
+                // If the removal fails, the segment is removed after the next start: it holds no live record.
                 DiskJob::RemoveSegment(segment) => {
                     outcome.failures.extend(self.batches.remove(segment).err())
                 }
@@ -132,7 +132,7 @@
         outcome
     }
 
-    /// Writes a batch; the error is `None` if the records cannot be encoded.
+    /// Writes a batch. The error is `None` if the records cannot be encoded.
     fn write_batch(&mut self, records: &[StoredRecord]) -> Result<Event, Option<StorageError>> {
         let contents = encode_batch(records).map_err(|_| None)?;
         let segment = self.batches.append(&contents).map_err(Some)?;
@@ -140,31 +140,32 @@
     }
 }
 
-/// What became of jobs.
+/// The results of a group of jobs.
 #[derive(Default)]
 struct JobOutcome {
-    /// The ends of the writes.
+    /// The events that report the results of writes to the store.
     events: Vec<Event>,
     failures: Vec<StorageError>,
 }
 
 fn recover_batches(directory: &Path, store: &mut Store, log: &Logger) -> Result<SegmentLog, StorageError> {
     let path = directory.join(BATCH_DIRECTORY);
-    let moment = moment();
+    let clock = read_clocks();
     let mut batch_count = 0_u64;
     let mut is_readable = true;
     let batches = SegmentLog::replay(path.clone(), |batch| {
         batch_count += 1;
         let bytes = batch.contents.len() as u64;
         match decode_batch(&batch.contents) {
-            Ok(records) => store.recover_batch(moment, batch.segment.0, bytes, records),
+            Ok(records) => store.recover_batch(clock, batch.segment.0, bytes, records),
             Err(error) => {
                 is_readable = false;
                 warn!(log, "invalid batch"; "segment" => batch.segment.0, "error" => %error);
             }
         }
     })?;
-    // Its checksum is right, so another release wrote it; others count on what it holds.
+    // The checksum is valid, so another release wrote the batch. It must not be skipped, since other stores rely on
+    // this replica to hold its records.
     if !is_readable {
         return Err(StorageError::UnsupportedLayout { path });
     }
@@ -182,7 +183,7 @@
     Ok(files)
 }
 
-/// Waits for work on the disk, and reports a stall while it takes too long.
+/// Waits for disk work to complete; reports a stall to the observer while it exceeds the timeout.
 async fn watch_for_stall<T>(work: impl Future<Output = T>, observer: &impl DiskObserver) -> T {
     tokio::pin!(work);
     match timeout(duration(DISK_LOST_TIMEOUT), work.as_mut()).await {
--- a/crates/node/src/store/driver.rs
+++ b/crates/node/src/store/driver.rs
@@ -1,4 +1,4 @@
-//! The driver of a store's state machine: hands it events, and carries its commands out on links, disk and timer.
+//! The driver of a store's state machine: passes events to it and executes its commands.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 use slog::{Logger, warn};
 use tokio::sync::{Notify, mpsc};
 
-use super::clock::moment;
+use super::clock::read_clocks;
 use super::disk::{DiskJob, DiskObserver, StoreDisk};
 use super::disk_health::DiskHealth;
 use crate::clock::{duration, now};
@@ -22,7 +22,7 @@
 use crate::subscriber::Subscriber;
 use crate::sync::lock;
 
-/// How long a call to another store may take.
+/// The timeout of a call to another store.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// A running store.
@@ -30,7 +30,7 @@
     state: Mutex<DriverState>,
     pool: LinkPool,
     disk_jobs: mpsc::UnboundedSender<DiskJob>,
-    /// Notified when the timer must go off earlier.
+    /// Notified when the timer must fire earlier than it is set.
     timer_changed: Notify,
     /// Notified after every event.
     event_handled: Notify,
@@ -39,22 +39,22 @@
 
 pub(super) struct DriverState {
     pub(super) store: Store,
-    /// Those who wait for a reply.
+    /// Callers that wait for a reply.
     pub(super) callers: BTreeMap<CallerId, ReplySender>,
     last_caller: u64,
-    /// When the timer goes off; `None` if it does not.
+    /// When the timer fires; `None` if it is not set.
     timer_at: Option<Time>,
     subscriber: Weak<Subscriber>,
     pub(super) disk_health: DiskHealth,
 }
 
-/// A change of whether the subscriptions are suspended.
+/// A pending change to whether the subscriptions are suspended.
 struct SuspensionChange {
     subscriber: Arc<Subscriber>,
     is_suspended: bool,
 }
 
-/// Handles no messages: other stores send requests over connections of their own.
+/// Ignores all messages: other stores send their requests over connections that they open themselves.
 struct NoService;
 
 impl Service for NoService {
@@ -62,7 +62,7 @@
 }
 
 impl StoreDriver {
-    /// Starts the disk and the timer of a store that has been recovered.
+    /// Starts the disk and timer tasks of a recovered store, and finishes its recovery.
     pub(super) fn start(store: Store, disk: StoreDisk, log: Logger) -> Arc<StoreDriver> {
         let (disk_jobs, pending_jobs) = mpsc::unbounded_channel();
         let state = DriverState {
@@ -83,22 +83,22 @@
         });
         spawn_essential("disk", disk.run(pending_jobs, driver.clone(), log));
         spawn_essential("timer", driver.clone().run_timer());
-        let commands = driver.lock().store.finish_recovery(moment());
+        let commands = driver.lock().store.finish_recovery(read_clocks());
         driver.execute(commands);
         driver
     }
 
-    /// Sets the subscriptions, through which reports go to the keepers.
+    /// Sets the subscriber, through which reports are sent to the keepers.
     pub(super) fn set_subscriber(&self, subscriber: &Arc<Subscriber>) {
         self.lock().subscriber = Arc::downgrade(subscriber);
     }
 
-    /// Hands an event to the store and carries out its commands.
+    /// Passes an event to the store and executes the resulting commands.
     pub(super) fn handle(self: &Arc<Self>, event: Event) {
         let suspension = self.record_disk_event(&event);
         let (commands, wakes_earlier) = {
             let mut state = self.lock();
-            let commands = state.store.handle(moment(), event);
+            let commands = state.store.handle(read_clocks(), event);
             let wake_at = state.store.next_wake_at();
             let wakes_earlier =
                 wake_at.is_some_and(|wake_at| state.timer_at.is_none_or(|timer_at| wake_at < timer_at));
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Records the end of a batch; returns whether that suspends or resumes the subscriptions.
+    /// Updates the disk health after a batch; returns whether that suspends or resumes the subscriptions.
     fn record_disk_event(&self, event: &Event) -> Option<SuspensionChange> {
         let mut state = self.lock();
         match event {
@@ -138,7 +138,7 @@
         self.reevaluate_disk(&mut state)
     }
 
-    /// The subscriptions are suspended while the disk counts as lost.
+    /// Reevaluates the disk health: the subscriptions are suspended while the disk is considered lost.
     fn reevaluate_disk(&self, state: &mut DriverState) -> Option<SuspensionChange> {
         let is_lost = state.disk_health.reevaluate()?;
         let is_stalled = state.disk_health.is_stalled();
@@ -186,7 +186,7 @@
     }
 
     fn queue_disk_job(&self, job: DiskJob) {
-        // The task of the disk ends only with the process.
+        // The send cannot fail while the process runs: the disk task ends only with it.
         let _ = self.disk_jobs.send(job);
     }
 
@@ -206,7 +206,7 @@
         caller
     }
 
-    /// Hands the store a tick when it needs one, and not otherwise.
+    /// Passes [`Event::Tick`] to the store whenever one of its timers expires.
     async fn run_timer(self: Arc<Self>) {
         loop {
             let timer_at = {
--- a/crates/node/src/store/links.rs
+++ b/crates/node/src/store/links.rs
@@ -1,4 +1,4 @@
-//! A store as its links and subscriptions see it.
+//! Connects the driver of a store to its links and subscriptions.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use crate::link::{Link, ReplySender, Service};
 use crate::subscriber::UpdateSink;
 
-/// Hands messages of relays and stores, and updates of keepers, to the driver.
+/// Passes messages from relays and stores, and updates from keepers, to the driver.
 pub(super) struct StoreHandle(pub(super) Arc<StoreDriver>);
 
 impl Service for StoreHandle {
@@ -25,7 +25,7 @@
                 let caller = self.0.add_caller(sender);
                 self.0.handle(Event::TransferRequest { caller, request });
             }
-            // A store expects no other messages.
+            // Any other message is a protocol violation.
             _ => link.close(),
         }
     }
--- a/crates/node/src/store/metrics.rs
+++ b/crates/node/src/store/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of a store. Names, labels and help texts are those of earlier releases.
+//! The metrics of a store. Names, labels and help texts are kept stable across releases.
 
 use juniperwing_sessions::StoreStatistics;
 
--- a/crates/node/tests/store.rs
+++ b/crates/node/tests/store.rs
@@ -1,4 +1,4 @@
-//! Stores on loopback: turns begin, are committed and stored, and survive the loss of a store.
+//! Stores on loopback addresses: turns begin, are committed and stored, and survive the loss of a store.
 
 mod loopback;
 mod stores;
@@ -18,7 +18,8 @@
 
 /// The timeout of calls that are expected to fail.
 const SHORT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Segments that may be open when a directory is renamed: one, and another if a slow call was made twice.
+/// The maximum number of segments that may be open when the directory is renamed, with some slack. One is open, and a
+/// second one if a slow call was retried.
 const MAX_OPEN_SEGMENTS: usize = 4;
 
 fn finish_stored(program: &str, request: &str, previous: Option<&str>) -> FinishTurn {
@@ -30,21 +31,21 @@
     }
 }
 
-/// The end of a turn that fills a segment.
+/// A commit of a turn that is large enough to fill a segment.
 fn segment_filling_turn(number: usize) -> FinishTurn {
     let mut finish = finish_stored("p", &format!("filling-{number}"), Some("t2"));
     finish.stored_turn.as_mut().unwrap().output = Arc::from(vec![b'x'; 1 << 20]);
     finish
 }
 
-/// Fills segments until a fault of the disk has been met, whichever segment is open. All turns are sent: on a busy machine
-/// one may miss its timeout although the disk still works.
+/// Fills enough segments to reach the disk fault, whichever segment is open. All turns are sent, since on a busy
+/// machine one of them may time out although the disk still works.
 async fn fill_segments_of_failing_disk(cluster: &TestCluster) {
     let mut has_failed = false;
     for number in 0..MAX_OPEN_SEGMENTS {
         has_failed |= cluster.client.finish(segment_filling_turn(number), SHORT_TIMEOUT).await != Ok(());
     }
-    assert!(has_failed, "the disk never fails");
+    assert!(has_failed, "no commit failed on the failing disk");
 }
 
 async fn store_two_turns(cluster: &TestCluster) {
@@ -64,7 +65,7 @@
     store_two_turns(&cluster).await;
     let next = cluster.client.begin(begin("p", "t3", Some("t2"), Some(1_000)), TEST_TIMEOUT).await;
     assert_eq!(next, Ok(begun_with_two_turns()));
-    // Some of these are in other partitions than the first program.
+    // Some of these programs are in other partitions than the first one.
     for number in 0..8 {
         let program = format!("other-{number}");
         let next = cluster.client.begin(begin(&program, &program, Some("t2"), None), TEST_TIMEOUT).await;
@@ -96,11 +97,15 @@
         }
     };
     tokio::time::timeout(TEST_TIMEOUT, begun).await.expect("the turn is committed");
-    assert_eq!(next("denied".to_owned()).await, Err(SessionError::BudgetExhausted), "a denied turn stays so");
+    assert_eq!(
+        next("denied".to_owned()).await,
+        Err(SessionError::BudgetExhausted),
+        "a denied turn stays denied"
+    );
 }
 
 #[tokio::test]
-async fn stored_turns_survive_the_loss_of_a_store_and_fill_its_replacement() {
+async fn stored_turns_survive_the_loss_of_a_store_and_are_copied_to_its_replacement() {
     let mut cluster = TestCluster::start("failover").await;
     store_two_turns(&cluster).await;
     let disks = cluster.keeper.wait_for_stores(STORE_COUNT).await;
@@ -110,7 +115,7 @@
     let next = cluster.client.begin(begin("p", "t3", Some("t2"), Some(1_000)), TEST_TIMEOUT).await;
     assert_eq!(next, Ok(begun_with_two_turns()));
     cluster.client.finish(finish_stored("p", "t3", Some("t2")), TEST_TIMEOUT).await.unwrap();
-    // With an empty disk the store comes back under another identity.
+    // With an empty disk the store returns with a new identity.
     std::fs::remove_dir_all(cluster.data_directory(0)).unwrap();
     cluster.restart(0);
     let current = cluster.keeper.wait_for_stores(STORE_COUNT).await;
@@ -118,7 +123,7 @@
     let epoch = cluster.assign(&remaining[..1], &[remaining[1], empty]);
     let all: Vec<u16> = (0..8).collect();
     cluster.keeper.wait_until_caught_up(empty, epoch, &all).await;
-    // Now the store that was filled leads, together with one of the others.
+    // The synchronized store and one of the others now lead the partitions.
     cluster.assign(&[empty, remaining[1]], &[]);
     let chain = [begun_with_two_turns().chain, vec![turn("t3", Some("t2"))]].concat();
     let next = cluster.client.begin(begin("p", "t4", Some("t3"), Some(1_000)), TEST_TIMEOUT).await;
@@ -144,7 +149,7 @@
 }
 
 #[tokio::test]
-async fn without_an_in_sync_replica_nothing_is_certain() {
+async fn without_an_in_sync_replica_no_reply_is_definite() {
     let mut cluster = TestCluster::start("missing").await;
     store_two_turns(&cluster).await;
     cluster.running[2].take().unwrap().stop();
@@ -152,7 +157,7 @@
     assert!(matches!(finished, Err(CommitUncertain { .. })), "{finished:?}");
     let unknown = cluster.client.begin(begin("p", "t4", Some("unknown"), None), SHORT_TIMEOUT).await;
     assert!(is_unavailable(&unknown), "{unknown:?}");
-    // When the keepers have removed it from the in-sync replicas, everything is.
+    // Once the keepers have removed the replica from the in-sync set, replies are definite again.
     let remaining = cluster.keeper.wait_for_stores(STORE_COUNT - 1).await;
     cluster.assign(&remaining, &[]);
     assert_eq!(cluster.client.finish(finish_stored("p", "t3", Some("t2")), TEST_TIMEOUT).await, Ok(()));
@@ -177,7 +182,7 @@
     assert_eq!(cluster.client.finish(finish_stored("p", "t3", Some("t2")), TEST_TIMEOUT).await, Ok(()));
 }
 
-/// An unreadable batch must not be ignored: others count on this disk.
+/// An unreadable batch must not be skipped, since other stores rely on this replica.
 #[tokio::test]
 async fn a_store_with_a_batch_of_another_release_does_not_start() {
     let mut cluster = TestCluster::start("other-release").await;
@@ -188,13 +193,13 @@
     let settings = cluster.settings(0);
     let started = run_until(&settings, Logger::root(Discard, o!()), pending());
     let result = tokio::time::timeout(Duration::from_secs(5), started).await;
-    let Ok(Err(error)) = result else { panic!("the store has started") };
+    let Ok(Err(error)) = result else { panic!("the store started or hung instead of failing") };
     assert!(error.to_string().contains("release"), "{error}");
     let (_, after) = SegmentLog::open(cluster.data_directory(0).join("sessions")).unwrap();
-    assert_eq!(after.len(), before.len() + 1, "no batch is lost");
+    assert_eq!(after.len(), before.len() + 1, "the existing batches and the invalid one are still on disk");
 }
 
-/// A stalled disk gives no event: opening a pipe that nobody reads blocks in the same way.
+/// A stalled disk produces no event. It is simulated by a named pipe without a reader, whose opening blocks.
 #[tokio::test]
 async fn a_store_whose_disk_stalls_suspends_its_subscriptions_until_it_resumes() {
     let cluster = TestCluster::start("stalled").await;
@@ -204,12 +209,12 @@
     let remaining = cluster.keeper.wait_for_stores(STORE_COUNT - 1).await;
     cluster.assign(&remaining, &[]);
     assert_eq!(cluster.client.finish(finish_stored("p", "t3", Some("t2")), TEST_TIMEOUT).await, Ok(()));
-    // The pipe is read, and cannot be synced: the next batch goes into a segment of its own.
+    // The pipe is read and cannot be synced, so the next batch is written to a new segment.
     drop(pipe);
     cluster.keeper.wait_for_stores(STORE_COUNT).await;
 }
 
-/// A named pipe in place of a file. It is read when this is dropped, also when the test fails.
+/// A named pipe in place of a file. Dropping it unblocks the writer by reading the pipe, even if the test fails.
 struct BlockingPipe(PathBuf);
 
 impl BlockingPipe {
@@ -223,19 +228,19 @@
 impl Drop for BlockingPipe {
     fn drop(&mut self) {
         let path = self.0.clone();
-        // Blocks until the writer has opened it.
+        // Blocks until the writer has opened the pipe, so it runs on a separate thread.
         std::thread::spawn(move || std::fs::read(path));
     }
 }
 
-// Guard: reservations and committed turns are records on disk like any other, stored or not.
+// Guards that reservations and committed turns without stored contents are persisted, too.
 #[tokio::test]
 async fn an_exhausted_budget_stays_exhausted_when_all_stores_are_killed() {
     let mut cluster = TestCluster::start("spent").await;
     cluster.client.begin(begin("p", "settled", None, Some(100)), TEST_TIMEOUT).await.unwrap();
     let committed = FinishTurn { stored_turn: None, tokens: 40, ..finish_stored("p", "settled", None) };
     cluster.client.finish(committed, TEST_TIMEOUT).await.unwrap();
-    // Begun and never committed: the reservation counts in full.
+    // This turn is never committed, so its reservation counts in full.
     cluster.client.begin(begin("p", "open", None, Some(100)), TEST_TIMEOUT).await.unwrap();
     let next = |request: &str| begin("p", request, None, Some(100));
     assert_eq!(cluster.client.begin(next("before"), TEST_TIMEOUT).await, Err(SessionError::BudgetExhausted));
@@ -245,7 +250,7 @@
     let meanwhile = cluster.client.begin(next("meanwhile"), SHORT_TIMEOUT).await;
     assert!(is_unavailable(&meanwhile), "{meanwhile:?}");
     (0..STORE_COUNT).for_each(|number| cluster.restart(number));
-    // A program in a loop sends requests again and again.
+    // A program in a loop keeps sending requests after the denial.
     for request in ["after", "again", "before"] {
         assert_eq!(
             cluster.client.begin(next(request), TEST_TIMEOUT).await,
@@ -256,7 +261,7 @@
     assert_eq!(other, Ok(BegunTurn::default()));
 }
 
-// Guard: what a turn needs is at the stores, not at the relay that served the previous turn.
+// Guards that all state of a chain is in the stores, not in the relay that served the previous turn.
 #[tokio::test]
 async fn a_chain_of_turns_continues_through_another_relay_at_every_turn() {
     let cluster = TestCluster::start("zones").await;
@@ -279,8 +284,8 @@
 }
 
 #[tokio::test]
-async fn the_only_replica_fills_another_store_before_it_shuts_down() {
-    // Guard: `StoreProcess::stop` waits while `is_filling_second_replica`.
+async fn the_only_replica_syncs_another_store_before_it_shuts_down() {
+    // Guards that `StoreProcess::stop` waits while `is_syncing_second_replica`.
     let mut cluster = TestCluster::start("handover").await;
     store_two_turns(&cluster).await;
     cluster.running[2].take().unwrap().kill();
--- a/crates/node/tests/store_files.rs
+++ b/crates/node/tests/store_files.rs
@@ -1,4 +1,4 @@
-//! A store keeps its files under the names, and its map version in the bytes, that earlier releases gave them.
+//! The file names and the map version format of a store are compatible with earlier releases.
 
 mod loopback;
 #[allow(dead_code)]
@@ -33,7 +33,7 @@
     }
 }
 
-/// The map version is written before a store reports that a joining one has caught up.
+/// The map version is written before a store reports that a joining replica has caught up.
 #[tokio::test]
 async fn a_store_keeps_the_version_of_its_map_in_eight_bytes() {
     let cluster = TestCluster::start("map-version").await;
@@ -44,7 +44,7 @@
     assert_eq!(written.collect::<Vec<_>>(), [epoch.0.to_le_bytes()]);
 }
 
-/// Reads from a copy, since opening a directory removes unfinished versions.
+/// Reads the newest map version from a copy of the files, since opening a directory removes unfinished versions.
 fn newest_map_version(directory: &Path) -> Option<Vec<u8>> {
     let copy = directory.with_extension("copy");
     let _ = fs::remove_dir_all(&copy);
@@ -53,14 +53,14 @@
         let path = entry.unwrap().path();
         let name = path.file_name().unwrap().to_str().unwrap();
         if name.starts_with("map-version-") {
-            // An old version may be removed meanwhile.
+            // The store may remove an old version meanwhile.
             let _ = fs::copy(&path, copy.join(name));
         }
     }
     SnapshotFiles::open(&copy, "map-version").unwrap().1
 }
 
-/// The names in a directory without their numbers.
+/// The file names in a directory without their trailing numbers.
 fn names(directory: &Path) -> BTreeSet<String> {
     let entries = fs::read_dir(directory).unwrap();
     let names = entries.map(|entry| entry.unwrap().file_name().into_string().unwrap());
--- a/crates/node/tests/stores/mod.rs
+++ b/crates/node/tests/stores/mod.rs
@@ -1,4 +1,5 @@
-//! Three stores on loopback, each on a thread of its own, with a keeper that publishes the maps it is given.
+//! Test cluster: three stores on loopback addresses, each on its own thread, and a keeper that publishes the maps given
+//! by the test.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -21,17 +22,17 @@
 
 use crate::loopback::LoopbackNetwork;
 
-/// Far longer than anything takes; a test that waits for so long has failed.
+/// Much longer than any awaited operation takes; a wait of this length fails the test.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 /// The number of stores.
 pub const STORE_COUNT: usize = 3;
 const PARTITION_COUNT: usize = 8;
-/// The first of the three ports of the roles; the second is the keeper's, the third the stores'.
+/// The first of three consecutive ports; the second is the keeper's, the third the stores'.
 const FIRST_PORT: u16 = 7_100;
 /// The keeper's number in the network of its cluster; stores count from 1.
 const KEEPER_NUMBER: u8 = 9;
 
-/// A keeper as its subscribers see it.
+/// A minimal keeper that accepts subscriptions and publishes maps.
 #[derive(Default)]
 pub struct TestKeeper {
     state: Mutex<KeeperState>,
@@ -40,11 +41,11 @@
 
 #[derive(Default)]
 struct KeeperState {
-    /// The stores that subscribe.
+    /// The subscribed stores with their links.
     stores: BTreeMap<DiskId, (StoreNode, Link)>,
     map: Arc<StoreMap>,
     caught_up: Vec<CaughtUp>,
-    /// The map version that was last confirmed.
+    /// The map version that was last confirmed by a store.
     applied_version: u64,
 }
 
@@ -78,7 +79,7 @@
 }
 
 impl TestKeeper {
-    /// Waits until `read` returns a value of the keeper's state.
+    /// Waits until `read` returns a value for the keeper's state.
     async fn wait_until<T>(&self, read: impl Fn(&KeeperState) -> Option<T>) -> T {
         let wait = async {
             loop {
@@ -92,10 +93,10 @@
                 changed.await;
             }
         };
-        tokio::time::timeout(TEST_TIMEOUT, wait).await.expect("the keeper learns of it")
+        tokio::time::timeout(TEST_TIMEOUT, wait).await.expect("the expected keeper state is reached in time")
     }
 
-    /// Waits for this number of subscribed stores; returns their disks.
+    /// Waits until exactly `count` stores are subscribed; returns their disks.
     pub async fn wait_for_stores(&self, count: usize) -> Vec<DiskId> {
         self.wait_until(|state| (state.stores.len() == count).then(|| state.stores.keys().copied().collect()))
             .await
@@ -164,16 +165,16 @@
         RunningStore { kill: Some(kill), stop: Some(stop), thread: Some(thread) }
     }
 
-    /// Ends the store without a shutdown.
+    /// Stops the store without a graceful shutdown.
     pub fn kill(mut self) {
         if let Some(kill) = self.kill.take() {
-            // It may have ended already.
+            // The store may have exited already.
             let _ = kill.send(());
         }
         self.thread.take().unwrap().join().unwrap();
     }
 
-    /// Shuts the store down, and waits for its end.
+    /// Shuts the store down gracefully and waits until it has exited.
     pub fn stop(mut self) {
         if let Some(stop) = self.stop.take() {
             let _ = stop.send(());
@@ -194,7 +195,7 @@
 }
 
 impl TestCluster {
-    /// Starts everything, with all three stores in sync in every partition.
+    /// Starts the cluster with all three stores in sync in every partition.
     pub async fn start(name: &str) -> Self {
         let network = LoopbackNetwork::reserve();
         let listener = TcpListener::bind((network.address(KEEPER_NUMBER), FIRST_PORT + 1)).await.unwrap();
@@ -213,7 +214,7 @@
         cluster
     }
 
-    /// The client of another relay.
+    /// Creates the client of another relay.
     pub fn another_client(&self) -> SessionsClient {
         SessionsClient::new(Arc::new(LinkPool::new(Arc::new(TestKeeper::default()))), self.map.subscribe())
     }
@@ -226,12 +227,12 @@
         epoch
     }
 
-    /// Starts a store that has ended.
+    /// Starts a store that was stopped or killed.
     pub fn restart(&mut self, number: usize) {
         self.running[number] = Some(RunningStore::start(self.settings(number)));
     }
 
-    /// The file that the next segment of a store will be.
+    /// The path of the next segment file of a store.
     pub fn next_segment_path(&self, store: usize) -> PathBuf {
         const PREFIX: &str = "segment-";
         let directory = self.data_directory(store).join("sessions");
@@ -274,7 +275,7 @@
     }
 }
 
-/// A turn of a program that is about to run.
+/// Builds the begin request of a turn.
 pub fn begin(program: &str, request: &str, previous: Option<&str>, budget: Option<u64>) -> BeginTurn {
     BeginTurn {
         program: ProgramId::from(program),
@@ -286,7 +287,7 @@
     }
 }
 
-/// A stored turn.
+/// Builds a stored turn.
 pub fn turn(request: &str, previous: Option<&str>) -> Turn {
     Turn {
         request: RequestId::from(request),
--- a/crates/sessions/src/admission.rs
+++ b/crates/sessions/src/admission.rs
@@ -1,4 +1,5 @@
-//! The begin of a turn: its chain is looked up, and its reservation admitted within the program's budget, or denied.
+//! Admission of turns: looks up the chain that a turn continues, and reserves tokens within the program's budget or
+//! denies the turn.
 
 use juniperwing_invariants::{Invariant, check};
 use juniperwing_protocol::session::{BeginTurn, SessionReply, SessionRequest, Turn};
@@ -12,14 +13,14 @@
 use crate::statistics::UnavailableReason;
 use crate::store::Store;
 
-/// Whether a turn may run within its program's budget.
+/// The result of checking a turn against its program's budget.
 enum Admission {
     Admitted(Box<Record>),
-    /// It has run, or never will.
+    /// The turn was committed before, so it must not run again.
     AlreadyCommitted,
-    /// It was denied before, and stays denied whatever the budget has room for now.
+    /// The turn was denied before. A denial is final, even if the budget would allow the turn now.
     AlreadyDenied,
-    /// The budget has no room for it. The record makes that final.
+    /// The turn would exceed the budget. Replicating the record makes the denial final.
     Denied(Box<Record>),
 }
 
@@ -47,7 +48,7 @@
                     return self.deny(caller, request, SessionReply::BudgetExhausted, certainty);
                 }
                 Admission::Denied(record) => {
-                    // The write is confirmed in this epoch by all replicas, so no confirmation is needed beside it.
+                    // All replicas confirm the write in this epoch, so no separate epoch confirmation is needed.
                     let denial = vec![*record];
                     return self.start_write(partition, denial, caller, SessionReply::BudgetExhausted);
                 }
@@ -61,7 +62,7 @@
         self.check_budget(partition, begin);
     }
 
-    /// The chain that a turn continues: the stored one, or else the imported one if that is complete.
+    /// Returns the chain that a turn continues: the stored one, or otherwise the imported one if that is complete.
     fn chain_for(&self, partition: PartitionId, begin: &BeginTurn) -> Chain {
         let Some(previous) = &begin.previous else { return Chain::Found(Vec::new()) };
         let stored = match self.tables.get(&partition) {
@@ -74,12 +75,12 @@
         Chain::Found(begin.imported.clone())
     }
 
-    /// Records of the turns of other programs that this one continues: everything that a program needs is stored with
-    /// it, and retained for as long as it.
+    /// Returns copies of the turns in the chain that belong to other programs. Each program keeps its own copy of every
+    /// turn that it depends on, so that all of them have the same retention.
     fn imported_records(&self, partition: PartitionId, begin: &BeginTurn, chain: &[Turn]) -> Vec<Record> {
         let table = self.tables.get(&partition);
         let is_own = |turn: &Turn| table.is_some_and(|t| t.has_turn(&begin.program, &turn.request));
-        let expires_at_ms = self.moment.unix_time_ms.saturating_add(RESERVATION_RETENTION_MS);
+        let expires_at_ms = self.clock.unix_time_ms.saturating_add(RESERVATION_RETENTION_MS);
         let record = |turn: &Turn| Record {
             program: begin.program.clone(),
             request: turn.request.clone(),
@@ -91,7 +92,8 @@
         chain.iter().filter(|turn| !is_own(turn)).map(record).collect()
     }
 
-    /// Reserves the most tokens that a turn may generate, if the budget allows it, and else denies the turn for good.
+    /// Reserves the maximum number of tokens that a turn may generate if the budget allows it, and otherwise denies the
+    /// turn permanently.
     fn admit_turn(&self, partition: PartitionId, begin: &BeginTurn, budget: u64) -> Admission {
         let table = self.tables.get(&partition);
         let known = table.and_then(|table| table.record(&begin.program, &begin.request));
@@ -103,7 +105,8 @@
         let reserved = known.map_or(0, |record| record.tokens);
         let used = table.map_or(0, |table| table.tokens_except(&begin.program, &begin.request));
         let tokens = begin.max_tokens.max(reserved);
-        // An existing reservation proves nothing: an old primary may have left it unacknowledged.
+        // An existing reservation does not prove that the turn was admitted: a previous primary may have left it
+        // unacknowledged.
         if used.saturating_add(tokens) > budget {
             let denied = self.record_without_tokens(begin, RecordState::Denied, BUDGET_RETENTION_MS);
             return Admission::Denied(Box::new(denied));
@@ -112,7 +115,7 @@
         Admission::Admitted(Box::new(Record { tokens, ..reserved }))
     }
 
-    /// A record of a turn that has generated nothing.
+    /// Creates a record with no tokens and no stored turn.
     fn record_without_tokens(&self, begin: &BeginTurn, state: RecordState, retention_ms: u64) -> Record {
         Record {
             program: begin.program.clone(),
@@ -120,12 +123,12 @@
             tokens: 0,
             state,
             turn: None,
-            expires_at_ms: self.moment.unix_time_ms.saturating_add(retention_ms),
+            expires_at_ms: self.clock.unix_time_ms.saturating_add(retention_ms),
         }
     }
 
-    /// Checks that the tokens which a program has used and reserved, those of the turn just admitted included, are
-    /// within its budget.
+    /// Checks the invariant that the used and reserved tokens of a program, including the turn just admitted, do not
+    /// exceed its budget.
     fn check_budget(&self, partition: PartitionId, begin: &BeginTurn) {
         let (Some(budget), Some(table)) = (begin.budget, self.tables.get(&partition)) else { return };
         let tokens: u64 = table.records_of(&begin.program).map(|record| record.tokens).sum();
@@ -134,7 +137,7 @@
         });
     }
 
-    /// Whether memory or disk is used up so far that no further turn is admitted.
+    /// Whether no further turn is admitted, because memory or disk usage exceeds its limit or the disk fails.
     fn is_capacity_exhausted(&self) -> bool {
         let record_bytes: u64 = self.tables.values().map(super::table::Table::bytes).sum();
         record_bytes > self.limits.memory_bytes
@@ -143,7 +146,7 @@
     }
 }
 
-/// Whether turns are a complete chain that ends with `last`.
+/// Whether `turns` is a complete chain that ends with `last`.
 fn is_complete_chain(turns: &[Turn], last: &RequestId) -> bool {
     let is_linked = turns.windows(2).all(|pair| pair[1].previous.as_ref() == Some(&pair[0].request));
     let starts_at_first = turns.first().is_some_and(|first| first.previous.is_none());
--- a/crates/sessions/src/anti_entropy.rs
+++ b/crates/sessions/src/anti_entropy.rs
@@ -1,8 +1,8 @@
-//! Anti-entropy repair of replicas: the primary makes its replicas hold the same records as itself.
+//! Anti-entropy repair: the primary brings its replicas to the same set of records as its own.
 //!
 //! The primary compares range digests with each replica, pulls the records of the ranges that differ, pushes its own
-//! and compares again, until the digests are equal. A store that has become primary synchronizes the in-sync replicas
-//! before it decides anything; joining replicas are filled the same way, a few at a time.
+//! and compares again, until the digests are equal. A new primary synchronizes the in-sync replicas before it admits or
+//! denies any turn. Joining replicas are synchronized the same way, with limited concurrency.
 
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
@@ -25,18 +25,18 @@
     pub(crate) epoch: EpochNumber,
     /// The version of the first map with this epoch.
     pub(crate) first_map_version: u64,
-    /// The state of every other replica, in sync or joining.
+    /// The synchronization state of every other replica, in sync or joining.
     replicas: BTreeMap<DiskId, ReplicaSyncState>,
 }
 
-/// How far the synchronization of a replica has come.
+/// The progress of the synchronization of a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum ReplicaSyncState {
-    /// Not compared yet.
+    /// Not started, or waiting for a retry.
     Pending,
     /// A call of this attempt and phase is in flight.
     InProgress { attempt: u64, phase: SyncPhase },
-    /// The replica holds all that this store holds. From now on it is sent every write until it has confirmed it.
+    /// The replica holds all records of this store. From now on every write is sent to it until it confirms the write.
     Synchronized,
 }
 
@@ -44,12 +44,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum SyncPhase {
     CompareDigests,
-    /// Fetches the replica's records behind the key `after`.
+    /// Fetches the replica's records with keys greater than `after`.
     PullRecords {
         differing: Vec<u16>,
         after: Option<RecordKey>,
     },
-    /// Sends this store's records behind the key `after`; `None` in a phase in progress if there are no more.
+    /// Sends this store's records with keys greater than `after`. Once the phase is in progress, `after` is the last
+    /// key of the page sent, or `None` if that was the last page.
     PushRecords {
         differing: Vec<u16>,
         after: Option<RecordKey>,
@@ -61,11 +62,11 @@
 pub(crate) struct SyncStep {
     partition: PartitionId,
     replica: DiskId,
-    /// Tells this step from earlier ones, whose replies are ignored.
+    /// Distinguishes this step from earlier ones, whose late replies are ignored.
     attempt: u64,
-    /// Programs that expire by this time are left out, in milliseconds since the Unix epoch.
+    /// Programs that expire at or before this time are excluded, in milliseconds since the Unix epoch.
     live_after_ms: u64,
-    /// Comparisons since the last delay, this one included.
+    /// The number of comparisons since the last delay, including this one.
     comparisons: u32,
 }
 
@@ -77,14 +78,14 @@
 }
 
 impl LedPartition {
-    /// The replicas that hold all that this store holds.
+    /// The replicas that hold all records of this store.
     pub(crate) fn synchronized_replicas(&self) -> impl Iterator<Item = DiskId> + '_ {
         let synchronized =
             self.replicas.iter().filter(|(_, state)| **state == ReplicaSyncState::Synchronized);
         synchronized.map(|(replica, _)| *replica)
     }
 
-    /// Whether a replica holds all that this store holds.
+    /// Whether a replica holds all records of this store.
     pub(crate) fn is_replica_synchronized(&self, replica: DiskId) -> bool {
         self.replicas.get(&replica) == Some(&ReplicaSyncState::Synchronized)
     }
@@ -103,9 +104,9 @@
         others.copied().all(|replica| led.is_replica_synchronized(replica))
     }
 
-    /// Takes over the assignment of a partition whose primary this store is, and schedules the synchronization of new
-    /// replicas. Those synchronized in an earlier epoch stay so, since this store has acknowledged nothing without
-    /// them.
+    /// Applies the assignment of a partition that this store leads, and schedules the synchronization of new replicas.
+    /// Replicas synchronized in an earlier epoch remain synchronized, since this store has acknowledged no write
+    /// without them.
     pub(crate) fn update_led_partition(&mut self, partition: PartitionId) {
         let Some(assignment) = self.map.assignment(partition) else { return };
         let mut members = assignment.in_sync.clone();
@@ -115,7 +116,7 @@
         led.epoch = assignment.epoch;
         led.first_map_version = self.map.version;
         led.replicas.retain(|replica, _| members.contains(replica));
-        let now = self.moment.now;
+        let now = self.clock.now;
         for replica in members {
             if let Entry::Vacant(entry) = led.replicas.entry(replica) {
                 entry.insert(ReplicaSyncState::Pending);
@@ -124,7 +125,8 @@
         }
     }
 
-    /// Starts the synchronization of a pending replica. A joining one waits while too many others are filled.
+    /// Starts the synchronization of a pending replica. A joining replica is queued while the concurrency limit is
+    /// reached.
     pub(crate) fn start_sync(&mut self, partition: PartitionId, replica: DiskId) {
         let state = self.led_partitions.get(&partition).and_then(|led| led.replicas.get(&replica));
         if state != Some(&ReplicaSyncState::Pending) {
@@ -139,7 +141,7 @@
         self.compare_digests(partition, replica, 1);
     }
 
-    /// Starts the synchronization of joining replicas that had to wait for others, as far as the limit allows.
+    /// Starts queued synchronizations of joining replicas, up to the concurrency limit.
     pub(crate) fn start_waiting_syncs(&mut self) {
         while !self.waiting_syncs.is_empty()
             && self.joining_syncs_in_progress() < MAX_CONCURRENT_JOINING_SYNCS
@@ -161,14 +163,14 @@
     }
 
     fn compare_digests(&mut self, partition: PartitionId, replica: DiskId, comparisons: u32) {
-        let live_after_ms = self.moment.unix_time_ms.saturating_sub(SYNC_EXPIRY_SLACK_MS);
+        let live_after_ms = self.clock.unix_time_ms.saturating_sub(SYNC_EXPIRY_SLACK_MS);
         let step = SyncStep { partition, replica, attempt: 0, live_after_ms, comparisons };
         self.start_phase(step, SyncPhase::CompareDigests);
     }
 
-    /// Calls the replica for the next step.
+    /// Sends the request of a phase to the replica.
     fn start_phase(&mut self, step: SyncStep, phase: SyncPhase) {
-        let step = SyncStep { attempt: self.next_number(), ..step };
+        let step = SyncStep { attempt: self.next_id(), ..step };
         let SyncStep { partition, replica, attempt, live_after_ms, .. } = step;
         let Some(led) = self.led_partitions.get_mut(&partition) else { return };
         let epoch = led.epoch;
@@ -253,12 +255,12 @@
         self.report_caught_up();
     }
 
-    /// Starts again with the comparison after a delay.
+    /// Restarts the synchronization with a comparison after a delay.
     fn retry_sync_later(&mut self, step: SyncStep) {
         if let Some(led) = self.led_partitions.get_mut(&step.partition) {
             led.replicas.insert(step.replica, ReplicaSyncState::Pending);
         }
-        let at = self.moment.now + SYNC_RETRY_DELAY;
+        let at = self.clock.now + SYNC_RETRY_DELAY;
         self.timers.insert((at, Timer::SyncReplica(step.partition, step.replica)));
     }
 }
--- a/crates/sessions/src/batch.rs
+++ b/crates/sessions/src/batch.rs
@@ -1,4 +1,4 @@
-//! The contents of a batch on disk.
+//! The on-disk encoding of a batch.
 
 use juniperwing_protocol::PartitionId;
 use juniperwing_protocol::transfer::Record;
@@ -17,7 +17,7 @@
 ///
 /// # Errors
 ///
-/// If the encoder fails; it does not for records.
+/// If the encoder fails, which is not expected for records.
 pub fn encode_batch(records: &[StoredRecord]) -> Result<Vec<u8>, postcard::Error> {
     postcard::to_stdvec(records)
 }
@@ -26,7 +26,7 @@
 ///
 /// # Errors
 ///
-/// If the bytes are not a batch.
+/// If the bytes are not a valid batch.
 pub fn decode_batch(bytes: &[u8]) -> Result<Vec<StoredRecord>, postcard::Error> {
     postcard::from_bytes(bytes)
 }
--- a/crates/sessions/src/call.rs
+++ b/crates/sessions/src/call.rs
@@ -1,4 +1,4 @@
-//! Calls to other stores.
+//! Outgoing calls to other stores.
 
 use juniperwing_protocol::transfer::{TransferReply, TransferRequest};
 use juniperwing_protocol::{DiskId, EpochNumber};
@@ -9,23 +9,23 @@
 use crate::store::Store;
 use crate::write::WriteId;
 
-/// What a call is made for; decides where its reply goes.
+/// The purpose of a call, which determines how its reply is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallPurpose {
-    /// Copies a write to a replica.
+    /// Sends a write to a replica.
     Write { write: WriteId, replica: DiskId },
-    /// Has a replica confirm epochs before a request is denied.
+    /// Requests that a replica confirm epochs before a request is denied.
     ConfirmEpochs { confirmation: EpochConfirmationId },
     /// Synchronizes a replica.
     Sync(SyncStep),
 }
 
 impl Store {
-    /// Calls a store. A call to one that the map does not name ends at once without a reply.
+    /// Calls a store. If the map does not name it, the call completes immediately without a reply.
     pub(crate) fn call_store(&mut self, replica: DiskId, request: TransferRequest, purpose: CallPurpose) {
         match self.map.store(replica).map(|store| store.address) {
             Some(to) => {
-                let call = TransferCallId(self.next_number());
+                let call = TransferCallId(self.next_id());
                 self.calls.insert(call, purpose);
                 self.commands.push(Command::Call { call, to, request });
             }
@@ -53,13 +53,14 @@
         }
     }
 
-    /// A replica knows a later epoch of the partition that a call was about: this store leads the partition no more,
-    /// and sends nothing in the old epoch again. The map with the new epoch follows.
+    /// Handles a reply from a replica that knows a later epoch of the partition. This store no longer leads the
+    /// partition and sends nothing more in the old epoch. The map with the new epoch arrives later.
     fn handle_fenced(&mut self, purpose: CallPurpose, epoch: EpochNumber) {
         let partition = match purpose {
             CallPurpose::Write { write, .. } => self.pending_writes.get(&write).map(|write| write.partition),
             CallPurpose::Sync(step) => Some(step.partition()),
-            // A confirmation is about several partitions; the request that needs it is not granted.
+            // A confirmation may cover several partitions, so it ends the lead of none of them. The request that
+            // waits for it is answered as unavailable.
             CallPurpose::ConfirmEpochs { .. } => None,
         };
         let Some(partition) = partition else { return };
--- a/crates/sessions/src/caught_up.rs
+++ b/crates/sessions/src/caught_up.rs
@@ -8,13 +8,14 @@
 use crate::timers::Timer;
 
 impl Store {
-    /// The joining replicas that hold all that this store holds, of all partitions that it leads. A replica is named
-    /// only when the version of the map that made it join is on disk (`DurableMapVersion` says why).
+    /// The joining replicas that hold all records of this store, in all partitions that it leads. A replica is included
+    /// only once the version of the map that made it join is on disk; see `DurableMapVersion` for the reason.
     pub fn caught_up_replicas(&self) -> Vec<CaughtUp> {
         self.caught_up_by_map(self.durable_map_version.durable())
     }
 
-    /// The same for the partitions whose epoch came with the map of this version or an earlier one.
+    /// The joining replicas that have caught up in partitions whose epoch started with this map version or an earlier
+    /// one.
     fn caught_up_by_map(&self, newest_version: u64) -> Vec<CaughtUp> {
         let mut caught_up = Vec::new();
         let led = self.led_partitions.iter().filter(|(_, led)| led.first_map_version <= newest_version);
@@ -31,8 +32,8 @@
         caught_up
     }
 
-    /// Reports the replicas that have caught up, now and at intervals until the keepers' map shows them in sync. What
-    /// may not be reported yet is reported as soon as the version of the map is on disk.
+    /// Reports the replicas that have caught up, now and periodically until the map shows them in sync. Replicas that
+    /// must not be reported yet are reported as soon as the map version is on disk.
     pub(crate) fn report_caught_up(&mut self) {
         if self.is_report_scheduled {
             return;
@@ -50,10 +51,10 @@
             self.commands.push(Command::ReportCaughtUp);
         }
         self.is_report_scheduled = true;
-        self.timers.insert((self.moment.now + REPORT_INTERVAL, Timer::ReportInterval));
+        self.timers.insert((self.clock.now + REPORT_INTERVAL, Timer::ReportInterval));
     }
 
-    /// The version of the map is on disk: reports what had to wait for it.
+    /// Reports the replicas that were held back until the map version was on disk.
     pub(crate) fn handle_map_version_written(&mut self, version: u64) {
         self.durable_map_version.complete_write(version);
         if !self.caught_up_replicas().is_empty() {
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Reports again what the keepers' map does not show yet.
+    /// Repeats the report for replicas that the map does not show in sync yet.
     pub(crate) fn report_interval_elapsed(&mut self) {
         self.is_report_scheduled = false;
         self.report_caught_up();
--- a/crates/sessions/src/chain.rs
+++ b/crates/sessions/src/chain.rs
@@ -1,4 +1,4 @@
-//! Chains of stored turns, each of which continues the one before.
+//! Chains of stored turns, in which each turn continues the previous one.
 
 use juniperwing_protocol::session::Turn;
 use juniperwing_protocol::{ProgramId, RequestId};
@@ -6,19 +6,19 @@
 use crate::limits::MAX_CHAIN_TURNS;
 use crate::table::Table;
 
-/// What a table knows of a turn and those before it.
+/// The result of looking up a turn and its predecessors in a table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Chain {
     /// The turns, oldest first.
     Found(Vec<Turn>),
     /// The turn is not in the table.
     Unknown,
-    /// The turn is in the table, but one before it is not.
+    /// The turn is in the table, but the chain is incomplete or too long.
     Broken,
 }
 
 impl Table {
-    /// The chain that ends with `turn`, as `program` sees it: its own turns have precedence over those of others.
+    /// Returns the chain that ends with `turn`. Turns of `program` take precedence over those of other programs.
     pub fn chain(&self, program: &ProgramId, turn: &RequestId) -> Chain {
         let mut chain = Vec::new();
         let mut next = Some(turn);
@@ -34,7 +34,7 @@
         Chain::Found(chain)
     }
 
-    /// The chain that ends with `turn`, of any program.
+    /// Returns the chain that ends with `turn`, which may belong to any program.
     pub fn chain_in_any_program(&self, turn: &RequestId) -> Chain {
         match self.program_with_turn(turn) {
             Some(program) => self.chain(program, turn),
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Whether the program itself has the turn.
+    /// Whether the turn is stored under this program.
     pub fn has_turn(&self, program: &ProgramId, turn: &RequestId) -> bool {
         self.turn_of(program, turn).is_some()
     }
--- a/crates/sessions/src/commit.rs
+++ b/crates/sessions/src/commit.rs
@@ -1,4 +1,4 @@
-//! The end of a turn: its reservation is replaced by the tokens used, and its contents are stored.
+//! Commit of turns: replaces the reservation by the tokens used and stores the contents of the turn.
 
 use juniperwing_invariants::{Invariant, check};
 use juniperwing_protocol::PartitionId;
@@ -26,12 +26,13 @@
             tokens: finish.tokens,
             state: RecordState::Committed,
             turn: finish.stored_turn,
-            expires_at_ms: self.moment.unix_time_ms.saturating_add(retention_ms),
+            expires_at_ms: self.clock.unix_time_ms.saturating_add(retention_ms),
         };
         self.start_write(partition, vec![record], caller, SessionReply::TurnFinished);
     }
 
-    /// Checks that a turn is committed at no more tokens than were reserved, and stored with one content.
+    /// Checks the invariants that a turn uses no more tokens than were reserved, and that its stored contents never
+    /// change.
     fn check_commit(&self, partition: PartitionId, finish: &FinishTurn) {
         let table = self.tables.get(&partition);
         let Some(known) = table.and_then(|table| table.record(&finish.program, &finish.request)) else {
--- a/crates/sessions/src/comparison.rs
+++ b/crates/sessions/src/comparison.rs
@@ -1,4 +1,4 @@
-//! What anti-entropy reads of a table: digests of ranges, and pages of the records in ranges.
+//! Reads of a table for anti-entropy: digests of ranges, and pages of the records in them.
 
 use std::ops::Bound;
 
@@ -9,23 +9,24 @@
 use crate::program::{RecordEntry, record_bytes};
 use crate::table::Table;
 
-/// Some of the records of a partition, in the order of their keys.
+/// A page of the records of a partition, ordered by key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Page {
     /// The records.
     pub records: Vec<Record>,
-    /// The key of the last of them, if there may be more behind it.
+    /// The key of the last record if more records may follow; `None` on the last page.
     pub resume_after: Option<RecordKey>,
 }
 
 impl Table {
-    /// The digests of `ranges` equal ranges of the hashes of programs, without programs that expire by
-    /// `live_after_ms`, in milliseconds since the Unix epoch.
+    /// Computes the digests of `ranges` ranges, into which programs are divided by hash. Programs that expire at or
+    /// before `live_after_ms`, in milliseconds since the Unix epoch, are excluded.
     pub fn digests(&self, ranges: u16, live_after_ms: u64) -> Vec<u64> {
         self.sum_digests(ranges, live_after_ms, |entry| entry.digest)
     }
 
-    /// The same of the records on disk: a record whose newest version is not on disk makes its range differ.
+    /// Computes the same digests for the records on disk. A record whose newest version is not on disk contributes a
+    /// different value, so that its range compares as different.
     pub fn durable_digests(&self, ranges: u16, live_after_ms: u64) -> Vec<u64> {
         self.sum_digests(ranges, live_after_ms, |entry| {
             if entry.durable_version == entry.version { entry.digest } else { !entry.digest }
@@ -43,8 +44,8 @@
         digests
     }
 
-    /// The next page, behind the key `after`, of the records in the `requested` ones of `ranges` ranges, without
-    /// programs that expire by `live_after_ms`, in milliseconds since the Unix epoch.
+    /// Returns the next page of records with keys greater than `after`, limited to the `requested` of `ranges` ranges.
+    /// Programs that expire at or before `live_after_ms`, in milliseconds since the Unix epoch, are excluded.
     pub fn page(
         &self, ranges: u16, requested: &[u16], live_after_ms: u64, after: Option<&RecordKey>,
     ) -> Page {
--- a/crates/sessions/src/digest.rs
+++ b/crates/sessions/src/digest.rs
@@ -1,4 +1,4 @@
-//! Digests of records, the same on every store.
+//! Digests of records. All stores must compute the same values.
 
 use std::hash::Hasher;
 
@@ -6,8 +6,8 @@
 use juniperwing_protocol::ProgramId;
 use juniperwing_protocol::transfer::Record;
 
-/// The digest of a record, which differs between records that differ. The contents of a turn count by their length:
-/// they do not change.
+/// Computes the digest of a record. Only the lengths of a turn's input and output are hashed, since the contents of a
+/// stored turn never change.
 pub(crate) fn record_digest(record: &Record) -> u64 {
     let mut hasher = DigestHasher::new();
     hasher.write_text(&record.program.0);
@@ -23,14 +23,14 @@
     hasher.finish()
 }
 
-/// The range, out of `ranges`, that a program falls into.
+/// Returns the range, out of `ranges`, that contains a program.
 pub(crate) fn range_of(program: &ProgramId, ranges: u16) -> u16 {
     let mut hasher = DigestHasher::new();
     hasher.write_text(&program.0);
     (hasher.finish() % u64::from(ranges.max(1))) as u16
 }
 
-/// FNV-1a with a mixing step at the end, so that sums of digests do not cancel.
+/// FNV-1a with a final mixing step, so that differences do not cancel out when digests are summed.
 struct DigestHasher(FnvHasher);
 
 impl DigestHasher {
@@ -40,7 +40,7 @@
 
     fn write_text(&mut self, text: &str) {
         self.0.write(text.as_bytes());
-        // Ends the text, so that different pairs of texts do not concatenate to the same bytes.
+        // Terminates the text, so that different pairs of texts never concatenate to the same bytes.
         self.0.write_u8(0xff);
     }
 
--- a/crates/sessions/src/epoch_confirmation.rs
+++ b/crates/sessions/src/epoch_confirmation.rs
@@ -1,7 +1,8 @@
-//! Denials: a request is denied only when all other replicas have confirmed the epochs since it came.
+//! Epoch confirmation: a request is denied only after all other replicas have confirmed the primary's epochs since the
+//! request arrived.
 //!
-//! Without it, a primary that does not know yet that it was superseded could deny what its successor knows. Such a
-//! primary never gets its epoch confirmed.
+//! Without the confirmation, a primary that does not know yet that it was superseded could deny a turn that its
+//! successor has stored. The epoch of a superseded primary is never confirmed.
 
 use std::collections::BTreeMap;
 
@@ -19,18 +20,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct EpochConfirmationId(u64);
 
-/// A request that is to be denied, while the other replicas confirm that this store still leads.
+/// A request to be denied once the other replicas confirm that this store is still the primary.
 #[derive(Clone, Debug)]
 pub(crate) struct EpochConfirmation {
     caller: CallerId,
     request: SessionRequest,
-    /// The partitions that the denial is about, with this store's epochs.
+    /// The partitions that the denial covers, with this store's epochs.
     epochs: Vec<PartitionEpoch>,
     /// The number of replicas that have not replied.
     outstanding_replies: usize,
 }
 
-/// Whether the epochs by which a request is decided have been confirmed since it came.
+/// Whether the epochs in which a request is processed have been confirmed since it arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EpochCertainty {
     Unconfirmed,
@@ -38,7 +39,7 @@
 }
 
 impl Store {
-    /// Denies a request in its own partition.
+    /// Denies a request that concerns only its own partition.
     pub(crate) fn deny(
         &mut self, caller: CallerId, request: SessionRequest, reply: SessionReply, certainty: EpochCertainty,
     ) {
@@ -46,7 +47,8 @@
         self.deny_in_partitions(caller, request, partitions, reply, certainty);
     }
 
-    /// Denies a request if all other replicas of the partitions have confirmed the epochs; else requests that first.
+    /// Denies a request if all other replicas of the partitions have confirmed the epochs; otherwise first requests the
+    /// confirmations.
     pub(crate) fn deny_in_partitions(
         &mut self, caller: CallerId, request: SessionRequest, partitions: Vec<PartitionEpoch>,
         reply: SessionReply, certainty: EpochCertainty,
@@ -62,7 +64,7 @@
         if self.epoch_confirmations.len() >= MAX_WAITING_REQUESTS {
             return self.send_unavailable(caller, UnavailableReason::TooManyWaitingRequests);
         }
-        let id = EpochConfirmationId(self.next_number());
+        let id = EpochConfirmationId(self.next_id());
         let outstanding_replies = replicas.len();
         let confirmation = EpochConfirmation { caller, request, epochs, outstanding_replies };
         self.epoch_confirmations.insert(id, confirmation);
@@ -72,7 +74,7 @@
         }
     }
 
-    /// The partitions that this store leads among these, with its epochs.
+    /// Returns those of the partitions that this store leads, with its current epochs.
     fn current_epochs(&self, partitions: &[PartitionEpoch]) -> Vec<PartitionEpoch> {
         let current = partitions.iter().filter_map(|PartitionEpoch { partition, .. }| {
             let epoch = self.led_partitions.get(partition)?.epoch;
@@ -81,7 +83,7 @@
         current.collect()
     }
 
-    /// The replicas that must confirm these epochs, each with those of its partitions.
+    /// Groups the epochs by the replicas that must confirm them.
     fn epochs_by_replica(&self, epochs: &[PartitionEpoch]) -> BTreeMap<DiskId, Vec<PartitionEpoch>> {
         let mut by_replica: BTreeMap<DiskId, Vec<PartitionEpoch>> = BTreeMap::new();
         for epoch in epochs {
@@ -107,8 +109,8 @@
             return;
         };
         if is_confirmed && epochs.iter().all(|epoch| self.is_primary_in(*epoch)) {
-            // Decided anew: what was missing may have come meanwhile.
-            self.decide(caller, request, EpochCertainty::Confirmed);
+            // The request is processed again, since the missing turn may have been stored meanwhile.
+            self.process_session_request(caller, request, EpochCertainty::Confirmed);
         } else {
             self.send_unavailable(caller, UnavailableReason::EpochNotConfirmed);
         }
--- a/crates/sessions/src/event.rs
+++ b/crates/sessions/src/event.rs
@@ -10,27 +10,27 @@
 
 use crate::batch::StoredRecord;
 
-/// The time of an event, on both clocks.
+/// The time of an event on the monotonic clock and the wall clock.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Moment {
+pub struct ClockReading {
     /// The monotonic clock.
     pub now: Time,
     /// The wall clock in milliseconds since the Unix epoch; it may jump, and differs between machines.
     pub unix_time_ms: u64,
 }
 
-/// Identifies a caller that waits for a reply; chosen by the process around the store.
+/// Identifies a caller that waits for a reply; assigned by the process around the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallerId(pub u64);
 
-/// Identifies a call to another store; chosen by the store.
+/// Identifies a call to another store; assigned by the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TransferCallId(pub u64);
 
 /// An input of a store.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A keeper published a map; it may be older than the present one.
+    /// A keeper published a map, which may be older than the current one.
     StoreMap(Arc<StoreMap>),
     /// A relay sent a request.
     SessionRequest {
@@ -46,7 +46,7 @@
         /// The request.
         request: TransferRequest,
     },
-    /// A call to another store has ended.
+    /// A call to another store has completed or failed.
     CallCompleted {
         /// The call.
         call: TransferCallId,
@@ -69,11 +69,11 @@
     },
     /// The map version could not be written.
     MapVersionFailed,
-    /// The time that [`crate::Store::next_wake_at`] named has come.
+    /// The time returned by [`crate::Store::next_wake_at`] has been reached.
     Tick,
 }
 
-/// An output of a store, to be carried out by the process around it.
+/// An output of a store, to be executed by the process around it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Reply to a relay.
@@ -90,7 +90,7 @@
         /// The reply.
         reply: TransferReply,
     },
-    /// Call a store, once; report the end by [`Event::CallCompleted`].
+    /// Call a store once, without retries; report the result by [`Event::CallCompleted`].
     Call {
         /// Identifies the call.
         call: TransferCallId,
@@ -99,8 +99,8 @@
         /// The request.
         request: TransferRequest,
     },
-    /// Write a batch and sync it; report the end by [`Event::BatchWritten`] or [`Event::BatchFailed`]. There is one in
-    /// flight at a time.
+    /// Write a batch and sync it; report the result by [`Event::BatchWritten`] or [`Event::BatchFailed`]. At most one
+    /// batch is in flight.
     WriteBatch {
         /// Its records.
         records: Vec<StoredRecord>,
@@ -110,8 +110,8 @@
         /// Its number.
         segment: u64,
     },
-    /// Write the map version and sync it; report the end by [`Event::MapVersionWritten`] or
-    /// [`Event::MapVersionFailed`]. There is one in flight at a time.
+    /// Write the map version and sync it; report the result by [`Event::MapVersionWritten`] or
+    /// [`Event::MapVersionFailed`]. At most one write is in flight.
     WriteMapVersion {
         /// The version.
         version: u64,
--- a/crates/sessions/src/group_commit.rs
+++ b/crates/sessions/src/group_commit.rs
@@ -1,4 +1,4 @@
-//! Group commit: all records that have changed go into one batch; while it is written, the next one is collected.
+//! Group commit: all changed records are written in one batch, while changes for the next batch accumulate.
 
 use std::collections::BTreeSet;
 
@@ -15,18 +15,18 @@
     pub(crate) key: RecordKey,
 }
 
-/// What waits until records are on disk.
+/// An operation that waits until records are on disk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum DurabilityWaiter {
-    /// A write that this store makes as a primary.
+    /// A write that this store replicates as a primary.
     Write(WriteId),
-    /// A primary that has sent records.
+    /// A primary that has sent records to this replica.
     Replica(CallerId),
     /// A primary that has requested digests of the records on disk.
     Digests { caller: CallerId, partition: PartitionId, ranges: u16, live_after_ms: u64 },
 }
 
-/// A record as it was put into the batch in flight.
+/// The version of a record that is in the batch in flight.
 #[derive(Clone, Debug)]
 pub(crate) struct BatchEntry {
     pub(crate) key: StoredRecordKey,
@@ -47,17 +47,17 @@
     dirty_keys: BTreeSet<StoredRecordKey>,
     next_batch_waiters: Vec<DurabilityWaiter>,
     in_flight: Option<InFlightBatch>,
-    /// Whether the last batch failed and the delay before the next one has not passed.
+    /// Whether the last batch failed and its retry delay has not elapsed.
     is_paused: bool,
 }
 
 impl GroupCommit {
-    /// Has a record written with the next batch: it has changed, or its segment is to be removed.
+    /// Marks a record for the next batch, because it has changed or its segment is being compacted.
     pub(crate) fn mark_dirty(&mut self, key: StoredRecordKey) {
         self.dirty_keys.insert(key);
     }
 
-    /// Waits until everything marked so far is on disk; returns the waiter if it is already.
+    /// Registers a waiter for everything marked so far to be on disk; returns the waiter if that is already the case.
     pub(crate) fn wait(&mut self, waiter: DurabilityWaiter) -> Option<DurabilityWaiter> {
         if !self.dirty_keys.is_empty() {
             self.next_batch_waiters.push(waiter);
@@ -72,24 +72,26 @@
         }
     }
 
-    /// The keys of the next batch; `None` if there is nothing to write, a batch is in flight, or the disk is paused.
+    /// Takes the keys of the next batch; `None` if there is nothing to write, a batch is in flight, or writes are
+    /// paused.
     pub(crate) fn take_next_batch(&mut self) -> Option<BTreeSet<StoredRecordKey>> {
         let is_ready = self.in_flight.is_none() && !self.is_paused && !self.dirty_keys.is_empty();
         is_ready.then(|| std::mem::take(&mut self.dirty_keys))
     }
 
-    /// Puts the batch of the keys from [`GroupCommit::take_next_batch`] in flight.
+    /// Records that the batch with the keys from [`GroupCommit::take_next_batch`] is in flight.
     pub(crate) fn start_batch(&mut self, entries: Vec<BatchEntry>) {
         let waiters = std::mem::take(&mut self.next_batch_waiters);
         self.in_flight = Some(InFlightBatch { entries, waiters });
     }
 
-    /// Returns the batch in flight, which is on disk.
+    /// Removes and returns the batch in flight, which is now on disk.
     pub(crate) fn complete_batch(&mut self) -> InFlightBatch {
         self.in_flight.take().unwrap_or_default()
     }
 
-    /// Puts the records of the batch in flight, which has failed, into the next one, and pauses. Returns its waiters.
+    /// Moves the records of the failed batch to the next one and pauses writes. Returns the waiters of the failed
+    /// batch.
     pub(crate) fn fail_batch(&mut self) -> Vec<DurabilityWaiter> {
         let Some(batch) = self.in_flight.take() else { return Vec::new() };
         self.dirty_keys.extend(batch.entries.into_iter().map(|entry| entry.key));
@@ -102,7 +104,7 @@
         self.is_paused = false;
     }
 
-    /// Whether the last batch failed a short while ago.
+    /// Whether writes are paused after a failed batch.
     pub(crate) fn is_paused(&self) -> bool {
         self.is_paused
     }
--- a/crates/sessions/src/lib.rs
+++ b/crates/sessions/src/lib.rs
@@ -1,9 +1,10 @@
 //! The replicated state machine of a store, without I/O: stored turns and budgets of agent programs.
 //!
-//! A [`Store`] holds the records of partitions. Records only merge upward, so replicas are synchronized by union. The
-//! primary of a partition admits turns and commits them; every write is on the disks of all in-sync replicas before it
-//! is acknowledged, under the epoch that the keepers gave the partition. The store is given a [`Moment`] and an
-//! [`Event`] and returns [`Command`]s; the process around it owns the sockets, the disk and the clocks.
+//! A [`Store`] holds the records of partitions. The merge of records is monotonic, so replicas are synchronized by
+//! merging their records in any order. The primary of a partition admits and commits turns. It acknowledges a write
+//! only when the write is on the disks of all in-sync replicas, in the epoch that the keepers assigned to the
+//! partition. The store is passed a [`ClockReading`] and an [`Event`] and returns [`Command`]s; the process around it
+//! owns the sockets, the disk and the clocks.
 
 mod admission;
 mod anti_entropy;
@@ -38,7 +39,7 @@
 pub use batch::{StoredRecord, decode_batch, encode_batch};
 pub use chain::Chain;
 pub use comparison::Page;
-pub use event::{CallerId, Command, Event, Moment, TransferCallId};
+pub use event::{CallerId, ClockReading, Command, Event, TransferCallId};
 pub use limits::Limits;
 pub use merge::merge;
 pub use statistics::StoreStatistics;
--- a/crates/sessions/src/limits.rs
+++ b/crates/sessions/src/limits.rs
@@ -2,10 +2,10 @@
 
 use juniperwing_clock::Span;
 
-/// What a store may use, and how often it must replicate.
+/// The resource limits and the replication factor of a store.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// The number of disks, this store's included, that must hold what is acknowledged.
+    /// The number of disks, including this store's, that must hold a write before it is acknowledged.
     pub required_replicas: usize,
     /// Bytes of records in memory above which no further turn is admitted.
     pub memory_bytes: u64,
@@ -13,48 +13,51 @@
     pub disk_bytes: u64,
 }
 
-/// How long a program is retained after a turn that is not stored, or was denied, in milliseconds.
+/// How long a program is retained after a turn that was denied or committed without being stored, in milliseconds.
 pub(crate) const BUDGET_RETENTION_MS: u64 = 120_000;
-/// How long a program is retained at least after a turn was admitted, in milliseconds.
+/// The minimum retention of a program after a turn was admitted, in milliseconds.
 pub(crate) const RESERVATION_RETENTION_MS: u64 = 60_000;
-/// How long a program is retained at least after a turn was stored, in milliseconds.
+/// The minimum retention of a program after a turn was stored, in milliseconds.
 pub(crate) const MIN_STORED_TURN_RETENTION_MS: u64 = 60_000;
-/// The longest retention granted, in milliseconds; longer ones count as this.
+/// The maximum retention, in milliseconds; longer ones are reduced to it.
 pub(crate) const MAX_RETENTION_MS: u64 = 24 * 3_600_000;
-/// How much longer everything is retained, since clocks differ and may step.
+/// Added to every retention, since clocks differ between machines and may step.
 pub(crate) const EXPIRY_SLACK: Span = Span::from_millis(10_000);
-/// How long ago a program may have expired to take part in a synchronization, in milliseconds. Clocks differ and step
-/// by less, and no replica drops anything as early. A replica need not get what expired before.
+/// Programs that expired longer ago than this, in milliseconds, are excluded from synchronization. Clocks differ and
+/// step by less than this, and no replica drops a program this early, since [`EXPIRY_SLACK`] is longer. A replica does
+/// not need programs that expired earlier.
 pub(crate) const SYNC_EXPIRY_SLACK_MS: u64 = 5_000;
-/// The delay before the synchronization of a replica is tried again.
+/// The delay before the synchronization of a replica is retried.
 pub(crate) const SYNC_RETRY_DELAY: Span = Span::from_millis(250);
-/// The interval between two searches for expired programs.
+/// The interval between sweeps for expired programs.
 pub(crate) const EXPIRY_SWEEP_INTERVAL: Span = Span::from_millis(10_000);
-/// The delay before a write to a replica or to the disk is tried again.
+/// The delay before a write to a replica or to the disk is retried.
 pub(crate) const RETRY_DELAY: Span = Span::from_millis(100);
-/// How long a relay's request may wait for replicas before the reply is that the store is unavailable.
+/// How long a relay's request may wait for replicas before the store replies that it is unavailable.
 pub(crate) const REQUEST_TIMEOUT: Span = Span::from_millis(1_500);
-/// How long a replica waits for the map that names an epoch it does not know.
+/// How long a replica waits for the map of an epoch that it does not know.
 pub(crate) const MAP_WAIT_TIMEOUT: Span = Span::from_millis(400);
-/// The number of writes that may be pending.
+/// The maximum number of pending writes.
 pub(crate) const MAX_PENDING_WRITES: usize = 4_096;
-/// The number of requests that may wait: of relays for synchronized replicas, of stores for a map.
+/// The maximum number of requests that wait, both those of relays for synchronized replicas and those of stores for a
+/// map. Pending epoch confirmations are limited to the same number separately.
 pub(crate) const MAX_WAITING_REQUESTS: usize = 4_096;
-/// The number of ranges whose digests two replicas compare.
+/// The number of ranges whose digests are compared during synchronization.
 pub(crate) const DIGEST_RANGE_COUNT: u16 = 16;
-/// Bytes of records at which a page ends.
+/// The size in bytes at which a page of records is complete.
 pub(crate) const PAGE_TARGET_BYTES: u64 = 128 << 10;
-/// The number of comparisons of two replicas without a delay; each is followed by an exchange of what differs.
+/// The maximum number of digest comparisons with a replica before a delay. The records of the ranges that differ are
+/// exchanged between two comparisons.
 pub(crate) const MAX_DIGEST_COMPARISONS: u32 = 3;
-/// The number of joining replicas that are filled at the same time, counted by partition.
+/// The maximum number of concurrent synchronizations of joining replicas, counted per partition.
 pub(crate) const MAX_CONCURRENT_JOINING_SYNCS: usize = 16;
-/// The number of turns of the longest chain.
+/// The maximum number of turns in a chain.
 pub(crate) const MAX_CHAIN_TURNS: usize = 10_000;
-/// Segments with fewer bytes of live records than this are compacted together.
+/// Segments with fewer bytes of live records than this are small, and are compacted together.
 pub(crate) const SMALL_SEGMENT_BYTES: u64 = 64 << 10;
-/// The number of small segments at which that is done.
+/// The number of small segments that triggers their compaction.
 pub(crate) const MAX_SMALL_SEGMENTS: usize = 256;
-/// Bytes of live records that one compaction of small segments rewrites.
+/// The maximum number of bytes of live records that one compaction of small segments rewrites.
 pub(crate) const MAX_COMPACTION_BYTES: u64 = 1 << 20;
-/// The interval between two reports of replicas that have caught up.
+/// The interval between reports of replicas that have caught up.
 pub(crate) const REPORT_INTERVAL: Span = Span::from_millis(500);
--- a/crates/sessions/src/lookup.rs
+++ b/crates/sessions/src/lookup.rs
@@ -1,4 +1,4 @@
-//! The lookup of a turn of any program, across partitions.
+//! Lookup of a turn of any program, across partitions.
 
 use juniperwing_protocol::RequestId;
 use juniperwing_protocol::session::{PartitionEpoch, SessionReply, SessionRequest, Turn};
@@ -14,7 +14,7 @@
         &mut self, caller: CallerId, request: SessionRequest, turn: &RequestId,
         partitions: Vec<PartitionEpoch>, certainty: EpochCertainty,
     ) {
-        // What is stored is true, whoever leads the partition.
+        // A stored turn is valid whichever store leads the partition, so the epochs need not be checked.
         if let Some(chain) = self.find_chain(turn) {
             return self.send_session_reply(caller, SessionReply::TurnFound { chain });
         }
--- a/crates/sessions/src/map_version.rs
+++ b/crates/sessions/src/map_version.rs
@@ -1,12 +1,12 @@
-//! The version of the map that a store must not fall behind, on its disk.
+//! The durable map version, below which a store ignores maps.
 //!
-//! A store that is the only one in sync may have to decide alone (`lost_replicas` of the map). That ends with its own
-//! report that another store has caught up: the keepers may then make the other one primary without its knowledge.
-//! A store that was killed after the report has forgotten it, and a keeper that lags behind could send it the old
-//! map, by which it would decide alone once more. Therefore the version of the map by which the report is made is
-//! on disk before the report, and after a start older maps are ignored.
+//! A store that is the only one in sync may be allowed to acknowledge writes alone (`lost_replicas` in the map). That
+//! permission ends when it reports that another store has caught up: the keepers may then make the other store primary
+//! without its knowledge. A store that is killed after the report loses its memory of it, and a keeper that lags behind
+//! could send it the old map, by which it would again acknowledge writes alone. Therefore the version of the map that
+//! the report refers to is written to disk before the report is sent, and older maps are ignored after a restart.
 
-/// The newest version on disk, and the one that is being written.
+/// The newest map version on disk and the version that is being written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct DurableMapVersion {
     durable: u64,
@@ -14,7 +14,7 @@
 }
 
 impl DurableMapVersion {
-    /// Takes over the version found on disk at the start.
+    /// Recovers the version found on disk at startup.
     pub(crate) fn recover(&mut self, version: u64) {
         self.durable = self.durable.max(version);
     }
@@ -24,7 +24,8 @@
         self.durable
     }
 
-    /// Whether this version is to be written now: it is newer than the one on disk, and no write is in flight.
+    /// Starts a write of this version and returns `true`, unless it is not newer than the one on disk or a write is in
+    /// flight.
     pub(crate) fn start_write(&mut self, version: u64) -> bool {
         if self.durable >= version || self.in_flight.is_some() {
             return false;
@@ -33,13 +34,13 @@
         true
     }
 
-    /// The version is on disk.
+    /// Records that the version is on disk.
     pub(crate) fn complete_write(&mut self, version: u64) {
         self.in_flight = None;
         self.recover(version);
     }
 
-    /// The write has failed; the next report starts another.
+    /// Records that the write failed; the next report starts another.
     pub(crate) fn fail_write(&mut self) {
         self.in_flight = None;
     }
--- a/crates/sessions/src/merge.rs
+++ b/crates/sessions/src/merge.rs
@@ -1,4 +1,4 @@
-//! The merge of two records of one request: idempotent, commutative and associative.
+//! Merge of two records of the same request. It is idempotent, commutative and associative.
 
 use juniperwing_protocol::session::Turn;
 use juniperwing_protocol::transfer::{Record, RecordState};
@@ -6,8 +6,8 @@
 /// Merges `other` into `record`; returns whether that changed `record`.
 ///
 /// A denial supersedes a reservation but keeps its tokens, since a later primary may have admitted the turn without
-/// knowing of the denial. A committed record supersedes both. Of two alike, the larger number of tokens counts. The later
-/// expiry counts. A stored turn is never removed.
+/// knowing of the denial. A committed record supersedes both. If both records are committed or neither is, the larger
+/// number of tokens wins. The later expiry wins. A stored turn is never removed.
 pub fn merge(record: &mut Record, other: &Record) -> bool {
     let tokens_changed = merge_tokens(record, other);
     let turn_changed = merge_turn(&mut record.turn, other.turn.as_ref());
@@ -16,22 +16,23 @@
 
 fn merge_tokens(record: &mut Record, other: &Record) -> bool {
     let before = (record.state, record.tokens, record.expires_at_ms);
-    let is_ended = |record: &Record| record.state == RecordState::Committed;
-    match (is_ended(record), is_ended(other)) {
+    let is_committed = |record: &Record| record.state == RecordState::Committed;
+    match (is_committed(record), is_committed(other)) {
         (false, true) => record.tokens = other.tokens,
         (true, false) => {}
         (false, false) | (true, true) => record.tokens = record.tokens.max(other.tokens),
     }
-    if rank(other.state) > rank(record.state) {
+    if precedence(other.state) > precedence(record.state) {
         record.state = other.state;
     }
-    // Never earlier: a replica that lacks the newer record must not retain the program for longer than others.
+    // The expiry never moves earlier: otherwise a replica that lacks the newer record would retain the program for
+    // longer than others.
     record.expires_at_ms = record.expires_at_ms.max(other.expires_at_ms);
     before != (record.state, record.tokens, record.expires_at_ms)
 }
 
-/// The higher one of two states counts.
-fn rank(state: RecordState) -> u8 {
+/// The precedence of a state in a merge; the higher one wins.
+fn precedence(state: RecordState) -> u8 {
     match state {
         RecordState::Reserved => 0,
         RecordState::Denied => 1,
@@ -39,8 +40,8 @@
     }
 }
 
-/// A request runs once, so there is one turn of it. Should there be two all the same, every replica must choose the
-/// same one.
+/// Merges the stored turns. A request runs once, so two different turns of it are not expected; if they occur anyway,
+/// every replica must choose the same one.
 fn merge_turn(turn: &mut Option<Turn>, other: Option<&Turn>) -> bool {
     let Some(other) = other else { return false };
     let replaces = turn.as_ref().is_none_or(|turn| tie_break_key(turn) < tie_break_key(other));
--- a/crates/sessions/src/persistence.rs
+++ b/crates/sessions/src/persistence.rs
@@ -1,4 +1,4 @@
-//! What a store has written to and removed from its disk: batches, compaction, and the removal of expired programs.
+//! Persistence of a store: batch writes, compaction of segments, and removal of expired programs.
 
 use crate::batch::StoredRecord;
 use crate::event::Command;
@@ -52,13 +52,13 @@
 
     pub(crate) fn handle_batch_failed(&mut self) {
         let waiters = self.group_commit.fail_batch();
-        self.timers.insert((self.moment.now + RETRY_DELAY, Timer::ResumeDisk));
+        self.timers.insert((self.clock.now + RETRY_DELAY, Timer::ResumeDisk));
         for waiter in waiters {
             self.fail_waiter(waiter);
         }
     }
 
-    /// Has `waiter` wait until all records merged so far are on disk.
+    /// Completes `waiter` when all records merged so far are on disk, or fails it if writes are paused.
     pub(crate) fn wait_until_durable(&mut self, waiter: DurabilityWaiter) {
         if self.group_commit.is_paused() {
             self.fail_waiter(waiter);
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Rewrites the live records of segments that are mostly superseded; the segments are removed when that is done.
+    /// Schedules a rewrite of the live records of small or sparse segments. The segments are removed once that is done.
     fn compact_segments(&mut self) {
         let segments = self.segment_usage.segments_to_compact();
         if segments.is_empty() {
@@ -80,11 +80,11 @@
         }
     }
 
-    /// Schedules the next search for expired programs, if there are any records.
+    /// Schedules the next sweep for expired programs if there are any records.
     pub(crate) fn schedule_sweep(&mut self) {
         if !self.is_sweep_scheduled && self.tables.values().any(|table| !table.is_empty()) {
             self.is_sweep_scheduled = true;
-            self.timers.insert((self.moment.now + EXPIRY_SWEEP_INTERVAL, Timer::ExpirySweep));
+            self.timers.insert((self.clock.now + EXPIRY_SWEEP_INTERVAL, Timer::ExpirySweep));
         }
     }
 
@@ -94,18 +94,18 @@
         self.schedule_sweep();
     }
 
-    /// Removes expired programs from memory, and segments that hold nothing else from the disk.
+    /// Removes expired programs from memory, and segments without other live records from disk.
     pub(crate) fn remove_expired(&mut self) {
         for table in self.tables.values_mut() {
-            for position in table.remove_expired(self.moment) {
+            for position in table.remove_expired(self.clock) {
                 self.segment_usage.remove_record(position);
             }
         }
         self.remove_unused_segments();
     }
 
-    /// Removes segments without live records. A batch in flight may end up in any of them, so they stay until it has
-    /// ended.
+    /// Removes segments without live records. While a batch is in flight nothing is removed, since the batch may be
+    /// written to any of these segments.
     fn remove_unused_segments(&mut self) {
         if self.group_commit.is_batch_in_flight() {
             return;
--- a/crates/sessions/src/primary.rs
+++ b/crates/sessions/src/primary.rs
@@ -1,4 +1,4 @@
-//! Session requests at the primary of a partition: which of them may be decided, and by whom.
+//! Processing of session requests at the primary of a partition, and the conditions that it requires.
 
 use juniperwing_protocol::session::{SessionCall, SessionReply, SessionRequest};
 use juniperwing_protocol::{EpochNumber, PartitionId};
@@ -12,11 +12,13 @@
 impl Store {
     /// Handles a relay's request.
     pub(crate) fn handle_session_request(&mut self, caller: CallerId, request: SessionRequest) {
-        self.decide(caller, request, EpochCertainty::Unconfirmed);
+        self.process_session_request(caller, request, EpochCertainty::Unconfirmed);
     }
 
-    /// Decides a request, or has it wait for what its decision needs.
-    pub(crate) fn decide(&mut self, caller: CallerId, request: SessionRequest, certainty: EpochCertainty) {
+    /// Processes a request, or defers it until its partition is synchronized.
+    pub(crate) fn process_session_request(
+        &mut self, caller: CallerId, request: SessionRequest, certainty: EpochCertainty,
+    ) {
         if let SessionCall::Find { turn, partitions } = &request.body {
             let (turn, partitions) = (turn.clone(), partitions.clone());
             return self.handle_find(caller, request, &turn, partitions, certainty);
@@ -53,14 +55,14 @@
         self.led_partitions.get(&partition).is_some_and(|led| led.epoch >= epoch)
     }
 
-    /// Whether the map names enough replicas for anything to be acknowledged: as many as required, but for those that
+    /// Whether the map names enough in-sync replicas to acknowledge writes: the required number, less the replicas that
     /// the keepers know to be lost.
     pub(crate) fn has_required_replicas(&self, partition: PartitionId) -> bool {
         let in_sync = self.map.assignment(partition).map_or(0, |assignment| assignment.in_sync.len());
         in_sync > 0 && in_sync + self.lost_replicas(partition) >= self.limits.required_replicas
     }
 
-    /// The number of required replicas that are on lost machines and not waited for.
+    /// The number of required replicas on lost machines, which writes do not wait for.
     pub(crate) fn lost_replicas(&self, partition: PartitionId) -> usize {
         self.map.assignment(partition).map_or(0, |assignment| usize::from(assignment.lost_replicas))
     }
@@ -69,7 +71,7 @@
         self.commands.push(Command::SendSessionReply { caller, reply });
     }
 
-    /// Replies that this store is not the primary, or does not know that it is.
+    /// Replies that this store is not the primary, or has not received the map that makes it the primary.
     pub(crate) fn send_not_primary(&mut self, caller: CallerId, partition: PartitionId) {
         let assignment = self.map.assignment(partition);
         let epoch = assignment.map_or(EpochNumber::default(), |assignment| assignment.epoch);
--- a/crates/sessions/src/segment_usage.rs
+++ b/crates/sessions/src/segment_usage.rs
@@ -1,4 +1,4 @@
-//! How much of each segment on disk is live. Several batches may be in one segment.
+//! Accounting of live data per segment on disk. A segment may hold several batches.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,7 +9,7 @@
 struct SegmentCounters {
     /// The size of the segment.
     bytes: u64,
-    /// Bytes of live records, which are those that no later batch holds.
+    /// Bytes of live records, which are those not superseded by a later batch and not expired.
     live_bytes: u64,
     /// The number of live records.
     live_records: u64,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Removes a record that is live no more: superseded or expired.
+    /// Removes a record that is no longer live because it was superseded or has expired.
     pub(crate) fn remove_record(&mut self, position: SegmentPosition) {
         if let Some(counters) = self.segments.get_mut(&position.segment) {
             counters.live_records = counters.live_records.saturating_sub(1);
@@ -46,7 +46,8 @@
         }
     }
 
-    /// Drops the segments without live records and returns their numbers; their files are to be removed.
+    /// Removes the segments without live records from the accounting and returns their numbers. The caller must remove
+    /// their files.
     pub(crate) fn take_unused_segments(&mut self) -> Vec<u64> {
         let unused: Vec<u64> = self
             .segments
@@ -60,10 +61,10 @@
         unused
     }
 
-    /// The segments whose live records are to be rewritten: the oldest of many small ones, or else one of which less
-    /// than half is live. Empty if there are none.
+    /// Selects the segments whose live records are to be rewritten: the oldest small segments if there are too many
+    /// small ones, or otherwise one segment of which less than half is live. Empty if no compaction is needed.
     pub(crate) fn segments_to_compact(&self) -> BTreeSet<u64> {
-        // Live records may be rewritten into the newest segment, which would never get rid of them.
+        // The newest segment is excluded: rewritten records may be appended to it, so it would never become empty.
         let Some(newest) = self.segments.keys().next_back() else { return BTreeSet::new() };
         let small: Vec<(u64, u64)> = self
             .segments
@@ -86,7 +87,7 @@
     }
 }
 
-/// The first of these segments, given with their live bytes, that one compaction may rewrite.
+/// Selects the first of these segments, given with their live bytes, up to the limit of one compaction.
 fn oldest_within_limit(small: &[(u64, u64)]) -> BTreeSet<u64> {
     let mut bytes = 0;
     let within_limit = small.iter().take_while(|(_, live_bytes)| {
--- a/crates/sessions/src/statistics.rs
+++ b/crates/sessions/src/statistics.rs
@@ -1,4 +1,4 @@
-//! Statistics of a store, and the reasons for which it cannot decide requests.
+//! Statistics of a store, and the reasons why it replies that it is unavailable.
 
 use std::collections::BTreeMap;
 
@@ -9,28 +9,28 @@
 use crate::event::CallerId;
 use crate::store::Store;
 
-/// Why a relay's request could not be decided.
+/// Why a relay's request could not be processed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum UnavailableReason {
     /// Fewer replicas are in sync than are required.
     TooFewReplicas,
     /// Too many writes are pending.
     TooManyPendingWrites,
-    /// Too many requests wait.
+    /// Too many requests are waiting.
     TooManyWaitingRequests,
-    /// Memory or disk is used up, or the disk fails.
+    /// Memory or disk usage exceeds its limit, or the disk fails.
     CapacityExhausted,
-    /// A turn before the one that is continued is missing.
+    /// The chain that the turn continues is incomplete.
     BrokenChain,
-    /// The turn is committed already: it has run, or never will.
+    /// The turn is already committed, so it must not run again.
     AlreadyCommitted,
-    /// A replica is not synchronized.
+    /// An in-sync replica is not synchronized.
     NotSynchronized,
-    /// The replicas have not confirmed the write in time.
+    /// The write was not replicated in time.
     ReplicationTimedOut,
     /// A replica has not confirmed the epoch.
     EpochNotConfirmed,
-    /// The turn to be stored is another one than the turn that ends.
+    /// The turn to be stored does not belong to the request that is finished.
     StoredTurnMismatch,
 }
 
@@ -48,7 +48,7 @@
         UnavailableReason::StoredTurnMismatch,
     ];
 
-    /// The label in metrics, which stays as it is whatever the variant is named.
+    /// The label in metrics, which is stable and independent of the variant's name.
     fn label(self) -> &'static str {
         match self {
             UnavailableReason::TooFewReplicas => "too few copies",
@@ -65,33 +65,33 @@
     }
 }
 
-/// How often each reason came up.
+/// The number of replies per reason.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct UnavailableCounts(BTreeMap<UnavailableReason, u64>);
 
-/// Statistics of a store at one moment.
+/// A snapshot of the statistics of a store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoreStatistics {
-    /// Partitions that it leads.
+    /// The number of partitions that the store leads.
     pub partitions_led: u64,
-    /// Those of them of which some in-sync replica is not synchronized.
+    /// The number of led partitions with an in-sync replica that is not synchronized.
     pub partitions_out_of_sync: u64,
-    /// Records in memory.
+    /// The number of records in memory.
     pub records: u64,
-    /// Their approximate size in bytes.
+    /// The approximate size of the records in bytes.
     pub record_bytes: u64,
     /// Bytes of all batches on disk.
     pub disk_bytes: u64,
-    /// Reservations that are not committed, of partitions led.
+    /// The number of uncommitted reservations in led partitions.
     pub reservations: u64,
-    /// Writes that some replica has not confirmed.
+    /// The number of writes that are not confirmed by all replicas.
     pub pending_writes: u64,
-    /// The number of relays' requests that could not be decided, by the label of the reason.
+    /// The number of relays' requests that could not be processed, by reason label.
     pub unavailable_replies: Vec<(&'static str, u64)>,
 }
 
 impl Store {
-    /// The present statistics.
+    /// Returns the current statistics.
     pub fn statistics(&self) -> StoreStatistics {
         let led_partitions = || self.led_partitions.keys();
         let led_records = led_partitions()
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Replies that a request cannot be decided now, and counts the reason.
+    /// Replies that the store is unavailable, and counts the reason.
     pub(crate) fn send_unavailable(&mut self, caller: CallerId, reason: UnavailableReason) {
         *self.unavailable_counts.0.entry(reason).or_default() += 1;
         self.send_session_reply(caller, SessionReply::Unavailable);
--- a/crates/sessions/src/store.rs
+++ b/crates/sessions/src/store.rs
@@ -1,4 +1,4 @@
-//! The state of a store, and the entry point of its events.
+//! The state of a store and the entry point for its events.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use crate::anti_entropy::LedPartition;
 use crate::call::CallPurpose;
 use crate::epoch_confirmation::{EpochConfirmation, EpochConfirmationId};
-use crate::event::{Command, Event, Moment, TransferCallId};
+use crate::event::{ClockReading, Command, Event, TransferCallId};
 use crate::group_commit::GroupCommit;
 use crate::limits::Limits;
 use crate::map_version::DurableMapVersion;
@@ -36,9 +36,9 @@
     pub(crate) epoch_confirmations: BTreeMap<EpochConfirmationId, EpochConfirmation>,
     /// Calls in flight to other stores.
     pub(crate) calls: BTreeMap<TransferCallId, CallPurpose>,
-    /// Requests that wait for a synchronized partition or a map, by their number.
+    /// Requests that wait for a synchronized partition or a map, by id.
     pub(crate) waiting_requests: BTreeMap<u64, WaitingRequest>,
-    /// Joining replicas that wait until fewer are being filled.
+    /// Joining replicas whose synchronization waits for the concurrency limit.
     pub(crate) waiting_syncs: BTreeSet<(PartitionId, DiskId)>,
     pub(crate) group_commit: GroupCommit,
     pub(crate) segment_usage: SegmentUsage,
@@ -47,15 +47,15 @@
     pub(crate) is_sweep_scheduled: bool,
     pub(crate) durable_map_version: DurableMapVersion,
     /// The time of the event that is being handled.
-    pub(crate) moment: Moment,
-    /// The commands that it has led to so far.
+    pub(crate) clock: ClockReading,
+    /// The commands produced so far by the event that is being handled.
     pub(crate) commands: Vec<Command>,
     pub(crate) unavailable_counts: UnavailableCounts,
-    last_number: u64,
+    last_id: u64,
 }
 
 impl Store {
-    /// A store with an empty disk of this identity.
+    /// Creates a store with an empty disk of this identity.
     pub fn new(disk: DiskId, limits: Limits) -> Self {
         Store {
             disk,
@@ -74,16 +74,16 @@
             is_report_scheduled: false,
             is_sweep_scheduled: false,
             durable_map_version: DurableMapVersion::default(),
-            moment: Moment::default(),
+            clock: ClockReading::default(),
             commands: Vec::new(),
             unavailable_counts: UnavailableCounts::default(),
-            last_number: 0,
+            last_id: 0,
         }
     }
 
-    /// Handles an event; returns the commands to carry out.
-    pub fn handle(&mut self, moment: Moment, event: Event) -> Vec<Command> {
-        self.moment = moment;
+    /// Handles an event; returns the commands to execute.
+    pub fn handle(&mut self, clock: ClockReading, event: Event) -> Vec<Command> {
+        self.clock = clock;
         match event {
             Event::StoreMap(map) => self.handle_store_map(map),
             Event::SessionRequest { caller, request } => self.handle_session_request(caller, request),
@@ -100,7 +100,7 @@
         self.run_pending()
     }
 
-    /// Runs timers that have expired and starts what the event has made possible.
+    /// Runs expired timers, starts queued synchronizations and the next batch, and returns the commands.
     pub(crate) fn run_pending(&mut self) -> Vec<Command> {
         self.run_timers();
         self.start_waiting_syncs();
@@ -108,7 +108,7 @@
         std::mem::take(&mut self.commands)
     }
 
-    /// When [`Event::Tick`] is needed; `None` if no timer is set.
+    /// When the next [`Event::Tick`] is due; `None` if no timer is set.
     pub fn next_wake_at(&self) -> Option<Time> {
         self.timers.first().map(|(at, _)| *at)
     }
@@ -125,8 +125,8 @@
         is_replied && has_no_requests && self.group_commit.is_idle()
     }
 
-    /// Whether some partition has its only replica here while another store is being filled with it.
-    pub fn is_filling_second_replica(&self) -> bool {
+    /// Whether this store has the only in-sync replica of a partition that another store is joining.
+    pub fn is_syncing_second_replica(&self) -> bool {
         let mut partitions = self.map.partitions.iter();
         partitions.any(|assignment| assignment.in_sync == [self.disk] && !assignment.joining.is_empty())
     }
@@ -136,9 +136,9 @@
         self.tables.get(&partition)
     }
 
-    /// A number that this store has not used yet.
-    pub(crate) fn next_number(&mut self) -> u64 {
-        self.last_number += 1;
-        self.last_number
+    /// Returns a new id, unique within this store.
+    pub(crate) fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 }
--- a/crates/sessions/src/store_map.rs
+++ b/crates/sessions/src/store_map.rs
@@ -1,4 +1,4 @@
-//! Changes of the map that the keepers publish.
+//! Application of the store maps that the keepers publish.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use crate::store::Store;
 
 impl Store {
-    /// Takes over a map, unless it is older than the present one or the version on disk.
+    /// Applies a map unless it is not newer than the current one, or is older than the version on disk.
     pub(crate) fn handle_store_map(&mut self, map: Arc<StoreMap>) {
         if map.version <= self.map.version || map.version < self.durable_map_version.durable() {
             return;
--- a/crates/sessions/src/table.rs
+++ b/crates/sessions/src/table.rs
@@ -7,7 +7,7 @@
 use juniperwing_protocol::{ProgramId, RequestId};
 
 use crate::digest::record_digest;
-use crate::event::Moment;
+use crate::event::ClockReading;
 use crate::limits::EXPIRY_SLACK;
 use crate::merge::merge;
 use crate::program::{ProgramRecords, RecordEntry, SegmentPosition, record_bytes};
@@ -20,13 +20,13 @@
     pub(crate) turns: BTreeSet<(RequestId, ProgramId)>,
     /// The sum of [`record_bytes`] over all records.
     bytes: u64,
-    /// The last version given to a record; never decreases.
+    /// The last version assigned to a record; never decreases.
     last_version: u64,
 }
 
 impl Table {
     /// Merges a record; returns whether that changed the table.
-    pub fn merge(&mut self, record: &Record, moment: Moment) -> bool {
+    pub fn merge(&mut self, record: &Record, clock: ClockReading) -> bool {
         let program = self.programs.entry(record.program.clone()).or_default();
         let entry = program.records.get_mut(&record.request);
         let bytes_before = entry.as_ref().map_or(0, |entry| record_bytes(&entry.record));
@@ -46,7 +46,7 @@
         if entry.record.turn.is_some() {
             self.turns.insert((record.request.clone(), record.program.clone()));
         }
-        program.expires_at = program.expires_at.max(expiry_time(record, moment));
+        program.expires_at = program.expires_at.max(expiry_time(record, clock));
         program.expires_at_ms =
             program.records.values().map(|entry| entry.record.expires_at_ms).max().unwrap_or(0);
         true
@@ -69,7 +69,7 @@
         entries.map(|entry| &entry.record)
     }
 
-    /// Tokens of a program that count against its budget, without those of the request `except`.
+    /// The tokens of a program that count against its budget, excluding those of the request `except`.
     pub fn tokens_except(&self, program: &ProgramId, except: &RequestId) -> u64 {
         self.programs.get(program).map_or(0, |records| records.tokens_except(except))
     }
@@ -106,11 +106,11 @@
     }
 
     /// Removes the programs that have expired; returns the positions of their records on disk.
-    pub(crate) fn remove_expired(&mut self, moment: Moment) -> Vec<SegmentPosition> {
+    pub(crate) fn remove_expired(&mut self, clock: ClockReading) -> Vec<SegmentPosition> {
         let expired: Vec<ProgramId> = self
             .programs
             .iter()
-            .filter(|(_, records)| records.expires_at <= moment.now)
+            .filter(|(_, records)| records.expires_at <= clock.now)
             .map(|(program, _)| program.clone())
             .collect();
         let mut positions = Vec::new();
@@ -126,9 +126,9 @@
     }
 }
 
-/// When a record expires by the monotonic clock. The wall clock is read once, when the record comes, so that a clock
-/// that jumps later drops nothing.
-fn expiry_time(record: &Record, moment: Moment) -> Time {
+/// Converts the expiry of a record to the monotonic clock. This is done once, when the record arrives, so that a later
+/// step of the wall clock does not expire it early.
+fn expiry_time(record: &Record, clock: ClockReading) -> Time {
     let expires = Span::from_millis(record.expires_at_ms) + EXPIRY_SLACK;
-    moment.now + (expires - Span::from_millis(moment.unix_time_ms))
+    clock.now + (expires - Span::from_millis(clock.unix_time_ms))
 }
--- a/crates/sessions/src/timers.rs
+++ b/crates/sessions/src/timers.rs
@@ -5,20 +5,20 @@
 use crate::store::Store;
 use crate::write::WriteId;
 
-/// What is due at a point in time.
+/// An action that is scheduled for a point in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
     /// The synchronization of a replica may start.
     SyncReplica(PartitionId, DiskId),
-    /// A write may be sent to a replica again.
+    /// A write to a replica is to be retried.
     ResendWrite(WriteId, DiskId),
-    /// The caller of a write has waited for long enough.
+    /// The reply to a write has timed out.
     WriteTimeout(WriteId),
-    /// The caller of a waiting request has waited for long enough.
+    /// A waiting request has timed out.
     RequestTimeout(u64),
-    /// Replicas that have caught up may be reported again.
+    /// The interval between reports of replicas that have caught up has elapsed.
     ReportInterval,
-    /// The disk may be used again after a failure.
+    /// The retry delay after a failed batch has elapsed.
     ResumeDisk,
     /// Expired programs are to be removed.
     ExpirySweep,
@@ -26,13 +26,13 @@
 
 impl Store {
     pub(crate) fn run_timers(&mut self) {
-        while let Some((at, timer)) = self.timers.first().copied().filter(|(at, _)| *at <= self.moment.now) {
+        while let Some((at, timer)) = self.timers.first().copied().filter(|(at, _)| *at <= self.clock.now) {
             self.timers.remove(&(at, timer));
             match timer {
                 Timer::SyncReplica(partition, replica) => self.start_sync(partition, replica),
                 Timer::ResendWrite(write, replica) => self.resend_write(write, replica),
                 Timer::WriteTimeout(write) => self.write_timed_out(write),
-                Timer::RequestTimeout(number) => self.request_timed_out(number),
+                Timer::RequestTimeout(id) => self.request_timed_out(id),
                 Timer::ReportInterval => self.report_interval_elapsed(),
                 Timer::ResumeDisk => self.group_commit.resume(),
                 Timer::ExpirySweep => self.sweep_interval_elapsed(),
--- a/crates/sessions/src/transfer.rs
+++ b/crates/sessions/src/transfer.rs
@@ -1,4 +1,4 @@
-//! Transfer requests of other stores: what a replica does for the primaries of its partitions.
+//! Transfer requests: the operations of a replica on behalf of the primaries of its partitions.
 
 use juniperwing_protocol::EpochNumber;
 use juniperwing_protocol::session::PartitionEpoch;
@@ -10,17 +10,17 @@
 use crate::store::Store;
 use crate::waiting_requests::WaitingRequest;
 
-/// How a primary's epoch relates to the epoch of this store's map.
+/// The result of comparing a primary's epoch with the epoch in this store's map.
 enum EpochCheck {
     Current,
-    /// The epoch is over: the sender is primary no more. This is the newer epoch.
+    /// The epoch was superseded by this one, so the sender is no longer the primary.
     Fenced(EpochNumber),
     /// The epoch is not in the map yet.
     Unknown,
 }
 
 impl Store {
-    /// Handles another store's request; `has_waited` if it has waited for a map already.
+    /// Handles another store's request. If `has_waited` is set, it is not deferred again for a newer map.
     pub(crate) fn handle_transfer_request(
         &mut self, caller: CallerId, request: TransferRequest, has_waited: bool,
     ) {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// What a waiter waited for is on disk.
+    /// Completes a waiter whose records are on disk.
     pub(crate) fn complete_waiter(&mut self, waiter: DurabilityWaiter) {
         match waiter {
             DurabilityWaiter::Write(id) => self.handle_write_durable(id),
@@ -103,7 +103,8 @@
         }
     }
 
-    /// What a waiter waited for could not be written. A write of this store's own waits for the next batch.
+    /// Fails a waiter whose records could not be written. A write of this store as a primary waits for the next batch
+    /// instead.
     pub(crate) fn fail_waiter(&mut self, waiter: DurabilityWaiter) {
         match waiter {
             DurabilityWaiter::Write(id) => {
--- a/crates/sessions/src/waiting_requests.rs
+++ b/crates/sessions/src/waiting_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that wait until a partition is synchronized or a map has come.
+//! Requests that wait until a partition is synchronized or a newer map arrives.
 
 use std::collections::BTreeMap;
 
@@ -16,14 +16,14 @@
 /// A request that waits.
 #[derive(Clone, Debug)]
 pub(crate) enum WaitingRequest {
-    /// Of a relay, until all in-sync replicas of the partition are synchronized.
+    /// A relay's request that waits until all in-sync replicas of the partition are synchronized.
     ForSync { caller: CallerId, request: SessionRequest },
-    /// Of a store, until the map names its epoch.
+    /// A store's request that waits for a map with its epoch.
     ForMap { caller: CallerId, request: TransferRequest },
 }
 
 impl Store {
-    /// Has a relay's request wait until its partition is synchronized.
+    /// Defers a relay's request until its partition is synchronized.
     pub(crate) fn wait_for_sync(&mut self, caller: CallerId, request: SessionRequest) {
         if self.has_max_waiting_requests() {
             return self.send_unavailable(caller, UnavailableReason::TooManyWaitingRequests);
@@ -36,12 +36,12 @@
     }
 
     pub(crate) fn add_waiting_request(&mut self, waiting: WaitingRequest, timeout: Span) {
-        let number = self.next_number();
-        self.waiting_requests.insert(number, waiting);
-        self.timers.insert((self.moment.now + timeout, Timer::RequestTimeout(number)));
+        let id = self.next_id();
+        self.waiting_requests.insert(id, waiting);
+        self.timers.insert((self.clock.now + timeout, Timer::RequestTimeout(id)));
     }
 
-    /// Decides the requests that waited for a partition.
+    /// Resumes the requests that waited for a partition to be synchronized.
     pub(crate) fn resume_requests(&mut self, partition: PartitionId) {
         let is_for_partition = |waiting: &WaitingRequest| match waiting {
             WaitingRequest::ForSync { request, .. } => request.partition == partition,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Handles the requests of stores that waited for a map.
+    /// Resumes the requests of stores that waited for a map.
     pub(crate) fn resume_transfers(&mut self) {
         let is_for_map = |waiting: &WaitingRequest| matches!(waiting, WaitingRequest::ForMap { .. });
         for waiting in self.remove_waiting_requests(is_for_map) {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Removes the requests that `is_selected` accepts, and returns them in their order.
+    /// Removes the requests that `is_selected` accepts, and returns them in order of arrival.
     fn remove_waiting_requests(
         &mut self, is_selected: impl Fn(&WaitingRequest) -> bool,
     ) -> Vec<WaitingRequest> {
@@ -75,8 +75,8 @@
         selected.into_values().collect()
     }
 
-    pub(crate) fn request_timed_out(&mut self, number: u64) {
-        match self.waiting_requests.remove(&number) {
+    pub(crate) fn request_timed_out(&mut self, id: u64) {
+        match self.waiting_requests.remove(&id) {
             Some(WaitingRequest::ForSync { caller, .. }) => {
                 self.send_unavailable(caller, UnavailableReason::NotSynchronized);
             }
--- a/crates/sessions/src/write.rs
+++ b/crates/sessions/src/write.rs
@@ -1,4 +1,4 @@
-//! Writes of a primary: acknowledged when they are on the disks of all confirming replicas.
+//! Writes of a primary, which are acknowledged once they are on the disks of all confirming replicas.
 
 use std::collections::BTreeSet;
 
@@ -20,8 +20,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct WriteId(pub(crate) u64);
 
-/// A write that some replica has not confirmed. It is sent again until every confirming replica has confirmed it or
-/// this store leads the partition no more, also when nobody waits for it any longer: later turns may build on it.
+/// A write that is not yet confirmed by all confirming replicas. It is retried until they have confirmed it or this
+/// store no longer leads the partition, even after its caller has timed out, since later turns may depend on it.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingWrite {
     pub(crate) partition: PartitionId,
@@ -30,7 +30,7 @@
     pub(crate) is_durable: bool,
     pub(crate) confirmed_by: BTreeSet<DiskId>,
     pub(crate) in_flight_to: BTreeSet<DiskId>,
-    /// `None` when the caller got its reply.
+    /// `None` once the caller has received a reply.
     pub(crate) pending_reply: Option<PendingReply>,
 }
 
@@ -39,16 +39,16 @@
 pub(crate) struct PendingReply {
     pub(crate) caller: CallerId,
     pub(crate) reply: SessionReply,
-    /// When the reply becomes that the store is unavailable.
+    /// When the store replies that it is unavailable instead.
     pub(crate) times_out_at: Time,
 }
 
 impl Store {
-    /// Merges a record and has it written to this store's disk if that changed it.
+    /// Merges a record and schedules it for the next batch unless its newest version is on disk.
     pub(crate) fn merge_record(&mut self, partition: PartitionId, record: &Record) {
-        let moment = self.moment;
+        let clock = self.clock;
         let table = self.tables.entry(partition).or_default();
-        table.merge(record, moment);
+        table.merge(record, clock);
         let key = RecordKey { program: record.program.clone(), request: record.request.clone() };
         if table.entry(&key).is_some_and(|entry| entry.durable_version < entry.version) {
             self.group_commit.mark_dirty(StoredRecordKey { partition, key });
@@ -56,15 +56,15 @@
         self.schedule_sweep();
     }
 
-    /// Writes records to all replicas of a partition that this store leads, then replies.
+    /// Writes records to all replicas of a partition that this store leads, and replies when the write is replicated.
     pub(crate) fn start_write(
         &mut self, partition: PartitionId, records: Vec<Record>, caller: CallerId, reply: SessionReply,
     ) {
         for record in &records {
             self.merge_record(partition, record);
         }
-        let id = WriteId(self.next_number());
-        let times_out_at = self.moment.now + REQUEST_TIMEOUT;
+        let id = WriteId(self.next_id());
+        let times_out_at = self.clock.now + REQUEST_TIMEOUT;
         self.timers.insert((times_out_at, Timer::WriteTimeout(id)));
         let write = PendingWrite {
             partition,
@@ -90,8 +90,8 @@
         all.into_iter().filter(|replica| *replica != self.disk).collect()
     }
 
-    /// The other replicas whose confirmation every write of a partition needs: those in sync, and joining ones that
-    /// are synchronized, since the keepers may have put them in sync already.
+    /// The other replicas that must confirm every write of a partition: those in sync, and the joining ones that are
+    /// synchronized, since the keepers may already have added them to the in-sync set.
     pub(crate) fn confirming_replicas(&self, partition: PartitionId) -> BTreeSet<DiskId> {
         let Some(assignment) = self.map.assignment(partition) else { return BTreeSet::new() };
         let led = self.led_partitions.get(&partition);
@@ -123,20 +123,20 @@
             write.confirmed_by.insert(replica);
             return self.acknowledge_if_replicated(id);
         }
-        let at = self.moment.now + RETRY_DELAY;
+        let at = self.clock.now + RETRY_DELAY;
         self.timers.insert((at, Timer::ResendWrite(id, replica)));
     }
 
-    /// Sends a write again after the delay that follows a failure.
+    /// Retries a write to a replica after the retry delay.
     pub(crate) fn resend_write(&mut self, id: WriteId, replica: DiskId) {
         let Some(partition) = self.pending_writes.get(&id).map(|write| write.partition) else { return };
-        // A joining replica that is not synchronized yet gets it with the other records.
+        // A joining replica that is not synchronized yet receives the write through its synchronization.
         if self.confirming_replicas(partition).contains(&replica) {
             self.send_write(id, replica);
         }
     }
 
-    /// A write is on this store's disk.
+    /// Records that a write is on this store's disk.
     pub(crate) fn handle_write_durable(&mut self, id: WriteId) {
         let Some(write) = self.pending_writes.get_mut(&id) else { return };
         write.is_durable = true;
@@ -150,7 +150,7 @@
         if !confirming.is_subset(&write.confirmed_by) {
             return;
         }
-        // Too few replicas: it stays pending until a map names more of them, or another primary.
+        // With too few replicas the write stays pending until a map names more replicas or another primary.
         if confirming.len() + 1 + self.lost_replicas(write.partition) < self.limits.required_replicas {
             return;
         }
@@ -162,14 +162,14 @@
         }
     }
 
-    /// Checks that what is acknowledged is on the disk of every in-sync replica of the present map, on this store's
-    /// own, and on as many as are required but for those known to be lost.
+    /// Checks the invariant that an acknowledged write is on this store's disk, on the disk of every in-sync replica of
+    /// the current map, and on the required number of disks less those known to be lost.
     fn check_replication(&self, write: &PendingWrite) {
         let partition = write.partition;
         let assignment = self.map.assignment(partition);
         let in_sync = assignment.map(|assignment| assignment.in_sync.as_slice()).unwrap_or_default();
         let has_write = |disk: &DiskId| *disk == self.disk || write.confirmed_by.contains(disk);
-        // A joining replica that is synchronized counts too: the keepers may have put it in sync already.
+        // Synchronized joining replicas count too: the keepers may already have added them to the in-sync set.
         let copies = 1 + write.confirmed_by.len();
         let is_enough = copies + self.lost_replicas(partition) >= self.limits.required_replicas;
         let is_on_all = in_sync.iter().all(has_write) && in_sync.contains(&self.disk);
@@ -187,7 +187,7 @@
         }
     }
 
-    /// The map has changed: writes need other replicas, which may lack them.
+    /// Handles a map change: sends the pending writes to new replicas, and acknowledges those that are now replicated.
     pub(crate) fn reevaluate_writes(&mut self, partition: PartitionId) {
         for id in self.writes_in_partition(partition) {
             for replica in self.other_replicas(partition) {
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Drops the writes of a partition that this store leads no more.
+    /// Drops the pending writes of a partition that this store no longer leads.
     pub(crate) fn abandon_writes(&mut self, partition: PartitionId) {
         for id in self.writes_in_partition(partition) {
             let write = self.pending_writes.remove(&id);
@@ -210,7 +210,7 @@
         }
     }
 
-    /// A replica has been synchronized, so it holds all pending writes of the partition.
+    /// Marks all pending writes of a partition as confirmed by a replica that has just been synchronized.
     pub(crate) fn confirm_pending_writes(&mut self, partition: PartitionId, replica: DiskId) {
         for id in self.writes_in_partition(partition) {
             if let Some(write) = self.pending_writes.get_mut(&id) {
--- a/crates/sessions/tests/golden.rs
+++ b/crates/sessions/tests/golden.rs
@@ -1,4 +1,4 @@
-//! A batch of session records has the bytes that earlier releases wrote to disk.
+//! The on-disk encoding of batches is compatible with earlier releases, byte for byte.
 
 #[path = "../../protocol/tests/golden_files/mod.rs"]
 mod golden_files;
--- a/crates/sessions/tests/harness/mod.rs
+++ b/crates/sessions/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! A store with a clock that the test moves and a disk that it controls, and builders of requests.
+//! Test harness: a store whose clock and disk the test controls, and builders of requests.
 
 #![allow(dead_code)]
 
@@ -10,7 +10,7 @@
 use juniperwing_protocol::subscription::{Assignment, StoreMap, StoreNode};
 use juniperwing_protocol::transfer::{Record, RecordState, TransferReply, TransferRequest};
 use juniperwing_protocol::{DiskId, EpochNumber, NodeName, PartitionId, ProgramId, RequestId};
-use juniperwing_sessions::{CallerId, Command, Event, Limits, Moment, Store, TransferCallId};
+use juniperwing_sessions::{CallerId, ClockReading, Command, Event, Limits, Store, TransferCallId};
 
 pub const PARTITION: PartitionId = PartitionId(0);
 pub const OWN: DiskId = DiskId(1);
@@ -19,7 +19,7 @@
 
 /// A store whose clock and disk the test controls.
 pub struct TestStore {
-    pub machine: Store,
+    pub state_machine: Store,
     pub now: Time,
     last_segment: u64,
 }
@@ -48,19 +48,20 @@
 }
 
 impl TestStore {
-    /// A store that leads the partition and has not synchronized the other replica yet, and its first commands.
+    /// Creates a store that leads the partition and has not synchronized the other replica yet; also returns its first
+    /// commands.
     pub fn new() -> (Self, Vec<Command>) {
         TestStore::with_limits(LIMITS)
     }
 
     pub fn with_limits(limits: Limits) -> (Self, Vec<Command>) {
         let mut store =
-            TestStore { machine: Store::new(OWN, limits), now: Time::from_nanos(1), last_segment: 0 };
+            TestStore { state_machine: Store::new(OWN, limits), now: Time::from_nanos(1), last_segment: 0 };
         let commands = store.handle(Event::StoreMap(map(1, 1, OWN)));
         (store, commands)
     }
 
-    /// A store that leads the partition, with the other replica synchronized.
+    /// Creates a store that leads the partition and has synchronized the other replica.
     pub fn leading() -> Self {
         let (mut store, commands) = TestStore::new();
         let (call, _) = last_call_of(&commands);
@@ -68,13 +69,16 @@
         store
     }
 
-    pub fn moment(&self) -> Moment {
-        Moment { now: self.now, unix_time_ms: 1_000 + self.now.since(Time::default()).as_nanos() / 1_000_000 }
+    pub fn clock(&self) -> ClockReading {
+        ClockReading {
+            now: self.now,
+            unix_time_ms: 1_000 + self.now.since(Time::default()).as_nanos() / 1_000_000,
+        }
     }
 
     pub fn handle(&mut self, event: Event) -> Vec<Command> {
-        let moment = self.moment();
-        self.machine.handle(moment, event)
+        let clock = self.clock();
+        self.state_machine.handle(clock, event)
     }
 
     pub fn send_request(&mut self, caller: u64, body: SessionCall) -> Vec<Command> {
@@ -96,8 +100,8 @@
         self.handle(Event::Tick)
     }
 
-    /// Sends a request, completes the writes of both disks, and returns the reply.
-    pub fn decide(&mut self, caller: u64, body: SessionCall) -> SessionReply {
+    /// Sends a request, completes the writes on both disks, and returns the reply.
+    pub fn call(&mut self, caller: u64, body: SessionCall) -> SessionReply {
         let mut commands = self.send_request(caller, body);
         for _ in 0..4 {
             if let Some(reply) = reply_of(&commands) {
@@ -113,7 +117,7 @@
                 commands.extend(self.complete_call(call, TransferReply::Written));
             }
         }
-        panic!("no reply");
+        panic!("no reply after all writes completed");
     }
 }
 
--- a/crates/sessions/tests/joining_replicas.rs
+++ b/crates/sessions/tests/joining_replicas.rs
@@ -1,4 +1,4 @@
-//! A joining replica of many partitions is filled a few partitions at a time, and all of them in the end.
+//! A replica that joins many partitions is synchronized with limited concurrency, until all partitions are in sync.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -8,10 +8,10 @@
 use juniperwing_protocol::subscription::{Assignment, StoreMap, StoreNode};
 use juniperwing_protocol::transfer::{TransferReply, TransferRequest};
 use juniperwing_protocol::{DiskId, EpochNumber, NodeName};
-use juniperwing_sessions::{Command, Event, Limits, Moment, Store, TransferCallId};
+use juniperwing_sessions::{ClockReading, Command, Event, Limits, Store, TransferCallId};
 
 const PARTITIONS: usize = 100;
-/// The limit of concurrent synchronizations, with some slack; far fewer than the partitions.
+/// The limit of concurrent synchronizations, with some slack; much smaller than the number of partitions.
 const MAX_CONCURRENT: usize = 20;
 
 fn map() -> Arc<StoreMap> {
@@ -40,27 +40,27 @@
 }
 
 #[test]
-fn joining_replicas_are_filled_a_few_partitions_at_a_time() {
+fn synchronizations_of_joining_replicas_are_limited() {
     let limits = Limits { required_replicas: 2, memory_bytes: 1 << 20, disk_bytes: 1 << 20 };
     let mut store = Store::new(DiskId(1), limits);
-    let moment = Moment { now: Time::from_nanos(1), unix_time_ms: 1 };
+    let clock = ClockReading { now: Time::from_nanos(1), unix_time_ms: 1 };
     let mut in_flight: VecDeque<TransferCallId> =
-        digest_calls(store.handle(moment, Event::StoreMap(map()))).collect();
-    // One that fails is tried again later.
+        digest_calls(store.handle(clock, Event::StoreMap(map()))).collect();
+    // A failed synchronization is retried later.
     let failing = in_flight.pop_front().unwrap();
-    in_flight.extend(digest_calls(store.handle(moment, Event::CallCompleted { call: failing, reply: None })));
+    in_flight.extend(digest_calls(store.handle(clock, Event::CallCompleted { call: failing, reply: None })));
     let mut max_in_flight = 0;
     while let Some(call) = in_flight.pop_front() {
         max_in_flight = max_in_flight.max(in_flight.len() + 1);
         let reply = Some(TransferReply::Digests(vec![0; 16]));
-        in_flight.extend(digest_calls(store.handle(moment, Event::CallCompleted { call, reply })));
+        in_flight.extend(digest_calls(store.handle(clock, Event::CallCompleted { call, reply })));
     }
-    assert!(max_in_flight <= MAX_CONCURRENT, "{max_in_flight} at once");
-    // Guard: `DurableMapVersion`. Nothing is reported before the version of the map is on disk.
+    assert!(max_in_flight <= MAX_CONCURRENT, "{max_in_flight} concurrent synchronizations");
+    // Guards `DurableMapVersion`: nothing is reported before the map version is on disk.
     assert_eq!(store.caught_up_replicas().len(), 0);
-    store.handle(moment, Event::MapVersionWritten { version: 1 });
+    store.handle(clock, Event::MapVersionWritten { version: 1 });
     assert_eq!(store.caught_up_replicas().len(), PARTITIONS - 1);
-    let later = Moment { now: moment.now + Span::from_millis(1_000), ..moment };
+    let later = ClockReading { now: clock.now + Span::from_millis(1_000), ..clock };
     for call in digest_calls(store.handle(later, Event::Tick)).collect::<Vec<_>>() {
         let reply = Some(TransferReply::Digests(vec![0; 16]));
         store.handle(later, Event::CallCompleted { call, reply });
@@ -70,12 +70,13 @@
 
 #[test]
 fn recently_expired_programs_are_synchronized_too() {
-    // Guard: `SYNC_EXPIRY_SLACK_MS`. By a clock that is seconds ahead, a turn that must be known has expired already.
+    // Guards `SYNC_EXPIRY_SLACK_MS`: on a clock that is seconds ahead, a turn that must still be found has expired
+    // already.
     let limits = Limits { required_replicas: 2, memory_bytes: 1 << 20, disk_bytes: 1 << 20 };
     let mut store = Store::new(DiskId(1), limits);
-    let moment = Moment { now: Time::from_nanos(1), unix_time_ms: 100_000 };
+    let clock = ClockReading { now: Time::from_nanos(1), unix_time_ms: 100_000 };
     let live_after =
-        store.handle(moment, Event::StoreMap(map())).into_iter().filter_map(|command| match command {
+        store.handle(clock, Event::StoreMap(map())).into_iter().filter_map(|command| match command {
             Command::Call { request: TransferRequest::Digests { live_after_ms, .. }, .. } => {
                 Some(live_after_ms)
             }
--- a/crates/sessions/tests/merge.rs
+++ b/crates/sessions/tests/merge.rs
@@ -1,11 +1,11 @@
-//! The merge of records is commutative, associative and idempotent.
+//! Properties of the merge of records: commutative, associative, idempotent and monotonic.
 
 use std::sync::Arc;
 
 use juniperwing_protocol::session::Turn;
 use juniperwing_protocol::transfer::{Record, RecordState};
 use juniperwing_protocol::{ProgramId, RequestId};
-use juniperwing_sessions::{Moment, Table, merge};
+use juniperwing_sessions::{ClockReading, Table, merge};
 use proptest::prelude::*;
 
 fn turn() -> impl Strategy<Value = Turn> {
@@ -67,7 +67,7 @@
         let was_denied = a.state == RecordState::Denied;
         prop_assert!(merged.state != RecordState::Reserved || !was_denied);
         let is_open = merged.state != RecordState::Committed;
-        prop_assert!(!is_open || merged.tokens >= a.tokens, "an open reservation keeps counting");
+        prop_assert!(!is_open || merged.tokens >= a.tokens, "an uncommitted record keeps its tokens");
         prop_assert!(merged.turn.is_some() || a.turn.is_none());
         prop_assert!(merged.expires_at_ms >= a.expires_at_ms);
     }
@@ -77,10 +77,10 @@
         let mut forward = Table::default();
         let mut backward = Table::default();
         for record in &records {
-            forward.merge(record, Moment::default());
+            forward.merge(record, ClockReading::default());
         }
         for record in records.iter().rev() {
-            backward.merge(record, Moment::default());
+            backward.merge(record, ClockReading::default());
         }
         prop_assert_eq!(forward.digests(16, 0), backward.digests(16, 0));
         prop_assert_eq!(forward.bytes(), backward.bytes());
--- a/crates/sessions/tests/persistence.rs
+++ b/crates/sessions/tests/persistence.rs
@@ -1,4 +1,4 @@
-//! What a store writes to its disk, recovers from it and removes from it.
+//! Persistence of a store: recovery of written records, expiry, and compaction of segments.
 
 mod harness;
 
@@ -7,7 +7,7 @@
 use juniperwing_protocol::session::SessionReply;
 use juniperwing_protocol::transfer::TransferReply;
 use juniperwing_protocol::{ProgramId, RequestId};
-use juniperwing_sessions::{Command, Event, Moment, Store};
+use juniperwing_sessions::{ClockReading, Command, Event, Store};
 
 #[test]
 fn written_records_are_recovered_and_removed_when_expired() {
@@ -21,24 +21,26 @@
         })
         .unwrap();
     let mut recovered = Store::new(OWN, LIMITS);
-    recovered.recover_batch(store.moment(), 4, 100, records.clone());
-    assert_eq!(recovered.finish_recovery(store.moment()), []);
+    recovered.recover_batch(store.clock(), 4, 100, records.clone());
+    assert_eq!(recovered.finish_recovery(store.clock()), []);
     assert!(recovered.table(PARTITION).unwrap().has_turn(&ProgramId::from("p"), &RequestId::from("a")));
     store.now = store.now + Span::from_millis(200_000);
     let mut late = Store::new(OWN, LIMITS);
-    late.recover_batch(store.moment(), 4, 100, records);
-    assert_eq!(late.finish_recovery(store.moment()), [Command::RemoveSegment { segment: 4 }]);
+    late.recover_batch(store.clock(), 4, 100, records);
+    assert_eq!(late.finish_recovery(store.clock()), [Command::RemoveSegment { segment: 4 }]);
     assert!(late.table(PARTITION).unwrap().is_empty());
 }
 
 #[test]
 fn a_wall_clock_that_jumps_forward_removes_nothing() {
     let mut store = TestStore::leading();
-    assert_eq!(store.decide(1, finish_stored("a", None)), SessionReply::TurnFinished);
+    assert_eq!(store.call(1, finish_stored("a", None)), SessionReply::TurnFinished);
     store.now = store.now + Span::from_millis(20_000);
-    let jumped = Moment { unix_time_ms: 10_000_000_000, ..store.moment() };
-    store.machine.handle(jumped, Event::Tick);
-    assert!(store.machine.table(PARTITION).unwrap().has_turn(&ProgramId::from("p"), &RequestId::from("a")));
+    let jumped = ClockReading { unix_time_ms: 10_000_000_000, ..store.clock() };
+    store.state_machine.handle(jumped, Event::Tick);
+    assert!(
+        store.state_machine.table(PARTITION).unwrap().has_turn(&ProgramId::from("p"), &RequestId::from("a"))
+    );
 }
 
 #[test]
--- a/crates/sessions/tests/random_faults.rs
+++ b/crates/sessions/tests/random_faults.rs
@@ -1,4 +1,5 @@
-//! Clusters with random faults: budgets hold, stored turns are never denied, and everything settles in the end.
+//! Simulated clusters with random faults: budgets are never exceeded, stored turns are never denied, and the replicas
+//! converge after all faults are repaired.
 
 mod simulation;
 
@@ -26,7 +27,7 @@
         denied_turns += cluster.clients.denied_turns;
         stored_turns += cluster.clients.stored_turns.len();
     }
-    // The runs must exercise something: turns begin, are stored and are denied.
+    // The runs must cover turns that begin, are stored and are denied.
     let runs = RUNS as usize;
     assert!(
         begun_turns > 20 * runs && stored_turns > 10 * runs && denied_turns > runs,
--- a/crates/sessions/tests/replica.rs
+++ b/crates/sessions/tests/replica.rs
@@ -1,4 +1,4 @@
-//! A replica confirms only what is on its disk, and only to the primary of the present epoch.
+//! A replica confirms only records that are on its disk, and only to the primary of the current epoch.
 
 mod harness;
 
@@ -52,7 +52,7 @@
     store.handle(Event::TransferRequest { caller: CallerId(1), request: write(2) });
     let commands = store.handle(Event::BatchFailed);
     assert_eq!(transfer_reply_of(&commands), Some(TransferReply::Failed));
-    // The record is written again after a delay.
+    // The write is retried after a delay.
     let retried = store.advance_time(Span::from_millis(200));
     assert!(matches!(retried[..], [Command::WriteBatch { .. }]));
 }
@@ -68,7 +68,7 @@
         live_after_ms: 0,
     };
     store.handle(Event::TransferRequest { caller: CallerId(1), request: write(2) });
-    // Waits for the batch in flight; another record comes before that ends.
+    // The request waits for the batch in flight; another record arrives before the batch is written.
     assert_eq!(store.handle(Event::TransferRequest { caller: CallerId(2), request: digests }), []);
     let request = TransferRequest::Write {
         partition: PARTITION,
@@ -77,7 +77,7 @@
     };
     store.handle(Event::TransferRequest { caller: CallerId(3), request });
     let commands = store.complete_batch();
-    let in_memory = store.machine.table(PARTITION).unwrap().digests(16, 0);
+    let in_memory = store.state_machine.table(PARTITION).unwrap().digests(16, 0);
     let sent = commands.iter().find_map(|command| match command {
         Command::SendTransferReply { reply: TransferReply::Digests(digests), .. } => Some(digests.clone()),
         _ => None,
--- a/crates/sessions/tests/session_requests.rs
+++ b/crates/sessions/tests/session_requests.rs
@@ -1,4 +1,4 @@
-//! Session requests at a primary: begin, finish and denial of turns, one store step by step.
+//! Session requests at a primary: begin, finish and denial of turns, with a single store driven event by event.
 
 mod harness;
 
@@ -19,7 +19,11 @@
     assert_eq!(reply_of(&commands), None);
     let (call, request) = last_call_of(&commands);
     assert!(matches!(request, TransferRequest::Write { .. }));
-    assert_eq!(reply_of(&store.complete_call(call, TransferReply::Written)), None, "not on the own disk yet");
+    assert_eq!(
+        reply_of(&store.complete_call(call, TransferReply::Written)),
+        None,
+        "not on this store's disk yet"
+    );
     assert_eq!(reply_of(&store.complete_batch()), Some(TURN_BEGUN));
 }
 
@@ -38,35 +42,35 @@
 #[test]
 fn a_reservation_counts_the_maximum_until_the_turn_is_committed() {
     let mut store = TestStore::leading();
-    assert_eq!(store.decide(1, begin("a", None, Some(100))), TURN_BEGUN);
-    assert_eq!(store.decide(2, begin("b", None, Some(100))), TURN_BEGUN);
-    assert_eq!(store.decide(3, begin("c", None, Some(100))), SessionReply::BudgetExhausted);
-    assert_eq!(store.decide(4, finish("a", 15)), SessionReply::TurnFinished);
-    assert_eq!(store.decide(5, begin("d", None, Some(100))), TURN_BEGUN);
-    assert_eq!(store.decide(6, begin("e", None, Some(100))), SessionReply::BudgetExhausted);
+    assert_eq!(store.call(1, begin("a", None, Some(100))), TURN_BEGUN);
+    assert_eq!(store.call(2, begin("b", None, Some(100))), TURN_BEGUN);
+    assert_eq!(store.call(3, begin("c", None, Some(100))), SessionReply::BudgetExhausted);
+    assert_eq!(store.call(4, finish("a", 15)), SessionReply::TurnFinished);
+    assert_eq!(store.call(5, begin("d", None, Some(100))), TURN_BEGUN);
+    assert_eq!(store.call(6, begin("e", None, Some(100))), SessionReply::BudgetExhausted);
 }
 
-/// A denial promises that the turn never runs, whatever the budget has room for later.
+/// A denial is final: the turn is not admitted later, even if the budget would allow it.
 #[test]
 fn a_denied_turn_stays_denied_when_the_budget_has_room_again() {
     let mut store = TestStore::leading();
-    assert_eq!(store.decide(1, begin("a", None, Some(50))), TURN_BEGUN);
-    assert_eq!(store.decide(2, begin("b", None, Some(50))), SessionReply::BudgetExhausted);
-    assert_eq!(store.decide(3, finish("a", 0)), SessionReply::TurnFinished);
-    assert_eq!(store.decide(4, begin("b", None, Some(50))), SessionReply::BudgetExhausted);
-    assert_eq!(store.decide(5, begin("c", None, Some(50))), TURN_BEGUN);
+    assert_eq!(store.call(1, begin("a", None, Some(50))), TURN_BEGUN);
+    assert_eq!(store.call(2, begin("b", None, Some(50))), SessionReply::BudgetExhausted);
+    assert_eq!(store.call(3, finish("a", 0)), SessionReply::TurnFinished);
+    assert_eq!(store.call(4, begin("b", None, Some(50))), SessionReply::BudgetExhausted);
+    assert_eq!(store.call(5, begin("c", None, Some(50))), TURN_BEGUN);
 }
 
-/// A denied turn that is committed, as after a lost reply, ends without tokens and never runs.
+/// A client that lost the reply commits the denied turn with 0 tokens; the turn must still never begin.
 #[test]
 fn a_denied_turn_that_is_committed_does_not_begin() {
     let mut store = TestStore::leading();
-    assert_eq!(store.decide(1, begin("a", None, Some(10))), SessionReply::BudgetExhausted);
-    assert_eq!(store.decide(2, finish("a", 0)), SessionReply::TurnFinished);
-    assert_eq!(store.decide(3, begin("a", None, Some(100))), SessionReply::Unavailable);
+    assert_eq!(store.call(1, begin("a", None, Some(10))), SessionReply::BudgetExhausted);
+    assert_eq!(store.call(2, finish("a", 0)), SessionReply::TurnFinished);
+    assert_eq!(store.call(3, begin("a", None, Some(100))), SessionReply::Unavailable);
 }
 
-/// The denial is on all disks before it is sent: the next primary must know it.
+/// The denial is on all disks before it is sent, so that the next primary knows it.
 #[test]
 fn a_turn_is_denied_only_when_the_denial_is_replicated() {
     let mut store = TestStore::leading();
@@ -82,21 +86,21 @@
 #[test]
 fn a_turn_begun_twice_counts_once_and_a_committed_one_does_not_begin() {
     let mut store = TestStore::leading();
-    assert_eq!(store.decide(1, begin("a", None, Some(50))), TURN_BEGUN);
-    assert_eq!(store.decide(2, begin("a", None, Some(50))), TURN_BEGUN);
-    assert_eq!(store.decide(3, finish("a", 0)), SessionReply::TurnFinished);
-    assert_eq!(store.decide(4, begin("a", None, Some(50))), SessionReply::Unavailable);
-    assert_eq!(store.decide(5, begin("b", None, Some(50))), TURN_BEGUN);
+    assert_eq!(store.call(1, begin("a", None, Some(50))), TURN_BEGUN);
+    assert_eq!(store.call(2, begin("a", None, Some(50))), TURN_BEGUN);
+    assert_eq!(store.call(3, finish("a", 0)), SessionReply::TurnFinished);
+    assert_eq!(store.call(4, begin("a", None, Some(50))), SessionReply::Unavailable);
+    assert_eq!(store.call(5, begin("b", None, Some(50))), TURN_BEGUN);
 }
 
 #[test]
 fn a_reservation_left_by_an_old_primary_does_not_admit_the_turn() {
-    let begin_with_budget = |budget| store_with_old_reservation().decide(2, begin("a", None, Some(budget)));
+    let begin_with_budget = |budget| store_with_old_reservation().call(2, begin("a", None, Some(budget)));
     assert_eq!(begin_with_budget(79), SessionReply::BudgetExhausted);
     assert_eq!(begin_with_budget(80), TURN_BEGUN);
 }
 
-/// A primary whose predecessor left a reservation of 40 tokens for the turn `a`, and 40 used by `b`.
+/// Returns a primary whose predecessor left a reservation of 40 tokens for the turn `a`, and 40 tokens used by `b`.
 fn store_with_old_reservation() -> TestStore {
     let (mut store, _) = TestStore::new();
     store.handle(Event::StoreMap(map(2, 2, OTHER)));
@@ -106,7 +110,7 @@
     store.handle(Event::TransferRequest { caller: CallerId(1), request });
     store.complete_batch();
     let (call, _) = last_call_of(&store.handle(Event::StoreMap(map(3, 3, OWN))));
-    let digests = store.machine.table(PARTITION).unwrap().digests(16, store.moment().unix_time_ms);
+    let digests = store.state_machine.table(PARTITION).unwrap().digests(16, store.clock().unix_time_ms);
     store.complete_call(call, TransferReply::Digests(digests));
     store
 }
@@ -114,18 +118,18 @@
 #[test]
 fn committing_again_with_less_does_not_return_tokens() {
     let mut store = TestStore::leading();
-    assert_eq!(store.decide(1, finish("a", 20)), SessionReply::TurnFinished);
-    assert_eq!(store.decide(2, finish("a", 0)), SessionReply::TurnFinished);
-    assert_eq!(store.decide(3, begin("b", None, Some(50))), SessionReply::BudgetExhausted);
+    assert_eq!(store.call(1, finish("a", 20)), SessionReply::TurnFinished);
+    assert_eq!(store.call(2, finish("a", 0)), SessionReply::TurnFinished);
+    assert_eq!(store.call(3, begin("b", None, Some(50))), SessionReply::BudgetExhausted);
 }
 
 #[test]
 fn a_chain_is_returned_oldest_first() {
     let mut store = TestStore::leading();
-    assert_eq!(store.decide(1, finish_stored("a", None)), SessionReply::TurnFinished);
-    assert_eq!(store.decide(2, finish_stored("b", Some("a"))), SessionReply::TurnFinished);
+    assert_eq!(store.call(1, finish_stored("a", None)), SessionReply::TurnFinished);
+    assert_eq!(store.call(2, finish_stored("b", Some("a"))), SessionReply::TurnFinished);
     let chain = vec![turn("a", None), turn("b", Some("a"))];
-    assert_eq!(store.decide(3, begin("c", Some("b"), None)), SessionReply::TurnBegun { chain });
+    assert_eq!(store.call(3, begin("c", Some("b"), None)), SessionReply::TurnBegun { chain });
 }
 
 #[test]
@@ -159,7 +163,7 @@
     assert!(store.handle(Event::StoreMap(map(2, 2, OTHER))).is_empty());
 }
 
-/// A primary that learns of a higher epoch sends nothing in its own epoch again, and decides nothing more.
+/// A primary that learns of a later epoch sends nothing more in its own epoch and rejects further requests.
 #[test]
 fn a_fenced_primary_does_not_call_again_in_its_epoch() {
     let mut store = TestStore::leading();
@@ -195,10 +199,10 @@
     let (push, request) = last_call_of(&store.complete_call(records, page));
     assert!(matches!(request, TransferRequest::Write { ref records, .. } if records.len() == 1));
     let (digests, _) = last_call_of(&store.complete_call(push, TransferReply::Written));
-    let table = store.machine.table(PARTITION).unwrap();
-    let digests_here = table.digests(16, store.moment().unix_time_ms);
+    let table = store.state_machine.table(PARTITION).unwrap();
+    let digests_here = table.digests(16, store.clock().unix_time_ms);
     let commands = store.complete_call(digests, TransferReply::Digests(digests_here));
-    // Now it is admitted: written, and not denied.
+    // The turn is now admitted: its reservation is written instead of a denial.
     assert!(matches!(last_call_of(&commands).1, TransferRequest::Write { .. }));
 }
 
@@ -207,9 +211,9 @@
     let (mut store, commands) = TestStore::with_limits(Limits { memory_bytes: 100, ..LIMITS });
     let (call, _) = last_call_of(&commands);
     store.complete_call(call, TransferReply::Digests(vec![0; 16]));
-    assert_eq!(store.decide(1, finish_stored("a", None)), SessionReply::TurnFinished);
-    assert_eq!(store.decide(2, begin("b", None, Some(100))), SessionReply::Unavailable);
-    assert_eq!(store.decide(3, finish("b", 0)), SessionReply::TurnFinished);
+    assert_eq!(store.call(1, finish_stored("a", None)), SessionReply::TurnFinished);
+    assert_eq!(store.call(2, begin("b", None, Some(100))), SessionReply::Unavailable);
+    assert_eq!(store.call(3, finish("b", 0)), SessionReply::TurnFinished);
 }
 
 #[test]
@@ -217,8 +221,8 @@
     let (mut store, commands) = TestStore::with_limits(Limits { required_replicas: 3, ..LIMITS });
     let (call, _) = last_call_of(&commands);
     store.complete_call(call, TransferReply::Digests(vec![0; 16]));
-    assert_eq!(store.decide(1, begin("a", None, Some(9))), SessionReply::Unavailable);
+    assert_eq!(store.call(1, begin("a", None, Some(9))), SessionReply::Unavailable);
     store.handle(Event::StoreMap(map(2, 2, OTHER)));
     let not_primary = SessionReply::NotPrimary { epoch: EpochNumber(2) };
-    assert_eq!(store.decide(2, begin("a", None, Some(9))), not_primary);
+    assert_eq!(store.call(2, begin("a", None, Some(9))), not_primary);
 }
--- a/crates/sessions/tests/simulation/clients.rs
+++ b/crates/sessions/tests/simulation/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that run turns of programs and check what the stores promise them.
+//! Simulated clients that run turns of programs and check the guarantees of the stores.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,10 +14,10 @@
 const BUDGET: u64 = 100;
 const MAX_TOKENS: u64 = 20;
 const MAX_ATTEMPTS: usize = 6;
-/// A program that is idle for longer is not continued: it may have expired.
+/// A program that is idle for longer is not continued, since it may have expired.
 const IDLE_LIMIT: Span = Span::from_millis(30_000);
 
-/// How long a client waits for a reply before it sends the request again.
+/// How long a client waits for a reply before it retries the request.
 const REPLY_TIMEOUT: Span = Span::from_millis(2_000);
 
 /// A request that has no final reply yet.
@@ -43,10 +43,10 @@
 pub struct Clients {
     pub operations: BTreeMap<u64, Operation>,
     pub stored_turns: BTreeMap<RequestId, StoredTurn>,
-    /// Tokens that clients received.
+    /// The tokens that clients received, by program.
     tokens_received: BTreeMap<ProgramId, u64>,
     last_active_at: BTreeMap<ProgramId, Time>,
-    /// When a turn of a program last ran or was committed.
+    /// When the last turn of each program ran or was committed.
     last_turn_at: BTreeMap<ProgramId, Time>,
     program_count: usize,
     last_number: u64,
@@ -86,7 +86,7 @@
     }
 
     fn choose_program(&mut self, now: Time, rng: &mut TestRng) -> ProgramId {
-        // A program is retained from its last turn on, whatever it requests and is denied.
+        // The retention of a program starts at its last turn; denied requests do not extend it.
         let last_turn_at = &self.last_turn_at;
         let is_retained =
             |program: &ProgramId| last_turn_at.get(program).is_none_or(|at| now.since(*at) < RETENTION);
@@ -112,8 +112,8 @@
         (!own.is_empty() && rng.random_bool(80)).then(|| own[rng.below(own.len())].turn.request.clone())
     }
 
-    /// Handles a reply; `None` if it was lost. Returns the operation to send next: the same one again, or one that
-    /// follows.
+    /// Handles a reply; `None` if it was lost. Returns the operation to send next, which is a retry or a subsequent
+    /// operation.
     pub fn handle_reply(
         &mut self, number: u64, reply: Option<SessionReply>, now: Time, rng: &mut TestRng,
     ) -> Option<u64> {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Operations whose reply has timed out.
+    /// Returns the operations whose reply has timed out, and restarts their timeout.
     pub fn take_timed_out(&mut self, now: Time) -> Vec<u64> {
         let mut timed_out = Vec::new();
         for (number, operation) in &mut self.operations {
@@ -177,10 +177,13 @@
                 self.run_turn(begin, now, rng)
             }
             SessionReply::UnknownTurn => {
-                let previous = begin.previous.as_ref().expect("a previous turn that is unknown");
+                let previous = begin.previous.as_ref().expect("an unknown turn is a previous turn");
                 let stored = &self.stored_turns[previous];
                 let age = started_at.since(stored.acknowledged_at);
-                assert!(age >= RETENTION, "{previous} was stored {age:?} ago and is denied");
+                assert!(
+                    age >= RETENTION,
+                    "{previous} is denied as unknown but was stored {age:?} before the request"
+                );
                 self.denied_turns += 1;
                 None
             }
@@ -189,11 +192,11 @@
                 self.denied_turns += 1;
                 None
             }
-            other => panic!("{other:?} replies to a begin"),
+            other => panic!("unexpected reply to a begin: {other:?}"),
         }
     }
 
-    /// Runs the turn: tokens reach the client; the relay may end before it commits.
+    /// Runs a turn: the client receives tokens. The relay may exit before it commits the turn.
     fn run_turn(&mut self, begin: &BeginTurn, now: Time, rng: &mut TestRng) -> Option<u64> {
         self.begun_turns += 1;
         let tokens = rng.below(MAX_TOKENS as usize + 1) as u64;
@@ -237,14 +240,14 @@
     fn check_chain(&self, previous: Option<&RequestId>, chain: &[Turn]) {
         let mut next = previous;
         for turn in chain.iter().rev() {
-            let expected = &self.stored_turns[next.expect("a chain that is not too long")].turn;
+            let expected = &self.stored_turns[next.expect("a chain with no more turns than expected")].turn;
             assert_eq!(turn, expected);
             next = expected.previous.as_ref();
         }
         assert_eq!(next, None, "the chain is complete");
     }
 
-    /// Turns that must be found now and for the next seconds.
+    /// The stored turns that must be found now and for at least [`IDLE_LIMIT`] longer.
     pub fn turns_that_must_be_found(&self, now: Time) -> Vec<StoredTurn> {
         let is_retained = |stored: &&StoredTurn| now.since(stored.acknowledged_at) + IDLE_LIMIT < RETENTION;
         self.stored_turns.values().filter(is_retained).cloned().collect()
--- a/crates/sessions/tests/simulation/cluster.rs
+++ b/crates/sessions/tests/simulation/cluster.rs
@@ -1,4 +1,4 @@
-//! The cluster: stores, network and keepers, run step by step.
+//! The simulated cluster of stores, network and keepers, run step by step.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -16,12 +16,12 @@
 use super::map_publication::first_map;
 use super::node::Node;
 
-/// Packets delivered in one step.
+/// The number of packets delivered in one step.
 const PACKETS_PER_STEP: usize = 3;
-/// The same without network faults: some hundred packets in a tenth of a second.
-const PACKETS_PER_UNDISTURBED_STEP: usize = 10;
-/// Disks whose sync completes in one such step: a sync takes some tens of milliseconds.
-const SYNCS_PER_UNDISTURBED_STEP: usize = 4;
+/// The number of packets delivered in one fault-free step, which amounts to more than a hundred packets per 100 ms.
+const PACKETS_PER_FAULT_FREE_STEP: usize = 10;
+/// The number of disk syncs completed in one fault-free step, so that a sync takes a few tens of milliseconds.
+const SYNCS_PER_FAULT_FREE_STEP: usize = 4;
 
 /// A message in flight.
 #[derive(Clone, Debug)]
@@ -66,15 +66,15 @@
     pub rng: TestRng,
     pub now: Time,
     pub nodes: Vec<Node>,
-    /// The keepers with their planner; without them, a simple model makes the maps.
+    /// The keepers with their planner; if `None`, a simple model creates the maps.
     pub keepers: Option<Keepers>,
-    /// Increases with every start of a node: replies to an earlier incarnation are lost.
+    /// The incarnation of each node, which increases with every start. Replies to an earlier incarnation are dropped.
     pub incarnations: Vec<u64>,
     pub(super) packets: Vec<Packet>,
     pub(super) callers: Vec<Caller>,
     pub map: StoreMap,
-    /// All maps so far: a keeper that lags behind may publish any of them.
-    pub(super) history: Vec<Arc<StoreMap>>,
+    /// All maps published so far; a keeper that lags behind may publish any of them again.
+    pub(super) published_maps: Vec<Arc<StoreMap>>,
     pub partitioned_pairs: BTreeSet<(usize, usize)>,
 }
 
@@ -88,7 +88,7 @@
         cluster
     }
 
-    /// A cluster whose keepers run the planner; there is no map yet.
+    /// Creates a cluster whose keepers run the planner; there is no map yet.
     pub fn planned(seed: u64, count: usize) -> Self {
         let mut rng = TestRng::new(seed);
         let nodes = (0..count).map(|n| Node::new(n, &mut rng)).collect();
@@ -109,12 +109,12 @@
             packets: Vec::new(),
             callers: Vec::new(),
             map: StoreMap::default(),
-            history: Vec::new(),
+            published_maps: Vec::new(),
             partitioned_pairs: BTreeSet::new(),
         }
     }
 
-    /// One step with random faults.
+    /// Runs one step with random faults.
     pub fn step(&mut self) {
         match self.rng.below(100) {
             0..=64 => (0..PACKETS_PER_STEP).for_each(|_| self.deliver_packet()),
@@ -130,18 +130,18 @@
         }
     }
 
-    /// One step without faults but those that the caller injects.
-    pub fn step_undisturbed(&mut self) {
+    /// Runs one step without faults other than those injected by the caller.
+    pub fn step_without_faults(&mut self) {
         match self.rng.below(94) {
-            0..=64 => (0..PACKETS_PER_UNDISTURBED_STEP).for_each(|_| self.deliver_packet()),
-            65..=82 => (0..SYNCS_PER_UNDISTURBED_STEP).for_each(|_| self.complete_sync()),
+            0..=64 => (0..PACKETS_PER_FAULT_FREE_STEP).for_each(|_| self.deliver_packet()),
+            65..=82 => (0..SYNCS_PER_FAULT_FREE_STEP).for_each(|_| self.complete_sync()),
             83..=87 if !self.map.partitions.is_empty() => {
                 let operation = self.clients.begin(self.now, &mut self.rng);
                 self.send(operation);
             }
             88..=93 => {
                 self.advance_time();
-                // Keepers that ran less often would conclude that they had been paused.
+                // The keepers run at every advance, since after a longer interval they assume that they were paused.
                 self.run_keepers();
             }
             _ => {}
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Sends an operation to the primary, or to another store as if by an old map.
+    /// Sends an operation to the primary, or to a random store as if an outdated map were used.
     pub fn send(&mut self, operation: u64) {
         let program = self.clients.operations[&operation].program.clone();
         let body = self.clients.operations[&operation].call.clone();
@@ -215,7 +215,7 @@
             return self.packets.push(Packet::SessionReply { operation, reply: None });
         }
         if self.rng.random_bool(3) {
-            // The relay times out and sends the request again; this one still arrives.
+            // The relay times out and retries, but the first request still arrives.
             self.packets.push(Packet::SessionRequest { to, operation: 0, request: request.clone() });
         }
         let caller = self.add_caller(Caller::Client(operation));
@@ -231,7 +231,7 @@
             return self.packets.push(Packet::TransferReply { to: from, incarnation, call, reply });
         }
         if self.rng.random_bool(3) {
-            // The call times out, but arrives later when nobody waits for it.
+            // The call times out, but its request arrives later when no caller waits for a reply.
             self.packets.push(Packet::TransferReply { to: from, incarnation, call, reply: None });
             return self.packets.push(Packet::TransferRequest { from, incarnation: 0, to, call, request });
         }
--- a/crates/sessions/tests/simulation/faults.rs
+++ b/crates/sessions/tests/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Random faults of a cluster, and their repair.
+//! Random faults of the simulated cluster, and their repair.
 
 use juniperwing_protocol::DiskId;
 
@@ -6,7 +6,7 @@
 use super::node::Node;
 
 impl Cluster {
-    /// Repairs all faults and runs until everything is settled.
+    /// Repairs all faults and runs until the cluster is idle.
     pub fn repair_all_faults(&mut self) {
         self.partitioned_pairs.clear();
         for number in 0..self.nodes.len() {
@@ -31,7 +31,7 @@
                 return;
             }
         }
-        panic!("the cluster does not come to rest: {:?} {:?}", self.map, self.clients.operations);
+        panic!("the cluster does not become idle: {:?} {:?}", self.map, self.clients.operations);
     }
 
     fn is_fully_replicated(&self) -> bool {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Kills a store. Its callers get no reply.
+    /// Kills a store. Pending calls to it get no reply.
     pub fn kill(&mut self, number: usize) {
         self.nodes[number].kill(&mut self.rng);
         for caller in &self.callers {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Whether others hold all that the disk of this node holds.
+    /// Whether every partition has an in-sync replica on another node.
     fn has_other_replicas(&self, number: usize) -> bool {
         let disk = self.nodes[number].disk;
         let is_present = |other: &DiskId| *other != disk && self.nodes.iter().any(|node| node.disk == *other);
--- a/crates/sessions/tests/simulation/keepers.rs
+++ b/crates/sessions/tests/simulation/keepers.rs
@@ -1,4 +1,4 @@
-//! One keeper in place of all, with the planner and the tracker that keepers run.
+//! A single simulated keeper with the planner and the tracker of real keepers.
 
 use std::sync::Arc;
 
@@ -51,7 +51,7 @@
         None
     }
 
-    /// Orders the retirement of a machine; returns whether the order is accepted.
+    /// Requests the retirement of a machine; returns whether the request is accepted.
     pub fn retire(&mut self, now: Time, node: &NodeName) -> bool {
         let view = self.tracker.tick(now, &self.state.store_map.stores);
         match decide_retire(&self.state, &view, node, REQUIRED_REPLICAS) {
@@ -62,7 +62,7 @@
         true
     }
 
-    /// Whether a machine may be removed with its disk.
+    /// Whether a machine may be removed together with its disk.
     pub fn is_retired(&mut self, now: Time, node: &NodeName) -> bool {
         let view = self.tracker.tick(now, &self.state.store_map.stores);
         retirement_state(&self.state, &view, node) == Some(RetirementState::Completed)
--- a/crates/sessions/tests/simulation/losses.rs
+++ b/crates/sessions/tests/simulation/losses.rs
@@ -1,4 +1,4 @@
-//! Losses of store machines, as the fault model allows them.
+//! Losses of store machines within the limits of the fault model.
 
 use juniperwing_clock::Span;
 
@@ -10,11 +10,11 @@
 pub enum Loss {
     /// The process is killed, or the machine loses power.
     Kill,
-    /// The same, and the disk is empty afterwards.
+    /// As [`Loss::Kill`], and the disk is empty afterwards.
     Wipe,
     /// The machine is partitioned from the keepers and the other stores; relays still reach it.
     Partition,
-    /// The machine never returns; another one comes at another address.
+    /// The machine never returns; a new one joins at another address.
     Replace,
 }
 
@@ -23,16 +23,16 @@
     pub fn run_for(&mut self, span: Span) {
         let until = self.now + span;
         while self.now < until {
-            self.step_undisturbed();
+            self.step_without_faults();
         }
     }
 
-    /// The nodes whose process runs.
+    /// The nodes whose process is running.
     pub fn running_nodes(&self) -> Vec<usize> {
         self.nodes.iter().filter(|node| node.store.is_some()).map(|node| node.number).collect()
     }
 
-    /// The store that leads most partitions.
+    /// The running node that leads the most partitions.
     pub fn most_loaded_node(&self) -> usize {
         let led = |number: &usize| {
             let disk = self.nodes[*number].disk;
@@ -41,7 +41,7 @@
         self.running_nodes().into_iter().max_by_key(led).expect("a store")
     }
 
-    /// The store whose disk has lasted longest.
+    /// The running node with the oldest disk.
     pub fn oldest_node(&self) -> usize {
         self.running_nodes().into_iter().min_by_key(|number| self.nodes[*number].disk).expect("a store")
     }
@@ -73,7 +73,8 @@
         }
     }
 
-    /// All stores lose power at once and are soon back with their disks; this may happen whatever is lost.
+    /// Simulates a power loss of all running stores, which restart with their disks after `duration`. The fault model
+    /// allows this in addition to any loss.
     pub fn lose_power(&mut self, duration: Span) {
         let running_nodes = self.running_nodes();
         running_nodes.iter().for_each(|number| self.kill(*number));
@@ -81,7 +82,7 @@
         running_nodes.iter().for_each(|number| self.start(*number));
     }
 
-    /// Another machine joins.
+    /// Adds a machine to the cluster.
     pub fn add_node(&mut self) {
         let number = self.nodes.len();
         self.nodes.push(Node::new(number, &mut self.rng));
@@ -89,22 +90,22 @@
         self.subscribe(number);
     }
 
-    /// Retires a machine, and removes it with its disk as soon as that is completed.
+    /// Retires a machine, and removes it with its disk when the retirement is completed.
     pub fn retire(&mut self, number: usize, within: Span) {
         let name = self.nodes[number].name();
         let keepers = self.keepers.as_mut().expect("keepers that plan");
-        assert!(keepers.retire(self.now, &name), "a valid order is accepted");
+        assert!(keepers.retire(self.now, &name), "a valid retirement is accepted");
         let until = self.now + within;
         while !self.keepers.as_mut().expect("keepers that plan").is_retired(self.now, &name) {
             assert!(self.now < until, "{name:?} is not retired: {:?}", self.map);
-            self.step_undisturbed();
+            self.step_without_faults();
         }
         self.kill(number);
         self.nodes[number].wipe();
     }
 
-    /// Checks that the loss of any one store would lose nothing: every partition has its replicas, and each of them
-    /// has all stored turns.
+    /// Checks that the loss of any single store would lose no stored turn: every partition has its required replicas,
+    /// and each of them has all stored turns.
     pub fn check_loss_tolerance(&mut self) {
         let required = REQUIRED_REPLICAS.min(self.running_nodes().len());
         for assignment in &self.map.partitions {
--- a/crates/sessions/tests/simulation/map_publication.rs
+++ b/crates/sessions/tests/simulation/map_publication.rs
@@ -1,4 +1,4 @@
-//! The maps of the cluster: made by the keepers' planner or by a simple model, and published to the stores.
+//! The maps of the cluster, which are created by the keepers' planner or a simple model and published to the stores.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 const PARTITIONS: usize = 4;
 
 impl Cluster {
-    /// Has the keepers look for reachable stores and reassign partitions.
+    /// Runs the keepers: they detect the reachable stores and reassign partitions.
     pub(super) fn run_keepers(&mut self) {
         if self.keepers.is_some() {
             return self.run_planner();
@@ -55,7 +55,7 @@
         self.nodes.iter().filter(|node| node.is_reachable && node.store.is_some())
     }
 
-    /// Puts the replicas that were reported to have caught up in sync.
+    /// Adds replicas that were reported to have caught up to the in-sync replicas.
     fn apply_reports(&mut self) {
         let reports: Vec<_> = self.reachable_nodes().flat_map(Node::caught_up).collect();
         for report in reports {
@@ -75,18 +75,18 @@
     }
 
     fn broadcast(&mut self, map: Arc<StoreMap>) {
-        self.history.push(map.clone());
+        self.published_maps.push(map.clone());
         for to in 0..self.nodes.len() {
             self.packets.push(Packet::StoreMap { to, map: map.clone() });
         }
     }
 
-    /// A store subscribes again. A keeper that lags behind may send it an older map, too.
+    /// Subscribes a store again. A keeper that lags behind may also send it an older map.
     pub fn subscribe(&mut self, number: usize) {
         let map = Arc::new(self.map.clone());
         self.packets.push(Packet::StoreMap { to: number, map });
-        if !self.history.is_empty() && self.rng.random_bool(40) {
-            let map = self.history[self.rng.below(self.history.len())].clone();
+        if !self.published_maps.is_empty() && self.rng.random_bool(40) {
+            let map = self.published_maps[self.rng.below(self.published_maps.len())].clone();
             self.packets.push(Packet::StoreMap { to: number, map });
         }
     }
@@ -108,7 +108,7 @@
     StoreNode { disk: node.disk, node: node.name(), zone: "zone".into(), address: node.address() }
 }
 
-/// The replicas that may be missing while so few are in sync.
+/// The number of lost replicas in a map with this number of in-sync replicas.
 fn lost_replicas(in_sync: usize) -> u16 {
     REQUIRED_REPLICAS.saturating_sub(in_sync) as u16
 }
--- a/crates/sessions/tests/simulation/mod.rs
+++ b/crates/sessions/tests/simulation/mod.rs
@@ -1,5 +1,6 @@
-//! A small cluster of stores in virtual time, with a model of the keepers, a network that loses, delays and
-//! reorders, disks that lose what was not synced, and clients that check what the stores promise.
+//! Simulation of a small cluster of stores in virtual time. It includes a model of the keepers, a network that loses,
+//! delays and reorders messages, disks that lose data that was not synced, and clients that check the guarantees of the
+//! stores.
 
 #![allow(dead_code)]
 
--- a/crates/sessions/tests/simulation/node.rs
+++ b/crates/sessions/tests/simulation/node.rs
@@ -1,4 +1,4 @@
-//! One store of the cluster with its disk.
+//! A simulated store with its disk.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -6,11 +6,11 @@
 use juniperwing_clock::Time;
 use juniperwing_protocol::subscription::CaughtUp;
 use juniperwing_protocol::{DiskId, NodeName};
-use juniperwing_sessions::{Command, Event, Limits, Moment, Store, StoredRecord};
+use juniperwing_sessions::{ClockReading, Command, Event, Limits, Store, StoredRecord};
 
 use super::TestRng;
 
-/// The replicas required to tolerate the loss of one store.
+/// The number of replicas required to tolerate the loss of one store.
 pub const REQUIRED_REPLICAS: usize = 2;
 const LIMITS: Limits =
     Limits { required_replicas: REQUIRED_REPLICAS, memory_bytes: 1 << 30, disk_bytes: 1 << 30 };
@@ -21,12 +21,12 @@
     pub disk: DiskId,
     /// `None` while the process is down.
     pub store: Option<Store>,
-    /// Whether the keepers reach it.
+    /// Whether the keepers can reach the node.
     pub is_reachable: bool,
     /// How far the wall clock is ahead of the monotonic clock, in milliseconds.
     pub clock_offset_ms: u64,
     segments: BTreeMap<u64, Vec<StoredRecord>>,
-    /// Segments removed without a sync of the directory: they may come back.
+    /// Segments removed without a directory sync, which may reappear after a power loss.
     removed: BTreeMap<u64, Vec<StoredRecord>>,
     /// The batch that is being written.
     in_flight_batch: Option<Vec<StoredRecord>>,
@@ -61,33 +61,33 @@
         SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 1_000 + self.number as u16)
     }
 
-    /// The name of the machine; it outlasts the disk.
+    /// The name of the machine, which stays the same when its disk is replaced.
     pub fn name(&self) -> NodeName {
         NodeName::from(format!("store-{}", self.number).as_str())
     }
 
-    /// What the store reports to the keepers.
+    /// The replicas that the store reports to the keepers as caught up.
     pub fn caught_up(&self) -> Vec<CaughtUp> {
         self.store.as_ref().map_or(Vec::new(), Store::caught_up_replicas)
     }
 
-    pub fn moment(&self, now: Time) -> Moment {
+    pub fn clock(&self, now: Time) -> ClockReading {
         let elapsed_ms = now.since(Time::default()).as_nanos() / 1_000_000;
-        Moment { now, unix_time_ms: self.clock_offset_ms + elapsed_ms }
+        ClockReading { now, unix_time_ms: self.clock_offset_ms + elapsed_ms }
     }
 
-    /// Clocks differ by up to three seconds and may step.
+    /// Steps the wall clock. Clocks differ between nodes by up to three seconds.
     pub fn step_clock(&mut self, rng: &mut TestRng) {
         self.clock_offset_ms = 1_000_000_000 + rng.below(3_000) as u64;
     }
 
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Command> {
-        let moment = self.moment(now);
-        let commands = self.store.as_mut().map_or(Vec::new(), |store| store.handle(moment, event));
+        let clock = self.clock(now);
+        let commands = self.store.as_mut().map_or(Vec::new(), |store| store.handle(clock, event));
         self.apply_disk_commands(commands)
     }
 
-    /// Carries out the commands for the disk; returns the others.
+    /// Executes the disk commands and returns the others.
     fn apply_disk_commands(&mut self, commands: Vec<Command>) -> Vec<Command> {
         let mut others = Vec::new();
         for command in commands {
@@ -115,7 +115,7 @@
         self.in_flight_batch.is_some() || self.in_flight_map_version.is_some()
     }
 
-    /// Completes the sync in flight, in some cases with an error.
+    /// Completes the sync in flight, with an error in 3% of cases.
     pub fn complete_sync(&mut self, now: Time, rng: &mut TestRng) -> Vec<Command> {
         if let Some(version) = self.in_flight_map_version.take() {
             return self.complete_map_version(now, version, rng);
@@ -137,7 +137,7 @@
         self.handle(now, Event::MapVersionWritten { version })
     }
 
-    /// The process is killed or the machine loses power: the batch in flight may be on disk or not.
+    /// Simulates a killed process or a power loss: the batch in flight may or may not be on disk afterwards.
     pub fn kill(&mut self, rng: &mut TestRng) {
         self.store = None;
         if let Some(version) = self.in_flight_map_version.take().filter(|_| rng.random_bool(50)) {
@@ -164,10 +164,10 @@
     pub fn start(&mut self, now: Time) -> Vec<Command> {
         let mut store = Store::new(self.disk, LIMITS);
         for (number, records) in &self.segments {
-            store.recover_batch(self.moment(now), *number, BATCH_FILE_BYTES, records.clone());
+            store.recover_batch(self.clock(now), *number, BATCH_FILE_BYTES, records.clone());
         }
         store.recover_map_version(self.map_version);
-        let commands = store.finish_recovery(self.moment(now));
+        let commands = store.finish_recovery(self.clock(now));
         self.store = Some(store);
         self.apply_disk_commands(commands)
     }
