--- a/crates/sessions/tests/single_replica.rs
+++ b/crates/sessions/tests/single_replica.rs
@@ -1,4 +1,4 @@
-//! Two stores of which one is lost: the other goes on alone, and only for as long as nobody else may decide.
+//! One of two stores is lost: the other one continues alone, but only while no other store can be the primary.
 
 mod harness;
 
@@ -8,10 +8,10 @@
 use juniperwing_protocol::subscription::Assignment;
 use juniperwing_protocol::transfer::TransferReply;
 use juniperwing_protocol::{DiskId, EpochNumber};
-use juniperwing_sessions::{CallerId, Command, Event, Moment, Store};
+use juniperwing_sessions::{CallerId, ClockReading, Command, Event, Store};
 
-const NOW: Moment = Moment { now: Time::from_nanos(1), unix_time_ms: 1_000 };
-/// The digests of a replica without records.
+const NOW: ClockReading = ClockReading { now: Time::from_nanos(1), unix_time_ms: 1_000 };
+/// The digests of an empty replica.
 const EMPTY_DIGESTS: [u64; 16] = [0; 16];
 
 fn map(version: u64, in_sync: &[DiskId], joining: &[DiskId], lost_replicas: u16) -> Event {
@@ -25,12 +25,12 @@
     Event::StoreMap(map_of(version, assignment))
 }
 
-/// The other replica is known to be lost.
+/// A map by which the other replica is known to be lost.
 fn map_with_lost_replica(version: u64) -> Event {
     map(version, &[OWN], &[], 1)
 }
 
-/// The other replica is being filled.
+/// A map by which the other replica is joining.
 fn map_with_joining_replica(version: u64) -> Event {
     map(version, &[OWN], &[OTHER], 0)
 }
@@ -41,8 +41,8 @@
     Event::SessionRequest { caller: CallerId(1), request }
 }
 
-/// Begins a turn and completes the write to the store's own disk; returns the reply, if there is one.
-fn decide(store: &mut Store, request: &str, previous: Option<&str>) -> Option<SessionReply> {
+/// Begins a turn and completes the write to the store's own disk; returns the reply if there is one.
+fn begin_turn(store: &mut Store, request: &str, previous: Option<&str>) -> Option<SessionReply> {
     let commands = store.handle(NOW, begin(request, previous));
     if let Some(reply) = reply_of(&commands) {
         return Some(reply);
@@ -51,7 +51,7 @@
     reply_of(&commands)
 }
 
-/// A store that has synchronized the other replica while it joins, and the commands that followed.
+/// Returns a store that has just synchronized the joining replica, and the commands that resulted.
 fn synchronized() -> (Store, Vec<Command>) {
     let mut store = Store::new(OWN, LIMITS);
     store.handle(NOW, map_with_lost_replica(2));
@@ -65,44 +65,45 @@
 fn with_the_other_replica_known_to_be_lost_turns_begin_and_are_denied() {
     let mut store = Store::new(OWN, LIMITS);
     store.handle(NOW, map_with_lost_replica(2));
-    assert_eq!(decide(&mut store, "a", None), Some(TURN_BEGUN));
-    assert_eq!(decide(&mut store, "b", None), Some(TURN_BEGUN));
-    assert_eq!(decide(&mut store, "c", None), Some(SessionReply::BudgetExhausted));
-    assert_eq!(decide(&mut store, "d", Some("unknown")), Some(SessionReply::UnknownTurn));
+    assert_eq!(begin_turn(&mut store, "a", None), Some(TURN_BEGUN));
+    assert_eq!(begin_turn(&mut store, "b", None), Some(TURN_BEGUN));
+    assert_eq!(begin_turn(&mut store, "c", None), Some(SessionReply::BudgetExhausted));
+    assert_eq!(begin_turn(&mut store, "d", Some("unknown")), Some(SessionReply::UnknownTurn));
 }
 
 #[test]
 fn with_the_other_replica_only_missing_nothing_begins() {
-    // Guard: `lost_replicas` in `has_required_replicas`; a map that merely has too few in sync allows nothing.
+    // Guards the use of `lost_replicas` in `has_required_replicas`: a map that merely has too few replicas in sync does
+    // not allow turns to begin.
     let mut store = Store::new(OWN, LIMITS);
     store.handle(NOW, map(2, &[OWN], &[], 0));
-    assert_eq!(decide(&mut store, "a", None), Some(SessionReply::Unavailable));
+    assert_eq!(begin_turn(&mut store, "a", None), Some(SessionReply::Unavailable));
 }
 
 #[test]
 fn a_pending_write_is_acknowledged_when_the_other_replica_is_known_to_be_lost() {
-    // Guard: `lost_replicas` in `acknowledge_if_replicated`.
+    // Guards the use of `lost_replicas` in `acknowledge_if_replicated`.
     let mut store = Store::new(OWN, LIMITS);
     let (call, _) = last_call_of(&store.handle(NOW, map(1, &[OWN, OTHER], &[], 0)));
     let reply = Some(TransferReply::Digests(EMPTY_DIGESTS.to_vec()));
     store.handle(NOW, Event::CallCompleted { call, reply });
-    assert_eq!(decide(&mut store, "a", None), None);
+    assert_eq!(begin_turn(&mut store, "a", None), None);
     assert_eq!(reply_of(&store.handle(NOW, map(2, &[OWN], &[], 0))), None);
     let commands = store.handle(NOW, map_with_lost_replica(3));
     assert_eq!(reply_of(&commands), Some(TURN_BEGUN));
 }
 
 #[test]
-fn while_the_other_replica_is_being_filled_nothing_begins() {
+fn while_the_other_replica_is_joining_nothing_begins() {
     let mut store = Store::new(OWN, LIMITS);
     store.handle(NOW, map_with_lost_replica(2));
     store.handle(NOW, map_with_joining_replica(3));
-    assert_eq!(decide(&mut store, "a", None), Some(SessionReply::Unavailable));
+    assert_eq!(begin_turn(&mut store, "a", None), Some(SessionReply::Unavailable));
 }
 
 #[test]
 fn caught_up_replicas_are_reported_only_when_the_map_version_is_on_disk() {
-    // Guard: `caught_up_replicas` excludes those of maps that are not on disk.
+    // Guards that `caught_up_replicas` excludes replicas of maps whose version is not on disk.
     let (mut store, commands) = synchronized();
     assert_eq!(commands, [Command::WriteMapVersion { version: 3 }]);
     assert_eq!(store.caught_up_replicas(), []);
@@ -114,20 +115,21 @@
 fn a_failed_write_of_the_map_version_is_retried() {
     let (mut store, _) = synchronized();
     assert_eq!(store.handle(NOW, Event::MapVersionFailed), []);
-    let later = Moment { now: store.next_wake_at().expect("a timer"), ..NOW };
+    let later = ClockReading { now: store.next_wake_at().expect("a timer"), ..NOW };
     assert_eq!(store.handle(later, Event::Tick), [Command::WriteMapVersion { version: 3 }]);
 }
 
 #[test]
-fn after_a_restart_an_older_map_does_not_let_it_decide_alone() {
-    // Guard: `handle_store_map` ignores maps older than the version on disk. The other store may lead by now.
+fn after_a_restart_a_store_ignores_maps_older_than_the_version_on_disk() {
+    // Guards that `handle_store_map` ignores maps older than the version on disk: the other store may be the primary by
+    // now.
     let mut store = Store::new(OWN, LIMITS);
     store.recover_map_version(3);
     store.handle(NOW, map_with_lost_replica(2));
     let not_primary = SessionReply::NotPrimary { epoch: EpochNumber(0) };
-    assert_eq!(decide(&mut store, "a", None), Some(not_primary));
+    assert_eq!(begin_turn(&mut store, "a", None), Some(not_primary));
     store.handle(NOW, map_with_joining_replica(3));
-    assert_eq!(decide(&mut store, "a", None), Some(SessionReply::Unavailable));
+    assert_eq!(begin_turn(&mut store, "a", None), Some(SessionReply::Unavailable));
     store.handle(NOW, map_with_lost_replica(4));
-    assert_eq!(decide(&mut store, "a", None), Some(TURN_BEGUN));
+    assert_eq!(begin_turn(&mut store, "a", None), Some(TURN_BEGUN));
 }
--- a/crates/sessions/tests/successive_losses.rs
+++ b/crates/sessions/tests/successive_losses.rs
@@ -1,5 +1,5 @@
-//! One loss after the other, as soon as the fault model allows the next: nothing that was acknowledged is lost, and
-//! turns are served again soon after each loss, also by two stores. All stores may lose power in between.
+//! Successive losses of stores, each as soon as the fault model allows it. No acknowledged write is lost, and turns
+//! begin again soon after each loss, even with two stores. All stores may lose power in between.
 
 mod simulation;
 
@@ -10,13 +10,13 @@
 
 const RUNS: u64 = 40;
 const LOSSES_PER_RUN: usize = 6;
-/// A machine counts as lost for this long after it is back (`catchUpS`).
+/// A machine is still considered lost for this long after its return (`catchUpS`).
 const CATCH_UP_MS: usize = 4_000;
-/// Turns are served again this long after the beginning of a loss.
+/// The time after the start of a loss within which turns must be able to begin again.
 const RECOVERY_TIME: Span = Span::from_millis(2_500);
-/// A store machine is retired within this time.
+/// The timeout for the retirement of a store machine.
 const RETIREMENT_TIMEOUT: Span = Span::from_millis(8_000);
-/// How long, at least, a turn may take to begin after the recovery.
+/// The minimum time in which a turn must begin after the recovery.
 const MIN_OBSERVATION_MS: usize = 1_500;
 
 fn random_span(rng: &mut TestRng, max_ms: usize) -> Span {
@@ -41,12 +41,12 @@
         cluster.run_for(Span::from_millis(MIN_OBSERVATION_MS as u64) + random_span(rng, 4_000));
         assert!(
             cluster.clients.begun_turns > begun_before,
-            "no turn is served after {loss:?} of {lost_node}"
+            "no turn begins after {loss:?} of node {lost_node}"
         );
     }
     cluster.end_loss(lost_node, loss);
     if rng.random_bool(30) {
-        // Perhaps in the middle of the synchronization.
+        // The power loss may interrupt the synchronization of replicas.
         cluster.run_for(random_span(rng, 1_000));
         cluster.lose_power(random_span(rng, 1_000));
     }
@@ -83,7 +83,7 @@
         begun_turns += cluster.clients.begun_turns;
         stored_turns += cluster.clients.stored_turns.len();
     }
-    // The runs must exercise something.
+    // The runs must cover turns that begin and are stored.
     let runs = RUNS as usize;
     assert!(begun_turns > 100 * runs && stored_turns > 50 * runs, "{begun_turns} {stored_turns}");
 }
