--- a/crates/node/src/sessions_client/background.rs
+++ b/crates/node/src/sessions_client/background.rs
@@ -18,16 +18,19 @@
 #[derive(Clone)]
 pub(super) struct BackgroundCommits {
     permits: Arc<Semaphore>,
-    lost: Arc<AtomicU64>,
+    failed: Arc<AtomicU64>,
 }
 
 impl BackgroundCommits {
     pub(super) fn new() -> Self {
-        BackgroundCommits { permits: Arc::new(Semaphore::new(MAX_BACKGROUND_COMMITS)), lost: Arc::default() }
+        BackgroundCommits {
+            permits: Arc::new(Semaphore::new(MAX_BACKGROUND_COMMITS)),
+            failed: Arc::default(),
+        }
     }
 
-    fn count_lost(&self) {
-        self.lost.fetch_add(1, Ordering::Relaxed);
+    fn count_failed(&self) {
+        self.failed.fetch_add(1, Ordering::Relaxed);
     }
 }
 
@@ -36,11 +39,11 @@
     /// retries time out, the turn may stay uncommitted, and its reservation then counts in full against the budget.
     pub fn finish_in_background(&self, finish: FinishTurn) {
         let permits = Arc::clone(&self.background.permits);
-        let Ok(permit) = permits.try_acquire_owned() else { return self.background.count_lost() };
+        let Ok(permit) = permits.try_acquire_owned() else { return self.background.count_failed() };
         let client = self.clone();
         tokio::spawn(async move {
             if client.finish(finish, BACKGROUND_COMMIT_TIMEOUT).await.is_err() {
-                client.background.count_lost();
+                client.background.count_failed();
             }
             drop(permit);
         });
@@ -59,6 +62,6 @@
 
     /// The number of background commits that failed or were dropped.
     pub fn lost_commits(&self) -> u64 {
-        self.background.lost.load(Ordering::Relaxed)
+        self.background.failed.load(Ordering::Relaxed)
     }
 }
--- a/crates/node/src/sessions_client/lookup.rs
+++ b/crates/node/src/sessions_client/lookup.rs
@@ -55,14 +55,14 @@
             let client = self.clone();
             calls.spawn(async move { client.call_once(primary, call, deadline).await });
         }
-        let mut is_certain = true;
+        let mut is_definite = true;
         while let Some(reply) = calls.join_next().await {
             match reply {
                 Ok(Ok(SessionReply::TurnFound { chain })) => return LookupResult::Found(chain),
                 Ok(Ok(SessionReply::UnknownTurn)) => {}
-                _ => is_certain = false,
+                _ => is_definite = false,
             }
         }
-        if is_certain { LookupResult::NotFound } else { LookupResult::Uncertain }
+        if is_definite { LookupResult::NotFound } else { LookupResult::Uncertain }
     }
 }
--- a/crates/sessions/src/admission.rs
+++ b/crates/sessions/src/admission.rs
@@ -7,7 +7,7 @@
 use juniperwing_protocol::{PartitionId, RequestId};
 
 use crate::chain::Chain;
-use crate::epoch_confirmation::EpochCertainty;
+use crate::epoch_confirmation::EpochStatus;
 use crate::event::CallerId;
 use crate::limits::{BUDGET_RETENTION_MS, RESERVATION_RETENTION_MS};
 use crate::statistics::UnavailableReason;
@@ -26,7 +26,7 @@
 
 impl Store {
     pub(crate) fn handle_begin(
-        &mut self, caller: CallerId, request: SessionRequest, begin: &BeginTurn, certainty: EpochCertainty,
+        &mut self, caller: CallerId, request: SessionRequest, begin: &BeginTurn, epoch_status: EpochStatus,
     ) {
         if self.is_capacity_exhausted() {
             return self.send_unavailable(caller, UnavailableReason::CapacityExhausted);
@@ -35,7 +35,7 @@
         let chain = match self.chain_for(partition, begin) {
             Chain::Found(chain) => chain,
             Chain::Broken => return self.send_unavailable(caller, UnavailableReason::BrokenChain),
-            Chain::Unknown => return self.deny(caller, request, SessionReply::UnknownTurn, certainty),
+            Chain::Unknown => return self.deny(caller, request, SessionReply::UnknownTurn, epoch_status),
         };
         let mut records = self.imported_records(partition, begin, &chain);
         if let Some(budget) = begin.budget {
@@ -45,7 +45,7 @@
                     return self.send_unavailable(caller, UnavailableReason::AlreadyCommitted);
                 }
                 Admission::AlreadyDenied => {
-                    return self.deny(caller, request, SessionReply::BudgetExhausted, certainty);
+                    return self.deny(caller, request, SessionReply::BudgetExhausted, epoch_status);
                 }
                 Admission::Denied(record) => {
                     // All replicas confirm the write in this epoch, so no separate epoch confirmation is needed.
--- a/crates/sessions/src/anti_entropy.rs
+++ b/crates/sessions/src/anti_entropy.rs
@@ -227,13 +227,13 @@
         }
     }
 
-    fn handle_digests(&mut self, step: SyncStep, theirs: &[u64]) {
+    fn handle_digests(&mut self, step: SyncStep, remote: &[u64]) {
         let table = self.tables.entry(step.partition).or_default();
-        let ours = table.digests(DIGEST_RANGE_COUNT, step.live_after_ms);
-        if theirs.len() != ours.len() {
+        let local = table.digests(DIGEST_RANGE_COUNT, step.live_after_ms);
+        if remote.len() != local.len() {
             return self.retry_sync_later(step);
         }
-        let differs = |range: &u16| ours[usize::from(*range)] != theirs[usize::from(*range)];
+        let differs = |range: &u16| local[usize::from(*range)] != remote[usize::from(*range)];
         let differing: Vec<u16> = (0..DIGEST_RANGE_COUNT).filter(differs).collect();
         if differing.is_empty() {
             self.mark_synchronized(step.partition, step.replica);
--- a/crates/sessions/src/epoch_confirmation.rs
+++ b/crates/sessions/src/epoch_confirmation.rs
@@ -33,7 +33,7 @@
 
 /// Whether the epochs in which a request is processed have been confirmed since it arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum EpochCertainty {
+pub(crate) enum EpochStatus {
     Unconfirmed,
     Confirmed,
 }
@@ -41,19 +41,19 @@
 impl Store {
     /// Denies a request that concerns only its own partition.
     pub(crate) fn deny(
-        &mut self, caller: CallerId, request: SessionRequest, reply: SessionReply, certainty: EpochCertainty,
+        &mut self, caller: CallerId, request: SessionRequest, reply: SessionReply, epoch_status: EpochStatus,
     ) {
         let partitions = vec![PartitionEpoch { partition: request.partition, epoch: request.epoch }];
-        self.deny_in_partitions(caller, request, partitions, reply, certainty);
+        self.deny_in_partitions(caller, request, partitions, reply, epoch_status);
     }
 
     /// Denies a request if all other replicas of the partitions have confirmed the epochs; otherwise first requests the
     /// confirmations.
     pub(crate) fn deny_in_partitions(
         &mut self, caller: CallerId, request: SessionRequest, partitions: Vec<PartitionEpoch>,
-        reply: SessionReply, certainty: EpochCertainty,
+        reply: SessionReply, epoch_status: EpochStatus,
     ) {
-        if certainty == EpochCertainty::Confirmed {
+        if epoch_status == EpochStatus::Confirmed {
             return self.send_session_reply(caller, reply);
         }
         let epochs = self.current_epochs(&partitions);
@@ -110,7 +110,7 @@
         };
         if is_confirmed && epochs.iter().all(|epoch| self.is_primary_in(*epoch)) {
             // The request is processed again, since the missing turn may have been stored meanwhile.
-            self.process_session_request(caller, request, EpochCertainty::Confirmed);
+            self.process_session_request(caller, request, EpochStatus::Confirmed);
         } else {
             self.send_unavailable(caller, UnavailableReason::EpochNotConfirmed);
         }
--- a/crates/sessions/src/lookup.rs
+++ b/crates/sessions/src/lookup.rs
@@ -4,7 +4,7 @@
 use juniperwing_protocol::session::{PartitionEpoch, SessionReply, SessionRequest, Turn};
 
 use crate::chain::Chain;
-use crate::epoch_confirmation::EpochCertainty;
+use crate::epoch_confirmation::EpochStatus;
 use crate::event::CallerId;
 use crate::statistics::UnavailableReason;
 use crate::store::Store;
@@ -12,7 +12,7 @@
 impl Store {
     pub(crate) fn handle_find(
         &mut self, caller: CallerId, request: SessionRequest, turn: &RequestId,
-        partitions: Vec<PartitionEpoch>, certainty: EpochCertainty,
+        partitions: Vec<PartitionEpoch>, epoch_status: EpochStatus,
     ) {
         // A stored turn is valid whichever store leads the partition, so the epochs need not be checked.
         if let Some(chain) = self.find_chain(turn) {
@@ -29,7 +29,7 @@
                 return self.send_unavailable(caller, UnavailableReason::NotSynchronized);
             }
         }
-        self.deny_in_partitions(caller, request, partitions, SessionReply::UnknownTurn, certainty);
+        self.deny_in_partitions(caller, request, partitions, SessionReply::UnknownTurn, epoch_status);
     }
 
     fn find_chain(&self, turn: &RequestId) -> Option<Vec<Turn>> {
--- a/crates/sessions/src/primary.rs
+++ b/crates/sessions/src/primary.rs
@@ -3,7 +3,7 @@
 use juniperwing_protocol::session::{SessionCall, SessionReply, SessionRequest};
 use juniperwing_protocol::{EpochNumber, PartitionId};
 
-use crate::epoch_confirmation::EpochCertainty;
+use crate::epoch_confirmation::EpochStatus;
 use crate::event::{CallerId, Command};
 use crate::limits::MAX_PENDING_WRITES;
 use crate::statistics::UnavailableReason;
@@ -12,16 +12,16 @@
 impl Store {
     /// Handles a relay's request.
     pub(crate) fn handle_session_request(&mut self, caller: CallerId, request: SessionRequest) {
-        self.process_session_request(caller, request, EpochCertainty::Unconfirmed);
+        self.process_session_request(caller, request, EpochStatus::Unconfirmed);
     }
 
     /// Processes a request, or defers it until its partition is synchronized.
     pub(crate) fn process_session_request(
-        &mut self, caller: CallerId, request: SessionRequest, certainty: EpochCertainty,
+        &mut self, caller: CallerId, request: SessionRequest, epoch_status: EpochStatus,
     ) {
         if let SessionCall::Find { turn, partitions } = &request.body {
             let (turn, partitions) = (turn.clone(), partitions.clone());
-            return self.handle_find(caller, request, &turn, partitions, certainty);
+            return self.handle_find(caller, request, &turn, partitions, epoch_status);
         }
         let partition = request.partition;
         if !self.is_primary_since(partition, request.epoch) {
@@ -44,7 +44,7 @@
             SessionCall::Begin(_) if !self.is_synchronized(partition) => self.wait_for_sync(caller, request),
             SessionCall::Begin(begin) => {
                 let begin = begin.clone();
-                self.handle_begin(caller, request, &begin, certainty);
+                self.handle_begin(caller, request, &begin, epoch_status);
             }
             SessionCall::Find { .. } => {}
         }
--- a/crates/sessions/tests/session_requests.rs
+++ b/crates/sessions/tests/session_requests.rs
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn a_new_primary_decides_nothing_before_the_replica_is_synchronized() {
+fn a_new_primary_defers_requests_until_the_replica_is_synchronized() {
     let (mut store, commands) = TestStore::new();
     let (digests, _) = last_call_of(&commands);
     assert_eq!(reply_of(&store.send_request(1, begin("a", Some("w"), Some(50)))), None);
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn with_too_few_replicas_or_another_primary_nothing_is_decided() {
+fn with_too_few_replicas_or_another_primary_requests_are_rejected() {
     let (mut store, commands) = TestStore::with_limits(Limits { required_replicas: 3, ..LIMITS });
     let (call, _) = last_call_of(&commands);
     store.complete_call(call, TransferReply::Digests(vec![0; 16]));
--- a/crates/sessions/tests/single_replica.rs
+++ b/crates/sessions/tests/single_replica.rs
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn with_the_other_replica_only_missing_nothing_begins() {
+fn with_the_other_replica_missing_but_not_known_to_be_lost_nothing_begins() {
     // Guards the use of `lost_replicas` in `has_required_replicas`: a map that merely has too few replicas in sync does
     // not allow turns to begin.
     let mut store = Store::new(OWN, LIMITS);
