--- a/crates/sessions/src/admission.rs
+++ b/crates/sessions/src/admission.rs
@@ -16,7 +16,7 @@
 /// The result of checking a turn against its program's budget.
 enum Admission {
     Admitted(Box<Record>),
-    /// The turn was committed before, so it must not run again.
+    /// The turn is already committed: it has run or was abandoned, so it must not run now.
     AlreadyCommitted,
     /// The turn was denied before. A denial is final, even if the budget would allow the turn now.
     AlreadyDenied,
--- a/crates/sessions/src/call.rs
+++ b/crates/sessions/src/call.rs
@@ -59,8 +59,8 @@
         let partition = match purpose {
             CallPurpose::Write { write, .. } => self.pending_writes.get(&write).map(|write| write.partition),
             CallPurpose::Sync(step) => Some(step.partition()),
-            // A confirmation may cover several partitions, so it ends the lead of none of them. The request that
-            // waits for it is answered as unavailable.
+            // A confirmation may cover several partitions, and the reply does not say which of them is fenced, so this
+            // store gives up none of them here. The request that waits for it is answered as unavailable.
             CallPurpose::ConfirmEpochs { .. } => None,
         };
         let Some(partition) = partition else { return };
--- a/crates/sessions/src/statistics.rs
+++ b/crates/sessions/src/statistics.rs
@@ -22,7 +22,7 @@
     CapacityExhausted,
     /// The chain that the turn continues is incomplete.
     BrokenChain,
-    /// The turn is already committed, so it must not run again.
+    /// The turn is already committed: it has run or was abandoned, so it must not run now.
     AlreadyCommitted,
     /// An in-sync replica is not synchronized.
     NotSynchronized,
