--- a/crates/configuration/src/check.rs
+++ b/crates/configuration/src/check.rs
@@ -1,4 +1,5 @@
-//! Checks messages and converts them into the model. Every check continues after a finding.
+//! Validates a configuration message and converts it into the model. Validation continues after a finding, so that
+//! all findings are reported together.
 
 mod fields;
 mod routes;
@@ -17,11 +18,11 @@
 use routes::RouteKey;
 use section::Section;
 
-/// Checks a whole configuration.
+/// Validates a configuration message.
 ///
 /// # Errors
 ///
-/// Everything that is wrong.
+/// All findings.
 pub(crate) fn check(message: ConfigurationMessage) -> Result<Configuration, Findings> {
     let mut checker = Checker::default();
     let generation = checker.generation(message.generation);
@@ -34,13 +35,13 @@
     Ok(Configuration { generation, routes, services, limits })
 }
 
-/// The names that have been seen so far, and the findings.
+/// The names registered so far, for detecting duplicates and unknown references, and the findings.
 #[derive(Default)]
 struct Checker {
     findings: Findings,
-    /// The index of each service.
+    /// Indexes of the services in the message.
     services: BTreeMap<ServiceName, usize>,
-    /// The index of each route.
+    /// Indexes of the routes in the message.
     routes: BTreeMap<RouteKey, usize>,
 }
 
@@ -54,10 +55,10 @@
 
     fn limits(&mut self, message: LimitsMessage) -> Limits {
         let section = Section::Limits;
-        let header_bytes = self.amount(section, "maxHeaderBytes", message.max_header_bytes);
-        let body_bytes = self.amount(section, "maxBodyBytes", message.max_body_bytes);
-        let header_timeout = self.span_ms(section, "headerTimeoutMs", message.header_timeout_ms);
-        let idle_timeout = self.span_ms(section, "idleTimeoutMs", message.idle_timeout_ms);
+        let header_bytes = self.byte_or_token_count(section, "maxHeaderBytes", message.max_header_bytes);
+        let body_bytes = self.byte_or_token_count(section, "maxBodyBytes", message.max_body_bytes);
+        let header_timeout = self.duration_ms(section, "headerTimeoutMs", message.header_timeout_ms);
+        let idle_timeout = self.duration_ms(section, "idleTimeoutMs", message.idle_timeout_ms);
         Limits {
             max_header_bytes: header_bytes.unwrap_or(DEFAULT_LIMITS.max_header_bytes),
             max_body_bytes: body_bytes.unwrap_or(DEFAULT_LIMITS.max_body_bytes),
--- a/crates/configuration/src/check/fields.rs
+++ b/crates/configuration/src/check/fields.rs
@@ -1,4 +1,4 @@
-//! Checks single fields.
+//! Validates single fields.
 
 use std::sync::Arc;
 
@@ -8,16 +8,18 @@
 use super::section::Section;
 use crate::problem::Problem;
 
-/// The longest span that is allowed, in milliseconds: a year of 366 days.
-pub(super) const MAX_SPAN_MS: f64 = 366.0 * 86_400_000.0;
-/// The greatest weight, priority, or number of endpoints, connections or requests.
+/// Upper limit of durations, in milliseconds: a year of 366 days.
+pub(super) const MAX_DURATION_MS: f64 = 366.0 * 86_400_000.0;
+/// Upper limit of weights, priorities, and numbers of endpoints, connections or requests.
 pub(super) const MAX_COUNT: f64 = u32::MAX as f64;
-/// The greatest number of bytes or tokens; doubles are exact up to here.
-pub(super) const MAX_AMOUNT: f64 = (1_u64 << 53) as f64;
+/// Upper limit of numbers of bytes or tokens: a double represents every integer up to here exactly.
+pub(super) const MAX_EXACT_INTEGER: f64 = (1_u64 << 53) as f64;
 
 impl Checker {
-    /// A text that is required and must not be empty; empty after a finding.
-    pub(super) fn text(&mut self, section: Section, field: &str, value: Option<String>) -> Arc<str> {
+    /// Returns a required string, which must not be empty; an empty one after a finding.
+    pub(super) fn required_string(
+        &mut self, section: Section, field: &str, value: Option<String>,
+    ) -> Arc<str> {
         match value.as_deref() {
             None => self.findings.add(section.field(field), Problem::Missing),
             Some("") => self.findings.add(section.field(field), Problem::Empty),
@@ -26,25 +28,27 @@
         value.unwrap_or_default().into()
     }
 
-    /// A span in milliseconds; `None` if it is missing or 0.
-    pub(super) fn span_ms(&mut self, section: Section, field: &str, value: Option<f64>) -> Option<Span> {
-        let millis = self.number(section, field, value, MAX_SPAN_MS)?;
+    /// Converts a duration in milliseconds; `None` if it is missing, 0 or invalid.
+    pub(super) fn duration_ms(&mut self, section: Section, field: &str, value: Option<f64>) -> Option<Span> {
+        let millis = self.number(section, field, value, MAX_DURATION_MS)?;
         let span = Span::from_secs_f64(millis / 1e3);
-        // A tiny span is not rounded to 0, which means that the field is not given.
+        // A duration below 1 ns must not be rounded to 0, which means that the field is not given.
         Some(span.max(Span::from_nanos(1)))
     }
 
-    /// An integer that counts things; `None` if it is missing or 0.
+    /// Converts a 32-bit count; `None` if it is missing, 0 or invalid.
     pub(super) fn count(&mut self, section: Section, field: &str, value: Option<f64>) -> Option<u32> {
         self.integer(section, field, value, MAX_COUNT).map(|count| count as u32)
     }
 
-    /// An integer number of bytes or tokens; `None` if it is missing or 0.
-    pub(super) fn amount(&mut self, section: Section, field: &str, value: Option<f64>) -> Option<u64> {
-        self.integer(section, field, value, MAX_AMOUNT)
+    /// Converts a number of bytes or tokens; `None` if it is missing, 0 or invalid.
+    pub(super) fn byte_or_token_count(
+        &mut self, section: Section, field: &str, value: Option<f64>,
+    ) -> Option<u64> {
+        self.integer(section, field, value, MAX_EXACT_INTEGER)
     }
 
-    /// An integer from 0 to `max`; `None` if it is missing or 0.
+    /// Converts an integer from 0 to `max`; `None` if it is missing, 0 or invalid.
     fn integer(&mut self, section: Section, field: &str, value: Option<f64>, max: f64) -> Option<u64> {
         let value = self.number(section, field, value, max)?;
         if value.fract() != 0.0 {
@@ -54,7 +58,7 @@
         Some(value as u64)
     }
 
-    /// A number from 0 to `max`; `None` if it is missing, 0 or out of this range.
+    /// Checks that a number is in the range from 0 to `max`; `None` if it is missing, 0 or out of this range.
     pub(super) fn number(
         &mut self, section: Section, field: &str, value: Option<f64>, max: f64,
     ) -> Option<f64> {
--- a/crates/configuration/src/check/routes.rs
+++ b/crates/configuration/src/check/routes.rs
@@ -1,4 +1,4 @@
-//! Checks the routes.
+//! Validates routes.
 
 use std::collections::btree_map::Entry;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 use juniperwing_protocol::identity::ServiceName;
 
 use super::Checker;
-use super::fields::{MAX_COUNT, MAX_SPAN_MS};
+use super::fields::{MAX_COUNT, MAX_DURATION_MS};
 use super::section::Section;
 use crate::message::{RouteMessage, WeightedBackendMessage};
 use crate::model::DEFAULT_RETENTION;
@@ -16,7 +16,7 @@
 use crate::table::normalize_host;
 use crate::weighted_services::{WeightedService, WeightedServices};
 
-/// A host and a prefix, which together are unique to a route.
+/// Host and path prefix, which together identify a route.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct RouteKey {
     hostname: Arc<str>,
@@ -32,7 +32,7 @@
         routes
     }
 
-    /// A route; `None` only after a finding.
+    /// Converts a route; `None` only after a finding.
     fn route(&mut self, index: usize, message: RouteMessage) -> Option<Route> {
         let section = Section::Route(index);
         let hostname = self.hostname(section, message.hostname);
@@ -41,12 +41,12 @@
         let resumable = message.resumable.unwrap_or(false);
         let route_type = self.route_type(section, message.route_type, resumable);
         let timeout = self.timeout(section, message.timeout_ms);
-        let target_latency = self.span_ms(section, "targetLatencyMs", message.target_latency_ms);
+        let target_latency = self.duration_ms(section, "targetLatencyMs", message.target_latency_ms);
         let priority = self.count(section, "priority", message.priority).unwrap_or(0);
         let services = self.weighted_services(index, message.backend, message.weighted_backends);
         let max_retries = self.count(section, "maxRetries", message.max_retries).unwrap_or(1);
         let retention = self.retention(section, message.retention_s);
-        let target_event_gap = self.span_ms(section, "gap_aim_ms", message.gap_aim_ms);
+        let target_event_gap = self.duration_ms(section, "gap_aim_ms", message.gap_aim_ms);
         Some(Route {
             name: RouteName(message.name.unwrap_or_default().into()),
             hostname,
@@ -64,14 +64,14 @@
         })
     }
 
-    /// A host in lower case and without its port.
+    /// Normalizes a host to lower case without its port.
     fn hostname(&mut self, section: Section, hostname: Option<String>) -> Arc<str> {
         let hostname = hostname.map(|hostname| normalize_host(&hostname).into_owned());
-        self.text(section, "hostname", hostname)
+        self.required_string(section, "hostname", hostname)
     }
 
     fn path_prefix(&mut self, section: Section, prefix: Option<String>) -> Arc<str> {
-        let prefix = self.text(section, "pathPrefix", prefix);
+        let prefix = self.required_string(section, "pathPrefix", prefix);
         let is_well_formed = prefix.starts_with('/') && prefix.ends_with('/');
         if !prefix.is_empty() && !is_well_formed {
             let problem = Problem::PrefixWithoutSlash { prefix: excerpt(&prefix) };
@@ -80,7 +80,7 @@
         prefix
     }
 
-    /// Remembers a route's host and prefix, and reports a duplicate.
+    /// Registers a route by its host and prefix; a duplicate is a finding.
     fn register_route(&mut self, index: usize, hostname: &Arc<str>, path_prefix: &Arc<str>) {
         if hostname.is_empty() || path_prefix.is_empty() {
             return;
@@ -97,7 +97,7 @@
         }
     }
 
-    /// The type of a route; the most restrictive one if none is given.
+    /// Parses the type of a route. The default is the most restrictive one, which is never retried.
     fn route_type(&mut self, section: Section, value: Option<String>, resumable: bool) -> RouteType {
         match value.as_deref() {
             Some("streaming") => RouteType::Streaming { resumable },
@@ -117,16 +117,16 @@
             Some(0.0) => self.findings.add(section.field("timeoutMs"), Problem::Zero),
             Some(_) => {}
         }
-        self.span_ms(section, "timeoutMs", timeout_ms).unwrap_or(Span::ZERO)
+        self.duration_ms(section, "timeoutMs", timeout_ms).unwrap_or(Span::ZERO)
     }
 
     fn retention(&mut self, section: Section, retention_s: Option<f64>) -> Span {
         let Some(retention_s) = retention_s else { return DEFAULT_RETENTION };
-        let retention = self.number(section, "retentionS", Some(retention_s), MAX_SPAN_MS / 1e3);
+        let retention = self.number(section, "retentionS", Some(retention_s), MAX_DURATION_MS / 1e3);
         Span::from_secs_f64(retention.unwrap_or(0.0))
     }
 
-    /// The services of a route; `None` only after a finding.
+    /// Resolves the services of a route; `None` only after a finding.
     fn weighted_services(
         &mut self, route: usize, backend: Option<String>, weighted: Vec<WeightedBackendMessage>,
     ) -> Option<WeightedServices> {
@@ -148,31 +148,31 @@
             self.findings.add(section.field("backend"), Problem::NoService);
             return None;
         };
-        let service = self.known_service(section, &name)?;
+        let service = self.resolve_service(section, &name)?;
         WeightedServices::new(vec![WeightedService { service, weight: 1.0 }])
     }
 
-    /// A service with its weight, which may be 0.
+    /// Resolves a service and checks its weight, which may be 0.
     fn weighted_service(
         &mut self, route: usize, index: usize, message: WeightedBackendMessage,
     ) -> Option<WeightedService> {
         let section = Section::WeightedService(route, index);
         let weight = self.number(section, "weight", message.weight, MAX_COUNT);
-        let name = self.text(section, "backend", message.backend);
+        let name = self.required_string(section, "backend", message.backend);
         if name.is_empty() {
             return None;
         }
-        let service = self.known_service(section, &name)?;
+        let service = self.resolve_service(section, &name)?;
         Some(WeightedService { service, weight: weight.unwrap_or(0.0) })
     }
 
-    /// The service with a name, sharing the memory of the name.
-    fn known_service(&mut self, section: Section, name: &str) -> Option<ServiceName> {
-        let known = self.services.get_key_value(&ServiceName::from(name));
-        if known.is_none() {
+    /// Looks up a service and returns its registered name, whose allocation all references share.
+    fn resolve_service(&mut self, section: Section, name: &str) -> Option<ServiceName> {
+        let registered = self.services.get_key_value(&ServiceName::from(name));
+        if registered.is_none() {
             let problem = Problem::UnknownService { name: excerpt(name) };
             self.findings.add(section.field("backend"), problem);
         }
-        known.map(|(name, _)| name.clone())
+        registered.map(|(name, _)| name.clone())
     }
 }
--- a/crates/configuration/src/check/section.rs
+++ b/crates/configuration/src/check/section.rs
@@ -1,14 +1,14 @@
-//! The sections of a configuration, by their indices.
+//! Sections of a configuration, identified by their indexes.
 
 use std::fmt;
 
 use crate::location::Location;
 
-/// The section of a configuration that a field belongs to.
+/// The JSON object that a field belongs to.
 #[derive(Clone, Copy)]
 pub(super) enum Section {
     Route(usize),
-    /// A service of a route, by the indices of both.
+    /// A weighted service of a route: the index of the route, and that of the service within the route.
     WeightedService(usize, usize),
     Service(usize),
     /// The engine of a service.
--- a/crates/configuration/src/check/services.rs
+++ b/crates/configuration/src/check/services.rs
@@ -1,4 +1,4 @@
-//! Checks the services.
+//! Validates services.
 
 use std::collections::btree_map::Entry;
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 use juniperwing_protocol::identity::ServiceName;
 
 use super::Checker;
-use super::fields::MAX_AMOUNT;
+use super::fields::MAX_EXACT_INTEGER;
 use super::section::Section;
 use crate::message::{BackendMessage, EngineMessage};
 use crate::problem::Problem;
@@ -23,7 +23,7 @@
 
     fn service(&mut self, index: usize, message: BackendMessage) -> Service {
         let section = Section::Service(index);
-        let name = ServiceName(self.text(section, "name", message.name));
+        let name = ServiceName(self.required_string(section, "name", message.name));
         self.register_service(index, &name);
         Service {
             name,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Remembers a service's name, and reports a duplicate.
+    /// Registers a service by its name; a duplicate is a finding.
     fn register_service(&mut self, index: usize, name: &ServiceName) {
         if name.0.is_empty() {
             return;
@@ -56,9 +56,9 @@
         let models = message.models.into_iter().filter_map(|model| model.name);
         Engine {
             capacity: self.count(section, "capacity", message.capacity),
-            kv_tokens: self.amount(section, "kvTokens", message.kv_tokens),
-            kv_bytes: self.amount(section, "kvBytes", message.kv_bytes),
-            link_mbps: self.number(section, "linkMbps", message.link_mbps, MAX_AMOUNT),
+            kv_tokens: self.byte_or_token_count(section, "kvTokens", message.kv_tokens),
+            kv_bytes: self.byte_or_token_count(section, "kvBytes", message.kv_bytes),
+            link_mbps: self.number(section, "linkMbps", message.link_mbps, MAX_EXACT_INTEGER),
             tokens_per_event: self.count(section, "stride", message.stride).unwrap_or(1),
             models: models.map(|name| ModelName(name.into())).collect(),
         }
--- a/crates/configuration/src/digest.rs
+++ b/crates/configuration/src/digest.rs
@@ -1,4 +1,4 @@
-//! The digest by which an order that is sent again is recognised.
+//! The digest of an order, by which a resent order is recognized as a duplicate.
 
 use std::fmt;
 
@@ -8,7 +8,7 @@
 /// The number of bytes in an [`OrderDigest`].
 pub const DIGEST_BYTES: usize = 16;
 
-/// Identifies a configuration together with the generation on which it builds.
+/// Identifies a configuration together with the generation that it is based on.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OrderDigest([u8; DIGEST_BYTES]);
 
@@ -36,8 +36,8 @@
     }
 }
 
-/// The digest of an order: of the generation on which it builds (`If-Match`) and of its body, byte for byte. It
-/// consists of the first bytes of SHA-256, and is the same on every machine.
+/// Computes the digest of an order: SHA-256 over the base generation (`If-Match`, eight bytes, little-endian) and the
+/// body as received, truncated to [`DIGEST_BYTES`]. It is the same on every machine.
 pub fn digest(base: u64, body: &[u8]) -> OrderDigest {
     let hash = Sha256::new().chain_update(base.to_le_bytes()).chain_update(body).finalize();
     let mut bytes = [0; DIGEST_BYTES];
--- a/crates/configuration/src/findings.rs
+++ b/crates/configuration/src/findings.rs
@@ -1,4 +1,4 @@
-//! Everything that is wrong with a configuration.
+//! Findings: the problems of an invalid configuration.
 
 use std::fmt;
 
@@ -8,15 +8,15 @@
 use crate::location::Location;
 use crate::problem::Problem;
 
-/// The number of findings that are listed; further ones are only counted.
+/// Maximum number of listed findings; further ones are only counted.
 pub const MAX_FINDINGS: usize = 100;
 
-/// Something wrong, and its location.
+/// A problem and its location.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finding {
-    /// Where.
+    /// Where the problem is.
     pub location: Location,
-    /// What.
+    /// The problem.
     pub problem: Problem,
 }
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// Everything that is wrong with a configuration, in the order in which it was found.
+/// The findings about a configuration, in the order in which they were found.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Findings {
     /// The first [`MAX_FINDINGS`].
@@ -45,7 +45,7 @@
 }
 
 impl Findings {
-    /// The findings that are listed, [`MAX_FINDINGS`] at most.
+    /// The listed findings, at most [`MAX_FINDINGS`].
     pub fn listed(&self) -> &[Finding] {
         &self.findings
     }
@@ -55,12 +55,12 @@
         self.omitted
     }
 
-    /// Whether nothing is wrong.
+    /// Whether there are no findings.
     pub fn is_empty(&self) -> bool {
         self.findings.is_empty()
     }
 
-    /// A single finding.
+    /// Creates a list with a single finding.
     pub(crate) fn single(location: Location, problem: Problem) -> Self {
         Findings { findings: vec![Finding { location, problem }], omitted: 0 }
     }
--- a/crates/configuration/src/json.rs
+++ b/crates/configuration/src/json.rs
@@ -1,4 +1,4 @@
-//! Reads JSON objects strictly.
+//! Deserialization of JSON objects that rejects arrays in their place.
 
 use std::fmt;
 use std::marker::PhantomData;
@@ -7,7 +7,7 @@
 use serde::de::{MapAccess, Visitor};
 use serde::{Deserialize, Deserializer};
 
-/// A message that is an object in JSON and nothing else: by default `serde` would also accept an array of its fields.
+/// A message that must be a JSON object. By default `serde` also accepts an array of the fields' values.
 pub(crate) struct Object<T>(pub(crate) T);
 
 impl<'de, T: Deserialize<'de>> Deserialize<'de> for Object<T> {
@@ -30,7 +30,7 @@
     }
 }
 
-/// Reads an object, or `null` for none.
+/// Deserializes an object; `null` is `None`.
 pub(crate) fn object<'de, D, T>(deserializer: D) -> Result<Option<T>, D::Error>
 where
     D: Deserializer<'de>,
@@ -40,7 +40,7 @@
     Ok(object.map(|object| object.0))
 }
 
-/// Reads a list of objects.
+/// Deserializes a list of objects.
 pub(crate) fn objects<'de, D, T>(deserializer: D) -> Result<Vec<T>, D::Error>
 where
     D: Deserializer<'de>,
@@ -50,7 +50,7 @@
     Ok(objects.into_iter().map(|object| object.0).collect())
 }
 
-/// Reads a list of objects, or `null` for an empty list.
+/// Deserializes a list of objects; `null` is an empty list.
 pub(crate) fn objects_or_null<'de, D, T>(deserializer: D) -> Result<Vec<T>, D::Error>
 where
     D: Deserializer<'de>,
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,9 +1,8 @@
-//! The operator's configuration: read from JSON, checked as a whole, and turned into the table in which the route of a
-//! request is looked up.
+//! The operator's configuration: parsing from JSON, validation, and the routing table built from it.
 //!
 //! [`Configuration::read`] returns either a configuration in which every reference resolves and every number is in its
-//! range, or [`Findings`]: everything that is wrong with it, each with its location. Reading is pure; whether a
-//! configuration may follow the one in force is a check of its own, [`Configuration::check_generation_follows`].
+//! range, or [`Findings`]: all problems with their locations. It depends on nothing but the text; whether a configuration
+//! may replace the one in force is checked separately, by [`Configuration::check_generation_follows`].
 
 mod check;
 mod digest;
--- a/crates/configuration/src/location.rs
+++ b/crates/configuration/src/location.rs
@@ -13,7 +13,7 @@
     pub column: usize,
 }
 
-/// Where something is wrong.
+/// The location of a problem.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Location {
     /// The JSON path, as in `routes[3].timeoutMs`; empty for the whole text.
@@ -24,12 +24,12 @@
 }
 
 impl Location {
-    /// The field with a path.
+    /// The location of the field with this path.
     pub(crate) fn field(path: impl Into<String>) -> Self {
         Location { path: path.into(), position: None }
     }
 
-    /// The whole text.
+    /// The location of a problem that concerns the whole text.
     pub(crate) fn whole_text() -> Self {
         Location::field("")
     }
--- a/crates/configuration/src/message.rs
+++ b/crates/configuration/src/message.rs
@@ -1,7 +1,7 @@
-//! The configuration as it is sent, before any check.
+//! The configuration as sent, before validation.
 //!
-//! Numbers that may be fractional or negative in JSON are doubles, so that each is reported at its location and does
-//! not end the parsing. Unknown fields are ignored.
+//! Most numbers are doubles, so that a negative or fractional one does not end the parsing, but is reported by the
+//! validation with its location. Unknown fields are ignored.
 
 use serde::Deserialize;
 
@@ -10,7 +10,7 @@
 /// The body of `PUT /config`.
 #[derive(Clone, PartialEq, prost::Message, Deserialize)]
 pub struct ConfigurationMessage {
-    /// The operator's number of the configuration.
+    /// The generation number that the operator assigned.
     #[prost(uint64, optional, tag = "1")]
     #[serde(default)]
     pub generation: Option<u64>,
@@ -44,38 +44,38 @@
     /// `streaming`, `idempotent` or `non_idempotent`.
     #[prost(string, optional, tag = "4")]
     pub route_type: Option<String>,
-    /// The longest that a request may take, in milliseconds.
+    /// The timeout of a request, in milliseconds.
     #[prost(double, optional, tag = "5")]
     pub timeout_ms: Option<f64>,
-    /// The latency within which a response has its full value, in milliseconds.
+    /// The latency objective of a response, in milliseconds.
     #[prost(double, optional, tag = "6")]
     pub target_latency_ms: Option<f64>,
-    /// The priority; 0 is the most urgent.
+    /// The priority; 0 is the highest.
     #[prost(double, optional, tag = "7")]
     pub priority: Option<f64>,
-    /// The only service.
+    /// The service, if there is only one.
     #[prost(string, optional, tag = "8")]
     pub backend: Option<String>,
-    /// Several services with their weights; these take precedence over `backend`.
+    /// Services with their weights; they take precedence over `backend`.
     #[prost(message, repeated, tag = "9")]
     #[serde(deserialize_with = "objects_or_null")]
     pub weighted_backends: Vec<WeightedBackendMessage>,
-    /// The number of endpoints to which a request may be sent.
+    /// The maximum number of endpoints to which a request is sent.
     #[prost(double, optional, tag = "10")]
     pub max_retries: Option<f64>,
     /// Whether turns are stored.
     #[prost(bool, optional, tag = "11")]
     pub kept: Option<bool>,
-    /// For how long turns are stored, in seconds.
+    /// How long turns are stored, in seconds.
     #[prost(double, optional, tag = "12")]
     pub retention_s: Option<f64>,
     /// Whether requests share sections of their prompts.
     #[prost(bool, optional, tag = "13")]
     pub session_affinity: Option<bool>,
-    /// Whether a stream may be resumed at another endpoint.
+    /// Whether a stream may be resumed from another endpoint.
     #[prost(bool, optional, tag = "14")]
     pub resumable: Option<bool>,
-    /// The longest gap between events of a response that is in time, in milliseconds.
+    /// The objective for the gap between events of a stream, in milliseconds.
     #[prost(double, optional, tag = "15")]
     #[serde(rename = "gap_aim_ms", alias = "gapAimMs")]
     pub gap_aim_ms: Option<f64>,
@@ -88,7 +88,7 @@
     /// The service.
     #[prost(string, optional, tag = "1")]
     pub backend: Option<String>,
-    /// The weight; the share is the weight divided by the sum of all.
+    /// The weight; the share of the requests is the weight divided by the sum of all weights.
     #[prost(double, optional, tag = "2")]
     pub weight: Option<f64>,
 }
@@ -103,7 +103,7 @@
     /// The path of health checks.
     #[prost(string, optional, tag = "2")]
     pub health_check: Option<String>,
-    /// The number of connections that one endpoint accepts from all callers together.
+    /// The maximum number of connections of one endpoint, over all callers.
     #[prost(double, optional, tag = "3")]
     pub max_connections: Option<f64>,
     /// The protocol of the endpoints (`h1`).
@@ -122,19 +122,19 @@
 #[derive(Clone, PartialEq, prost::Message, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub struct EngineMessage {
-    /// Requests in a batch.
+    /// Maximum number of requests in a batch.
     #[prost(double, optional, tag = "1")]
     pub capacity: Option<f64>,
-    /// Tokens that fit into the KV cache.
+    /// Capacity of the KV cache, in tokens.
     #[prost(double, optional, tag = "2")]
     pub kv_tokens: Option<f64>,
-    /// Bytes of the KV cache for a token.
+    /// Size of a token in the KV cache, in bytes.
     #[prost(double, optional, tag = "3")]
     pub kv_bytes: Option<f64>,
     /// The bandwidth of an endpoint's link, in Mbit/s.
     #[prost(double, optional, tag = "4")]
     pub link_mbps: Option<f64>,
-    /// Tokens in an event of a stream.
+    /// Number of tokens per event of a stream.
     #[prost(double, optional, tag = "5")]
     pub stride: Option<f64>,
     /// The models served.
@@ -156,16 +156,16 @@
 #[derive(Clone, PartialEq, prost::Message, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub struct LimitsMessage {
-    /// The size of the largest head of a request, in bytes.
+    /// Maximum size of the header of a request, in bytes.
     #[prost(double, optional, tag = "1")]
     pub max_header_bytes: Option<f64>,
-    /// The size of the largest body of a request, in bytes.
+    /// Maximum size of the body of a request, in bytes.
     #[prost(double, optional, tag = "2")]
     pub max_body_bytes: Option<f64>,
-    /// The longest that the head of a request may take, in milliseconds.
+    /// Timeout for receiving the header of a request, in milliseconds.
     #[prost(double, optional, tag = "3")]
     pub header_timeout_ms: Option<f64>,
-    /// The longest that a connection may be idle, in milliseconds.
+    /// Timeout of idle connections, in milliseconds.
     #[prost(double, optional, tag = "4")]
     pub idle_timeout_ms: Option<f64>,
 }
--- a/crates/configuration/src/model.rs
+++ b/crates/configuration/src/model.rs
@@ -1,4 +1,4 @@
-//! A configuration that has passed every check.
+//! A validated configuration.
 
 use std::sync::Arc;
 
@@ -10,10 +10,10 @@
 use crate::route::Route;
 use crate::service::Service;
 
-/// For how long turns are stored where the operator does not say.
+/// How long turns are stored if the operator does not specify it.
 pub const DEFAULT_RETENTION: Span = Span::from_millis(60_000);
 
-/// The limits where the operator gives none, or gives 0.
+/// Default limits, which also apply where the operator specifies 0.
 pub const DEFAULT_LIMITS: Limits = Limits {
     max_header_bytes: 16_384,
     max_body_bytes: 4_194_304,
@@ -21,25 +21,25 @@
     idle_timeout: Span::from_millis(15_000),
 };
 
-/// The operator's configuration. Every service that a route names is in it.
+/// The operator's configuration. Every service that a route names is defined in it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Configuration {
-    /// The operator's number, which increases from one configuration to the next.
+    /// The generation number that the operator assigned; it increases with each configuration.
     pub generation: u64,
-    /// The routes, no two with the same host and prefix.
+    /// The routes; host and prefix are unique.
     pub routes: Vec<Arc<Route>>,
-    /// The services, no two with the same name.
+    /// The services; names are unique.
     pub services: Vec<Arc<Service>>,
     /// The limits for clients.
     pub limits: Limits,
 }
 
 impl Configuration {
-    /// Checks whether this may follow the configuration in force, whose generation is `current` (0 if there is none).
+    /// Checks whether this configuration may replace the one in force, whose generation is `current` (0 if there is none).
     ///
     /// # Errors
     ///
-    /// One finding, if its own generation is not greater.
+    /// A single finding if the generation is not greater than `current`.
     pub fn check_generation_follows(&self, current: u64) -> Result<(), Findings> {
         let generation = self.generation;
         if generation > current {
@@ -50,15 +50,15 @@
     }
 }
 
-/// The limits for clients. None of these is 0.
+/// The limits for clients; none is 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// The size of the largest head of a request, in bytes.
+    /// Maximum size of the header of a request, in bytes.
     pub max_header_bytes: u64,
-    /// The size of the largest body of a request, in bytes.
+    /// Maximum size of the body of a request, in bytes.
     pub max_body_bytes: u64,
-    /// The longest that the head of a request may take.
+    /// Timeout for receiving the header of a request.
     pub header_timeout: Span,
-    /// The longest that a connection may be idle.
+    /// Timeout of idle connections.
     pub idle_timeout: Span,
 }
--- a/crates/configuration/src/problem.rs
+++ b/crates/configuration/src/problem.rs
@@ -1,20 +1,20 @@
-//! What can be wrong with a configuration. The texts are what operators read.
+//! Problems of a configuration, with the messages for operators.
 
 use snafu::Snafu;
 
-/// The length of the operator's own text in a finding, in characters.
+/// Maximum number of characters of the operator's text that a finding quotes.
 const MAX_EXCERPT_CHARS: usize = 120;
 
-/// What is wrong.
+/// A problem of a configuration.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Problem {
-    /// The configuration has too many bytes.
+    /// The configuration is too large.
     #[snafu(display("{bytes} bytes are too many; {max} at most"))]
     TooManyBytes {
         /// The number of bytes.
         bytes: usize,
-        /// The greatest number allowed.
+        /// The maximum.
         max: usize,
     },
     /// The text is not UTF-8.
@@ -23,13 +23,13 @@
         /// The number of bytes before the first invalid one.
         valid_up_to: usize,
     },
-    /// The text is not JSON, or incomplete, or something follows it.
+    /// The text is not valid JSON: malformed, truncated, or followed by other text.
     #[snafu(display("cannot be read: {reason}"))]
     InvalidJson {
         /// The message of the JSON parser.
         reason: String,
     },
-    /// A value has another type than its field.
+    /// A value has the wrong type for its field.
     #[snafu(display("does not fit: {reason}"))]
     WrongType {
         /// The message of the JSON parser.
@@ -38,7 +38,7 @@
     /// A required field is missing.
     #[snafu(display("missing"))]
     Missing,
-    /// A required text is empty.
+    /// A required string is empty.
     #[snafu(display("empty"))]
     Empty,
     /// A number that must be greater than 0 is 0.
@@ -61,7 +61,7 @@
     NumberTooLarge {
         /// The number.
         value: f64,
-        /// The greatest number allowed.
+        /// The maximum.
         max: f64,
     },
     /// The generation is not greater than the one in force.
@@ -72,13 +72,13 @@
         /// The generation in force.
         current: u64,
     },
-    /// There is no such type of route.
+    /// The route type does not exist.
     #[snafu(display("{value:?} is not one of streaming, idempotent, non_idempotent"))]
     UnknownRouteType {
         /// The type that was sent.
         value: String,
     },
-    /// A prefix does not begin and end with a slash.
+    /// A path prefix does not begin and end with a slash.
     #[snafu(display("{prefix:?} does not begin and end with a slash"))]
     PrefixWithoutSlash {
         /// The prefix.
@@ -87,13 +87,13 @@
     /// A route names no service.
     #[snafu(display("neither backend nor weightedBackends is given"))]
     NoService,
-    /// A route names a service that is not in the list.
+    /// A route names a service that is not defined.
     #[snafu(display("no service has the name {name:?}"))]
     UnknownService {
         /// The name.
         name: String,
     },
-    /// The weights of a route's services add up to 0.
+    /// All weights of a route's services are 0.
     #[snafu(display("the weights add up to 0"))]
     NoWeight,
     /// Two services have the same name.
@@ -110,7 +110,7 @@
     },
 }
 
-/// As much of the operator's own text as a finding repeats.
+/// Truncates a text of the operator's for quoting it in a finding.
 pub(crate) fn excerpt(text: &str) -> String {
     match text.char_indices().nth(MAX_EXCERPT_CHARS) {
         None => text.to_owned(),
--- a/crates/configuration/src/read.rs
+++ b/crates/configuration/src/read.rs
@@ -1,4 +1,4 @@
-//! Reads a configuration from JSON.
+//! Parses a configuration from JSON.
 
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
@@ -13,19 +13,19 @@
 use crate::model::Configuration;
 use crate::problem::{Problem, excerpt};
 
-/// The size of the largest configuration, in bytes. It fits into one message between processes.
+/// Maximum size of a configuration, in bytes. It must fit into one envelope between processes.
 pub const MAX_CONFIGURATION_BYTES: usize = 16 << 20;
 
-/// The end of a path if the text ends before the name of a field.
+/// The last segment of an error's path if the text ends before the name of a field.
 const UNKNOWN_SEGMENT: char = '?';
 
 impl Configuration {
-    /// Reads and checks the body of `PUT /config`. Unknown fields are ignored.
+    /// Parses and validates the body of `PUT /config`. Unknown fields are ignored.
     ///
     /// # Errors
     ///
-    /// Everything that is wrong, each with its location. Values of the wrong type are reported first and alone, one
-    /// for each route and service; the values themselves are checked once all types are right.
+    /// All findings with their locations. Values of the wrong type are reported first and without other findings, one
+    /// per route and service; values are validated only when all types are correct.
     pub fn read(bytes: &[u8]) -> Result<Configuration, Findings> {
         let text = decode_text(bytes)?;
         let message = parse(text)?;
@@ -42,12 +42,12 @@
     std::str::from_utf8(bytes).map_err(|error| failed(Problem::NotUtf8 { valid_up_to: error.valid_up_to() }))
 }
 
-/// Parses the text, after which only white space may follow.
+/// Parses the text; only white space may follow the JSON value.
 fn parse(text: &str) -> Result<ConfigurationMessage, Findings> {
     let mut deserializer = serde_json::Deserializer::from_str(text);
     let message = match serde_path_to_error::deserialize(&mut deserializer) {
         Ok(Object(message)) => message,
-        Err(error) => return Err(explain(text, error)),
+        Err(error) => return Err(findings_of_error(text, error)),
     };
     match deserializer.end() {
         Ok(()) => Ok(message),
@@ -55,8 +55,8 @@
     }
 }
 
-/// The findings about a text that could not be parsed.
-fn explain(text: &str, error: serde_path_to_error::Error<serde_json::Error>) -> Findings {
+/// Converts a parser error into findings.
+fn findings_of_error(text: &str, error: serde_path_to_error::Error<serde_json::Error>) -> Findings {
     let path = path_of(&error);
     let error = error.into_inner();
     if error.classify() != Category::Data {
@@ -71,7 +71,7 @@
     }
 }
 
-/// The sections of a configuration, not parsed yet.
+/// The sections of a configuration, still unparsed.
 #[derive(Deserialize)]
 struct Outline<'a> {
     #[serde(borrow, default)]
@@ -84,12 +84,12 @@
     limits: Option<&'a RawValue>,
 }
 
-/// Parses each section by itself, so that a wrong value does not hide those of other sections. Empty if the sections
-/// cannot be separated.
+/// Parses each section separately, so that one wrong type does not hide those of other sections. Returns no findings
+/// if the sections cannot be separated.
 ///
 /// # Errors
 ///
-/// If the text is not JSON or incomplete.
+/// If the text is not valid JSON.
 fn find_wrong_types(text: &str) -> Result<Findings, serde_json::Error> {
     let mut findings = Findings::default();
     let outline: Outline = match serde_json::from_str(text) {
@@ -112,7 +112,7 @@
     Ok(findings)
 }
 
-/// Parses one section, and reports the first value in it that has the wrong type.
+/// Parses one section and adds a finding for the first value of the wrong type.
 fn check_types<T: DeserializeOwned>(parent: &str, section: &RawValue, findings: &mut Findings) {
     let mut deserializer = serde_json::Deserializer::from_str(section.get());
     let Err(error) = serde_path_to_error::deserialize::<_, T>(&mut deserializer) else { return };
@@ -123,7 +123,7 @@
     findings.add(Location::field(path), wrong_type(error.inner()));
 }
 
-/// The path of an error, as far as it is known; empty for the whole text.
+/// The JSON path of an error as far as it is known; empty if the error concerns the whole text.
 fn path_of(error: &serde_path_to_error::Error<serde_json::Error>) -> String {
     if error.path().iter().len() == 0 {
         return String::new();
@@ -133,7 +133,7 @@
     excerpt(known)
 }
 
-/// A path with the line and column of an error.
+/// The location of an error: a path with line and column.
 fn location_of(path: String, error: &serde_json::Error) -> Location {
     let position = Position { line: error.line(), column: error.column() };
     Location { path, position: Some(position) }
@@ -147,7 +147,7 @@
     Problem::WrongType { reason: reason_of(error) }
 }
 
-/// The parser's message without line and column, which the location has.
+/// The parser's message without line and column, which the location contains.
 fn reason_of(error: &serde_json::Error) -> String {
     let reason = error.to_string();
     let end = reason.rfind(" at line ").unwrap_or(reason.len());
--- a/crates/configuration/src/route.rs
+++ b/crates/configuration/src/route.rs
@@ -1,4 +1,4 @@
-//! The routes of a configuration.
+//! Routes of a configuration.
 
 use std::fmt;
 use std::sync::Arc;
@@ -18,12 +18,12 @@
     }
 }
 
-/// What the requests of a route are.
+/// The type of a route, which determines whether its requests may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RouteType {
     /// The response is a stream of events.
     Streaming {
-        /// Whether a stream may be resumed at another endpoint.
+        /// Whether a stream may be resumed from another endpoint.
         resumable: bool,
     },
     /// A request may be executed more than once.
@@ -48,7 +48,7 @@
     }
 }
 
-/// Which requests go to which services, and how.
+/// Assigns the requests for a host and a path prefix to services.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// The name; may be empty.
@@ -57,25 +57,25 @@
     pub hostname: Arc<str>,
     /// The prefix of the path; begins and ends with a slash.
     pub path_prefix: Arc<str>,
-    /// What the requests are.
+    /// The type, which determines whether requests may be retried.
     pub route_type: RouteType,
-    /// The longest that a request may take; greater than 0.
+    /// The timeout of a request; greater than 0.
     pub timeout: Span,
-    /// The latency within which a response has its full value (the service level objective).
+    /// The latency objective of a response (service level objective).
     pub target_latency: Option<Span>,
-    /// The priority; 0 is the most urgent.
+    /// The priority; 0 is the highest.
     pub priority: u32,
     /// The services with their weights.
     pub services: WeightedServices,
-    /// The number of endpoints to which a request may be sent; at least 1.
+    /// The maximum number of endpoints to which a request is sent; at least 1.
     pub max_retries: u32,
     /// Whether turns are stored.
     pub stores_turns: bool,
-    /// For how long turns are stored from the end of the response on.
+    /// How long turns are stored after the end of the response.
     pub retention: Span,
     /// Whether requests share sections of their prompts.
     pub session_affinity: bool,
-    /// The longest gap between events of a response that is in time.
+    /// The objective for the gap between events of a stream.
     pub target_event_gap: Option<Span>,
 }
 
@@ -85,7 +85,7 @@
         self.route_type.is_retryable()
     }
 
-    /// The service for a request, given a uniformly distributed random number; never one with weight 0.
+    /// Chooses the service for a request by a uniformly distributed random number; never one with weight 0.
     pub fn service_for(&self, random: u64) -> &ServiceName {
         self.services.choose(random)
     }
--- a/crates/configuration/src/service.rs
+++ b/crates/configuration/src/service.rs
@@ -1,4 +1,4 @@
-//! The services of a configuration.
+//! Services of a configuration.
 
 use std::sync::Arc;
 
@@ -15,9 +15,9 @@
     pub name: ServiceName,
     /// The path of health checks.
     pub health_check: Option<Arc<str>>,
-    /// The number of connections that one endpoint accepts from all callers together; `None` if that is not known.
+    /// The maximum number of connections of one endpoint, over all callers; `None` if it is not known.
     pub max_connections: Option<u32>,
-    /// The protocol of the endpoints (`h1`), as the operator gives it.
+    /// The protocol of the endpoints (`h1`), as configured.
     pub protocol: Option<Arc<str>>,
     /// Whether the endpoints use TLS.
     pub tls: bool,
@@ -25,18 +25,18 @@
     pub engine: Option<Engine>,
 }
 
-/// The engine of model endpoints. `None` stands for what the operator did not give.
+/// The engine of model endpoints; a value that the operator did not specify is `None`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Engine {
-    /// Requests in a batch.
+    /// Maximum number of requests in a batch.
     pub capacity: Option<u32>,
-    /// Tokens that fit into the KV cache.
+    /// Capacity of the KV cache, in tokens.
     pub kv_tokens: Option<u64>,
-    /// Bytes of the KV cache for a token.
+    /// Size of a token in the KV cache, in bytes.
     pub kv_bytes: Option<u64>,
     /// The bandwidth of an endpoint's link, in Mbit/s.
     pub link_mbps: Option<f64>,
-    /// Tokens in an event of a stream; at least 1.
+    /// Number of tokens per event of a stream; at least 1.
     pub tokens_per_event: u32,
     /// The models served.
     pub models: Vec<ModelName>,
--- a/crates/configuration/src/table.rs
+++ b/crates/configuration/src/table.rs
@@ -1,4 +1,4 @@
-//! Looks up the route of a request.
+//! The routing table, in which the route of a request is looked up.
 
 #![expect(clippy::disallowed_types, reason = "only looked up by key, for each request")]
 
@@ -13,8 +13,8 @@
 use crate::route::Route;
 use crate::service::Service;
 
-/// The routes and services of one configuration, indexed for look-ups. It never changes: another configuration has
-/// another table.
+/// The routes and services of one configuration, indexed for look-ups. It is immutable: each configuration has a table
+/// of its own.
 #[derive(Clone, Debug)]
 pub struct RouteTable {
     generation: u64,
@@ -23,7 +23,7 @@
     services: HashMap<ServiceName, Arc<Service>>,
 }
 
-/// The routes of one host by prefix.
+/// The routes of one host, indexed by prefix.
 #[derive(Clone, Debug, Default)]
 struct HostRoutes {
     routes: HashMap<Arc<str>, Arc<Route>>,
@@ -32,7 +32,7 @@
 }
 
 impl RouteTable {
-    /// The table of a configuration.
+    /// Builds the table of a configuration.
     pub fn new(configuration: &Configuration) -> Self {
         let mut hosts: HashMap<Arc<str>, HostRoutes> = HashMap::new();
         for route in &configuration.routes {
@@ -56,13 +56,13 @@
         &self.limits
     }
 
-    /// The service with a name.
+    /// Looks up a service by its name.
     pub fn service(&self, name: &ServiceName) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
 
-    /// The host's route with the longest prefix of the path. `host` is a `Host` header, with or without a port, in any
-    /// case; `path` is a request target, with or without a query.
+    /// Looks up the route of the host with the longest matching path prefix. `host` is the value of a `Host` header, in
+    /// any case, with or without a port; `path` is a request target, with or without a query.
     pub fn lookup(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = self.hosts.get(normalize_host(host).as_ref())?;
         host.lookup(without_query(path))
@@ -80,10 +80,10 @@
         self.prefix_lengths.dedup();
     }
 
-    /// Looks up every prefix of the path that ends with a slash and has the length of a route's prefix.
+    /// Looks up the prefixes of the path that end with a slash and have the length of a route's prefix, longest first.
     fn lookup(&self, path: &str) -> Option<&Arc<Route>> {
         for &length in &self.prefix_lengths {
-            // The slash at the end makes sure that the path is not split within a character.
+            // The slash at the end is a character boundary, so that slicing the path cannot panic.
             if length == 0 || path.as_bytes().get(length - 1) != Some(&b'/') {
                 continue;
             }
@@ -95,7 +95,7 @@
     }
 }
 
-/// A host in lower case, without surrounding white space and without its port.
+/// Normalizes a host: lower case, without surrounding white space and without its port.
 pub(crate) fn normalize_host(host: &str) -> Cow<'_, str> {
     let host = without_port(host.trim());
     match host.bytes().any(|byte| byte.is_ascii_uppercase()) {
@@ -104,7 +104,7 @@
     }
 }
 
-/// A host without the colon and the digits at its end. The colons of a bracketed IPv6 address remain.
+/// Strips a colon and digits from the end of a host. The colons of a bracketed IPv6 address remain.
 fn without_port(host: &str) -> &str {
     match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
@@ -112,7 +112,7 @@
     }
 }
 
-/// A request target up to its query.
+/// Strips the query or fragment from a request target.
 fn without_query(target: &str) -> &str {
     let end = target.find(['?', '#']).unwrap_or(target.len());
     &target[..end]
--- a/crates/configuration/tests/common/mod.rs
+++ b/crates/configuration/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Configurations for tests.
+//! Configurations for tests, and helpers that modify them.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use juniperwing_configuration::{Configuration, Findings};
@@ -46,24 +46,24 @@
     })
 }
 
-/// The valid configuration with changes.
+/// Applies a modification to the valid configuration.
 pub fn changed(change: impl FnOnce(&mut Value)) -> Value {
     let mut value = valid();
     change(&mut value);
     value
 }
 
-/// Reads a configuration.
+/// Parses and validates a configuration.
 pub fn read(value: &Value) -> Result<Configuration, Findings> {
     Configuration::read(value.to_string().as_bytes())
 }
 
-/// Reads the valid configuration with changes that leave it valid.
+/// Parses the valid configuration after a modification that leaves it valid.
 pub fn read_valid(change: impl FnOnce(&mut Value)) -> Configuration {
     read(&changed(change)).expect("valid")
 }
 
-/// The findings of the valid configuration with changes, each as a line of text.
+/// The findings about the valid configuration after a modification, each formatted as a line.
 pub fn findings_of(change: impl FnOnce(&mut Value)) -> Vec<String> {
     let findings = read(&changed(change)).expect_err("invalid");
     findings.listed().iter().map(ToString::to_string).collect()
@@ -71,5 +71,5 @@
 
 /// Removes a field from an object.
 pub fn remove(value: &mut Value, field: &str) {
-    value.as_object_mut().expect("an object").remove(field).expect("there");
+    value.as_object_mut().expect("an object").remove(field).expect("the field exists");
 }
--- a/crates/configuration/tests/invalid.rs
+++ b/crates/configuration/tests/invalid.rs
@@ -6,7 +6,7 @@
 use juniperwing_configuration::{Configuration, Location, MAX_CONFIGURATION_BYTES, MAX_FINDINGS, Position};
 use serde_json::{Value, json};
 
-/// Asserts that one change causes exactly one finding.
+/// Asserts that a modification causes exactly this one finding.
 #[track_caller]
 fn assert_one(change: impl FnOnce(&mut Value), expected: &str) {
     assert_eq!(findings_of(change), [expected]);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn weights_that_add_up_to_zero_beside_a_service() {
+fn weights_that_add_up_to_zero_despite_a_single_service() {
     assert_one(
         |value| value["routes"][0]["weightedBackends"] = json!([{ "backend": "models", "weight": 0 }]),
         "routes[0].weightedBackends: the weights add up to 0",
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn weights_on_both_sides_of_zero() {
+fn a_negative_weight_beside_a_positive_one() {
     let weights = json!([{ "backend": "models", "weight": 5 }, { "backend": "plain", "weight": -5 }]);
     assert_one(
         |value| value["routes"][1]["weightedBackends"] = weights,
@@ -125,8 +125,8 @@
 fn duplicate_service_names() {
     assert_one(
         |value| {
-            let again = value["backends"][0].clone();
-            value["backends"].as_array_mut().expect("a list").push(again);
+            let duplicate = value["backends"][0].clone();
+            value["backends"].as_array_mut().expect("a list").push(duplicate);
         },
         "backends[2].name: backends[0] has the same name",
     );
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn unknown_types_of_route() {
+fn unknown_route_types() {
     assert_one(
         |value| value["routes"][0]["routeType"] = json!("sometimes"),
         "routes[0].routeType: \"sometimes\" is not one of streaming, idempotent, non_idempotent",
@@ -234,7 +234,7 @@
 
 #[test]
 fn truncated_text_after_a_wrong_type() {
-    let findings = Configuration::read(b"{\"generation\":\"7\",\"routes\":[").expect_err("not whole");
+    let findings = Configuration::read(b"{\"generation\":\"7\",\"routes\":[").expect_err("truncated");
     assert_eq!(findings.to_string(), "line 1, column 28: cannot be read: EOF while parsing a list");
 }
 
@@ -242,13 +242,13 @@
 fn trailing_characters() {
     for trailing in ["{}", "x", "]", "\0"] {
         let text = format!("{}{trailing}", valid());
-        let findings = Configuration::read(text.as_bytes()).expect_err("more behind the end");
+        let findings = Configuration::read(text.as_bytes()).expect_err("trailing characters");
         assert!(findings.to_string().ends_with("cannot be read: trailing characters"), "{findings}");
     }
 }
 
 #[test]
-fn bytes_that_are_no_configuration() {
+fn bytes_that_are_not_a_configuration() {
     for bytes in [&b""[..], b" ", b"null", b"7", b"\xff\xfe", b"{\"a\":\"\xc3\"}"] {
         assert!(Configuration::read(bytes).is_err(), "{bytes:?}");
     }
@@ -257,7 +257,7 @@
 #[test]
 fn duplicate_fields() {
     let text = valid().to_string().replacen("\"generation\":7", "\"generation\":7,\"generation\":8", 1);
-    let findings = Configuration::read(text.as_bytes()).expect_err("twice");
+    let findings = Configuration::read(text.as_bytes()).expect_err("duplicate field");
     assert!(findings.to_string().contains("duplicate field `generation`"), "{findings}");
 }
 
@@ -303,7 +303,7 @@
         "omitted": 0
     });
     assert_eq!(serde_json::to_value(&findings).expect("JSON"), expected);
-    let findings = Configuration::read(b"{").expect_err("not whole");
+    let findings = Configuration::read(b"{").expect_err("truncated");
     let expected = json!({ "path": "", "line": 1, "column": 1 });
     assert_eq!(serde_json::to_value(&findings).expect("JSON")["findings"][0]["place"], expected);
 }
--- a/crates/configuration/tests/lookup.rs
+++ b/crates/configuration/tests/lookup.rs
@@ -1,4 +1,4 @@
-//! Looks up routes.
+//! Route look-up in the routing table.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 use serde_json::{Value, json};
 
-/// A configuration with a route for each host and prefix.
+/// Creates a configuration with one route per host and prefix.
 fn configuration(routes: &[(String, String)]) -> Configuration {
     let routes: Vec<Value> = routes.iter().map(|(host, prefix)| route(host, prefix)).collect();
     let value = json!({ "generation": 1, "routes": routes, "backends": [{ "name": "s" }] });
@@ -21,8 +21,8 @@
     json!({ "hostname": host, "pathPrefix": prefix, "timeoutMs": 1000, "backend": "s" })
 }
 
-/// The route for a path, found by trying all.
-fn lookup_by_trying_all<'a>(
+/// The route for a path, found by a linear search.
+fn lookup_by_linear_search<'a>(
     configuration: &'a Configuration, host: &str, path: &str,
 ) -> Option<&'a Arc<Route>> {
     let routes = configuration.routes.iter();
@@ -93,9 +93,9 @@
     assert!(table.lookup("h0.example", "/p1/").is_none());
 }
 
-/// A check in quadratic time would not end: 40,000 squared is 1.6 billion.
+/// Validation must not take quadratic time, which for 40,000 routes would be 1.6 billion steps.
 #[test]
-fn many_findings() {
+fn many_duplicate_routes_are_found_in_linear_time() {
     let routes = vec![route("h", "/same/"); 40_000];
     let value = json!({ "generation": 1, "routes": routes, "backends": [{ "name": "s" }] });
     let findings = read(&value).expect_err("shared host and prefix");
@@ -104,7 +104,7 @@
 
 proptest! {
     #[test]
-    fn lookup_equals_trying_all(
+    fn lookup_equals_linear_search(
         routes in prop::collection::btree_set(("[ab]", "/([abä]{1,2}/){0,3}"), 0..40),
         paths in prop::collection::vec("(/|[abä]){0,10}", 1..20),
     ) {
@@ -113,7 +113,7 @@
         let table = RouteTable::new(&configuration);
         for path in &paths {
             for host in ["a", "b", "c"] {
-                prop_assert_eq!(table.lookup(host, path), lookup_by_trying_all(&configuration, host, path));
+                prop_assert_eq!(table.lookup(host, path), lookup_by_linear_search(&configuration, host, path));
             }
         }
     }
--- a/crates/configuration/tests/robust.rs
+++ b/crates/configuration/tests/robust.rs
@@ -1,4 +1,4 @@
-//! Whatever is sent gets a result, and incomplete configurations are rejected.
+//! Arbitrary input is either accepted or rejected with findings, without a panic; truncated input is rejected.
 
 mod common;
 
@@ -15,7 +15,7 @@
     }
 }
 
-/// JSON pointers to all values inside a value.
+/// Collects JSON pointers to a value and all values nested in it.
 fn pointers(value: &Value, at: String, found: &mut Vec<String>) {
     match value {
         Value::Object(fields) => {
@@ -30,7 +30,7 @@
     found.push(at);
 }
 
-/// An arbitrary value.
+/// An arbitrary JSON value.
 fn any_value() -> impl Strategy<Value = Value> {
     prop_oneof![
         Just(json!(null)),
@@ -51,7 +51,7 @@
     }
 
     #[test]
-    fn changed_bytes_do_not_panic(
+    fn modified_bytes_do_not_cause_a_panic(
         changes in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..5),
     ) {
         let mut bytes = valid().to_string().into_bytes();
@@ -63,14 +63,14 @@
     }
 
     #[test]
-    fn changed_values_are_accepted_or_reported(
+    fn modified_values_are_accepted_or_reported(
         changes in prop::collection::vec((any::<prop::sample::Index>(), any_value()), 1..4),
     ) {
         let mut value = valid();
         for (index, replacement) in changes {
             let mut pointers_found = Vec::new();
             pointers(&value, String::new(), &mut pointers_found);
-            let replaced = value.pointer_mut(index.get::<String>(&pointers_found)).expect("there");
+            let replaced = value.pointer_mut(index.get::<String>(&pointers_found)).expect("the pointer resolves");
             *replaced = replacement;
         }
         match Configuration::read(value.to_string().as_bytes()) {
--- a/crates/configuration/tests/valid.rs
+++ b/crates/configuration/tests/valid.rs
@@ -1,4 +1,4 @@
-//! Valid configurations, and what they mean.
+//! Valid configurations: parsed values, defaults, generations, weights and digests.
 
 mod common;
 
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn only_streams_are_resumable() {
+fn resumable_has_no_effect_on_routes_other_than_streams() {
     let configuration = read_valid(|value| {
         value["routes"][1]["routeType"] = json!("non_idempotent");
     });
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_missing_number_of_endpoints_is_one() {
+fn max_retries_is_one_by_default() {
     let configuration = read_valid(|value| remove(&mut value["routes"][0], "maxRetries"));
     assert_eq!(configuration.routes[0].max_retries, 1);
 }
@@ -123,12 +123,12 @@
 }
 
 #[test]
-fn two_routes_may_have_one_name() {
+fn two_routes_may_have_the_same_name() {
     read_valid(|value| value["routes"][1]["name"] = json!("r-first"));
 }
 
 #[test]
-fn a_service_may_stand_beside_null_weights() {
+fn the_single_service_is_used_if_the_weights_are_null_or_empty() {
     for weights in [json!(null), json!([])] {
         let configuration = read_valid(|value| value["routes"][0]["weightedBackends"] = weights);
         assert_eq!(configuration.routes[0].service_for(0), &ServiceName::from("models"));
@@ -136,13 +136,13 @@
 }
 
 #[test]
-fn white_space_may_surround_a_configuration() {
+fn white_space_around_a_configuration_is_ignored() {
     let text = format!("\r\n\t {} \n", valid());
     Configuration::read(text.as_bytes()).expect("valid");
 }
 
 #[test]
-fn only_a_higher_generation_succeeds() {
+fn only_a_higher_generation_may_follow() {
     let configuration = read_valid(|_| {});
     assert!(configuration.check_generation_follows(0).is_ok());
     assert!(configuration.check_generation_follows(6).is_ok());
@@ -196,7 +196,7 @@
     assert_eq!(postcard::from_bytes(&encoded), Ok(order));
 }
 
-/// The first 16 bytes of SHA-256 over the base (eight bytes, little-endian) and the body.
+/// The expected value is the first 16 bytes of SHA-256 over the base (eight bytes, little-endian) and the body.
 #[test]
 fn digests_are_stable() {
     assert_eq!(digest(5, b"body").to_string(), "5dd5a9d8267a2af58475eeb9fb350117");
--- a/crates/protocol/src/envelope.rs
+++ b/crates/protocol/src/envelope.rs
@@ -1,4 +1,4 @@
-//! The frame in which every message travels, and its encoding.
+//! The envelope of every message, and its encoding.
 
 use serde::{Deserialize, Serialize};
 use snafu::{ResultExt, Snafu, ensure};
@@ -9,14 +9,14 @@
 use crate::subscription::{AppliedVersions, Subscribe, Update};
 use crate::transfer::{TransferReply, TransferRequest};
 
-/// The largest encoded envelope, in bytes.
+/// Maximum size of an encoded envelope, in bytes.
 pub const MAX_ENVELOPE_BYTES: usize = 32 << 20;
 
-/// Pairs a reply with its call on one connection; 0 for a message that expects no reply.
+/// Correlates a reply with its call on one connection; 0 for a message that expects no reply.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CallId(pub u64);
 
-/// A message with what the connection needs to deliver it.
+/// A message with the metadata that the connection needs to dispatch it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
     /// The call that this message makes or replies to.
@@ -27,7 +27,7 @@
     pub message: Message,
 }
 
-/// Every message that processes of the serving tier exchange.
+/// The messages between processes of the serving tier.
 ///
 /// The encoding is positional: the order of variants, and of fields within them, is part of the protocol.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -36,15 +36,15 @@
     Ping,
     /// Reply to [`Message::Ping`].
     Pong,
-    /// Between keepers: agreement on epochs, and replication of the control state.
+    /// Between keepers: election of epochs, and replication of the control state.
     Replication(ReplicationMessage),
     /// Between keepers: the endpoint registry, and orders forwarded to the primary.
     Registry(RegistryMessage),
     /// From a relay or store to a keeper: starts a subscription.
     Subscribe(Subscribe),
-    /// From a keeper to a subscriber: committed state.
+    /// From a keeper to a subscriber: delivers committed state.
     Update(Update),
-    /// From a subscriber to a keeper: acknowledges what it has applied.
+    /// From a subscriber to a keeper: acknowledges the applied versions.
     Applied(AppliedVersions),
     /// From a relay to a store.
     SessionRequest(SessionRequest),
@@ -78,7 +78,7 @@
     ///
     /// # Errors
     ///
-    /// [`EnvelopeError::TooLarge`] if the receiver would reject it for its length.
+    /// [`EnvelopeError::TooLarge`] if the envelope exceeds the limit, above which receivers reject it.
     pub fn encode(&self) -> Result<Vec<u8>, EnvelopeError> {
         let frame = postcard::to_extend(self, vec![0; 4]).context(MalformedSnafu)?;
         let bytes = frame.len() - 4;
@@ -88,8 +88,8 @@
         Ok(frame)
     }
 
-    /// Decodes the first envelope in `buffer` and returns it with the number of bytes that it occupies; `None` while
-    /// more bytes are needed.
+    /// Decodes the first envelope in `buffer` and returns it with the number of bytes consumed; `None` if the envelope
+    /// is incomplete.
     ///
     /// # Errors
     ///
--- a/crates/protocol/src/identity.rs
+++ b/crates/protocol/src/identity.rs
@@ -1,4 +1,4 @@
-//! Identifiers, each as a distinct type so that they cannot be confused.
+//! Identifiers, each of a distinct type so that they cannot be mixed up.
 
 use std::fmt;
 use std::sync::Arc;
@@ -42,15 +42,15 @@
 }
 
 text_identifier!(
-    /// The name of a machine, from its settings. A machine keeps it when its disk is replaced.
+    /// The name of a machine, from its settings. It remains the same when the disk of the machine is replaced.
     NodeName
 );
 text_identifier!(
-    /// One incarnation of an endpoint: the same process after a restart has another id.
+    /// An incarnation of an endpoint: it has a new id after every restart.
     InstanceId
 );
 text_identifier!(
-    /// One request of a client (`X-Request-Id`); also the id of the turn that it ran.
+    /// A client's request (`X-Request-Id`), and the turn that it ran.
     RequestId
 );
 text_identifier!(
@@ -62,13 +62,13 @@
     ServiceName
 );
 number_identifier!(
-    /// The identity of a data directory, drawn at random when it is first used. A machine whose disk was replaced
-    /// has another one, so that promises recorded on the lost disk are not attributed to the new one.
+    /// The identity of a data directory, generated at random when the directory is first used. A machine whose disk was
+    /// replaced has a new one, so that promises recorded on the lost disk are not attributed to the new disk.
     DiskId,
     u64
 );
 number_identifier!(
-    /// The number of an epoch; a higher one supersedes a lower one. Serves as fencing token.
+    /// The number of an epoch; a higher one supersedes a lower one. Used as fencing token.
     EpochNumber,
     u64
 );
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,7 +1,7 @@
-//! The typed messages that relays, keepers and stores exchange, and their encoding.
+//! The messages between relays, keepers and stores, and their encoding.
 //!
-//! Every message travels in an [`Envelope`], encoded with `postcard` and prefixed by its length in four bytes. There
-//! is a module for each pair of roles: [`replication`] between keepers, [`registry`] between keepers,
+//! Every message is sent in an [`Envelope`], encoded with `postcard` and prefixed by its length in four bytes. Each pair
+//! of roles has its module: [`replication`] between keepers, [`registry`] between keepers,
 //! [`subscription`] from keepers to relays and stores, [`session`] between relays and stores, [`transfer`]
 //! between stores.
 
--- a/crates/protocol/src/registry.rs
+++ b/crates/protocol/src/registry.rs
@@ -1,4 +1,4 @@
-//! Endpoint instances, and the messages by which keepers share them and forward operators' orders.
+//! Endpoint instances, and the messages with which keepers share them and forward operators' orders.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,35 +14,35 @@
 pub enum InstanceState {
     /// Accepts requests.
     Ready,
-    /// Shuts down gracefully: no new requests. The instance never becomes ready again.
+    /// Shuts down gracefully and accepts no new requests. It never becomes ready again.
     Draining,
-    /// Its heartbeats have stopped; a later heartbeat makes it ready again.
+    /// Its heartbeats have stopped. A later heartbeat makes it ready again.
     Expired,
-    /// Has announced that it has ended. Final.
+    /// Has deregistered. Final.
     Terminated,
 }
 
-/// An endpoint as its newest heartbeat describes it.
+/// An endpoint as described by its newest heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instance {
-    /// Its incarnation.
+    /// The id of the incarnation.
     pub id: InstanceId,
-    /// The service that it serves.
+    /// The service to which it belongs.
     pub service: ServiceName,
     /// Where it listens for requests.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: Arc<str>,
-    /// The number of requests that it runs concurrently.
+    /// The maximum number of concurrent requests.
     pub capacity: u32,
     /// Whether it accepts requests.
     pub state: InstanceState,
-    /// The sequence number of the heartbeat that this is from.
+    /// The sequence number of that heartbeat.
     pub sequence: u64,
 }
 
 impl Instance {
-    /// Whether this supersedes `known`: the more final state wins, then the later heartbeat.
+    /// Whether this supersedes `known`: the state closer to termination wins, then the later heartbeat.
     pub fn supersedes(&self, known: &Instance) -> bool {
         let rank = |instance: &Instance| match instance.state {
             InstanceState::Ready | InstanceState::Expired => 0,
@@ -53,7 +53,7 @@
     }
 }
 
-/// An unchanged instance that has sent another heartbeat.
+/// A heartbeat of an instance that is otherwise unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refresh {
     /// The instance.
@@ -62,34 +62,34 @@
     pub sequence: u64,
 }
 
-/// Messages between keepers beside replication.
+/// Messages between keepers other than those of replication.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum RegistryMessage {
-    /// Shares instances that are new or have changed, and those whose heartbeats continue.
+    /// Shares new and changed instances, and the heartbeats of unchanged ones.
     Instances {
         /// The sender.
         from: DiskId,
-        /// New or changed.
+        /// The new and changed instances.
         changed: Vec<Instance>,
-        /// Unchanged.
+        /// The heartbeats of unchanged instances.
         refreshed: Vec<Refresh>,
-        /// Whether the reply has to wait until the subscribed relays have applied every update sent so far.
+        /// Whether the reply must wait until the subscribed relays have applied every update sent so far.
         confirm: bool,
     },
     /// Reply to [`RegistryMessage::Instances`].
     InstancesMerged {
         /// The highest epoch known to the replying keeper.
         epoch: EpochNumber,
-        /// Whether every relay subscribed to the replying keeper has applied all instances sent so far, this
-        /// message's included; `false` if one has not done so in time.
+        /// Whether every relay subscribed to the replying keeper has applied all instances sent so far, including those
+        /// of this message; `false` if a relay has not done so in time.
         applied: bool,
     },
-    /// From the primary: bring your subscribers to this configuration, and reply when they have applied it or when
-    /// the time is over.
+    /// Requests, from the primary, that the receiver distributes a configuration to its subscribers. The reply is sent
+    /// when all of them have applied it or the wait has timed out.
     DistributeConfiguration {
         /// The configuration's version, as in [`crate::subscription::Update::Configuration`].
         version: Version,
-        /// The longest wait for subscribers, in milliseconds.
+        /// The timeout of the wait for subscribers, in milliseconds.
         wait_ms: u32,
     },
     /// Reply to [`RegistryMessage::DistributeConfiguration`].
@@ -102,10 +102,10 @@
     ReadCommittedVersion,
     /// Reply to [`RegistryMessage::ReadCommittedVersion`].
     CommittedVersion {
-        /// The version; `None` if the receiver could not confirm it.
+        /// The version; `None` if the replying keeper could not confirm it.
         version: Option<Version>,
     },
-    /// Reports the stores whose links to the sender are alive.
+    /// Reports the stores with a live link to the sender.
     ReachableStores {
         /// The sender.
         from: DiskId,
@@ -117,11 +117,11 @@
         /// The highest epoch known to the replying keeper.
         epoch: EpochNumber,
     },
-    /// Reports of partitions' primaries, forwarded to the primary keeper.
+    /// Reports of caught-up replicas, forwarded to the primary keeper.
     CaughtUp(Vec<CaughtUp>),
 }
 
-/// An operator's order.
+/// An operator's order: a request to the control plane.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Order {
     /// `PUT /config`.
@@ -137,7 +137,7 @@
     Retire {
         /// The store machine.
         node: NodeName,
-        /// The time allowed for moving its replicas away, in seconds.
+        /// The time allowed for moving its replicas to other stores, in seconds.
         duration_s: f64,
     },
     /// `GET /retire/NODE`.
--- a/crates/protocol/src/replication.rs
+++ b/crates/protocol/src/replication.rs
@@ -1,4 +1,4 @@
-//! Agreement on epochs, and primary-backup replication of the control state: the messages between keepers.
+//! Messages between keepers: election of epochs, and primary-backup replication of the control state.
 
 use std::net::SocketAddr;
 
@@ -9,20 +9,20 @@
 /// A version of the replicated state, ordered by epoch and then by sequence number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
-    /// The epoch in which it was written.
+    /// The epoch of the write.
     pub epoch: EpochNumber,
-    /// The number of the write, counted from 1 over all epochs.
+    /// The sequence number of the write, counted from 1 over all epochs.
     pub sequence: u64,
 }
 
-/// A keeper with a vote on epochs.
+/// A keeper that votes on epochs.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Voter {
-    /// The identity of its disk, by which the keeper is known.
+    /// The identity of its disk, which identifies the keeper.
     pub disk: DiskId,
     /// Its machine.
     pub node: NodeName,
-    /// Where it listens for the tier's own messages.
+    /// Where it listens for messages between processes of the tier.
     pub address: SocketAddr,
 }
 
@@ -35,7 +35,7 @@
     pub primary: DiskId,
     /// The keepers that must acknowledge every write, the primary included. Each holds every acknowledged write.
     pub in_sync: Vec<DiskId>,
-    /// The keepers of which a majority decides on the next epoch.
+    /// The keepers whose majority decides on the next epoch.
     pub voters: Vec<Voter>,
     /// The voters of the previous epoch, a majority of whom must accept this one too (joint consensus); empty once this
     /// epoch is known to be chosen.
@@ -81,8 +81,8 @@
 /// The messages of the epoch protocol and of primary-backup replication.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ReplicationBody {
-    /// Pre-vote: queries whether an election could succeed, before anything is promised, so that a keeper that was
-    /// partitioned does not depose a healthy primary.
+    /// Pre-vote: queries whether an election could succeed, without a promise, so that a keeper that was partitioned
+    /// does not depose a healthy primary.
     PreVote {
         /// The epoch number that the candidate would propose; identifies the reply.
         number: EpochNumber,
@@ -141,7 +141,7 @@
         /// The change, encoded.
         change: Vec<u8>,
     },
-    /// The primary sends the complete state to a replica that lags.
+    /// The primary sends the complete state to a lagging replica.
     Snapshot {
         /// The primary's epoch.
         epoch: EpochNumber,
@@ -157,13 +157,13 @@
         /// The version.
         version: Version,
     },
-    /// The primary is alive: receivers postpone their elections and learn the committed version.
+    /// Heartbeat of the primary: receivers postpone their elections and learn the committed version.
     Heartbeat {
         /// The complete epoch, for replicas that lack it. It is chosen, so it has no `previous_voters`.
         epoch: Epoch,
         /// The newest committed version.
         committed: Version,
-        /// The heartbeat's round, which identifies its replies; reads wait for a round that began after them.
+        /// The heartbeat's round, which identifies its replies. A read waits for a round that began after the read.
         round: u64,
     },
     /// Reply to [`ReplicationBody::Heartbeat`]: the sender has promised no higher epoch.
@@ -180,12 +180,12 @@
         /// The sender, as a voter.
         voter: Voter,
     },
-    /// At the very first start: a seed reports its disk to the bootstrap coordinator.
+    /// During bootstrap: a seed reports its disk to the bootstrap coordinator.
     Bootstrap {
         /// The sender, as a voter.
         voter: Voter,
     },
-    /// The primary sends a replica that lags the consecutive changes that it lacks.
+    /// The primary sends the missing changes, which are consecutive, to a lagging replica.
     Changes {
         /// The primary's epoch.
         epoch: EpochNumber,
--- a/crates/protocol/src/shared_bytes.rs
+++ b/crates/protocol/src/shared_bytes.rs
@@ -1,6 +1,6 @@
-//! Serialization of `Arc<[u8]>` as one run of bytes, for `#[serde(with = "...")]`.
+//! Serialization of `Arc<[u8]>` as a byte string, for `#[serde(with = "...")]`.
 //!
-//! The encoding equals that of a sequence of bytes; reading and writing it is faster.
+//! The encoding equals that of a sequence of `u8`, but is read and written faster.
 
 use std::fmt;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 ///
 /// # Errors
 ///
-/// Those of the serializer.
+/// The errors of the serializer.
 pub fn serialize<S: Serializer>(bytes: &Arc<[u8]>, serializer: S) -> Result<S::Ok, S::Error> {
     serializer.serialize_bytes(bytes)
 }
@@ -21,14 +21,14 @@
 ///
 /// # Errors
 ///
-/// Those of the deserializer.
+/// The errors of the deserializer.
 pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Arc<[u8]>, D::Error> {
-    deserializer.deserialize_bytes(SharedBytes)
+    deserializer.deserialize_bytes(SharedBytesVisitor)
 }
 
-struct SharedBytes;
+struct SharedBytesVisitor;
 
-impl Visitor<'_> for SharedBytes {
+impl Visitor<'_> for SharedBytesVisitor {
     type Value = Arc<[u8]>;
 
     fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/crates/protocol/src/subscription.rs
+++ b/crates/protocol/src/subscription.rs
@@ -34,14 +34,14 @@
     pub address: SocketAddr,
     /// Its role.
     pub subscriber: SubscriberKind,
-    /// The version of the configuration that it has; that version is not sent again.
+    /// The version of the configuration that it has applied, which is not sent again.
     pub configuration: Version,
 }
 
 /// An update from a keeper to a subscriber. Only committed state is sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Update {
-    /// The addresses of all keepers, for finding another when this one is lost.
+    /// The addresses of all keepers, so that the subscriber can connect to another one when this one fails.
     Keepers(Vec<SocketAddr>),
     /// The configuration in force.
     Configuration {
@@ -59,17 +59,17 @@
 /// Endpoint instances that are new or have changed, or all of them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct InstancesUpdate {
-    /// Numbers the keeper's updates to this subscriber; acknowledged by [`AppliedVersions`].
+    /// Sequence number of the keeper's updates to this subscriber, acknowledged by [`AppliedVersions`].
     pub revision: u64,
-    /// Whether the update has all instances known to the keeper, so that the subscriber may forget any other.
+    /// Whether the update contains all instances known to the keeper, so that the subscriber may drop all others.
     pub is_snapshot: bool,
-    /// Whether the keeper has run long enough to have received a heartbeat of every live endpoint.
+    /// Whether the keeper has been running long enough to have received a heartbeat of every live endpoint.
     pub is_registry_complete: bool,
     /// The instances.
     pub instances: Vec<Instance>,
 }
 
-/// What a subscriber has applied so far.
+/// The versions that a subscriber has applied.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppliedVersions {
     /// The configuration in force at the subscriber.
@@ -120,16 +120,16 @@
 /// The replicas of a partition.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Assignment {
-    /// Increases whenever the assignment changes. The fencing token of all writes.
+    /// Increases whenever the assignment changes. Used as fencing token of all writes.
     pub epoch: EpochNumber,
     /// The only store that accepts calls for the partition.
     pub primary: DiskId,
     /// The stores that must acknowledge every write, the primary included.
     pub in_sync: Vec<DiskId>,
-    /// Stores that are catching up: they receive every write, but their acknowledgement is not awaited.
+    /// Stores that are catching up: they receive every write, but their acknowledgement is not required.
     pub joining: Vec<DiskId>,
-    /// How many of the required replicas may be missing while the machines that should have them are lost; 0 as soon as
-    /// another store can take one.
+    /// How many of the required replicas may be missing while the machines that should hold them are lost; 0 as soon as
+    /// another store can replace one.
     pub lost_replicas: u16,
 }
 
@@ -137,7 +137,7 @@
     /// The partition of a key (a program); `None` while the map is empty.
     pub fn partition_of(&self, key: &str) -> Option<PartitionId> {
         let count = self.partitions.len() as u64;
-        // FNV-1a: the same on every machine and in every version.
+        // FNV-1a: the result is the same on every machine and in every release.
         let mut hasher = FnvHasher::default();
         hasher.write(key.as_bytes());
         (count > 0).then(|| PartitionId((hasher.finish() % count) as u16))
--- a/crates/protocol/src/transfer.rs
+++ b/crates/protocol/src/transfer.rs
@@ -1,26 +1,27 @@
-//! Replication between stores: records as they are written, and digests for anti-entropy repair.
+//! Replication between stores: writes of records, and digests for anti-entropy repair.
 
 use serde::{Deserialize, Serialize};
 
 use crate::identity::{EpochNumber, PartitionId, ProgramId, RequestId};
 use crate::session::{PartitionEpoch, Turn};
 
-/// What is decided about a request. The order of the variants is that of the encoding, not of the decisions.
+/// The state of a request. The order of the variants is part of the encoding; it is not the precedence of the states.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecordState {
-    /// The turn may run; its tokens are the most that it may generate.
+    /// The turn may run; `tokens` is the maximum that it may generate.
     Reserved,
-    /// The turn has ended; its tokens are those used.
+    /// The turn has ended; `tokens` is the number used.
     Committed,
-    /// The turn was denied for its program's budget and never runs. Its tokens are 0, or those of a reservation that
+    /// The turn was denied because of the program's budget and never runs. `tokens` is 0, or the reservation that
     /// another primary made without knowing of the denial.
     Denied,
 }
 
 /// A record of the session store.
 ///
-/// Records merge in any order: a denial supersedes a reservation and keeps its tokens, a committed record supersedes
-/// both, a stored turn stays. All records of a program are removed together, when the last of them expires.
+/// Records can be merged in any order: a denial supersedes a reservation but retains its tokens, a committed record
+/// supersedes both, and a stored turn is retained. All records of a program are removed together when the last of them
+/// expires.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// The program.
@@ -29,11 +30,11 @@
     pub request: RequestId,
     /// Tokens that count against the budget.
     pub tokens: u64,
-    /// What is decided; it says what `tokens` counts.
+    /// The state, which determines the meaning of `tokens`.
     pub state: RecordState,
     /// The turn, if it is stored.
     pub turn: Option<Turn>,
-    /// When it may be removed, in milliseconds since the Unix epoch.
+    /// The time from which it may be removed, in milliseconds since the Unix epoch.
     pub expires_at_ms: u64,
 }
 
@@ -46,7 +47,7 @@
     pub request: RequestId,
 }
 
-/// Calls from a store to another.
+/// Calls between stores.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum TransferRequest {
     /// The primary replicates records; the reply is sent once they are on disk.
@@ -63,7 +64,7 @@
         /// The partitions with the primary's epochs.
         partitions: Vec<PartitionEpoch>,
     },
-    /// Requests digests of the records, one for each of `ranges` equal ranges of the keys' hashes.
+    /// Requests digests of the records, one for each of `ranges` ranges of equal size of the keys' hashes.
     Digests {
         /// The partition.
         partition: PartitionId,
@@ -71,10 +72,10 @@
         epoch: EpochNumber,
         /// The number of ranges.
         ranges: u16,
-        /// Programs that expire before this time, in milliseconds since the Unix epoch, are left out.
+        /// Programs that expire before this time, in milliseconds since the Unix epoch, are omitted.
         live_after_ms: u64,
     },
-    /// Requests one page of the records of some of these ranges.
+    /// Requests a page of the records of some of these ranges.
     Records {
         /// The partition.
         partition: PartitionId,
@@ -84,14 +85,14 @@
         ranges: u16,
         /// The requested ranges.
         requested: Vec<u16>,
-        /// Programs that expire before this time, in milliseconds since the Unix epoch, are left out.
+        /// Programs that expire before this time, in milliseconds since the Unix epoch, are omitted.
         live_after_ms: u64,
         /// The last record of the previous page.
         after: Option<RecordKey>,
     },
 }
 
-/// Replies of a store to another.
+/// Replies between stores.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum TransferReply {
     /// Done: the records are on disk, or the epochs are confirmed.
@@ -102,14 +103,14 @@
     Records {
         /// The records, ordered by key.
         records: Vec<Record>,
-        /// The last of them, if more may follow.
+        /// The key of the last record, if more may follow.
         next: Option<RecordKey>,
     },
-    /// The request's epoch is not the receiver's: the sender was superseded, or is ahead.
+    /// The request's epoch differs from the receiver's: the sender was superseded, or is ahead.
     Fenced {
         /// The receiver's epoch.
         epoch: EpochNumber,
     },
-    /// The receiver failed to do it, for instance because its disk is full.
+    /// The receiver failed to execute the request, for instance because its disk is full.
     Failed,
 }
--- a/crates/protocol/tests/golden.rs
+++ b/crates/protocol/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Every message between processes has the bytes that earlier releases gave it.
+//! Every message between processes is encoded to the same bytes as in earlier releases.
 
 mod golden_files;
 
@@ -58,7 +58,7 @@
     Envelope { call: CallId(300), is_reply: false, message }
 }
 
-fn answer(message: Message) -> Envelope {
+fn reply(message: Message) -> Envelope {
     Envelope { call: CallId(70_000), is_reply: true, message }
 }
 
@@ -70,8 +70,8 @@
     call(Message::Registry(message))
 }
 
-fn registry_answer(message: RegistryMessage) -> Envelope {
-    answer(Message::Registry(message))
+fn registry_reply(message: RegistryMessage) -> Envelope {
+    reply(Message::Registry(message))
 }
 
 fn session_call(body: SessionCall) -> Envelope {
@@ -79,16 +79,16 @@
     call(Message::SessionRequest(request))
 }
 
-fn session_answer(reply: SessionReply) -> Envelope {
-    answer(Message::SessionReply(reply))
+fn session_reply(body: SessionReply) -> Envelope {
+    reply(Message::SessionReply(body))
 }
 
 fn transfer_call(request: TransferRequest) -> Envelope {
     call(Message::TransferRequest(request))
 }
 
-fn transfer_answer(reply: TransferReply) -> Envelope {
-    answer(Message::TransferReply(reply))
+fn transfer_reply(body: TransferReply) -> Envelope {
+    reply(Message::TransferReply(body))
 }
 
 fn ipv4(port: u16) -> SocketAddr {
@@ -176,11 +176,11 @@
 }
 
 fn records() -> Vec<Record> {
-    let record = |request: &str, tokens, settled, turn, expires_at_ms| Record {
+    let record = |request: &str, tokens, is_committed, turn, expires_at_ms| Record {
         program: ProgramId::from("program-1"),
         request: RequestId::from(request),
         tokens,
-        state: if settled { RecordState::Committed } else { RecordState::Reserved },
+        state: if is_committed { RecordState::Committed } else { RecordState::Reserved },
         turn,
         expires_at_ms,
     };
@@ -196,7 +196,7 @@
 }
 
 fn liveness() -> Table {
-    vec![("ping", call(Message::Ping)), ("pong", answer(Message::Pong))]
+    vec![("ping", call(Message::Ping)), ("pong", reply(Message::Pong))]
 }
 
 fn epoch_agreement() -> Table {
@@ -269,18 +269,18 @@
         ("registry-instances", registry_call(instances)),
         (
             "registry-instances-taken",
-            registry_answer(InstancesMerged { epoch: EpochNumber(310), applied: true }),
+            registry_reply(InstancesMerged { epoch: EpochNumber(310), applied: true }),
         ),
         (
             "registry-distribute",
             registry_call(DistributeConfiguration { version: version(311, 312), wait_ms: 1_500 }),
         ),
-        ("registry-distributed", registry_answer(ConfigurationDistributed)),
+        ("registry-distributed", registry_reply(ConfigurationDistributed)),
         ("registry-read-committed", registry_call(ReadCommittedVersion)),
-        ("registry-committed", registry_answer(CommittedVersion { version: Some(version(313, 314)) })),
-        ("registry-committed-unconfirmed", registry_answer(CommittedVersion { version: None })),
+        ("registry-committed", registry_reply(CommittedVersion { version: Some(version(313, 314)) })),
+        ("registry-committed-unconfirmed", registry_reply(CommittedVersion { version: None })),
         ("registry-stores-seen", registry_call(ReachableStores { from: DiskId(32), stores: stores() })),
-        ("registry-seen", registry_answer(ReachableStoresReply { epoch: EpochNumber(315) })),
+        ("registry-seen", registry_reply(ReachableStoresReply { epoch: EpochNumber(315) })),
         ("registry-caught-up", registry_call(CaughtUp(caught_up()))),
     ]
 }
@@ -297,7 +297,7 @@
         ("order-get-configuration", order(Order::GetConfiguration)),
         ("order-retire", order(Order::Retire { node: node.clone(), duration_s: 12.5 })),
         ("order-retire-state", order(Order::RetireState { node })),
-        ("order-answer", registry_answer(RegistryMessage::OrderReply(reply))),
+        ("order-answer", registry_reply(RegistryMessage::OrderReply(reply))),
     ]
 }
 
@@ -320,14 +320,14 @@
     vec![
         ("subscribe-relay", subscribe(SubscriberKind::Relay)),
         ("subscribe-store", subscribe(SubscriberKind::Store { disk: DiskId(23) })),
-        ("applied", answer(Message::Applied(applied))),
+        ("applied", reply(Message::Applied(applied))),
     ]
 }
 
 fn updates() -> Table {
     let update = |update| call(Message::Update(update));
     let body = Arc::from(&br#"{"generation":8}"#[..]);
-    // One update for each flag, so that the two cannot change places.
+    // One update per flag, so that swapping the two flags is detected.
     let snapshot = InstancesUpdate {
         revision: 342,
         is_snapshot: true,
@@ -350,12 +350,12 @@
 }
 
 fn store_map() -> StoreMap {
-    let assignment = |epoch, primary, lost_copies| Assignment {
+    let assignment = |epoch, primary, lost_replicas| Assignment {
         epoch: EpochNumber(epoch),
         primary: DiskId(primary),
         in_sync: vec![DiskId(21), DiskId(22)],
         joining: vec![DiskId(24)],
-        lost_replicas: lost_copies,
+        lost_replicas,
     };
     StoreMap {
         version: 350,
@@ -380,7 +380,7 @@
         tokens: 803,
         stored_turn: Some(second_turn()),
     };
-    let finish_unkept = FinishTurn { stored_turn: None, ..finish.clone() };
+    let finish_without_turn = FinishTurn { stored_turn: None, ..finish.clone() };
     let at =
         |partition, epoch| PartitionEpoch { partition: PartitionId(partition), epoch: EpochNumber(epoch) };
     let find = SessionCall::Find {
@@ -391,7 +391,7 @@
         ("session-begin", session_call(SessionCall::Begin(begin))),
         ("session-begin-first", session_call(SessionCall::Begin(begin_first))),
         ("session-finish", session_call(SessionCall::Finish(finish))),
-        ("session-finish-unkept", session_call(SessionCall::Finish(finish_unkept))),
+        ("session-finish-unkept", session_call(SessionCall::Finish(finish_without_turn))),
         ("session-find", session_call(find)),
     ]
 }
@@ -399,13 +399,13 @@
 fn session_replies() -> Table {
     use SessionReply::*;
     vec![
-        ("session-begun", session_answer(TurnBegun { chain: vec![first_turn(), second_turn()] })),
-        ("session-budget-spent", session_answer(BudgetExhausted)),
-        ("session-unknown-turn", session_answer(UnknownTurn)),
-        ("session-finished", session_answer(TurnFinished)),
-        ("session-found", session_answer(TurnFound { chain: vec![first_turn()] })),
-        ("session-not-primary", session_answer(NotPrimary { epoch: EpochNumber(810) })),
-        ("session-unavailable", session_answer(Unavailable)),
+        ("session-begun", session_reply(TurnBegun { chain: vec![first_turn(), second_turn()] })),
+        ("session-budget-spent", session_reply(BudgetExhausted)),
+        ("session-unknown-turn", session_reply(UnknownTurn)),
+        ("session-finished", session_reply(TurnFinished)),
+        ("session-found", session_reply(TurnFound { chain: vec![first_turn()] })),
+        ("session-not-primary", session_reply(NotPrimary { epoch: EpochNumber(810) })),
+        ("session-unavailable", session_reply(Unavailable)),
     ]
 }
 
@@ -437,11 +437,11 @@
     use TransferReply::*;
     let page = |next| Records { records: records(), next };
     vec![
-        ("transfer-written", transfer_answer(Written)),
-        ("transfer-digests-answer", transfer_answer(Digests(vec![1, 0x0102_0304_0506_0708, u64::MAX]))),
-        ("transfer-records-answer", transfer_answer(page(Some(record_key("request-7"))))),
-        ("transfer-records-answer-last", transfer_answer(page(None))),
-        ("transfer-fenced", transfer_answer(Fenced { epoch: EpochNumber(910) })),
-        ("transfer-failed", transfer_answer(Failed)),
+        ("transfer-written", transfer_reply(Written)),
+        ("transfer-digests-answer", transfer_reply(Digests(vec![1, 0x0102_0304_0506_0708, u64::MAX]))),
+        ("transfer-records-answer", transfer_reply(page(Some(record_key("request-7"))))),
+        ("transfer-records-answer-last", transfer_reply(page(None))),
+        ("transfer-fenced", transfer_reply(Fenced { epoch: EpochNumber(910) })),
+        ("transfer-failed", transfer_reply(Failed)),
     ]
 }
--- a/crates/protocol/tests/golden_files/mod.rs
+++ b/crates/protocol/tests/golden_files/mod.rs
@@ -1,14 +1,14 @@
-//! Golden files: encoded values, kept beside the tests, that later encodings must equal byte for byte.
+//! Golden files: committed encodings that the present code must reproduce byte for byte.
 //!
-//! `UPDATE_GOLDEN=1` writes them; without it a missing file is a failure.
+//! `UPDATE_GOLDEN=1` writes them; otherwise a missing file fails the test.
 
 use std::collections::BTreeSet;
 use std::fmt::Debug;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Asserts that each value has exactly the bytes of its golden file, that these bytes decode to the value, and
-/// that `folder`, within the tests of the package, has no other files.
+/// Asserts that each value encodes to exactly the bytes of its golden file, that these bytes decode to the value, and
+/// that `folder`, relative to the tests of the package, contains no other files.
 pub fn assert_golden<T: Debug + PartialEq>(
     folder: &str, table: &[(&str, T)], encode: impl Fn(&T) -> Vec<u8>, decode: impl Fn(&[u8]) -> T,
 ) {
@@ -18,8 +18,8 @@
         let path = folder.join(format!("{name}.bin"));
         let encoded = encode(value);
         if is_update() {
-            fs::create_dir_all(&folder).expect("the golden folder can be made");
-            fs::write(&path, &encoded).expect("a golden file can be written");
+            fs::create_dir_all(&folder).expect("create the golden directory");
+            fs::write(&path, &encoded).expect("write a golden file");
         }
         let golden = fs::read(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
         assert_eq!(encoded, golden, "the encoding of {name} differs from its golden file");
@@ -34,7 +34,7 @@
 }
 
 fn files_in(folder: &Path) -> BTreeSet<PathBuf> {
-    let entries = fs::read_dir(folder).expect("the golden folder can be listed");
-    let paths = entries.map(|entry| entry.expect("an entry of the golden folder").path());
+    let entries = fs::read_dir(folder).expect("list the golden directory");
+    let paths = entries.map(|entry| entry.expect("read an entry of the golden directory").path());
     paths.filter(|path| path.is_file()).collect()
 }
--- a/crates/protocol/tests/headers.rs
+++ b/crates/protocol/tests/headers.rs
@@ -1,10 +1,10 @@
-//! Names of HTTP headers are what clients, endpoints and operators write; they stay as they are.
+//! Names of HTTP headers are part of the interface for clients, endpoints and operators and must not change.
 
-/// Read as text, so that names of the constants are free.
+/// Read as text, so that the constants may be renamed.
 const SOURCE: &str = include_str!("../src/headers.rs");
 
 #[test]
-fn header_names_stay() {
+fn header_names_are_unchanged() {
     let constants = SOURCE.lines().filter(|line| line.starts_with("pub const "));
     let mut names: Vec<&str> = constants.map(|line| line.split('"').nth(1).expect("a name")).collect();
     names.sort_unstable();
--- a/crates/protocol/tests/partitions.rs
+++ b/crates/protocol/tests/partitions.rs
@@ -1,4 +1,4 @@
-//! The partition of a program is the same on every machine and in every version.
+//! The partition of a program is the same on every machine and in every release.
 
 use juniperwing_protocol::subscription::{Assignment, StoreMap};
 
@@ -14,8 +14,8 @@
 }
 
 #[test]
-fn partitions_follow_the_published_values_of_fnv_1a() {
-    // Of "", "a" and "foobar": 0xcbf29ce484222325, 0xaf63dc4c8601ec8c, 0x85944171f73967e8.
+fn partitions_equal_the_published_hashes_of_fnv_1a() {
+    // The hashes of "", "a" and "foobar" are 0xcbf29ce484222325, 0xaf63dc4c8601ec8c, 0x85944171f73967e8.
     let expected = [("", 0x25 % 32), ("a", 0x8c % 32), ("foobar", 0xe8 % 32)];
     for (key, partition) in expected {
         assert_eq!(map(32).partition_of(key).map(|found| found.0), Some(partition), "{key}");
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -1,11 +1,11 @@
-//! The errors of stored state.
+//! Storage errors.
 
 use std::io;
 use std::path::PathBuf;
 
 use snafu::Snafu;
 
-/// Why stored state cannot be read or written.
+/// Why an operation on stored state failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StorageError {
@@ -19,16 +19,16 @@
         /// The error of the operating system.
         source: io::Error,
     },
-    /// A file's contents are not what was written. A loss of power cannot cause this, so acknowledged state may be
-    /// missing: the directory counts as lost.
+    /// A file's contents differ from what was written. A power loss cannot cause this, so acknowledged state may be
+    /// missing and the directory counts as lost.
     #[snafu(display("{} is corrupt: it contains {found}", path.display()))]
     Corrupt {
         /// The file.
         path: PathBuf,
-        /// What was found instead.
+        /// Description of what the file contains instead.
         found: &'static str,
     },
-    /// A file or directory is intact, but has the layout of another release.
+    /// A file or directory is intact but has the layout of another release.
     #[snafu(display("{} has the layout of another release", path.display()))]
     UnsupportedLayout {
         /// The file.
--- a/crates/storage/src/file_system.rs
+++ b/crates/storage/src/file_system.rs
@@ -1,7 +1,7 @@
-//! The file system that state is stored on: the real one, or a simulated one in tests.
+//! The file system on which state is stored: the real one, or a simulated one in tests.
 //!
-//! The functions here are those of [`std::fs`] that this package needs. On a thread that has called [`simulate`] they are
-//! directed to a simulated [`FileSystem`] instead, so that tests can lose power at any moment.
+//! The functions of this module are the ones of [`std::fs`] that this crate needs. On a thread that has called
+//! [`simulate`] they operate on a simulated [`FileSystem`] instead, so that tests can simulate a power loss at any call.
 
 use std::cell::RefCell;
 use std::ffi::OsString;
@@ -16,7 +16,7 @@
     ///
     /// # Errors
     ///
-    /// Those of the function of [`std::fs`] that this method stands for; so do those of the other methods.
+    /// As the corresponding function of [`std::fs`]; this applies to all methods.
     fn create_dir_all(&self, directory: &Path) -> io::Result<()>;
 
     /// Reads the contents of a file.
@@ -26,14 +26,14 @@
     /// See [`FileSystem::create_dir_all`].
     fn read(&self, path: &Path) -> io::Result<Vec<u8>>;
 
-    /// Lists the names in a directory.
+    /// Lists the names of a directory's entries.
     ///
     /// # Errors
     ///
     /// See [`FileSystem::create_dir_all`].
     fn read_dir(&self, directory: &Path) -> io::Result<Vec<OsString>>;
 
-    /// Creates an empty file, replacing any file of this name.
+    /// Creates an empty file; an existing file of this name is truncated.
     ///
     /// # Errors
     ///
@@ -47,7 +47,7 @@
     /// See [`FileSystem::create_dir_all`].
     fn append(&self, path: &Path, bytes: &[u8]) -> io::Result<()>;
 
-    /// Makes the contents of a file, or the names in a directory, durable.
+    /// Makes the contents of a file or the entries of a directory durable.
     ///
     /// # Errors
     ///
@@ -73,13 +73,13 @@
     static SIMULATED: RefCell<Option<Arc<dyn FileSystem>>> = const { RefCell::new(None) };
 }
 
-/// While this guard lives, the current thread uses a simulated file system.
+/// Guard of [`simulate`]: the current thread uses the simulated file system until it is dropped.
 #[derive(Debug)]
 pub struct SimulationGuard {
     previous: Option<Arc<dyn FileSystem>>,
 }
 
-/// Makes the current thread use a simulated file system until the guard is dropped.
+/// Directs the current thread to a simulated file system until the returned guard is dropped.
 #[must_use]
 pub fn simulate(file_system: Arc<dyn FileSystem>) -> SimulationGuard {
     SimulationGuard { previous: SIMULATED.replace(Some(file_system)) }
@@ -111,7 +111,7 @@
     }
 }
 
-/// Lists the names in a directory. See [`std::fs::read_dir`].
+/// Lists the names of a directory's entries. See [`std::fs::read_dir`].
 pub(crate) fn read_dir(directory: &Path) -> io::Result<Vec<OsString>> {
     match simulated() {
         None => std::fs::read_dir(directory)?.map(|entry| Ok(entry?.file_name())).collect(),
--- a/crates/storage/src/frame.rs
+++ b/crates/storage/src/frame.rs
@@ -1,6 +1,6 @@
-//! The format of files: frames of a magic number, the length of the contents, their checksum, and the contents.
+//! The file format. A frame consists of a magic number, the length of the contents, their checksum, and the contents.
 //!
-//! A segment is a sequence of frames. A snapshot file is one frame, whose contents begin with the version's number.
+//! A segment is a sequence of frames. A snapshot file is a single frame, whose contents begin with the version number.
 
 use std::io::Write;
 use std::path::Path;
@@ -13,9 +13,9 @@
 /// The first bytes of a frame, which identify its kind.
 type Magic = [u8; 8];
 
-/// A batch of a segment. Snapshots of an earlier layout, without a version number, had it too.
+/// Magic number of a batch in a segment. Snapshots of an earlier layout, without a version number, had it as well.
 const BATCH_MAGIC: Magic = *b"JNPRWNG1";
-/// A snapshot.
+/// Magic number of a snapshot.
 const SNAPSHOT_MAGIC: Magic = *b"JNPRWNG2";
 const HEADER_BYTES: usize = size_of::<Magic>() + 8 + 4;
 
@@ -33,7 +33,7 @@
     bytes
 }
 
-/// The contents of the first batch and the bytes after it; `None` if the batch is torn or there is none.
+/// Splits off the contents of the first batch; `None` if the batch is torn or there is none.
 pub(crate) fn first_batch(bytes: &[u8]) -> Option<(&[u8], &[u8])> {
     first_frame(BATCH_MAGIC, bytes)
 }
@@ -44,11 +44,11 @@
     let (checksum, rest) = rest.split_first_chunk::<4>()?;
     let length = usize::try_from(u64::from_le_bytes(*length)).ok()?;
     let (contents, remainder) = rest.split_at_checked(length)?;
-    let intact = u32::from_le_bytes(*checksum) == crc32fast::hash(contents);
-    intact.then_some((contents, remainder))
+    let is_intact = u32::from_le_bytes(*checksum) == crc32fast::hash(contents);
+    is_intact.then_some((contents, remainder))
 }
 
-fn only_frame(magic: Magic, bytes: &[u8]) -> Option<&[u8]> {
+fn single_frame(magic: Magic, bytes: &[u8]) -> Option<&[u8]> {
     first_frame(magic, bytes).filter(|(_, remainder)| remainder.is_empty()).map(|(contents, _)| contents)
 }
 
@@ -60,13 +60,13 @@
     file.sync_all().context(IoSnafu { action: "syncing", path })
 }
 
-/// Reads the snapshot of this version number.
+/// Reads a snapshot and checks that it has this version number.
 pub(crate) fn read_snapshot(path: &Path, number: u64) -> Result<Vec<u8>, StorageError> {
     let bytes = file_system::read(path).context(IoSnafu { action: "reading", path })?;
-    if only_frame(BATCH_MAGIC, &bytes).is_some() {
+    if single_frame(BATCH_MAGIC, &bytes).is_some() {
         return UnsupportedLayoutSnafu { path }.fail();
     }
-    let numbered = only_frame(SNAPSHOT_MAGIC, &bytes).and_then(<[u8]>::split_first_chunk::<8>);
+    let numbered = single_frame(SNAPSHOT_MAGIC, &bytes).and_then(<[u8]>::split_first_chunk::<8>);
     let Some((stored_number, contents)) = numbered else {
         return CorruptSnafu { path, found: "a torn version" }.fail();
     };
@@ -76,18 +76,18 @@
     Ok(contents.to_vec())
 }
 
-/// Makes the contents of a file durable, including what a process that was killed has written to it.
+/// Makes the contents of a file durable, including the unsynced writes of a process that was killed.
 pub(crate) fn sync_file(path: &Path) -> Result<(), StorageError> {
     let opened = File::open(path).context(IoSnafu { action: "opening", path })?;
     opened.sync_all().context(IoSnafu { action: "syncing", path })
 }
 
-/// Makes the names in a directory durable.
+/// Makes the entries of a directory durable.
 pub(crate) fn sync_directory(directory: &Path) -> Result<(), StorageError> {
     sync_file(directory)
 }
 
-/// The numbers of the files whose names consist of `prefix` and a hexadecimal number, in ascending order.
+/// Lists the numbers of the files whose names consist of `prefix` and a hexadecimal number, in ascending order.
 pub(crate) fn list_numbers(directory: &Path, prefix: &str) -> Result<Vec<u64>, StorageError> {
     let names = file_system::read_dir(directory).context(IoSnafu { action: "listing", path: directory })?;
     let mut numbers = Vec::new();
--- a/crates/storage/src/identity.rs
+++ b/crates/storage/src/identity.rs
@@ -1,5 +1,5 @@
-//! The identity of a data directory: a number drawn once, which distinguishes a directory that was lost and created anew
-//! from its predecessor.
+//! The identity of a data directory: a random number generated once, which distinguishes a directory that was lost and
+//! created anew from its predecessor.
 
 use std::path::Path;
 
@@ -8,33 +8,34 @@
 
 const FILE_PREFIX: &str = "identity";
 
-/// Reads the identity of the directory; a directory without a readable one is given `drawn`. The second value is
-/// whether it was given a new identity.
+/// Reads the identity of a directory; a directory without a readable identity is assigned `new_identity`. Returns the
+/// identity and whether it is new.
 ///
 /// # Errors
 ///
-/// If the directory cannot be read or written, or has files of another release.
-pub fn open(directory: &Path, drawn: u64) -> Result<(u64, bool), StorageError> {
+/// If the directory cannot be read or written, or the identity was written by another release.
+pub fn open(directory: &Path, new_identity: u64) -> Result<(u64, bool), StorageError> {
     let (mut files, newest) = match SnapshotFiles::open(directory, FILE_PREFIX) {
         Err(error) if error.is_corruption() => (SnapshotFiles::clear(directory, FILE_PREFIX)?, None),
         opened => opened?,
     };
     let Some(bytes) = newest else {
-        files.write(&drawn.to_le_bytes())?;
-        return Ok((drawn, true));
+        files.write(&new_identity.to_le_bytes())?;
+        return Ok((new_identity, true));
     };
-    // Intact, but not a number: another release wrote it. A new identity would abandon the state in the directory.
+    // An intact file of another length was written by another release. A new identity would abandon the state in the
+    // directory.
     match bytes.try_into() {
         Ok(stored) => Ok((u64::from_le_bytes(stored), false)),
         Err(_) => UnsupportedLayoutSnafu { path: directory }.fail(),
     }
 }
 
-/// Replaces the identity of the directory by `drawn`: its former state counts as lost.
+/// Replaces the identity of a directory by `new_identity`: its previous state counts as lost.
 ///
 /// # Errors
 ///
 /// If the directory cannot be written.
-pub fn renew(directory: &Path, drawn: u64) -> Result<(), StorageError> {
-    SnapshotFiles::clear(directory, FILE_PREFIX)?.write(&drawn.to_le_bytes())
+pub fn renew(directory: &Path, new_identity: u64) -> Result<(), StorageError> {
+    SnapshotFiles::clear(directory, FILE_PREFIX)?.write(&new_identity.to_le_bytes())
 }
--- a/crates/storage/src/layout.rs
+++ b/crates/storage/src/layout.rs
@@ -1,21 +1,21 @@
-//! The number of a directory's file formats.
+//! The layout number of a directory, which identifies its file formats.
 //!
-//! It is read before anything else, so that a release with other formats refuses the directory, in both directions, instead
-//! of treating files that it cannot read as absent. A directory without the number has the first layout.
+//! It is read before anything else, so that a release with other formats, newer or older, rejects the directory instead
+//! of treating files that it cannot read as absent. A directory without a layout number has the first layout.
 
 use std::path::Path;
 
 use crate::error::{StorageError, UnsupportedLayoutSnafu};
 use crate::snapshot_files::SnapshotFiles;
 
-/// The layout of directories without a number.
+/// The layout of directories without a layout number.
 const FIRST_LAYOUT: u32 = 1;
 
-/// Checks that the files of `name` in a directory have this layout, and records it if there is no number yet.
+/// Checks that the files of `name` in a directory have this layout, and records the layout number if there is none.
 ///
 /// # Errors
 ///
-/// [`StorageError::UnsupportedLayout`] if they have another one, or if the directory cannot be read or written.
+/// [`StorageError::UnsupportedLayout`] if they have another layout; also if the directory cannot be read or written.
 pub fn check(directory: &Path, name: &str, layout: u32) -> Result<(), StorageError> {
     let (mut files, newest) = SnapshotFiles::open(directory, &format!("layout-{name}"))?;
     let found = match newest {
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,12 +1,11 @@
 //! Durable state on disk.
 //!
-//! [`SnapshotFiles`] keeps the newest version of a small state: each version is written to a temporary file, synced,
-//! renamed, and the directory synced, before it counts as written. [`SegmentLog`] is an append-only log of batches: a batch
-//! counts as written when its segment is synced, which saves the second sync that a rename needs. [`identity`] keeps the
-//! identity of a data directory, [`layout`] the number of its file formats. Everything carries a checksum; torn writes are
-//! detected and not read.
+//! [`SnapshotFiles`] stores the newest version of a small state: a version is durable once its temporary file is synced
+//! and renamed and the directory is synced. [`SegmentLog`] is an append-only log of batches: a batch is durable once its
+//! segment is synced, which saves the second sync that a rename needs. [`identity`] stores the identity of a data
+//! directory, [`layout`] the number of its file formats. All files have checksums; torn writes are detected and not read.
 //!
-//! All calls block on the disk: call them from a thread that may block.
+//! All calls block on disk I/O and must be made from a thread that may block.
 
 mod error;
 pub mod file_system;
--- a/crates/storage/src/segment_log.rs
+++ b/crates/storage/src/segment_log.rs
@@ -1,8 +1,8 @@
 //! An append-only log of batches in segment files.
 //!
-//! A batch is durable when its segment is synced: one sync for each batch, and one of the directory for each segment. A
-//! segment is sealed when it is large enough, when a write to it fails, and at every start, so nothing is ever appended after
-//! a write that may be torn.
+//! A batch is durable when its segment is synced: one sync per batch, and one sync of the directory per segment. A segment
+//! is sealed when it is large enough, when a write to it fails, and at every start, so that nothing is appended after a
+//! write that may be torn.
 
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -17,7 +17,7 @@
 /// The size at which a segment is sealed.
 const SEAL_THRESHOLD_BYTES: u64 = 1 << 20;
 
-/// The number of a segment; later segments have higher ones.
+/// The number of a segment; later segments have higher numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SegmentNumber(pub u64);
 
@@ -34,8 +34,8 @@
 #[derive(Debug)]
 pub struct SegmentLog {
     directory: PathBuf,
-    next: u64,
-    open: Option<OpenSegment>,
+    next_number: u64,
+    open_segment: Option<OpenSegment>,
 }
 
 #[derive(Debug)]
@@ -62,11 +62,11 @@
     /// If the directory cannot be created, listed or read.
     pub fn open(directory: impl Into<PathBuf>) -> Result<(Self, Vec<Batch>), StorageError> {
         let mut batches = Vec::new();
-        let files = SegmentLog::replay(directory, |batch| batches.push(batch))?;
-        Ok((files, batches))
+        let log = SegmentLog::replay(directory, |batch| batches.push(batch))?;
+        Ok((log, batches))
     }
 
-    /// As [`SegmentLog::open`], but passes each batch to `visit`, so that only one segment is in memory at a time.
+    /// Like [`SegmentLog::open`], but passes each batch to `visit`, so that only one segment is in memory at a time.
     /// Segments without an intact batch are removed.
     ///
     /// # Errors
@@ -77,7 +77,7 @@
         file_system::create_dir_all(&directory).context(IoSnafu { action: "making", path: &directory })?;
         let numbers = frame::list_numbers(&directory, FILE_PREFIX)?;
         if let Some(newest) = numbers.last() {
-            // A process that was killed may have left a batch unsynced, which a loss of power would still undo.
+            // A process that was killed may have left a batch unsynced, which a power loss could still undo.
             frame::sync_file(&directory.join(frame::file_name(FILE_PREFIX, *newest)))?;
         }
         for number in &numbers {
@@ -90,12 +90,12 @@
                 rest = remainder;
             }
             if rest.len() == bytes.len() {
-                // If it cannot be removed now, it is removed after a later start.
+                // If the file cannot be removed now, a later start removes it.
                 let _ = file_system::remove_file(&path);
             }
         }
-        let next = numbers.last().map_or(1, |last| last + 1);
-        Ok(SegmentLog { directory, next, open: None })
+        let next_number = numbers.last().map_or(1, |last| last + 1);
+        Ok(SegmentLog { directory, next_number, open_segment: None })
     }
 
     /// Appends a batch and returns its segment. When this returns, the batch is durable.
@@ -104,15 +104,14 @@
     ///
     /// If the write fails; earlier batches are unaffected. The batch may reappear after a restart.
     pub fn append(&mut self, contents: &[u8]) -> Result<SegmentNumber, StorageError> {
-        let mut segment = match self.open.take() {
+        let mut segment = match self.open_segment.take() {
             Some(segment) => segment,
-            None => self.create()?,
+            None => self.create_segment()?,
         };
         let path = self.path(segment.number);
         let frame = frame::batch_frame(contents);
         if let Err(error) = segment.write(&frame, &path) {
-            // Dropping the segment seals it. One without an intact batch is of no use; if it cannot be removed now, it is
-            // removed after a later start.
+            // Dropping the segment seals it. A segment without an intact batch is removed, now or by a later start.
             if segment.bytes == 0 {
                 let _ = file_system::remove_file(&path);
             }
@@ -120,24 +119,24 @@
         }
         let number = segment.number;
         segment.bytes += frame.len() as u64;
-        self.open = Some(segment).filter(|segment| segment.bytes < SEAL_THRESHOLD_BYTES);
+        self.open_segment = Some(segment).filter(|segment| segment.bytes < SEAL_THRESHOLD_BYTES);
         Ok(number)
     }
 
-    /// Removes a segment that is no longer needed. It may reappear after a loss of power.
+    /// Removes a segment that is no longer needed. It may reappear after a power loss.
     ///
     /// # Errors
     ///
     /// If the file cannot be removed.
     pub fn remove(&mut self, number: SegmentNumber) -> Result<(), StorageError> {
-        self.open.take_if(|open| open.number == number);
+        self.open_segment.take_if(|open| open.number == number);
         let path = self.path(number);
         file_system::remove_file(&path).context(IoSnafu { action: "removing", path: &path })
     }
 
-    fn create(&mut self) -> Result<OpenSegment, StorageError> {
-        let number = SegmentNumber(self.next);
-        self.next += 1;
+    fn create_segment(&mut self) -> Result<OpenSegment, StorageError> {
+        let number = SegmentNumber(self.next_number);
+        self.next_number += 1;
         let path = self.path(number);
         let file = File::create(&path).context(IoSnafu { action: "creating", path: &path })?;
         if let Err(error) = frame::sync_directory(&self.directory) {
--- a/crates/storage/src/snapshot_files.rs
+++ b/crates/storage/src/snapshot_files.rs
@@ -1,4 +1,4 @@
-//! Snapshots of a small state, one file for each version.
+//! Snapshots of a small state, one file per version.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -9,15 +9,15 @@
 use crate::file_system;
 use crate::frame;
 
-/// Versions retained beside the newest.
+/// Number of old versions retained in addition to the newest.
 const RETAINED_OLD_VERSIONS: usize = 1;
 /// The prefix of temporary files.
 const TEMPORARY_PREFIX: &str = "aside-";
 
 /// The snapshots of one state in a directory.
 ///
-/// A version gets its name only after its contents are synced, so that after a loss of power every name stands for a
-/// complete version; the version is durable once the directory is synced as well.
+/// A version is renamed to its final name only after its contents are synced, so that after a power loss every such name
+/// refers to a complete version. The version is durable once the directory is synced as well.
 #[derive(Debug)]
 pub struct SnapshotFiles {
     directory: PathBuf,
@@ -27,8 +27,8 @@
 }
 
 impl SnapshotFiles {
-    /// Opens the state named `name` in `directory` (created if missing) and reads its newest version, which is durable from
-    /// then on.
+    /// Opens the state `name` in `directory` (created if missing) and reads its newest version, which is durable when this
+    /// returns.
     ///
     /// # Errors
     ///
@@ -40,7 +40,7 @@
         let prefix = format!("{name}-");
         remove_all(&directory, &format!("{TEMPORARY_PREFIX}{prefix}"))?;
         let numbers = frame::list_numbers(&directory, &prefix)?;
-        // A process that was killed may have left a rename unsynced, which a loss of power would still undo.
+        // A process that was killed may have left a rename unsynced, which a power loss could still undo.
         frame::sync_directory(&directory)?;
         let newest = match numbers.last() {
             Some(number) => {
@@ -51,7 +51,7 @@
         Ok((SnapshotFiles { directory, prefix, numbers }, newest))
     }
 
-    /// Removes all versions of a state durably, and opens it empty.
+    /// Durably removes all versions of a state and opens it empty.
     ///
     /// # Errors
     ///
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     ///
-    /// If the write fails; the version before is unaffected. The new one may reappear after a restart.
+    /// If the write fails; the previous version is unaffected. The new one may reappear after a restart.
     pub fn write(&mut self, contents: &[u8]) -> Result<(), StorageError> {
         let number = self.numbers.last().map_or(1, |newest| newest + 1);
         let name = frame::file_name(&self.prefix, number);
@@ -81,14 +81,14 @@
         let temporary = self.directory.join(format!("{TEMPORARY_PREFIX}{name}"));
         frame::write_snapshot(&temporary, number, contents)?;
         file_system::rename(&temporary, &path).context(IoSnafu { action: "renaming", path: &temporary })?;
-        // The name may exist from here on, so its number is not used again.
+        // The name may exist from now on, even if the sync fails, so the number is not reused.
         self.numbers.push(number);
         frame::sync_directory(&self.directory)?;
         self.remove_old();
         Ok(())
     }
 
-    /// Removes old versions. One that cannot be removed is harmless, and is tried again with the next write.
+    /// Removes old versions. A version that cannot be removed is harmless; the next write retries it.
     fn remove_old(&mut self) {
         while self.numbers.len() > 1 + RETAINED_OLD_VERSIONS {
             if remove(&self.directory.join(frame::file_name(&self.prefix, self.numbers[0]))).is_err() {
--- a/crates/storage/tests/common/mod.rs
+++ b/crates/storage/tests/common/mod.rs
@@ -1,6 +1,8 @@
-//! A simulated disk with power losses: each name created, renamed or removed since the last sync of its directory is
-//! retained or lost independently, and each write since the last sync of its file is complete, missing or torn. Unlike
-//! the disks of deployments, the sync of a new file does not make its name durable.
+//! A simulated disk with power losses.
+//!
+//! At a power loss each name created, renamed or removed since the last sync of its directory is retained or lost
+//! independently, and each write since the last sync of its file is complete, missing or torn. Unlike on the disks of
+//! deployments, the sync of a new file does not make its name durable.
 
 use std::collections::BTreeMap;
 use std::ffi::OsString;
@@ -15,22 +17,22 @@
 #[derive(Clone, Debug, Default)]
 struct File {
     synced: Vec<u8>,
-    /// The changes since, oldest first.
+    /// The changes since the last sync, oldest first.
     unsynced: Vec<Change>,
 }
 
 #[derive(Clone, Debug)]
 enum Change {
-    Emptied,
+    Truncated,
     Appended(Vec<u8>),
 }
 
 impl File {
-    fn now(&self) -> Vec<u8> {
+    fn contents(&self) -> Vec<u8> {
         let mut contents = self.synced.clone();
         for change in &self.unsynced {
             match change {
-                Change::Emptied => contents.clear(),
+                Change::Truncated => contents.clear(),
                 Change::Appended(bytes) => contents.extend_from_slice(bytes),
             }
         }
@@ -38,31 +40,31 @@
     }
 
     fn sync(&mut self) {
-        self.synced = self.now();
+        self.synced = self.contents();
         self.unsynced.clear();
     }
 
     /// Reduces the file to what a power loss leaves.
-    fn lose_power(&mut self, random: &mut Random) {
+    fn lose_power(&mut self, random: &mut SplitMix64) {
         let mut contents = self.synced.clone();
         let mut offset = contents.len();
         for change in std::mem::take(&mut self.unsynced) {
             match change {
-                Change::Emptied if random.is_lucky() => offset = 0,
-                Change::Emptied => {
+                Change::Truncated if random.coin_flip() => offset = 0,
+                Change::Truncated => {
                     contents.clear();
                     offset = 0;
                 }
                 Change::Appended(bytes) => {
-                    let kept = match random.below(3) {
+                    let retained_bytes = match random.below(3) {
                         0 => 0,
                         1 => random.below(bytes.len() + 1),
                         _ => bytes.len(),
                     };
-                    let end = offset + kept;
-                    if kept > 0 {
+                    let end = offset + retained_bytes;
+                    if retained_bytes > 0 {
                         contents.resize(contents.len().max(end), 0);
-                        contents[offset..end].copy_from_slice(&bytes[..kept]);
+                        contents[offset..end].copy_from_slice(&bytes[..retained_bytes]);
                     }
                     offset += bytes.len();
                 }
@@ -72,11 +74,11 @@
     }
 }
 
-/// splitmix64.
+/// The random number generator splitmix64.
 #[derive(Clone, Debug)]
-pub struct Random(pub u64);
+pub struct SplitMix64(pub u64);
 
-impl Random {
+impl SplitMix64 {
     fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
@@ -89,7 +91,7 @@
         (self.next() % limit.max(1) as u64) as usize
     }
 
-    fn is_lucky(&mut self) -> bool {
+    fn coin_flip(&mut self) -> bool {
         self.below(2) == 0
     }
 }
@@ -99,51 +101,51 @@
     files: Vec<File>,
     names: BTreeMap<PathBuf, FileId>,
     synced_names: BTreeMap<PathBuf, FileId>,
-    random: Random,
-    /// The calls before the process is killed.
-    calls_left: Option<usize>,
+    random: SplitMix64,
+    /// The number of calls until the process is killed.
+    remaining_calls: Option<usize>,
 }
 
-/// The disk of one process.
+/// The simulated disk of one process.
 #[derive(Debug)]
-pub struct ForgetfulDisk {
+pub struct PowerLossDisk {
     contents: Mutex<Contents>,
 }
 
-impl ForgetfulDisk {
+impl PowerLossDisk {
     /// An empty disk.
     pub fn new(seed: u64) -> Self {
         let contents = Contents {
             files: Vec::new(),
             names: BTreeMap::new(),
             synced_names: BTreeMap::new(),
-            random: Random(seed),
-            calls_left: None,
+            random: SplitMix64(seed),
+            remaining_calls: None,
         };
-        ForgetfulDisk { contents: Mutex::new(contents) }
+        PowerLossDisk { contents: Mutex::new(contents) }
     }
 
-    /// The process dies after so many more calls; those after it do nothing.
-    pub fn die_after(&self, calls: usize) {
-        self.lock().calls_left = Some(calls);
+    /// Kills the process after `calls` more calls; later calls have no effect.
+    pub fn kill_after(&self, calls: usize) {
+        self.lock().remaining_calls = Some(calls);
     }
 
-    /// The process starts again; the files are as it left them.
+    /// Restarts the process; its writes and names are retained without a sync.
     pub fn restart(&self) {
-        self.lock().calls_left = None;
+        self.lock().remaining_calls = None;
     }
 
-    /// The machine loses power and starts again.
+    /// Restarts the machine after a power loss.
     pub fn lose_power(&self) {
         let contents = &mut *self.lock();
-        contents.calls_left = None;
+        contents.remaining_calls = None;
         let paths: Vec<PathBuf> =
             contents.names.keys().chain(contents.synced_names.keys()).cloned().collect();
         let mut names = BTreeMap::new();
         for path in paths {
             let versions = [contents.synced_names.get(&path), contents.names.get(&path)];
-            let kept = versions[usize::from(contents.random.is_lucky())];
-            kept.map(|file| names.insert(path, *file));
+            let retained = versions[usize::from(contents.random.coin_flip())];
+            retained.map(|file| names.insert(path, *file));
         }
         contents.names.clone_from(&names);
         contents.synced_names = names;
@@ -153,13 +155,13 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Contents> {
-        self.contents.lock().expect("no test panics with the lock")
+        self.contents.lock().expect("no panic while the lock is held")
     }
 
     fn call(&self) -> io::Result<MutexGuard<'_, Contents>> {
         let mut contents = self.lock();
-        match &mut contents.calls_left {
-            Some(0) => return Err(io::Error::other("the process is dead")),
+        match &mut contents.remaining_calls {
+            Some(0) => return Err(io::Error::other("the process was killed")),
             Some(calls) => *calls -= 1,
             None => {}
         }
@@ -174,13 +176,13 @@
     }
 }
 
-impl FileSystem for ForgetfulDisk {
-    fn create_dir_all(&self, _folder: &Path) -> io::Result<()> {
+impl FileSystem for PowerLossDisk {
+    fn create_dir_all(&self, _directory: &Path) -> io::Result<()> {
         self.call().map(drop)
     }
 
     fn read(&self, path: &Path) -> io::Result<Vec<u8>> {
-        Ok(self.call()?.file(path)?.now())
+        Ok(self.call()?.file(path)?.contents())
     }
 
     fn read_dir(&self, directory: &Path) -> io::Result<Vec<OsString>> {
@@ -192,7 +194,7 @@
     fn create(&self, path: &Path) -> io::Result<()> {
         let contents = &mut *self.call()?;
         if let Ok(file) = contents.file(path) {
-            file.unsynced.push(Change::Emptied);
+            file.unsynced.push(Change::Truncated);
             return Ok(());
         }
         contents.names.insert(path.into(), contents.files.len());
--- a/crates/storage/tests/full_disk.rs
+++ b/crates/storage/tests/full_disk.rs
@@ -1,4 +1,5 @@
-//! A full disk, on which half of a write succeeds: failed writes do not accumulate, and acknowledged data is intact.
+//! A full disk, on which half of a write succeeds before it fails: the remains of failed writes do not accumulate, and
+//! acknowledged data is intact.
 
 use std::ffi::OsString;
 use std::fs::{self, OpenOptions};
@@ -10,7 +11,7 @@
 use juniperwing_storage::file_system::{FileSystem, simulate};
 use juniperwing_storage::{SegmentLog, SnapshotFiles};
 
-/// The real file system, which can be set to be full.
+/// The real file system, whose writes can be made to fail for lack of space.
 #[derive(Debug, Default)]
 struct FullDisk(AtomicBool);
 
@@ -39,8 +40,8 @@
 
     fn append(&self, path: &Path, bytes: &[u8]) -> io::Result<()> {
         let full = self.0.load(Ordering::Relaxed);
-        let taken = if full { &bytes[..bytes.len() / 2] } else { bytes };
-        OpenOptions::new().append(true).open(path)?.write_all(taken)?;
+        let written = if full { &bytes[..bytes.len() / 2] } else { bytes };
+        OpenOptions::new().append(true).open(path)?.write_all(written)?;
         if full { Err(io::ErrorKind::StorageFull.into()) } else { Ok(()) }
     }
 
--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Files have the names and bytes that earlier releases gave them.
+//! Files have the same names and bytes as in earlier releases.
 
 #[path = "../../protocol/tests/golden_files/mod.rs"]
 mod golden_files;
@@ -9,7 +9,7 @@
 use golden_files::assert_golden;
 use juniperwing_storage::{SegmentLog, SnapshotFiles, identity, layout};
 
-/// Stands in a file name for the first version or segment.
+/// The number of the first version or segment, as in file names.
 const FIRST: &str = "0000000000000001";
 
 #[test]
@@ -51,7 +51,7 @@
     assert_file("identities", &format!("identity-{FIRST}"), &[("drawn", drawn)], renew, read);
 }
 
-/// Layouts above the first are rejected in a directory without a layout number, so only the first can be written.
+/// Other layouts are rejected in a directory without a layout number, so only the first can be written.
 #[test]
 fn a_layout_has_its_golden_bytes() {
     let write = |directory: &Path, number: &u32| layout::check(directory, "sessions", *number).unwrap();
@@ -84,8 +84,8 @@
     SnapshotFiles::open(directory, "state").unwrap()
 }
 
-/// Asserts that `write` makes the file `name` with the golden bytes, and that `read` reads the value from a directory
-/// that has only this file.
+/// Asserts that `write` creates the file `name` with the golden bytes, and that `read` reads the value from a directory
+/// that contains only this file.
 fn assert_file<T: std::fmt::Debug + PartialEq>(
     golden: &str, name: &str, table: &[(&str, T)], write: impl Fn(&Path, &T), read: impl Fn(&Path) -> T,
 ) {
--- a/crates/storage/tests/power_loss.rs
+++ b/crates/storage/tests/power_loss.rs
@@ -1,27 +1,27 @@
-//! Kills and power losses at every disk call, in any order, with every combination of names and writes retained and
+//! Recovery after kills and power losses at random disk calls, with random combinations of names and writes retained or
 //! lost.
 //!
-//! What a process reads at its start it acknowledges to others, so what was read counts as acknowledged.
-//! Each test fails without the sync of the directory, or of the newest segment, when files are opened, without the
-//! sync of a file, and (versions) without the sync of the directory behind a rename.
+//! A process acknowledges to others what it reads at its start, so data that was read counts as acknowledged. Each test
+//! fails without the sync of the directory or of the newest segment when files are opened, without the sync of a file,
+//! and, for versions, without the sync of the directory after a rename.
 
 mod common;
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use common::ForgetfulDisk;
+use common::PowerLossDisk;
 use juniperwing_storage::{SegmentLog, SegmentNumber, SnapshotFiles, StorageError, file_system};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
 const DIRECTORY: &str = "/data";
-/// The maximum number of disk calls of an incarnation: more than opening and a few writes need.
+/// Limit of the disk calls of an incarnation: more than opening and a few writes need.
 const MAX_CALLS: usize = 60;
-/// The maximum number of files of a state.
-const MAX_FILES: usize = 8;
+/// The number of batches above which the oldest segment is removed.
+const MAX_BATCHES: usize = 8;
 
-/// One incarnation of a process: the number of its disk calls and writes, and how it ends.
+/// One incarnation of a process: its number of disk calls and writes, and whether it ends by a power loss.
 #[derive(Clone, Debug)]
 struct Incarnation {
     calls: usize,
@@ -37,7 +37,7 @@
     )
 }
 
-/// Contents that differ in length as well.
+/// Contents whose length also depends on the number.
 fn contents(number: u64) -> Vec<u8> {
     let mut contents = number.to_le_bytes().to_vec();
     contents.resize(8 + number as usize % 5 * 7, number as u8);
@@ -49,15 +49,15 @@
     u64::from_le_bytes(*number)
 }
 
-/// Runs the incarnations one after the other on one disk, then one that is not interrupted.
+/// Runs the incarnations in sequence on one disk, and then one that is not interrupted.
 fn run_incarnations(
     seed: u64, incarnations: &[Incarnation], mut run: impl FnMut(usize) -> Result<(), StorageError>,
 ) {
-    let disk = Arc::new(ForgetfulDisk::new(seed));
+    let disk = Arc::new(PowerLossDisk::new(seed));
     let _simulation = file_system::simulate(disk.clone());
     for incarnation in incarnations {
-        disk.die_after(incarnation.calls);
-        // The process is killed at its last call.
+        disk.kill_after(incarnation.calls);
+        // Fails when the process is killed.
         let _ = run(incarnation.writes);
         if incarnation.loses_power { disk.lose_power() } else { disk.restart() }
     }
@@ -73,8 +73,8 @@
         let mut acknowledged = 0;
         run_incarnations(seed, &incarnations, |writes| {
             let opened = SnapshotFiles::open(DIRECTORY, "state");
-            let damage = opened.as_ref().err().filter(|error| error.is_corruption());
-            assert!(damage.is_none(), "{damage:?}");
+            let corruption = opened.as_ref().err().filter(|error| error.is_corruption());
+            assert!(corruption.is_none(), "{corruption:?}");
             let (mut files, newest) = opened?;
             let read = newest.as_deref().map_or(0, number_of);
             assert!(newest.is_none_or(|newest| newest == contents(read)));
@@ -102,8 +102,8 @@
             let missing: Vec<&u64> = acknowledged.iter().filter(|number| !read.contains(number)).collect();
             assert!(missing.is_empty(), "{missing:?} missing of {acknowledged:?}");
             acknowledged.extend(read);
-            // The oldest segment is not needed any more.
-            if batches.len() > MAX_FILES && removed.insert(batches[0].segment) {
+            // Removes the oldest segment.
+            if batches.len() > MAX_BATCHES && removed.insert(batches[0].segment) {
                 for batch in batches.iter().filter(|batch| batch.segment == batches[0].segment) {
                     acknowledged.remove(&number_of(&batch.contents));
                 }
--- a/crates/storage/tests/storage.rs
+++ b/crates/storage/tests/storage.rs
@@ -1,4 +1,4 @@
-//! Versions and batches survive restarts; torn ones are not read.
+//! Versions and batches are read after a restart; torn ones are not.
 
 use std::fs;
 use std::path::PathBuf;
@@ -40,7 +40,7 @@
     assert_eq!(SnapshotFiles::open(&directory.0, "other").unwrap().1, None);
 }
 
-/// Fails if `open` reads an older version in place of a torn one.
+/// Fails if `open` reads an older version in offset of a torn one.
 #[test]
 fn a_torn_version_is_never_replaced_by_an_older_one() {
     let directory = TempDirectory::new("torn");
@@ -53,17 +53,17 @@
         fs::write(&newest, &bytes[..length]).unwrap();
         assert!(corruption_error(&directory).contains("a torn version"), "{length}");
     }
-    for place in 0..bytes.len() {
-        let mut garbled = bytes.clone();
-        garbled[place] ^= 1;
-        fs::write(&newest, &garbled).unwrap();
-        assert!(corruption_error(&directory).contains("a torn version"), "{place}");
+    for offset in 0..bytes.len() {
+        let mut corrupted = bytes.clone();
+        corrupted[offset] ^= 1;
+        fs::write(&newest, &corrupted).unwrap();
+        assert!(corruption_error(&directory).contains("a torn version"), "{offset}");
     }
     fs::write(&newest, [&bytes[..], b"x"].concat()).unwrap();
     assert!(corruption_error(&directory).contains("a torn version"));
 }
 
-/// Fails without the comparison of numbers in `read_version`.
+/// Fails without the comparison of version numbers in `read_snapshot`.
 #[test]
 fn an_older_version_under_the_newest_name_is_detected() {
     let directory = TempDirectory::new("older");
@@ -77,17 +77,17 @@
 
 #[test]
 fn a_version_in_a_temporary_file_is_not_read() {
-    let directory = TempDirectory::new("aside");
+    let directory = TempDirectory::new("temporary");
     let (mut files, _) = SnapshotFiles::open(&directory.0, "state").unwrap();
     files.write(b"one").unwrap();
     files.write(b"two").unwrap();
     fs::rename(directory.files().pop().unwrap(), directory.0.join("aside-state-0000000000000009")).unwrap();
     assert_eq!(SnapshotFiles::open(&directory.0, "state").unwrap().1.as_deref(), Some(&b"one"[..]));
-    assert_eq!(directory.files().len(), 1, "what is aside does not pile up");
+    assert_eq!(directory.files().len(), 1, "temporary files accumulate");
 }
 
 #[test]
-fn a_state_that_was_cleared_is_empty_and_a_version_written_then_is_the_newest() {
+fn a_cleared_state_is_empty_and_a_version_written_afterwards_is_the_newest() {
     let directory = TempDirectory::new("cleared");
     let (mut files, _) = SnapshotFiles::open(&directory.0, "state").unwrap();
     files.write(b"one").unwrap();
@@ -99,7 +99,7 @@
     assert_eq!(SnapshotFiles::open(&directory.0, "state").unwrap().1.as_deref(), Some(&b"three"[..]));
 }
 
-/// An unknown layout must not make a directory count as lost.
+/// An unknown layout must not cause a directory to be treated as lost.
 #[test]
 fn a_version_of_another_release_is_not_corruption() {
     let directory = TempDirectory::new("release");
@@ -110,7 +110,7 @@
     assert!(!error.is_corruption() && error.to_string().contains("another release"), "{error}");
 }
 
-/// The error of opening the state of a directory, which must be a corruption.
+/// Opens the state of a directory and returns the error, which must be a corruption.
 fn corruption_error(directory: &TempDirectory) -> String {
     let error = SnapshotFiles::open(&directory.0, "state").unwrap_err();
     assert!(error.is_corruption(), "{error}");
@@ -191,15 +191,15 @@
 #[test]
 fn a_directory_retains_its_layout_and_rejects_others() {
     let directory = TempDirectory::new("layout");
-    // Without the number it has the first layout, which is recorded.
+    // A directory without a layout number has the first layout, which is recorded.
     layout::check(&directory.0, "state", 1).unwrap();
     layout::check(&directory.0, "state", 1).unwrap();
     let other = layout::check(&directory.0, "state", 2);
     assert!(matches!(other, Err(StorageError::UnsupportedLayout { .. })), "{other:?}");
-    // Another role's files in the same directory have a layout of their own.
+    // Files with another name in the same directory have a layout of their own.
     layout::check(&directory.0, "other", 1).unwrap();
-    let unsaid = TempDirectory::new("layout-unsaid");
-    assert!(matches!(layout::check(&unsaid.0, "state", 2), Err(StorageError::UnsupportedLayout { .. })));
+    let unnumbered = TempDirectory::new("layout-unnumbered");
+    assert!(matches!(layout::check(&unnumbered.0, "state", 2), Err(StorageError::UnsupportedLayout { .. })));
 }
 
 #[test]
