--- a/crates/node/src/check_configuration.rs
+++ b/crates/node/src/check_configuration.rs
@@ -1,11 +1,10 @@
-//! The command `juniperwing check-configuration`, which validates an operator's configuration.
+//! The command `juniperwing check-configuration`, which validates an operator's configuration file.
 
 use std::fmt::Write;
 use std::process::ExitCode;
 
 use juniperwing_configuration::{Configuration, Findings, Route, RouteType};
 
-/// The text of the help.
 const USAGE: &str = "\
 Usage: juniperwing check-configuration FILE
 
--- a/crates/node/src/command.rs
+++ b/crates/node/src/command.rs
@@ -1,4 +1,4 @@
-//! Command line of the roles `relay`, `keeper` and `store`.
+//! Command line of the roles `relay`, `keeper` and `store`, and the start of a role.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -13,7 +13,7 @@
 use crate::settings::{Settings, SettingsError};
 use crate::signals::Signals;
 
-/// How long disk writes in progress may delay the exit of the process.
+/// How long disk operations in progress may delay the exit of the process.
 const DISK_SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Runs a role with the arguments that follow its name, until it shuts down.
@@ -85,7 +85,7 @@
         }
     };
     let code = runtime.block_on(serve_role(role, settings_file, metrics, level));
-    // An unresponsive disk must not delay the exit any longer.
+    // An unresponsive disk must not delay the exit for longer than this.
     runtime.shutdown_timeout(DISK_SHUTDOWN_TIMEOUT);
     flush();
     code
@@ -94,7 +94,7 @@
 async fn serve_role(
     role: Role, settings_file: Option<PathBuf>, metrics: Option<String>, level: Level,
 ) -> ExitCode {
-    // First, so that a signal that arrives while the settings are read is not missed.
+    // Installed before the settings are read, so that a signal that arrives meanwhile is not missed.
     let signals = Signals::new();
     let mut settings = match Settings::read(settings_file.as_deref()) {
         Ok(settings) => settings,
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -1,9 +1,9 @@
 //! SWIM membership of all processes of the tier, over UDP.
 //!
-//! Every role runs one [`Gossip`], on the UDP port with the number of its internal TCP port. It discovers which
-//! processes are alive and where keepers listen, beyond the seeds of the settings. The protocol is
-//! `juniperwing-membership`; this module adds its socket and its timer. Whether a store is lost is decided by its links,
-//! not here.
+//! Every process runs one [`Gossip`], on the UDP port with the same number as its internal TCP port. It discovers which
+//! processes are alive and at which addresses keepers listen, including keepers that the settings do not name. The
+//! protocol is implemented by `juniperwing-membership`; this module adds the socket and the timer. Whether a store is
+//! lost is decided by its links, not by this protocol.
 
 mod view;
 
@@ -28,9 +28,9 @@
 use crate::settings::{Port, Settings};
 use crate::sync::lock;
 
-/// Interval between probes. Failures that matter at once are detected by links, so probes can be infrequent.
+/// Interval between probes. Failures that need a fast reaction are detected by links, so probes can be infrequent.
 const PROBE_INTERVAL: Span = Span::from_millis(1_000);
-/// Time-out of a direct probe, after which indirect probes are requested.
+/// Timeout of a direct probe, after which indirect probes are requested.
 const PROBE_TIMEOUT: Span = Span::from_millis(300);
 /// Maximum number of datagrams read before the timer is checked.
 const MAX_DATAGRAMS_PER_BATCH: usize = 64;
@@ -40,7 +40,7 @@
 /// Callback with the addresses of live keepers, called whenever they change.
 pub type KeepersObserver = Box<dyn Fn(Vec<SocketAddr>) + Send + Sync>;
 
-/// Properties of this process that other members learn.
+/// Properties of this process that are announced to other members.
 #[derive(Clone, Copy, Debug)]
 pub struct LocalProcess {
     /// The role of the process.
@@ -49,7 +49,7 @@
     pub disk: Option<DiskId>,
 }
 
-/// This process as a member; it stops when dropped, without leaving.
+/// The membership of this process. Dropping it stops the protocol without announcing a leave.
 pub struct Gossip {
     shared: Arc<Shared>,
     task: JoinHandle<()>,
@@ -58,7 +58,7 @@
 struct Shared {
     socket: Datagrams,
     state: Mutex<State>,
-    /// Notified when the time of the next tick has changed.
+    /// Notified when `wake_at` has changed.
     wake_up_changed: Notify,
     observer: KeepersObserver,
     log: Logger,
@@ -71,7 +71,7 @@
 }
 
 impl Gossip {
-    /// Opens the socket and starts to join the other members through the seeds.
+    /// Opens the socket and starts to join the tier through the seeds.
     ///
     /// # Errors
     ///
@@ -125,7 +125,7 @@
 
 impl Shared {
     async fn run(self: Arc<Self>) {
-        // One byte more than allowed, so that oversized datagrams are recognized.
+        // One byte larger than the limit, so that oversized datagrams are detected.
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let delay = duration(self.lock().wake_at.since(now()));
@@ -135,7 +135,7 @@
                 () = tokio::time::sleep(delay) => Ok(()),
                 () = self.wake_up_changed.notified() => continue,
             };
-            // Datagrams in the socket are handled before any ack counts as missing.
+            // Received datagrams are handled before the tick, so that an ack among them does not count as missing.
             if readable.and_then(|()| self.read_datagrams(&mut buffer)).is_err() {
                 tokio::time::sleep(SOCKET_RETRY_DELAY).await;
             }
--- a/crates/node/src/gossip/view.rs
+++ b/crates/node/src/gossip/view.rs
@@ -1,4 +1,4 @@
-//! A process's view of the other members: the live keepers, and deaths that were logged.
+//! A process's view of the other members: live keepers, and members logged as dead.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -6,10 +6,10 @@
 use juniperwing_membership::{Member, MemberId, Membership, Role, Status};
 use slog::{Logger, info};
 
-/// Maximum number of keepers reported to the observer; more than ever vote.
+/// Maximum number of keepers reported to the observer. It exceeds the number of voters.
 const MAX_KEEPERS: usize = 32;
 
-/// The live keepers, and the members whose death was logged.
+/// The live keepers, and the members logged as dead.
 pub(super) struct MemberView {
     local_id: MemberId,
     keepers: Vec<SocketAddr>,
@@ -46,7 +46,7 @@
         has_changed
     }
 
-    /// Logs the death and the return of a member, except on relays, of which there are many.
+    /// Logs that a member is declared dead or is alive again. Relays do not log it, since there are many of them.
     pub(super) fn log_change(&mut self, log: &Logger, member: &Member, status: Status) {
         if self.local_id.role == Role::Relay {
             return;
--- a/crates/node/src/host.rs
+++ b/crates/node/src/host.rs
@@ -1,7 +1,7 @@
-//! Clocks, random numbers, sockets and disk of a process: those of the operating system, or simulated ones.
+//! Abstraction of the machine: clocks, random numbers, sockets and disk of the operating system, or simulated ones.
 //!
-//! On a thread for which [`simulate`] was called, a process uses those of the given [`Host`]: the same code then runs in
-//! virtual time, and the same seed gives the same run.
+//! On a thread that has called [`simulate`], a process uses those of the given [`Host`]: the same code then runs in
+//! virtual time, and equal seeds give equal runs.
 
 mod datagrams;
 mod disk;
@@ -22,7 +22,7 @@
 };
 pub use self::stream::{ReadHalf, Stream, WriteHalf};
 
-/// Adds the address to the message of an error.
+/// Prefixes the message of an error with the address.
 pub(crate) fn with_address(address: SocketAddr, error: &io::Error) -> io::Error {
     io::Error::new(error.kind(), format!("{address}: {error}"))
 }
--- a/crates/node/src/host/datagrams.rs
+++ b/crates/node/src/host/datagrams.rs
@@ -18,11 +18,11 @@
 }
 
 impl Datagrams {
-    /// Opens the socket.
+    /// Opens a socket.
     ///
     /// # Errors
     ///
-    /// If the address cannot be used.
+    /// If the address is in use or not available.
     pub async fn bind(address: SocketAddr) -> io::Result<Datagrams> {
         let socket = match simulated_host() {
             None => UdpSocket::bind(address).await.map(Datagrams::Udp),
--- a/crates/node/src/host/disk.rs
+++ b/crates/node/src/host/disk.rs
@@ -1,4 +1,4 @@
-//! Disk work that does not block the process.
+//! Execution of blocking disk operations off the thread of the process.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 /// Disk writes that take at least this long are logged.
 const SLOW_WRITE_THRESHOLD: Duration = Duration::from_millis(300);
 
-/// Runs a disk write without blocking the process, and logs slow writes, whose callers may have timed out.
+/// Runs a disk write without blocking the process. Slow writes are logged, since their callers may have timed out.
 ///
 /// # Errors
 ///
@@ -28,7 +28,7 @@
     result
 }
 
-/// Runs work that waits for the disk without blocking the process.
+/// Runs blocking disk operations without blocking the process.
 ///
 /// # Errors
 ///
--- a/crates/node/src/host/listener.rs
+++ b/crates/node/src/host/listener.rs
@@ -24,11 +24,11 @@
 }
 
 impl Listener {
-    /// Opens the socket.
+    /// Opens a socket.
     ///
     /// # Errors
     ///
-    /// If the address cannot be used.
+    /// If the address is in use or not available.
     pub async fn bind(address: SocketAddr) -> io::Result<Listener> {
         let listener = match simulated_host() {
             None => TcpListener::bind(address).await.map(Listener::Tcp),
@@ -41,7 +41,7 @@
     ///
     /// # Errors
     ///
-    /// If accepting fails, for instance since no file descriptor is free.
+    /// If accepting fails, for instance because no file descriptor is available.
     pub async fn accept(&self) -> io::Result<Stream> {
         match self {
             Listener::Tcp(listener) => Ok(Stream::Tcp(listener.accept().await?.0)),
--- a/crates/node/src/host/simulation.rs
+++ b/crates/node/src/host/simulation.rs
@@ -1,4 +1,4 @@
-//! Simulated machines: the interface that a simulation implements, and the guard that puts a thread on one.
+//! Simulated machines: the interface that a simulation implements, and the guard that assigns one to a thread.
 
 use std::cell::RefCell;
 use std::fmt::Debug;
@@ -12,7 +12,7 @@
 use juniperwing_clock::Time;
 use juniperwing_storage::file_system::FileSystem;
 
-/// The result of a simulated asynchronous call.
+/// The future of a simulated asynchronous call.
 pub type IoFuture<'call, T> = Pin<Box<dyn Future<Output = io::Result<T>> + Send + 'call>>;
 
 /// A simulated machine.
@@ -46,7 +46,7 @@
     /// The file system of the machine.
     fn disk(&self) -> Arc<dyn FileSystem>;
 
-    /// The virtual time that disk calls have taken since the last call of this method.
+    /// Returns the virtual time that disk calls have taken since the previous call of this method.
     fn take_disk_time(&self) -> Duration;
 
     /// Whether disk calls block in real time, so that they must be made on a separate thread.
@@ -101,14 +101,14 @@
     static SIMULATED: RefCell<Option<Arc<dyn Host>>> = const { RefCell::new(None) };
 }
 
-/// Guard of [`simulate`]: the thread uses the simulated machine until it is dropped.
+/// Guard of [`simulate`]: the current thread uses the simulated machine until it is dropped.
 #[derive(Debug)]
 pub struct SimulationGuard {
     previous: Option<Arc<dyn Host>>,
     _file_system: juniperwing_storage::file_system::SimulationGuard,
 }
 
-/// Has this thread use a simulated machine until the guard is dropped. For simulations only.
+/// Directs the current thread to a simulated machine until the returned guard is dropped.
 #[must_use]
 pub fn simulate(host: Arc<dyn Host>) -> SimulationGuard {
     let file_system = juniperwing_storage::file_system::simulate(host.disk());
@@ -121,7 +121,7 @@
     }
 }
 
-/// The simulated machine of this thread, if there is one.
+/// The simulated machine of the current thread, if there is one.
 pub(crate) fn simulated_host() -> Option<Arc<dyn Host>> {
     SIMULATED.with_borrow(Clone::clone)
 }
--- a/crates/node/src/host/stream.rs
+++ b/crates/node/src/host/stream.rs
@@ -43,7 +43,7 @@
 }
 
 impl Stream {
-    /// Opens a connection that is closed when sent bytes stay unacknowledged for `user_timeout`.
+    /// Opens a connection that is closed when sent bytes remain unacknowledged for `user_timeout`.
     ///
     /// # Errors
     ///
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Disables the delay of small writes, and sets how long sent bytes may stay unacknowledged before the connection
-    /// is closed.
+    /// Disables the delay of small writes (Nagle's algorithm), and sets how long sent bytes may remain unacknowledged
+    /// before the connection is closed.
     ///
     /// # Errors
     ///
@@ -152,8 +152,8 @@
     }
 }
 
-/// Implements `AsyncWrite` by the writer that `$inner` returns.
-macro_rules! forward_writes {
+/// Implements `AsyncWrite` by delegation to the writer that `$inner` returns.
+macro_rules! delegate_async_write {
     ($kind:ty, $inner:ident) => {
         impl AsyncWrite for $kind {
             fn poll_write(
@@ -183,5 +183,5 @@
     };
 }
 
-forward_writes!(Stream, writer);
-forward_writes!(WriteHalf, inner);
+delegate_async_write!(Stream, writer);
+delegate_async_write!(WriteHalf, inner);
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,6 +1,6 @@
-//! The processes of the serving tier: settings, log, signals, links between processes, and the roles.
+//! The processes of the serving tier: settings, logging, signals, links between processes, and the roles.
 //!
-//! Every process runs on one thread of `tokio`; only disk writes run on other threads.
+//! Every process runs on a single-threaded `tokio` runtime; blocking disk operations run on other threads.
 
 pub mod check_configuration;
 pub mod clock;
--- a/crates/node/src/link.rs
+++ b/crates/node/src/link.rs
@@ -1,8 +1,8 @@
-//! Links: TCP connections between processes of the tier that carry envelopes in both directions.
+//! Links: TCP connections that carry envelopes between processes of the tier in both directions.
 //!
-//! The end that opened the connection sends a ping when it has received nothing for [`PING_INTERVAL`]; either end does so
-//! while it has received only part of an envelope for that long. Either end closes the link when it has received
-//! nothing for [`LINK_TIMEOUT`]. Closing a link fails all its pending calls.
+//! The connecting end sends a ping when it has received nothing for [`PING_INTERVAL`]. While an end has received only part
+//! of an envelope, it sends pings at this interval, whether or not it is the connecting end. Either end closes the link
+//! when it has received nothing for [`LINK_TIMEOUT`]. Closing a link fails all of its pending calls.
 
 mod connection;
 mod pool;
@@ -13,11 +13,12 @@
 
 use std::time::Duration;
 
-/// Time without received bytes after which the connecting end sends a ping.
+/// Idle time (no bytes received) after which the connecting end sends a ping.
 pub const PING_INTERVAL: Duration = Duration::from_millis(200);
-/// Time without received bytes after which a link is closed.
+/// Idle time (no bytes received) after which a link is closed.
 pub const LINK_TIMEOUT: Duration = Duration::from_millis(700);
-/// Time-out for establishing a connection.
+/// Timeout for establishing a connection.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Maximum number of bytes queued for writing on a link; more means that the peer does not read.
+/// Maximum number of bytes queued for writing on a link. A longer queue means that the peer has stopped reading, and
+/// closes the link.
 pub const MAX_QUEUED_BYTES: usize = 64 << 20;
--- a/crates/node/src/link/connection.rs
+++ b/crates/node/src/link/connection.rs
@@ -1,4 +1,4 @@
-//! One link: its reader, its writer and its pending calls.
+//! A link with its reader task, its writer task and its pending calls.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -22,7 +22,7 @@
 
 /// Handler of the messages that a process receives over its links.
 pub trait Service: Send + Sync + 'static {
-    /// Handles a message. If the sender waits for a reply, it is sent through `reply`, now or later.
+    /// Handles a message. If it is a call, the reply is sent through `reply`, during this call or later.
     fn handle_message(&self, link: &Link, message: Message, reply: ReplySender);
 
     /// Handles the closing of a link.
@@ -35,16 +35,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkId(u64);
 
-/// Why a call has no reply.
+/// Why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum CallError {
-    /// No connection could be established: the call was not sent.
+    /// No connection could be established; the call was not sent.
     #[snafu(display("no connection"))]
     NotConnected,
-    /// The link was closed: the call may have been handled.
+    /// The link was closed; the call may have been handled.
     #[snafu(display("link closed"))]
     LinkClosed,
-    /// No reply was received in time: the call may have been handled.
+    /// No reply was received in time; the call may have been handled.
     #[snafu(display("call timed out"))]
     TimedOut,
 }
@@ -82,7 +82,7 @@
 }
 
 impl Link {
-    /// Runs a link over an established connection; `is_initiator` says whether this end opened it.
+    /// Starts a link over an established connection; `is_initiator` is whether this end opened the connection.
     ///
     /// # Errors
     ///
@@ -165,7 +165,7 @@
             lock(&self.shared.pending_calls).remove(&call);
             return Err(CallError::LinkClosed);
         }
-        // The call must not stay in the table when this future is dropped.
+        // Removes the pending call even if this future is dropped.
         let _guard = PendingCallGuard { link: self, call };
         self.enqueue(&Envelope { call, is_reply: false, message });
         match timeout(call_timeout, receiver).await {
@@ -262,7 +262,7 @@
     let mut last_received_at = Instant::now();
     let mut last_ping_at = Instant::now();
     loop {
-        // The accepting end only waits; the connecting end wakes up to ping.
+        // The accepting end waits until the link times out; the connecting end wakes up earlier to send pings.
         let wake_at =
             if is_initiator { Instant::now() + PING_INTERVAL } else { last_received_at + LINK_TIMEOUT };
         let received = tokio::select! {
@@ -279,7 +279,8 @@
         if !dispatch_envelopes(&link, &mut buffer, &service) {
             break;
         }
-        // A peer that sends a large envelope over a slow link must receive something meanwhile.
+        // A peer that sends a large envelope over a slow link must receive something in the meantime, or it closes the
+        // link.
         if !buffer.is_empty() && last_ping_at.elapsed() >= PING_INTERVAL {
             link.send(Message::Ping);
             last_ping_at = Instant::now();
--- a/crates/node/src/link/pool.rs
+++ b/crates/node/src/link/pool.rs
@@ -1,4 +1,4 @@
-//! Pool of links to other processes, opened on demand.
+//! A pool of links to other processes, opened on demand.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,19 +15,19 @@
 
 type Slot = Arc<tokio::sync::Mutex<Option<Link>>>;
 
-/// One link per process that this one sends messages to.
+/// A pool with one link per remote process.
 pub struct LinkPool {
     service: Arc<dyn Service>,
     slots: Mutex<BTreeMap<SocketAddr, Slot>>,
 }
 
 impl LinkPool {
-    /// A pool whose links pass received messages to `service`.
+    /// Creates a pool whose links pass received messages to `service`.
     pub fn new(service: Arc<dyn Service>) -> Self {
         LinkPool { service, slots: Mutex::default() }
     }
 
-    /// The link to a process; it is opened if there is none.
+    /// Returns the link to a process, and opens one if there is none.
     ///
     /// # Errors
     ///
@@ -35,7 +35,8 @@
     pub async fn link(&self, address: SocketAddr) -> Result<Link, CallError> {
         let slot = {
             let mut slots = lock(&self.slots);
-            // Slots are keyed by address; those of closed links that nobody uses are removed here.
+            // Slots are keyed by address. Those of closed links that are not in use are removed, so that slots of former
+            // addresses do not accumulate.
             slots.retain(|known, slot| {
                 *known == address
                     || Arc::strong_count(slot) > 1
--- a/crates/node/src/local.rs
+++ b/crates/node/src/local.rs
@@ -1,6 +1,6 @@
-//! The command `juniperwing local`: a tier on one machine, with each role as a child process.
+//! The command `juniperwing local`, which runs a tier on one machine with each role as a child process.
 //!
-//! Like the platform it restarts a role that exits by itself, forwards SIGHUP, and terminates all roles by SIGTERM.
+//! Like the platform, it restarts a role that exits by itself, forwards SIGHUP, and terminates all roles with SIGTERM.
 
 mod role_process;
 mod roles;
@@ -65,7 +65,7 @@
     }
 }
 
-/// Runs the roles until shutdown. Returns whether all of them could be started.
+/// Runs the roles until shutdown or until the first start of a role fails. Returns whether all roles were started.
 async fn supervise(roles: &[LocalRole], log_level: Option<String>) -> io::Result<bool> {
     let mut signals = Signals::new()?;
     let program = std::env::current_exe()?;
--- a/crates/node/src/local/role_process.rs
+++ b/crates/node/src/local/role_process.rs
@@ -1,4 +1,4 @@
-//! The child process of a role, and its restarts.
+//! Supervision of the child process of a role.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -11,7 +11,8 @@
 
 use super::roles::LocalRole;
 
-/// A role that exits by itself within this time after its first start is taken to have invalid settings.
+/// A role that exits by itself within this time after its first start is assumed to have invalid settings, and is not
+/// restarted.
 const MIN_FIRST_RUN: Duration = Duration::from_secs(2);
 /// Delay before a role that has exited is restarted.
 const RESTART_DELAY: Duration = Duration::from_secs(1);
@@ -30,7 +31,7 @@
     name: String,
     arguments: Vec<String>,
     state: Mutex<ChildState>,
-    /// Notified when the process shall stop.
+    /// Notified when a stop is requested.
     stop_requested: std::sync::Condvar,
 }
 
@@ -50,7 +51,8 @@
         }
     }
 
-    /// Runs the process and restarts it until it shall stop. Notifies `failed` and returns if the first start fails.
+    /// Runs the process and restarts it until a stop is requested. Notifies `failed` and returns if the first start
+    /// fails.
     pub(super) fn run(&self, failed: &Sender<()>) {
         let mut is_first = true;
         loop {
@@ -74,15 +76,15 @@
         }
     }
 
-    /// Starts the process, unless it shall stop.
+    /// Starts the process, unless a stop is requested.
     fn start(&self) -> Option<io::Result<Child>> {
-        let mut progress = self.lock();
-        if progress.is_stopping {
+        let mut state = self.lock();
+        if state.is_stopping {
             return None;
         }
         let started = Command::new(&self.program).args(&self.arguments).spawn();
         if let Ok(child) = &started {
-            progress.child = Some(Pid::from_child(child));
+            state.child = Some(Pid::from_child(child));
             eprintln!("juniperwing local: {} runs as process {}", self.name, child.id());
         }
         Some(started)
@@ -96,7 +98,7 @@
 
     pub(super) fn send_signal(&self, signal: Signal) {
         if let Some(child) = self.lock().child {
-            // The process may just have exited.
+            // The process may have exited already.
             let _ = kill_process(child, signal);
         }
     }
@@ -111,10 +113,9 @@
         self.lock().is_stopping
     }
 
-    /// Waits up to `time` for a request to stop. Returns whether there is one.
-    fn wait_for_stop(&self, time: Duration) -> bool {
-        let waited =
-            self.stop_requested.wait_timeout_while(self.lock(), time, |progress| !progress.is_stopping);
+    /// Waits up to `timeout` for a stop request. Returns whether there is one.
+    fn wait_for_stop(&self, timeout: Duration) -> bool {
+        let waited = self.stop_requested.wait_timeout_while(self.lock(), timeout, |state| !state.is_stopping);
         waited.unwrap_or_else(PoisonError::into_inner).0.is_stopping
     }
 
--- a/crates/node/src/local/roles.rs
+++ b/crates/node/src/local/roles.rs
@@ -1,4 +1,4 @@
-//! The roles of a directory of settings files.
+//! The roles to run, read from a directory of settings files.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -11,7 +11,7 @@
 /// Maximum number of roles in a directory.
 pub(super) const MAX_ROLES: usize = 64;
 
-/// Why the tier cannot be started.
+/// Why the roles cannot be read.
 #[derive(Debug, Snafu)]
 pub enum LocalError {
     /// The directory or a file in it cannot be read.
@@ -38,7 +38,7 @@
         /// The name given in the file.
         role: String,
     },
-    /// The directory holds no settings files, or too many.
+    /// The directory contains no settings files, or too many.
     #[snafu(display("{}: {count} settings files; there must be 1 to {MAX_ROLES}", folder.display()))]
     SettingsFileCount {
         /// The directory.
@@ -67,7 +67,7 @@
 ///
 /// # Errors
 ///
-/// If the directory holds no settings, or a file names no role.
+/// If the directory cannot be read, contains no or too many settings files, or a file names no valid role.
 pub fn read_roles(folder: &Path) -> Result<Vec<LocalRole>, LocalError> {
     let entries = std::fs::read_dir(folder).context(UnreadableSnafu { path: folder })?;
     let mut files = Vec::new();
@@ -84,9 +84,9 @@
 
 fn read_role(path: PathBuf) -> Result<LocalRole, LocalError> {
     let text = std::fs::read_to_string(&path).context(UnreadableSnafu { path: &path })?;
-    let named: RoleSetting = toml::from_str(&text).context(MalformedSnafu { path: &path })?;
-    match Role::from_name(&named.role) {
+    let setting: RoleSetting = toml::from_str(&text).context(MalformedSnafu { path: &path })?;
+    match Role::from_name(&setting.role) {
         Some(role) => Ok(LocalRole { role, settings_file: path }),
-        None => UnknownRoleSnafu { path, role: named.role }.fail(),
+        None => UnknownRoleSnafu { path, role: setting.role }.fail(),
     }
 }
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -1,4 +1,4 @@
-//! The log: one JSON object per line on standard error, with panics and violated invariants.
+//! Logging: one JSON object per line on standard error. Panics and violated invariants are logged as well.
 
 use std::any::Any;
 use std::io;
@@ -15,18 +15,18 @@
 use crate::rate_limit::RateLimit;
 use crate::sync::lock;
 
-/// Maximum number of violated invariants logged per second; all are counted.
+/// Maximum number of logged invariant violations per second; all violations are counted.
 const MAX_LOGGED_VIOLATIONS_PER_SECOND: u32 = 20;
 
-/// Exit code of a process that panicked, as of any Rust program.
+/// Exit code of a process that panicked, the same as of any Rust program.
 const PANIC_EXIT_CODE: i32 = 101;
 
 static PANIC_COUNT: AtomicU64 = AtomicU64::new(0);
 
-/// Guard that flushes the log; taken by whoever terminates the process.
+/// Guard that flushes the log, taken when the process terminates.
 static FLUSH_GUARD: Mutex<Option<FlushGuard>> = Mutex::new(None);
 
-/// Creates the log of a process, from `level` upward.
+/// Creates the logger of a process, for records of `level` or more severe ones.
 pub fn logger(level: Level, role: &'static str, node: &str) -> Logger {
     let values = o!("role" => role, "node" => node.to_owned());
     let (logger, guard) = background(io::stderr(), level, values);
@@ -34,7 +34,7 @@
     logger
 }
 
-/// Waits, for a bounded time, until all log lines are written. To be called when the process exits: lines logged
+/// Waits, for a bounded time, until all log records are written. It is called when the process exits; records logged
 /// afterwards are lost.
 pub fn flush() {
     let guard = lock(&FLUSH_GUARD).take();
@@ -61,7 +61,7 @@
     }));
     let violation_log = log.clone();
     let limit = RateLimit::per_second(MAX_LOGGED_VIOLATIONS_PER_SECOND);
-    // A second role in the same process, as in tests, keeps the reporter of the first one.
+    // Fails for a second role in the same process, as in tests, which uses the reporter of the first one.
     let _ = set_reporter(Box::new(move |violation| {
         if let Some(suppressed) = limit.try_acquire() {
             crit!(violation_log, "invariant violated"; "invariant" => violation.invariant.name(),
@@ -73,7 +73,8 @@
 /// The message of a panic.
 fn panic_message(payload: &dyn Any) -> &str {
     let text = payload.downcast_ref::<&str>().copied();
-    text.or_else(|| payload.downcast_ref::<String>().map(String::as_str)).unwrap_or("no text")
+    text.or_else(|| payload.downcast_ref::<String>().map(String::as_str))
+        .unwrap_or("the payload is not a string")
 }
 
 /// The number of panics of this process so far.
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,7 +1,7 @@
-//! Metrics of a process in the text format of `OpenMetrics`, served on a listener of their own.
+//! Metrics of a process in the text format of `OpenMetrics`, served by a separate listener.
 //!
-//! The setting `metrics` names the port and the path; without it nothing listens. Metrics are collected when they are
-//! requested.
+//! The setting `metrics` specifies the port and the path; without it there is no listener. Metrics are collected on
+//! request.
 
 mod exposition;
 mod metric;
--- a/crates/node/src/metrics/exposition.rs
+++ b/crates/node/src/metrics/exposition.rs
@@ -14,7 +14,7 @@
 /// Prefix of all metric names.
 const PREFIX: &str = "juniperwing";
 
-/// Adapter of a source to the library that encodes the format.
+/// Adapts a source to the library that encodes the format.
 struct SourceCollector(Arc<dyn MetricSource>);
 
 impl fmt::Debug for SourceCollector {
@@ -52,7 +52,7 @@
     let mut registry = Registry::with_prefix(PREFIX);
     registry.register_collector(Box::new(SourceCollector(Arc::clone(source))));
     let mut text = String::new();
-    // Writing to a string fails only if a metric cannot be encoded; the text then ends there.
+    // Fails only if a metric cannot be encoded; the text is then truncated.
     let _ = text::encode(&mut text, &registry);
     text
 }
--- a/crates/node/src/metrics/metric.rs
+++ b/crates/node/src/metrics/metric.rs
@@ -10,7 +10,7 @@
 /// The kind of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MetricKind {
-    /// A value that only increases while the process runs; its name is written with the suffix `_total`.
+    /// A value that only increases while the process runs; its exposed name has the suffix `_total`.
     Counter,
     /// A value that may increase and decrease.
     Gauge,
@@ -32,17 +32,17 @@
 }
 
 impl Metric {
-    /// A counter.
+    /// Creates a counter.
     pub fn counter(name: &'static str, help: &'static str, value: u64) -> Metric {
         Metric { name, help, kind: MetricKind::Counter, values: MetricValues::One(value) }
     }
 
-    /// A gauge.
+    /// Creates a gauge.
     pub fn gauge(name: &'static str, help: &'static str, value: u64) -> Metric {
         Metric { name, help, kind: MetricKind::Gauge, values: MetricValues::One(value) }
     }
 
-    /// A counter per value of a label.
+    /// Creates a family of counters, one per value of a label.
     pub fn counters(
         name: &'static str, help: &'static str, label: &'static str, values: Vec<(&'static str, u64)>,
     ) -> Metric {
@@ -76,6 +76,6 @@
 
 /// A source of metrics.
 pub trait MetricSource: Send + Sync + 'static {
-    /// The present metrics.
+    /// The current metrics.
     fn metrics(&self) -> Vec<Metric>;
 }
--- a/crates/node/src/metrics/server.rs
+++ b/crates/node/src/metrics/server.rs
@@ -21,7 +21,7 @@
 use crate::panics::isolate;
 use crate::settings::Settings;
 
-/// Maximum number of concurrent connections; further ones wait in the backlog of the socket.
+/// Maximum number of concurrent connections; further ones wait in the backlog of the listener.
 const MAX_CONNECTIONS: usize = 4;
 /// Maximum duration of a connection.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(5);
@@ -32,9 +32,9 @@
 const OPENMETRICS_CONTENT_TYPE: HeaderValue =
     HeaderValue::from_static("application/openmetrics-text; version=1.0.0; charset=utf-8");
 
-/// Starts to serve metrics at the endpoint that the settings name, if any, until the process exits.
+/// Serves metrics at the endpoint that the settings specify, if any, until the process exits.
 ///
-/// An endpoint that cannot be used is logged, and the role runs without metrics.
+/// If the endpoint cannot be used, the error is logged and the role runs without metrics.
 pub async fn start(settings: &Settings, source: Arc<dyn MetricSource>, log: &Logger) {
     let Some(setting) = settings.metrics.as_deref().filter(|setting| !setting.is_empty()) else { return };
     let Some(MetricsEndpoint { port, path }) = MetricsEndpoint::parse(setting) else {
@@ -53,14 +53,14 @@
 /// The endpoint at which metrics are served.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MetricsEndpoint {
-    /// The port, at the machine's address.
+    /// The port, on the machine's address.
     pub port: u16,
-    /// The path, with its leading slash.
+    /// The path, with a leading slash.
     pub path: String,
 }
 
 impl MetricsEndpoint {
-    /// Parses `PORT/PATH`; `None` if the text has another form.
+    /// Parses `PORT/PATH`; `None` if the text is malformed.
     pub fn parse(text: &str) -> Option<MetricsEndpoint> {
         let (port, path) = text.split_once('/')?;
         let port = port.trim_start_matches(':').parse().ok().filter(|port| *port > 0)?;
@@ -80,7 +80,7 @@
         };
         let (path, source) = (Arc::clone(&path), Arc::clone(&source));
         tokio::spawn(isolate(async move {
-            // A client that is too slow is disconnected.
+            // Slow clients are disconnected.
             let _ = timeout(CONNECTION_TIMEOUT, serve_connection(stream, path, source)).await;
             drop(permit);
         }));
--- a/crates/node/src/panics.rs
+++ b/crates/node/src/panics.rs
@@ -1,9 +1,9 @@
-//! Scope of panics: a panic terminates the process, unless it occurs in an isolated task.
+//! Handling of panics: a panic terminates the process, unless it occurs in an isolated task.
 //!
-//! A process that has lost a task, or whose state was left inconsistent, is worse than none, since others still rely
-//! on it; the platform restarts a process that has exited. Tasks that serve a single connection are isolated instead:
-//! a panic in one of them closes that connection only, so that no input of a caller can terminate a process. State
-//! that they share with other tasks is changed in critical sections, where a panic terminates the process after all.
+//! A process that has lost a task, or whose state is inconsistent, is worse than one that has exited: other processes
+//! continue to rely on it, whereas the platform restarts one that has exited. Tasks that serve a single connection are
+//! isolated: a panic closes only that connection, so that no input of a caller can terminate the process. State that
+//! they share with other tasks is changed in critical sections, in which a panic terminates the process.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -34,17 +34,17 @@
     }
 }
 
-/// Whether a panic of this thread, at this moment, terminates its task only.
+/// Whether a panic of the current thread would now terminate only its task.
 pub fn is_isolated() -> bool {
     IS_ISOLATED.get()
 }
 
-/// A task whose panics terminate nothing else.
+/// A task whose panics terminate only itself.
 pub struct Isolated<T> {
     inner: Pin<Box<dyn Future<Output = T> + Send>>,
 }
 
-/// Isolates a task that serves one caller only.
+/// Isolates a task that serves a single caller.
 pub fn isolate<T>(task: impl Future<Output = T> + Send + 'static) -> Isolated<T> {
     Isolated { inner: Box::pin(task) }
 }
@@ -58,7 +58,7 @@
     }
 }
 
-/// Changes state that several tasks share: a panic of `work` terminates the process, also in an isolated task.
+/// Runs `work`, which changes state shared between tasks: a panic terminates the process, even in an isolated task.
 pub fn critical_section<T>(work: impl FnOnce() -> T) -> T {
     let _scope = IsolationScope::enter(false);
     work()
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -1,4 +1,4 @@
-//! What every role is started with.
+//! The environment that a role is started with.
 
 use std::path::PathBuf;
 
@@ -11,10 +11,10 @@
 pub struct Process {
     /// The settings.
     pub settings: Settings,
-    /// The file from which settings are reloaded; `None` if the environment names it.
+    /// The file from which settings are reloaded; `None` if an environment variable names it.
     pub settings_file: Option<PathBuf>,
     /// The log of the process.
     pub log: Logger,
-    /// Signals of the platform.
+    /// The signals received from the platform.
     pub signals: Signals,
 }
--- a/crates/node/src/rate_limit.rs
+++ b/crates/node/src/rate_limit.rs
@@ -9,7 +9,7 @@
 
 const SECOND: Span = Span::from_millis(1_000);
 
-/// Admits a number of events per second and counts the suppressed ones.
+/// Admits a limited number of events per second and counts the suppressed ones.
 #[derive(Debug)]
 pub struct RateLimit {
     max_per_second: u32,
@@ -24,7 +24,7 @@
 }
 
 impl RateLimit {
-    /// A limit of `max_per_second` events per second.
+    /// Creates a limit of `max_per_second` events per second.
     pub const fn per_second(max_per_second: u32) -> RateLimit {
         let state = State { second_started_at: Time::from_nanos(0), admitted: 0, suppressed: 0 };
         RateLimit { max_per_second, state: Mutex::new(state) }
--- a/crates/node/src/role.rs
+++ b/crates/node/src/role.rs
@@ -1,4 +1,4 @@
-//! The roles that a process of the tier can have.
+//! The roles of processes of the tier.
 
 /// The role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -12,7 +12,7 @@
 }
 
 impl Role {
-    /// The role called `name`, as on the command line and in settings.
+    /// Parses the name of a role, as on the command line and in settings.
     pub fn from_name(name: &str) -> Option<Role> {
         [Role::Relay, Role::Keeper, Role::Store].into_iter().find(|role| role.name() == name)
     }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a process: a TOML file that the platform writes. Unknown keys are ignored.
+//! Settings of a process, read from a TOML file that the platform writes. Unknown keys are ignored.
 
 mod control_timings;
 mod describe;
@@ -15,7 +15,7 @@
 /// The environment variable that names the settings file.
 pub const SETTINGS_VARIABLE: &str = "JUNIPERWING_CONFIG";
 
-/// Why settings cannot be read or are invalid.
+/// Why settings cannot be used.
 #[derive(Debug, Snafu)]
 pub enum SettingsError {
     /// Neither the command line nor the environment names a file.
@@ -37,7 +37,7 @@
         /// The error of the parser, with its position.
         source: toml::de::Error,
     },
-    /// Some values are invalid. All problems are listed.
+    /// Some values are invalid; all of them are listed.
     #[snafu(display("{}: {}", path.display(), findings.join("; ")))]
     Invalid {
         /// The file.
@@ -57,17 +57,17 @@
     pub ip_address: IpAddr,
     /// The zone of the machine.
     pub zone: String,
-    /// First and last of the ports for messages between processes of the tier, the same on all machines.
+    /// The first and last port for messages between processes of the tier, the same on all machines.
     pub ephemeral_ports: (u16, u16),
-    /// Addresses of the control listeners of up to three machines.
+    /// Addresses of the control listeners on up to three machines.
     #[serde(default)]
     pub seed_nodes: Vec<SocketAddr>,
-    /// Whether this is the very first start of the tier.
+    /// Whether this is the initial start of the tier.
     #[serde(default)]
     pub bootstrap: bool,
     /// The persistent data directory, if there is one.
     pub data_directory: Option<PathBuf>,
-    /// Where metrics are served, as `PORT/PATH`; nowhere if missing or empty.
+    /// The endpoint at which metrics are served, as `PORT/PATH`; none if missing or empty.
     pub metrics: Option<String>,
     /// Interval between heartbeats of endpoints, in milliseconds.
     #[serde(default = "default_heartbeat_ms")]
@@ -78,13 +78,13 @@
     /// Resource limits of the process.
     #[serde(default)]
     pub limits: Limits,
-    /// Failures that the tier must tolerate.
+    /// Simultaneous failures that the tier must tolerate.
     #[serde(default)]
     pub fault_tolerance: FaultTolerance,
     /// Time bounds that the tier must meet.
     #[serde(default)]
     pub bounds: Bounds,
-    /// Zones, each with its region.
+    /// The region of each zone.
     #[serde(default)]
     pub zones: BTreeMap<String, String>,
 }
@@ -143,24 +143,24 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct Bounds {
-    /// Within which a configuration must be applied everywhere, in milliseconds.
+    /// Time within which a configuration must be applied everywhere, in milliseconds.
     #[serde(rename = "configApplyMs")]
     pub config_apply_ms: u64,
-    /// Within which requests to an endpoint must cease after its deregistration, in milliseconds.
+    /// Time within which requests to an endpoint must cease after its deregistration, in milliseconds.
     #[serde(rename = "drainMs")]
     pub drain_ms: u64,
     /// Grace period for shutdown after SIGTERM, in seconds.
     #[serde(rename = "graceS")]
     pub grace_s: f64,
-    /// Within which an operator expects a response, in milliseconds.
+    /// Time within which an operator expects a response, in milliseconds.
     #[serde(rename = "ackMs")]
     pub ack_ms: u64,
-    /// Within which machines must be in contact again after a fault of the core, in milliseconds.
+    /// Time within which machines must be in contact again after a fault in the core, in milliseconds.
     #[serde(rename = "contactMs")]
     pub contact_ms: u64,
-    /// Within which an event of a stream must be forwarded, in milliseconds.
+    /// Time within which an event of a stream must be forwarded, in milliseconds.
     pub pass_ms: u64,
-    /// Within which a finished turn must be accounted with the tokens that it generated, in milliseconds.
+    /// Time within which a finished turn must be accounted with the tokens that it generated, in milliseconds.
     #[serde(rename = "settleMs")]
     pub settle_ms: u64,
 }
@@ -183,7 +183,7 @@
     1_000
 }
 
-/// Ports for messages between processes of the tier, one per role: an offset from the first ephemeral port.
+/// Ports for messages between processes of the tier, one per role, as offsets from the first ephemeral port.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Port {
     /// The port of a relay.
@@ -195,11 +195,11 @@
 }
 
 impl Settings {
-    /// Reads the given file, or else the one that the environment names.
+    /// Reads the given file, or else the file that the environment variable names.
     ///
     /// # Errors
     ///
-    /// If the file cannot be read or is invalid; the message names the key.
+    /// If the file cannot be read or is invalid; the message names the keys.
     pub fn read(path: Option<&Path>) -> Result<Settings, SettingsError> {
         let default_path = std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from);
         let Some(path) = path.map(Path::to_owned).or(default_path) else { return NoFileNamedSnafu.fail() };
@@ -247,7 +247,7 @@
         self.internal_address(self.ip_address, port)
     }
 
-    /// The internal addresses of the keepers that the settings name.
+    /// The internal addresses of the seed keepers.
     pub fn seed_keepers(&self) -> Vec<SocketAddr> {
         self.seed_nodes.iter().map(|seed| self.internal_address(seed.ip(), Port::Keeper)).collect()
     }
--- a/crates/node/src/settings/describe.rs
+++ b/crates/node/src/settings/describe.rs
@@ -1,4 +1,4 @@
-//! Description of settings in words, for `--check`.
+//! Human-readable description of settings, for `--check`.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 use crate::role::Role;
 
 impl Settings {
-    /// The keys that a role requires and that are missing.
+    /// The missing keys that a role requires.
     pub fn missing_for(&self, role: Role) -> Vec<&'static str> {
         let listeners = &self.listeners_map;
         let required = match role {
@@ -23,7 +23,7 @@
         required.into_iter().filter(|(_, is_given)| !is_given).map(|(key, _)| key).collect()
     }
 
-    /// Describes the settings that a role uses, one line each.
+    /// Describes the settings that a role uses, one per line.
     pub fn describe(&self, role: Role) -> String {
         let mut lines = vec![format!("{} {} in zone {}", role.name(), self.node_name, self.zone)];
         lines.extend(self.describe_listeners(role));
--- a/crates/node/src/signals.rs
+++ b/crates/node/src/signals.rs
@@ -4,7 +4,7 @@
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Receiver of SIGTERM, SIGINT and SIGHUP; signals are caught from its creation on.
+/// Receiver of SIGTERM, SIGINT and SIGHUP. The signals are handled from its creation on.
 #[derive(Debug)]
 pub struct Signals {
     terminate: Signal,
@@ -12,7 +12,7 @@
     hangup: Signal,
 }
 
-/// The request that a signal stands for.
+/// The request that a signal represents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownOrReload {
     /// Shut down gracefully (SIGTERM, SIGINT).
--- a/crates/node/src/subscriber.rs
+++ b/crates/node/src/subscriber.rs
@@ -1,10 +1,10 @@
 //! Subscriptions of a relay or a store to keepers.
 //!
-//! A subscriber maintains links to several keepers, more than may fail at once, so that it need not wait for a timeout
-//! when one of them fails. Updates are passed to an [`UpdateSink`], which merges them by version.
+//! A subscriber maintains subscriptions to several keepers, more than may fail simultaneously, so that it need not wait
+//! for a timeout when one of them fails. Updates are passed to an [`UpdateSink`], which merges them by version.
 //!
-//! A keeper replies to a subscription with its first update, once a majority of the keepers has confirmed that it is
-//! current. A keeper that does not reply in time is replaced by another; earlier updates remain applied.
+//! A keeper replies to a subscription with its first update, once a majority of the keepers has confirmed that its state
+//! is current. A keeper that does not reply in time is replaced by another one; earlier updates remain applied.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -20,20 +20,20 @@
 use crate::panics::spawn_essential;
 use crate::sync::lock;
 
-/// Delay before a subscription to the next keeper is attempted.
+/// Delay before the next keeper is tried.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Timeout of the first update. Keepers that elect a new primary need up to a second.
+/// Timeout of the first update. The election of a new primary takes up to a second.
 const FIRST_UPDATE_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// Receiver of updates.
 pub trait UpdateSink: Send + Sync + 'static {
-    /// Applies an update; it may be older than what is already applied.
+    /// Applies an update, which may be older than the applied state.
     fn apply(&self, update: Update);
 
-    /// The versions applied. The subscription fills in `instances`.
+    /// The applied versions; the field `instances` is set by the subscription.
     fn applied_versions(&self) -> AppliedVersions;
 
-    /// The version of the applied configuration; it is not sent again.
+    /// The version of the applied configuration, which is not sent again.
     fn configuration_version(&self) -> Version;
 
     /// Handles a possible change of whether any subscription is established. While none is, the applied state may be
@@ -48,7 +48,7 @@
     subscribe: Subscribe,
     sink: Arc<dyn UpdateSink>,
     keepers: Mutex<Keepers>,
-    /// Notified when there may be a keeper to subscribe to where there was none.
+    /// Notified when another keeper may have become available for a subscription.
     keepers_changed: Notify,
 }
 
@@ -56,13 +56,13 @@
 struct Keepers {
     /// Keepers named by the settings; they may be outdated.
     seeds: Vec<SocketAddr>,
-    /// Keepers announced by a keeper.
+    /// Keepers listed in the newest update from a keeper.
     announced: Vec<SocketAddr>,
-    /// Keepers discovered by the membership. They need not be voters, so they are used only while no subscription is
-    /// established.
+    /// Keepers discovered by the membership protocol. They are not necessarily voters, so they are used only while no
+    /// subscription is established.
     discovered: Vec<SocketAddr>,
     slots: Vec<KeeperSlot>,
-    /// Index of the candidate to try next, modulo their number.
+    /// Index of the next candidate, modulo the number of candidates.
     next_candidate: usize,
     is_suspended: bool,
 }
@@ -82,12 +82,12 @@
 }
 
 impl Keepers {
-    /// Applies a list of keepers received over `link`. Keepers that are not in it receive no changes any more; one that
-    /// is partitioned does not know that, so its subscription is ended here.
+    /// Applies a list of keepers received over `link`. A keeper that is not in the list no longer receives changes; if it
+    /// is partitioned it does not know that, so its subscription is closed here.
     fn handle_announced(&mut self, announced: Vec<SocketAddr>, link: &Link) {
         let others = self.slots.iter().filter(|slot| !announced.contains(&slot.keeper));
-        let dropped = others.filter_map(|slot| slot.link.as_ref()).filter(|other| other.id() != link.id());
-        dropped.for_each(Link::close);
+        let removed = others.filter_map(|slot| slot.link.as_ref()).filter(|other| other.id() != link.id());
+        removed.for_each(Link::close);
         self.announced = announced;
     }
 }
@@ -106,19 +106,21 @@
         subscriber
     }
 
-    /// Replaces the seeds, after the settings have changed.
+    /// Replaces the seeds after a change of the settings.
     pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         self.lock().seeds = seeds;
         self.keepers_changed.notify_waiters();
     }
 
-    /// Sets the keepers that the membership regards as alive. They are used while no subscription is established.
+    /// Sets the keepers that are alive according to the membership protocol. They are used only while no subscription is
+    /// established.
     pub fn set_discovered(&self, discovered: Vec<SocketAddr>) {
         self.lock().discovered = discovered;
         self.keepers_changed.notify_waiters();
     }
 
-    /// Ends all subscriptions and starts none, or resumes them. Keepers regard a process without subscriptions as lost.
+    /// Suspends or resumes the subscriptions: while suspended, all are closed and none is opened. Keepers regard a process
+    /// without subscriptions as lost.
     pub fn set_suspended(&self, is_suspended: bool) {
         let mut keepers = self.lock();
         keepers.is_suspended = is_suspended;
@@ -129,7 +131,7 @@
         self.keepers_changed.notify_waiters();
     }
 
-    /// The keepers that may be contacted, those announced by keepers first.
+    /// The known keepers: first those announced by a keeper, then the seeds.
     pub fn keepers(&self) -> Vec<SocketAddr> {
         let keepers = self.lock();
         let mut all = keepers.announced.clone();
@@ -151,7 +153,7 @@
         self.lock().slots.iter().any(KeeperSlot::is_live)
     }
 
-    /// Maintains one subscription at a time, to one keeper after another.
+    /// Maintains one subscription, and moves it to the next keeper when it ends.
     async fn maintain_subscription(self: Arc<Self>) {
         loop {
             let changed = self.keepers_changed.notified();
@@ -172,7 +174,7 @@
         }
     }
 
-    /// Reserves the next keeper in turn without a subscription.
+    /// Reserves the next keeper, in round-robin order, that has no subscription.
     fn reserve_keeper(&self) -> Option<SocketAddr> {
         let mut candidates = self.keepers();
         let mut keepers = self.lock();
@@ -193,7 +195,7 @@
         Some(keeper)
     }
 
-    /// Waits for the keeper's first update, and then until the link is closed.
+    /// Waits for the keeper's first update and then for the closing of the link.
     async fn follow(&self, address: SocketAddr, link: &Link, first_update_received: oneshot::Receiver<()>) {
         if !matches!(timeout(FIRST_UPDATE_TIMEOUT, first_update_received).await, Ok(Ok(()))) {
             return link.close();
@@ -234,7 +236,7 @@
 /// Handler of the messages of one subscription.
 struct Subscription {
     subscriber: Arc<Subscriber>,
-    /// Notified by the first update.
+    /// Notified of the first update.
     first_update: Mutex<Option<oneshot::Sender<()>>>,
     /// The highest revision of instances applied from this keeper.
     highest_instances_revision: Mutex<u64>,
@@ -245,7 +247,7 @@
         let Message::Update(update) = message else { return };
         let first_update = lock(&self.first_update).take();
         if let Some(first_update) = first_update {
-            // The receiver is gone if the first update came too late.
+            // Fails if the wait for the first update has timed out.
             let _ = first_update.send(());
         }
         match update {
--- a/crates/node/src/sync/watch.rs
+++ b/crates/node/src/sync/watch.rs
@@ -1,18 +1,18 @@
-//! A channel that holds one value, whose receivers wait for changes of it.
+//! A channel that holds a single value, for whose changes receivers can wait.
 //!
-//! It does what `tokio::sync::watch` does, but wakes its waiting receivers in the order in which they began to wait.
-//! tokio's wakes them in an order drawn from a random number generator that the caller cannot seed, so that a
-//! simulation with two waiting receivers differs from run to run.
+//! It corresponds to `tokio::sync::watch`, but wakes waiting receivers in the order in which they began to wait. The
+//! channel of tokio wakes them in a random order, from a generator that the caller cannot seed, so that simulations with
+//! two waiting receivers are not reproducible.
 
 use std::sync::{Arc, PoisonError, RwLock, RwLockReadGuard};
 
 use tokio::sync::Notify;
 
-/// The sender is gone: the value will not change again.
+/// The error of a closed channel: the sender was dropped, so the value does not change any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Closed;
 
-/// What the sender and the receivers share.
+/// State shared by the sender and the receivers.
 #[derive(Debug)]
 struct Shared<T> {
     state: RwLock<State<T>>,
@@ -27,7 +27,7 @@
     is_closed: bool,
 }
 
-/// A borrowed value. The value cannot be changed while it exists, so it must not be held across an `await`.
+/// A borrow of the value. It blocks changes of the value, so it must not be held across an `await`.
 #[derive(Debug)]
 pub struct Ref<'a, T>(RwLockReadGuard<'a, State<T>>);
 
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 pub struct Sender<T>(Arc<Shared<T>>);
 
-/// The receiving half. A clone has seen what the original has seen.
+/// The receiving half. A clone has seen the same version as the original.
 #[derive(Debug)]
 pub struct Receiver<T> {
     shared: Arc<Shared<T>>,
@@ -64,9 +64,9 @@
 
     /// Changes the state and wakes all waiting receivers, in the order in which they began to wait.
     fn update<R>(&self, change: impl FnOnce(&mut State<T>) -> R) -> R {
-        let outcome = change(&mut self.state.write().unwrap_or_else(PoisonError::into_inner));
+        let result = change(&mut self.state.write().unwrap_or_else(PoisonError::into_inner));
         self.changed.notify_waiters();
-        outcome
+        result
     }
 }
 
@@ -77,7 +77,7 @@
         Sender(Arc::new(Shared { state, changed: Notify::new() }))
     }
 
-    /// Creates a receiver that has seen the present value.
+    /// Creates a receiver that has seen the current value.
     pub fn subscribe(&self) -> Receiver<T> {
         let seen_version = self.0.read().version;
         Receiver { shared: Arc::clone(&self.0), seen_version }
@@ -91,7 +91,7 @@
         })
     }
 
-    /// The present value.
+    /// Borrows the current value.
     pub fn borrow(&self) -> Ref<'_, T> {
         Ref(self.0.read())
     }
@@ -116,23 +116,23 @@
 }
 
 impl<T> Receiver<T> {
-    /// The present value; it does not count as seen.
+    /// Borrows the current value without marking it as seen.
     pub fn borrow(&self) -> Ref<'_, T> {
         Ref(self.shared.read())
     }
 
-    /// The present value, which counts as seen from now on.
+    /// Borrows the current value and marks it as seen.
     pub fn borrow_and_update(&mut self) -> Ref<'_, T> {
         let state = self.shared.read();
         self.seen_version = state.version;
         Ref(state)
     }
 
-    /// Waits until there is a value that was not seen, which then counts as seen.
+    /// Waits for a value that was not seen, and marks it as seen.
     ///
     /// # Errors
     ///
-    /// [`Closed`] if the sender is gone and the newest value was seen.
+    /// [`Closed`] if the sender was dropped and the newest value was seen.
     pub async fn changed(&mut self) -> Result<(), Closed> {
         loop {
             // Created before the check, so that a change after the check is not missed.
@@ -151,11 +151,11 @@
         }
     }
 
-    /// Waits until the value satisfies a condition. The value then counts as seen.
+    /// Waits until the value satisfies a condition, and marks it as seen.
     ///
     /// # Errors
     ///
-    /// [`Closed`] if the sender is gone and the value does not satisfy it.
+    /// [`Closed`] if the sender was dropped and the value does not satisfy the condition.
     pub async fn wait_for(&mut self, condition: impl Fn(&T) -> bool) -> Result<(), Closed> {
         while !condition(&self.borrow_and_update()) {
             self.changed().await?;
--- a/crates/node/tests/deploy_files.rs
+++ b/crates/node/tests/deploy_files.rs
@@ -1,4 +1,4 @@
-//! Keys of the files that say how the programs are built and run: whoever deploys them reads them by these names.
+//! Keys of the files that specify how the programs are built and run. Deployment tools read the files by these keys.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -7,7 +7,7 @@
 use toml::Table;
 use toml::Value;
 
-/// Adds the paths of all keys of a table, those of tables within it included.
+/// Adds the paths of all keys of a table, including those of nested tables.
 fn add_keys(table: &Table, prefix: &str, keys: &mut Vec<String>) {
     for (key, value) in table {
         let path = format!("{prefix}{key}");
@@ -18,7 +18,7 @@
     }
 }
 
-/// The paths of all keys of a file, sorted.
+/// Returns the sorted paths of all keys of a file.
 fn keys(text: &str) -> Vec<String> {
     let mut keys = Vec::new();
     add_keys(&toml::from_str(text).expect("TOML"), "", &mut keys);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn keys_of_the_tier_s_deploy_file() {
+fn keys_of_the_deploy_file_of_the_tier() {
     let expected = [
         "build",
         "packages",
@@ -51,26 +51,26 @@
 }
 
 #[test]
-fn keys_of_the_relay_s_deploy_file() {
+fn keys_of_the_deploy_file_of_the_relay() {
     let expected = ["build", "node", "packages", "policy", "run", "sim"];
     assert_eq!(keys(include_str!("../../../deploy/balancer.toml")), expected);
 }
 
 #[test]
-fn the_relay_s_deploy_file_lists_every_decision_file() {
+fn the_deploy_file_of_the_relay_lists_every_policy_source_file() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let deploy: Table = toml::from_str(include_str!("../../../deploy/balancer.toml")).expect("TOML");
     let listed: BTreeSet<PathBuf> =
         deploy["policy"].as_array().expect("a list").iter().map(path_of).collect();
-    let mut decisions: BTreeSet<PathBuf> = ["src/rules", "crates/restart/src"]
+    let mut policy_sources: BTreeSet<PathBuf> = ["src/rules", "crates/restart/src"]
         .into_iter()
         .flat_map(|directory| {
             let entries = fs::read_dir(root.join(directory)).expect("a directory");
             entries.map(move |entry| Path::new(directory).join(entry.expect("an entry").file_name()))
         })
         .collect();
-    decisions.insert("src/rules.rs".into());
-    assert_eq!(listed, decisions);
+    policy_sources.insert("src/rules.rs".into());
+    assert_eq!(listed, policy_sources);
 }
 
 fn path_of(value: &Value) -> PathBuf {
--- a/crates/node/tests/documentation.rs
+++ b/crates/node/tests/documentation.rs
@@ -1,5 +1,5 @@
-//! What the pages for operators and developers quote exists: log lines and metrics of `docs/on-call.md`, files and
-//! functions of `docs/architecture.md` and `docs/glossary.md`.
+//! Everything that the pages for operators and developers refer to exists: the log lines and metrics in
+//! `docs/on-call.md`, and the files and functions in `docs/architecture.md` and `docs/glossary.md`.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -12,7 +12,7 @@
     let quoted = quoted_in_column("docs/on-call.md", "log line");
     assert!(quoted.len() > 40, "{} log lines", quoted.len());
     let missing: Vec<_> = quoted.iter().filter(|line| !text.contains(&format!("\"{line}\""))).collect();
-    assert!(missing.is_empty(), "no line of the log reads {missing:#?}");
+    assert!(missing.is_empty(), "log lines not found in the code: {missing:#?}");
 }
 
 #[test]
@@ -24,41 +24,42 @@
     let quoted = quoted_in_column("docs/on-call.md", "metric");
     assert!(quoted.len() > 25, "{} metrics", quoted.len());
     let missing: Vec<_> = quoted.iter().filter(|name| !exposed.contains(name.as_str())).collect();
-    assert!(missing.is_empty(), "no role exposes {missing:#?}");
+    assert!(missing.is_empty(), "metrics not exposed by any role: {missing:#?}");
 }
 
 #[test]
 fn every_file_and_function_that_the_architecture_names_exists() {
     let pages = ["docs/architecture.md", "docs/glossary.md"].map(|page| read(&root().join(page))).concat();
-    let places: Vec<String> = code_spans(&pages).into_iter().filter(|span| is_place(span)).collect();
-    assert!(places.len() > 50, "only {} places", places.len());
-    let missing: Vec<&String> = places.iter().filter(|place| !exists(place)).collect();
+    let references: Vec<String> = code_spans(&pages).into_iter().filter(|span| is_reference(span)).collect();
+    assert!(references.len() > 50, "only {} references", references.len());
+    let missing: Vec<&String> = references.iter().filter(|reference| !exists(reference)).collect();
     assert!(missing.is_empty(), "not found: {missing:#?}");
 }
 
 #[test]
-fn a_missing_file_or_function_is_noticed() {
+fn a_missing_file_or_function_is_detected() {
     assert!(exists("src/relay.rs: route"));
     assert!(!exists("src/relay.rs: rout"));
     assert!(!exists("src/relay.rs: no_such_function"));
     assert!(!exists("src/no_such_file.rs"));
 }
 
-/// `crates/x/src/y.rs`, `crates/x/src/y.rs: function` and the like are places; other code spans are not.
-fn is_place(span: &str) -> bool {
+/// Whether a code span is a reference to a file or function, like `crates/x/src/y.rs` or
+/// `crates/x/src/y.rs: function`.
+fn is_reference(span: &str) -> bool {
     ["src/", "crates/", "tests/", "docs/"].iter().any(|directory| span.starts_with(directory))
 }
 
-fn exists(place: &str) -> bool {
-    match place.split_once(": ") {
-        None => root().join(place).exists(),
+fn exists(reference: &str) -> bool {
+    match reference.split_once(": ") {
+        None => root().join(reference).exists(),
         Some((path, function)) => {
             fs::read_to_string(root().join(path)).is_ok_and(|source| declares(&source, function))
         }
     }
 }
 
-/// Whether `source` declares a function of exactly this name.
+/// Whether `source` declares a function with exactly this name.
 fn declares(source: &str, function: &str) -> bool {
     source.match_indices(&format!("fn {function}")).any(|(start, found)| {
         let following = source[start + found.len()..].chars().next();
@@ -66,7 +67,7 @@
     })
 }
 
-/// The code spans in the cells of a column, over all tables of the page that have it.
+/// Collects the code spans in the cells of a column, from all tables of the page that have this column.
 fn quoted_in_column(page: &str, heading: &str) -> BTreeSet<String> {
     let mut quoted = BTreeSet::new();
     let mut column = None;
@@ -89,12 +90,14 @@
     text.split('`').skip(1).step_by(2).map(str::to_owned).collect()
 }
 
-fn sources_of(folders: &[&str]) -> Vec<PathBuf> {
+fn sources_of(directories: &[&str]) -> Vec<PathBuf> {
     let mut found = Vec::new();
-    let mut left: Vec<PathBuf> = folders.iter().map(|folder| root().join(folder)).collect();
-    while let Some(path) = left.pop() {
+    let mut remaining: Vec<PathBuf> = directories.iter().map(|directory| root().join(directory)).collect();
+    while let Some(path) = remaining.pop() {
         if path.is_dir() {
-            left.extend(fs::read_dir(&path).expect("a folder").map(|entry| entry.expect("an entry").path()));
+            remaining.extend(
+                fs::read_dir(&path).expect("a directory").map(|entry| entry.expect("an entry").path()),
+            );
         } else if path.extension().is_some_and(|extension| extension == "rs") {
             found.push(path);
         }
--- a/crates/node/tests/golden.rs
+++ b/crates/node/tests/golden.rs
@@ -1,4 +1,4 @@
-//! A keeper's record and ballot have the file names and bytes that earlier releases gave them.
+//! A keeper's record and acceptor state have the same file names and bytes as in earlier releases.
 
 #[path = "../../protocol/tests/golden_files/mod.rs"]
 mod golden_files;
@@ -16,59 +16,59 @@
 
 const DISK: u64 = 0x0102_0304_0506_0708;
 const RECORD_FILE: &str = "control-0000000000000001";
-const BALLOT_FILE: &str = "ballot-0000000000000001";
+const ACCEPTOR_FILE: &str = "ballot-0000000000000001";
 
 #[test]
 fn a_record_has_its_golden_bytes() {
     let encode = |record: &Record| {
-        let folder = Folder::new("write-record");
-        open_folder(&folder.0).record_file.write(record).unwrap();
-        folder.read(RECORD_FILE)
+        let directory = TempDirectory::new("write-record");
+        open_directory(&directory.0).record_file.write(record).unwrap();
+        directory.read(RECORD_FILE)
     };
     let decode = |bytes: &[u8]| {
-        let folder = Folder::new("read-record");
-        open_folder(&folder.0);
-        fs::write(folder.0.join(RECORD_FILE), bytes).unwrap();
-        open_folder(&folder.0).record.expect("a record")
+        let directory = TempDirectory::new("read-record");
+        open_directory(&directory.0);
+        fs::write(directory.0.join(RECORD_FILE), bytes).unwrap();
+        open_directory(&directory.0).record.expect("a record")
     };
-    assert_golden("golden/records", &[("filled", record(first_ballot()))], encode, decode);
+    assert_golden("golden/records", &[("filled", record(first_acceptor_state()))], encode, decode);
 }
 
 #[test]
-fn a_ballot_has_its_golden_bytes() {
-    let encode = |ballot: &AcceptorState| {
-        let folder = Folder::new("write-ballot");
-        let mut file = open_folder(&folder.0).record_file;
-        file.write(&record(first_ballot())).unwrap();
-        file.write(&record(ballot.clone())).unwrap();
-        folder.read(BALLOT_FILE)
+fn an_acceptor_state_has_its_golden_bytes() {
+    let encode = |acceptor: &AcceptorState| {
+        let directory = TempDirectory::new("write-acceptor");
+        let mut file = open_directory(&directory.0).record_file;
+        file.write(&record(first_acceptor_state())).unwrap();
+        file.write(&record(acceptor.clone())).unwrap();
+        directory.read(ACCEPTOR_FILE)
     };
     let decode = |bytes: &[u8]| {
-        let folder = Folder::new("read-ballot");
-        open_folder(&folder.0).record_file.write(&record(first_ballot())).unwrap();
-        fs::write(folder.0.join(BALLOT_FILE), bytes).unwrap();
-        open_folder(&folder.0).record.expect("a record").acceptor
+        let directory = TempDirectory::new("read-acceptor");
+        open_directory(&directory.0).record_file.write(&record(first_acceptor_state())).unwrap();
+        fs::write(directory.0.join(ACCEPTOR_FILE), bytes).unwrap();
+        open_directory(&directory.0).record.expect("a record").acceptor
     };
-    assert_golden("golden/ballots", &[("later", later_ballot())], encode, decode);
+    assert_golden("golden/ballots", &[("later", later_acceptor_state())], encode, decode);
 }
 
-/// The folder's identity comes first, so every file of it names the same disk.
-fn open_folder(folder: &Path) -> OpenedRecordFile {
-    let opened = open(folder, || DISK).unwrap();
+/// Opens a data directory. If it is new, it is given the identity `DISK`, which the files in it must contain.
+fn open_directory(directory: &Path) -> OpenedRecordFile {
+    let opened = open(directory, || DISK).unwrap();
     assert!(opened.loss.is_none(), "{:?}", opened.loss);
     opened
 }
 
-fn record(ballot: AcceptorState) -> Record {
+fn record(acceptor: AcceptorState) -> Record {
     let version = Version { epoch: EpochNumber(204), sequence: 205 };
-    Record { acceptor: ballot, version, state: Arc::new(vec![0, 1, 127, 128, 255]) }
+    Record { acceptor, version, state: Arc::new(vec![0, 1, 127, 128, 255]) }
 }
 
-fn first_ballot() -> AcceptorState {
+fn first_acceptor_state() -> AcceptorState {
     AcceptorState { promised: EpochNumber(206), accepted: epoch(203, vec![voter(13, "cedar", ipv4(7013))]) }
 }
 
-fn later_ballot() -> AcceptorState {
+fn later_acceptor_state() -> AcceptorState {
     AcceptorState { promised: EpochNumber(0x0000_0003_0000_0207), accepted: epoch(208, Vec::new()) }
 }
 
@@ -91,14 +91,14 @@
     SocketAddr::from(([10, 20, 30, 40], port))
 }
 
-struct Folder(PathBuf);
+struct TempDirectory(PathBuf);
 
-impl Folder {
+impl TempDirectory {
     fn new(name: &str) -> Self {
         let name = format!("juniperwing-node-golden-{}-{name}", std::process::id());
         let path = std::env::temp_dir().join(name);
         let _ = fs::remove_dir_all(&path);
-        Folder(path)
+        TempDirectory(path)
     }
 
     fn read(&self, name: &str) -> Vec<u8> {
@@ -106,7 +106,7 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDirectory {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
--- a/crates/node/tests/gossip.rs
+++ b/crates/node/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! Membership over loopback: processes discover keepers that their settings do not name.
+//! Membership protocol over loopback: processes discover keepers that their settings do not name.
 
 mod keepers;
 mod loopback;
@@ -26,7 +26,7 @@
 /// Number of a machine on which nothing listens.
 const DEAD_MACHINE: u8 = 250;
 
-/// The machines of one test, with loopback addresses of their own.
+/// The machines of one test, each with its own loopback address.
 struct Machines(LoopbackNetwork);
 
 impl Machines {
@@ -55,7 +55,7 @@
     }
 }
 
-/// A member and the keepers that it reported last.
+/// A member and the keepers in its newest report.
 struct Node {
     gossip: Gossip,
     keepers: watch::Receiver<Vec<SocketAddr>>,
@@ -94,7 +94,7 @@
     let mut relay = Node::start(&machines.settings(2, &[1]), Role::Relay).await;
     relay.wait_for_keepers(&[machines.keeper(1)]).await;
     drop(relay);
-    // The socket is closed when the task has been dropped.
+    // The socket is closed only when the aborted task has been dropped.
     let settings = machines.settings(2, &[DEAD_MACHINE]);
     let address = settings.own_address(Port::Relay);
     while tokio::net::UdpSocket::bind(address).await.is_err() {
--- a/crates/node/tests/link.rs
+++ b/crates/node/tests/link.rs
@@ -1,4 +1,4 @@
-//! Links carry calls, replies and updates over loopback, and fail their calls when they are closed.
+//! Links transport calls, replies and messages over loopback, and fail pending calls when they are closed.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -12,7 +12,8 @@
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Replies to a request for distribution, closes the link on [`Message::Pong`], and records all other messages.
+/// A service that replies to a request for distribution, closes the link on [`Message::Pong`], and records all other
+/// messages.
 #[derive(Default)]
 struct Recorder {
     messages: Mutex<Vec<Message>>,
@@ -101,8 +102,8 @@
     assert!(recorder.messages.lock().unwrap().is_empty());
 }
 
-/// An envelope that takes longer than [`LINK_TIMEOUT`](juniperwing_node::link::LINK_TIMEOUT), sent byte by byte. Fails
-/// without the ping for a partial envelope in `run_reader`: the sender receives nothing and closes the link.
+/// The envelope is sent byte by byte, which takes longer than [`LINK_TIMEOUT`](juniperwing_node::link::LINK_TIMEOUT).
+/// Without the ping for a partial envelope in `run_reader`, the sender receives nothing and closes the link.
 #[tokio::test]
 async fn a_peer_that_sends_a_large_envelope_slowly_receives_pings() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/node/tests/link_replies.rs
+++ b/crates/node/tests/link_replies.rs
@@ -1,5 +1,5 @@
-//! Replies on a link reach their own caller only, also if they are late, duplicated, reordered or truncated, and a call
-//! that may have been handled is distinguished from one that was not sent.
+//! Replies on a link reach only their own caller, even if they are late, duplicated, reordered or truncated. A call that
+//! may have been handled is distinguished from one that was not sent.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use tokio::runtime::Builder;
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time-out of calls that are not replied to in time.
+/// Timeout of calls whose reply is late.
 const SHORT_CALL_TIMEOUT: Duration = Duration::from_millis(20);
 
 struct IgnoreMessages;
@@ -23,7 +23,7 @@
     fn handle_message(&self, _: &Link, _: Message, _: ReplySender) {}
 }
 
-/// A message with a number; a reply has the number of its call.
+/// A numbered message; a reply has the same number as its call.
 fn numbered(number: u32) -> Message {
     Message::Registry(RegistryMessage::DistributeConfiguration {
         version: Default::default(),
@@ -35,7 +35,7 @@
     Envelope { call, is_reply: true, message: numbered(number) }.encode().unwrap()
 }
 
-/// The peer of a link, which reads and writes bytes.
+/// The peer of a link, which sends raw bytes.
 struct Peer {
     stream: TcpStream,
     buffer: Vec<u8>,
@@ -69,7 +69,7 @@
     (link, peer)
 }
 
-// Guard: `Link::dispatch` looks up the caller by the id of the call, which is unique on a link.
+// Guards the look-up of callers in `Link::dispatch` by the id of the call, which is unique on a link.
 #[tokio::test]
 async fn a_late_reply_does_not_reach_the_next_call() {
     let (link, mut peer) = link_with_peer().await;
@@ -98,11 +98,11 @@
     }
 }
 
-/// The order of replies, with duplicates and replies to unknown calls.
+/// A sequence of replies, with duplicates and replies to unknown calls.
 #[derive(Clone, Debug)]
 struct Script {
     calls: usize,
-    /// Indexes of calls, replied to in this order; each may occur more than once or never.
+    /// Indexes of the calls in the order of the replies; an index may be repeated or missing.
     order: Vec<usize>,
     unknown: Vec<u64>,
 }
@@ -123,13 +123,13 @@
         TestRunner::new_with_rng(config, rng)
             .run(&scripts(), |script| {
                 let runtime = Builder::new_current_thread().enable_all().build().unwrap();
-                runtime.block_on(play(script))
+                runtime.block_on(run_script(script))
             })
             .unwrap();
     }
 }
 
-async fn play(script: Script) -> Result<(), TestCaseError> {
+async fn run_script(script: Script) -> Result<(), TestCaseError> {
     let (link, mut peer) = link_with_peer().await;
     let (mut callers, mut calls) = (Vec::new(), Vec::new());
     for index in 0..script.calls {
--- a/crates/node/tests/loopback/mod.rs
+++ b/crates/node/tests/loopback/mod.rs
@@ -1,9 +1,10 @@
-//! Loopback addresses for the processes of one test, so that tests never share a port, within a test program or beside it.
+//! Loopback addresses for the processes of one test, so that concurrent tests, in the same or in another test process,
+//! do not share a port.
 
 use std::net::Ipv4Addr;
 use std::sync::atomic::{AtomicU8, Ordering};
 
-/// A network of loopback addresses that nobody else in this process uses.
+/// A network of loopback addresses, unique within this process.
 pub struct LoopbackNetwork {
     process: u8,
     number: u8,
--- a/crates/node/tests/metrics.rs
+++ b/crates/node/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics are rendered as text and served at the endpoint that the settings name only.
+//! Metrics are rendered as text and served only at the configured endpoint.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -78,7 +78,7 @@
     );
     assert!(request(address, "GET /other HTTP/1.1\r\nHost: x\r\n\r\n").await.starts_with("HTTP/1.1 404"));
     assert!(request(address, "PUT /figures HTTP/1.1\r\nHost: x\r\n\r\n").await.starts_with("HTTP/1.1 405"));
-    // Idle connections are closed soon, so that more of them than the limit delay no other client for long.
+    // Idle connections time out soon, so that other clients are not delayed for long even if they exceed the limit.
     let idle: Vec<TcpStream> =
         futures_util::future::join_all((0..8).map(|_| async { TcpStream::connect(address).await.unwrap() }))
             .await;
--- a/crates/node/tests/panics.rs
+++ b/crates/node/tests/panics.rs
@@ -1,4 +1,4 @@
-//! Scope of panics: isolated tasks, critical sections and essential tasks.
+//! Handling of panics in isolated tasks, critical sections and essential tasks.
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
@@ -20,17 +20,18 @@
 
 #[tokio::test]
 async fn isolation_is_restored_after_a_panic() {
-    let result = tokio::spawn(isolate(async { panic!("a caller's") })).await;
+    let result = tokio::spawn(isolate(async { panic!("isolated") })).await;
     assert!(result.unwrap_err().is_panic());
     assert!(!is_isolated());
     let is_still_isolated = isolate(async {
-        catch_unwind(AssertUnwindSafe(|| critical_section(|| panic!("shared")))).is_err() && is_isolated()
+        catch_unwind(AssertUnwindSafe(|| critical_section(|| panic!("critical section")))).is_err()
+            && is_isolated()
     });
     assert!(is_still_isolated.await);
 }
 
 #[tokio::test]
 async fn an_essential_task_that_returns_panics() {
-    let result = spawn_essential("upkeep", async {}).await;
+    let result = spawn_essential("test task", async {}).await;
     assert!(result.unwrap_err().is_panic());
 }
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings are parsed as the platform writes them; invalid values are reported with their keys.
+//! Parsing of settings as written by the platform; invalid values are reported with their keys.
 
 use std::path::Path;
 
@@ -76,20 +76,20 @@
 }
 
 #[test]
-fn time_outs_of_a_keeper_are_derived_from_the_bounds() {
+fn timeouts_of_a_keeper_are_derived_from_the_bounds() {
     let timings = parse(CORE).unwrap().control_timings();
     assert_eq!(timings.contact_window, Span::from_millis(1_200));
     assert_eq!(timings.configuration_apply_timeout.as_millis(), 375);
     let longer = CORE.replace("contactMs = 3000", "contactMs = 4000").replace("Ms = 1500", "Ms = 9000");
     let timings = parse(&longer).unwrap().control_timings();
     assert_eq!(timings.contact_window, Span::from_millis(1_600));
-    // The rest of the caller's timeout is for committing, whatever the bounds.
+    // The rest of the caller's timeout is reserved for committing, whatever the bounds.
     assert_eq!(timings.configuration_apply_timeout.as_millis(), 500);
 }
 
-/// Guard: each timeout is shorter than the one that contains it, and the outermost shorter than the caller's.
+/// Each timeout must be shorter than the enclosing one, and the outermost one shorter than the caller's.
 #[test]
-fn nested_time_outs_are_shorter_than_the_callers_whatever_the_bounds() {
+fn nested_timeouts_are_shorter_than_the_callers_whatever_the_bounds() {
     for bound in [1_200, 2_000, 4_000, 60_000] {
         let text = ["contactMs = 3000", "drainMs = 2000", "configApplyMs = 1500", "ackMs = 4000"]
             .iter()
@@ -129,7 +129,7 @@
     assert!(parse(&CORE[..40]).is_err());
 }
 
-/// The keys that are read, according to the source of the settings' structs.
+/// Lists the keys of the settings by scanning the source of their structs.
 fn keys_in_source() -> Vec<String> {
     let source = include_str!("../src/settings.rs");
     let mut keys = Vec::new();
@@ -152,7 +152,7 @@
             keys.push(format!("{prefix}{}", renamed.take().unwrap_or(plain)));
         }
     }
-    // Tables are listed by their own keys.
+    // Tables are listed by the keys in them.
     keys.retain(|key| !["listenersMap", "limits", "faultTolerance", "bounds"].contains(&key.as_str()));
     keys
 }
--- a/crates/node/tests/subscriber.rs
+++ b/crates/node/tests/subscriber.rs
@@ -1,4 +1,4 @@
-//! Subscriptions of a relay or store when keepers reply late or not at all.
+//! Subscriptions of a relay or store when keepers do not reply, are lost, or are replaced.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -15,7 +15,7 @@
 
 const TEST_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// A keeper that accepts subscriptions and, if `replies`, sends the first update.
+/// A keeper that accepts subscriptions and, if `replies` is set, sends the first update.
 #[derive(Default)]
 struct Keeper {
     replies: bool,
@@ -69,7 +69,7 @@
     }
 }
 
-/// Counts the updates and records connection changes.
+/// A sink that counts updates and records connection changes.
 #[derive(Default)]
 struct Counter {
     updates: Mutex<usize>,
@@ -108,7 +108,7 @@
     }
 }
 
-/// Guard: `FIRST_UPDATE_TIMEOUT`. Without it the only slot remains occupied by the keeper that never replies.
+/// Guards `FIRST_UPDATE_TIMEOUT`: without it, the keeper that never replies occupies the only slot forever.
 #[tokio::test]
 async fn a_keeper_that_does_not_reply_is_replaced_by_another() {
     let (silent, silent_keeper) = Keeper::start(false).await;
@@ -123,7 +123,8 @@
     assert_eq!(*sink.updates.lock().unwrap(), 1);
 }
 
-/// At the latest when the silent keeper is replaced; in fact at once, which is not asserted since it depends on timing.
+/// The discovered keeper is used at once, or at the latest when the silent one is replaced. That it is used at once is
+/// not asserted, since it depends on timing.
 #[tokio::test]
 async fn discovered_keepers_are_subscribed_to_while_no_keeper_replies() {
     let (silent, silent_keeper) = Keeper::start(false).await;
@@ -136,7 +137,7 @@
     timeout(TEST_TIMEOUT, sink.updated.notified()).await.expect("an update");
 }
 
-/// Guard: the sink is notified when the last established subscription ends. Links without a reply do not count.
+/// The sink must be notified when the last established subscription ends. Links without a reply do not count.
 #[tokio::test]
 async fn the_sink_is_notified_whether_any_subscription_is_established() {
     let (replying, keeper) = Keeper::start(true).await;
@@ -161,7 +162,8 @@
     assert!(sink.connection_changes.lock().unwrap().contains(&true));
 }
 
-/// Guard: `Keepers::handle_announced`. A keeper that was replaced during a partition does not end its subscriptions.
+/// Guards `Keepers::handle_announced`: a keeper that was replaced during a partition does not close its subscriptions
+/// itself.
 #[tokio::test]
 async fn the_subscription_to_a_removed_voter_is_closed() {
     let (replaced, replaced_keeper) = Keeper::start(true).await;
