--- a/crates/configuration/src/check/routes.rs
+++ b/crates/configuration/src/check/routes.rs
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Parses the type of a route. The default is the most restrictive one, which is never retried.
+    /// Parses the type of a route; the default is the most restrictive one.
     fn route_type(&mut self, section: Section, value: Option<String>, resumable: bool) -> RouteType {
         match value.as_deref() {
             Some("streaming") => RouteType::Streaming { resumable },
--- a/crates/configuration/src/problem.rs
+++ b/crates/configuration/src/problem.rs
@@ -93,7 +93,7 @@
         /// The name.
         name: String,
     },
-    /// All weights of a route's services are 0.
+    /// None of the weights of a route's services is greater than 0.
     #[snafu(display("the weights add up to 0"))]
     NoWeight,
     /// Two services have the same name.
--- a/crates/configuration/src/route.rs
+++ b/crates/configuration/src/route.rs
@@ -18,7 +18,7 @@
     }
 }
 
-/// The type of a route, which determines whether its requests may be retried.
+/// The type of a route, which determines whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RouteType {
     /// The response is a stream of events.
@@ -57,7 +57,7 @@
     pub hostname: Arc<str>,
     /// The prefix of the path; begins and ends with a slash.
     pub path_prefix: Arc<str>,
-    /// The type, which determines whether requests may be retried.
+    /// The type, which determines whether a request may be executed more than once.
     pub route_type: RouteType,
     /// The timeout of a request; greater than 0.
     pub timeout: Span,
--- a/crates/configuration/tests/lookup.rs
+++ b/crates/configuration/tests/lookup.rs
@@ -95,7 +95,7 @@
 
 /// Validation must not take quadratic time, which for 40,000 routes would be 1.6 billion steps.
 #[test]
-fn many_duplicate_routes_are_found_in_linear_time() {
+fn many_duplicate_routes_are_reported() {
     let routes = vec![route("h", "/same/"); 40_000];
     let value = json!({ "generation": 1, "routes": routes, "backends": [{ "name": "s" }] });
     let findings = read(&value).expect_err("shared host and prefix");
--- a/crates/node/src/host/simulation.rs
+++ b/crates/node/src/host/simulation.rs
@@ -108,7 +108,7 @@
     _file_system: juniperwing_storage::file_system::SimulationGuard,
 }
 
-/// Directs the current thread to a simulated machine until the returned guard is dropped.
+/// Directs the current thread to a simulated machine until the returned guard is dropped. For simulations only.
 #[must_use]
 pub fn simulate(host: Arc<dyn Host>) -> SimulationGuard {
     let file_system = juniperwing_storage::file_system::simulate(host.disk());
--- a/crates/node/src/link/connection.rs
+++ b/crates/node/src/link/connection.rs
@@ -22,7 +22,7 @@
 
 /// Handler of the messages that a process receives over its links.
 pub trait Service: Send + Sync + 'static {
-    /// Handles a message. If it is a call, the reply is sent through `reply`, during this call or later.
+    /// Handles a message. If it is a call, the reply is sent through `reply`, immediately or later.
     fn handle_message(&self, link: &Link, message: Message, reply: ReplySender);
 
     /// Handles the closing of a link.
--- a/crates/protocol/src/registry.rs
+++ b/crates/protocol/src/registry.rs
@@ -84,7 +84,7 @@
         /// of this message; `false` if a relay has not done so in time.
         applied: bool,
     },
-    /// Requests, from the primary, that the receiver distributes a configuration to its subscribers. The reply is sent
+    /// From the primary: requests the distribution of a configuration to the receiver's subscribers. The reply is sent
     /// when all of them have applied it or the wait has timed out.
     DistributeConfiguration {
         /// The configuration's version, as in [`crate::subscription::Update::Configuration`].
--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -34,21 +34,20 @@
 
 #[test]
 fn an_identity_has_its_golden_bytes() {
-    let drawn = 0x0102_0304_0506_0708;
-    let open_drawn = |directory: &Path, drawn: &u64| {
-        assert_eq!(identity::open(directory, *drawn).unwrap(), (*drawn, true))
-    };
+    let new_identity = 0x0102_0304_0506_0708;
+    let open =
+        |directory: &Path, new: &u64| assert_eq!(identity::open(directory, *new).unwrap(), (*new, true));
     let read = |directory: &Path| {
-        let (identity, is_new) = identity::open(directory, !drawn).unwrap();
+        let (identity, is_new) = identity::open(directory, !new_identity).unwrap();
         assert!(!is_new);
         identity
     };
-    assert_file("identities", &format!("identity-{FIRST}"), &[("drawn", drawn)], open_drawn, read);
-    let renew = |directory: &Path, drawn: &u64| {
+    assert_file("identities", &format!("identity-{FIRST}"), &[("drawn", new_identity)], open, read);
+    let renew = |directory: &Path, new: &u64| {
         fs::create_dir_all(directory).unwrap();
-        identity::renew(directory, *drawn).unwrap();
+        identity::renew(directory, *new).unwrap();
     };
-    assert_file("identities", &format!("identity-{FIRST}"), &[("drawn", drawn)], renew, read);
+    assert_file("identities", &format!("identity-{FIRST}"), &[("drawn", new_identity)], renew, read);
 }
 
 /// Other layouts are rejected in a directory without a layout number, so only the first can be written.
