--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Files have the names and bytes that earlier releases gave them.
+//! Files have the same names and bytes as in earlier releases.
 
 #[path = "../../protocol/tests/golden_files/mod.rs"]
 mod golden_files;
@@ -9,7 +9,7 @@
 use golden_files::assert_golden;
 use juniperwing_storage::{SegmentLog, SnapshotFiles, identity, layout};
 
-/// Stands in a file name for the first version or segment.
+/// The number of the first version or segment, as in file names.
 const FIRST: &str = "0000000000000001";
 
 #[test]
@@ -34,24 +34,23 @@
 
 #[test]
 fn an_identity_has_its_golden_bytes() {
-    let drawn = 0x0102_0304_0506_0708;
-    let open_drawn = |directory: &Path, drawn: &u64| {
-        assert_eq!(identity::open(directory, *drawn).unwrap(), (*drawn, true))
-    };
+    let new_identity = 0x0102_0304_0506_0708;
+    let open =
+        |directory: &Path, new: &u64| assert_eq!(identity::open(directory, *new).unwrap(), (*new, true));
     let read = |directory: &Path| {
-        let (identity, is_new) = identity::open(directory, !drawn).unwrap();
+        let (identity, is_new) = identity::open(directory, !new_identity).unwrap();
         assert!(!is_new);
         identity
     };
-    assert_file("identities", &format!("identity-{FIRST}"), &[("drawn", drawn)], open_drawn, read);
-    let renew = |directory: &Path, drawn: &u64| {
+    assert_file("identities", &format!("identity-{FIRST}"), &[("drawn", new_identity)], open, read);
+    let renew = |directory: &Path, new: &u64| {
         fs::create_dir_all(directory).unwrap();
-        identity::renew(directory, *drawn).unwrap();
+        identity::renew(directory, *new).unwrap();
     };
-    assert_file("identities", &format!("identity-{FIRST}"), &[("drawn", drawn)], renew, read);
+    assert_file("identities", &format!("identity-{FIRST}"), &[("drawn", new_identity)], renew, read);
 }
 
-/// Layouts above the first are rejected in a directory without a layout number, so only the first can be written.
+/// Other layouts are rejected in a directory without a layout number, so only the first can be written.
 #[test]
 fn a_layout_has_its_golden_bytes() {
     let write = |directory: &Path, number: &u32| layout::check(directory, "sessions", *number).unwrap();
@@ -84,8 +83,8 @@
     SnapshotFiles::open(directory, "state").unwrap()
 }
 
-/// Asserts that `write` makes the file `name` with the golden bytes, and that `read` reads the value from a directory
-/// that has only this file.
+/// Asserts that `write` creates the file `name` with the golden bytes, and that `read` reads the value from a directory
+/// that contains only this file.
 fn assert_file<T: std::fmt::Debug + PartialEq>(
     golden: &str, name: &str, table: &[(&str, T)], write: impl Fn(&Path, &T), read: impl Fn(&Path) -> T,
 ) {
