--- a/crates/relay/src/admission.rs
+++ b/crates/relay/src/admission.rs
@@ -1,7 +1,6 @@
-//! Decides whether a submitted notification can be accepted at all.
+//! Admission control for submitted notifications.
 //!
-//! It enforces limits and recognises ids that were submitted before. Weighing notifications against each other is the
-//! core's part.
+//! It enforces limits and detects ids that were submitted before. Prioritising notifications is up to the core.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{BuildHasher, RandomState};
@@ -14,27 +13,27 @@
 use crate::discovery::Discovery;
 use crate::journal::Journal;
 
-/// The number of the latest ids that are remembered: more than can be submitted while one of them is live.
-const MAX_REMEMBERED_IDS: usize = 8_192;
+/// The number of recent ids whose responses are kept: more than can be submitted while one of them is live.
+const MAX_RECENT_IDS: usize = 8_192;
 
-/// The responses to the latest ids.
+/// The responses to recently submitted ids.
 #[derive(Default)]
 pub struct Admission {
-    /// By a digest of the id.
+    /// Keyed by a hash of the id.
     responses: BTreeMap<u64, SubmissionResponse>,
-    /// The digests in the order in which they came.
+    /// The hashes in the order of insertion.
     insertion_order: VecDeque<u64>,
     hasher: RandomState,
 }
 
 impl Admission {
-    /// The topic type of a notification that can be accepted, or the response to one that cannot.
+    /// Returns the topic type of a notification that can be accepted, or the response that rejects it.
     pub fn admit(
         &mut self, submission: &Submission, settings: &Settings, journal: &Journal, discovery: &Discovery,
     ) -> Result<Arc<TopicType>, SubmissionResponse> {
         let attributes = &submission.attributes;
-        // An id that is used again, even by another client, would push something else under it. What was accepted once
-        // stays accepted, so that a client whose connection broke before the response loses nothing.
+        // Reusing an id, even by another client, would push a different notification under it. An id that was accepted
+        // stays accepted, so that a client whose connection broke before the response can submit it again.
         if journal.contains_id(&attributes.id) {
             return Err(SubmissionResponse::Accepted);
         }
@@ -42,7 +41,7 @@
             return Err(*response);
         }
         let topic = settings.topic_type(&attributes.topic).ok_or(SubmissionResponse::Malformed)?;
-        // Notifications that can never be delivered would use up the capacity.
+        // Notifications without a known destination could never be delivered and would use up the capacity.
         if !discovery.is_known_destination(DestinationId(attributes.destination)) {
             return Err(if discovery.is_current() {
                 SubmissionResponse::UnknownDestination
@@ -58,13 +57,13 @@
         Ok(topic)
     }
 
-    /// Remembers the response to an id.
+    /// Stores the response to an id, and evicts the oldest one above the limit.
     pub fn record_response(&mut self, id: &str, response: SubmissionResponse) {
-        let digest = self.hasher.hash_one(id);
-        if self.responses.insert(digest, response).is_none() {
-            self.insertion_order.push_back(digest);
+        let id_hash = self.hasher.hash_one(id);
+        if self.responses.insert(id_hash, response).is_none() {
+            self.insertion_order.push_back(id_hash);
         }
-        if self.insertion_order.len() > MAX_REMEMBERED_IDS {
+        if self.insertion_order.len() > MAX_RECENT_IDS {
             self.insertion_order.pop_front().map(|oldest| self.responses.remove(&oldest));
         }
     }
--- a/crates/relay/src/client_connections.rs
+++ b/crates/relay/src/client_connections.rs
@@ -1,6 +1,6 @@
-//! Connections of clients: reads their requests and writes the responses.
+//! Client connections: reads requests and writes responses.
 //!
-//! It responds by itself only to requests that cannot be parsed, that are incomplete, or that are not submissions.
+//! Only malformed requests, incomplete requests and requests other than submissions are answered here.
 
 mod submission;
 
@@ -12,22 +12,23 @@
 use crate::http::{self, Request};
 pub use submission::{Submission, SubmissionResponse};
 
-/// The time within which a request has to be complete, from its first byte, or from the accept for the first request of a
-/// connection; otherwise the connection is closed. No client waits as long for its response.
+/// The time from the first byte of a request (for the first request of a connection: from the accept) until the request
+/// must be complete; otherwise the connection is closed. No client waits this long for its response.
 const REQUEST_TIMEOUT: Span = Span::from_millis(2_000);
-/// The time after which a connection without a request is closed.
+/// The time after which an idle connection is closed.
 const IDLE_TIMEOUT: Span = Span::from_millis(60_000);
-/// A client with more unread bytes of responses is disconnected: it sends requests and does not read.
+/// The maximum number of response bytes queued for a client. One that exceeds it is disconnected: it sends requests
+/// without reading the responses.
 const MAX_UNREAD_RESPONSE_BYTES: usize = 16 * 1024;
 
 struct Client {
-    /// When its last request was complete, or when it connected.
+    /// When the last request was completed, or when the client connected.
     idle_since: Time,
-    /// Whether it has sent a complete request.
+    /// Whether the client has sent a complete request.
     has_sent_request: bool,
     /// When the first byte of the incomplete request arrived.
     request_started_at: Option<Time>,
-    /// While a request is being decided on: whether the connection stays open after it.
+    /// While a request is being processed: whether the connection stays open after its response.
     pending_keep_alive: Option<bool>,
     /// Whether `100 Continue` was sent for the incomplete request.
     has_sent_continue: bool,
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Whether no request of it is being decided on.
+    /// Whether no request of the client is being processed.
     fn is_idle(&self) -> bool {
         self.pending_keep_alive.is_none()
     }
@@ -55,12 +56,12 @@
     clients: BTreeMap<Token, Client>,
     /// Makes `/ready` respond with 503.
     pub is_shutting_down: bool,
-    /// Makes each response close its connection, so that no further request crosses the closing.
+    /// Makes each response close its connection, so that no further request arrives while the relay closes it.
     pub is_closing: bool,
 }
 
 impl ClientConnections {
-    /// Handles an event. Returns at most one notification, which is to be answered before the next one is read.
+    /// Handles an event. Returns at most one submission, which must be answered before the next request is read.
     pub fn handle_connection_event(
         &mut self, net: &mut Net, token: Token, event: ConnectionEvent, now: Time,
     ) -> Option<Submission> {
@@ -74,7 +75,7 @@
             ConnectionEvent::Connected => None,
             ConnectionEvent::Readable => self.read_requests(net, token, now),
             ConnectionEvent::PeerClosed => {
-                // Requests that were complete before the end were read with it and are answered in this iteration.
+                // Requests that were complete before the end of the stream are answered in this iteration.
                 if self.clients.get(&token).is_some_and(Client::is_idle) {
                     self.close(net, token);
                 }
@@ -91,8 +92,8 @@
         }
     }
 
-    /// Closes a connection if no more may be open: of those without a request being decided on the one that has been idle
-    /// longest, or else the one that has been sending a request longest.
+    /// Closes one connection if the limit is reached. Among the connections without a request being processed, it is
+    /// the one that has been idle longest, or else the one that has been sending a request longest.
     fn evict_if_full(&mut self, net: &mut Net) {
         if !net.is_client_limit_reached() {
             return;
@@ -101,7 +102,7 @@
         let mut idle: Vec<_> =
             idle.map(|(token, client)| (client.request_started_at, client.idle_since, *token)).collect();
         idle.sort();
-        // One with unread bytes only if there is no other.
+        // A connection with unread bytes is chosen only if there is no other.
         let without_input = idle.iter().find(|(_, _, token)| !net.has_unread(*token));
         if let Some((_, _, token)) = without_input.or(idle.first()).copied() {
             self.clients.remove(&token);
@@ -124,7 +125,7 @@
             let (request, length) = match http::parse_request(input) {
                 Ok(Some(parsed)) => parsed,
                 Ok(None) => {
-                    await_rest_of_request(net, token, client, now);
+                    await_request_completion(net, token, client, now);
                     return None;
                 }
                 Err(error) => {
@@ -163,7 +164,7 @@
         None
     }
 
-    /// Responds to the client that has submitted a notification.
+    /// Responds to the submission of a notification.
     pub fn respond_to_submission(&mut self, net: &mut Net, token: Token, response: SubmissionResponse) {
         match response {
             SubmissionResponse::Accepted => self.respond(net, token, 202, &[]),
@@ -177,7 +178,7 @@
             SubmissionResponse::Malformed => self.reject(net, token, 400),
             SubmissionResponse::UnknownDestination => self.respond(net, token, 404, &[]),
         }
-        // A client that pipelines requests has the next one read now.
+        // The next pipelined request is read in the next iteration.
         if net.input(token).is_some_and(|input| !input.is_empty()) {
             net.read_again(token);
         }
@@ -199,7 +200,7 @@
         }
     }
 
-    /// Responds to a request that cannot be processed, and closes the connection: the bytes after it cannot be delimited.
+    /// Responds to an invalid request and closes the connection, since the start of the next request is unknown.
     fn reject(&mut self, net: &mut Net, token: Token, status: u16) {
         if let Some(client) = self.clients.get_mut(&token) {
             client.pending_keep_alive = Some(false);
@@ -212,9 +213,10 @@
         net.close_after_flush(token);
     }
 
-    /// Closes every connection that has no request being decided on. Returns whether no connection is left.
+    /// Closes every connection without a request being processed. Returns whether no connection is left.
     pub fn close_idle(&mut self, net: &mut Net) -> bool {
-        // Not those with a request that arrived since the last iteration, or is about to, on a connection just established.
+        // Keeps connections whose request arrived after the last iteration, and new ones whose first request may still
+        // come.
         let is_closable = |net: &mut Net, token: Token, client: &Client| {
             client.has_sent_request && client.is_idle() && !net.has_unread(token)
         };
@@ -225,8 +227,8 @@
     }
 }
 
-/// Sets the deadline of an incomplete request, and sends `100 Continue` if its sender waits for that.
-fn await_rest_of_request(net: &mut Net, token: Token, client: &mut Client, now: Time) {
+/// Sets the deadline of an incomplete request, and sends `100 Continue` if the client expects it.
+fn await_request_completion(net: &mut Net, token: Token, client: &mut Client, now: Time) {
     let input = net.input(token).map_or(&[][..], |input| input.as_slice());
     let must_send_continue = !client.has_sent_continue && http::expects_continue(input);
     client.has_sent_continue |= must_send_continue;
--- a/crates/relay/src/client_connections/submission.rs
+++ b/crates/relay/src/client_connections/submission.rs
@@ -1,21 +1,21 @@
-//! A notification as a client submits it, and the response to it.
+//! Submissions of notifications and the responses to them.
 
 use juniperwing::time::Span;
 
 use crate::http::Request;
 use crate::journal::Attributes;
 
-/// The longest id, key or name that is accepted, in bytes.
+/// The maximum length of an id, a key or a name, in bytes.
 const MAX_VALUE_BYTES: usize = 256;
 
 /// A notification as a client submitted it.
 #[derive(Debug, PartialEq)]
 pub struct Submission {
-    /// Its attributes, as the client set them.
+    /// The attributes set by the client.
     pub attributes: Attributes,
-    /// For how long it may be delivered.
+    /// The remaining time in which it may be delivered.
     pub time_left: Span,
-    /// Its body.
+    /// The body of the notification.
     pub body: Vec<u8>,
 }
 
@@ -24,26 +24,26 @@
 pub enum SubmissionResponse {
     /// Accepted; its final outcome follows later.
     Accepted,
-    /// Rejected by a rate limit, with the delay after which the client is to retry; zero if none is advised.
+    /// Rejected by a rate limit, with the delay after which the client should retry; zero if none is advised.
     Throttled(Span),
     /// Rejected for lack of capacity.
     Unavailable,
-    /// Expired in the iteration in which it was submitted.
+    /// Expired in the event loop iteration in which it was submitted.
     Expired,
-    /// Malformed, or naming what the settings do not know.
+    /// Malformed, or with a topic that is not in the settings.
     Malformed,
-    /// For a destination that is not on the endpoint list.
+    /// The destination is not on the endpoint list.
     UnknownDestination,
 }
 
-/// A header is there, but is too long or is no text.
-struct UnusableHeader;
+/// A header whose value is too long or is not UTF-8.
+struct InvalidHeader;
 
 impl Submission {
-    /// Parses a request; `None` if anything needed is missing or unusable.
+    /// Parses a request; `None` if a required value is missing or any value is invalid.
     pub fn parse(request: Request) -> Option<Submission> {
         let first_segment = request.path.split('/').find(|segment| !segment.is_empty()).map(str::to_owned);
-        let destination = destination_of(request.header("Envelope")?)?;
+        let destination = parse_destination(request.header("Envelope")?)?;
         let key = form_urlencoded::parse(request.query.as_bytes()).find(|(name, _)| name == "key");
         let key = key.map(|(_, key)| key.into_owned()).filter(|key| !key.is_empty());
         if key.as_ref().is_some_and(|key| key.len() > MAX_VALUE_BYTES) {
@@ -62,18 +62,18 @@
     }
 }
 
-/// The number of the destination in an `Envelope` header.
-fn destination_of(envelope: &str) -> Option<u64> {
+/// Parses the destination number in an `Envelope` header.
+fn parse_destination(envelope: &str) -> Option<u64> {
     let mut fields = envelope.split([',', ';']).filter_map(|field| field.trim().split_once('='));
     fields.find(|(name, _)| name.trim() == "dest")?.1.trim().parse().ok()
 }
 
-/// The value of a header; `None` if it is missing or empty.
-fn header_value(request: &Request, name: &str) -> Result<Option<String>, UnusableHeader> {
+/// Returns the value of a header; `None` if it is missing or empty.
+fn header_value(request: &Request, name: &str) -> Result<Option<String>, InvalidHeader> {
     match request.header(name).filter(|value| !value.is_empty()) {
-        Some(value) if value.len() > MAX_VALUE_BYTES => Err(UnusableHeader),
-        // A key that is no text must not be dropped: the notification would be pushed without it.
-        None if request.is_header_not_text(name) => Err(UnusableHeader),
+        Some(value) if value.len() > MAX_VALUE_BYTES => Err(InvalidHeader),
+        // A key that is not UTF-8 must not be dropped: the notification would be pushed without it.
+        None if request.is_header_not_utf8(name) => Err(InvalidHeader),
         value => Ok(value.map(str::to_owned)),
     }
 }
--- a/crates/relay/src/command_line.rs
+++ b/crates/relay/src/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line: finds the command, starts the log and the signal handlers, and runs it.
+//! The command line: parses the arguments, sets up logging and signal handlers, and runs the command.
 
 use std::ffi::OsString;
 use std::io;
@@ -15,8 +15,8 @@
 use crate::event_loop::Signals;
 use crate::server::{self, RegisterSignalsSnafu, ServeError};
 
-/// The exit code for a command line or a configuration that cannot be used.
-const MISUSE_EXIT_CODE: u8 = 2;
+/// The exit code for an invalid command line or configuration.
+const USAGE_ERROR_EXIT_CODE: u8 = 2;
 
 const USAGE: &str = "\
 juniperwing takes notifications on over HTTP and pushes them to their destinations. It is also a serving tier for agent
@@ -64,15 +64,16 @@
     log_level: Level,
 }
 
-/// Runs the program with the arguments behind its name.
+/// Runs the program with its arguments, without the program name.
 pub fn run(arguments: Vec<OsString>) -> ExitCode {
-    let words: Vec<String> = arguments.iter().map(|word| word.to_string_lossy().into_owned()).collect();
-    if let Some(code) = run_tier_command(&words) {
+    let lossy: Vec<String> =
+        arguments.iter().map(|argument| argument.to_string_lossy().into_owned()).collect();
+    if let Some(code) = run_tier_command(&lossy) {
         return code;
     }
     let arguments = match parse_arguments(arguments) {
         Ok(arguments) => arguments,
-        Err(error) => return misuse(&format!("{error}\nTry 'juniperwing help'.")),
+        Err(error) => return usage_error(&format!("{error}\nTry 'juniperwing help'.")),
     };
     match arguments.command {
         Command::Version => println!("juniperwing {}", env!("CARGO_PKG_VERSION")),
@@ -83,14 +84,14 @@
     ExitCode::SUCCESS
 }
 
-fn misuse(message: &str) -> ExitCode {
+fn usage_error(message: &str) -> ExitCode {
     eprintln!("juniperwing: {message}");
-    ExitCode::from(MISUSE_EXIT_CODE)
+    ExitCode::from(USAGE_ERROR_EXIT_CODE)
 }
 
-/// Runs a command of the serving tier, if the first word is one.
-fn run_tier_command(words: &[String]) -> Option<ExitCode> {
-    let (command, arguments) = words.split_first()?;
+/// Runs a command of the serving tier, if the first argument is one.
+fn run_tier_command(arguments: &[String]) -> Option<ExitCode> {
+    let (command, arguments) = arguments.split_first()?;
     if let Some(role) = Role::from_name(command) {
         return Some(juniperwing_node::command::run(role, arguments));
     }
@@ -103,9 +104,9 @@
 }
 
 fn parse_arguments(arguments: Vec<OsString>) -> Result<Arguments, lexopt::Error> {
-    let level_of_environment = std::env::var("JUNIPERWING_LOG").ok().filter(|level| !level.is_empty());
+    let environment_level = std::env::var("JUNIPERWING_LOG").ok().filter(|level| !level.is_empty());
     let mut parsed = Arguments { command: Command::Serve, config: None, log_level: Level::Info };
-    if let Some(level) = level_of_environment {
+    if let Some(level) = environment_level {
         parsed.log_level = parse_log_level(&level)?;
     }
     let mut parser = lexopt::Parser::from_args(arguments);
@@ -116,14 +117,14 @@
             Short('V') | Long("version") => parsed.command = Command::Version,
             Long("config") => parsed.config = Some(parser.value()?.into()),
             Long("log-level") => parsed.log_level = parse_log_level(&parser.value()?.string()?)?,
-            Value(word) if !has_command => {
+            Value(name) if !has_command => {
                 has_command = true;
-                parsed.command = match word.to_str() {
+                parsed.command = match name.to_str() {
                     Some("serve") => Command::Serve,
                     Some("check-config") => Command::CheckConfig,
                     Some("version") => Command::Version,
                     Some("help") => Command::Help,
-                    _ => return Err(format!("unknown command {word:?}").into()),
+                    _ => return Err(format!("unknown command {name:?}").into()),
                 };
             }
             argument => return Err(argument.unexpected()),
@@ -139,7 +140,7 @@
 fn check_config(path: Option<PathBuf>) -> ExitCode {
     let config = match Config::read(path) {
         Ok(config) => config,
-        Err(error) => return misuse(&error.to_string()),
+        Err(error) => return usage_error(&error.to_string()),
     };
     let state = config.state_directory.as_ref().map(|state| format!(" in {}", state.display()));
     println!(
@@ -155,15 +156,15 @@
 }
 
 fn serve(arguments: Arguments) -> ExitCode {
-    // Before the configuration is read, so that a signal that comes meanwhile is handled afterwards.
+    // Registered before the configuration is read, so that a signal received meanwhile is handled afterwards.
     let signals = register_signals();
     let config = match Config::read(arguments.config) {
         Ok(config) => config,
-        Err(error) => return misuse(&error.to_string()),
+        Err(error) => return usage_error(&error.to_string()),
     };
     match config.state_directory.clone() {
         Some(state) => serve_with_log(config, &state, signals, arguments.log_level),
-        None => misuse("no folder that lasts: set ROUTER_STATE"),
+        None => usage_error("no folder that lasts: set ROUTER_STATE"),
     }
 }
 
@@ -185,7 +186,7 @@
     code
 }
 
-/// A stream for each kind of request by signal, with a byte for each signal received.
+/// Registers handlers that write a byte for each signal to the stream of its kind: shutdown or reload.
 fn register_signals() -> io::Result<Signals> {
     use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
     let (stop, stop_sender) = UnixStream::pair()?;
--- a/crates/relay/src/config.rs
+++ b/crates/relay/src/config.rs
@@ -1,6 +1,6 @@
-//! Reads the configuration at the start and on a reload: the environment and the JSON file that it names.
+//! Reads the configuration at startup and on a reload: the environment and a JSON file.
 //!
-//! Values that decide over notifications are in the settings, which are the core's.
+//! Values that affect how notifications are handled are in the `settings` object, which is passed to the core.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,14 +13,15 @@
 
 use crate::discovery::EndpointList;
 
-/// Descriptors that are neither clients' nor endpoints': the poller's, the log's, discovery's and the like.
+/// File descriptors reserved for uses other than client and endpoint connections: the poller, the log, discovery and
+/// others.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// More than any one process uses, and fewer than the event loop can number.
+/// More sockets than one process uses, and fewer than the event loop can assign tokens to.
 const MAX_SOCKETS: usize = 1 << 18;
 /// The minimum of `limits.disk_mb`, in megabytes.
 const MIN_DISK_MB: f64 = 0.1;
 
-/// The configuration cannot be used.
+/// An error in the configuration.
 #[derive(Debug, Snafu)]
 pub enum ConfigError {
     #[snafu(display("no configuration: give --config FILE or set ROUTER_CONFIG"))]
@@ -43,7 +44,7 @@
     InvalidSettings { reason: String },
 }
 
-/// The configuration file as it is written.
+/// The contents of the configuration file.
 #[derive(Deserialize)]
 struct ConfigFile {
     #[serde(default)]
@@ -61,13 +62,13 @@
     settings: RawSettings,
 }
 
-/// What the process may use of its machine.
+/// The resource limits of the process.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(default)]
 pub struct Limits {
-    /// File descriptors.
+    /// The maximum number of file descriptors.
     pub sockets: usize,
-    /// Size of the state directory, in megabytes.
+    /// The maximum size of the state directory, in megabytes.
     pub disk_mb: f64,
 }
 
@@ -77,24 +78,24 @@
     }
 }
 
-/// How many connections may be open at once.
+/// The maximum numbers of open connections.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
-    /// Connections of clients.
+    /// Connections from clients.
     pub max_clients: usize,
     /// Connections to endpoints.
     pub max_upstream: usize,
 }
 
 impl Limits {
-    /// The connections that the sockets allow: half for clients, half for endpoints.
+    /// Divides the sockets that are not reserved: half for clients, half for endpoints.
     pub fn connection_limits(&self) -> ConnectionLimits {
         let available = self.sockets.min(MAX_SOCKETS) - RESERVED_DESCRIPTORS;
         let max_clients = available / 2;
         ConnectionLimits { max_clients, max_upstream: available - max_clients }
     }
 
-    /// The size of the state directory in bytes.
+    /// Returns the maximum size of the state directory, in bytes.
     pub fn disk_bytes(&self) -> u64 {
         (self.disk_mb * 1e6) as u64
     }
@@ -110,18 +111,18 @@
 /// The part of the configuration that a running process cannot change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StaticConfig {
-    /// The name of the relay, which each line of its log carries.
+    /// The name of the relay, included in each log line.
     pub name: String,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// The seed of the core's random numbers.
+    /// The seed of the core's random number generator.
     pub seed: u64,
-    /// What the process may use.
+    /// The resource limits of the process.
     pub limits: Limits,
 }
 
 impl StaticConfig {
-    /// The keys whose values differ in `other`.
+    /// Returns the keys whose values differ in `other`.
     pub fn changed_keys(&self, other: &StaticConfig) -> Vec<&'static str> {
         let keys = [
             ("name", self.name != other.name),
@@ -135,27 +136,27 @@
 
 /// The configuration of a relay.
 pub struct Config {
-    /// The file that this was read from.
+    /// The path of the configuration file.
     pub path: PathBuf,
-    /// The part that only a restart changes.
+    /// The part that takes effect only at a restart.
     pub static_config: StaticConfig,
-    /// Where discovery and the platform listen.
+    /// The address of discovery and of the platform.
     pub discovery_address: SocketAddr,
-    /// Where the journal is; not needed to check a configuration.
+    /// The directory of the journal; not required to check a configuration.
     pub state_directory: Option<PathBuf>,
-    /// The endpoint list as an earlier process knew it.
+    /// The endpoint list of an earlier process.
     pub initial_endpoints: EndpointList,
-    /// The settings of the core and of the connections.
+    /// The settings of the core and of connections.
     pub settings: Settings,
 }
 
 impl Config {
-    /// Reads the file at `path` or, without one, at `ROUTER_CONFIG`. The file takes precedence over the environment,
-    /// since it can be replaced while the process runs.
+    /// Reads the file at `path`, or at `ROUTER_CONFIG` if `path` is `None`. Values in the file take precedence over the
+    /// environment, since the file can be replaced while the process runs.
     pub fn read(path: Option<PathBuf>) -> Result<Config, ConfigError> {
-        let path = path.or_else(|| variable("ROUTER_CONFIG").map(PathBuf::from)).context(NoFileSnafu)?;
+        let path = path.or_else(|| env_variable("ROUTER_CONFIG").map(PathBuf::from)).context(NoFileSnafu)?;
         let file = read_file(&path)?;
-        let state_directory = variable("ROUTER_STATE").map(PathBuf::from);
+        let state_directory = env_variable("ROUTER_STATE").map(PathBuf::from);
         if let Some(path) = state_directory.as_ref().filter(|path| !path.is_dir()) {
             return NoStateDirectorySnafu { path }.fail();
         }
@@ -164,17 +165,17 @@
             .validate()
             .map_err(|error| ConfigError::InvalidSettings { reason: error.to_string() })?;
         let mut settings = Settings::from(&file.settings);
-        // The list arrives by a watch alone, which the core has to open, whether or not the list counts as pushed.
+        // The list is received only over a watch that the core has to open, even if the settings say that it is pushed.
         settings.relay_config.fleet.is_list_on_request = true;
         Ok(Config {
             path,
             static_config: StaticConfig {
-                name: or_variable(file.name, "ROUTER_NAME"),
-                listen: parse_address("listen", or_variable(file.listen, "ROUTER_LISTEN"))?,
+                name: value_or_env(file.name, "ROUTER_NAME"),
+                listen: parse_address("listen", value_or_env(file.listen, "ROUTER_LISTEN"))?,
                 seed: parse_seed(&file.seed),
                 limits: file.limits,
             },
-            discovery_address: parse_address("discovery", or_variable(file.discovery, "ROUTER_DISCOVERY"))?,
+            discovery_address: parse_address("discovery", value_or_env(file.discovery, "ROUTER_DISCOVERY"))?,
             state_directory,
             initial_endpoints: file.known,
             settings,
@@ -190,20 +191,20 @@
     Ok(file)
 }
 
-/// An environment variable; an empty one counts as not set.
-fn variable(name: &str) -> Option<String> {
+/// Returns an environment variable; an empty one counts as unset.
+fn env_variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
 
-fn or_variable(value: String, name: &str) -> String {
-    if value.is_empty() { variable(name).unwrap_or_default() } else { value }
+fn value_or_env(value: String, name: &str) -> String {
+    if value.is_empty() { env_variable(name).unwrap_or_default() } else { value }
 }
 
 fn parse_address(key: &'static str, text: String) -> Result<SocketAddr, ConfigError> {
     text.parse().ok().context(InvalidAddressSnafu { key, text })
 }
 
-/// The seed as 64 bits: hexadecimal text, or a number; 0 if it is neither.
+/// Parses the seed, which is hexadecimal text or a number; 0 if it is neither.
 fn parse_seed(value: &Value) -> u64 {
     let text = value.as_str().and_then(|text| u64::from_str_radix(text, 16).ok());
     text.or_else(|| value.as_u64()).unwrap_or(0)
--- a/crates/relay/src/core_driver.rs
+++ b/crates/relay/src/core_driver.rs
@@ -1,13 +1,13 @@
-//! Passes the events of an iteration to the core and returns its commands.
+//! Passes the events of an event loop iteration to the core and returns its commands.
 //!
-//! It owns the core and its wake-up, and neither adds a command nor leaves one out.
+//! It owns the core and its wake-up timer, and returns the commands unchanged.
 
 use juniperwing::Relay;
 use juniperwing::interface::{Command, Event};
 use juniperwing::time::Time;
 use juniperwing_settings::Settings;
 
-/// The core with its queued events and its wake-up.
+/// The core with its queued events and its wake-up timer.
 pub struct CoreDriver {
     core: Relay,
     /// Events for the next decision.
@@ -16,7 +16,7 @@
 }
 
 impl CoreDriver {
-    /// A core that decides first at `now`.
+    /// Creates a core whose first decision is due at `now`.
     pub fn new(now: Time, seed: u64, settings: &Settings) -> CoreDriver {
         let core = Relay::new(now, seed, settings.relay_config.clone());
         CoreDriver { core, events: Vec::new(), wake_at: now }
@@ -27,12 +27,12 @@
         self.events.push(event);
     }
 
-    /// When the next decision is due; at once while events are queued.
+    /// Returns when the next decision is due: immediately if events are queued.
     pub fn next_decision_at(&self) -> Time {
         if self.events.is_empty() { self.wake_at } else { Time::default() }
     }
 
-    /// Has the core decide on all queued events, and on its wake-up if that is due.
+    /// Runs the core on all queued events, and on its wake-up if that is due.
     pub fn decide(&mut self, now: Time) -> Vec<Command> {
         if self.wake_at <= now {
             self.wake_at = Time::NEVER;
--- a/crates/relay/src/discovery.rs
+++ b/crates/relay/src/discovery.rs
@@ -1,6 +1,6 @@
-//! The endpoint list: the watch on it, and the address of each endpoint.
+//! The endpoint list, the watch that updates it, and the address of each endpoint.
 //!
-//! It reports that a watch has ended; when another one is opened, the core decides.
+//! The end of a watch is reported to the core, which decides when another one is opened.
 
 mod list;
 mod watch;
@@ -19,37 +19,37 @@
 use watch::Watch;
 pub use watch::{WatchError, WatchMessages};
 
-/// The time after which a watch without a message counts as dead: while nothing changes, discovery writes an empty line
+/// The time without a message after which a watch times out. While nothing changes, discovery writes an empty line
 /// every 2 s.
 const WATCH_TIMEOUT: Span = Span::from_millis(3_000);
 
-/// What a list changed.
+/// The changes made by an endpoint list.
 pub struct ListChange {
-    /// The change as it is reported to the core.
+    /// The update that is reported to the core.
     pub update: EndpointListUpdate,
-    /// Endpoints whose connections are of no use any more.
+    /// Endpoints whose connections are no longer needed.
     pub withdrawn: Vec<EndpointId>,
     /// Endpoints whose addresses cannot be parsed.
-    pub without_address: Vec<EndpointId>,
+    pub invalid_addresses: Vec<EndpointId>,
 }
 
 /// The endpoint list and the watch on it.
 pub struct Discovery {
-    /// Where discovery listens.
+    /// The address of discovery.
     pub address: SocketAddr,
     list_version: u64,
     watch: Option<Watch>,
     /// Whether the core has requested a watch.
     is_watch_requested: bool,
-    /// Whether any watch had a message, so that the list is not that of an earlier process any more.
+    /// Whether any watch has received a message, so that the list is no longer that of an earlier process.
     has_received_message: bool,
     endpoints: BTreeMap<EndpointId, KnownEndpoint>,
-    /// Destinations that have endpoints on the list, or had some recently, with the time at which they are removed.
+    /// Destinations that have endpoints on the list, or recently had some, with their expiry times.
     destinations: BTreeMap<DestinationId, Time>,
 }
 
 impl Discovery {
-    /// An empty list of the discovery at this address.
+    /// Creates an empty list for the discovery service at this address.
     pub fn new(address: SocketAddr) -> Discovery {
         Discovery {
             address,
@@ -62,34 +62,34 @@
         }
     }
 
-    /// Whether a destination has endpoints, or had some so recently that they may be about to be replaced.
+    /// Whether a destination has endpoints, or had some so recently that replacements may still appear.
     pub fn is_known_destination(&self, destination: DestinationId) -> bool {
         self.destinations.contains_key(&destination)
     }
 
-    /// Whether the list is discovery's current one.
+    /// Whether the list is confirmed by an open watch.
     pub fn is_current(&self) -> bool {
         self.watch.as_ref().is_some_and(|watch| watch.has_message)
     }
 
-    /// An endpoint of the list that can be called.
+    /// Returns an endpoint of the list that can be called.
     pub fn endpoint(&self, endpoint: &EndpointId) -> Option<&KnownEndpoint> {
         self.endpoints.get(endpoint)
     }
 
-    /// Applies a list.
+    /// Applies a complete list or a list of changes.
     pub fn apply_list(&mut self, list: EndpointList, settings: &Settings, now: Time) -> ListChange {
         self.list_version = list.version;
         let before =
             if list.is_complete { std::mem::take(&mut self.endpoints) } else { self.endpoints.clone() };
         let hosts = list.hosts.unwrap_or_default();
-        let (mut entries, mut without_address) = (Vec::with_capacity(hosts.len()), Vec::new());
+        let (mut entries, mut invalid_addresses) = (Vec::with_capacity(hosts.len()), Vec::new());
         for host in hosts {
             let is_deleted = host.is_deleted();
             let ParsedEntry { entry, address } = host.parse(settings);
             self.endpoints.remove(&entry.endpoint);
             if address.is_none() && !is_deleted {
-                without_address.push(entry.endpoint.clone());
+                invalid_addresses.push(entry.endpoint.clone());
             }
             if let Some(address) = address.filter(|_| entry.readiness != Readiness::Deleted) {
                 self.endpoints
@@ -106,25 +106,25 @@
         } else {
             EndpointListUpdate::Changes(entries)
         };
-        ListChange { update, withdrawn, without_address }
+        ListChange { update, withdrawn, invalid_addresses }
     }
 
     fn update_destinations(
         &mut self, before: &BTreeMap<EndpointId, KnownEndpoint>, settings: &Settings, now: Time,
     ) {
-        let forget_at = now + settings.max_ttl();
+        let expires_at = now + settings.max_ttl();
         let destination = |known: &KnownEndpoint| known.entry.destination;
-        self.destinations.extend(before.values().map(|known| (destination(known), forget_at)));
+        self.destinations.extend(before.values().map(|known| (destination(known), expires_at)));
         self.destinations.extend(self.endpoints.values().map(|known| (destination(known), Time::NEVER)));
-        self.destinations.retain(|_, forget_at| *forget_at > now);
+        self.destinations.retain(|_, expires_at| *expires_at > now);
     }
 
-    /// The names of the kinds of all endpoints on the list.
+    /// Returns the names of the kinds of all endpoints on the list.
     pub fn kinds(&self) -> impl Iterator<Item = &str> {
         self.endpoints.values().map(|known| known.entry.kind.name.as_str())
     }
 
-    /// Looks the kinds of all endpoints up in other settings. Returns the list for the core.
+    /// Looks up the kinds of all endpoints in new settings. Returns the update for the core.
     pub fn apply_settings(&mut self, settings: &Settings) -> EndpointListUpdate {
         for known in self.endpoints.values_mut() {
             known.entry.kind = settings.kind(&known.entry.kind.name);
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Opens a watch, in place of one that is open.
+    /// Opens a watch in place of any open one.
     ///
     /// # Errors
     ///
@@ -156,8 +156,8 @@
         Ok(())
     }
 
-    /// Discovery is at another address from now on. A watch that the core has requested is opened there at once, from the
-    /// version of the list.
+    /// Changes the address of discovery. If the core has requested a watch, one is opened there immediately, starting
+    /// from the current version of the list.
     ///
     /// # Errors
     ///
@@ -169,7 +169,8 @@
         if self.is_watch_requested { self.subscribe(net, now) } else { Ok(()) }
     }
 
-    /// Handles an event on the connection of a watch. Returns its messages in order, and its failure if it ended.
+    /// Handles an event on the connection of a watch. Returns the messages received, and the failure if the watch
+    /// ended.
     pub fn handle_connection_event(
         &mut self, net: &mut Net, token: Token, event: ConnectionEvent, now: Time,
     ) -> WatchMessages {
@@ -185,7 +186,7 @@
                 let had_head = watch.has_head;
                 messages = watch.read(net);
                 self.has_received_message |= messages.has_message;
-                // Parts of lines alone do not keep a watch alive.
+                // Incomplete lines do not extend the deadline of a watch.
                 if messages.has_message || watch.has_head != had_head {
                     net.set_deadline(token, now + WATCH_TIMEOUT);
                 }
--- a/crates/relay/src/discovery/list.rs
+++ b/crates/relay/src/discovery/list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list, or changes to it, as discovery writes it.
+//! The endpoint list, or changes to it, in the format of discovery.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,12 +10,12 @@
 const DRAINING: &str = "draining";
 const DELETED: &str = "gone";
 
-/// The endpoint list, or what changed in it.
+/// The endpoint list, or changes to it.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct EndpointList {
     #[serde(rename = "seq")]
     pub(super) version: u64,
-    /// Whether endpoints that are missing here are not on the list any more.
+    /// Whether endpoints that are missing from `hosts` are removed from the list.
     #[serde(default, rename = "whole")]
     pub(super) is_complete: bool,
     pub(super) hosts: Option<Vec<ListedHost>>,
@@ -31,14 +31,14 @@
     address: String,
     #[serde(default, rename = "site")]
     zone: String,
-    /// The name of its destination's kind.
+    /// The name of the kind of its destination.
     #[serde(default, rename = "class")]
     kind: String,
     #[serde(rename = "block")]
     destination: u64,
     #[serde(default)]
     health: String,
-    /// The rate that it accepts.
+    /// The rate that the endpoint accepts.
     #[serde(default, rename = "share")]
     rate_per_second: f64,
 }
@@ -46,24 +46,24 @@
 /// An endpoint that can be called.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KnownEndpoint {
-    /// Where it listens.
+    /// The address that the endpoint listens on.
     pub address: SocketAddr,
-    /// As it was reported to the core.
+    /// The entry that was reported to the core.
     pub(super) entry: EndpointEntry,
 }
 
 impl KnownEndpoint {
-    /// The name of its zone.
+    /// Returns the name of the endpoint's zone.
     pub fn zone(&self) -> Arc<str> {
         self.entry.zone.clone()
     }
 
-    /// The maximum number of notifications in one call.
+    /// Returns the maximum number of notifications in one call, at least one.
     pub fn max_notifications_per_call(&self) -> usize {
         self.entry.kind.max_notifications_per_call.max(1)
     }
 
-    /// Whether its connections are of no use any more, now that it is `current`.
+    /// Whether the connections of the endpoint are no longer needed, given its `current` entry.
     pub(super) fn is_withdrawn(&self, current: Option<&KnownEndpoint>) -> bool {
         current.is_none_or(|current| {
             let has_moved =
@@ -89,7 +89,7 @@
         let readiness = match self.health.as_str() {
             DRAINING => Readiness::Draining,
             DELETED => Readiness::Deleted,
-            // Its pushes would be used up on an endpoint that nobody can reach; they wait for another one.
+            // Not reported as serving: notifications would use up their pushes on an unreachable endpoint.
             _ if address.is_none() => Readiness::Deleted,
             _ => Readiness::Serving,
         };
--- a/crates/relay/src/discovery/watch.rs
+++ b/crates/relay/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! A watch: a response in chunks that discovery extends with each change of the endpoint list.
+//! A watch: a chunked response to which discovery appends each change of the endpoint list.
 
 use snafu::{OptionExt, Snafu, ensure};
 
@@ -6,10 +6,10 @@
 use crate::event_loop::{Net, Token};
 use crate::http;
 
-/// The longest chunk or line of a watch, in bytes.
+/// The maximum length of a chunk and of an incomplete list in a watch, in bytes.
 const MAX_CHUNK_BYTES: usize = 4 * 1024 * 1024;
 
-/// Why a watch ended.
+/// The reason why a watch ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum WatchError {
     #[snafu(display("not opened"))]
@@ -30,14 +30,14 @@
     TimedOut,
 }
 
-/// What was received from a watch.
+/// The messages received over a watch.
 #[derive(Default)]
 pub struct WatchMessages {
-    /// In the order received.
+    /// The lists in the order received.
     pub lists: Vec<EndpointList>,
-    /// Whether there was any message: a list, or an empty line, which means that nothing has changed.
+    /// Whether any message was received: a list, or an empty line, which means that nothing has changed.
     pub has_message: bool,
-    /// Why the watch ended; `None` while it is open.
+    /// The reason why the watch ended; `None` while it is open.
     pub failure: Option<WatchError>,
 }
 
@@ -47,7 +47,7 @@
     pub(super) has_head: bool,
     /// Whether any message was received.
     pub(super) has_message: bool,
-    /// The text that is not a complete list yet.
+    /// Bytes that do not form a complete list yet.
     buffer: Vec<u8>,
 }
 
@@ -75,7 +75,7 @@
             self.has_head = true;
         }
         let unchunked = self.unchunk(input);
-        // What came before an end, or before what cannot be parsed, still counts.
+        // Lists received before the end of the stream, or before invalid data, are still applied.
         let parsed = self.parse_lists(messages);
         let is_too_long = self.buffer.len() > MAX_CHUNK_BYTES;
         parsed?;
@@ -83,7 +83,7 @@
         unchunked
     }
 
-    /// Moves the data of all complete chunks to the buffer.
+    /// Moves the data of all complete chunks into the buffer.
     fn unchunk(&mut self, input: &mut Vec<u8>) -> Result<(), WatchError> {
         let mut position = 0;
         let result = loop {
@@ -103,7 +103,7 @@
         result
     }
 
-    /// Takes the complete lists out of the buffer. Each may stand on one line or on several.
+    /// Parses and removes the complete lists in the buffer. A list may span several lines.
     fn parse_lists(&mut self, messages: &mut WatchMessages) -> Result<(), WatchError> {
         loop {
             let blank_bytes = self.buffer.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
@@ -113,7 +113,7 @@
             }
             let mut lists = serde_json::Deserializer::from_slice(&self.buffer).into_iter();
             match lists.next() {
-                // A complete list that names nothing would remove all endpoints.
+                // A complete list without `hosts` is malformed; it would remove all endpoints.
                 Some(Ok(EndpointList { is_complete: true, hosts: None, .. })) => {
                     return MalformedSnafu.fail();
                 }
--- a/crates/relay/src/endpoint_response.rs
+++ b/crates/relay/src/endpoint_response.rs
@@ -1,6 +1,6 @@
-//! Interprets the response of an endpoint as the result of each push in the call.
+//! Maps the response of an endpoint to the result of each push in the call.
 //!
-//! It does not evaluate the endpoint's health, and reads no body except that of a batch.
+//! It does not evaluate the endpoint's health, and reads the body only of responses to batches.
 
 use juniperwing::interface::{CallStatus, RateLimitReport};
 use juniperwing::time::Span;
@@ -9,22 +9,22 @@
 
 use crate::http::{Headers, Response};
 
-/// How a push ended.
+/// The result of a push.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PushResult {
     /// The status that is reported to the core.
     pub status: CallStatus,
-    /// Whether the notification is complete.
+    /// Whether the notification needs no further push.
     pub is_final: bool,
 }
 
 impl PushResult {
-    /// The result with this status; final if the notification was delivered.
+    /// Returns the result with this status, which is final if the notification was delivered.
     pub const fn from_status(status: CallStatus) -> PushResult {
         PushResult { status, is_final: matches!(status, CallStatus::Delivered) }
     }
 
-    /// The push was not run, and the notification is complete.
+    /// The push was not run, and the notification needs no further push.
     const FINAL_WITHOUT_RUN: PushResult = PushResult { status: CallStatus::Skipped, is_final: true };
 }
 
@@ -35,8 +35,8 @@
     state: String,
 }
 
-/// The results of the notifications with these ids, which were pushed in one call; `is_batch`: whether the call
-/// named each.
+/// Returns the results of the notifications with these ids, which were pushed in one call. `is_batch` tells whether the
+/// call listed each notification by its id.
 pub fn push_results(response: &Response, ids: &[&str], is_batch: bool) -> Vec<PushResult> {
     let result = match response.status {
         200 if is_batch => return batch_results(response, ids),
@@ -44,10 +44,10 @@
         429 | 503 if response.header("Slots-Taken") == Some("1") => {
             PushResult::from_status(CallStatus::Skipped)
         }
-        // The endpoint has too many connections and does not even keep this one.
+        // The endpoint has too many connections and closes this one as well.
         503 if !response.is_keep_alive => PushResult::from_status(CallStatus::ConnectionLimitReached),
         429 | 503 => PushResult::from_status(CallStatus::Busy),
-        // The pushes of the notification are used up: this one was not sent, and its outcome is still missing.
+        // The notification has no pushes left: this one was not sent, and the final outcome is still pending.
         504 => PushResult::from_status(CallStatus::Skipped),
         410 => PushResult::FINAL_WITHOUT_RUN,
         _ if is_rejected_as_malformed(response) => PushResult::from_status(CallStatus::Skipped),
@@ -56,7 +56,7 @@
     vec![result; ids.len()]
 }
 
-/// Whether the endpoint could not parse the call, so that no notification in it was run.
+/// Whether the endpoint could not parse the call, so that none of its notifications was run.
 pub fn is_rejected_as_malformed(response: &Response) -> bool {
     matches!(response.status, 400 | 413)
 }
@@ -70,20 +70,20 @@
             Some("refused") => PushResult::from_status(CallStatus::Busy),
             Some("over") => PushResult::FINAL_WITHOUT_RUN,
             Some("spent") => PushResult::from_status(CallStatus::Skipped),
-            // Failed, or missing from the response: it may have run.
+            // The push failed or is missing from the response: it may have run.
             _ => PushResult::from_status(CallStatus::Error),
         }
     };
     ids.iter().map(result).collect()
 }
 
-/// The delay before the next call that the head of an endpoint's response requests.
+/// Returns the delay before the next call that an endpoint requests in its response headers.
 pub fn retry_after(headers: &Headers) -> Option<Span> {
     let secs = headers.get("Retry-After")?.parse().ok().filter(|secs: &f64| secs.is_finite())?;
     Some(Span::from_secs_f64(secs)).filter(|wait| *wait > Span::ZERO)
 }
 
-/// What the endpoint reports of its rate limit.
+/// Returns the rate limit that the endpoint reports in its response.
 pub fn limit_report(response: &Response, settings: &Settings) -> Option<RateLimitReport> {
     let fields = response.header("Server-Load")?.strip_prefix("TEXT")?;
     let value = |name: &str| {
--- a/crates/relay/src/event_loop.rs
+++ b/crates/relay/src/event_loop.rs
@@ -1,7 +1,7 @@
 //! The event loop: the poller, all sockets with their buffers, and the deadlines of connections.
 //!
-//! It does not interpret the bytes it carries, does not decide what a connection is used for, and waits on nothing but the
-//! poller. Sockets are closed in one place, [`Net::close`].
+//! It does not interpret the bytes that it transfers, does not decide what a connection is used for, and blocks only in
+//! the poller. Sockets are closed only in [`Net::close`].
 
 mod connection;
 mod listener;
@@ -21,16 +21,16 @@
 pub use connection::Token;
 use connection::{ConnectProgress, Connection, ConnectionTable, FlushResult, Interest};
 
-/// How long the peer of a connection closed by us may go on sending, which is dropped, before the connection is cut.
+/// How long input is still read and discarded on a connection closed by the relay before its socket is closed.
 const LINGER_TIMEOUT: Span = Span::from_millis(1_000);
-/// Keys of the poller that are no tokens.
+/// Poller keys of sources other than connections.
 const LISTENER_KEY: usize = usize::MAX - 1;
 const STOP_KEY: usize = usize::MAX - 2;
 const RELOAD_KEY: usize = usize::MAX - 3;
-/// The system's error number for a connection attempt that is in progress.
+/// The error number for a connection attempt in progress.
 const EINPROGRESS: i32 = 115;
 
-/// What a connection is for.
+/// The purpose of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionRole {
     Client,
@@ -39,44 +39,44 @@
     Notices,
 }
 
-/// What happened on a connection.
+/// An event on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEvent {
     /// A client has connected.
     Accepted,
-    /// The connection that we opened is established.
+    /// A connection opened by the relay is established.
     Connected,
-    /// There are new bytes in the input, or it is to be looked at again.
+    /// There is new input, or the input is to be processed again.
     Readable,
-    /// The peer has ended or broken the connection, which is still to be closed.
+    /// The peer has closed or reset the connection; the handler still has to close it.
     PeerClosed,
-    /// The deadline given by [`Net::set_deadline`] has come.
+    /// The deadline set by [`Net::set_deadline`] has been reached.
     DeadlineReached,
 }
 
-/// An event with the connection that it happened on.
+/// An event with its connection.
 #[derive(Clone, Copy, Debug)]
 pub struct QueuedEvent {
     /// The connection.
     pub token: Token,
-    /// What the connection is for.
+    /// The purpose of the connection.
     pub role: ConnectionRole,
-    /// What happened.
+    /// The event.
     pub event: ConnectionEvent,
 }
 
 /// The events and signals that one wait of the poller returned.
 #[derive(Debug, Default)]
 pub struct PollResult {
-    /// In the order in which they are to be handled.
+    /// The events in the order in which they are to be handled.
     pub events: Vec<QueuedEvent>,
     /// A signal to shut down was received.
     pub is_shutdown_requested: bool,
-    /// A signal to read the configuration again was received.
+    /// A signal to reload the configuration was received.
     pub is_reload_requested: bool,
 }
 
-/// The signals received, as bytes on a stream for each kind.
+/// Streams that carry a byte for each signal received.
 pub struct Signals {
     /// A byte for each SIGTERM and SIGINT.
     pub stop: UnixStream,
@@ -91,12 +91,12 @@
     events: Events,
     listener: Option<TcpListener>,
     is_accepting: bool,
-    /// When accepting is tried again after a failure.
+    /// When accepting is resumed after a failure; [`Time::NEVER`] otherwise.
     accept_retry_at: Time,
     signals: Signals,
     connections: ConnectionTable,
     deadlines: BTreeSet<(Time, Token)>,
-    /// Connections whose output may be written.
+    /// Connections with output that may be writable.
     unflushed: BTreeSet<Token>,
     /// Events for the next iteration.
     deferred_events: Vec<QueuedEvent>,
@@ -105,7 +105,7 @@
 }
 
 impl Net {
-    /// Listens on an address.
+    /// Creates the event loop with a listener on this address.
     pub fn new(clock: Clock, address: SocketAddr, signals: Signals, max_clients: usize) -> io::Result<Net> {
         let listener = listener::listen(address)?;
         let poller = Poller::new()?;
@@ -131,7 +131,7 @@
         })
     }
 
-    /// Waits for events until `until` at the latest, and returns all that are pending.
+    /// Waits for events, at the latest until `until`, and returns all pending ones.
     pub fn poll(&mut self, until: Time) -> PollResult {
         let until =
             self.deadlines.first().map_or(until, |first| first.0.min(until)).min(self.accept_retry_at);
@@ -142,7 +142,7 @@
             timeout = Duration::ZERO;
         }
         self.events.clear();
-        // An interrupted wait is an iteration without events.
+        // An interrupted wait counts as an iteration without events.
         let _ = self.poller.wait(&mut self.events, Some(timeout));
         let events: Vec<Event> = self.events.iter().collect();
         for event in events {
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Starts to connect; what is written before the connection is established is sent then.
+    /// Starts to connect. Bytes written before the connection is established are sent once it is.
     pub fn open(&mut self, address: SocketAddr, role: ConnectionRole) -> io::Result<Token> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
@@ -248,17 +248,17 @@
         let connection = self.connections.get_mut(token).filter(|connection| connection.interest != interest);
         let Some(connection) = connection else { return };
         connection.interest = interest;
-        // A socket that cannot be polled is found by its deadline.
+        // If the poller fails, the connection is ended by its deadline.
         let event = poller_event(token, interest);
         let _ = self.poller.modify_with_mode(&connection.socket, event, PollMode::Level);
     }
 
-    /// What has been received and not been consumed yet.
+    /// Returns the bytes that were received and not consumed yet.
     pub fn input(&mut self, token: Token) -> Option<&mut Vec<u8>> {
         self.connection(token).map(|connection| &mut connection.input)
     }
 
-    /// Queues bytes; they are sent with the next [`Net::flush`], once the connection is established.
+    /// Queues bytes for the next [`Net::flush`] after the connection is established.
     pub fn write(&mut self, token: Token, bytes: &[u8]) {
         if let Some(connection) = self.connection(token) {
             connection.output.extend(bytes);
@@ -266,7 +266,7 @@
         }
     }
 
-    /// Hands all queued bytes to the system, as far as it accepts them.
+    /// Writes all queued bytes to the sockets, as far as they accept them.
     pub fn flush(&mut self) {
         for token in std::mem::take(&mut self.unflushed) {
             self.flush_connection(token);
@@ -292,7 +292,7 @@
             FlushResult::Complete if is_closing && connection.is_peer_closed => self.close(token),
             FlushResult::Complete => {
                 if is_closing {
-                    // The peer may have disconnected already.
+                    // Fails if the peer has already disconnected.
                     let _ = connection.socket.shutdown(Shutdown::Write);
                 }
                 self.set_interest(token, Interest { reads, writes: false });
@@ -306,22 +306,22 @@
         self.connection(token).is_some_and(|connection| connection.is_connected)
     }
 
-    /// How many of the queued bytes have not been handed to the system.
+    /// Returns how many of the queued bytes have not been written to the socket.
     pub fn unsent_bytes(&mut self, token: Token) -> usize {
         self.connection(token).map_or(0, |connection| connection.output.len())
     }
 
-    /// Whether there are bytes, or an end, that have not been read, here or at the system.
+    /// Whether there is unprocessed input, or unread data or an end of stream on the socket.
     pub fn has_unread(&mut self, token: Token) -> bool {
         self.connection(token).is_some_and(|connection| connection.has_unread())
     }
 
-    /// Whether the peer has ended its sending.
+    /// Whether the peer has closed its sending side.
     pub fn is_peer_closed(&mut self, token: Token) -> bool {
         self.connection(token).is_none_or(|connection| connection.is_peer_closed)
     }
 
-    /// Sets the deadline of a connection in place of an earlier one; [`Time::NEVER`] removes it.
+    /// Replaces the deadline of a connection; [`Time::NEVER`] removes it.
     pub fn set_deadline(&mut self, token: Token, deadline: Time) {
         let Some(connection) = self.connection(token) else { return };
         let before = std::mem::replace(&mut connection.deadline, deadline);
@@ -331,7 +331,8 @@
         }
     }
 
-    /// Whether a connection has no deadline, as after [`ConnectionEvent::DeadlineReached`] until a new one is set.
+    /// Whether a connection has no deadline, which is the case after [`ConnectionEvent::DeadlineReached`] until one is
+    /// set.
     pub fn has_no_deadline(&mut self, token: Token) -> bool {
         self.connection(token).is_some_and(|connection| connection.deadline == Time::NEVER)
     }
@@ -343,8 +344,8 @@
         }
     }
 
-    /// Closes a connection once the queued output has been sent. What is still received is dropped for a while, or the
-    /// peer's system would discard the response unread.
+    /// Closes a connection after the queued output has been sent. Input is read and discarded for a while: closing the
+    /// socket with unread input would reset the connection, and the peer might lose the response.
     pub fn close_after_flush(&mut self, token: Token) {
         let until = self.clock.now() + LINGER_TIMEOUT;
         let Some(connection) = self.connection(token) else { return };
@@ -354,21 +355,21 @@
         self.set_deadline(token, until);
     }
 
-    /// Ends our sending on a connection; what its peer still sends is read.
+    /// Shuts down the write side of a connection; its input is still read.
     pub fn shutdown_write(&mut self, token: Token) {
         if let Some(connection) = self.connection(token) {
             connection.output.clear();
-            // The peer may have disconnected already.
+            // Fails if the peer has already disconnected.
             let _ = connection.socket.shutdown(Shutdown::Write);
         }
     }
 
-    /// Closes a connection at once.
+    /// Closes a connection immediately.
     pub fn close(&mut self, token: Token) {
         let Some(connection) = self.connections.remove(token) else { return };
         self.deadlines.remove(&(connection.deadline, token));
         self.unflushed.remove(&token);
-        // Closing the socket takes it from the poller in any case.
+        // Closing the socket removes it from the poller in any case.
         let _ = self.poller.delete(&connection.socket);
         if connection.role == ConnectionRole::Client {
             self.client_count -= 1;
@@ -388,7 +389,7 @@
 
 #[allow(unsafe_code)]
 fn register(poller: &Poller, source: &(impl AsRawFd + AsFd), interest: Event) -> io::Result<()> {
-    // SAFETY: every source given here is owned by `Net`, which takes it out of the poller before it drops it: the
-    // connections in `close`, the listener in `stop_listening`; all others are dropped together with the poller.
+    // SAFETY: every source is owned by `Net`, which removes it from the poller before dropping it: connections in
+    // `close`, the listener in `stop_listening`. All others are dropped together with the poller.
     unsafe { poller.add_with_mode(source, interest, PollMode::Level) }
 }
--- a/crates/relay/src/event_loop/connection.rs
+++ b/crates/relay/src/event_loop/connection.rs
@@ -1,4 +1,4 @@
-//! A connection with its buffers, and the table of all of them.
+//! Connections with their buffers, and the connection table.
 
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind, Read, Write};
@@ -9,19 +9,20 @@
 
 use super::ConnectionRole;
 
-/// The maximum number of bytes read from one socket in an iteration, so that one busy peer does not delay others.
-const MAX_READ_BYTES_PER_TURN: usize = 64 * 1024;
+/// The maximum number of bytes read from one socket in an iteration, so that a busy peer does not delay others.
+const MAX_READ_BYTES_PER_ITERATION: usize = 64 * 1024;
 /// The size of one read, in bytes.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
-/// The maximum number of unprocessed bytes in a client's input buffer; no more are read. A request with all its chunk
-/// frames is shorter.
+/// The maximum number of unprocessed bytes in a client's input buffer; reading pauses at the limit. A request including
+/// its chunk framing is shorter.
 const MAX_CLIENT_INPUT_BYTES: usize = 160 * 1024;
-/// The same for any other connection; a line of discovery's is shorter.
+/// The same limit for other connections; a line from discovery is shorter.
 const MAX_INPUT_BYTES: usize = 8 * 1024 * 1024;
-/// A token is a slot of the table and the number of its uses, so that an event of a closed connection is ignored.
+/// The number of bits of a token that hold its slot in the table. The others hold the slot's use count, so that events
+/// of closed connections are ignored.
 const SLOT_BITS: u32 = 20;
 
-/// Names an open connection; never used twice.
+/// Identifies an open connection; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Token(pub(super) usize);
 
@@ -39,7 +40,7 @@
     }
 }
 
-/// What the poller is to report of a socket.
+/// The readiness events that the poller reports for a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Interest {
     pub(super) reads: bool,
@@ -51,7 +52,7 @@
     pub(super) const READS: Interest = Interest { reads: true, writes: false };
 }
 
-/// The state of an attempt to connect.
+/// The state of a connection attempt.
 pub(super) enum ConnectProgress {
     Pending,
     Connected,
@@ -64,10 +65,10 @@
     pub(super) is_peer_closed: bool,
 }
 
-/// How far queued output could be written.
+/// The result of writing queued output.
 pub(super) enum FlushResult {
     Complete,
-    /// The system's buffer is full.
+    /// The socket's send buffer is full.
     Blocked,
     Broken,
 }
@@ -77,12 +78,12 @@
     pub(super) role: ConnectionRole,
     pub(super) is_connected: bool,
     pub(super) is_peer_closed: bool,
-    /// Closed by its owner: only the queued output is still written.
+    /// Closed by its owner: only queued output is still written.
     pub(super) is_closing: bool,
     pub(super) input: Vec<u8>,
     pub(super) output: VecDeque<u8>,
     pub(super) interest: Interest,
-    /// [`Time::NEVER`] without one.
+    /// The deadline; [`Time::NEVER`] if there is none.
     pub(super) deadline: Time,
 }
 
@@ -109,13 +110,13 @@
         }
     }
 
-    /// Reads what the system has, within the limits. Input of a closing connection is dropped.
+    /// Reads the available data, up to the limits. Input of a closing connection is discarded.
     pub(super) fn read_available(&mut self) -> ReadResult {
         let max_input_bytes =
             if self.role == ConnectionRole::Client { MAX_CLIENT_INPUT_BYTES } else { MAX_INPUT_BYTES };
         let (bytes_before, mut bytes_read, mut is_peer_closed) = (self.input.len(), 0, false);
         let mut buffer = [0; READ_BUFFER_BYTES];
-        while bytes_read < MAX_READ_BYTES_PER_TURN && self.input.len() < max_input_bytes {
+        while bytes_read < MAX_READ_BYTES_PER_ITERATION && self.input.len() < max_input_bytes {
             match self.socket.read(&mut buffer) {
                 Ok(0) => is_peer_closed = true,
                 Ok(count) => {
@@ -133,7 +134,7 @@
         ReadResult { has_new_input: self.input.len() > bytes_before, is_peer_closed }
     }
 
-    /// Writes the queued output as far as the system accepts it.
+    /// Writes queued output until the socket accepts no more.
     pub(super) fn flush_output(&mut self) -> FlushResult {
         while !self.output.is_empty() {
             let (first, _) = self.output.as_slices();
@@ -147,21 +148,21 @@
         FlushResult::Complete
     }
 
-    /// Whether there are bytes, or an end, that have not been read, here or at the system.
+    /// Whether there is unprocessed input, or unread data or an end of stream on the socket.
     pub(super) fn has_unread(&self) -> bool {
-        let is_empty = |e: io::Error| e.kind() == ErrorKind::WouldBlock;
-        !self.input.is_empty() || !self.socket.peek(&mut [MaybeUninit::uninit()]).is_err_and(is_empty)
+        let would_block = |e: io::Error| e.kind() == ErrorKind::WouldBlock;
+        !self.input.is_empty() || !self.socket.peek(&mut [MaybeUninit::uninit()]).is_err_and(would_block)
     }
 }
 
 #[derive(Default)]
 struct Slot {
-    /// How many connections have been in this slot.
+    /// The number of connections that have used this slot.
     use_count: usize,
     connection: Option<Connection>,
 }
 
-/// The open connections by their tokens.
+/// The open connections, indexed by token.
 #[derive(Default)]
 pub(super) struct ConnectionTable {
     slots: Vec<Slot>,
@@ -169,7 +170,7 @@
 }
 
 impl ConnectionTable {
-    /// Takes a free slot; [`ConnectionTable::insert`] or [`ConnectionTable::release`] is to follow.
+    /// Reserves a slot; [`ConnectionTable::insert`] or [`ConnectionTable::release`] must follow.
     pub(super) fn reserve(&mut self) -> Token {
         let slot = self.free_slots.pop().unwrap_or_else(|| {
             self.slots.push(Slot::default());
@@ -192,7 +193,7 @@
         if slot.use_count == token.use_count() { slot.connection.as_mut() } else { None }
     }
 
-    /// Removes an open connection; its token is not used again.
+    /// Removes an open connection; its token is not reused.
     pub(super) fn remove(&mut self, token: Token) -> Option<Connection> {
         self.get_mut(token)?;
         let slot = &mut self.slots[token.slot()];
--- a/crates/relay/src/event_loop/listener.rs
+++ b/crates/relay/src/event_loop/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections of clients.
+//! Accepts client connections.
 
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, TcpListener};
@@ -9,9 +9,9 @@
 
 use super::{ConnectionEvent, ConnectionRole, LISTENER_KEY, Net, PollResult, QueuedEvent};
 
-/// The delay before the next attempt after a connection could not be accepted for lack of a resource.
+/// The delay before accepting is resumed after a failure for lack of resources.
 const ACCEPT_RETRY_INTERVAL: Span = Span::from_millis(100);
-/// The length of the backlog of connections to be accepted.
+/// The length of the accept queue.
 const LISTEN_BACKLOG: i32 = 1_024;
 
 pub(super) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
@@ -24,12 +24,12 @@
 }
 
 impl Net {
-    /// The address that clients connect to, while it is listened on.
+    /// Returns the address that clients connect to, while the listener is open.
     pub fn local_addr(&self) -> Option<SocketAddr> {
         self.listener.as_ref().and_then(|listener| listener.local_addr().ok())
     }
 
-    /// Accepts all waiting clients, as far as the limit allows.
+    /// Accepts all pending client connections, up to the limit.
     pub(super) fn accept(&mut self, polled: &mut PollResult) {
         while self.client_count < self.max_clients {
             let Some(listener) = &self.listener else { return };
@@ -37,7 +37,8 @@
                 Ok((stream, _)) => stream,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(_) => {
-                    // Descriptors or memory are exhausted: the poller would report the same client in every iteration.
+                    // File descriptors or memory are exhausted. Without a pause, the poller would report the same
+                    // client in every iteration.
                     self.accept_retry_at = self.clock.now() + ACCEPT_RETRY_INTERVAL;
                     return self.set_accepting(false);
                 }
@@ -46,27 +47,28 @@
             if socket.set_nonblocking(true).is_err() {
                 continue;
             }
-            // Without it responses still arrive, only later.
+            // A failure only delays responses.
             let _ = socket.set_tcp_nodelay(true);
             let role = ConnectionRole::Client;
             if let Ok(token) = self.insert(socket, role, true) {
                 polled.events.push(QueuedEvent { token, role, event: ConnectionEvent::Accepted });
             }
         }
-        // The limit is reached: further clients wait in the backlog.
+        // The limit is reached: further clients wait in the accept queue.
         self.set_accepting(false);
     }
 
-    pub(super) fn set_accepting(&mut self, is_wanted: bool) {
-        if let Some(listener) = self.listener.as_ref().filter(|_| self.is_accepting != is_wanted) {
-            let interest = if is_wanted { Event::readable(LISTENER_KEY) } else { Event::none(LISTENER_KEY) };
+    pub(super) fn set_accepting(&mut self, is_accepting: bool) {
+        if let Some(listener) = self.listener.as_ref().filter(|_| self.is_accepting != is_accepting) {
+            let interest =
+                if is_accepting { Event::readable(LISTENER_KEY) } else { Event::none(LISTENER_KEY) };
             if self.poller.modify_with_mode(listener, interest, PollMode::Level).is_ok() {
-                self.is_accepting = is_wanted;
+                self.is_accepting = is_accepting;
             }
         }
     }
 
-    /// Accepts again once the pause after a failure is over.
+    /// Resumes accepting after the pause that follows a failure.
     pub(super) fn retry_accepting(&mut self, now: Time) {
         if self.accept_retry_at <= now {
             self.accept_retry_at = Time::NEVER;
@@ -74,18 +76,18 @@
         }
     }
 
-    /// Accepts the clients that have connected already, and no further ones.
+    /// Accepts the clients that have already connected, then closes the listener.
     pub fn stop_listening(&mut self) {
         let mut last_result = PollResult::default();
         self.accept(&mut last_result);
         self.deferred_events.extend(last_result.events);
         if let Some(listener) = self.listener.take() {
-            // The listener is closed with it, even if the poller returns an error.
+            // Dropping the listener closes it, even if the poller returns an error.
             let _ = self.poller.delete(&listener);
         }
     }
 
-    /// Whether no further client is accepted until one leaves.
+    /// Whether no client is accepted until another one disconnects.
     pub fn is_client_limit_reached(&self) -> bool {
         self.client_count >= self.max_clients
     }
--- a/crates/relay/src/http.rs
+++ b/crates/relay/src/http.rs
@@ -1,7 +1,8 @@
-//! Parses and encodes HTTP/1.1 messages: heads by `httparse`, bodies by length, in chunks or until the connection closes.
+//! Parses and encodes HTTP/1.1 messages. Heads are parsed by `httparse`; bodies are delimited by length, by chunks or
+//! by the end of the connection.
 //!
-//! Nothing here touches a socket or depends on the purpose of a message. Every parser is given all bytes received so far and
-//! returns `Ok(None)` until the message is complete.
+//! This module performs no I/O and does not depend on the purpose of a message. Every parser takes all bytes received
+//! so far and returns `Ok(None)` until the message is complete.
 
 mod body;
 mod encode;
@@ -20,16 +21,16 @@
     parse_response_head,
 };
 
-/// The longest head that is accepted, in bytes.
+/// The maximum length of a message head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The maximum number of header lines.
+/// The maximum number of header fields.
 const MAX_HEADERS: usize = 64;
 
-/// A message cannot be parsed.
+/// A message that cannot be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("the message is invalid (status {status})"))]
 pub struct ParseError {
-    /// The HTTP status of the response to the sender.
+    /// The HTTP status code of the response to the sender.
     pub status: u16,
 }
 
@@ -40,7 +41,7 @@
     const NOT_IMPLEMENTED: ParseError = ParseError { status: 501 };
 }
 
-/// A parsed item, or `None` while more bytes are needed.
+/// A parsed item; `None` while more bytes are needed.
 pub type Parsed<T> = Result<Option<T>, ParseError>;
 
 fn check_head_length(input: &[u8]) -> Result<(), ParseError> {
--- a/crates/relay/src/http/body.rs
+++ b/crates/relay/src/http/body.rs
@@ -1,30 +1,30 @@
-//! Bodies of messages and how they are delimited.
+//! Message bodies and their framing.
 
 use std::ops::Range;
 
 use super::{Headers, MAX_HEAD_BYTES, ParseError, Parsed};
 
-/// The longest body of a notification, in bytes.
+/// The maximum length of a message body, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// The longest line that gives a chunk's size.
+/// The maximum length of a chunk size line, in bytes.
 const MAX_CHUNK_SIZE_LINE_BYTES: usize = 1_024;
 
-/// How the end of a body is found.
+/// How the end of a body is determined.
 pub(super) enum Framing {
-    /// After so many bytes.
+    /// After this number of bytes.
     Length(usize),
-    /// By a last chunk of no bytes.
+    /// By a last chunk without data.
     Chunked,
-    /// When the connection closes.
+    /// By the end of the connection.
     UntilClose,
 }
 
-/// How the body behind these headers is delimited; `default` if they do not specify it.
+/// Returns the framing of the body after these headers; `default` if they do not specify it.
 pub(super) fn body_framing(headers: &Headers, default: Framing) -> Result<Framing, ParseError> {
     let mut lengths = headers.values("content-length");
     let first_length = lengths.next();
     let is_encoded = headers.values("transfer-encoding").next().is_some();
-    // Request smuggling: two readers would split such a message in different ways.
+    // Rejected to prevent request smuggling: two recipients could delimit such a message differently.
     if is_encoded && first_length.is_some() || lengths.any(|length| Some(length) != first_length) {
         return Err(ParseError::BAD_REQUEST);
     }
@@ -38,12 +38,12 @@
     digits.and_then(|digits| digits.parse().ok()).map(Framing::Length).ok_or(ParseError::BAD_REQUEST)
 }
 
-/// The first complete chunk in `input`: the range of its data, and where the next chunk begins. The last chunk has no
-/// data.
+/// Parses the first chunk in `input`. Returns the range of its data and the start of the next chunk. The last chunk has
+/// no data.
 ///
 /// # Errors
 ///
-/// The chunk is longer than `max_bytes`, or its frame is invalid.
+/// The chunk is longer than `max_bytes`, or its framing is invalid.
 pub fn parse_chunk(input: &[u8], max_bytes: usize) -> Parsed<(Range<usize>, usize)> {
     match httparse::parse_chunk_size(input) {
         Ok(httparse::Status::Complete((start, size))) => {
@@ -62,7 +62,8 @@
     }
 }
 
-/// The body that begins at `start`, and where it ends in `input`. `is_closed`: no more bytes will arrive.
+/// Parses the body that begins at `start`. Returns the body and its end in `input`. `is_closed` tells that no more
+/// bytes will arrive.
 pub(super) fn parse_body(
     input: &[u8], start: usize, framing: &Framing, is_closed: bool,
 ) -> Parsed<(Vec<u8>, usize)> {
@@ -87,11 +88,11 @@
         }
         position += next;
     }
-    // Chunks so small that most of the bytes are their frames would otherwise grow the buffer without bound.
+    // Without this limit, tiny chunks, which consist mostly of framing, could grow the buffer without bound.
     if input.len() - start > 2 * MAX_BODY_BYTES { Err(ParseError::CONTENT_TOO_LARGE) } else { Ok(None) }
 }
 
-/// Where the trailer section after the last chunk ends.
+/// Returns the end of the trailer section after the last chunk.
 fn trailers_end(input: &[u8], start: usize) -> Parsed<usize> {
     let mut position = start;
     while let Some(length) = input[position..].windows(2).position(|pair| pair == b"\r\n") {
--- a/crates/relay/src/http/encode.rs
+++ b/crates/relay/src/http/encode.rs
@@ -1,8 +1,8 @@
-//! Encodes messages.
+//! Encoding of messages.
 
 use std::fmt::Write;
 
-/// A complete message: first line, headers, `Content-Length` and the body.
+/// Encodes a complete message: first line, headers, `Content-Length` and the body.
 pub fn encode_message(first_line: &str, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut text = format!("{first_line}\r\n");
     for (name, value) in headers {
@@ -12,7 +12,7 @@
     [text.as_bytes(), body].concat()
 }
 
-/// The reason phrase of a status code.
+/// Returns the reason phrase of a status code.
 pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/crates/relay/src/http/request.rs
+++ b/crates/relay/src/http/request.rs
@@ -1,4 +1,4 @@
-//! Requests of clients.
+//! Requests from clients.
 
 use super::body::{Framing, body_framing, parse_body};
 use super::{Headers, MAX_HEADERS, Parsed, check_head_length};
@@ -6,11 +6,11 @@
 /// A complete request.
 #[derive(Debug)]
 pub struct Request {
-    /// The method, as received.
+    /// The method as received.
     pub method: String,
-    /// The target up to the question mark.
+    /// The target before the question mark.
     pub path: String,
-    /// The target behind the question mark; empty without one.
+    /// The target after the question mark; empty if there is none.
     pub query: String,
     headers: Headers,
     /// The body without its framing.
@@ -20,18 +20,18 @@
 }
 
 impl Request {
-    /// The value of a header, if it is there and is UTF-8.
+    /// Returns the value of a header if it is present and is UTF-8.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)
     }
 
-    /// Whether a header is there whose value is not UTF-8, so that [`Request::header`] does not give it.
-    pub fn is_header_not_text(&self, name: &str) -> bool {
+    /// Whether a header is present but not UTF-8, so that [`Request::header`] returns `None`.
+    pub fn is_header_not_utf8(&self, name: &str) -> bool {
         self.headers.raw(name).is_some_and(|value| std::str::from_utf8(value).is_err())
     }
 }
 
-/// The first request in `input` and its length in bytes, once it is complete.
+/// Parses the first request in `input`. Returns it with its length in bytes once it is complete.
 ///
 /// # Errors
 ///
@@ -60,7 +60,7 @@
     Ok(Some((request, end)))
 }
 
-/// Whether `input` holds the head of a request whose sender waits for `100 Continue`.
+/// Whether `input` contains a complete request head with `Expect: 100-continue`.
 pub fn expects_continue(input: &[u8]) -> bool {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
--- a/crates/relay/src/http/response.rs
+++ b/crates/relay/src/http/response.rs
@@ -1,4 +1,4 @@
-//! Responses of endpoints and of the platform, with interim (1xx) responses before them.
+//! Responses from endpoints and the platform, which interim (1xx) responses may precede.
 
 use super::body::{Framing, body_framing, parse_body};
 use super::{Headers, MAX_HEADERS, Parsed, check_head_length};
@@ -12,12 +12,12 @@
     pub headers: Headers,
     /// The body without its framing.
     pub body: Vec<u8>,
-    /// Whether the connection stays open after it.
+    /// Whether the connection stays open after the response.
     pub is_keep_alive: bool,
 }
 
 impl Response {
-    /// The value of a header, if it is there and is UTF-8.
+    /// Returns the value of a header if it is present and is UTF-8.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)
     }
@@ -27,7 +27,7 @@
 pub struct ResponseHead {
     /// The status code.
     pub status: u16,
-    /// Where the body starts, in bytes from the beginning of the input.
+    /// The offset of the body in the input, in bytes.
     pub body_start: usize,
     /// The header fields.
     pub headers: Headers,
@@ -38,7 +38,7 @@
     (100..200).contains(&status)
 }
 
-/// The head of the first response in `input`, once it is complete.
+/// Parses the head of the first response in `input`, which may be an interim one.
 ///
 /// # Errors
 ///
@@ -55,7 +55,7 @@
     Ok(Some(ResponseHead { status: head.code.unwrap_or(0), body_start, headers, is_keep_alive }))
 }
 
-/// The bytes of the final response received so far, behind any interim ones.
+/// Returns the bytes of the final response received so far, without any interim responses before it.
 fn final_response_bytes(mut input: &[u8]) -> &[u8] {
     while let Ok(Some(head)) = parse_response_head(input)
         && is_interim(head.status)
@@ -70,19 +70,19 @@
     !final_response_bytes(input).is_empty()
 }
 
-/// The status code in the first line of the final response, whether or not the rest is there.
+/// Returns the status code in the status line of the final response, even if the rest is missing.
 pub fn final_status(input: &[u8]) -> Option<u16> {
     let input = final_response_bytes(input);
     let line = input.split(|byte| *byte == b'\n').next().filter(|line| line.len() < input.len())?;
     let line = [line, b"\n"].concat();
     let mut headers = [httparse::EMPTY_HEADER; 1];
     let mut head = httparse::Response::new(&mut headers);
-    // The rest may be missing or invalid: only the line counts.
+    // The rest may be missing or invalid: only the status line matters.
     let _ = head.parse(&line);
     head.code
 }
 
-/// The head of the final response in `input`, behind any interim ones, once it is complete.
+/// Parses the head of the final response in `input`, skipping interim responses.
 ///
 /// # Errors
 ///
@@ -90,7 +90,7 @@
 pub fn parse_final_head(input: &[u8]) -> Parsed<ResponseHead> {
     let mut position = 0;
     loop {
-        // The number of interim responses is unbounded.
+        // The number of interim responses is unlimited, so their total length is checked.
         check_head_length(&input[..position])?;
         let Some(head) = parse_response_head(&input[position..])? else { return Ok(None) };
         position += head.body_start;
@@ -100,8 +100,8 @@
     }
 }
 
-/// The first final response in `input` and its length in bytes, once it is complete. `is_closed`: no more
-/// bytes will arrive.
+/// Parses the first final response in `input`. Returns it with its length in bytes once it is complete. `is_closed`
+/// tells that no more bytes will arrive.
 ///
 /// # Errors
 ///
--- a/crates/relay/src/journal.rs
+++ b/crates/relay/src/journal.rs
@@ -1,9 +1,8 @@
-//! Stores the notifications that were accepted and have no acknowledged outcome yet: in memory, and in a file that
-//! outlives the process.
+//! The journal: stores accepted notifications, in memory and in an append-only file, until they are complete.
 //!
-//! The file is only appended to. Each record carries its length and a checksum, so that a torn tail is found and cut off.
-//! Once much of the file is obsolete, the live notifications are written to a new file that replaces it; space for both is
-//! always left within the size limit of the directory.
+//! Each record has its length and a checksum, so that a torn tail is detected and truncated. When most of the file is
+//! obsolete, it is compacted: the live notifications are written to a new file that replaces it. The size limit of the
+//! directory always leaves space for both files.
 
 mod frame;
 mod record;
@@ -22,27 +21,28 @@
 };
 
 const FILE_NAME: &str = "log";
-/// The name of the new file while the journal is compacted.
+/// The name of the new file during a compaction.
 const COMPACTED_FILE_NAME: &str = "log.new";
-/// The size of a block of the file system, in bytes; files occupy multiples of it.
+/// The block size of the file system, in bytes; files occupy multiples of it.
 const FILE_BLOCK_BYTES: u64 = 512;
-/// The number of bytes by which a record may grow when it is rewritten with its history.
+/// The maximum growth of a record when it is rewritten with its history, in bytes.
 const MAX_HISTORY_BYTES: u64 = 256;
-/// The maximum size of a record without the body and its history, in bytes: its attributes, escaped.
+/// The maximum size of a record without body and history, in bytes: the JSON-escaped attributes.
 const MAX_ATTRIBUTES_BYTES: u64 = 8 * 1024;
-/// The minimum size of a file that is compacted, in bytes.
+/// The file size above which an obsolete file is compacted, in bytes.
 const MIN_COMPACTION_BYTES: u64 = 64 * 1024;
 
-/// A live notification.
+/// A live notification: one that is not complete.
 #[derive(Debug)]
 pub struct JournalEntry {
     /// The notification without its body.
     pub notification: AcceptedNotification,
-    /// Its body; empty once it has ended.
+    /// The body; empty once the notification has ended.
     pub body: Vec<u8>,
-    /// Pushes decided on. One whose connection was never established is in no record: the next process does not count it.
+    /// The number of pushes that the core decided on. A push whose connection was never established is not recorded, so
+    /// the next process does not count it.
     pub decided_pushes: u32,
-    /// The maximum that it may occupy in the file, in bytes.
+    /// The maximum space that it occupies in the file, in bytes.
     max_record_bytes: u64,
 }
 
@@ -51,7 +51,7 @@
     directory: PathBuf,
     file: File,
     file_bytes: u64,
-    /// Frames that are still to be appended to the file.
+    /// Frames that are not yet appended to the file.
     unflushed: Vec<u8>,
     live: BTreeMap<u64, JournalEntry>,
     /// The ids of all live notifications.
@@ -62,22 +62,22 @@
     max_bytes: u64,
 }
 
-/// A journal and what was lost of it.
+/// An opened journal, and how much of its file was torn.
 pub struct OpenedJournal {
     /// The journal, with all records before the first torn one.
     pub journal: Journal,
-    /// The length of the torn tail that was cut off, in bytes.
+    /// The length of the torn tail that was truncated, in bytes.
     pub torn_bytes: u64,
 }
 
 impl Journal {
-    /// Opens the journal in a directory, which may hold `max_bytes` bytes.
+    /// Opens the journal in a directory whose size is limited to `max_bytes`.
     ///
     /// # Errors
     ///
     /// A file in the directory cannot be removed, read, opened or truncated.
     pub fn open(directory: &Path, max_bytes: u64) -> io::Result<OpenedJournal> {
-        // Left by a process that ended while it compacted; the journal itself is intact then.
+        // Left by a process that ended during a compaction; the journal itself is intact.
         match fs::remove_file(directory.join(COMPACTED_FILE_NAME)) {
             Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
             _ => {}
@@ -103,7 +103,7 @@
         Ok(OpenedJournal { journal, torn_bytes })
     }
 
-    /// Applies all intact records and truncates the file behind them. Returns the length of the tail cut off.
+    /// Applies all intact records and truncates the file after them. Returns the length of the truncated tail.
     fn replay(&mut self, bytes: &[u8]) -> io::Result<u64> {
         let mut position = 0;
         while let Some(DecodedFrame { record, body, length }) = frame::decode(&bytes[position..]) {
@@ -174,8 +174,8 @@
         self.apply(record, body, self.unflushed.len() - bytes_before);
     }
 
-    /// Whether a further notification with a body of this length fits. A compacted file must fit beside the present one
-    /// at any time: the live notifications have two fifths of the space, and the present file the rest.
+    /// Whether another notification with a body of this length fits. A compacted file must fit beside the current one
+    /// at any time: live notifications may use two fifths of the space, and the current file the rest.
     pub fn has_capacity_for(&self, body_bytes: usize) -> bool {
         self.live_bytes + body_bytes as u64 + MAX_ATTRIBUTES_BYTES <= self.max_live_bytes()
     }
@@ -184,7 +184,7 @@
         self.max_bytes * 2 / 5
     }
 
-    /// Records that a notification is accepted. Returns its number.
+    /// Records an accepted notification. Returns its number.
     pub fn accept(
         &mut self, attributes: Attributes, valid_until: Time, guarantee: Guarantee, body: Vec<u8>,
     ) -> u64 {
@@ -199,30 +199,30 @@
         number
     }
 
-    /// Counts a push that was decided on. Returns its number, from 0.
+    /// Counts a push that the core decided on. Returns its index, from 0.
     pub fn count_push(&mut self, number: u64) -> Option<u32> {
         let entry = self.live.get_mut(&number)?;
         entry.decided_pushes += 1;
         Some(entry.decided_pushes - 1)
     }
 
-    /// Records that a push is about to be sent: after the next flush, a process that reads the journal has to assume that
-    /// it may have run.
+    /// Records that a push is about to be sent. After the next flush, a process that reads the journal assumes that the
+    /// push may have run.
     pub fn record_push(&mut self, number: u64, sent_at: Time, zone: &str) {
         self.append(Record::Pushed(number, unix_nanos(sent_at), zone.to_owned()), Vec::new());
     }
 
-    /// Records the end of a push: whether it may have run, and since when it may still be running.
+    /// Records the end of a push: whether it may have run, and, if it may still be running, when it ended.
     pub fn record_push_ended(&mut self, number: u64, may_have_run: bool, may_run_since: Option<Time>) {
         self.append(Record::PushEnded(number, may_have_run, may_run_since.map(unix_nanos)), Vec::new());
     }
 
-    /// Records that a notification ended undelivered; its client is still to be notified.
+    /// Records that a notification ended undelivered; its client has yet to be notified.
     pub fn record_end(&mut self, number: u64, end: UndeliveredEnd) {
         self.append(Record::Ended(number, end), Vec::new());
     }
 
-    /// Records that a notification is complete: it is no longer live.
+    /// Records that a notification is complete and no longer live.
     pub fn close(&mut self, number: u64) {
         self.append(Record::Closed(number), Vec::new());
     }
@@ -232,23 +232,23 @@
         self.ids.contains(id)
     }
 
-    /// The live notification with this number.
+    /// Returns the live notification with this number.
     pub fn get(&self, number: u64) -> Option<&JournalEntry> {
         self.live.get(&number)
     }
 
-    /// All live notifications with their numbers, in the order accepted.
+    /// Iterates over the live notifications with their numbers, in the order accepted.
     pub fn live(&self) -> impl Iterator<Item = (u64, &JournalEntry)> {
         self.live.iter().map(|(number, entry)| (*number, entry))
     }
 
-    /// How many notifications are live.
+    /// Returns the number of live notifications.
     pub fn live_count(&self) -> usize {
         self.live.len()
     }
 
-    /// Writes all new records to the file. They survive the end of this process; the file is not synced, so they may not
-    /// survive a power loss.
+    /// Writes all new records to the file. They survive a crash of the process but, since the file is not synced,
+    /// possibly not a power loss.
     ///
     /// # Errors
     ///
@@ -268,8 +268,8 @@
         Ok(())
     }
 
-    /// Writes the live notifications, which the unflushed records are applied to, to a new file that replaces the present
-    /// one.
+    /// Writes the live notifications to a new file that replaces the current one. The unflushed records are already
+    /// applied to them.
     fn compact(&mut self) -> io::Result<()> {
         let mut bytes = Vec::new();
         for (number, entry) in &self.live {
--- a/crates/relay/src/journal/frame.rs
+++ b/crates/relay/src/journal/frame.rs
@@ -1,21 +1,21 @@
-//! The frame around a record: its length, a checksum, and the length of the JSON part before the body, each 32 bits in
-//! little-endian order.
+//! The frame of a record. Its header holds the length of the data, a checksum, and the length of the JSON part before
+//! the body, each as 32 bits in little-endian order.
 
 use super::record::Record;
 
 const FRAME_HEADER_BYTES: usize = 12;
 
-/// A record as it was read.
+/// A decoded record.
 pub(super) struct DecodedFrame {
     pub(super) record: Record,
     pub(super) body: Vec<u8>,
-    /// The length of the whole frame, in bytes.
+    /// The length of the entire frame, in bytes.
     pub(super) length: usize,
 }
 
-/// Appends a frame with a record and the body of its notification.
+/// Appends a frame with a record and the body of its notification to `output`.
 pub(super) fn encode(output: &mut Vec<u8>, record: &Record, body: &[u8]) {
-    let json = serde_json::to_vec(record).expect("a record is plain data");
+    let json = serde_json::to_vec(record).expect("a record can be serialised");
     let mut checksum = crc32fast::Hasher::new();
     checksum.update(&json);
     checksum.update(body);
@@ -26,7 +26,7 @@
     output.extend_from_slice(body);
 }
 
-/// Decodes the first frame; `None` if it is torn.
+/// Decodes the first frame; `None` if it is incomplete or corrupt.
 pub(super) fn decode(bytes: &[u8]) -> Option<DecodedFrame> {
     let number = |index: usize| {
         let number = bytes.get(index * 4..index * 4 + 4)?;
--- a/crates/relay/src/journal/record.rs
+++ b/crates/relay/src/journal/record.rs
@@ -1,19 +1,19 @@
-//! What the journal stores of a notification, and the records on disk.
+//! The notification state in the journal, and the records on disk.
 //!
-//! The names on disk are those of the first release, kept by `serde(rename)`. All times are Unix time in nanoseconds.
+//! `serde(rename)` keeps the on-disk names of the first release. All times are Unix times in nanoseconds.
 
 use juniperwing::interface::{DeduplicationScope, Semantics, TopicType};
 use juniperwing::time::Span;
 use serde::ser::SerializeTuple;
 use serde::{Deserialize, Serialize, Serializer};
 
-/// A push whose first byte may have been sent. On disk it is a pair.
+/// A push whose first byte may have been sent. It is stored as a pair.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(from = "(u64, String)")]
 pub struct SentPush {
     /// When it was sent.
     pub sent_at_ns: u64,
-    /// The zone of its endpoint.
+    /// The zone of the endpoint.
     pub zone: String,
 }
 
@@ -32,12 +32,12 @@
     }
 }
 
-/// How a notification ended that was not delivered.
+/// The end of a notification that was not delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UndeliveredEnd {
-    /// It may have run; nothing is promised about its effect.
+    /// It may have run; there is no guarantee about its effect.
     GivenUp,
-    /// It has not run, and its client may submit it again after so many milliseconds; 0 if no delay is advised.
+    /// It has not run. Its client may submit it again after this number of milliseconds; 0 if no delay is advised.
     #[serde(rename = "HandedBack")]
     ReturnedToClient(u64),
 }
@@ -45,26 +45,26 @@
 /// The history of a notification's pushes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct History {
-    /// How many pushes may have sent a byte.
+    /// The number of pushes that may have sent a byte.
     #[serde(rename = "pushes")]
     pub push_count: u32,
-    /// The push that has not ended.
+    /// The push that has not ended yet.
     #[serde(rename = "out")]
     pub in_flight: Option<SentPush>,
     /// The first push that may have run.
     #[serde(rename = "ran")]
     pub first_may_have_run: Option<SentPush>,
-    /// When a push last ended that may still be running.
+    /// The end of the last push that may still be running at its endpoint.
     #[serde(rename = "doubt")]
     pub may_run_since_ns: Option<u64>,
-    /// Its end, until its client has acknowledged the notice of it.
+    /// The end of the notification, until its notice is acknowledged.
     pub end: Option<UndeliveredEnd>,
 }
 
-/// The attributes of a notification that its client sets.
+/// The attributes of a notification, set by its client.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Attributes {
-    /// The id, as the client gave it.
+    /// The id assigned by the client.
     pub id: String,
     /// The name of the topic type.
     pub topic: String,
@@ -72,35 +72,35 @@
     pub account: Option<String>,
     /// The ordering key.
     pub key: Option<String>,
-    /// Sent to the endpoint, which recognises a duplicate by it.
+    /// The key by which the endpoint detects duplicates.
     pub idempotency_key: Option<String>,
     /// The number of the destination.
     pub destination: u64,
 }
 
-/// A notification that was accepted.
+/// An accepted notification.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AcceptedNotification {
     /// The attributes set by its client.
     #[serde(rename = "words")]
     pub attributes: Attributes,
-    /// The end of its time to live.
+    /// The expiry time.
     #[serde(rename = "valid_until")]
     pub valid_until_ns: u64,
     /// The history of its pushes.
     pub history: History,
-    /// What was promised when it was accepted; `None` in a journal of a release before guarantees.
+    /// The guarantee given when it was accepted; `None` in the journal of a release without guarantees.
     #[serde(default, rename = "kept")]
     pub guarantee: Option<Guarantee>,
 }
 
-/// What holds for a notification whatever the settings become after it was accepted.
+/// The properties of a notification that later changes of the settings do not affect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Guarantee {
-    /// What a second run would do.
+    /// The effect of running it again.
     #[serde(rename = "effect")]
     pub semantics: RecordedSemantics,
-    /// Whether it is delivered in the order of its key.
+    /// Whether notifications with the same key are delivered in order.
     #[serde(rename = "ordered")]
     pub is_ordered: bool,
 }
@@ -108,20 +108,20 @@
 /// The core's [`Semantics`] as they are written to disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecordedSemantics {
-    /// It may run again.
+    /// It may run more than once.
     #[serde(rename = "Runs")]
     Idempotent,
-    /// A repeat is dropped.
+    /// Endpoints drop duplicates.
     #[serde(rename = "Dropped")]
     Deduplicated {
-        /// Whether all endpoints drop a repeat, and not only those of the first push's zone.
+        /// Whether all endpoints drop duplicates, and not only those in the zone of the first push.
         #[serde(rename = "all")]
         is_scope_all: bool,
-        /// For how long they do, in nanoseconds.
+        /// The deduplication window, in nanoseconds.
         #[serde(rename = "window")]
         window_ns: u64,
     },
-    /// It must not run again.
+    /// It must not run more than once.
     #[serde(rename = "Never")]
     NonIdempotent,
 }
@@ -141,7 +141,7 @@
 }
 
 impl Guarantee {
-    /// The topic type as it is now, but for what was guaranteed.
+    /// Returns the topic type with the guaranteed properties applied.
     pub fn apply_to(self, topic: &TopicType) -> TopicType {
         let semantics = match self.semantics {
             RecordedSemantics::Idempotent => Semantics::Idempotent,
@@ -155,20 +155,21 @@
     }
 }
 
-/// A record of the journal; the first field is the notification's number.
+/// A journal record; the first field is the number of the notification.
 #[derive(Serialize, Deserialize)]
 pub(super) enum Record {
     /// A notification with its history.
     #[serde(rename = "Taken")]
     Accepted(u64, Box<AcceptedNotification>),
-    /// A push is about to be sent, at this time and to this zone; written in the iteration in which its first byte may be sent.
+    /// A push is about to be sent, at this time and to this zone. Written in the iteration in which its first byte may
+    /// be sent.
     Pushed(u64, u64, String),
-    /// A push ended: whether it may have run, and since when it may still be running.
+    /// A push ended: whether it may have run, and, if it may still be running, when it ended.
     #[serde(rename = "Returned")]
     PushEnded(u64, bool, Option<u64>),
-    /// It ended undelivered.
+    /// The notification ended undelivered.
     Ended(u64, UndeliveredEnd),
-    /// It is complete.
+    /// The notification is complete and no longer live.
     #[serde(rename = "Over")]
     Closed(u64),
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,8 +1,9 @@
-//! The notification relay as a process: accepts notifications over HTTP, has the core decide, and pushes them.
+//! The notification relay process: accepts notifications over HTTP and pushes them as the core decides.
 //!
-//! One thread runs an event loop. Each iteration collects the events of the sockets, passes them to the core, carries out
-//! the core's commands, writes the journal, and only then sends bytes. The modules follow a notification:
-//! `client_connections`, `admission`, `core_driver`, `upstream`, `endpoint_response` and `notices`; `server` connects them.
+//! One thread runs an event loop. Each iteration collects socket events, passes them to the core, executes the core's
+//! commands, writes the journal, and only then sends bytes. A notification passes through the modules
+//! `client_connections`, `admission`, `core_driver`, `upstream`, `endpoint_response` and `notices`; `server` connects
+//! them.
 
 mod admission;
 mod client_connections;
--- a/crates/relay/src/main.rs
+++ b/crates/relay/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `juniperwing`.
+//! The `juniperwing` executable.
 
 use std::process::ExitCode;
 
--- a/crates/relay/src/notices.rs
+++ b/crates/relay/src/notices.rs
@@ -1,6 +1,6 @@
-//! Notifies clients, by way of the platform, of notifications that ended undelivered.
+//! Notices of undelivered notifications, sent to their clients through the platform.
 //!
-//! A notice is sent again until the platform acknowledges it.
+//! A notice is resent until the platform acknowledges it.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -12,18 +12,18 @@
 use crate::http::{self, Response};
 use crate::journal::{Journal, UndeliveredEnd};
 
-/// The maximum number of notices in one request: their ids have up to 256 bytes, and a body up to 64 KiB.
+/// The maximum number of notices in one request: an id has up to 256 bytes, and a body may have 64 KiB.
 const MAX_NOTICES_PER_REQUEST: usize = 100;
-/// The time after which a request without a response is sent again on a new connection.
+/// The time after which an unanswered request is resent on a new connection.
 const RESPONSE_TIMEOUT: Span = Span::from_millis(400);
-/// The same for a request on a connection that was kept open: the platform responds at once, so the connection is dead. A
-/// notice of an expiry at the time to live thus still arrives within its 300 ms.
+/// The same for a request on a reused connection. The platform responds immediately, so without a response the
+/// connection is dead. A notice of an expiry thus still arrives within the required 300 ms.
 const REUSED_CONNECTION_RESPONSE_TIMEOUT: Span = Span::from_millis(100);
-/// The backoff after the first failed request; it doubles with each further one.
+/// The backoff after the first failed request; it doubles with each further failure.
 const INITIAL_BACKOFF: Span = Span::from_millis(20);
 const MAX_BACKOFF: Span = Span::from_millis(1_000);
 
-/// A line of a request to the platform.
+/// One line of a request to the platform.
 #[derive(Serialize)]
 struct Notice<'a> {
     message: &'a str,
@@ -32,12 +32,12 @@
     retry_in_ms: Option<u64>,
 }
 
-/// The outcomes of notices, by the numbers of their notifications.
+/// The results of notices, by the numbers of their notifications.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct NoticeResults {
-    /// Those that the platform acknowledged.
+    /// The notices that the platform acknowledged.
     pub acknowledged: Vec<u64>,
-    /// The platform cannot parse this one, so that it is not repeated.
+    /// A notice that the platform rejected as malformed; it is not resent.
     pub rejected: Option<u64>,
 }
 
@@ -46,17 +46,17 @@
     address: SocketAddr,
     /// Notifications whose notices are still to be sent.
     queued: VecDeque<u64>,
-    /// Those of the request that is not answered yet.
+    /// Notifications whose notices are in the unanswered request.
     in_flight: Vec<u64>,
     connection: Option<Token>,
     backoff: Span,
     retry_at: Time,
-    /// Whether each notice goes in a request of its own, since one among several was rejected.
+    /// Whether each notice is sent in its own request, because a request with several was rejected.
     is_one_at_a_time: bool,
 }
 
 impl NoticeSender {
-    /// A sender without notices, to the platform at this address.
+    /// Creates a sender to the platform at this address.
     pub fn new(address: SocketAddr) -> NoticeSender {
         NoticeSender {
             address,
@@ -69,17 +69,17 @@
         }
     }
 
-    /// Queues the notice of the end that the journal has for a notification.
+    /// Queues a notice of the end that the journal records for a notification.
     pub fn enqueue(&mut self, number: u64) {
         self.queued.push_back(number);
     }
 
-    /// When queued notices may be sent; [`Time::NEVER`] while there are none or a request is not answered.
+    /// Returns when queued notices may be sent; [`Time::NEVER`] if there are none or a request is unanswered.
     pub fn next_send_at(&self) -> Time {
         if self.queued.is_empty() || !self.in_flight.is_empty() { Time::NEVER } else { self.retry_at }
     }
 
-    /// Sends queued notices, if that is due.
+    /// Sends queued notices if they are due.
     pub fn send_queued(&mut self, net: &mut Net, journal: &Journal, now: Time) {
         if self.next_send_at() > now {
             return;
@@ -101,7 +101,7 @@
         net.set_deadline(token, now + timeout);
     }
 
-    /// The platform is at another address from now on; the notices in flight are sent there again, at once.
+    /// Changes the address of the platform. Notices in flight are resent to the new address immediately.
     pub fn change_address(&mut self, net: &mut Net, address: SocketAddr, now: Time) {
         self.address = address;
         self.handle_failure(net, now);
@@ -143,9 +143,9 @@
                 return self.handle_response(net, &response, is_closed, now);
             }
             Ok(None) if !is_closed => {}
-            // An idle connection, closed by the platform.
+            // The platform closed an idle connection.
             _ if self.in_flight.is_empty() => self.close(net),
-            // Broken, timed out or invalid: the notices are repeated.
+            // The connection broke, the request timed out or the response is invalid: the notices are resent.
             _ => self.handle_failure(net, now),
         }
         NoticeResults::default()
@@ -174,7 +174,7 @@
     }
 }
 
-/// A line for each of these notifications.
+/// Encodes a line for each of these notifications.
 fn encode_notices(numbers: &[u64], journal: &Journal) -> Vec<u8> {
     let mut body = Vec::new();
     for entry in numbers.iter().filter_map(|number| journal.get(*number)) {
@@ -184,7 +184,7 @@
             UndeliveredEnd::ReturnedToClient(ms) => ("handed_back", Some(ms).filter(|ms| *ms > 0)),
         };
         let notice = Notice { message: &entry.notification.attributes.id, outcome, retry_in_ms };
-        serde_json::to_writer(&mut body, &notice).expect("a notice is plain data");
+        serde_json::to_writer(&mut body, &notice).expect("a notice can be serialised");
         body.push(b'\n');
     }
     body
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -1,7 +1,7 @@
-//! Connects the stages that a notification passes, and runs the event loop.
+//! Connects the processing stages of a notification and runs the event loop.
 //!
-//! In each iteration the events are passed to their stages, the core decides, its commands are carried out, the journal is
-//! written, and only then bytes are sent: no response may refer to what the journal does not contain.
+//! Each iteration passes events to the stages, runs the core, executes its commands, writes the journal, and only then
+//! sends bytes: no response may be sent before the state that it reports is in the journal.
 
 mod commands;
 mod endpoint_list;
@@ -29,13 +29,13 @@
 use crate::core_driver::CoreDriver;
 use crate::discovery::Discovery;
 use crate::event_loop::{ConnectionEvent, ConnectionRole, Net, PollResult, QueuedEvent, Signals, Token};
-use crate::journal::{Journal, OpenedJournal};
+use crate::journal::{Journal, JournalEntry, OpenedJournal};
 use crate::notices::NoticeSender;
 use crate::upstream::{SentNotification, Upstream};
-use recovery::Recovered;
+use recovery::RecoveryProgress;
 use shutdown::Shutdown;
 
-/// The relay cannot start or cannot continue.
+/// An error that prevents the relay from starting or continuing.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ServeError {
@@ -61,15 +61,15 @@
     upstream: Upstream,
     notices: NoticeSender,
     journal: Journal,
-    /// Notifications submitted in this iteration and not answered yet, with the connections that submitted them.
+    /// Notifications submitted in this iteration and not yet answered, with the connections that submitted them.
     unanswered: BTreeMap<NotificationId, Vec<Token>>,
-    recovered: Recovered,
+    recovery: RecoveryProgress,
     /// The progress of a shutdown; `None` before one is requested.
     shutdown: Option<Shutdown>,
     log: Logger,
 }
 
-/// Serves, with the journal in `state_directory`, until a shutdown was requested and is complete.
+/// Runs the relay, with the journal in `state_directory`, until a requested shutdown is complete.
 pub fn serve(
     config: Config, state_directory: &Path, signals: Signals, log: Logger,
 ) -> Result<(), ServeError> {
@@ -84,7 +84,7 @@
     ) -> Result<Server, ServeError> {
         let limits = config.static_config.limits.connection_limits();
         let address = config.static_config.listen;
-        // The address first, so that no two processes share a directory.
+        // Binds the address before opening the journal, so that no two processes use the same directory.
         let net = Net::new(clock, address, signals, limits.max_clients).context(ListenSnafu { address })?;
         let OpenedJournal { journal, torn_bytes } =
             Journal::open(state_directory, config.static_config.limits.disk_bytes())
@@ -104,7 +104,7 @@
             notices: NoticeSender::new(config.discovery_address),
             journal,
             unanswered: BTreeMap::new(),
-            recovered: Recovered::default(),
+            recovery: RecoveryProgress::default(),
             shutdown: None,
             settings,
             log: log.new(o!("relay" => config.static_config.name.clone())),
@@ -142,14 +142,14 @@
 
     fn log_start(&self) {
         let listen = self.net.local_addr().unwrap_or(self.static_config.listen).to_string();
-        let (outstanding, unpushed) = (self.journal.live_count(), self.recovered.pending.len());
-        let is_ended = |entry: &crate::journal::JournalEntry| entry.notification.history.end.is_some();
+        let (outstanding, unpushed) = (self.journal.live_count(), self.recovery.pending.len());
+        let is_ended = |entry: &JournalEntry| entry.notification.history.end.is_some();
         let ended = self.journal.live().filter(|(_, entry)| is_ended(entry)).count();
         info!(self.log, "serving"; "listen" => listen, "outstanding" => outstanding,
             "unpushed" => unpushed, "pushed" => outstanding - unpushed - ended);
     }
 
-    /// When the next iteration is due even without events of the sockets.
+    /// Returns when the next iteration is due if no socket event occurs earlier.
     fn next_iteration_at(&self) -> Time {
         let decision_at =
             if self.upstream.has_outcomes() { Time::default() } else { self.core.next_decision_at() };
@@ -161,7 +161,7 @@
         self.client_connections.is_closing =
             self.shutdown.is_some_and(|shutdown| shutdown.is_admission_over(now));
         for queued in polled.events {
-            // A deadline reached in the iteration in which the awaited event happened does not count.
+            // A deadline is ignored if the awaited event, which sets a new deadline, occurred in the same iteration.
             let is_deadline = queued.event == ConnectionEvent::DeadlineReached;
             if !is_deadline || self.net.has_no_deadline(queued.token) {
                 self.handle_connection_event(queued, now);
--- a/crates/relay/src/server/commands.rs
+++ b/crates/relay/src/server/commands.rs
@@ -1,4 +1,4 @@
-//! Carries out the commands of the core.
+//! Executes the commands of the core.
 
 use juniperwing::interface::{Command, EndpointId, NotificationId};
 use juniperwing::time::{Span, Time};
@@ -13,15 +13,15 @@
 /// A push that the core decided on.
 struct DecidedPush {
     notification: NotificationId,
-    /// Which of its notification's pushes it is, from 0; `None` if the notification is not live.
-    push_number: Option<u32>,
+    /// The index of the push among those of its notification, from 0; `None` if the notification is not live.
+    push_index: Option<u32>,
     timeout: Span,
     send_within: Span,
 }
 
 impl Server {
-    /// Runs the core and carries out its commands in order. What was submitted in this iteration and is not rejected by
-    /// a command is accepted.
+    /// Runs the core and executes its commands in order. Notifications that were submitted in this iteration and not
+    /// rejected by a command are accepted.
     pub(super) fn run_core(&mut self, now: Time) {
         let commands = self.core.decide(now);
         let mut rest = commands.as_slice();
@@ -35,7 +35,7 @@
                     later
                 }
                 command => {
-                    self.carry_out(command, now);
+                    self.execute(command, now);
                     later
                 }
             };
@@ -46,8 +46,8 @@
         self.notices.send_queued(&mut self.net, &self.journal, now);
     }
 
-    /// Carries out any command but a push.
-    fn carry_out(&mut self, command: &Command, now: Time) {
+    /// Executes a command other than a push.
+    fn execute(&mut self, command: &Command, now: Time) {
         match command {
             Command::Push { .. } | Command::WakeAfter(_) => {}
             Command::Cancel { notification, push_index } => {
@@ -74,7 +74,8 @@
         }
     }
 
-    /// Ends a notification undelivered: in the response to its submission if that is not answered, else by a notice.
+    /// Ends a notification undelivered. The client is told by the response to its submission if that is still
+    /// unanswered, or else by a notice.
     fn finish(
         &mut self, notification: NotificationId, response: SubmissionResponse, end: UndeliveredEnd, now: Time,
     ) {
@@ -87,10 +88,10 @@
         }
     }
 
-    /// Makes the pushes of these commands, which are all to one endpoint.
+    /// Starts the pushes of these commands, which all go to the same endpoint.
     fn push(&mut self, endpoint: &EndpointId, commands: &[Command], now: Time) {
         let pushes: Vec<DecidedPush> =
-            commands.iter().filter_map(|command| self.decided_push(command)).collect();
+            commands.iter().filter_map(|command| self.count_decided_push(command)).collect();
         let numbers = || pushes.iter().map(|push| push.notification.0).collect::<Vec<_>>();
         debug!(self.log, "push started"; "endpoint" => &*endpoint.0,
             "notifications" => format!("{:?}", numbers()));
@@ -101,20 +102,20 @@
         self.upstream.push(&mut self.net, endpoint, known, &requests, now);
     }
 
-    /// The push of a command, which is counted.
-    fn decided_push(&mut self, command: &Command) -> Option<DecidedPush> {
+    /// Returns the push of a command and counts it.
+    fn count_decided_push(&mut self, command: &Command) -> Option<DecidedPush> {
         let Command::Push { notification, timeout, send_within, .. } = command else { return None };
-        let push_number = self.journal.count_push(notification.0);
+        let push_index = self.journal.count_push(notification.0);
         Some(DecidedPush {
             notification: *notification,
-            push_number,
+            push_index,
             timeout: *timeout,
             send_within: *send_within,
         })
     }
 }
 
-/// The request of a push; `None` if its notification is not live.
+/// Returns the request for a push; `None` if its notification is not live.
 fn push_request<'a>(
     push: &DecidedPush, journal: &'a Journal, settings: &Settings, now: Time,
 ) -> Option<PushRequest<'a>> {
@@ -126,14 +127,14 @@
         id: &notification.attributes.id,
         idempotency_key: notification.attributes.idempotency_key.as_deref(),
         body: &entry.body,
-        push_number: push.push_number?,
+        push_index: push.push_index?,
         is_ordered: is_ordered(notification, settings),
         timeout: push.timeout.min(time_left),
         send_within: push.send_within,
     })
 }
 
-/// Whether others with the key of a notification wait for it.
+/// Whether later notifications with the same key wait for this one.
 fn is_ordered(notification: &AcceptedNotification, settings: &Settings) -> bool {
     let attributes = &notification.attributes;
     let is_topic_ordered = || settings.topic_type(&attributes.topic).is_some_and(|topic| topic.is_ordered);
--- a/crates/relay/src/server/endpoint_list.rs
+++ b/crates/relay/src/server/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list and the watch on it.
+//! Updates of the endpoint list.
 
 use juniperwing::interface::{EndpointId, EndpointListUpdate, Event};
 use juniperwing::time::Time;
@@ -8,17 +8,17 @@
 use crate::discovery::{EndpointList, ListChange, WatchError, WatchMessages};
 
 impl Server {
-    /// Applies the list as an earlier process knew it.
+    /// Applies the endpoint list of an earlier process.
     pub(super) fn load_initial_endpoints(&mut self, list: EndpointList, now: Time) {
         let change = self.discovery.apply_list(list, &self.settings, now);
-        self.warn_without_address(&change.without_address);
+        self.warn_invalid_addresses(&change.invalid_addresses);
         if let EndpointListUpdate::Snapshot(entries) | EndpointListUpdate::Changes(entries) = change.update {
             self.core.enqueue(Event::EndpointListUpdated(EndpointListUpdate::CachedSnapshot(entries)));
         }
     }
 
     pub(super) fn handle_watch_messages(&mut self, messages: WatchMessages, now: Time) {
-        // The core has to know of a message that nothing has changed, too: the watch works.
+        // A message without changes is reported as well, since it shows the core that the watch works.
         if messages.has_message && messages.lists.is_empty() {
             self.core.enqueue(Event::EndpointListUpdated(EndpointListUpdate::Changes(Vec::new())));
         }
@@ -27,9 +27,9 @@
     }
 
     fn handle_list(&mut self, list: EndpointList, now: Time) {
-        let ListChange { update, withdrawn, without_address } =
+        let ListChange { update, withdrawn, invalid_addresses } =
             self.discovery.apply_list(list, &self.settings, now);
-        self.warn_without_address(&without_address);
+        self.warn_invalid_addresses(&invalid_addresses);
         if let EndpointListUpdate::Changes(entries) | EndpointListUpdate::Snapshot(entries) = &update {
             debug!(self.log, "endpoint list updated"; "entries" => entries.len(), "withdrawn" => withdrawn.len());
         }
@@ -39,7 +39,7 @@
         self.core.enqueue(Event::EndpointListUpdated(update));
     }
 
-    fn warn_without_address(&self, endpoints: &[EndpointId]) {
+    fn warn_invalid_addresses(&self, endpoints: &[EndpointId]) {
         for endpoint in endpoints {
             warn!(self.log, "endpoint address invalid"; "endpoint" => &*endpoint.0);
         }
--- a/crates/relay/src/server/outcomes.rs
+++ b/crates/relay/src/server/outcomes.rs
@@ -1,4 +1,4 @@
-//! Outcomes of pushes and of notifications.
+//! Outcomes of pushes, probes and notifications.
 
 use juniperwing::interface::{Event, NotificationId, PushOutcome};
 use juniperwing::time::Time;
@@ -10,7 +10,7 @@
 use crate::upstream::{CallOutcome, RetryAfter};
 
 impl Server {
-    /// Reports to the core how pushes and probes ended.
+    /// Reports the outcomes of pushes and probes to the core.
     pub(super) fn report_outcomes(&mut self, now: Time) {
         for RetryAfter { endpoint, delay } in self.upstream.take_retry_afters() {
             debug!(self.log, "retry-after received"; "endpoint" => &*endpoint.0,
@@ -33,9 +33,9 @@
     }
 
     fn report_push_outcome(&mut self, notification: NotificationId, outcome: CallOutcome, now: Time) {
-        let CallOutcome { push_number, endpoint, result, elapsed, retry_after, limit, .. } = outcome;
+        let CallOutcome { push_index, endpoint, result, elapsed, retry_after, limit, .. } = outcome;
         let status = result.status;
-        debug!(self.log, "push ended"; "notification" => notification.0, "push" => push_number,
+        debug!(self.log, "push ended"; "notification" => notification.0, "push" => push_index,
             "endpoint" => &*endpoint.0, "status" => format!("{status:?}"),
             "duration_ms" => elapsed.as_nanos() / 1_000_000,
             "limit_remaining" => limit.map(|limit| limit.remaining_fraction),
@@ -43,13 +43,13 @@
         let may_run_since = status.may_be_running().then_some(now);
         self.journal.record_push_ended(notification.0, status.may_have_run(), may_run_since);
         if result.is_final {
-            self.forget(notification);
+            self.close_notification(notification);
         }
         let entry = self.journal.get(notification.0);
         let has_final_answer = entry.is_none_or(|entry| entry.notification.history.end.is_some());
         self.core.enqueue(Event::PushEnded(PushOutcome {
             notification,
-            push_index: push_number,
+            push_index,
             endpoint,
             status,
             elapsed,
@@ -80,15 +80,15 @@
         }
     }
 
-    /// The client has acknowledged the final outcome of its notification, which is complete.
+    /// Closes a notification whose final outcome is acknowledged.
     pub(super) fn handle_end_acknowledged(&mut self, notification: NotificationId) {
-        debug!(self.log, "final answer acknowledged"; "notification" => notification.0);
-        self.forget(notification);
+        debug!(self.log, "final outcome acknowledged"; "notification" => notification.0);
+        self.close_notification(notification);
         self.core.enqueue(Event::FinalAnswerAcknowledged(notification));
     }
 
-    fn forget(&mut self, notification: NotificationId) {
-        self.upstream.forget(notification);
+    fn close_notification(&mut self, notification: NotificationId) {
+        self.upstream.remove_notification(notification);
         if self.journal.get(notification.0).is_some() {
             self.journal.close(notification.0);
         }
--- a/crates/relay/src/server/recovery.rs
+++ b/crates/relay/src/server/recovery.rs
@@ -1,4 +1,4 @@
-//! Continues the notifications that an earlier process accepted.
+//! Recovery of the notifications that an earlier process accepted.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -12,29 +12,29 @@
 use super::Server;
 use crate::journal::{AcceptedNotification, History, UndeliveredEnd};
 
-/// The notifications that an earlier process accepted and never pushed, and how many of them ended how.
+/// The progress of the notifications that an earlier process accepted and never pushed.
 #[derive(Default)]
-pub(super) struct Recovered {
-    /// Those that have neither been pushed nor ended.
+pub(super) struct RecoveryProgress {
+    /// Notifications that have neither been pushed nor ended.
     pub(super) pending: BTreeSet<NotificationId>,
     pushed: usize,
-    /// Ended at the time to live without a push.
+    /// The number of notifications that expired without a push.
     expired: usize,
-    /// Ended before without a push.
+    /// The number of notifications that ended earlier without a push.
     given_up: usize,
 }
 
-/// A live notification of the journal that is about to be reported to the core.
+/// A live notification in the journal that is about to be reported to the core.
 struct RecoveredNotification {
     number: u64,
-    /// A push of it was in flight when the earlier process ended.
+    /// Whether a push was in flight when the earlier process ended.
     was_in_flight: bool,
-    /// `None` if neither the journal nor the settings have its topic type.
+    /// `None` if neither the journal nor the settings define its topic type.
     notification: Option<Notification>,
 }
 
 impl Server {
-    /// Reports to the core what an earlier process accepted and did not finish, in the order accepted.
+    /// Reports unfinished notifications of an earlier process to the core, in the order accepted.
     pub(super) fn recover_notifications(&mut self, now: Time) {
         let mut live = Vec::new();
         for (number, entry) in self.journal.live() {
@@ -42,11 +42,11 @@
             if history.end.is_some() {
                 self.notices.enqueue(number);
             } else if history.push_count == 0 {
-                self.recovered.pending.insert(NotificationId(number));
+                self.recovery.pending.insert(NotificationId(number));
             }
-            let notification = self
-                .recovered_topic(&entry.notification)
-                .map(|topic| self.notification(number, &entry.notification, topic, past_of(history, now)));
+            let notification = self.recovered_topic(&entry.notification).map(|topic| {
+                self.notification(number, &entry.notification, topic, recovered_history(history, now))
+            });
             live.push(RecoveredNotification {
                 number,
                 was_in_flight: history.in_flight.is_some(),
@@ -64,9 +64,9 @@
         }
     }
 
-    /// The topic type of a notification, with what was guaranteed when it was accepted. A topic type that is not in the
-    /// settings any more counts as one with defaults. Without a guarantee, as in a journal of an early release, it is that
-    /// of the settings, if they have it.
+    /// Returns the topic type of a notification with the guarantee given when it was accepted. A topic type that is no
+    /// longer in the settings is replaced by the default one. Without a guarantee, as in the journal of an early
+    /// release, the topic type is the one in the settings, if any.
     fn recovered_topic(&self, notification: &AcceptedNotification) -> Option<Arc<TopicType>> {
         let name = &notification.attributes.topic;
         let topic = self.settings.topic_type(name);
@@ -75,29 +75,29 @@
         Some(Arc::new(guarantee.apply_to(&topic.unwrap_or_else(missing))))
     }
 
-    /// Counts the outcome of a notification that an earlier process did not push, once it has been pushed or has ended.
+    /// Counts a notification that an earlier process did not push, once it is pushed or has ended.
     pub(super) fn count_recovered(&mut self, notification: NotificationId, now: Time) {
-        let recovered = &mut self.recovered;
-        if !recovered.pending.remove(&notification) {
+        let recovery = &mut self.recovery;
+        if !recovery.pending.remove(&notification) {
             return;
         }
         let now_ns = now.since(Time::default()).as_nanos();
         match self.journal.get(notification.0).map(|entry| &entry.notification) {
-            Some(notification) if notification.history.end.is_none() => recovered.pushed += 1,
-            Some(notification) if notification.valid_until_ns > now_ns => recovered.given_up += 1,
-            _ => recovered.expired += 1,
+            Some(notification) if notification.history.end.is_none() => recovery.pushed += 1,
+            Some(notification) if notification.valid_until_ns > now_ns => recovery.given_up += 1,
+            _ => recovery.expired += 1,
         }
-        if recovered.pending.is_empty() {
+        if recovery.pending.is_empty() {
             info!(self.log, "recovered notifications pushed or ended";
-                "pushed" => recovered.pushed, "expired" => recovered.expired,
-                "given_up" => recovered.given_up);
+                "pushed" => recovery.pushed, "expired" => recovery.expired,
+                "given_up" => recovery.given_up);
         }
     }
 }
 
-/// The history that an earlier process leaves to the core. A push that was in flight when that ended may have run, and may still
-/// be running.
-fn past_of(history: &History, now: Time) -> NotificationHistory {
+/// Converts the history of a recovered notification for the core. A push that was in flight when the earlier process
+/// ended may have run, and may still be running.
+fn recovered_history(history: &History, now: Time) -> NotificationHistory {
     let first_may_have_run = history.first_may_have_run.as_ref().or(history.in_flight.as_ref());
     let may_run_since = match history.in_flight {
         Some(_) => Some(now),
--- a/crates/relay/src/server/reload.rs
+++ b/crates/relay/src/server/reload.rs
@@ -1,4 +1,4 @@
-//! Reads the configuration again.
+//! Reloading of the configuration.
 
 use juniperwing::interface::Event;
 use juniperwing::time::Time;
@@ -8,9 +8,9 @@
 use crate::config::Config;
 
 impl Server {
-    /// Reads the configuration again. Settings and the address of discovery take effect at once. Notifications keep the
-    /// guarantee and the time to live that they were accepted with, and calls, pauses and drains in progress go on. A file
-    /// that is incomplete or invalid changes nothing.
+    /// Reloads the configuration. Settings and the address of discovery take effect immediately. Notifications keep the
+    /// guarantee and the time to live with which they were accepted, and calls, pauses and drains in progress continue.
+    /// An incomplete or invalid file changes nothing.
     pub(super) fn reload(&mut self, now: Time) {
         let config = match Config::read(Some(self.config_path.clone())) {
             Ok(config) => config,
--- a/crates/relay/src/server/shutdown.rs
+++ b/crates/relay/src/server/shutdown.rs
@@ -6,19 +6,19 @@
 
 use super::Server;
 
-/// How long after the request each phase ends. The last one is over well before a machine that shuts down kills the
-/// processes still running.
+/// The end of each phase, relative to the shutdown request. The last phase ends well before a machine that is shutting
+/// down kills the remaining processes.
 const SERVING_ENDS_AFTER: Span = Span::from_millis(2_000);
 const ADMISSION_ENDS_AFTER: Span = Span::from_millis(2_800);
 const CLOSING_ENDS_AFTER: Span = Span::from_millis(3_100);
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ShutdownPhase {
-    /// Everything continues, but `/ready` responds with 503.
+    /// Service continues, but `/ready` responds with 503.
     Serving,
-    /// No new calls are made; those in flight may end, and notifications are accepted for the next process.
+    /// No new calls are started. Calls in flight may complete, and notifications are accepted for the next process.
     AdmittingOnly,
-    /// No new clients are accepted, and connections without a request are closed.
+    /// No new clients are accepted, and idle connections are closed.
     Closing,
 }
 
@@ -46,7 +46,7 @@
 }
 
 impl Server {
-    /// Starts the shutdown, unless it has started before.
+    /// Starts the shutdown unless one is already in progress.
     pub(super) fn begin_shutdown(&mut self, now: Time) {
         if self.shutdown.is_some() {
             return;
@@ -57,7 +57,7 @@
         self.shutdown = Some(Shutdown { requested_at: now, phase: ShutdownPhase::Serving });
     }
 
-    /// Advances to the next phase if that is due. Returns whether the shutdown is complete.
+    /// Advances to the next phase if it is due. Returns whether the shutdown is complete.
     pub(super) fn advance_shutdown(&mut self, now: Time) -> bool {
         let Some(shutdown) = &mut self.shutdown else { return false };
         let is_phase_over = shutdown.phase_ends_at() <= now;
@@ -74,7 +74,7 @@
                 false
             }
             ShutdownPhase::Closing => {
-                // Calls in flight may still end, so that the next process does not have to assume that they ran.
+                // Waits for calls in flight, so that the next process does not have to assume that they may have run.
                 let is_drained =
                     self.client_connections.close_idle(&mut self.net) && self.upstream.calls_in_flight() == 0;
                 if is_drained || is_phase_over {
--- a/crates/relay/src/server/submissions.rs
+++ b/crates/relay/src/server/submissions.rs
@@ -1,4 +1,4 @@
-//! Notifications that clients submit, and the responses to them.
+//! Handling of submissions from clients, and the responses to them.
 
 use std::sync::Arc;
 
@@ -15,7 +15,8 @@
 
 impl Server {
     pub(super) fn handle_submission(&mut self, token: Token, submission: Submission, now: Time) {
-        // An id that is submitted twice in an iteration has one response: it is in the journal, and may still be rejected.
+        // An id submitted twice in an iteration gets one response: it is in the journal already, but may still be
+        // rejected.
         if let Some(tokens) = self.unanswered_with_id(&submission.attributes.id) {
             return tokens.push(token);
         }
@@ -25,7 +26,7 @@
         }
     }
 
-    /// The connections that wait for the response to this id.
+    /// Returns the connections that wait for the response to this id.
     fn unanswered_with_id(&mut self, id: &str) -> Option<&mut Vec<Token>> {
         if !self.journal.contains_id(id) {
             return None;
@@ -47,7 +48,7 @@
     }
 
     fn accept(&mut self, token: Token, submission: Submission, topic: Arc<TopicType>, now: Time) {
-        // No notification lives longer than its topic type allows.
+        // The topic type limits the time to live.
         let max_time = if topic.ttl > Span::ZERO { topic.ttl } else { submission.time_left };
         let valid_until = now + submission.time_left.min(max_time);
         let guarantee = Guarantee::from(&*topic);
@@ -62,7 +63,7 @@
         self.core.enqueue(Event::Accepted(notification));
     }
 
-    /// A notification as it is reported to the core.
+    /// Converts a notification for the core.
     pub(super) fn notification(
         &self, number: u64, accepted: &AcceptedNotification, topic: Arc<TopicType>,
         history: NotificationHistory,
--- a/crates/relay/src/upstream.rs
+++ b/crates/relay/src/upstream.rs
@@ -1,6 +1,6 @@
-//! Calls to endpoints and their connections.
+//! Calls to endpoints and the connections to them.
 //!
-//! It neither chooses endpoints nor retries nor delays a push: the core decides that.
+//! Selecting endpoints and retrying or delaying pushes is up to the core.
 
 mod call;
 mod events;
@@ -20,41 +20,41 @@
 pub use call::{CallOutcome, PushRequest};
 use pool::ConnectionPool;
 
-/// For how long the connection of a call that ended without a response is read: a late response may still carry a
+/// How long a connection is still read after its call ended without a response: a late response may contain a
 /// retry-after.
 const LATE_RESPONSE_TIMEOUT: Span = Span::from_millis(1_000);
 
-/// A retry-after in a response that is incomplete or arrived after the end of its call.
+/// A retry-after from a response that is incomplete or arrived after the end of its call.
 pub struct RetryAfter {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// The delay that it requests.
+    /// The delay that the endpoint requests.
     pub delay: Span,
 }
 
 /// A notification in a call that is about to be sent, and the zone of the call's endpoint.
 pub struct SentNotification {
-    /// Its number.
+    /// The notification.
     pub notification: NotificationId,
     /// The name of the zone.
     pub zone: Arc<str>,
 }
 
-/// The calls that have not ended, and all connections to endpoints.
+/// The calls in progress and all connections to endpoints.
 pub struct Upstream {
     settings: Connections,
     calls: BTreeMap<Token, Call>,
-    /// Connections that are established and whose calls have not been written.
+    /// Established connections whose calls have not been written.
     writable_calls: Vec<Token>,
     pool: ConnectionPool,
-    /// Notifications that were in a batch which its endpoint could not parse; each goes in a call of its own.
+    /// Notifications from batches that an endpoint rejected as malformed; each is sent in its own call.
     unbatchable: BTreeSet<NotificationId>,
     outcomes: Vec<CallOutcome>,
     retry_afters: Vec<RetryAfter>,
 }
 
 impl Upstream {
-    /// Without calls, and with at most so many connections.
+    /// Creates an instance without calls that opens up to `max_connections` connections.
     pub fn new(settings: Connections, max_connections: usize) -> Upstream {
         Upstream {
             settings,
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Uses other settings from now on. Deadlines that were set stay, so that idle connections are closed if they would
-    /// stay open for too long.
+    /// Applies new settings. Deadlines already set stay unchanged, so idle connections are closed if the idle timeout
+    /// becomes shorter.
     pub fn apply_settings(&mut self, net: &mut Net, settings: Connections) {
         let idle_nanos = |settings: &Connections| match settings.idle_timeout {
             Span::ZERO => u64::MAX,
@@ -80,12 +80,12 @@
         self.settings = settings;
     }
 
-    /// All outcomes since the last call.
+    /// Takes all outcomes since the last call of this function.
     pub fn take_outcomes(&mut self) -> Vec<CallOutcome> {
         std::mem::take(&mut self.outcomes)
     }
 
-    /// The retry-afters outside of outcomes since the last call.
+    /// Takes the retry-afters that are not part of an outcome since the last call of this function.
     pub fn take_retry_afters(&mut self) -> Vec<RetryAfter> {
         std::mem::take(&mut self.retry_afters)
     }
@@ -95,12 +95,12 @@
         !self.outcomes.is_empty()
     }
 
-    /// How many calls have not ended.
+    /// Returns the number of calls in progress.
     pub fn calls_in_flight(&self) -> usize {
         self.calls.len()
     }
 
-    /// Pushes notifications to one endpoint: in one call if they fit, else in as few as possible.
+    /// Pushes notifications to one endpoint, in a single call if they fit, or else in several.
     pub fn push(
         &mut self, net: &mut Net, endpoint: &EndpointId, known: Option<&KnownEndpoint>,
         requests: &[PushRequest<'_>], now: Time,
@@ -117,7 +117,7 @@
         }
     }
 
-    /// How many of the first requests go in one call.
+    /// Returns how many of the first requests are sent in one call.
     fn batch_length(&self, requests: &[PushRequest<'_>], max_count: usize) -> usize {
         let is_batchable = |request: &PushRequest<'_>| !self.unbatchable.contains(&request.notification);
         let (mut count, mut body_bytes) = (1, requests[0].max_encoded_item_bytes());
@@ -145,7 +145,7 @@
         self.start_call(net, endpoint, known, pushes, unwritten, now);
     }
 
-    /// Sends an endpoint a health check.
+    /// Sends a health check to an endpoint.
     pub fn probe(&mut self, net: &mut Net, endpoint: &EndpointId, known: Option<&KnownEndpoint>, now: Time) {
         let unwritten = |host: &str| {
             UnwrittenRequest::Encoded(http::encode_message("GET /health HTTP/1.1", &[("Host", host)], b""))
@@ -179,7 +179,7 @@
         self.calls.insert(token, call);
     }
 
-    /// The idle connection that was used last, or a new one.
+    /// Returns the most recently used idle connection, or opens a new one.
     fn connect(&mut self, net: &mut Net, endpoint: &EndpointId, known: &KnownEndpoint) -> Option<Token> {
         if let Some(token) = self.pool.take_idle(net, endpoint) {
             return Some(token);
@@ -190,9 +190,9 @@
         net.open(known.address, ConnectionRole::Endpoint).ok()
     }
 
-    /// Writes the calls whose connections are established. Pushes that were cancelled, or would be too late, are left
-    /// out. Every call passes here after the events of an iteration are known and decided on. Returns what the calls contain: it
-    /// has to be in the journal before any byte is sent.
+    /// Writes the calls whose connections are established, without pushes that were cancelled or are too late. All
+    /// calls are written here, after the core has decided on the events of the iteration. Returns the notifications in
+    /// the calls, which must be recorded in the journal before any byte is sent.
     pub fn write_ready_calls(&mut self, net: &mut Net, now: Time) -> Vec<SentNotification> {
         let mut sent = Vec::new();
         for token in std::mem::take(&mut self.writable_calls) {
@@ -228,14 +228,14 @@
         self.pool.close_idle(net, endpoint);
     }
 
-    /// An endpoint drains, was removed or has moved.
+    /// Handles an endpoint that is draining, was removed or has changed its address or destination.
     pub fn handle_endpoint_withdrawn(&mut self, net: &mut Net, endpoint: &EndpointId, now: Time) {
         self.pool.close_idle(net, endpoint);
         self.cancel_unsent(net, endpoint, now);
     }
 
-    /// Cancels the calls to an endpoint that have not been handed to the system completely, since their connections are
-    /// not established or the endpoint does not read. They end as not sent.
+    /// Cancels the calls to an endpoint that are not completely written to their sockets, because the connection is not
+    /// established or the endpoint does not read. Their pushes end as not sent.
     pub fn cancel_unsent(&mut self, net: &mut Net, endpoint: &EndpointId, now: Time) {
         let calls = self.calls.iter().filter(|(_, call)| call.endpoint == *endpoint);
         let tokens: Vec<Token> = calls.map(|(token, _)| *token).collect();
@@ -246,23 +246,24 @@
         }
     }
 
-    /// Sends nothing more for a notification.
-    pub fn forget(&mut self, notification: NotificationId) {
+    /// Removes the state of a notification that is closed.
+    pub fn remove_notification(&mut self, notification: NotificationId) {
         self.unbatchable.remove(&notification);
     }
 
     /// Cancels a push.
-    pub fn cancel(&mut self, net: &mut Net, notification: NotificationId, push_number: u32, now: Time) {
-        let is_it = |push: &InFlightPush| {
-            push.is_pending && push.notification == notification && push.push_number == push_number
+    pub fn cancel(&mut self, net: &mut Net, notification: NotificationId, push_index: u32, now: Time) {
+        let is_target = |push: &InFlightPush| {
+            push.is_pending && push.notification == notification && push.push_index == push_index
         };
-        if let Some(token) = self.find_call(|call| call.pushes.iter().any(is_it)) {
-            self.end_pushes(net, token, CallStatus::Cancelled, now, is_it);
+        if let Some(token) = self.find_call(|call| call.pushes.iter().any(is_target)) {
+            self.end_pushes(net, token, CallStatus::Cancelled, now, is_target);
         }
     }
 
-    /// Closes the connection of any call that a notification is in, even if its outcome is known: it is about to be sent
-    /// again, and there must not be two copies. The other pushes of that call are cancelled with it.
+    /// Closes the connection of every call that contains a notification, even if its outcome is known: the notification
+    /// is about to be sent again, and two copies must not be in flight. The other pushes of such a call are cancelled
+    /// with it.
     fn cancel_earlier_calls(&mut self, net: &mut Net, notification: NotificationId, now: Time) {
         let has_notification = |call: &Call| call.pushes.iter().any(|push| push.notification == notification);
         while let Some(token) = self.find_call(has_notification) {
@@ -274,14 +275,14 @@
         self.calls.iter().find(|(_, call)| predicate(call)).map(|(token, _)| *token)
     }
 
-    /// Ends some of a call's pushes. The connection is closed with the last one, and with one that others of its key wait
-    /// for: as long as the call is open it may still run, and they would overtake it.
+    /// Ends some pushes of a call. The connection is closed with the last push, and with an ordered one: while the call
+    /// is open, that push may still run, and later notifications with its key could overtake it.
     fn end_pushes(
         &mut self, net: &mut Net, token: Token, status: CallStatus, now: Time,
         is_ending: impl Fn(&InFlightPush) -> bool,
     ) {
         let Some(call) = self.calls.get_mut(&token) else { return };
-        // What has not been written is left out when the rest is. What is half sent may still arrive.
+        // Unwritten pushes are omitted when the call is written. A partly sent push may still arrive.
         let is_unwritten = call.unwritten.is_some();
         let status = match status {
             _ if is_unwritten => CallStatus::NoConnection,
@@ -303,17 +304,17 @@
         }
     }
 
-    /// Whether the last byte of a call has not been handed to the system: then it was not run.
+    /// Whether a call is not completely written to its socket, so that it was not run.
     fn is_unsent(&self, net: &mut Net, token: Token) -> bool {
         let is_unwritten = self.calls.get(&token).is_some_and(|call| call.unwritten.is_some());
         is_unwritten || !net.is_connected(token) || net.unsent_bytes(token) > 0
     }
 
-    /// Ends a call without a response, with this status for all pushes that are pending, and closes its connection, at
-    /// once or after the time for a late response.
+    /// Ends a call without a response, with this status for all pending pushes. Closes its connection, either
+    /// immediately or after waiting for a late response.
     fn end_call(&mut self, net: &mut Net, token: Token, status: CallStatus, now: Time) {
-        let is_given_up = matches!(status, CallStatus::TimedOut | CallStatus::Cancelled);
-        let may_respond = is_given_up && !self.is_unsent(net, token) && !net.is_peer_closed(token);
+        let is_abandoned = matches!(status, CallStatus::TimedOut | CallStatus::Cancelled);
+        let may_respond = is_abandoned && !self.is_unsent(net, token) && !net.is_peer_closed(token);
         let call = self.calls.remove(&token);
         match call.as_ref().filter(|_| may_respond) {
             Some(call) => {
--- a/crates/relay/src/upstream/call.rs
+++ b/crates/relay/src/upstream/call.rs
@@ -11,42 +11,42 @@
 use crate::endpoint_response::PushResult;
 use crate::http;
 
-/// The JSON around the values of a batch item, in bytes.
-const MAX_ITEM_FRAME_BYTES: usize = 32;
+/// The maximum size of the JSON around the values of a batch item, in bytes.
+const MAX_ITEM_OVERHEAD_BYTES: usize = 32;
 
 /// A notification to be pushed.
 pub struct PushRequest<'a> {
-    /// Its number.
+    /// The notification.
     pub notification: NotificationId,
-    /// Its id, as the client gave it.
+    /// The id assigned by the client.
     pub id: &'a str,
-    /// By which the endpoint recognises a repeat.
+    /// The key by which the endpoint detects duplicates.
     pub idempotency_key: Option<&'a str>,
-    /// Its body.
+    /// The body of the notification.
     pub body: &'a [u8],
-    /// Which of its pushes this is, from 0.
-    pub push_number: u32,
-    /// Whether others with its key wait for it.
+    /// The index of this push among those of its notification, from 0.
+    pub push_index: u32,
+    /// Whether later notifications with the same key wait for this one.
     pub is_ordered: bool,
-    /// How long its outcome may take.
+    /// The time after which the push times out.
     pub timeout: Span,
-    /// After that it must not be sent any more.
+    /// The time after which the push must not be sent any more.
     pub send_within: Span,
 }
 
 impl PushRequest<'_> {
-    /// The maximum that it occupies in the body of a batch, in bytes.
+    /// Returns the maximum size of its item in the body of a batch, in bytes.
     pub(super) fn max_encoded_item_bytes(&self) -> usize {
         let escaped_text_bytes = 2 * (self.id.len() + self.idempotency_key.map_or(0, str::len));
-        self.body.len().div_ceil(3) * 4 + escaped_text_bytes + MAX_ITEM_FRAME_BYTES
+        self.body.len().div_ceil(3) * 4 + escaped_text_bytes + MAX_ITEM_OVERHEAD_BYTES
     }
 
     fn encode_item(&self) -> Vec<u8> {
         let item = BatchItem { id: self.id, key: self.idempotency_key, body: STANDARD.encode(self.body) };
-        serde_json::to_vec(&item).expect("an item is plain data")
+        serde_json::to_vec(&item).expect("an item can be serialised")
     }
 
-    /// The message of a call for this notification alone.
+    /// Encodes the message of a call with only this notification.
     pub(super) fn encode_message(&self, host: &str) -> Vec<u8> {
         let timeout_ms = format_millis(self.timeout);
         let mut headers =
@@ -65,17 +65,17 @@
     body: String,
 }
 
-/// A push in a call that has not ended.
+/// A push in a call in progress.
 pub(super) struct InFlightPush {
     pub(super) notification: NotificationId,
     pub(super) id: String,
-    pub(super) push_number: u32,
+    pub(super) push_index: u32,
     pub(super) is_ordered: bool,
     pub(super) deadline: Time,
     pub(super) send_by: Time,
-    /// Its item of a batch, until that is written.
+    /// The encoded batch item, until the batch is written.
     encoded_item: Vec<u8>,
-    /// Whether it has no outcome yet.
+    /// Whether the push has no outcome yet.
     pub(super) is_pending: bool,
 }
 
@@ -84,7 +84,7 @@
         InFlightPush {
             notification: request.notification,
             id: request.id.to_owned(),
-            push_number: request.push_number,
+            push_index: request.push_index,
             is_ordered: request.is_ordered,
             deadline: now + request.timeout,
             send_by: now + request.send_within,
@@ -93,22 +93,22 @@
         }
     }
 
-    /// Whether it would be too late if it were sent now.
+    /// Whether it is too late to send the push.
     pub(super) fn is_late_to_send(&self, now: Time) -> bool {
         self.is_pending && self.send_by <= now
     }
 
-    /// Whether its time is up.
+    /// Whether the push has timed out.
     pub(super) fn is_overdue(&self, now: Time) -> bool {
         self.is_pending && self.deadline <= now
     }
 }
 
-/// What is sent once the connection is established.
+/// A request to be written once the connection is established.
 pub(super) enum UnwrittenRequest {
     /// The message of a single push or of a probe.
     Encoded(Vec<u8>),
-    /// A batch to this host, of the pushes that are still pending then.
+    /// A batch to this host, with the pushes that are still pending when it is written.
     BatchTo(String),
 }
 
@@ -116,23 +116,23 @@
     pub(super) endpoint: EndpointId,
     pub(super) zone: Arc<str>,
     pub(super) started_at: Time,
-    /// When the connection has to be established.
+    /// The deadline for establishing the connection.
     pub(super) connect_by: Time,
-    /// When a response that has begun has to be complete.
+    /// The deadline for completing a response that has begun.
     pub(super) complete_by: Time,
-    /// Whether a single push read status 200 in the first line of its response before its time was up.
+    /// Whether the call is a single push whose response began with status 200 before its timeout.
     pub(super) has_success_status: bool,
     /// Whether the retry-after in the head of an incomplete response has been reported.
     pub(super) is_retry_after_reported: bool,
     pub(super) is_batch: bool,
-    /// `None` once it has been written.
+    /// The request; `None` once it is written.
     pub(super) unwritten: Option<UnwrittenRequest>,
-    /// Empty for a probe.
+    /// The pushes; empty for a probe.
     pub(super) pushes: Vec<InFlightPush>,
 }
 
 impl Call {
-    /// When the next of its pushes times out, or its connection or response has to be complete.
+    /// Returns the earliest deadline of its pushes, its connection and its response.
     pub(super) fn next_deadline(&self) -> Time {
         let is_unwritten = self.unwritten.is_some();
         let deadline = |push: &InFlightPush| {
@@ -151,7 +151,7 @@
         self.pushes.iter().any(|push| push.is_pending)
     }
 
-    /// The message of a batch of the pushes that are still pending; the others are dropped from the call.
+    /// Encodes a batch of the pushes that are still pending, and removes the others from the call.
     pub(super) fn encode_batch(&mut self, host: &str, now: Time) -> Vec<u8> {
         self.pushes.retain(|push| push.is_pending);
         let times_left = self.pushes.iter().map(|push| push.deadline.since(now));
@@ -163,13 +163,13 @@
         http::encode_message("POST /hook/batch HTTP/1.1", &headers, &body)
     }
 
-    /// The outcome of one of its pushes, or of the probe, that ended without a response.
+    /// Returns the outcome of a push, or of the probe if `push` is `None`, that ended without a response.
     pub(super) fn outcome_without_response(
         &self, push: Option<&InFlightPush>, status: CallStatus, now: Time,
     ) -> CallOutcome {
         CallOutcome {
             notification: push.map(|push| push.notification),
-            push_number: push.map_or(0, |push| push.push_number),
+            push_index: push.map_or(0, |push| push.push_index),
             endpoint: self.endpoint.clone(),
             result: PushResult::from_status(status),
             elapsed: now.since(self.started_at),
@@ -179,26 +179,26 @@
     }
 }
 
-/// How a push ended; without a notification, how a probe did.
+/// The outcome of a push or of a probe.
 #[derive(Debug)]
 pub struct CallOutcome {
     /// `None` for a probe.
     pub notification: Option<NotificationId>,
-    /// Which of its notification's pushes it is, from 0.
-    pub push_number: u32,
+    /// The index of the push among those of its notification, from 0.
+    pub push_index: u32,
     /// The endpoint of the call.
     pub endpoint: EndpointId,
-    /// How it ended.
+    /// The result.
     pub result: PushResult,
-    /// How long ago the call started.
+    /// The time since the call started.
     pub elapsed: Span,
-    /// The delay before the next call that the endpoint requested in its response.
+    /// The delay before the next call, if the endpoint requested one in its response.
     pub retry_after: Option<Span>,
-    /// What the endpoint reported of its rate limit.
+    /// The rate limit reported by the endpoint.
     pub limit: Option<RateLimitReport>,
 }
 
-/// A span in milliseconds for a header, rounded down, at least one.
+/// Formats a span in milliseconds for a header: rounded down, at least 1.
 fn format_millis(span: Span) -> String {
     (span.as_nanos() / 1_000_000).max(1).to_string()
 }
--- a/crates/relay/src/upstream/events.rs
+++ b/crates/relay/src/upstream/events.rs
@@ -1,4 +1,4 @@
-//! What happens on connections to endpoints: responses, their absence, and closed connections.
+//! Events on connections to endpoints: responses, timeouts and closed connections.
 
 use juniperwing::interface::CallStatus;
 use juniperwing::time::{Span, Time};
@@ -10,18 +10,18 @@
 use crate::event_loop::{ConnectionEvent, Net, Token};
 use crate::http::{self, ParseError, Response};
 
-/// Idle connections are closed after this fraction of the endpoint's idle timeout, so that no push is sent while the
-/// endpoint closes the connection.
+/// Idle connections are closed after this fraction of the endpoint's idle timeout, so that no push is sent on a
+/// connection that the endpoint is closing.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.9;
-/// The time within which a response has to be complete, from its first byte.
+/// The maximum time from the first byte of a response until it is complete.
 const RESPONSE_COMPLETION_TIMEOUT: Span = Span::from_millis(500);
 
-/// A complete response, and what it means for its connection.
+/// A complete response and the state of its connection.
 struct ReceivedResponse {
     response: Response,
-    /// Whether the call had not been sent completely when the response arrived.
+    /// Whether the call was not completely sent when the response arrived.
     is_call_unsent: bool,
-    /// The connection can be used for another call.
+    /// Whether the connection can be used for another call.
     is_connection_reusable: bool,
 }
 
@@ -33,8 +33,8 @@
         let Some(call) = self.calls.get(&token) else {
             return self.handle_event_without_call(net, token, event);
         };
-        // A response that is read in the iteration in which a push's time is up may have come after that, when it is about
-        // a call that has ended.
+        // A response read in the same iteration as the timeout of a push may have arrived after the timeout, which
+        // ended the call.
         if event != ConnectionEvent::DeadlineReached && call.pushes.iter().any(|push| push.is_overdue(now)) {
             self.handle_deadline(net, token, now);
             if !self.calls.contains_key(&token) {
@@ -63,7 +63,8 @@
                 _ => {}
             }
         }
-        // Otherwise it is idle: its deadline has come, its endpoint closed it, or it sends unsolicited bytes.
+        // No response is awaited any more, or the connection is idle and reached its deadline, was closed by the
+        // endpoint or received unsolicited bytes.
         self.pool.close(net, token);
     }
 
@@ -74,8 +75,8 @@
         let Some(call) = self.calls.get_mut(&token) else { return };
         let Some(input) = net.input(token) else { return };
         let parsed = http::parse_response(input, is_closed);
-        // The rest of a response may be late or invalid, or never come: its retry-after holds as soon as its head is
-        // there.
+        // The retry-after is reported once the head is complete, since the rest of the response may be late, invalid or
+        // missing.
         if !matches!(parsed, Ok(Some(_))) {
             self.retry_afters.extend(early_retry_after(call, input));
         }
@@ -87,7 +88,7 @@
                 let received = ReceivedResponse { response, is_call_unsent, is_connection_reusable };
                 self.handle_response(net, token, &received, settings, now);
             }
-            // It is a response to something else, and the call must not be written behind it.
+            // The bytes do not answer this call, and it must not be written after them.
             Ok(None) if !is_closed && call.unwritten.is_some() => {
                 self.end_call(net, token, CallStatus::NoConnection, now);
             }
@@ -121,7 +122,7 @@
             return self.end_call(net, token, status, now);
         }
         if !is_unsent {
-            // Only the timeouts of the pushes count from now on.
+            // From now on, only the timeouts of the pushes apply.
             call.connect_by = Time::NEVER;
         }
         let has_ended = |push: &InFlightPush| push.is_overdue(now) || is_unsent && push.is_late_to_send(now);
@@ -146,7 +147,7 @@
             self.outcomes.push(outcome(None, result));
         }
         let results = results_of_call(&call, received);
-        // Such a notification would make every batch that contains it fail.
+        // A malformed notification would make every batch that contains it fail.
         if !received.is_call_unsent && call.is_batch && endpoint_response::is_rejected_as_malformed(response)
         {
             self.unbatchable.extend(call.pushes.iter().map(|push| push.notification));
@@ -164,7 +165,7 @@
     }
 }
 
-/// The retry-after in the head of a response that is not complete, once for each call.
+/// Returns the retry-after in the head of an incomplete response, once per call.
 fn early_retry_after(call: &mut Call, input: &[u8]) -> Option<RetryAfter> {
     if call.is_retry_after_reported {
         return None;
@@ -175,7 +176,7 @@
     Some(RetryAfter { endpoint: call.endpoint.clone(), delay })
 }
 
-/// Whether a single push was delivered, which it is with the first line of its response.
+/// Whether a single push was delivered, which the status line of its response already tells.
 fn is_success_of_single_push(call: &Call, input: &[u8]) -> bool {
     !call.is_batch && http::final_status(input) == Some(200)
 }
@@ -197,7 +198,7 @@
 fn results_of_call(call: &Call, received: &ReceivedResponse) -> Vec<PushResult> {
     let ids: Vec<&str> = call.pushes.iter().map(|push| push.id.as_str()).collect();
     let mut results = endpoint_response::push_results(&received.response, &ids, call.is_batch);
-    // A response that arrives before its call has been sent does not answer it, unless it rejects the connection: none of
+    // A response that arrives before its call is sent does not answer it, unless it rejects the connection. Nothing in
     // the call was run.
     if received.is_call_unsent {
         let is_rejection = |result: &PushResult| {
--- a/crates/relay/src/upstream/pool.rs
+++ b/crates/relay/src/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints that have no call: idle ones, and those on which a late response may still come.
+//! Connections to endpoints without a call: idle ones, and those that may still receive a late response.
 
 use std::collections::BTreeMap;
 
@@ -8,10 +8,10 @@
 
 pub(super) struct ConnectionPool {
     max_connections: usize,
-    /// The idle connections of each endpoint, the one used last at the end.
+    /// The idle connections of each endpoint; the most recently used one is last.
     idle_by_endpoint: BTreeMap<EndpointId, Vec<Token>>,
     idle: BTreeMap<Token, EndpointId>,
-    /// Connections of calls that have ended.
+    /// Connections whose calls ended without a response.
     awaiting_late_response: BTreeMap<Token, EndpointId>,
 }
 
@@ -25,11 +25,11 @@
         }
     }
 
-    /// The usable idle connection that was used last; it is not idle any more.
+    /// Takes the most recently used idle connection that is still usable.
     pub(super) fn take_idle(&mut self, net: &mut Net, endpoint: &EndpointId) -> Option<Token> {
         while let Some(token) = self.idle_by_endpoint.get_mut(endpoint).and_then(Vec::pop) {
             self.idle.remove(&token);
-            // Bytes beyond the last response would be taken for the response to the next call.
+            // Bytes after the last response would be mistaken for the response to the next call.
             if !net.is_peer_closed(token) && !net.has_unread(token) {
                 return Some(token);
             }
@@ -39,8 +39,8 @@
         None
     }
 
-    /// Closes a connection without a call if, with those of `call_count` calls, no more may be open. Returns whether
-    /// another may be opened.
+    /// Closes a connection without a call if the limit is reached, counting those of the `call_count` calls in
+    /// progress. Returns whether another connection may be opened.
     pub(super) fn make_capacity(&mut self, net: &mut Net, call_count: usize) -> bool {
         let open_count = call_count + self.idle.len() + self.awaiting_late_response.len();
         if open_count < self.max_connections {
@@ -61,7 +61,7 @@
         self.awaiting_late_response.insert(token, endpoint);
     }
 
-    /// The endpoint of a connection on which a late response may come.
+    /// Returns the endpoint of a connection that may still receive a late response.
     pub(super) fn late_response_endpoint(&self, token: Token) -> Option<&EndpointId> {
         self.awaiting_late_response.get(&token)
     }
--- a/crates/relay/tests/journal.rs
+++ b/crates/relay/tests/journal.rs
@@ -1,4 +1,5 @@
-//! The relay's journal, byte for byte: every kind of record as it is written, and as it is read from the committed file.
+//! The relay's journal, byte for byte: every kind of record as it is written, and as it is read from the committed
+//! file.
 //!
 //! A relay must continue the journal of the release before it, whatever becomes of names in the source. Only a
 //! deliberate change of the format may renew the committed files. To have them written by the present code, run
--- a/crates/relay/tests/serve/harness.rs
+++ b/crates/relay/tests/serve/harness.rs
@@ -1,5 +1,5 @@
-//! Starts a relay and plays all its peers: clients, endpoints and the platform. Written from the protocol; every wait is
-//! for an event, with a limit only so that a failure ends.
+//! Starts a relay and plays all its peers: clients, endpoints and the platform. Written from the protocol; every wait
+//! is for an event, with a limit only so that a failure ends.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/relay/tests/serve/races/discovery.rs
+++ b/crates/relay/tests/serve/races/discovery.rs
@@ -161,7 +161,8 @@
     }
 }
 
-/// A list that says it is complete and has no hosts at all, not even an empty list, is malformed: the present one stays.
+/// A list that says it is complete and has no hosts at all, not even an empty list, is malformed: the present one
+/// stays.
 #[test]
 fn a_complete_list_without_hosts_removes_no_endpoint() {
     let harness = RelayHarness::start();
@@ -206,8 +207,8 @@
     }
 }
 
-/// An endpoint changes its destination, with a call in flight and one whose connection is not established: the first ends
-/// as usual, the second is not sent, and nothing more goes there for the former destination.
+/// An endpoint changes its destination, with a call in flight and one whose connection is not established: the first
+/// ends as usual, the second is not sent, and nothing more goes there for the former destination.
 #[test]
 fn an_endpoint_that_changes_its_destination_gets_no_pushes_for_the_former_one() {
     let (full, dial, _first) = unaccepting_listener();
--- a/crates/relay/tests/serve/races/restarts.rs
+++ b/crates/relay/tests/serve/races/restarts.rs
@@ -93,8 +93,8 @@
     Instant::now()
 }
 
-/// Requests that are in the system's buffers, on connections old and new, when admission ends; there is one client fewer
-/// than the limit.
+/// Requests that are in the system's buffers, on connections old and new, when admission ends; there is one client
+/// fewer than the limit.
 #[test]
 fn requests_unread_at_the_end_of_a_shutdown_are_answered() {
     let mut harness = RelayHarness::start_with(|config| config["limits"]["sockets"] = json!(64));
