--- a/crates/relay/tests/endpoint_response.rs
+++ b/crates/relay/tests/endpoint_response.rs
@@ -1,4 +1,4 @@
-//! How the responses of endpoints are interpreted.
+//! Interpretation of endpoint responses.
 
 use expect_test::expect;
 use juniperwing::time::Span;
@@ -30,30 +30,33 @@
     ] {
         let response = parse(&format!("HTTP/1.1 {head}Content-Length: 0\n\n"));
         let result = push_results(&response, &["1"], is_batch)[0];
-        let wait = retry_after(&response.headers).map(|wait| wait.as_nanos() / 1_000_000);
-        trace += &format!("{is_batch:<5} {:?} over {} wait {wait:?}\n", result.status, result.is_final);
+        let retry_after = retry_after(&response.headers).map(|delay| delay.as_nanos() / 1_000_000);
+        trace += &format!(
+            "{is_batch:<5} {:?} final {} retry_after_ms {retry_after:?}\n",
+            result.status, result.is_final
+        );
     }
     expect![[r#"
-        false Delivered over true wait None
-        false Error over false wait None
-        false Busy over false wait Some(750)
-        false Busy over false wait None
-        false Busy over false wait None
-        false ConnectionLimitReached over false wait None
-        false Skipped over false wait None
-        false Skipped over false wait None
-        false Skipped over true wait None
-        false Error over false wait None
-        true  Skipped over false wait None
-        true  Error over false wait None
-        true  Error over false wait None
+        false Delivered final true retry_after_ms None
+        false Error final false retry_after_ms None
+        false Busy final false retry_after_ms Some(750)
+        false Busy final false retry_after_ms None
+        false Busy final false retry_after_ms None
+        false ConnectionLimitReached final false retry_after_ms None
+        false Skipped final false retry_after_ms None
+        false Skipped final false retry_after_ms None
+        false Skipped final true retry_after_ms None
+        false Error final false retry_after_ms None
+        true  Skipped final false retry_after_ms None
+        true  Error final false retry_after_ms None
+        true  Error final false retry_after_ms None
     "#]]
     .assert_eq(&trace);
 }
 
 #[test]
-fn each_push_of_a_batch_has_its_own_result_and_retry_after_holds_for_all() {
-    let states = ["delivered", "failed", "refused", "over", "spent", "odd"];
+fn each_push_of_a_batch_has_its_own_result_and_retry_after_applies_to_all() {
+    let states = ["delivered", "failed", "refused", "over", "spent", "unknown"];
     let items: Vec<String> =
         states.iter().map(|state| format!("{{\"id\":\"{state}\",\"state\":\"{state}\"}}")).collect();
     let body = format!("[{}]", items.join(","));
@@ -63,17 +66,17 @@
     ids.push("missing");
     let mut trace = String::new();
     for (id, result) in ids.iter().zip(push_results(&response, &ids, true)) {
-        trace += &format!("{id:<9} {:?} over {}\n", result.status, result.is_final);
+        trace += &format!("{id:<9} {:?} final {}\n", result.status, result.is_final);
     }
-    trace += &format!("wait {:?}", retry_after(&response.headers).map(Span::as_secs_f64));
+    trace += &format!("retry_after {:?}", retry_after(&response.headers).map(Span::as_secs_f64));
     expect![[r#"
-        delivered Delivered over true
-        failed    Error over false
-        refused   Busy over false
-        over      Skipped over true
-        spent     Skipped over false
-        odd       Error over false
-        missing   Error over false
-        wait Some(1.5)"#]]
+        delivered Delivered final true
+        failed    Error final false
+        refused   Busy final false
+        over      Skipped final true
+        spent     Skipped final false
+        unknown   Error final false
+        missing   Error final false
+        retry_after Some(1.5)"#]]
     .assert_eq(&trace);
 }
--- a/crates/relay/tests/golden/mod.rs
+++ b/crates/relay/tests/golden/mod.rs
@@ -1,11 +1,11 @@
-//! Golden files: text as it is now, committed beside the tests that compare with it, in `tests/golden` of each crate.
+//! Golden files: expected texts, committed in `tests/golden` of each crate.
 //!
-//! `UPDATE_GOLDEN=1 cargo test ...` writes them anew; without it a file that is missing or differs fails its test. What
-//! they hold is seen from outside by name, so a difference is a break for someone unless it is only a new line.
+//! `UPDATE_GOLDEN=1 cargo test ...` regenerates them; otherwise a missing or different file fails its test. They
+//! contain names that users depend on, so any difference other than an added line breaks compatibility.
 
 use std::path::Path;
 
-/// Asserts that a text is the one in the golden file of this name.
+/// Asserts that a text equals the golden file of this name.
 #[track_caller]
 pub fn assert_golden(name: &str, text: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
@@ -17,8 +17,8 @@
     let golden = std::fs::read_to_string(&path);
     let golden =
         golden.unwrap_or_else(|error| panic!("{}: {error}; UPDATE_GOLDEN=1 writes it", path.display()));
-    let line = golden.lines().zip(text.lines()).position(|(golden, now)| golden != now);
+    let line = golden.lines().zip(text.lines()).position(|(golden, actual)| golden != actual);
     let line = line.unwrap_or_else(|| golden.lines().count().min(text.lines().count())) + 1;
     let position = format!("{}:{line}", path.display());
-    assert!(golden == text, "{position} is the first difference\n--- golden\n{golden}\n--- now\n{text}");
+    assert!(golden == text, "{position} is the first difference\n--- golden\n{golden}\n--- actual\n{text}");
 }
--- a/crates/relay/tests/http.rs
+++ b/crates/relay/tests/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 messages: when one is complete, and what becomes of mutated ones.
+//! Parsing of HTTP/1.1 messages: complete, incomplete and mutated ones.
 
 use std::collections::BTreeSet;
 
@@ -17,9 +17,9 @@
     b"HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n",
 ];
 
-/// A message is complete at its last byte and not before, and the bytes that follow are left alone.
+/// A message is complete at its last byte and not before, and the bytes after it are not consumed.
 #[test]
-fn a_message_is_parsed_once_its_last_byte_is_there() {
+fn a_message_is_complete_with_its_last_byte() {
     for bytes in REQUESTS {
         let with_next = [bytes, b"GET"].concat();
         assert!((0..bytes.len()).all(|end| matches!(parse_request(&bytes[..end]), Ok(None))));
@@ -42,13 +42,13 @@
     assert_eq!((&*response.body, response.is_keep_alive), (&b"to the end"[..], false));
     assert_eq!(final_status(b"HTTP/1.1 200 OK\r\nContent-Le"), Some(200));
     assert_eq!(final_status(b"HTTP/1.1 200 OK"), None);
-    // An interim response may be followed by a long wait: the final one has not begun with it.
+    // A long delay may follow an interim response, so the final response does not begin with it.
     let interim = b"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\n";
     assert!(!has_final_response_begun(&interim[..27]) && has_final_response_begun(&interim[..28]));
     assert_eq!(final_status(interim), Some(200));
 }
 
-/// Whatever is received, parsing gives a message, asks for more bytes, or gives a status that says what is wrong.
+/// For any input, parsing returns a message, requests more bytes, or returns the status of the error.
 #[test]
 fn any_input_is_parsed_or_rejected_with_a_status() {
     let (mut rng_state, mut statuses) = (7u64, BTreeSet::new());
--- a/crates/relay/tests/journal.rs
+++ b/crates/relay/tests/journal.rs
@@ -1,15 +1,15 @@
-//! The relay's journal, byte for byte: every kind of record as it is written, and as it is read from the committed
-//! file.
+//! The on-disk format of the journal: every kind of record is written and read back, and compared byte for byte with
+//! the committed files.
 //!
-//! A relay must continue the journal of the release before it, whatever becomes of names in the source. Only a
-//! deliberate change of the format may renew the committed files. To have them written by the present code, run
+//! A relay must be able to read the journal of the previous release, so renaming identifiers must not change the
+//! format. The committed files may only be regenerated for a deliberate change of the format. To do so, run
 //!
 //! ```text
 //! UPDATE_GOLDEN=1 cargo test -p juniperwing-relay --test journal
 //! ```
 //!
-//! and commit what is under `crates/relay/tests/golden`. `golden/state` is also what `serve::golden_state` starts a
-//! relay on.
+//! and commit the files under `crates/relay/tests/golden`. `serve::golden_state` starts a relay with `golden/state` and
+//! `golden/compacted`.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -20,10 +20,10 @@
     SentPush, UndeliveredEnd,
 };
 
-/// A directory of this size is never compacted here.
-const AMPLE_BYTES: u64 = 1_000_000;
-/// In a directory of this size only the live notifications fit: the journal is compacted at the first flush.
-const SCARCE_BYTES: u64 = 2_500;
+/// A size limit at which these tests cause no compaction.
+const LARGE_LIMIT_BYTES: u64 = 1_000_000;
+/// A size limit that only fits the live notifications: the journal is compacted at the first flush.
+const SMALL_LIMIT_BYTES: u64 = 2_500;
 const MINUTE_NS: u64 = 60_000_000_000;
 /// In December 2026.
 const SENT_AT_NS: u64 = 1_796_000_000_000_000_000;
@@ -36,10 +36,10 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name).join("log")
 }
 
-/// An empty directory of this test's own.
+/// Creates an empty directory for one test.
 fn create_directory(name: &str) -> PathBuf {
     let directory = std::env::temp_dir().join(format!("juniperwing-journal-{}-{name}", std::process::id()));
-    // Left by an earlier run that failed, if it is there.
+    // May have been left by an earlier failed run.
     let _ = fs::remove_dir_all(&directory);
     fs::create_dir_all(&directory).expect("a directory for temporary files");
     directory
@@ -93,7 +93,7 @@
     journal.accept(attributes, until, guarantee, body)
 }
 
-/// Accepts a notification for every state that one may be in, and brings it there.
+/// Accepts a notification for each possible state and moves it to that state.
 fn write_every_record(journal: &mut Journal) {
     let sent_at = Time::from_nanos(SENT_AT_NS);
     let ended_at = Time::from_nanos(SENT_AT_NS + MINUTE_NS);
@@ -118,7 +118,7 @@
     journal.close(number);
 }
 
-/// The notifications that are live after [`write_every_record`], with number and body.
+/// Returns the notifications that are live after [`write_every_record`], with their numbers and bodies.
 fn expected_live() -> Vec<(u64, AcceptedNotification, Vec<u8>)> {
     let push = || Some(SentPush { sent_at_ns: SENT_AT_NS, zone: "z".to_owned() });
     let with = |mut notification: AcceptedNotification, history: History| {
@@ -154,37 +154,41 @@
     journal.live().map(|(number, entry)| (number, entry.notification.clone(), entry.body.clone())).collect()
 }
 
-/// Writes a journal in a directory of that size, and compares it with the committed one, as written and as read.
+/// Writes a journal with this size limit, compares it with the committed file, and checks the state read from that
+/// file.
 fn check_golden_journal(name: &str, max_bytes: u64) {
     let directory = create_directory(name);
     let OpenedJournal { mut journal, .. } = Journal::open(&directory, max_bytes).expect("a new journal");
     write_every_record(&mut journal);
-    journal.flush().expect("space");
+    journal.flush().expect("disk space");
     let written = fs::read(directory.join("log")).expect("a journal");
     if std::env::var_os("UPDATE_GOLDEN").is_some() {
         fs::create_dir_all(golden(name).parent().expect("a directory")).expect("a directory");
-        fs::write(golden(name), &written).expect("space");
+        fs::write(golden(name), &written).expect("disk space");
     }
     let committed = fs::read(golden(name)).expect("the committed journal");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     assert_eq!(text(&written), text(&committed));
     assert!(written == committed, "lengths or checksums differ");
 
-    fs::write(directory.join("log"), &committed).expect("space");
+    fs::write(directory.join("log"), &committed).expect("disk space");
     let OpenedJournal { journal, torn_bytes } =
-        Journal::open(&directory, AMPLE_BYTES).expect("the committed journal");
+        Journal::open(&directory, LARGE_LIMIT_BYTES).expect("the committed journal");
     assert_eq!((live(&journal), torn_bytes), (expected_live(), 0));
-    fs::remove_dir_all(directory).expect("a directory of ours");
+    fs::remove_dir_all(directory).expect("the directory can be removed");
 }
 
 #[test]
 fn every_kind_of_record_is_written_and_read_as_committed() {
-    check_golden_journal("state", AMPLE_BYTES);
+    check_golden_journal("state", LARGE_LIMIT_BYTES);
 }
 
 #[test]
 fn a_compacted_journal_is_written_and_read_as_committed() {
-    check_golden_journal("compacted", SCARCE_BYTES);
+    check_golden_journal("compacted", SMALL_LIMIT_BYTES);
     let committed = fs::read(golden("compacted")).expect("the committed journal");
-    assert!(!String::from_utf8_lossy(&committed).contains("Pushed"), "each is one record with its history");
+    assert!(
+        !String::from_utf8_lossy(&committed).contains("Pushed"),
+        "each notification must be one record with its history"
+    );
 }
--- a/crates/relay/tests/journal_recovery.rs
+++ b/crates/relay/tests/journal_recovery.rs
@@ -1,4 +1,4 @@
-//! The journal after a crash and over many compactions.
+//! The journal after a crash and after many compactions.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -8,13 +8,13 @@
     AcceptedNotification, Attributes, Guarantee, Journal, OpenedJournal, RecordedSemantics, UndeliveredEnd,
 };
 
-/// Files occupy whole blocks of this size, in bytes.
+/// The block size of the file system, in bytes; files occupy multiples of it.
 const FILE_BLOCK_BYTES: u64 = 512;
 
-/// An empty directory of this test's own.
+/// Creates an empty directory for one test.
 fn create_directory(name: &str) -> PathBuf {
     let directory = std::env::temp_dir().join(format!("juniperwing-store-{}-{name}", std::process::id()));
-    // Left by an earlier run that failed, if it is there.
+    // May have been left by an earlier failed run.
     let _ = fs::remove_dir_all(&directory);
     fs::create_dir_all(&directory).expect("a directory for temporary files");
     directory
@@ -47,9 +47,9 @@
     journal.live().map(|(number, entry)| (number, entry.notification.clone(), entry.body.clone())).collect()
 }
 
-/// All that was written before the cut is there, at whichever byte it is, and the journal can be continued.
+/// After truncation at any byte, all complete records are recovered and the journal can be appended to.
 #[test]
-fn a_journal_cut_at_any_byte_keeps_the_records_before() {
+fn a_journal_truncated_at_any_byte_keeps_the_records_before() {
     let directory = create_directory("cut");
     let (mut journal, _) = open(&directory, 1_000_000);
     let (mut states, mut ends) = (vec![live(&journal)], vec![0]);
@@ -62,15 +62,15 @@
         &|journal| journal.close(first),
     ];
     for step in steps {
-        journal.flush().expect("space");
+        journal.flush().expect("disk space");
         states.push(live(&journal));
         ends.push(file_bytes(&directory) as usize);
         step(&mut journal);
     }
-    journal.flush().expect("space");
+    journal.flush().expect("disk space");
     let bytes = fs::read(directory.join("log")).expect("a journal");
     for cut in 0..bytes.len() {
-        fs::write(directory.join("log"), &bytes[..cut]).expect("space");
+        fs::write(directory.join("log"), &bytes[..cut]).expect("disk space");
         let (mut journal, torn_bytes) = open(&directory, 1_000_000);
         let last = ends.iter().rposition(|end| *end <= cut).expect("the empty journal at least");
         assert_eq!(
@@ -79,14 +79,14 @@
             "cut at {cut}"
         );
         let number = accept(&mut journal, "3", b"three");
-        journal.flush().expect("space");
+        journal.flush().expect("disk space");
         let (journal, torn_bytes) = open(&directory, 1_000_000);
         assert_eq!((journal.get(number).map(|entry| &*entry.body), torn_bytes), (Some(&b"three"[..]), 0));
     }
-    fs::remove_dir_all(directory).expect("a directory of ours");
+    fs::remove_dir_all(directory).expect("the directory can be removed");
 }
 
-/// A compaction keeps the live notifications with their history, and both files together stay within the limit.
+/// A compaction keeps the live notifications with their histories, and both files together stay within the size limit.
 #[test]
 fn a_compacted_journal_keeps_all_live_notifications_within_its_size_limit() {
     let directory = create_directory("compact");
@@ -103,9 +103,9 @@
             let oldest = journal.live().next().map(|(number, _)| number).expect("a live notification");
             journal.close(oldest);
         }
-        // Now and then many records in one flush, as in a burst.
+        // Some rounds do not flush, so that one flush writes many records as in a burst.
         if round % 300 > 40 {
-            journal.flush().expect("space");
+            journal.flush().expect("disk space");
         }
         let bytes = file_bytes(&directory);
         if bytes < bytes_before {
@@ -114,10 +114,10 @@
         }
         assert!(bytes + 2 * FILE_BLOCK_BYTES <= max_bytes);
     }
-    journal.flush().expect("space");
+    journal.flush().expect("disk space");
     assert!(compactions > 3, "{compactions}");
     let (reopened, torn_bytes) = open(&directory, max_bytes);
     assert_eq!((live(&reopened), torn_bytes), (live(&journal), 0));
     assert!(reopened.live().all(|(_, entry)| entry.notification.history.push_count == 1));
-    fs::remove_dir_all(directory).expect("a directory of ours");
+    fs::remove_dir_all(directory).expect("the directory can be removed");
 }
--- a/crates/relay/tests/names/command_line.rs
+++ b/crates/relay/tests/names/command_line.rs
@@ -3,7 +3,7 @@
 use crate::golden::assert_golden;
 use crate::program::TestDirectory;
 
-/// All that this writes for each of these command lines, one after the other.
+/// Returns the transcripts of these command lines.
 fn transcripts(command_lines: &[&str]) -> String {
     let directory = TestDirectory::new();
     let arguments = command_lines.iter().map(|line| line.split_whitespace().collect::<Vec<_>>());
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn misuse_is_reported_with_its_exit_code() {
+fn usage_errors_are_reported_with_their_exit_code() {
     let lines = [
         "unknown-command",
         "--unknown-option",
--- a/crates/relay/tests/names/configuration_keys.rs
+++ b/crates/relay/tests/names/configuration_keys.rs
@@ -1,13 +1,13 @@
-//! Keys of the relay's configuration for notifications and of an operator's configuration: a full one is checked, and
-//! the same with a value of a wrong type for one key after the other. A key that no longer is one is passed over, which
-//! shows.
+//! Keys of the notification relay's configuration and of an operator's configuration. A full configuration is checked,
+//! then each key in turn is given a value of the wrong type. A key that is no longer recognised is ignored, and the
+//! golden file shows that.
 
 use serde_json::{Value, json};
 
 use crate::golden::assert_golden;
 use crate::program::TestDirectory;
 
-/// Every key of a relay's configuration, with values that are no defaults.
+/// Every key of a relay's configuration, with values other than the defaults.
 const RELAY: &str = include_str!("full-relay.json");
 /// Every key of an operator's configuration.
 const OPERATOR: &str = include_str!("full-configuration.json");
@@ -16,7 +16,7 @@
     serde_json::from_str(text).expect("JSON")
 }
 
-/// Collects JSON pointers to all values in a value, each after those that contain it.
+/// Collects JSON pointers to all nested values, parents before children.
 fn collect_paths(value: &Value, path: &str, found: &mut Vec<String>) {
     let mut visit = |key: &str, value: &Value| {
         let path = format!("{path}/{key}");
@@ -32,12 +32,12 @@
     }
 }
 
-/// A value that is of another type.
+/// Returns a value of another type.
 fn value_of_another_type(value: &Value) -> Value {
     if value.is_boolean() { json!("wrong") } else { json!(false) }
 }
 
-/// What a check prints for the full file with a wrong type at each path in turn, a paragraph for each path.
+/// Returns the output of a check for the full file with a wrong type at each path in turn, one paragraph per path.
 fn wrong_types(full: &str, check: impl Fn(&str) -> String) -> String {
     let full = parse(full);
     let mut found = Vec::new();
@@ -45,7 +45,7 @@
     let mut text = String::new();
     for path in found {
         let mut changed = full.clone();
-        let value = changed.pointer_mut(&path).expect("a place that was found");
+        let value = changed.pointer_mut(&path).expect("a collected path");
         *value = value_of_another_type(value);
         let transcript = check(&changed.to_string());
         let (_, transcript) = transcript.split_once('\n').expect("a command line");
@@ -55,7 +55,7 @@
     text
 }
 
-/// The text without the names of Rust types, which the parser prints where it expected an object.
+/// Removes the names of Rust types, which the parser prints where it expected an object.
 fn without_type_names(transcript: &str) -> String {
     let mut parts = transcript.split("expected struct ");
     let mut text = parts.next().unwrap_or_default().to_owned();
@@ -66,13 +66,13 @@
     text
 }
 
-/// What `check-config` says of a relay's configuration.
+/// Returns the output of `check-config` for a relay's configuration.
 fn check_config(directory: &TestDirectory, text: &str) -> String {
     directory.write("config.json", text);
     directory.transcript(&["check-config", "--config", "config.json"])
 }
 
-/// What `check-configuration` says of an operator's configuration.
+/// Returns the output of `check-configuration` for an operator's configuration.
 fn check_configuration(directory: &TestDirectory, text: &str) -> String {
     directory.write("configuration.json", text);
     directory.transcript(&["check-configuration", "configuration.json"])
@@ -113,7 +113,7 @@
         ("/settings/kinds", json!(["a", "a"])),
     ] {
         let mut changed = parse(RELAY);
-        *changed.pointer_mut(path).expect("a known place") = value.clone();
+        *changed.pointer_mut(path).expect("a known path") = value.clone();
         let transcript = check_config(&directory, &changed.to_string());
         text.push_str(&format!("{path} = {value}\n{transcript}"));
     }
@@ -122,7 +122,7 @@
     assert_golden("relay-config-invalid.txt", &text);
 }
 
-/// The variables give what the file does not, and the file goes before them.
+/// Environment variables supply values missing from the file, which takes precedence over them.
 #[test]
 fn environment_variables_of_a_relay() {
     let directory = TestDirectory::new();
@@ -157,13 +157,13 @@
 #[test]
 fn all_findings_of_an_invalid_operator_configuration() {
     let directory = TestDirectory::new();
-    let of_wrong_types = json!({
+    let wrong_types = json!({
         "generation": -1,
         "routes": [{"hostname": 1, "pathPrefix": null, "routeType": "unknown", "timeoutMs": "long"}],
         "backends": [{"name": "plain"}, {}],
         "limits": {"maxBodyBytes": "many"}
     });
-    let that_do_not_fit = json!({
+    let inconsistent = json!({
         "generation": 1,
         "routes": [
             {"hostname": "", "pathPrefix": "first", "routeType": "idempotent", "timeoutMs": 0, "backend": "absent"},
@@ -173,8 +173,8 @@
         ],
         "backends": [{"name": "plain"}, {"name": "plain"}]
     });
-    let text = check_configuration(&directory, &of_wrong_types.to_string())
-        + &check_configuration(&directory, &that_do_not_fit.to_string())
+    let text = check_configuration(&directory, &wrong_types.to_string())
+        + &check_configuration(&directory, &inconsistent.to_string())
         + &check_configuration(&directory, "{}")
         + &check_configuration(&directory, "{\n\"generation\":");
     assert_golden("configuration-invalid.txt", &text);
--- a/crates/relay/tests/names/main.rs
+++ b/crates/relay/tests/names/main.rs
@@ -1,5 +1,5 @@
-//! Names that are seen from outside: the command line, keys of settings and configurations, metrics. Golden files hold
-//! them (see `golden`); the tests use the program alone, so that names within the code are free.
+//! Names in the external interface: the command line, keys of settings and configurations, metrics. They are stored in
+//! golden files (see `golden`). The tests only run the program, so that identifiers in the code can change freely.
 
 mod command_line;
 mod configuration_keys;
--- a/crates/relay/tests/names/metrics.rs
+++ b/crates/relay/tests/names/metrics.rs
@@ -1,4 +1,4 @@
-//! Names, labels and types of the metrics that each role exports, read from a tier of one machine.
+//! Names, labels and types of the metrics that each role exports, read from a tier on a single machine.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,18 +10,18 @@
 
 const ROLES: [(&str, u16); 3] = [("relay", 9_461), ("keeper", 9_462), ("store", 9_463)];
 
-/// A role that runs until the test ends.
+/// A role process that runs until the test ends.
 struct RunningRole(Child);
 
 impl Drop for RunningRole {
     fn drop(&mut self) {
-        // Its state is of no use after the test.
+        // A failure is ignored: the process state is not needed after the test.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// Starts a role with the example settings, at a loopback address of this process.
+/// Starts a role with the example settings, at a loopback address specific to this test process.
 fn start_role(directory: &TestDirectory, role: &str, address: &str, port: u16) -> RunningRole {
     let file = format!("{}/../../deploy/local/one/{role}-1.toml", env!("CARGO_MANIFEST_DIR"));
     let text = std::fs::read_to_string(file).expect("the settings of the role");
@@ -33,7 +33,7 @@
     RunningRole(command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().expect("the program starts"))
 }
 
-/// A line for each series, `name{label="value"} type`, by name; values of the series are left out.
+/// Formats one line per series, `name{label="value"} type`, sorted and without sample values.
 fn format_series(page: &str) -> String {
     let mut types = BTreeMap::new();
     let mut lines = Vec::new();
@@ -56,7 +56,7 @@
 #[test]
 fn metrics_of_each_role() {
     let directory = TestDirectory::new();
-    // No other test has this network: those of `tier/local.rs` count from 101.
+    // No other test uses this network: those of `tier/local.rs` are numbered from 101.
     let address = format!("127.{}.100.1", std::process::id() % 200 + 20);
     let running = ROLES.map(|(role, port)| start_role(&directory, role, &address, port));
     for (role, port) in ROLES {
--- a/crates/relay/tests/names/program.rs
+++ b/crates/relay/tests/names/program.rs
@@ -1,10 +1,10 @@
-//! The program as a process, in a directory of the test's own.
+//! Runs the program in a directory of the test.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Variables that the program reads.
+/// Environment variables that the program reads.
 const VARIABLES: [&str; 7] = [
     "JUNIPERWING_CONFIG",
     "JUNIPERWING_LOG",
@@ -35,7 +35,8 @@
         std::fs::write(self.0.join(name), text).expect("a written file");
     }
 
-    /// The program with these arguments, in this directory, without any variable that it reads.
+    /// Returns the command with these arguments, run in this directory and without the variables that the program
+    /// reads.
     pub fn program(&self, arguments: &[&str]) -> Command {
         let mut command = Command::new(env!("CARGO_BIN_EXE_juniperwing"));
         for name in VARIABLES {
@@ -45,7 +46,7 @@
         command
     }
 
-    /// A command as it is typed, its output and its exit code.
+    /// Runs a command and returns its command line, output and exit code.
     pub fn transcript(&self, arguments: &[&str]) -> String {
         let output = self.program(arguments).output().expect("the program runs");
         let printed = String::from_utf8([output.stdout, output.stderr].concat()).expect("UTF-8");
@@ -56,7 +57,7 @@
 
 impl Drop for TestDirectory {
     fn drop(&mut self) {
-        // The system clears its directory of temporary files if this cannot.
+        // A failure is ignored: the system cleans up temporary files.
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
--- a/crates/relay/tests/names/settings_keys.rs
+++ b/crates/relay/tests/names/settings_keys.rs
@@ -1,13 +1,13 @@
-//! Keys of the serving tier's settings: a role is started with `--check` on a full file, and on the same file with a
-//! value of a wrong type for one key after the other. A key that no longer is one is skipped, which shows.
+//! Keys of the serving tier's settings. A role checks a full file with `--check`, then each key in turn is given a
+//! value of the wrong type. A key that is no longer recognised is ignored, and the golden file shows that.
 
 use crate::golden::assert_golden;
 use crate::program::TestDirectory;
 
-/// Every key that `docs/settings-system.md` lists, with values that are no defaults.
+/// Every key that `docs/settings-system.md` lists, with values other than the defaults.
 const FULL: &str = include_str!("full-settings.toml");
 
-/// The keys of a settings file in its order, each with the number of its line.
+/// Returns the keys of a settings file in order, each with its line number.
 fn keys(text: &str) -> Vec<(usize, String)> {
     let (mut table, mut keys) = (String::new(), Vec::new());
     for (number, line) in text.lines().enumerate() {
@@ -20,7 +20,7 @@
     keys
 }
 
-/// The full file with another line at this place.
+/// Returns the full file with one line replaced.
 fn with_line(number: usize, line: &str) -> String {
     let mut lines: Vec<&str> = FULL.lines().collect();
     lines[number] = line;
@@ -46,9 +46,9 @@
     let documented = documentation.lines().filter_map(|line| line.strip_prefix("| `")?.split_once('`'));
     let mut documented: Vec<&str> = documented.map(|(key, _)| key).collect();
     let mut keys: Vec<String> = keys(FULL).into_iter().map(|(_, key)| key).collect();
-    // Tables with names of the operator's own.
+    // The operator chooses the keys in this table.
     keys.iter_mut().filter(|key| key.starts_with("zones.")).for_each(|key| key.truncate("zones".len()));
-    // It says which role `juniperwing local` starts, and no role reads it.
+    // Only `juniperwing local` reads this key, to select the role to start.
     keys.retain(|key| key != "role");
     documented.sort_unstable();
     keys.sort_unstable();
--- a/crates/relay/tests/serve/golden_state.rs
+++ b/crates/relay/tests/serve/golden_state.rs
@@ -1,6 +1,6 @@
-//! A relay started on a committed state directory, which has a notification in each state that one may be in.
+//! A relay is started with a committed journal that contains a notification in each possible state.
 //!
-//! `tests/journal.rs` writes the directory and says how it is renewed.
+//! `tests/journal.rs` writes the journal and describes how to regenerate it.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -10,8 +10,8 @@
 
 use crate::harness::RelayHarness;
 
-/// Starts a relay on a committed directory, and checks its pushes and notices.
-fn check(name: &str) {
+/// Starts a relay with a committed journal, and checks its pushes and notices.
+fn check_pushes_and_notices(name: &str) {
     let mut harness = RelayHarness::start();
     harness.kill();
     let committed = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name).join("log");
@@ -54,10 +54,10 @@
 
 #[test]
 fn a_relay_continues_the_committed_state() {
-    check("state");
+    check_pushes_and_notices("state");
 }
 
 #[test]
 fn a_relay_continues_the_committed_state_after_compaction() {
-    check("compacted");
+    check_pushes_and_notices("compacted");
 }
--- a/crates/relay/tests/serve/harness.rs
+++ b/crates/relay/tests/serve/harness.rs
@@ -1,5 +1,5 @@
-//! Starts a relay and plays all its peers: clients, endpoints and the platform. Written from the protocol; every wait
-//! is for an event, with a limit only so that a failure ends.
+//! Starts a relay and simulates all its peers: clients, endpoints and the platform. The peers are implemented from the
+//! protocol alone. Tests wait for events; timeouts only end failed tests.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,10 +11,10 @@
 
 use serde_json::{Value, json};
 
-/// Longer than any wait takes on a busy machine.
+/// Longer than any expected wait on a busy machine.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A message that was received, and its connection.
+/// A received message with its connection.
 pub struct ReceivedMessage {
     pub head: String,
     pub body: Vec<u8>,
@@ -31,26 +31,26 @@
         self.header("Request-Id").unwrap_or_default()
     }
 
-    /// Answers with a status and its phrase, header lines and a body.
+    /// Responds with a status code and reason phrase, header lines and a body.
     pub fn respond(&mut self, status: &str, headers: &str, body: &str) {
         let text = format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len());
-        // The relay may have exited by now, which is for the test to notice.
+        // A failure is ignored: the relay may have exited, which the test detects.
         let _ = self.stream.write_all(text.as_bytes());
     }
 
     pub fn write(&mut self, bytes: &str) {
-        self.stream.write_all(bytes.as_bytes()).expect("the relay reads");
+        self.stream.write_all(bytes.as_bytes()).expect("the relay is connected");
     }
 
-    /// Writes to a relay that may have closed the connection.
+    /// Writes to a connection that the relay may have closed.
     pub fn try_write(&mut self, bytes: &str) {
-        // How the relay treats it is for the test to notice.
+        // A failure is ignored: the test checks the behaviour of the relay.
         let _ = self.stream.write_all(bytes.as_bytes());
     }
 
-    /// Whether the relay has closed the connection, or does so in time.
+    /// Whether the relay has closed the connection or closes it before the timeout.
     pub fn is_closed(&mut self) -> bool {
-        self.stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a limit");
+        self.stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a read timeout");
         matches!(self.stream.read(&mut [0]), Ok(0))
     }
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// Reads a message with its body by `Content-Length`; `None` at the end of the stream.
+/// Reads a message with a body of `Content-Length`; `None` at the end of the stream.
 fn read_message(reader: &mut BufReader<TcpStream>) -> Option<(String, Vec<u8>)> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -74,7 +74,7 @@
     Some((head, body))
 }
 
-/// A server that hands every message it receives to the test.
+/// A server that passes every received message to the test.
 pub struct TestServer {
     pub address: SocketAddr,
     messages: Receiver<ReceivedMessage>,
@@ -95,23 +95,23 @@
     }
 
     pub fn next_message(&self) -> ReceivedMessage {
-        self.messages.recv_timeout(TEST_TIMEOUT).expect("a message in time")
+        self.messages.recv_timeout(TEST_TIMEOUT).expect("a message before the timeout")
     }
 
-    /// The next message; `None` if there is none for 30 ms.
+    /// Returns the next message; `None` if none arrives within 30 ms.
     pub fn next_message_within_30_ms(&self) -> Option<ReceivedMessage> {
         self.messages.recv_timeout(Duration::from_millis(30)).ok()
     }
 
-    pub fn next_message_without_limit(&self) -> Option<ReceivedMessage> {
+    pub fn next_message_without_timeout(&self) -> Option<ReceivedMessage> {
         self.messages.recv().ok()
     }
 }
 
 fn serve_connection(stream: TcpStream, sender: &Sender<ReceivedMessage>) {
-    let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
+    let mut reader = BufReader::new(stream.try_clone().expect("a cloned handle"));
     while let Some((head, body)) = read_message(&mut reader) {
-        let message = ReceivedMessage { head, body, stream: stream.try_clone().expect("a second handle") };
+        let message = ReceivedMessage { head, body, stream: stream.try_clone().expect("a cloned handle") };
         if sender.send(message).is_err() {
             return;
         }
@@ -129,7 +129,7 @@
     pub config: Value,
 }
 
-/// A directory of this test's own.
+/// Creates a directory for one test.
 fn create_directory() -> PathBuf {
     static COUNT: AtomicUsize = AtomicUsize::new(0);
     let count = COUNT.fetch_add(1, Ordering::Relaxed);
@@ -138,7 +138,7 @@
     directory
 }
 
-/// A configuration with destination 7, which has one endpoint, and a topic type of each kind of semantics.
+/// Returns a configuration with destination 7, which has one endpoint, and one topic type for each kind of semantics.
 fn default_config(endpoint: SocketAddr, platform: SocketAddr) -> Value {
     let host = json!({"host": "e", "dial": endpoint.to_string(), "site": "z", "class": "plain", "block": 7,
         "health": "ready", "share": 1.0});
@@ -173,7 +173,7 @@
         RelayHarness::start_with(|_| {})
     }
 
-    /// Starts a relay with a changed configuration.
+    /// Starts a relay with a modified default configuration.
     pub fn start_with(change: impl FnOnce(&mut Value)) -> RelayHarness {
         let (endpoint, platform) = (TestServer::start(), TestServer::start());
         let mut config = default_config(endpoint.address, platform.address);
@@ -200,13 +200,13 @@
         self.directory.join("config.json")
     }
 
-    /// Replaces the configuration file and has the relay read it again.
+    /// Replaces the configuration file and makes the relay reload it.
     pub fn reload(&self, text: &str) {
         std::fs::write(self.config_path(), text).expect("a written file");
         self.send_signal("-HUP");
     }
 
-    /// Starts the relay on the directory as it is, and waits until it serves. Returns the line of the log that says so.
+    /// Starts the relay with the existing state directory and waits until it serves. Returns the log line `serving`.
     pub fn restart(&mut self) -> Value {
         let path = self.config_path();
         std::fs::write(&path, self.config.to_string()).expect("a written file");
@@ -233,28 +233,28 @@
         line
     }
 
-    /// Waits for a line of the log with this message.
+    /// Waits for a log line with this message.
     pub fn wait_for_log(&self, message: &str) -> Value {
         self.log_until(message).pop().unwrap_or_default()
     }
 
-    /// The lines of the log up to the first with this message.
+    /// Returns the log lines up to the first one with this message.
     pub fn log_until(&self, message: &str) -> Vec<Value> {
         let (mut lines, since) = (Vec::new(), Instant::now());
         while lines.last().is_none_or(|line: &Value| line["msg"] != message) {
-            // Lines that are repeated forever must not extend the wait.
-            assert!(since.elapsed() < TEST_TIMEOUT, "{message:?} in time");
-            lines.push(self.log.recv_timeout(TEST_TIMEOUT).expect("a line of the log in time"));
+            // Lines that repeat indefinitely must not extend the wait.
+            assert!(since.elapsed() < TEST_TIMEOUT, "no log line {message:?} before the timeout");
+            lines.push(self.log.recv_timeout(TEST_TIMEOUT).expect("a log line before the timeout"));
         }
         lines
     }
 
-    /// Whether, of the lines logged from now on, one with `first` comes before one with `then`.
+    /// Whether, in the log from now on, a line with `first` precedes the first line with `then`.
     pub fn is_logged_before(&self, first: &str, then: &str) -> bool {
         self.log_until(then).iter().any(|line| line["msg"] == first)
     }
 
-    /// The servers, for the test to answer in threads of their own.
+    /// Takes the servers, so that a test can respond from other threads.
     pub fn take_servers(&mut self) -> (TestServer, TestServer) {
         let endpoint = std::mem::replace(&mut self.endpoint, TestServer::start());
         (endpoint, std::mem::replace(&mut self.platform, TestServer::start()))
@@ -266,9 +266,9 @@
 
     /// Kills the relay with SIGKILL.
     pub fn kill(&mut self) {
-        let mut relay = self.process.take().expect("a relay that runs");
-        relay.kill().expect("a process of ours");
-        relay.wait().expect("its end");
+        let mut relay = self.process.take().expect("a running relay");
+        relay.kill().expect("the relay can be killed");
+        relay.wait().expect("the relay exits");
     }
 
     /// Sends the relay SIGTERM.
@@ -277,24 +277,24 @@
     }
 
     pub fn send_signal(&self, name: &str) {
-        let id = self.process.as_ref().expect("a relay that runs").id();
+        let id = self.process.as_ref().expect("a running relay").id();
         let done = Command::new("kill").args([name, &id.to_string()]).status().expect("kill runs");
         assert!(done.success());
     }
 
     /// Waits for the relay to exit and returns its exit code.
     pub fn wait_for_exit(&mut self) -> Option<i32> {
-        self.process.take().expect("a relay that runs").wait().expect("its end").code()
+        self.process.take().expect("a running relay").wait().expect("the relay exits").code()
     }
 
-    /// The next notice, which must be alone in its request.
+    /// Returns the next notice, which must be the only one in its request.
     pub fn next_notice(&self) -> (ReceivedMessage, Value) {
         let (message, mut notices) = self.next_notices();
         assert_eq!(notices.len(), 1);
         (message, notices.remove(0))
     }
 
-    /// The next request with notices, and the notices.
+    /// Returns the next request with notices, and the notices.
     pub fn next_notices(&self) -> (ReceivedMessage, Vec<Value>) {
         let message = self.next_platform_request("POST /v1/notices ");
         let lines = message.body.split(|byte| *byte == b'\n').filter(|line| !line.is_empty());
@@ -302,29 +302,29 @@
         (message, notices)
     }
 
-    /// The next request for a watch.
+    /// Returns the next watch request.
     pub fn next_watch(&self) -> ReceivedMessage {
         self.next_platform_request("GET /v1/endpoints?")
     }
 
-    /// The next request to the platform with this beginning; others before it are skipped.
-    fn next_platform_request(&self, start: &str) -> ReceivedMessage {
-        // Watches are requested forever, and must not extend the wait.
+    /// Returns the next request to the platform with this prefix, skipping others before it.
+    fn next_platform_request(&self, prefix: &str) -> ReceivedMessage {
+        // Watch requests repeat indefinitely and must not extend the wait.
         let since = Instant::now();
         while since.elapsed() < TEST_TIMEOUT {
             let message = self.platform.next_message();
-            if message.head.starts_with(start) {
+            if message.head.starts_with(prefix) {
                 return message;
             }
         }
-        panic!("no {start:?} in time")
+        panic!("no request {prefix:?} before the timeout")
     }
 }
 
 impl Drop for RelayHarness {
     fn drop(&mut self) {
         if let Some(mut relay) = self.process.take() {
-            // It may have exited by itself.
+            // A failure is ignored: the relay may have exited.
             let _ = relay.kill();
             let _ = relay.wait();
         }
@@ -333,34 +333,34 @@
 }
 
 fn remove_directory(directory: &Path) {
-    // Left behind, it does no harm.
+    // A failure is ignored: the system cleans up temporary files.
     let _ = std::fs::remove_dir_all(directory);
 }
 
-/// A connection of a client.
+/// A client connection.
 pub struct TestClient {
     reader: BufReader<TcpStream>,
 }
 
 impl TestClient {
-    pub fn connect(to: SocketAddr) -> TestClient {
-        let stream = TcpStream::connect(to).expect("the relay listens");
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a limit");
+    pub fn connect(address: SocketAddr) -> TestClient {
+        let stream = TcpStream::connect(address).expect("the relay listens");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a read timeout");
         TestClient { reader: BufReader::new(stream) }
     }
 
     pub fn write(&mut self, bytes: &[u8]) {
-        self.reader.get_mut().write_all(bytes).expect("the relay reads");
+        self.reader.get_mut().write_all(bytes).expect("the relay is connected");
     }
 
-    /// The status and the head of the next response.
+    /// Reads the next response. Returns its status and head.
     pub fn read_response(&mut self) -> (u16, String) {
-        let (head, _) = read_message(&mut self.reader).expect("an answer");
+        let (head, _) = read_message(&mut self.reader).expect("a response");
         let status = head.split(' ').nth(1).and_then(|status| status.parse().ok());
         (status.expect("a status"), head)
     }
 
-    /// Whether the relay closes the connection without a further byte.
+    /// Whether the relay closes the connection without sending further bytes.
     pub fn is_closed(&mut self) -> bool {
         let mut rest = Vec::new();
         self.reader.read_to_end(&mut rest).is_ok() && rest.is_empty()
@@ -373,7 +373,7 @@
     }
 }
 
-/// The request that submits a notification for destination 7 with so many milliseconds left.
+/// Encodes the submission of a notification for destination 7 with a remaining time of `ms` milliseconds.
 pub fn submission(topic: &str, id: &str, key: &str, ms: u32, body: &[u8]) -> Vec<u8> {
     let head = format!(
         "POST /{topic}?key={key} HTTP/1.1\r\nHost: r\r\nRequest-Id: {id}\r\nRequest-Class: {topic}\r\n\
--- a/crates/relay/tests/serve/pushes.rs
+++ b/crates/relay/tests/serve/pushes.rs
@@ -1,4 +1,4 @@
-//! Pushes, alone or in a batch, and the responses of endpoints.
+//! Single and batched pushes, and the responses of endpoints.
 
 use std::time::{Duration, Instant};
 
@@ -18,11 +18,11 @@
     assert!(push.head.starts_with("POST /hook HTTP/1.1\r\n"), "{}", push.head);
     assert_eq!((push.id(), push.header("Idempotency-Key")), ("a b/é", Some("i-a b/é")));
     assert_eq!(push.body, body);
-    let time_out: u64 =
+    let timeout_ms: u64 =
         push.header("Request-Timeout-Ms").and_then(|text| text.parse().ok()).expect("a number");
-    assert!(time_out <= 16_000);
+    assert!(timeout_ms <= 16_000);
     push.respond("200 OK", "", "ok");
-    // The next push uses the same connection, so the response was read.
+    // The next push reuses the connection, so the response was read.
     assert_eq!(client.submit("safe", "2", "", b""), 202);
     harness.endpoint.next_message().respond("200 OK", "", "");
     assert_eq!(client.submit("safe", "3", "", b""), 202);
@@ -49,7 +49,8 @@
     let state = |id: &str, state: &str| json!({"id": id, "state": state});
     let states = json!([state("3", "failed"), state("1", "delivered"), state("2", "refused")]);
     push.respond("200 OK", "", &states.to_string());
-    // A failed push may have run: it is given up. A refused one is retried. For a delivered one nothing more is sent.
+    // The failed push may have run, so its notification is given up. The refused one is retried, and the delivered one
+    // is not sent again.
     let (mut message, notice) = harness.next_notice();
     assert_eq!(notice, json!({"message": "3", "outcome": "given_up"}));
     message.respond("204 No Content", "", "");
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn a_rejection_in_the_turn_of_the_submission_is_its_response() {
+fn a_rejection_in_the_iteration_of_the_submission_is_its_response() {
     let harness = RelayHarness::start();
     let mut client = harness.connect_client();
     client.write(&submission("safe", "1", "", 5, b""));
@@ -92,7 +93,7 @@
         let request = submission("safe", id, "", 9_000, b"");
         String::from_utf8(request).expect("text").replace("dest=7", "dest=70000").into_bytes()
     };
-    // Until discovery has sent a message, the list may be out of date.
+    // The list may be outdated until discovery has sent a message.
     client.write(&unlisted("1"));
     assert_eq!(client.read_response().0, 503);
     let mut watch = harness.next_watch();
@@ -106,7 +107,7 @@
         }
     }
     assert_eq!(status, 404);
-    // A destination whose last endpoint has just left is about to have another.
+    // A destination whose last endpoint was just removed may soon have another one.
     let gone = json!({"seq": 42, "whole": false, "hosts": [{"host": "e", "block": 7, "health": "gone"}]});
     watch.write(&format!("{:x}\r\n{gone}\n\r\n", gone.to_string().len() + 1));
     harness.wait_for_log("endpoint list updated");
@@ -114,7 +115,7 @@
 }
 
 #[test]
-fn a_used_id_is_never_pushed_again_nor_accepted_after_a_rejection() {
+fn a_reused_id_is_not_pushed_again_and_not_accepted_after_a_rejection() {
     let harness = RelayHarness::start_with(|config| config["settings"]["ceilings"]["most-held"] = json!(1));
     let mut client = harness.connect_client();
     assert_eq!(client.submit("once", "1", "", b"first"), 202);
@@ -131,13 +132,13 @@
 fn an_invalid_response_may_have_run_unless_its_status_line_says_delivered() {
     let harness = RelayHarness::start();
     let mut client = harness.connect_client();
-    let mut push = |id: &str, answer: &str| {
+    let mut push = |id: &str, response: &str| {
         assert_eq!(client.submit("once", id, "", b""), 202);
         let mut push = harness.endpoint.next_message();
-        push.write(answer);
+        push.write(response);
         (harness.wait_for_log("push ended")["status"].clone(), push.is_closed())
     };
-    let answers = [
+    let responses = [
         ("HTTP/1.1 500 No\r\nX: never ends", "Error"),
         ("HTTP/1.1 200 OK\r\nX: never ends", "Delivered"),
         ("HTTP/1.1 503 No\r\nContent-Length: 9\r\n\r\nshort", "Error"),
@@ -145,25 +146,25 @@
         ("\u{1} noise \r\n\r\n", "Error"),
         ("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", "Delivered"),
     ];
-    for (id, (answer, status)) in answers.into_iter().enumerate() {
-        assert_eq!(push(&id.to_string(), answer), (json!(status), true), "{answer}");
+    for (id, (response, status)) in responses.into_iter().enumerate() {
+        assert_eq!(push(&id.to_string(), response), (json!(status), true), "{response}");
     }
 }
 
-/// Batches, a non-idempotent topic type without order, and calls overdue soon enough for a test.
+/// Enables batches, adds an unordered non-idempotent topic type, and makes calls overdue early enough for a test.
 fn enable_batches(config: &mut Value) {
     config["settings"]["family-info"]["per-call"] = json!([10]);
     config["settings"]["rules"]["tip-after"] = json!(300_000_000);
     let classes = config["settings"]["classes"].as_array_mut().expect("topic types");
-    let mut loose = classes.last().expect("the once-only one").clone();
-    (loose["name"], loose["fifo-by-key"]) = (json!("loose"), json!(false));
-    classes.push(loose);
+    let mut unordered = classes.last().expect("the non-idempotent topic type").clone();
+    (unordered["name"], unordered["fifo-by-key"]) = (json!("unordered"), json!(false));
+    classes.push(unordered);
 }
 
-/// A response that comes after the first TTL in a call is about a call that has ended: it counts for no push.
+/// The first expiry of a push in a batch ends the call; a response that arrives later applies to none of its pushes.
 #[test]
-fn a_batch_ends_with_the_first_ttl_in_it_and_ignores_a_later_response() {
-    for topic in ["loose", "once"] {
+fn a_batch_ends_with_its_first_expiry_and_ignores_a_later_response() {
+    for topic in ["unordered", "once"] {
         let harness = RelayHarness::start_with(enable_batches);
         let mut client = harness.connect_client();
         client.write(
@@ -172,8 +173,8 @@
         assert_eq!([client.read_response().0, client.read_response().0], [202; 2]);
         let mut call = harness.endpoint.next_message();
         assert!(call.head.starts_with("POST /hook/batch "), "{}", call.head);
-        let time_out = call.header("Request-Timeout-Ms").and_then(|text| text.parse::<u64>().ok());
-        assert!(time_out.is_some_and(|ms| ms <= 1_000), "{time_out:?}");
+        let timeout_ms = call.header("Request-Timeout-Ms").and_then(|text| text.parse::<u64>().ok());
+        assert!(timeout_ms.is_some_and(|ms| ms <= 1_000), "{timeout_ms:?}");
         let (mut message, first) = harness.next_notices();
         message.respond("204 No Content", "", "");
         let states = json!([{"id": "1", "state": "delivered"}, {"id": "2", "state": "delivered"}]);
@@ -185,11 +186,12 @@
 }
 
 #[test]
-fn a_push_with_little_time_left_goes_in_a_call_of_its_own() {
+fn a_push_with_little_time_left_is_sent_in_its_own_call() {
     let harness = RelayHarness::start_with(enable_batches);
     let mut client = harness.connect_client();
-    client
-        .write(&[submission("loose", "1", "", 200, b""), submission("loose", "2", "", 16_000, b"")].concat());
+    client.write(
+        &[submission("unordered", "1", "", 200, b""), submission("unordered", "2", "", 16_000, b"")].concat(),
+    );
     assert_eq!([client.read_response().0, client.read_response().0], [202; 2]);
     let mut calls = [harness.endpoint.next_message(), harness.endpoint.next_message()];
     calls.sort_by_key(|call| call.id().to_owned());
@@ -201,15 +203,15 @@
     assert_eq!(harness.wait_for_log("push ended")["status"], "Delivered");
 }
 
-/// The response and the deadline are seen in one turn: which came first is not known.
+/// The response and the timeout are handled in the same iteration, so it is unknown which came first.
 #[test]
-fn a_response_read_in_the_turn_of_the_timeout_is_ignored() {
+fn a_response_read_in_the_iteration_of_the_timeout_is_ignored() {
     let harness = RelayHarness::start_with(enable_batches);
-    assert_eq!(harness.connect_client().submit("loose", "1", "", b""), 202);
+    assert_eq!(harness.connect_client().submit("unordered", "1", "", b""), 202);
     harness.endpoint.next_message().respond("200 OK", "", "");
     harness.wait_for_log("push ended");
     let mut client = harness.connect_client();
-    client.write(&submission("loose", "2", "", 400, b""));
+    client.write(&submission("unordered", "2", "", 400, b""));
     assert_eq!(client.read_response().0, 202);
     let since = Instant::now();
     let mut push = harness.endpoint.next_message();
--- a/crates/relay/tests/serve/races/discovery.rs
+++ b/crates/relay/tests/serve/races/discovery.rs
@@ -10,15 +10,15 @@
 use crate::harness::{RelayHarness, submission};
 use crate::support::unaccepting_listener;
 
-/// Adds another endpoint, `f`, on which no connection is established until it is accepted.
-fn late_beside(config: &mut Value, dial: std::net::SocketAddr) {
-    let mut late = config["known"]["hosts"][0].clone();
-    (late["host"], late["dial"]) = (json!("f"), json!(dial.to_string()));
-    config["known"]["hosts"].as_array_mut().expect("hosts").push(late);
+/// Adds an endpoint `f` whose address does not accept connections yet.
+fn add_unaccepting_endpoint(config: &mut Value, address: std::net::SocketAddr) {
+    let mut second_host = config["known"]["hosts"][0].clone();
+    (second_host["host"], second_host["dial"]) = (json!("f"), json!(address.to_string()));
+    config["known"]["hosts"].as_array_mut().expect("hosts").push(second_host);
     config["settings"]["ceilings"]["connect-timeout"] = json!(10_000_000_000u64);
 }
 
-/// What an endpoint sends before a call has gone out to it answers no call: it was not delivered, and was not run.
+/// Bytes that an endpoint sends before the call is sent do not answer it: the push was neither delivered nor run.
 #[test]
 fn a_response_received_before_its_call_was_sent_is_ignored() {
     for (early, status) in [
@@ -28,13 +28,13 @@
         ("noise\r\n\r\n", "NoConnection"),
         ("HTTP/1.1 503 Full\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", "ConnectionLimitReached"),
     ] {
-        let (full, dial, _first) = unaccepting_listener();
+        let (listener, address, _queued) = unaccepting_listener();
         let harness = RelayHarness::start_with(|config| {
-            // Another endpoint, which drains, so that everything goes to the one that accepts no connection.
-            let mut late = config["known"]["hosts"][0].clone();
-            (late["host"], late["health"]) = (json!("f"), json!("draining"));
-            set_endpoint_address(config, dial);
-            config["known"]["hosts"].as_array_mut().expect("hosts").push(late);
+            // Another endpoint is draining, so that all pushes go to the one that does not accept connections.
+            let mut second_host = config["known"]["hosts"][0].clone();
+            (second_host["host"], second_host["health"]) = (json!("f"), json!("draining"));
+            set_endpoint_address(config, address);
+            config["known"]["hosts"].as_array_mut().expect("hosts").push(second_host);
             config["settings"]["ceilings"]["connect-timeout"] = json!(10_000_000_000u64);
         });
         let mut watch = harness.next_watch();
@@ -42,14 +42,14 @@
         assert_eq!(harness.connect_client().submit("once", "1", "k", b"x"), 202);
         harness.wait_for_log("push started");
         harness.send_signal("-STOP");
-        full.accept().expect("the connection that took the room");
-        let (call, _) = full.accept().expect("the relay's, tried again by its system");
+        listener.accept().expect("the connection that filled the accept queue");
+        let (call, _) = listener.accept().expect("the relay's connection, retried by the kernel");
         let mut call = TcpStream::from(call);
-        call.write_all(early.as_bytes()).expect("room");
+        call.write_all(early.as_bytes()).expect("buffer space");
         harness.send_signal("-CONT");
         assert_eq!(harness.wait_for_log("push ended")["status"], status, "{early}");
-        drop(full);
-        // It was not run, so even a non-idempotent one goes to an endpoint that takes calls again.
+        drop(listener);
+        // The push was not run, so even a non-idempotent one is sent to an endpoint that serves again.
         write_list(
             &mut watch,
             &endpoint_list(42, false, &[("e", "gone", None), ("f", "ready", Some(harness.endpoint.address))]),
@@ -58,13 +58,14 @@
     }
 }
 
-/// A valid list counts, though a malformed one follows it, which changes nothing.
+/// A valid list is applied even if a malformed one follows, which changes nothing.
 #[test]
-fn a_list_before_a_malformed_one_is_applied_and_the_watch_reopened_behind_it() {
+fn a_list_before_a_malformed_one_is_applied_and_the_watch_reopened_after_it() {
     let harness = RelayHarness::start();
     let mut watch = harness.next_watch();
-    let drains = endpoint_list(43, false, &[("e", "draining", Some(harness.endpoint.address))]);
-    watch.write(&format!("{WATCH_HEAD}{}", chunk(&format!("{drains}\n{{\"seq\": 44, \"hosts\": [17]}}\n"))));
+    let draining = endpoint_list(43, false, &[("e", "draining", Some(harness.endpoint.address))]);
+    watch
+        .write(&format!("{WATCH_HEAD}{}", chunk(&format!("{draining}\n{{\"seq\": 44, \"hosts\": [17]}}\n"))));
     harness.wait_for_log("endpoint list updated");
     assert!(harness.next_watch().head.contains("index=43 "));
     assert_eq!(harness.connect_client().submit("safe", "1", "", b""), 202);
@@ -72,7 +73,7 @@
     assert!(harness.endpoint.next_message_within_30_ms().is_none());
 }
 
-/// A list may stand on several lines and arrive in several chunks.
+/// A list may span several lines and several chunks.
 #[test]
 fn an_indented_list_is_parsed() {
     let harness = RelayHarness::start();
@@ -95,9 +96,9 @@
     assert!(harness.next_watch().head.contains("index=44 "));
 }
 
-/// Parts of a line do not keep a watch alive: they are no message.
+/// Incomplete lines are not messages, so they do not extend the deadline of a watch.
 #[test]
-fn a_watch_with_only_parts_of_a_line_times_out() {
+fn a_watch_with_only_an_incomplete_line_times_out() {
     let harness = RelayHarness::start();
     let mut watch = harness.next_watch();
     let since = Instant::now();
@@ -106,16 +107,16 @@
     let mut pieces = text.as_bytes().chunks(1).map(|piece| chunk(&String::from_utf8_lossy(piece)));
     let mut next = None;
     while next.is_none() {
-        watch.try_write(&pieces.next().expect("silent before the list is whole"));
+        watch.try_write(&pieces.next().expect("the watch times out before the list is complete"));
         next = harness.platform.next_message_within_30_ms();
         sleep_until(Instant::now(), 120);
     }
     assert!(next.is_some_and(|next| next.head.contains("index=41 ")));
-    // No message for 3 s after its head; the rest is for a busy machine. An update has to arrive within 6 s.
+    // The timeout is 3 s after the head; the rest allows for a busy machine. An update must arrive within 6 s.
     assert!(since.elapsed() < Duration::from_millis(5_500), "{:?}", since.elapsed());
 }
 
-/// An empty line is a message: a watch that fails after it is reopened soon, however often.
+/// An empty line is a message: a watch that fails after one is reopened soon, even repeatedly.
 #[test]
 fn a_watch_that_fails_repeatedly_after_messages_is_reopened_soon_each_time() {
     let harness = RelayHarness::start();
@@ -125,16 +126,17 @@
         watch.write(&format!("{WATCH_HEAD}{}0\r\n\r\n", chunk("\n")));
     }
     harness.next_watch();
-    // 0.3 s each at the most.
+    // At most 0.3 s per watch, plus time for a busy machine.
     assert!(since.elapsed() < Duration::from_secs(4), "{:?}", since.elapsed());
 }
 
-/// A drain, or a pause, is reported in the turn in which a call's connection is established: none of its bytes go out.
+/// A drain or a retry-after is received in the iteration in which the connection of a call is established: no byte of
+/// the call is sent.
 #[test]
-fn updates_in_the_turn_in_which_a_connection_is_established_hold_for_its_call() {
-    for drains in [true, false] {
-        let (full, dial, _first) = unaccepting_listener();
-        let harness = RelayHarness::start_with(|config| late_beside(config, dial));
+fn updates_in_the_iteration_in_which_a_connection_is_established_apply_to_its_call() {
+    for is_drain in [true, false] {
+        let (listener, address, _queued) = unaccepting_listener();
+        let harness = RelayHarness::start_with(|config| add_unaccepting_endpoint(config, address));
         let mut watch = harness.next_watch();
         watch.write(WATCH_HEAD);
         let mut client = harness.connect_client();
@@ -143,26 +145,25 @@
         harness.wait_for_log("push started");
         harness.wait_for_log("push started");
         harness.send_signal("-STOP");
-        full.accept().expect("the connection that took the room");
-        let (call, _) = full.accept().expect("the relay's, tried again by its system");
-        if drains {
-            write_list(&mut watch, &endpoint_list(42, false, &[("f", "draining", Some(dial))]));
+        listener.accept().expect("the connection that filled the accept queue");
+        let (call, _) = listener.accept().expect("the relay's connection, retried by the kernel");
+        if is_drain {
+            write_list(&mut watch, &endpoint_list(42, false, &[("f", "draining", Some(address))]));
         } else {
             other.respond("429 Too Many Requests", "Retry-After: 9.5\r\n", "");
         }
         harness.send_signal("-CONT");
         let lines = harness.log_until("push ended");
-        let last = if drains { lines.last().cloned() } else { Some(harness.wait_for_log("push ended")) };
+        let last = if is_drain { lines.last().cloned() } else { Some(harness.wait_for_log("push ended")) };
         assert_eq!(last.map(|line| line["status"].clone()), Some(json!("Skipped")), "{lines:?}");
         let (mut call, mut bytes) = (TcpStream::from(call), Vec::new());
-        // It may be reset: what counts is that nothing was received.
+        // The connection may be reset; only the received bytes matter.
         let _ = call.read_to_end(&mut bytes);
         assert_eq!(bytes, b"");
     }
 }
 
-/// A list that says it is complete and has no hosts at all, not even an empty list, is malformed: the present one
-/// stays.
+/// A complete list without the field `hosts` is malformed, so the current list stays.
 #[test]
 fn a_complete_list_without_hosts_removes_no_endpoint() {
     let harness = RelayHarness::start();
@@ -174,11 +175,11 @@
     assert_eq!(harness.endpoint.next_message().id(), "1");
 }
 
-/// Pushed, the list counts as current from the start of a process: nothing is sent by the list of an earlier one before
-/// the first message of a watch, or its failure.
+/// A pushed list counts as current from the start of the process. Still, no push may use the list of an earlier process
+/// before the first message or the failure of a watch.
 #[test]
-fn where_the_list_is_pushed_no_push_uses_an_old_list_before_discovery_answers() {
-    for speaks in [true, false] {
+fn with_a_pushed_list_no_push_uses_an_old_list_before_discovery_responds() {
+    for responds in [true, false] {
         let mut harness =
             RelayHarness::start_with(|config| config["settings"]["discovery"] = json!("automatic"));
         harness.next_watch().write(&format!("{WATCH_HEAD}{}", chunk("\n")));
@@ -193,7 +194,7 @@
         harness.reload(&harness.config.to_string());
         harness.wait_for_log("configuration reloaded");
         assert!(harness.endpoint.next_message_within_30_ms().is_none());
-        if speaks {
+        if responds {
             let hosts = [("e", "draining", None), ("f", "ready", Some(harness.endpoint.address))];
             watch.write(&format!("{WATCH_HEAD}{}", chunk(&format!("{}\n", endpoint_list(43, true, &hosts)))));
             assert_eq!(harness.wait_for_log("push started")["endpoint"], "f");
@@ -207,12 +208,12 @@
     }
 }
 
-/// An endpoint changes its destination, with a call in flight and one whose connection is not established: the first
-/// ends as usual, the second is not sent, and nothing more goes there for the former destination.
+/// An endpoint changes its destination while one call is in flight and another waits for its connection. The first call
+/// ends normally, the second is not sent, and no further push for the former destination is sent to the endpoint.
 #[test]
 fn an_endpoint_that_changes_its_destination_gets_no_pushes_for_the_former_one() {
-    let (full, dial, _first) = unaccepting_listener();
-    let harness = RelayHarness::start_with(|config| late_beside(config, dial));
+    let (listener, address, _queued) = unaccepting_listener();
+    let harness = RelayHarness::start_with(|config| add_unaccepting_endpoint(config, address));
     let mut watch = harness.next_watch();
     let mut client = harness.connect_client();
     assert_eq!([client.submit("once", "1", "k", b""), client.submit("safe", "2", "", b"")], [202; 2]);
@@ -221,7 +222,7 @@
     let mut changed = endpoint_list(
         42,
         false,
-        &[("e", "ready", Some(harness.endpoint.address)), ("f", "ready", Some(dial))],
+        &[("e", "ready", Some(harness.endpoint.address)), ("f", "ready", Some(address))],
     );
     for host in changed["hosts"].as_array_mut().expect("hosts") {
         host["block"] = json!(8);
@@ -237,19 +238,19 @@
     assert_eq!(client.read_response().0, 202);
     assert_eq!(harness.endpoint.next_message().id(), "3");
     assert!(harness.endpoint.next_message_within_30_ms().is_none());
-    drop(full);
+    drop(listener);
 }
 
-/// An endpoint with an invalid address is logged, and uses up no push: its notifications wait until it has a valid one.
+/// An endpoint with an invalid address is logged and uses up no pushes: notifications wait until the address is valid.
 #[test]
 fn an_endpoint_without_a_valid_address_gets_no_pushes_until_it_has_one() {
     let harness =
         RelayHarness::start_with(|config| config["settings"]["ceilings"]["max-attempts"] = json!(1));
     let mut watch = harness.next_watch();
     watch.write(WATCH_HEAD);
-    let mut odd = endpoint_list(42, false, &[("e", "ready", None)]);
-    odd["hosts"][0]["dial"] = json!("127.0.0.1:port");
-    write_list(&mut watch, &odd);
+    let mut invalid = endpoint_list(42, false, &[("e", "ready", None)]);
+    invalid["hosts"][0]["dial"] = json!("127.0.0.1:port");
+    write_list(&mut watch, &invalid);
     assert_eq!(harness.wait_for_log("endpoint address invalid")["endpoint"], "e");
     assert_eq!(harness.connect_client().submit("safe", "1", "", b""), 202);
     harness.wait_for_log("notification accepted");
--- a/crates/relay/tests/serve/races/exchanges.rs
+++ b/crates/relay/tests/serve/races/exchanges.rs
@@ -1,4 +1,4 @@
-//! Requests, responses and notices.
+//! Races of requests, responses and notices.
 
 use std::time::{Duration, Instant};
 
@@ -7,9 +7,9 @@
 use super::support::sleep_until;
 use crate::harness::{RelayHarness, submission};
 
-/// The end of a request and its deadline are seen in one turn. It is complete, so it is answered.
+/// The end of a request and its deadline are handled in the same iteration. The request is complete, so it is answered.
 #[test]
-fn a_request_complete_in_the_turn_of_its_timeout_is_answered() {
+fn a_request_complete_in_the_iteration_of_its_timeout_is_answered() {
     let harness = RelayHarness::start();
     let request = submission("safe", "1", "", 16_000, b"x");
     let mut client = harness.connect_client();
@@ -23,9 +23,9 @@
     assert_eq!(harness.endpoint.next_message().id(), "1");
 }
 
-/// A response's head has a retry-after, and the rest is late, invalid or never comes: it holds from the head on.
+/// The retry-after in the head of a response applies from then on, even if the rest is late, invalid or missing.
 #[test]
-fn retry_after_in_the_head_of_an_incomplete_response_holds_at_once() {
+fn retry_after_in_the_head_of_an_incomplete_response_applies_immediately() {
     for (status, rest, closes) in [
         ("429 Too Many Requests", "", false),
         ("429 Too Many Requests", "half", true),
@@ -38,7 +38,7 @@
         let mut push = harness.endpoint.next_message();
         push.write(&format!("HTTP/1.1 {status}\r\nRetry-After: 1.2\r\nContent-Length: 9\r\n\r\n{rest}"));
         let since = Instant::now();
-        let kept = if closes {
+        let open_push = if closes {
             push.close();
             None
         } else {
@@ -48,11 +48,11 @@
         assert_eq!(client.submit("safe", "2", "", b""), 202);
         harness.endpoint.next_message();
         assert!(since.elapsed() >= Duration::from_millis(1_150), "{status} {rest}: {:?}", since.elapsed());
-        drop(kept);
+        drop(open_push);
     }
 }
 
-/// Interim responses without end are no response: the push ends long before its time to live.
+/// An endless series of interim responses ends the push with an error long before its time to live.
 #[test]
 fn endless_interim_responses_end_the_push() {
     let harness = RelayHarness::start();
@@ -66,7 +66,7 @@
     assert!(since.elapsed() < Duration::from_secs(4), "{:?}", since.elapsed());
 }
 
-/// A push is cancelled while the rest of its response is late: with the status line of a 200 it was delivered.
+/// A push that is cancelled after the status line of a 200 response was delivered, even if the rest is still missing.
 #[test]
 fn a_push_cancelled_after_the_status_line_of_a_200_was_delivered() {
     let harness =
@@ -77,18 +77,23 @@
     }
     let mut push = harness.endpoint.next_message();
     let since = Instant::now();
-    // Overdue, with two of its key behind it, 0.8 s after it was sent; incomplete 0.5 s after its status line.
+    // With two notifications waiting for its key, the push is overdue 0.8 s after it was sent. The response would time
+    // out as incomplete 0.5 s after its status line.
     sleep_until(since, 550);
     push.write("HTTP/1.1 200 OK\r\n");
     let ended = harness.wait_for_log("push ended");
     assert_eq!((&ended["notification"], &ended["status"]), (&json!(1), &json!("Delivered")));
-    assert!(since.elapsed() < Duration::from_millis(1_000), "called off, not spoilt: {:?}", since.elapsed());
+    assert!(
+        since.elapsed() < Duration::from_millis(1_000),
+        "cancelled before the response timed out: {:?}",
+        since.elapsed()
+    );
     assert_eq!(harness.endpoint.next_message().id(), "2");
 }
 
-/// One id on two connections, read in one turn: both get the same response, be it a rejection.
+/// An id submitted on two connections in the same iteration gets the same response on both, even if it is a rejection.
 #[test]
-fn an_id_submitted_twice_in_one_turn_has_one_response() {
+fn an_id_submitted_twice_in_one_iteration_has_one_response() {
     for (ms, status) in [(1, 429), (16_000, 202)] {
         let harness = RelayHarness::start();
         let mut clients = [harness.connect_client(), harness.connect_client()];
@@ -106,8 +111,8 @@
     }
 }
 
-/// The connection of the notices dies while it is idle: the next notice is repeated on another one in time, which is
-/// 300 ms for an end at the time to live.
+/// The connection for notices dies while idle. The next notice is resent on a new connection in time: within 300 ms,
+/// the limit for the notice of an expiry.
 #[test]
 fn a_notice_on_a_dead_connection_is_repeated_in_time() {
     let harness = RelayHarness::start();
@@ -132,9 +137,9 @@
     }
 }
 
-/// A header that the relay forwards or uses is there and is no text: nothing is accepted without it.
+/// A header that the relay uses or forwards is not UTF-8: the submission must not be accepted without it.
 #[test]
-fn a_submission_with_a_header_that_is_not_text_is_rejected() {
+fn a_submission_with_a_header_that_is_not_utf8_is_rejected() {
     let harness = RelayHarness::start();
     for (name, status) in [
         ("Idempotency-Key", 400),
--- a/crates/relay/tests/serve/races/mod.rs
+++ b/crates/relay/tests/serve/races/mod.rs
@@ -1,4 +1,4 @@
-//! Requests, responses and signals that come at the same moment: each race is forced.
+//! Race conditions between requests, responses and signals. Each test forces its race.
 
 mod discovery;
 mod exchanges;
--- a/crates/relay/tests/serve/races/restarts.rs
+++ b/crates/relay/tests/serve/races/restarts.rs
@@ -1,4 +1,4 @@
-//! Starts, settings, signals and shutdowns.
+//! Races of restarts, reloads, signals and shutdowns.
 
 use std::time::{Duration, Instant};
 
@@ -8,14 +8,15 @@
 use crate::harness::{RelayHarness, TestClient, submission};
 use crate::support::unaccepting_listener;
 
-/// Killed before its connection is established: no byte of the push went out, so even a non-idempotent one is pushed.
+/// The relay is killed before the connection of a push is established. No byte was sent, so the next process pushes
+/// even a non-idempotent notification.
 #[test]
 fn a_push_never_written_is_made_by_the_next_process() {
     for per_call in [1, 10] {
-        let (_full, dial, _first) = unaccepting_listener();
+        let (_listener, address, _queued) = unaccepting_listener();
         let mut harness = RelayHarness::start_with(|config| {
             config["settings"]["family-info"]["per-call"] = json!([per_call]);
-            set_endpoint_address(config, dial);
+            set_endpoint_address(config, address);
         });
         let mut client = harness.connect_client();
         client.write(
@@ -44,11 +45,12 @@
     }
 }
 
-/// A topic type that is not in the settings any more at a restart: its guarantee holds, and it is pushed.
+/// The topic type of a notification is removed from the settings before a restart: the notification is pushed and keeps
+/// its guarantee.
 #[test]
 fn a_notification_of_a_removed_topic_type_is_pushed_and_keeps_its_guarantee() {
-    let (_full, dial, _first) = unaccepting_listener();
-    let mut harness = RelayHarness::start_with(|config| set_endpoint_address(config, dial));
+    let (_listener, address, _queued) = unaccepting_listener();
+    let mut harness = RelayHarness::start_with(|config| set_endpoint_address(config, address));
     assert_eq!(harness.connect_client().submit("once", "1", "k", b"x"), 202);
     harness.kill();
     harness.config["known"]["hosts"][0]["dial"] = json!(harness.endpoint.address.to_string());
@@ -65,7 +67,7 @@
     assert!(harness.endpoint.next_message_within_30_ms().is_none());
 }
 
-/// A shorter idle timeout holds for the connections that are idle already.
+/// A shorter idle timeout also applies to connections that are already idle.
 #[test]
 fn a_reload_with_a_shorter_idle_timeout_closes_idle_connections() {
     let mut harness = RelayHarness::start();
@@ -86,26 +88,26 @@
     }
 }
 
-/// Requests a stop and waits until it has begun.
+/// Requests a shutdown and waits until it has started.
 fn request_stop(harness: &RelayHarness) -> Instant {
     harness.request_stop();
     harness.wait_for_log("shutdown started");
     Instant::now()
 }
 
-/// Requests that are in the system's buffers, on connections old and new, when admission ends; there is one client
-/// fewer than the limit.
+/// Requests are in the socket buffers of established and new connections when admission ends. The number of clients is
+/// one below the limit.
 #[test]
 fn requests_unread_at_the_end_of_a_shutdown_are_answered() {
     let mut harness = RelayHarness::start_with(|config| config["limits"]["sockets"] = json!(64));
-    let mut old: Vec<TestClient> = (0..15).map(|_| harness.connect_client()).collect();
-    for (index, client) in old.iter_mut().enumerate() {
+    let mut established: Vec<TestClient> = (0..15).map(|_| harness.connect_client()).collect();
+    for (index, client) in established.iter_mut().enumerate() {
         assert_eq!(client.submit("safe", &format!("1-{index}"), "", b""), 202);
     }
     let since = request_stop(&harness);
     harness.wait_for_log("new calls stopped");
     harness.send_signal("-STOP");
-    old[0].write(&submission("safe", "2", "", 16_000, b""));
+    established[0].write(&submission("safe", "2", "", 16_000, b""));
     let mut new: Vec<TestClient> = (0..2).map(|_| harness.connect_client()).collect();
     for (index, client) in new.iter_mut().enumerate() {
         client.write(&submission("safe", &format!("3-{index}"), "", 16_000, b""));
@@ -113,7 +115,7 @@
     // Admission ends after 2.8 s, and the process exits after 3.1 s.
     sleep_until(since, 2_850);
     harness.send_signal("-CONT");
-    for client in old[..1].iter_mut().chain(&mut new) {
+    for client in established[..1].iter_mut().chain(&mut new) {
         let (status, head) = client.read_response();
         assert_eq!((status, head.contains("Connection: close")), (202, true), "{head}");
     }
@@ -122,7 +124,7 @@
     assert!(since.elapsed() < Duration::from_millis(3_700), "{:?}", since.elapsed());
 }
 
-/// Without clients it still waits for the calls in flight, as long as it may.
+/// Without clients, a shutdown still waits for the calls in flight, up to its time limit.
 #[test]
 fn calls_in_flight_may_end_in_a_shutdown_without_clients() {
     let mut harness = RelayHarness::start();
@@ -139,7 +141,7 @@
     assert_eq!(harness.wait_for_exit(), Some(0));
 }
 
-/// Submitted when no calls are made any more: accepted only if the next process can still push it.
+/// A notification submitted after new calls are stopped is accepted only if the next process can still push it.
 #[test]
 fn a_shutdown_rejects_only_notifications_that_expire_before_the_next_process() {
     let harness = RelayHarness::start();
@@ -153,9 +155,9 @@
     assert_eq!(harness.wait_for_log("shutdown complete")["outstanding"], 1);
 }
 
-/// Signals before it serves, twice, and during a shutdown: one shutdown, in time, and nothing else.
+/// Signals before the relay serves, repeated signals and signals during a shutdown cause a single shutdown, in time.
 #[test]
-fn repeated_signals_make_one_shutdown() {
+fn repeated_signals_cause_one_shutdown() {
     let mut harness = RelayHarness::start();
     assert_eq!(harness.connect_client().submit("once", "1", "k", b"x"), 202);
     let first = harness.endpoint.next_message();
@@ -170,7 +172,7 @@
     harness.wait_for_log("new calls stopped");
     harness.reload(&harness.config.to_string());
     harness.wait_for_log("configuration reloaded");
-    // The slots of a reloaded file do not count during a shutdown.
+    // The slots in a reloaded file have no effect during a shutdown.
     assert_eq!(harness.connect_client().submit("safe", "2", "", b"late"), 202);
     let rest = harness.log_until("shutdown complete");
     assert!(
@@ -180,7 +182,8 @@
     assert_eq!(harness.wait_for_exit(), Some(0));
     assert!(since.elapsed() < Duration::from_millis(3_700), "{:?}", since.elapsed());
     drop(first);
-    // A stop requested as early as possible: it still serves its time, with what is outstanding.
+    // After a shutdown request immediately after the start, the relay still serves for the regular time and pushes what
+    // is outstanding.
     harness.restart();
     harness.request_stop();
     assert_eq!(&*harness.endpoint.next_message().body, b"late");
@@ -192,7 +195,7 @@
     assert_eq!(harness.wait_for_exit(), Some(0));
 }
 
-/// With any one key missing, the relay names the key and does not start, or it serves.
+/// With any single key missing, the configuration check names the key, or the relay serves.
 #[test]
 fn with_any_settings_key_missing_it_serves_or_names_the_key() {
     let full_config = RelayHarness::start().config.clone();
@@ -205,9 +208,9 @@
             paths.push(format!("{path}/{key}"));
         }
     }
-    for at in 0..3 {
-        let class = full_config["settings"]["classes"][at].as_object().expect("a topic type");
-        keys.extend(class.keys().map(|key| (format!("/classes/{at}"), key.clone())));
+    for index in 0..3 {
+        let class = full_config["settings"]["classes"][index].as_object().expect("a topic type");
+        keys.extend(class.keys().map(|key| (format!("/classes/{index}"), key.clone())));
     }
     assert!(keys.len() > 50, "{}", keys.len());
     for (path, key) in keys {
@@ -227,7 +230,7 @@
             *changed = config;
             (changed["known"], changed["discovery"]) = (known, discovery);
         });
-        // Without its name a topic type is another one, which is accepted as well.
+        // A topic type without a name is a different one, which is accepted as well.
         let status = harness.connect_client().submit("safe", "1", "", b"x");
         assert_eq!(status, 202, "{path}/{key}");
         assert_eq!(harness.endpoint.next_message().id(), "1", "{path}/{key}");
--- a/crates/relay/tests/serve/races/support.rs
+++ b/crates/relay/tests/serve/races/support.rs
@@ -1,4 +1,4 @@
-//! Watches written by hand, and moments to wait for.
+//! Helpers to write watch messages and to wait for a point in time.
 
 use std::time::{Duration, Instant};
 
@@ -6,19 +6,19 @@
 
 use crate::harness::ReceivedMessage;
 
-/// Gives the destination's endpoint an address on which no connection is established until it is accepted.
+/// Sets the address of the endpoint in the configuration.
 pub fn set_endpoint_address(config: &mut Value, address: std::net::SocketAddr) {
     config["known"]["hosts"][0]["dial"] = json!(address.to_string());
 }
 
-/// Sleeps until so long after a moment, so that a deadline of the relay has come.
+/// Sleeps until `ms` milliseconds after `since`, so that a deadline of the relay is reached.
 pub fn sleep_until(since: Instant, ms: u64) {
     std::thread::sleep(Duration::from_millis(ms).saturating_sub(since.elapsed()));
 }
 
 pub const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// A list of endpoints of destination 7.
+/// Returns a list of endpoints of destination 7.
 pub fn endpoint_list(
     seq: u32, is_complete: bool, hosts: &[(&str, &str, Option<std::net::SocketAddr>)],
 ) -> Value {
--- a/crates/relay/tests/serve/requests.rs
+++ b/crates/relay/tests/serve/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients: how they are parsed, and clients that use up connections.
+//! Requests from clients: parsing, and clients that exhaust the connection limit.
 
 use std::time::{Duration, Instant};
 
@@ -61,7 +61,7 @@
     client.write(first);
     client.write(rest);
     assert_eq!((client.read_response().0, client.read_response().0), (202, 202));
-    // Submitted again under a live id, as after a broken connection: accepted once.
+    // The id is submitted again while live, as after a broken connection: the notification is accepted once.
     assert_eq!(harness.connect_client().submit("safe", "3", "", b"three"), 202);
     let mut bodies = [harness.endpoint.next_message().body, harness.endpoint.next_message().body];
     bodies.sort();
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn silent_and_slow_clients_block_nobody_and_are_closed_soon() {
+fn silent_and_slow_clients_do_not_block_others_and_are_closed_soon() {
     let harness = RelayHarness::start_with(|config| config["limits"]["sockets"] = json!(64));
     let half = submission("safe", "half", "", 9_000, b"x");
     let mut slow: Vec<TestClient> = (0..40).map(|_| harness.connect_client()).collect();
@@ -83,7 +83,7 @@
     last.write(&half[..half.len() - 1]);
     assert!(silent.is_closed());
     assert_eq!(last.read_response().0, 408);
-    // It takes 2 s; the rest is for a busy machine.
+    // The timeout is 2 s; the rest allows for a busy machine.
     assert!(since.elapsed() < Duration::from_secs(6), "{:?}", since.elapsed());
 }
 
@@ -96,6 +96,6 @@
         assert_eq!(client.submit("safe", &count.to_string(), "", b""), 202);
         clients.push(client);
     }
-    // The first was evicted for the later ones.
+    // The first connection was evicted to accept later ones.
     assert!(clients[0].is_closed());
 }
--- a/crates/relay/tests/serve/restarts.rs
+++ b/crates/relay/tests/serve/restarts.rs
@@ -1,4 +1,4 @@
-//! Restarts, kills, shutdowns and the journal.
+//! Restarts, crashes, shutdowns and the journal.
 
 use std::collections::VecDeque;
 use std::fs::OpenOptions;
@@ -26,7 +26,7 @@
     harness.restart();
     let (mut message, again) = harness.next_notice();
     assert_eq!(again, notice);
-    // The next of its key may be pushed only now.
+    // The next notification with this key may only be pushed after the acknowledgement.
     assert_eq!(harness.connect_client().submit("once", "2", "k", b"x"), 202);
     harness.wait_for_log("notification accepted");
     message.respond("204 No Content", "", "");
@@ -47,8 +47,8 @@
     assert_eq!(ids, ["1", "3"]);
     harness.kill();
     harness.restart();
-    // The deduplicated one is pushed again under its id; the non-idempotent one is not, and blocks the next of its key
-    // until its end was acknowledged.
+    // The deduplicated notification is pushed again under its id. The non-idempotent one is not, and blocks the next
+    // one with its key until its end is acknowledged.
     let mut again = harness.endpoint.next_message();
     assert_eq!(
         (again.id(), again.header("Idempotency-Key"), &*again.body),
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn on_sigterm_it_goes_on_serving_and_exits_in_time_with_all_in_the_journal() {
+fn on_sigterm_the_relay_keeps_serving_and_exits_in_time_with_all_in_the_journal() {
     let mut harness = RelayHarness::start();
     let mut client = harness.connect_client();
     assert_eq!(client.submit("once", "1", "k", b"x"), 202);
@@ -100,7 +100,7 @@
     }
     assert!((2..12).contains(&submitted), "{submitted}");
     assert_eq!(client.submit("safe", "more", "", &body), 503);
-    // Capacity comes back with each delivery, many times over what the directory holds.
+    // Each delivery frees capacity. In total, many times the size limit is written.
     for round in 0..40 {
         harness.endpoint.next_message().respond("200 OK", "", "");
         let mut ids = (0..).map(|count| format!("{round}-again-{count}"));
@@ -123,25 +123,30 @@
     let log = harness.state_directory().join("log");
     let bytes = std::fs::read(&log).expect("a journal");
     let mut file = OpenOptions::new().append(true).open(&log).expect("a journal");
-    file.write_all(&bytes[..bytes.len() / 2 + 7]).and_then(|()| file.write_all(&[0xff; 9])).expect("room");
+    file.write_all(&bytes[..bytes.len() / 2 + 7])
+        .and_then(|()| file.write_all(&[0xff; 9]))
+        .expect("disk space");
     harness.restart();
     assert_eq!(&*harness.endpoint.next_message().body, b"kept");
     harness.kill();
-    std::fs::write(&log, [0xff; 100]).expect("room");
+    std::fs::write(&log, [0xff; 100]).expect("disk space");
     harness.restart();
     assert_eq!(harness.connect_client().submit("safe", "2", "", b"new"), 202);
     assert_eq!(&*harness.endpoint.next_message().body, b"new");
 }
 
-/// What is seen from outside, in order: a push, whether it was not run, and an end.
+/// An event seen by a peer of the relay.
 #[derive(Debug, PartialEq)]
 enum Observation {
+    /// A push of the notification with this id was received.
     Pushed(String),
+    /// The push was rejected without being run.
     NotRun(String),
+    /// The notification was delivered, or its end was reported by a notice.
     Finished(String),
 }
 
-/// Answers calls and notices, and reports what it sees.
+/// Responds to calls and notices in other threads, and reports what it observes.
 fn observe(endpoint: TestServer, platform: TestServer) -> Receiver<Observation> {
     let (sender, observations) = channel();
     let notices = sender.clone();
@@ -150,9 +155,9 @@
     observations
 }
 
-/// Acknowledges notices at once.
+/// Acknowledges notices immediately.
 fn acknowledge_notices(platform: &TestServer, observations: &Sender<Observation>) {
-    while let Some(mut message) = platform.next_message_without_limit() {
+    while let Some(mut message) = platform.next_message_without_timeout() {
         if message.head.starts_with("POST /v1/notices ") {
             for line in message.body.split(|byte| *byte == b'\n').filter(|line| !line.is_empty()) {
                 let notice: Value = serde_json::from_slice(line).expect("a notice");
@@ -166,7 +171,7 @@
     }
 }
 
-/// Answers calls late and not always with success.
+/// Responds to calls with a delay, and to some with an error.
 fn answer_calls(endpoint: &TestServer, observations: &Sender<Observation>) {
     let (mut unanswered, mut count) = (VecDeque::new(), 0);
     loop {
@@ -220,7 +225,7 @@
         log.push(
             observations
                 .recv_timeout(crate::harness::TEST_TIMEOUT)
-                .expect("every accepted notification ends in time"),
+                .expect("every accepted notification ends before the timeout"),
         );
     }
     let position_of = |what: &Observation| log.iter().position(|observation| observation == what);
--- a/crates/relay/tests/serve/settings.rs
+++ b/crates/relay/tests/serve/settings.rs
@@ -1,4 +1,4 @@
-//! The command line, settings and their reload.
+//! The command line, settings and reloads.
 
 use std::collections::BTreeMap;
 
@@ -20,13 +20,13 @@
     let old = std::mem::replace(&mut harness.platform, TestServer::start());
     harness.config["discovery"] = json!(harness.platform.address.to_string());
     harness.reload(&harness.config.to_string());
-    let (next, second) = (harness.platform.next_message(), harness.platform.next_message());
+    let (first, second) = (harness.platform.next_message(), harness.platform.next_message());
     let (mut notice_request, watch_request) =
-        if next.body.is_empty() { (second, next) } else { (next, second) };
+        if first.body.is_empty() { (second, first) } else { (first, second) };
     assert!(watch_request.head.starts_with("GET /v1/endpoints?stream=1&index=41 "), "{}", watch_request.head);
     assert_eq!(serde_json::from_slice::<Value>(&notice_request.body).ok(), Some(notice));
     notice_request.respond("204 No Content", "", "");
-    assert_eq!([watch, message].map(|mut left| left.is_closed()), [true; 2]);
+    assert_eq!([watch, message].map(|mut connection| connection.is_closed()), [true; 2]);
     assert_eq!(harness.connect_client().submit("once", "2", "k", b"x"), 202);
     assert_eq!(harness.endpoint.next_message().id(), "2");
     drop(old);
@@ -38,7 +38,7 @@
     let state = harness.state_directory().display().to_string();
     let path = harness.state_directory().join("config.json").display().to_string();
     let check = |text: &str| {
-        std::fs::write(&path, text).expect("room");
+        std::fs::write(&path, text).expect("disk space");
         let output = run_program(&["check-config", "--config", &path], &state);
         (output.status.code(), String::from_utf8_lossy(&[output.stdout, output.stderr].concat()).into_owned())
     };
@@ -46,7 +46,7 @@
     assert_eq!((code, output.contains("r listens on 127.0.0.1:0")), (Some(0), true), "{output}");
     let with = |pointer: &str, value: Value| {
         let mut config = harness.config.clone();
-        *config.pointer_mut(pointer).expect("a known place") = value;
+        *config.pointer_mut(pointer).expect("a known path") = value;
         config.to_string()
     };
     for (text, part) in [
@@ -63,14 +63,16 @@
         assert_eq!(code, Some(2), "{output}");
         assert!(output.starts_with("juniperwing: ") && output.contains(part), "{output}");
     }
-    // A check needs no state directory; serving does.
-    std::fs::write(&path, harness.config.to_string()).expect("room");
+    // Serving requires a state directory; a check does not.
+    std::fs::write(&path, harness.config.to_string()).expect("disk space");
     let checked = program().args(["check-config", "--config", &path]).output().expect("the program runs");
     assert_eq!(checked.status.code(), Some(0));
     let served = program().args(["serve", "--config", &path]).output().expect("the program runs");
     assert_eq!(served.status.code(), Some(2));
     assert!(String::from_utf8_lossy(&served.stderr).contains("set ROUTER_STATE"));
-    for args in [&["serve", "--config", "/nowhere"][..], &["dance"], &["--log-level", "loud"]] {
+    for args in
+        [&["serve", "--config", "/nowhere"][..], &["unknown-command"], &["--log-level", "unknown-level"]]
+    {
         let output = run_program(args, &state);
         assert_eq!(output.status.code(), Some(2), "{args:?}");
         assert!(output.stderr.starts_with(b"juniperwing: "), "{args:?}");
@@ -79,7 +81,8 @@
     assert_eq!(version.stdout, format!("juniperwing {}\n", env!("CARGO_PKG_VERSION")).as_bytes());
 }
 
-/// Other settings: fewer slots, other rates and figures, non-idempotent made idempotent, the list pushed.
+/// Returns changed settings: fewer slots, other thresholds and costs, a pushed list, and the non-idempotent topic type
+/// made idempotent.
 fn changed_settings(config: &Value) -> Value {
     let mut changed = config.clone();
     let settings = &mut changed["settings"];
@@ -93,7 +96,7 @@
     changed
 }
 
-/// Under traffic, with non-idempotent pushes in flight: each notification has one end and none is run twice.
+/// Reloads under traffic, with non-idempotent pushes in flight: each notification ends once and none is run twice.
 #[test]
 fn reloads_to_other_settings_and_back_lose_nothing_and_send_nothing_twice() {
     let mut harness = RelayHarness::start();
@@ -106,7 +109,7 @@
             let (topic, id) = (["once", "safe", "mark", "once"][n as usize], format!("{round}-{n}"));
             assert_eq!(client.submit(topic, &id, &id, b"x"), 202);
         }
-        // Reloaded while calls are in flight, some of which are answered only afterwards.
+        // The reload happens while calls are in flight; some of them are answered only afterwards.
         while let Some(push) = endpoint.next_message_within_30_ms() {
             *runs.entry(push.id().to_owned()).or_insert(0) += 1;
             pushes += 1;
@@ -128,14 +131,14 @@
     }
     in_flight.drain(..).for_each(|mut push| push.respond("200 OK", "", ""));
     assert!(endpoint.next_message_within_30_ms().is_none());
-    assert_eq!((runs.len(), runs.values().all(|times| *times == 1)), (24, true), "{runs:?}");
-    // Nothing is outstanding any more: the next process recovers nothing.
+    assert_eq!((runs.len(), runs.values().all(|count| *count == 1)), (24, true), "{runs:?}");
+    // Nothing is outstanding, so the next process recovers nothing.
     harness.kill();
     let line = harness.restart();
     assert_eq!(line["outstanding"], 0);
 }
 
-/// New settings of a topic type hold for what is accepted from then on; the journal keeps the old guarantee.
+/// New settings of a topic type apply to notifications accepted afterwards; the journal keeps the earlier guarantee.
 #[test]
 fn a_kill_right_after_a_reload_keeps_the_guarantee() {
     let mut harness = RelayHarness::start();
@@ -152,11 +155,12 @@
     assert_eq!(harness.endpoint.next_message().id(), "2");
     harness.kill();
     harness.restart();
-    // Accepted as idempotent, it is pushed again.
+    // This one was accepted as idempotent, so it is pushed again.
     assert_eq!(harness.endpoint.next_message().id(), "2");
 }
 
-/// An invalid file is rejected as a whole, with the key at fault, and the last valid settings stay.
+/// An invalid file is rejected as a whole with the invalid key in the error, and the last valid settings stay in
+/// effect.
 #[test]
 fn an_invalid_configuration_changes_nothing_on_a_reload() {
     let harness = RelayHarness::start();
@@ -164,7 +168,7 @@
     let push = harness.endpoint.next_message();
     let change = |pointer: &str, value: Value| {
         let mut config = changed_settings(&harness.config);
-        *config.pointer_mut(pointer).expect("a known place") = value;
+        *config.pointer_mut(pointer).expect("a known path") = value;
         config.to_string()
     };
     let class = harness.config["settings"]["classes"][0].clone();
@@ -181,9 +185,9 @@
     ] {
         harness.reload(&text);
         let line = harness.wait_for_log("configuration reload failed");
-        assert!(line["error"].as_str().is_some_and(|why| why.contains(part)), "{line} lacks {part}");
+        assert!(line["error"].as_str().is_some_and(|error| error.contains(part)), "{line} lacks {part}");
     }
-    // The old settings hold: the guarantee stays, and what came meanwhile is pushed.
+    // The previous settings stay in effect: the guarantee holds, and new notifications are pushed.
     harness.reload(&change("/listen", json!("127.0.0.1:1")));
     assert_eq!(harness.wait_for_log("configuration changes need a restart")["keys"], "listen");
     drop(push);
--- a/crates/relay/tests/tier/commands.rs
+++ b/crates/relay/tests/tier/commands.rs
@@ -1,4 +1,4 @@
-//! Commands that only read and print.
+//! Commands that only read input and print.
 
 use std::path::PathBuf;
 
@@ -12,7 +12,7 @@
     format!("{}/../../deploy/local/{file}", env!("CARGO_MANIFEST_DIR"))
 }
 
-/// A file for one test.
+/// Writes a file for one test.
 fn write_file(name: &str, content: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("juniperwing-commands-{}-{name}", std::process::id()));
     std::fs::write(&path, content).unwrap();
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn all_findings_of_a_configuration_are_listed_with_their_places() {
+fn all_findings_of_a_configuration_are_listed_with_their_paths() {
     let routes =
         r#"{"hostname":"h","pathPrefix":"/a/","routeType":"idempotent","timeoutMs":0,"backend":"x"}"#;
     let path = write_file("wrong.json", &format!(r#"{{"generation":1,"routes":[{routes}],"backends":[]}}"#));
--- a/crates/relay/tests/tier/http.rs
+++ b/crates/relay/tests/tier/http.rs
@@ -1,15 +1,15 @@
-//! Plain HTTP calls, as `curl` makes them.
+//! Plain HTTP requests, as sent by `curl`.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// The longest that any call or wait may take on a busy machine.
+/// The maximum duration of a call or wait on a busy machine.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(40);
 /// The pause between two attempts of a call.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Status and body, with the framing of a chunked body left in; `None` if nobody answers.
+/// Returns status and body, including the framing of a chunked body; `None` if there is no response.
 pub fn call(address: SocketAddr, line: &str, headers: &str, body: &str) -> Option<(u16, String)> {
     let mut stream = TcpStream::connect_timeout(&address, CALL_TIMEOUT).ok()?;
     stream.set_read_timeout(Some(CALL_TIMEOUT)).ok()?;
@@ -24,7 +24,7 @@
     Some((status, body.to_owned()))
 }
 
-/// Calls until the status is `expected`, with a new number each time. Returns the body.
+/// Repeats a call, with the number of the attempt, until the status is `expected`. Returns the body.
 pub fn call_until(expected: u16, mut attempt: impl FnMut(u32) -> Option<(u16, String)>) -> String {
     let deadline = Instant::now() + CALL_TIMEOUT;
     let mut number = 0;
--- a/crates/relay/tests/tier/local.rs
+++ b/crates/relay/tests/tier/local.rs
@@ -1,4 +1,5 @@
-//! The steps of the README: a tier on loopback, a configuration, an endpoint, requests.
+//! The steps of the README: start a tier on loopback addresses, upload a configuration, start an endpoint, send
+//! requests.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -6,10 +7,10 @@
 use crate::http::{call, call_until};
 use crate::process::{RunningProgram, send_signal};
 
-/// The directory of the repository with the settings that README names.
+/// The settings directory that the README refers to.
 const DEPLOY: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/local");
 
-/// A copy of settings with addresses and a directory of its own.
+/// A copy of the settings with its own addresses and directory.
 struct SettingsCopy {
     directory: PathBuf,
     network: String,
@@ -60,26 +61,26 @@
         call_until(200, |_| call(self.address(machine, 8_144), "PUT /config", headers, &body));
     }
 
-    /// Sends a request until it is answered. Returns the body of the response.
+    /// Sends a request until it succeeds. Returns the body of the response.
     fn request(&self, path: &str, headers: &str, body: &str) -> String {
         self.request_and_id(path, headers, body).1
     }
 
-    /// Sends a request until it is answered. Returns the id that was answered, and the body.
+    /// Sends a request until it succeeds. Returns the id of that request and the body of the response.
     fn request_and_id(&self, path: &str, headers: &str, body: &str) -> (String, String) {
         let mut id = String::new();
-        let answer = call_until(200, |number| {
+        let body = call_until(200, |number| {
             id = format!("{path}-{number}");
             let headers = format!("Host: demo.example\r\nX-Request-Id: {id}\r\n{headers}");
             call(self.address(1, 8_080), &format!("POST {path}"), &headers, body)
         });
-        (id, answer)
+        (id, body)
     }
 }
 
 impl Drop for SettingsCopy {
     fn drop(&mut self) {
-        // The system clears its directory of temporary files if this cannot.
+        // A failure is ignored: the system cleans up temporary files.
         let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
@@ -94,10 +95,10 @@
     let stream = copy.request("/stream/a", "", "");
     assert!((1..=5).all(|number| stream.contains(&format!("id: {number}\n"))), "{stream}");
     let turn = "Program: p\r\nSession: s\r\nBudget: 100\r\nX-Token-Count: 3,5\r\n";
-    let (id, answer) = copy.request_and_id("/stream/turns/a", turn, "first");
-    assert!(answer.contains("id: 5\n"), "{answer}");
+    let (id, response) = copy.request_and_id("/stream/turns/a", turn, "first");
+    assert!(response.contains("id: 5\n"), "{response}");
     let stored_bytes: usize =
-        answer.lines().filter_map(|line| line.strip_prefix("data: ")).map(|data| data.len() + 1).sum();
+        response.lines().filter_map(|line| line.strip_prefix("data: ")).map(|data| data.len() + 1).sum();
     let next = copy.request("/stream/turns/b", &format!("{turn}Previous: {id}\r\n"), "second");
     let byte_count = "first".len() + stored_bytes + "second".len();
     assert!(next.contains(&format!("was sent {byte_count} bytes")), "{byte_count}\n{next}");
@@ -106,10 +107,10 @@
     assert_eq!(status, 404);
     assert_eq!(endpoint.stop(), Some(0));
     assert_eq!(tier.stop(), Some(0));
-    let again = copy.start();
+    let restarted = copy.start();
     let configuration = call_until(200, |_| call(copy.address(1, 8_144), "GET /config", "Host: k\r\n", ""));
     assert!(configuration.contains("\"generation\": 1"), "{configuration}");
-    assert_eq!(again.stop(), Some(0));
+    assert_eq!(restarted.stop(), Some(0));
 }
 
 #[test]
@@ -119,7 +120,7 @@
     copy.put_configuration(2);
     let endpoint = copy.endpoint("i-three");
     copy.request("/echo/before", "", "");
-    for process in children(tier.id(), "-3.toml") {
+    for process in child_processes(tier.id(), "-3.toml") {
         send_signal(process, "KILL");
     }
     copy.request("/echo/after", "", "");
@@ -140,8 +141,8 @@
     assert!(message.contains("dataDirectory"), "{message}");
 }
 
-/// The child processes of `parent` whose command lines end with `ending`.
-fn children(parent: u32, ending: &str) -> Vec<u32> {
+/// Returns the child processes of `parent` whose command lines end with `suffix`.
+fn child_processes(parent: u32, suffix: &str) -> Vec<u32> {
     let list = format!("/proc/{parent}/task");
     let mut processes = Vec::new();
     for task in std::fs::read_dir(list).unwrap() {
@@ -150,7 +151,7 @@
     }
     processes.retain(|id| {
         let line = std::fs::read_to_string(format!("/proc/{id}/cmdline")).unwrap_or_default();
-        line.trim_end_matches('\0').ends_with(ending)
+        line.trim_end_matches('\0').ends_with(suffix)
     });
     assert_eq!(processes.len(), 2, "a keeper and a store");
     processes
--- a/crates/relay/tests/tier/main.rs
+++ b/crates/relay/tests/tier/main.rs
@@ -1,4 +1,4 @@
-//! The serving tier as a new user meets it: the commands of README, and what they say of wrong input.
+//! The serving tier as a new user runs it: the commands of the README, and their messages for invalid input.
 
 mod commands;
 mod http;
--- a/crates/relay/tests/tier/process.rs
+++ b/crates/relay/tests/tier/process.rs
@@ -1,11 +1,11 @@
-//! The program as a process.
+//! Runs the program as a process.
 
 use std::process::{Child, Command, Output, Stdio};
 use std::time::Instant;
 
 use crate::http::CALL_TIMEOUT;
 
-/// Runs a command to its end.
+/// Runs a command until it exits.
 pub fn run_program(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_juniperwing"));
     command.args(arguments).env_remove("JUNIPERWING_CONFIG").output().expect("the program runs")
@@ -21,7 +21,7 @@
         RunningProgram(command.spawn().expect("the program starts"))
     }
 
-    /// The id of the process.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.0.id()
     }
@@ -31,15 +31,15 @@
         send_signal(self.id(), name);
     }
 
-    /// Ends it by SIGTERM. Returns its exit code.
+    /// Stops the process with SIGTERM. Returns its exit code.
     pub fn stop(mut self) -> Option<i32> {
         self.send_signal("TERM");
         let deadline = Instant::now() + CALL_TIMEOUT;
         loop {
-            if let Some(status) = self.0.try_wait().expect("it is a child") {
+            if let Some(status) = self.0.try_wait().expect("a child process") {
                 return status.code();
             }
-            assert!(Instant::now() < deadline, "it does not end");
+            assert!(Instant::now() < deadline, "the process does not exit");
             std::thread::yield_now();
         }
     }
@@ -47,7 +47,7 @@
 
 impl Drop for RunningProgram {
     fn drop(&mut self) {
-        // A failed test leaves no process behind: the roles stop when their parent is stopped by SIGTERM.
+        // Stops the process after a failed test: the roles exit when their parent receives SIGTERM.
         if matches!(self.0.try_wait(), Ok(None)) {
             self.send_signal("TERM");
             let _ = self.0.wait();
