--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,7 +1,6 @@
 //! Points in time and durations as distinct types, in nanoseconds.
 //!
-//! Code that decides never reads a clock: it is handed the [`Time`] with each event, which may come from a real or a
-//! simulated clock.
+//! State machines do not read a clock. They receive the [`Time`] with each event, taken from a real or a simulated clock.
 
 use std::ops::{Add, Sub};
 
@@ -17,7 +16,7 @@
     /// The latest point, which is never reached.
     pub const NEVER: Time = Time(u64::MAX);
 
-    /// The point that lies `nanos` nanoseconds after the origin.
+    /// The point `nanos` nanoseconds after the origin.
     pub const fn from_nanos(nanos: u64) -> Self {
         Time(nanos)
     }
@@ -79,7 +78,7 @@
     }
 }
 
-/// The point that lies a span earlier; the origin if the span reaches further back.
+/// The point that is a span earlier; saturates at the origin.
 impl Sub<Span> for Time {
     type Output = Time;
 
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -1,7 +1,7 @@
-//! Conditions that must always hold, checked at run time.
+//! Invariants that are checked at run time.
 //!
-//! [`check`] is called where a condition could break. A violation is counted by its invariant and passed to the reporter of
-//! the process, which logs it; the process continues. In builds with debug assertions, and so in tests, a violation panics.
+//! [`check`] is called where an invariant could be violated. Violations are counted for each invariant and passed to the
+//! reporter of the process, which logs them; the process continues. With debug assertions, as in tests, a violation panics.
 //!
 //! `docs/promises.md` maps the invariants to the guarantees that depend on them.
 
@@ -24,7 +24,7 @@
 /// Receives the violations of a process.
 pub type Reporter = Box<dyn Fn(&Violation) + Send + Sync>;
 
-/// The numbers of violations, by the index of the invariant.
+/// The number of violations of each invariant, by its index.
 static VIOLATION_COUNTS: [AtomicU64; Invariant::ALL.len()] =
     [const { AtomicU64::new(0) }; Invariant::ALL.len()];
 static REPORTER: OnceLock<Reporter> = OnceLock::new();
--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -1,8 +1,8 @@
-//! The log of a process: one JSON object a line, written by a thread of its own.
+//! The log of a process: one JSON object per line, written by a background thread.
 //!
-//! Logging puts a record into a bounded queue and does not wait for the output. A blocked output (a full pipe, a hanging
-//! disk) therefore delays nothing: records that find the queue full are dropped, and their number is logged once the queue
-//! has capacity again.
+//! Logging adds a record to a bounded queue and does not wait for the output, so a blocked output (a full pipe, a hanging
+//! disk) does not delay the process. While the queue is full, records are dropped, and their number is logged once the
+//! queue has capacity again.
 
 mod line_buffered;
 
@@ -17,13 +17,13 @@
 
 use crate::line_buffered::LineBuffered;
 
-/// The most records that may wait to be written; more are dropped and counted.
+/// The maximum number of records that wait to be written; more are dropped and counted.
 const QUEUE_LENGTH: usize = 4_096;
-/// The longest that writing the queued records may take when the process exits.
+/// The maximum time for writing the queued records when the process exits.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A logger that writes to `output` the records from `level` upward, each with `values`; and the guard that flushes the
-/// queued records at the end of the process.
+/// Creates a logger that writes records of at least `level` to `output`, each with `values`, and the guard that flushes the
+/// queued records when the process exits.
 pub fn background<W, V>(output: W, level: Level, values: OwnedKV<V>) -> (Logger, FlushGuard)
 where
     W: Write + Send + 'static,
@@ -39,21 +39,21 @@
     (logger, FlushGuard { writer })
 }
 
-/// Flushes the log and ends the thread that writes it.
+/// Flushes the log and stops the thread that writes it.
 #[must_use = "records that are still queued at the end of the process are lost without a flush"]
 pub struct FlushGuard {
     writer: AsyncGuard,
 }
 
 impl FlushGuard {
-    /// Waits until the records logged so far are written, for a bounded time, since the output may be blocked. Records
+    /// Waits until the records logged so far are written, or until a timeout, since the output may be blocked. Records
     /// logged afterwards are dropped.
     pub fn flush(self) {
         let (done, written) = mpsc::channel();
         thread::spawn(move || {
-            // Joins the thread that writes.
+            // Joins the writing thread.
             drop(self.writer);
-            // After the timeout nobody receives this.
+            // The receiver is gone after the timeout.
             let _ = done.send(());
         });
         let _ = written.recv_timeout(FLUSH_TIMEOUT);
--- a/crates/log/src/line_buffered.rs
+++ b/crates/log/src/line_buffered.rs
@@ -1,8 +1,8 @@
-//! Writes complete lines, each in one call.
+//! A writer that buffers each line and writes it with one call.
 
 use std::io::{self, Write};
 
-/// A writer that passes on complete lines, each in one write, so that lines of several processes don't mix and a line costs
+/// Passes on complete lines, each in one write, so that the lines of several processes do not interleave and a line takes
 /// one system call.
 #[derive(Debug)]
 pub(crate) struct LineBuffered<W> {
--- a/crates/log/tests/log.rs
+++ b/crates/log/tests/log.rs
@@ -10,7 +10,7 @@
 
 /// More records than the queue has capacity for.
 const RECORDS_BEYOND_QUEUE: usize = 20_000;
-/// The longest that anything here may take.
+/// The maximum duration of a flush or a wait in these tests.
 const MAX_DURATION: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Default)]
@@ -50,7 +50,7 @@
 
 impl Write for BlockedWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        // Once the sender is dropped this is an error, and writes go through.
+        // Returns an error once the sender is dropped; writes are no longer blocked then.
         let _ = self.unblock.recv();
         self.memory.write(bytes)
     }
--- a/crates/random/src/lib.rs
+++ b/crates/random/src/lib.rs
@@ -1,12 +1,13 @@
 //! A deterministic pseudo-random number generator, seeded by the caller.
 //!
-//! The packages that decide or simulate draw from it, so that the same seed gives the same run. It is good enough to keep
-//! processes apart and to draw test cases, and is of no use for secrets.
+//! State machines and simulations use it, so that the same seed gives the same run. It is good enough to
+//! decorrelate processes and to generate test cases, but not cryptographically secure.
 
 use rand_xoshiro::SplitMix64;
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 
-/// Odd, and without a pattern in its bits: the increment of `SplitMix64`, which spreads small numbers over all 64 bits.
+/// The increment of `SplitMix64`. It is odd and has no pattern in its bits, so multiplication by it spreads small numbers
+/// over all 64 bits.
 const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// A stream of pseudo-random numbers (`SplitMix64`).
@@ -33,12 +34,12 @@
         Rng::new(mixed)
     }
 
-    /// The next 64 bits.
+    /// The next 64 random bits.
     pub fn next_u64(&mut self) -> u64 {
         self.0.next_u64()
     }
 
-    /// A number from 0 up to and without 1, in steps of 2^-53.
+    /// A number in `[0, 1)`, in steps of 2^-53.
     pub fn unit(&mut self) -> f64 {
         (self.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
@@ -48,29 +49,29 @@
         self.next_u64() % limit.max(1)
     }
 
-    /// A number from `least` up to and without `limit`; `least` if there is none.
+    /// A number in `[least, limit)`; `least` if that range is empty.
     pub fn between(&mut self, least: u64, limit: u64) -> u64 {
         least + self.below(limit.saturating_sub(least))
     }
 
-    /// Whether one of `count` equally probable cases has come.
+    /// True with a probability of 1 in `count`.
     pub fn one_in(&mut self, count: u64) -> bool {
         self.below(count) == 0
     }
 
-    /// True so many times in a hundred.
+    /// True with a probability of `percent` percent.
     pub fn percent(&mut self, percent: u64) -> bool {
         self.below(100) < percent
     }
 
-    /// An index below `length`, each as probable as the others; 0 if `length` is 0. Takes the high bits of a draw, where
-    /// [`Rng::below`] takes the remainder.
+    /// A uniformly distributed index below `length`; 0 if `length` is 0. Uses the high bits of a random number, whereas
+    /// [`Rng::below`] uses the remainder.
     pub fn index(&mut self, length: usize) -> usize {
         let wide = u128::from(self.next_u64()) * length as u128;
         (wide >> 64) as usize
     }
 
-    /// Puts `items` in a random order.
+    /// Shuffles `items` into a random order.
     pub fn shuffle<T>(&mut self, items: &mut [T]) {
         for end in (1..items.len()).rev() {
             items.swap(end, self.index(end + 1));
--- a/crates/random/tests/random.rs
+++ b/crates/random/tests/random.rs
@@ -1,4 +1,4 @@
-//! The generator draws what it has always drawn, so that seeds of kept runs mean the same run.
+//! The output of the generator must not change, so that a recorded seed keeps reproducing its run.
 
 use juniperwing_random::Rng;
 
--- a/crates/stand-in/src/command.rs
+++ b/crates/stand-in/src/command.rs
@@ -10,19 +10,19 @@
 
 use crate::options::EndpointOptions;
 
-/// The longest id, in bytes.
+/// The maximum length of an id, in bytes.
 const MAX_ID_BYTES: usize = 64;
 
-/// An argument cannot be used.
+/// An invalid argument.
 #[derive(Debug, Snafu)]
 enum ArgumentError {
-    #[snafu(display("--id: up to {MAX_ID_BYTES} letters, digits, '-', '_' and '.'"))]
+    #[snafu(display("--id: must be 1 to {MAX_ID_BYTES} letters, digits, '-', '_' or '.'"))]
     InvalidId,
     #[snafu(display("--{option}: {text:?} cannot be read"))]
     InvalidValue { option: &'static str, text: String },
 }
 
-/// Runs a stand-in with the arguments behind `endpoint`, until SIGTERM or SIGINT.
+/// Runs a stand-in with the arguments after `endpoint`, until SIGTERM or SIGINT.
 pub fn run(arguments: &[String]) -> ExitCode {
     let options = options();
     let usage = options.usage(
--- a/crates/stand-in/src/lib.rs
+++ b/crates/stand-in/src/lib.rs
@@ -1,8 +1,8 @@
-//! A stand-in for an endpoint, for trying the serving tier and for its tests.
+//! A stand-in endpoint for trying out and testing the serving tier.
 //!
-//! It does what the tier expects of an endpoint and no work: it registers by heartbeats ([`registration`]),
-//! answers requests with what it was sent and streams with numbered events ([`responses`]), and shuts down gracefully:
-//! it reports that it drains, goes on serving for a while, and deregisters.
+//! It does what the tier expects of an endpoint, without any real work. It registers by heartbeats ([`registration`]),
+//! echoes requests or responds with a stream of numbered events ([`responses`]), and shuts down gracefully: it reports
+//! that it is draining, continues to serve for a while, and deregisters.
 
 pub mod command;
 pub mod options;
@@ -25,7 +25,7 @@
 ///
 /// # Errors
 ///
-/// If the address cannot be listened on.
+/// If it cannot listen on the address.
 pub async fn run_until(options: EndpointOptions, stop: impl Future<Output = ()>) -> io::Result<()> {
     let listener = TcpListener::bind(options.listen).await?;
     let address = listener.local_addr()?;
@@ -46,7 +46,7 @@
     }
     registration.deregister().await;
     shutdown.notify_one();
-    // Requests that are still running after that are aborted.
+    // Requests that are still running after the timeout are aborted.
     let _ = timeout(options.drain_duration, &mut serving).await;
     println!("endpoint {} ends", options.instance_id);
     Ok(())
--- a/crates/stand-in/src/options.rs
+++ b/crates/stand-in/src/options.rs
@@ -12,19 +12,19 @@
     pub service: String,
     /// Its zone.
     pub zone: String,
-    /// Where it listens; port 0 stands for any free port.
+    /// The address on which it listens; port 0 selects any free port.
     pub listen: SocketAddr,
-    /// Control listeners of keepers.
+    /// The control listeners of the keepers.
     pub keepers: Vec<SocketAddr>,
-    /// The most requests that run at a time; more are rejected.
+    /// The maximum number of concurrent requests; more are rejected.
     pub capacity: usize,
     /// The time between two heartbeats.
     pub heartbeat_interval: Duration,
-    /// For how long it goes on serving after it has reported that it drains.
+    /// How long it continues to serve after it has reported that it is draining.
     pub drain_duration: Duration,
-    /// A path that begins with this is answered with a stream.
+    /// The prefix of the paths whose response is a stream.
     pub stream_prefix: String,
-    /// The most events of a stream.
+    /// The maximum number of events of a stream.
     pub max_events: u64,
     /// The time between two events.
     pub event_interval: Duration,
--- a/crates/stand-in/src/registration.rs
+++ b/crates/stand-in/src/registration.rs
@@ -18,14 +18,14 @@
 
 use crate::options::EndpointOptions;
 
-/// How long a keeper may take to respond.
+/// The timeout of a call to a keeper.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The longest response that is accepted, in bytes.
+/// The maximum size of a response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 4 << 10;
 /// How many times all keepers are tried when the endpoint deregisters.
 const DEREGISTRATION_ROUNDS: usize = 2;
 
-/// The state that an endpoint reports of itself.
+/// The state that an endpoint reports to keepers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportedState {
     /// It accepts requests.
@@ -43,7 +43,7 @@
     }
 }
 
-/// Why a keeper did not acknowledge.
+/// Why a keeper did not acknowledge a call.
 #[derive(Debug, Snafu)]
 enum CallError {
     /// It cannot be reached.
@@ -53,13 +53,13 @@
     #[snafu(display("{source}"))]
     Http { source: hyper::Error },
     /// The response is too long or incomplete.
-    #[snafu(display("its answer cannot be read"))]
+    #[snafu(display("invalid response"))]
     InvalidResponse,
     /// It rejected the call.
-    #[snafu(display("it answered {status}: {body}"))]
+    #[snafu(display("rejected with status {status}: {body}"))]
     Rejected { status: StatusCode, body: String },
     /// It did not respond in time.
-    #[snafu(display("silent for a second"))]
+    #[snafu(display("no response within {} s", RESPONSE_TIMEOUT.as_secs()))]
     TimedOut,
 }
 
@@ -72,7 +72,7 @@
     address: SocketAddr,
     capacity: usize,
     keepers: Vec<SocketAddr>,
-    /// The keeper that acknowledged last.
+    /// The index of the keeper to call next, which wraps around: the last one that acknowledged a call.
     current_keeper: AtomicUsize,
     last_sequence: AtomicU64,
 }
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Reports a state to the keepers, one after the other, until one acknowledges. Returns whether one did.
+    /// Reports a state to one keeper after another until one acknowledges it. Returns whether one did.
     pub async fn report(&self, state: ReportedState) -> bool {
         let sequence = self.last_sequence.fetch_add(1, Ordering::Relaxed) + 1;
         let body = json!({
@@ -161,7 +161,7 @@
             .header("host", keeper.to_string())
             .header("content-type", "application/json")
             .body(Full::new(Bytes::from(body.to_owned())));
-        // The id in the path was checked when the endpoint started.
+        // The command validates the id in the path when the endpoint starts.
         let Ok(request) = request else { return InvalidResponseSnafu.fail() };
         let response = sender.send_request(request).await.context(HttpSnafu)?;
         let status = response.status();
--- a/crates/stand-in/src/responses.rs
+++ b/crates/stand-in/src/responses.rs
@@ -18,7 +18,7 @@
 
 use crate::options::EndpointOptions;
 
-/// The longest body that is accepted, in bytes.
+/// The maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 4 << 20;
 
 /// The state that all requests share.
@@ -41,7 +41,7 @@
         }
     }
 
-    /// From now on health checks fail, and each response closes its connection.
+    /// Makes health checks fail and each response close its connection from now on.
     pub fn start_draining(&self) {
         self.is_draining.store(true, Ordering::Relaxed);
     }
@@ -50,7 +50,7 @@
         self.is_draining.load(Ordering::Relaxed)
     }
 
-    /// A slot for a request, if one is free.
+    /// Reserves a slot for a request if one is free.
     fn acquire_slot(self: &Arc<Self>) -> Option<RequestSlot> {
         let capacity = self.options.capacity;
         let add_one = |running| (running < capacity).then_some(running + 1);
@@ -58,7 +58,7 @@
         Some(RequestSlot(Arc::clone(self)))
     }
 
-    /// The signature of a response, which no other one of this incarnation has.
+    /// The signature of a response, unique within this incarnation.
     fn next_signature(&self) -> String {
         let number = self.response_count.fetch_add(1, Ordering::Relaxed);
         format!("{}.{number}", self.options.instance_id)
@@ -74,7 +74,7 @@
     }
 }
 
-/// The routes of a stand-in: the health check, and all other paths.
+/// Creates the router: the health check, and a handler for all other paths.
 pub fn router(service: Arc<EndpointService>) -> Router {
     Router::new().route("/healthz", get(handle_health_check)).fallback(handle_request).with_state(service)
 }
@@ -104,7 +104,7 @@
     response
 }
 
-/// The status of a request that must not be run: it has no id, or is meant for another incarnation.
+/// The status for a request that must not be run because it has no id or is for another incarnation.
 fn rejection_status(service: &EndpointService, headers: &HeaderMap) -> Option<StatusCode> {
     if !headers.contains_key(headers::REQUEST_ID) {
         return Some(StatusCode::BAD_REQUEST);
@@ -126,7 +126,7 @@
     response
 }
 
-/// Answers with the request line and the body.
+/// Responds with the request line and the body.
 async fn echo(service: &EndpointService, request: Request) -> Response {
     let line = format!("{} ran {} {}: ", service.options.instance_id, request.method(), request.uri());
     match Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await {
@@ -138,7 +138,7 @@
     }
 }
 
-/// Answers with numbered events, from the one after `Last-Event-Id` on.
+/// Responds with numbered events, starting after `Last-Event-Id`.
 async fn stream_events(slot: RequestSlot, request: Request) -> Response {
     let (parts, body) = request.into_parts();
     let Ok(body) = Limited::new(body, MAX_BODY_BYTES).collect().await else {
@@ -173,7 +173,7 @@
     text.trim().parse().ok()
 }
 
-/// An event that names the length of the body, which grows with the turns that a turn continues from.
+/// An event that contains the length of the request body, which grows with the turns that a turn continues.
 fn format_event(slot: &RequestSlot, number: u64, body_bytes: usize) -> Bytes {
     let instance = &slot.0.options.instance_id;
     Bytes::from(format!("id: {number}\ndata: part {number} of {instance}, was sent {body_bytes} bytes\n\n"))
@@ -193,7 +193,7 @@
 }
 
 fn set_header(response: &mut Response, name: &'static str, value: &str) {
-    // An id that is no header value was rejected at the start.
+    // The command rejects ids that are not valid in a header when it starts.
     if let Ok(value) = HeaderValue::from_str(value) {
         response.headers_mut().insert(name, value);
     }
--- a/crates/stand-in/tests/endpoint.rs
+++ b/crates/stand-in/tests/endpoint.rs
@@ -1,4 +1,4 @@
-//! The stand-in behaves as the tier expects of an endpoint.
+//! Tests that the stand-in behaves as the tier expects of an endpoint.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 
-/// The longest that any wait may take on a busy machine.
+/// The timeout of any wait, long enough for a busy machine.
 const TEST_TIMEOUT: Duration = Duration::from_secs(40);
 
 fn test_options() -> EndpointOptions {
@@ -121,7 +121,7 @@
     assert_eq!((response.status, response.header("connection")), (StatusCode::OK, Some("close")));
 }
 
-/// Starts a keeper that acknowledges every call, and hands the calls to the test in order.
+/// Starts a keeper that acknowledges every call and sends the calls to the test in order.
 async fn start_keeper(calls: mpsc::UnboundedSender<(Method, String, Value)>) -> std::net::SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
