--- a/crates/emulator/src/arguments.rs
+++ b/crates/emulator/src/arguments.rs
@@ -25,10 +25,10 @@
     pub digest: bool,
 }
 
-/// Why a command line was not accepted. The message ends with the usage text.
+/// Why a command line was rejected. The message ends with the usage text.
 #[derive(Debug, Snafu)]
 pub enum ArgumentsError {
-    /// The help was asked for, or there are arguments besides the options.
+    /// Help was requested, or there are arguments other than options.
     #[snafu(display("{usage}"))]
     Usage {
         /// The usage text.
@@ -59,7 +59,7 @@
     ///
     /// # Errors
     ///
-    /// If the help is asked for, or if an argument is unknown or not valid.
+    /// If help is requested, or if an argument is unknown or invalid.
     pub fn parse(arguments: &[String]) -> Result<Arguments, ArgumentsError> {
         let options = options();
         let usage = options.usage("Usage: juniperwing-emulator [OPTIONS]");
--- a/crates/emulator/src/checker.rs
+++ b/crates/emulator/src/checker.rs
@@ -1,8 +1,8 @@
-//! Checks the history of a scenario for violated properties, from what clients observed alone.
+//! Checks the history of a scenario for violated properties, based only on what clients observed.
 //!
 //! [`orders`] checks the responses to operators, [`relays`] the configurations that relays applied, [`endpoints`] the
 //! acknowledgements of heartbeats and drains, [`liveness`] whether orders are acknowledged at all, and [`turns`] what the
-//! clients of programs saw.
+//! clients of programs observed.
 
 mod endpoints;
 mod liveness;
@@ -26,7 +26,7 @@
     TwoAcknowledged,
     /// An order was acknowledged and refused.
     AcknowledgedAndRefused,
-    /// An order was refused and is in force nevertheless.
+    /// An order was refused although it is in force.
     RefusedButInForce,
     /// An order on the newest version was refused although no other order on it was ever in force.
     RefusedWithoutConflict,
@@ -64,7 +64,7 @@
     DeniedWithinBudget,
     /// A turn was answered with 503 while the tier was stable.
     TurnNotServed,
-    /// A process exited although nothing had asked it to.
+    /// A process exited without a shutdown request.
     ProcessExited,
 }
 
@@ -73,7 +73,7 @@
 pub struct Violation {
     /// The violated property.
     pub property: Property,
-    /// When the violation shows.
+    /// When the violation was observed.
     pub at: Time,
     /// The processes and versions involved.
     pub detail: String,
--- a/crates/emulator/src/checker/endpoints.rs
+++ b/crates/emulator/src/checker/endpoints.rs
@@ -1,4 +1,4 @@
-//! Checks that relays know what endpoints were acknowledged.
+//! Checks the endpoint states that relays hold against the acknowledged heartbeats and drains.
 
 use std::collections::BTreeMap;
 
@@ -10,16 +10,16 @@
 use crate::history::{Event, RecordedEvent};
 use crate::stability::millis;
 
-/// How soon after its acknowledgement a drain is in force at all relays (`drainMs`), in milliseconds.
+/// The time limit from the acknowledgement of a drain until it is in force at all relays (`drainMs`), in milliseconds.
 const DRAIN_MS: u64 = 2_000;
 /// How long a relay must have run to be in contact (`contactMs`), in milliseconds.
 const CONTACT_MS: u64 = 3_000;
-/// How soon an endpoint whose heartbeats are acknowledged must be ready at all relays, in milliseconds.
+/// The time limit until an endpoint whose heartbeats are acknowledged is ready at all relays, in milliseconds.
 const MAX_DISCOVERY_MS: u64 = 3_000;
 /// The interval at which the state of relays is sampled, in milliseconds.
 const SAMPLE_INTERVAL_MS: usize = 250;
 
-/// The acknowledgements that an endpoint got.
+/// The acknowledgements that an endpoint received.
 #[derive(Default)]
 struct Endpoint {
     /// Since when every heartbeat has been acknowledged; `None` while the last one failed.
@@ -27,7 +27,7 @@
     /// The periods in which every heartbeat was acknowledged and the endpoint was ready.
     ready: Vec<ReadyPeriod>,
     /// The first acknowledgement of its draining or termination.
-    departure: Option<Departure>,
+    drain_acknowledgement: Option<DrainAcknowledgement>,
 }
 
 /// A period in which an endpoint was ready, from its first to its last acknowledged heartbeat.
@@ -37,7 +37,7 @@
 }
 
 /// The acknowledgement of an endpoint's draining or termination.
-struct Departure {
+struct DrainAcknowledgement {
     acknowledged_at: Time,
     /// The keeper that acknowledged it.
     keeper: usize,
@@ -46,7 +46,7 @@
 pub(super) fn check(observations: &Observations<'_>, violations: &mut Violations) {
     for (id, endpoint) in index_endpoints(observations) {
         check_drained(observations, &id, &endpoint, violations);
-        check_known(observations, &id, &endpoint, violations);
+        check_discovered(observations, &id, &endpoint, violations);
     }
 }
 
@@ -60,7 +60,9 @@
                     endpoint.record_acknowledgement(*at);
                 } else {
                     endpoint.acknowledged_since = None;
-                    endpoint.departure.get_or_insert(Departure { acknowledged_at: *at, keeper: *keeper });
+                    endpoint
+                        .drain_acknowledgement
+                        .get_or_insert(DrainAcknowledgement { acknowledged_at: *at, keeper: *keeper });
                 }
             }
             Event::HeartbeatReplied { id, .. }
@@ -75,7 +77,7 @@
 }
 
 impl Endpoint {
-    /// Extends the present ready period, or begins a new one.
+    /// Extends the current ready period or begins a new one.
     fn record_acknowledgement(&mut self, at: Time) {
         if self.acknowledged_since.is_some() {
             self.ready.last_mut().into_iter().for_each(|period| period.last = at);
@@ -95,7 +97,9 @@
 fn check_drained(
     observations: &Observations<'_>, id: &str, endpoint: &Endpoint, violations: &mut Violations,
 ) {
-    let Some(Departure { acknowledged_at, keeper }) = &endpoint.departure else { return };
+    let Some(DrainAcknowledgement { acknowledged_at, keeper }) = &endpoint.drain_acknowledgement else {
+        return;
+    };
     for (at_ms, at) in sample_times(millis(*acknowledged_at) + DRAIN_MS, observations.scenario.duration_ms) {
         let from = at_ms - DRAIN_MS;
         for incarnation in &observations.relay_incarnations {
@@ -113,7 +117,9 @@
 }
 
 /// Checks that every relay in contact holds an endpoint as ready while its heartbeats are acknowledged.
-fn check_known(observations: &Observations<'_>, id: &str, endpoint: &Endpoint, violations: &mut Violations) {
+fn check_discovered(
+    observations: &Observations<'_>, id: &str, endpoint: &Endpoint, violations: &mut Violations,
+) {
     for period in &endpoint.ready {
         for (at_ms, at) in sample_times(millis(period.first) + MAX_DISCOVERY_MS, millis(period.last)) {
             let from = at_ms - MAX_DISCOVERY_MS;
--- a/crates/emulator/src/checker/liveness.rs
+++ b/crates/emulator/src/checker/liveness.rs
@@ -7,7 +7,7 @@
 use crate::history::{Event, RecordedEvent};
 use crate::stability::millis;
 
-/// How soon an order must have a conclusive response (`ackMs`), in milliseconds.
+/// The time limit for a conclusive response to an order (`ackMs`), in milliseconds.
 const MAX_REPLY_MS: u64 = 4_000;
 /// How long the bootstrap of the tier may take, in milliseconds.
 const BOOTSTRAP_MS: u64 = 4_000;
@@ -26,10 +26,10 @@
             violations.add(Property::OrderWithoutAnswer, order.submitted_at, order_name(order.id));
         }
     }
-    check_readable(observations, violations);
+    check_final_read(observations, violations);
 }
 
-fn check_readable(observations: &Observations<'_>, violations: &mut Violations) {
+fn check_final_read(observations: &Observations<'_>, violations: &mut Violations) {
     let end_ms = observations.scenario.duration_ms;
     let last_read =
         observations.history.iter().rev().find(|RecordedEvent { event, .. }| {
--- a/crates/emulator/src/checker/observations.rs
+++ b/crates/emulator/src/checker/observations.rs
@@ -1,4 +1,4 @@
-//! A history, indexed by what the checks need.
+//! An index of a history for the checks.
 
 use std::collections::BTreeMap;
 
@@ -71,21 +71,21 @@
         self.in_force.get_or_insert(at);
     }
 
-    /// The first response that refuses the order for good.
+    /// The first response that refuses the order permanently.
     pub(super) fn refusal(&self) -> Option<&OrderReply> {
         self.replies.iter().find(|reply| reply.is_refusal())
     }
 }
 
 impl OrderReply {
-    /// Whether it refuses the order for good; 408 and 429 ask for a retry.
+    /// Whether it refuses the order permanently; 408 and 429 ask for a retry.
     pub(super) fn is_refusal(&self) -> bool {
         (400..500).contains(&self.status) && self.status != 408 && self.status != 429
     }
 }
 
 impl RelayIncarnation {
-    /// The state of an endpoint at a moment, as this relay knew it.
+    /// The state of an endpoint that this relay had applied by a moment.
     pub(super) fn instance_state_at(&self, id: &str, at: Time) -> Option<InstanceState> {
         let updates = self.instances.iter().take_while(|update| update.at <= at);
         updates.filter(|update| update.id == id).last().map(|update| update.state)
--- a/crates/emulator/src/checker/relays.rs
+++ b/crates/emulator/src/checker/relays.rs
@@ -6,7 +6,7 @@
 use super::{Property, Violations};
 use crate::stability::millis;
 
-/// How soon an acknowledged configuration is in force at all relays (`configApplyMs`), in milliseconds.
+/// The time limit until an acknowledged configuration is in force at all relays (`configApplyMs`), in milliseconds.
 const MAX_APPLY_MS: u64 = 2_000;
 /// How long a relay must have run to be in contact (`contactMs`), in milliseconds.
 const CONTACT_MS: u64 = 3_000;
--- a/crates/emulator/src/checker/turns.rs
+++ b/crates/emulator/src/checker/turns.rs
@@ -1,4 +1,4 @@
-//! Checks what clients of programs saw: stored turns, chains and budgets.
+//! Checks what clients of programs observed: stored turns, chains and budgets.
 
 use std::collections::BTreeMap;
 
@@ -13,14 +13,14 @@
 /// How long the stores may take to be assigned after the start of the tier, in milliseconds.
 const BOOTSTRAP_MS: u64 = 6_000;
 
-/// A complete answer.
-struct Answer {
+/// A complete response to a turn.
+struct CompleteResponse {
     at: Time,
     /// The attempt whose content is stored; `None` if the turn is not stored.
     stored_attempt: Option<u64>,
 }
 
-/// What clients saw of a turn.
+/// What clients observed of a turn.
 struct TurnHistory {
     request: TurnRequest,
     requested_at: Time,
@@ -28,10 +28,10 @@
     has_begun: bool,
     is_denied: bool,
     tokens_sent: u64,
-    answer: Option<Answer>,
+    response: Option<CompleteResponse>,
 }
 
-/// What clients have seen so far.
+/// What clients have observed so far.
 struct TurnChecker<'check> {
     violations: &'check mut Violations,
     stability: Stability,
@@ -60,7 +60,7 @@
             Event::TokensSent { turn, tokens } => self.handle_tokens(at, *turn, *tokens),
             Event::TurnAnswered { turn, stored_attempt } => {
                 if let Some(known) = self.turns.get_mut(turn) {
-                    known.answer = Some(Answer { at, stored_attempt: *stored_attempt });
+                    known.response = Some(CompleteResponse { at, stored_attempt: *stored_attempt });
                 }
             }
             Event::TurnRefused { turn, status, requested_at } => {
@@ -78,7 +78,7 @@
             has_begun: false,
             is_denied: false,
             tokens_sent: 0,
-            answer: None,
+            response: None,
         };
         self.turns.entry(request.turn).or_insert(new).request_count += 1;
     }
@@ -105,7 +105,7 @@
         let mut next = last;
         while let Some(turn) = next {
             let known = self.turns.get(&turn)?;
-            let attempt = known.answer.as_ref()?.stored_attempt?;
+            let attempt = known.response.as_ref()?.stored_attempt?;
             chain.push(TurnContent { turn, attempt });
             next = known.request.previous;
         }
@@ -133,7 +133,7 @@
         }
     }
 
-    /// A denial stays, so it must have been right at some time since the turn was first sent.
+    /// A denial is permanent, so the budget must have lacked room for the turn at some time since it was first sent.
     fn handle_denial(&mut self, at: Time, turn: TurnId) {
         let Some(known) = self.turns.get_mut(&turn) else { return };
         known.is_denied = true;
@@ -145,7 +145,7 @@
             .turns
             .values()
             .filter(|other| other.request.program == request.program && other.request.turn != turn);
-        let used: u64 = others.map(|other| other.most_tokens_at(requested_at)).sum();
+        let used: u64 = others.map(|other| other.max_counted_tokens_at(requested_at)).sum();
         if request.budget.is_none_or(|budget| used + request.max_tokens <= budget) {
             let detail = format!("{} more than {used} of {:?}", request.max_tokens, request.budget);
             self.add(Property::DeniedWithinBudget, at, turn, detail);
@@ -156,8 +156,9 @@
         let Some(known) = self.turns.get(&turn) else { return };
         let (previous, requested_at) = (known.request.previous, known.requested_at);
         let is_stored = |chain: Vec<TurnContent>| {
-            let answers = chain.iter().filter_map(|content| self.turns.get(&content.turn)?.answer.as_ref());
-            answers.into_iter().all(|answer| answer.at <= requested_at)
+            let responses =
+                chain.iter().filter_map(|content| self.turns.get(&content.turn)?.response.as_ref());
+            responses.into_iter().all(|response| response.at <= requested_at)
         };
         if self.stored_chain(previous).is_some_and(is_stored) {
             self.add(Property::StoredTurnDenied, at, turn, format!("404, continues {previous:?}"));
@@ -168,7 +169,7 @@
         let Some(known) = self.turns.get(&turn) else { return };
         let (from_ms, until_ms) = (millis(requested_at), millis(at));
         let is_stable = self.stability.is_stable_throughout(from_ms, until_ms);
-        // A turn that was sent before may have been ended by the commit that followed.
+        // A turn that is sent again may have been ended by the commit that followed the first 503.
         if is_stable && from_ms >= BOOTSTRAP_MS && known.request_count == 1 {
             self.add(Property::TurnNotServed, at, turn, format!("503 after {} ms", until_ms - from_ms));
         }
@@ -180,11 +181,12 @@
 }
 
 impl TurnHistory {
-    /// The most tokens that may count for this turn when another one is decided that was requested at `moment`: those
-    /// that clients received if its commit was acknowledged before, and else all that it may generate.
-    fn most_tokens_at(&self, moment: Time) -> u64 {
-        match &self.answer {
-            Some(Answer { at, stored_attempt: Some(_) }) if *at <= moment => self.tokens_sent,
+    /// The maximum number of tokens that may count for this turn in the decision on another turn that was requested at
+    /// `moment`: the tokens that clients received if the commit was acknowledged before, and otherwise all that the turn
+    /// may generate.
+    fn max_counted_tokens_at(&self, moment: Time) -> u64 {
+        match &self.response {
+            Some(CompleteResponse { at, stored_attempt: Some(_) }) if *at <= moment => self.tokens_sent,
             _ => self.request.max_tokens,
         }
     }
--- a/crates/emulator/src/clock.rs
+++ b/crates/emulator/src/clock.rs
@@ -1,4 +1,4 @@
-//! Virtual time, of the whole simulation and of one machine.
+//! Virtual clocks: the time of the whole simulation and the clock of one machine.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -36,33 +36,33 @@
 #[derive(Debug)]
 pub struct MachineClock {
     simulation_time: SimulationTime,
-    started: Mutex<Option<ProcessStart>>,
+    process_start: Mutex<Option<ProcessStart>>,
 }
 
 impl MachineClock {
     /// Creates a clock that shows the simulation time.
     pub fn new(simulation_time: SimulationTime) -> MachineClock {
-        MachineClock { simulation_time, started: Mutex::default() }
+        MachineClock { simulation_time, process_start: Mutex::default() }
     }
 
     /// Marks the start of a process. Must be called in the context of its runtime.
     pub fn start_process(&self) {
-        let started = ProcessStart { instant: Instant::now(), at: self.simulation_time.now() };
-        *lock(&self.started) = Some(started);
+        let start = ProcessStart { instant: Instant::now(), at: self.simulation_time.now() };
+        *lock(&self.process_start) = Some(start);
     }
 
     /// Marks the end of the process.
     pub fn end_process(&self) {
-        *lock(&self.started) = None;
+        *lock(&self.process_start) = None;
     }
 
     /// Returns the time of the process in the context of its runtime, and the simulation time elsewhere.
     pub fn now(&self) -> Time {
-        let started = *lock(&self.started);
-        match started {
-            Some(started) if Handle::try_current().is_ok() => {
-                let elapsed = Instant::now().saturating_duration_since(started.instant);
-                Time::from_nanos(started.at.since(Time::default()).as_nanos() + elapsed.as_nanos() as u64)
+        let process_start = *lock(&self.process_start);
+        match process_start {
+            Some(start) if Handle::try_current().is_ok() => {
+                let elapsed = Instant::now().saturating_duration_since(start.instant);
+                Time::from_nanos(start.at.since(Time::default()).as_nanos() + elapsed.as_nanos() as u64)
             }
             _ => self.simulation_time.now(),
         }
--- a/crates/emulator/src/disk.rs
+++ b/crates/emulator/src/disk.rs
@@ -1,9 +1,9 @@
 //! A simulated disk that loses unsynced writes when its machine loses power.
 //!
 //! Every operation has a start and a completion time. A process sees its operations at once. When it is killed, the
-//! operations that had not started by then are undone. When the machine loses power, each unsynced operation is, on its
-//! own, kept, torn or lost. As the operators' pages define it, a new file is durable after its own sync, and a rename or
-//! removal after a sync of the directory.
+//! operations that had not started by then are undone. When the machine loses power, each unsynced operation is
+//! independently kept, torn or lost. As the operators' documentation defines it, a new file is durable after its own
+//! sync, and a rename or removal after a sync of the directory.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ffi::OsString;
@@ -20,7 +20,7 @@
 use crate::clock::MachineClock;
 
 /// The latency of an operation other than a sync.
-const CALL_LATENCY: Span = Span::from_nanos(50_000);
+const OPERATION_LATENCY: Span = Span::from_nanos(50_000);
 /// The latency of a sync with a slowdown factor of 1.
 const SYNC_LATENCY: Span = Span::from_millis(5);
 
@@ -54,20 +54,20 @@
     directories: BTreeSet<PathBuf>,
 }
 
-/// What the lock guards.
+/// The state of a disk, guarded by its lock.
 #[derive(Debug)]
 struct State {
     /// The contents as processes see them.
     visible: Contents,
-    /// The contents that survive a loss of power for certain.
+    /// The contents that are guaranteed to survive a power loss.
     durable: Contents,
     /// The operations that lead from `durable` to `visible`.
     journal: Vec<Entry>,
     next_file: FileId,
     slowdown_factor: u32,
-    /// Syncs complete no earlier.
+    /// The earliest time at which a sync completes.
     stalled_until: Time,
-    /// Whether there is no room for further bytes.
+    /// Whether appends fail because no space is left.
     is_full: bool,
     /// The latency of the operations since the last [`SimulatedDisk::take_elapsed`].
     elapsed: Span,
@@ -82,7 +82,7 @@
 }
 
 impl SimulatedDisk {
-    /// Creates an empty disk. `rng` decides what a loss of power leaves.
+    /// Creates an empty disk. `rng` decides which unsynced operations survive a power loss.
     pub fn new(clock: Arc<MachineClock>, rng: Rng) -> SimulatedDisk {
         let state = State {
             visible: Contents::default(),
@@ -98,7 +98,7 @@
         SimulatedDisk { clock, state: Mutex::new(state) }
     }
 
-    /// Sets how many times longer than usual syncs take.
+    /// Sets the factor by which the latency of syncs is multiplied.
     pub fn set_slowdown_factor(&self, factor: u32) {
         self.lock().slowdown_factor = factor;
     }
@@ -108,7 +108,7 @@
         self.lock().stalled_until = time;
     }
 
-    /// Sets whether there is no room for further bytes.
+    /// Sets whether appends fail because no space is left.
     pub fn set_full(&self, is_full: bool) {
         self.lock().is_full = is_full;
     }
@@ -118,7 +118,7 @@
         Duration::from_nanos(std::mem::replace(&mut self.lock().elapsed, Span::ZERO).as_nanos())
     }
 
-    /// Undoes the operations that had not started by `now`, when the process is killed.
+    /// Undoes the operations that had not started by `now`. Called when the process is killed.
     pub fn kill_process(&self, now: Time) {
         let mut state = self.lock();
         state.discard_unstarted(now);
@@ -129,25 +129,25 @@
         state.visible = visible;
     }
 
-    /// Drops or tears unsynced operations, when the machine loses power.
+    /// Drops or tears unsynced operations. Called when the machine loses power.
     pub fn lose_power(&self, now: Time) {
         let mut state = self.lock();
         state.discard_unstarted(now);
         let journal = std::mem::take(&mut state.journal);
         let loses_all = state.rng.one_in(4);
-        let mut remaining = std::mem::take(&mut state.durable);
+        let mut surviving = std::mem::take(&mut state.durable);
         for (index, entry) in journal.iter().enumerate() {
             if is_durable(&journal[index..], now) {
-                remaining.apply(&entry.operation);
+                surviving.apply(&entry.operation);
             } else if !loses_all {
-                apply_partially(&mut remaining, &entry.operation, &mut state.rng);
+                apply_partially(&mut surviving, &entry.operation, &mut state.rng);
             }
         }
-        state.durable = remaining.clone();
-        state.visible = remaining;
+        state.durable = surviving.clone();
+        state.visible = surviving;
     }
 
-    /// Replaces the disk by an empty one.
+    /// Replaces the disk with an empty one.
     pub fn wipe(&self) {
         let mut state = self.lock();
         state.visible = Contents::default();
@@ -160,7 +160,7 @@
         lock(&self.state)
     }
 
-    fn operate(&self, operation: impl FnOnce(&mut State) -> io::Result<Operation>) -> io::Result<()> {
+    fn execute(&self, operation: impl FnOnce(&mut State) -> io::Result<Operation>) -> io::Result<()> {
         let now = self.clock.now();
         let mut state = self.lock();
         let operation = operation(&mut state)?;
@@ -181,7 +181,7 @@
                 let latency = SYNC_LATENCY.mul_f64(f64::from(self.slowdown_factor));
                 latency.max(self.stalled_until.since(started_at))
             }
-            _ => CALL_LATENCY,
+            _ => OPERATION_LATENCY,
         }
     }
 
@@ -270,7 +270,7 @@
 
 impl FileSystem for SimulatedDisk {
     fn create_dir_all(&self, directory: &Path) -> io::Result<()> {
-        // Directories are created at the first start; the loss of their own names is not simulated.
+        // Directories are created at the first start; losing a directory itself is not simulated.
         let mut state = self.lock();
         state.visible.directories.insert(directory.to_owned());
         state.durable.directories.insert(directory.to_owned());
@@ -290,7 +290,7 @@
     }
 
     fn create(&self, path: &Path) -> io::Result<()> {
-        self.operate(|state| {
+        self.execute(|state| {
             let file = state.next_file;
             state.next_file += 1;
             Ok(Operation::Create { path: path.to_owned(), file })
@@ -298,7 +298,7 @@
     }
 
     fn append(&self, path: &Path, bytes: &[u8]) -> io::Result<()> {
-        self.operate(|state| {
+        self.execute(|state| {
             let file = state.file(path)?;
             if state.is_full {
                 return Err(io::ErrorKind::StorageFull.into());
@@ -309,21 +309,21 @@
     }
 
     fn sync(&self, path: &Path) -> io::Result<()> {
-        self.operate(|state| match state.file(path) {
+        self.execute(|state| match state.file(path) {
             Ok(file) => Ok(Operation::SyncFile(file)),
             Err(_) => Ok(Operation::SyncDirectory(path.to_owned())),
         })
     }
 
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()> {
-        self.operate(|state| {
+        self.execute(|state| {
             state.file(from)?;
             Ok(Operation::Rename { from: from.to_owned(), to: to.to_owned() })
         })
     }
 
     fn remove(&self, path: &Path) -> io::Result<()> {
-        self.operate(|state| {
+        self.execute(|state| {
             state.file(path)?;
             Ok(Operation::Remove { path: path.to_owned() })
         })
--- a/crates/emulator/src/endpoints.rs
+++ b/crates/emulator/src/endpoints.rs
@@ -1,4 +1,5 @@
-//! Endpoints: send heartbeats with rising sequence numbers, drain, terminate, or stop without notice.
+//! Simulated endpoints, which send heartbeats with increasing sequence numbers and then drain, terminate, or stop without
+//! notice.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,12 +20,12 @@
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_200);
 /// The timeout of a request, after which another keeper is tried.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long an endpoint retries to have its draining or termination acknowledged.
+/// The maximum time during which an endpoint retries an unacknowledged report of its draining or termination.
 const MAX_TERMINATION_DURATION: Span = Span::from_millis(6_000);
 /// How long an endpoint drains before it terminates.
 const DRAINING_DURATION: Duration = Duration::from_millis(2_000);
 
-/// An endpoint, which runs one incarnation after the other.
+/// An endpoint, which runs one incarnation after another.
 struct Endpoint {
     number: u64,
     incarnation: u64,
@@ -54,8 +55,8 @@
         sleep(Duration::from_millis(self.rng.below(1_500))).await;
         loop {
             let lifetime = Span::from_millis(self.rng.between(4_000, 25_000));
-            let until = clock::now() + lifetime;
-            while clock::now() < until {
+            let end = clock::now() + lifetime;
+            while clock::now() < end {
                 self.report(InstanceState::Ready).await;
                 sleep(HEARTBEAT_INTERVAL).await;
             }
@@ -79,10 +80,10 @@
         format!("i-{}-{}", self.number, self.incarnation)
     }
 
-    /// Reports a state until it is acknowledged, for [`MAX_TERMINATION_DURATION`] at most.
+    /// Reports a state until it is acknowledged or [`MAX_TERMINATION_DURATION`] has passed.
     async fn report_until_acknowledged(&mut self, state: InstanceState) {
-        let until: Time = clock::now() + MAX_TERMINATION_DURATION;
-        while clock::now() < until && !self.report(state).await {
+        let deadline: Time = clock::now() + MAX_TERMINATION_DURATION;
+        while clock::now() < deadline && !self.report(state).await {
             sleep(Duration::from_millis(100)).await;
         }
     }
--- a/crates/emulator/src/history.rs
+++ b/crates/emulator/src/history.rs
@@ -1,4 +1,4 @@
-//! The history of a simulation: what its clients did and observed, in order of time.
+//! The history of a simulation: what its clients did and observed, in chronological order.
 
 use std::sync::{Arc, Mutex};
 
@@ -36,7 +36,7 @@
         /// The number of the keeper that responded.
         keeper: usize,
     },
-    /// The operator no longer retries the order, which had no conclusive response.
+    /// The operator stopped retrying an order without a conclusive response.
     OrderAbandoned {
         /// The order.
         order: OrderId,
@@ -93,7 +93,7 @@
     },
     /// A client sent a turn to a relay.
     TurnRequested {
-        /// The turn, and all that the request says.
+        /// The turn and the contents of the request.
         request: TurnRequest,
         /// The relay's number, from 1.
         relay: usize,
@@ -102,7 +102,7 @@
     TurnBegun {
         /// The turn.
         turn: TurnId,
-        /// The earlier turns that the endpoint got, oldest first; `None` if one of them was never asked for.
+        /// The earlier turns that the endpoint received, oldest first; `None` if one of them was never requested.
         chain: Option<Vec<TurnContent>>,
     },
     /// A client received tokens of a turn.
@@ -140,12 +140,12 @@
         /// The HTTP status.
         status: u16,
     },
-    /// A keeper answered that the retirement of a store machine is completed: it may be taken away.
+    /// A keeper responded that the retirement of a store machine is completed, so the machine may be removed.
     RetirementCompleted {
         /// The machine.
         store: ProcessId,
     },
-    /// A process has started; a relay has no state then.
+    /// A process started. A relay starts without state.
     ProcessStarted {
         /// The process.
         process: ProcessId,
@@ -155,12 +155,12 @@
         /// The process.
         process: ProcessId,
     },
-    /// A process exited although nothing had asked it to.
+    /// A process exited without a shutdown request.
     ProcessExited {
         /// The process.
         process: ProcessId,
     },
-    /// A log line of a process, or the begin or end of a fault; ignored by the checker.
+    /// A log line of a process, or the beginning or end of a fault; ignored by the checker.
     Log(String),
 }
 
@@ -183,7 +183,7 @@
         lock(&self.0).push(RecordedEvent { at: now, event });
     }
 
-    /// Removes and returns all events, in order of time.
+    /// Removes and returns all events in chronological order.
     pub fn take(&self) -> Vec<RecordedEvent> {
         let mut all = std::mem::take(&mut *lock(&self.0));
         all.sort_by_key(|recorded| recorded.at);
@@ -191,7 +191,7 @@
     }
 }
 
-/// A digest of a whole history, as lower-case hexadecimal digits. Two histories with one digest are the same.
+/// A digest of a whole history, as lower-case hexadecimal digits. Equal digests mean equal histories.
 pub fn digest(history: &[RecordedEvent]) -> String {
     let mut hasher = Sha256::new();
     for RecordedEvent { at, event } in history {
--- a/crates/emulator/src/host.rs
+++ b/crates/emulator/src/host.rs
@@ -1,4 +1,4 @@
-//! The simulated host: what a process on a simulated machine reaches of its environment.
+//! The simulated host: the clock, random numbers, sockets and disk that a process on a simulated machine uses.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -39,7 +39,7 @@
     pub fn new(
         address: IpAddr, network: Arc<Network>, simulation_time: SimulationTime, seed: u64,
     ) -> Arc<SimulatedHost> {
-        let purpose = random_purpose(address);
+        let purpose = rng_purpose(address);
         let clock = Arc::new(MachineClock::new(simulation_time));
         let disk =
             SimulatedDisk::new(Arc::clone(&clock), Rng::for_purpose(seed, purpose.wrapping_add(1 << 32)));
@@ -48,14 +48,14 @@
         Arc::new(SimulatedHost { address, clock, disk: Arc::new(disk), context, rng })
     }
 
-    /// Closes all sockets of the process, which ends.
+    /// Closes all sockets of a process that ends.
     pub fn close_sockets(&self) {
         self.context.network.close_sockets(self.clock.now(), self.address);
     }
 }
 
-/// The purpose of the random stream of a machine, whose address ends with its group and number.
-fn random_purpose(address: IpAddr) -> u64 {
+/// The purpose of the random stream of a machine, derived from the group and the number at the end of its address.
+fn rng_purpose(address: IpAddr) -> u64 {
     let (group, number) = match address {
         IpAddr::V4(address) => (address.octets()[2], address.octets()[3]),
         IpAddr::V6(address) => (address.octets()[14], address.octets()[15]),
--- a/crates/emulator/src/http.rs
+++ b/crates/emulator/src/http.rs
@@ -1,4 +1,4 @@
-//! An HTTP client of the control listener, with one request per connection.
+//! An HTTP client for the control listener, with one request per connection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -31,8 +31,7 @@
 }
 
 impl Request {
-    /// Encodes the request.
-    fn message(&self) -> Vec<u8> {
+    fn encode(&self) -> Vec<u8> {
         let Request { target, body, if_match } = self;
         let if_match = if_match.map_or_else(String::new, |version| format!("If-Match: {version}\r\n"));
         let length = body.len();
@@ -51,7 +50,7 @@
 
     async fn exchange(&self, address: SocketAddr, time_limit: Duration) -> Option<Response> {
         let (mut reader, mut writer) = Stream::connect(address, time_limit).await.ok()?.into_split();
-        writer.write_all(&self.message()).await.ok()?;
+        writer.write_all(&self.encode()).await.ok()?;
         let mut received = Vec::new();
         loop {
             if let Some(response) = parse(&received) {
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -4,8 +4,8 @@
 //! or replaced, and when. [`run`](simulation::run) runs the real keepers (`juniperwing_node::keeper`) on simulated
 //! machines through the scenario, with operators, endpoints and relays as clients, with stores
 //! (`juniperwing_node::store`) and programs where the scenario has any, and records a
-//! [`History`](history::History) of what the clients observed. The [`checker`] searches this history alone for
-//! violated properties. [`shrink`] removes faults that a violation does not need.
+//! [`History`](history::History) of what the clients observed. The [`checker`] searches only this history for
+//! violated properties. [`shrink`] removes faults that are not needed to reproduce a violation.
 
 pub mod checker;
 pub mod clock;
--- a/crates/emulator/src/machine.rs
+++ b/crates/emulator/src/machine.rs
@@ -1,4 +1,4 @@
-//! A simulated machine and its process, which is run step by step.
+//! A simulated machine and its process, which the simulation runs step by step.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -80,12 +80,12 @@
         self.frozen
     }
 
-    /// Freezes the process; its clock runs on.
+    /// Suspends the process while its clock continues.
     pub fn freeze(&mut self) {
         self.frozen = true;
     }
 
-    /// Resumes the process at `now`: timers that expired in the meantime fire at once.
+    /// Resumes the process at `now`. Timers that expired meanwhile fire at once.
     pub fn thaw(&mut self, now: Time) {
         self.frozen = false;
         let Some(process) = &mut self.process else { return };
@@ -104,7 +104,7 @@
         let _ = shutdown.map(|shutdown| shutdown.send(()));
     }
 
-    /// Kills the process. Its connections are closed, as an operating system does.
+    /// Kills the process. Its connections are closed, as the operating system does for a killed process.
     pub fn kill(&mut self, now: Time) {
         self.frozen = false;
         self.end_process();
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -17,7 +17,7 @@
 
 use self::arguments::Arguments;
 
-/// How many violations of a property are shrunk; of further ones only the seeds are printed.
+/// How many violations of a property are shrunk. For the others, only the seeds are printed.
 const MAX_SHRUNK_VIOLATIONS: usize = 2;
 /// How many seeds are printed for a property.
 const MAX_PRINTED_SEEDS: usize = 10;
@@ -51,7 +51,7 @@
     if violations.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// Runs all scenarios that the arguments ask for and prints a summary.
+/// Runs all scenarios that the arguments select and prints a summary.
 fn run_many(arguments: &Arguments) -> ExitCode {
     let started = Instant::now();
     let violations = violations_by_seed(arguments);
@@ -68,29 +68,30 @@
 }
 
 fn violations_by_seed(arguments: &Arguments) -> ViolationsBySeed {
-    let found = by_seed(arguments, |seed| run_and_check(&scenario_for_seed(arguments.suite, seed)));
+    let found = results_by_seed(arguments, |seed| run_and_check(&scenario_for_seed(arguments.suite, seed)));
     found.into_iter().filter(|(_, violations)| !violations.is_empty()).collect()
 }
 
 /// Prints the digest of the history of each scenario, in order of seeds.
 fn print_digests(arguments: &Arguments) -> ExitCode {
-    let digests = by_seed(arguments, |seed| digest(&run(&scenario_for_seed(arguments.suite, seed), true)));
+    let digests =
+        results_by_seed(arguments, |seed| digest(&run(&scenario_for_seed(arguments.suite, seed), true)));
     digests.iter().for_each(|(seed, digest)| println!("{seed} {digest}"));
     ExitCode::SUCCESS
 }
 
-/// Calls `run_seed` for each seed that the arguments ask for, on several threads.
-fn by_seed<T: Send>(arguments: &Arguments, run_seed: impl Fn(u64) -> T + Sync) -> BTreeMap<u64, T> {
+/// Calls `run_seed` for each seed that the arguments select, on several threads.
+fn results_by_seed<T: Send>(arguments: &Arguments, run_seed: impl Fn(u64) -> T + Sync) -> BTreeMap<u64, T> {
     let next = AtomicU64::new(arguments.first_seed);
-    let outcomes: Mutex<BTreeMap<u64, T>> = Mutex::default();
+    let results: Mutex<BTreeMap<u64, T>> = Mutex::default();
     let run_seeds = || {
         loop {
             let seed = next.fetch_add(1, Ordering::Relaxed);
             if seed >= arguments.first_seed + arguments.scenarios {
                 return;
             }
-            let outcome = run_seed(seed);
-            outcomes.lock().expect("no thread panics with the lock").insert(seed, outcome);
+            let result = run_seed(seed);
+            results.lock().expect("no thread panics with the lock").insert(seed, result);
         }
     };
     std::thread::scope(|scope| {
@@ -98,10 +99,10 @@
             scope.spawn(run_seeds);
         }
     });
-    outcomes.into_inner().expect("no thread panics with the lock")
+    results.into_inner().expect("no thread panics with the lock")
 }
 
-/// Prints the seeds that violate each property, and the first ones of these with shrunk scenarios.
+/// Prints the seeds that violate each property, and the shrunk scenarios of the first few.
 fn report(found: &ViolationsBySeed, arguments: &Arguments) {
     let mut by_property: BTreeMap<Property, Vec<(u64, &Violation)>> = BTreeMap::new();
     for (seed, violations) in found {
--- a/crates/emulator/src/network.rs
+++ b/crates/emulator/src/network.rs
@@ -6,7 +6,7 @@
 //! [`datagrams`] carries datagrams.
 //!
 //! One lock guards the whole state. Machines run one after the other, each for one step of the simulation, and no
-//! message takes less than a step, so that none arrives in its receiver's past.
+//! message takes less than a step, so no message arrives in the past of its receiver.
 
 mod connections;
 mod datagrams;
@@ -35,7 +35,7 @@
 /// The maximum random latency that is added to [`MIN_DELAY`], in nanoseconds.
 const MAX_EXTRA_DELAY_NANOS: u64 = 3_000_000;
 
-/// All that the lock of the network guards.
+/// The state of the network, guarded by its lock.
 #[derive(Debug)]
 struct State {
     rng: Rng,
@@ -90,7 +90,7 @@
 
 impl State {
     /// Draws the latency of a message.
-    fn delay(&mut self) -> Span {
+    fn random_delay(&mut self) -> Span {
         MIN_DELAY + Span::from_nanos(self.rng.below(MAX_EXTRA_DELAY_NANOS))
     }
 }
--- a/crates/emulator/src/network/connections.rs
+++ b/crates/emulator/src/network/connections.rs
@@ -18,7 +18,7 @@
 /// The queue of a listening socket.
 #[derive(Debug, Default)]
 pub struct AcceptQueue {
-    /// Connections not yet accepted, with the times at which they arrive, in order of these.
+    /// Connections not yet accepted, with the times of their arrival, in order of arrival.
     pub queue: Mutex<VecDeque<(Time, Connection)>>,
     /// Notified of each new entry.
     pub arrivals: Notify,
@@ -40,7 +40,7 @@
 pub enum ConnectOutcome {
     /// The connection is established at this time.
     Established(Time, Connection),
-    /// Nobody listens; the refusal arrives at this time.
+    /// There is no listener; the refusal arrives at this time.
     Refused(Time),
     /// There is no response.
     NoResponse,
@@ -70,7 +70,7 @@
         queue.drain(..).map(|(_, connection)| connection).collect()
     }
 
-    /// Sends the first packet of a connection.
+    /// Attempts to establish a connection.
     pub fn connect(&self, now: Time, from: IpAddr, to: SocketAddr) -> ConnectOutcome {
         self.change(|state| state.connect(now, from, to))
     }
@@ -78,16 +78,16 @@
 
 impl State {
     fn connect(&mut self, now: Time, from: IpAddr, to: SocketAddr) -> ConnectOutcome {
-        let frozen = self.machines.get(&to.ip()).is_some_and(|machine_state| machine_state.is_frozen);
+        let is_frozen = self.machines.get(&to.ip()).is_some_and(|machine_state| machine_state.is_frozen);
         if self.is_blocked(from, to.ip())
             || self.is_blocked(to.ip(), from)
             || !self.has_power(to.ip())
-            || frozen
+            || is_frozen
         {
             return ConnectOutcome::NoResponse;
         }
-        let arrival = now + self.delay();
-        let established_at = arrival + self.delay();
+        let arrival = now + self.random_delay();
+        let established_at = arrival + self.random_delay();
         let Some(accept_queue) = self.listeners.get(&to).cloned() else {
             return ConnectOutcome::Refused(established_at);
         };
--- a/crates/emulator/src/network/datagrams.rs
+++ b/crates/emulator/src/network/datagrams.rs
@@ -13,7 +13,7 @@
 
 /// One datagram in this many is lost.
 const DATAGRAM_LOSS_INTERVAL: u64 = 200;
-/// Datagrams that a socket queues at most; further ones are dropped.
+/// The maximum number of datagrams that a socket queues; more are dropped.
 const MAX_QUEUED_DATAGRAMS: usize = 1_000;
 
 /// A datagram on its way to a socket.
@@ -62,7 +62,7 @@
         let datagram_queue = {
             let mut state = self.lock();
             let is_lost = state.rng.one_in(DATAGRAM_LOSS_INTERVAL);
-            let at = now + state.delay();
+            let at = now + state.random_delay();
             let is_reachable = !is_lost && !state.is_blocked(from.ip(), to.ip()) && state.has_power(to.ip());
             let datagram_queue = state.datagram_queues.get(&to).filter(|_| is_reachable).cloned();
             datagram_queue.map(|datagram_queue| (datagram_queue, at))
--- a/crates/emulator/src/network/machines.rs
+++ b/crates/emulator/src/network/machines.rs
@@ -9,11 +9,11 @@
 /// The network's view of one machine.
 #[derive(Debug, Default)]
 pub(super) struct MachineState {
-    has_no_power: bool,
+    is_powered_off: bool,
     pub(super) is_frozen: bool,
     /// How often the machine has lost power.
     boot_count: u64,
-    /// Counts the ephemeral ports given out.
+    /// The number of ephemeral ports allocated so far.
     pub(super) next_port: u16,
 }
 
@@ -27,16 +27,16 @@
     pub fn power_off(&self, machine: IpAddr) {
         let mut state = self.lock();
         let machine_state = state.machines.entry(machine).or_default();
-        machine_state.has_no_power = true;
+        machine_state.is_powered_off = true;
         machine_state.boot_count += 1;
         for pipe in state.pipes.values_mut().filter(|pipe| pipe.from == machine) {
             pipe.blocked.clear();
         }
     }
 
-    /// Closes all sockets of a machine whose process ends, as an operating system does, in the order in which they were
-    /// opened. The runtime of the process drops them in an order that depends on the numbers of its tasks, which are
-    /// shared by all simulations of this process.
+    /// Closes all sockets of a machine whose process ends, as the operating system does, in the order in which they were
+    /// opened. Dropping the runtime of the process would close them in an order that depends on its task ids, which all
+    /// simulations in this process share.
     pub fn close_sockets(&self, now: Time, machine: IpAddr) {
         self.change(|state| {
             let listeners: Vec<SocketAddr> =
@@ -61,7 +61,7 @@
     /// Restores the power of a machine, which has lost the state of its earlier connections and resets them.
     pub fn power_on(&self, now: Time, machine: IpAddr) {
         self.change(|state| {
-            state.machines.entry(machine).or_default().has_no_power = false;
+            state.machines.entry(machine).or_default().is_powered_off = false;
             let unacknowledged: Vec<PipeId> = state
                 .pipes
                 .iter()
@@ -75,7 +75,7 @@
 
 impl State {
     pub(super) fn has_power(&self, machine: IpAddr) -> bool {
-        self.machines.get(&machine).is_none_or(|machine_state| !machine_state.has_no_power)
+        self.machines.get(&machine).is_none_or(|machine_state| !machine_state.is_powered_off)
     }
 
     /// How often the machine has lost power.
--- a/crates/emulator/src/network/partitions.rs
+++ b/crates/emulator/src/network/partitions.rs
@@ -7,26 +7,26 @@
 
 use super::{Network, PipeId, State};
 
-/// The maximum delay, after a direction is unblocked, of the resend of what it held up, in nanoseconds.
+/// The maximum delay from the unblocking of a direction to the resend of its queued segments, in nanoseconds.
 const MAX_RESEND_DELAY_NANOS: u64 = 200_000_000;
 
 impl Network {
     /// Blocks one direction between two machines; a direction blocked twice must be unblocked twice.
-    /// Segments in flight are held up.
+    /// Segments in flight are queued.
     pub fn block(&self, now: Time, from: IpAddr, to: IpAddr) {
         let mut state = self.lock();
         *state.blocked_directions.entry((from, to)).or_default() += 1;
         for pipe in state.pipes.values_mut().filter(|pipe| (pipe.from, pipe.to) == (from, to)) {
             let arrived = pipe.in_flight.partition_point(|(arrival, _)| *arrival <= now);
-            let under_way = pipe.in_flight.split_off(arrived);
-            pipe.blocked.extend(under_way.into_iter().map(|(_, segment)| segment));
+            let undelivered = pipe.in_flight.split_off(arrived);
+            pipe.blocked.extend(undelivered.into_iter().map(|(_, segment)| segment));
             if !pipe.blocked.is_empty() {
                 pipe.unacknowledged_since.get_or_insert(now);
             }
         }
     }
 
-    /// Takes back one [`block`](Network::block). What was held up is resent soon.
+    /// Reverts one call of [`block`](Network::block). Queued segments are resent soon.
     pub fn unblock(&self, now: Time, from: IpAddr, to: IpAddr) {
         self.change(|state| state.unblock(now, from, to));
     }
--- a/crates/emulator/src/network/pipes.rs
+++ b/crates/emulator/src/network/pipes.rs
@@ -10,13 +10,13 @@
 
 use super::{MIN_DELAY, Network, State};
 
-/// Bytes that may be in flight or unread in one direction of a connection.
+/// The maximum number of bytes in flight or unread in one direction of a connection.
 const WINDOW_BYTES: usize = 256 << 10;
 
 /// Identifies one direction of a connection.
 pub type PipeId = u64;
 
-/// What travels in one direction of a connection.
+/// A unit of transmission in one direction of a connection.
 #[derive(Debug)]
 pub(super) enum Segment {
     Bytes(VecDeque<u8>),
@@ -35,7 +35,7 @@
     reverse: PipeId,
     /// Segments with the times of their arrival, in order.
     pub(super) in_flight: VecDeque<(Time, Segment)>,
-    /// Segments held up by a partition or by the receiver's loss of power.
+    /// Segments queued because of a partition or the receiver's loss of power.
     pub(super) blocked: VecDeque<Segment>,
     /// Bytes sent and not yet read; at most [`WINDOW_BYTES`].
     buffered_bytes: usize,
@@ -45,7 +45,7 @@
     is_reader_dropped: bool,
     is_writer_dropped: bool,
     is_write_closed: bool,
-    /// When the writer learns of a reset.
+    /// When the writer is notified of a reset.
     broken_at: Option<Time>,
     pub(super) unacknowledged_since: Option<Time>,
     user_timeout: Option<Duration>,
@@ -60,12 +60,12 @@
     End,
     /// The connection is broken.
     Broken(io::ErrorKind),
-    /// There is nothing to read before this time; the waker is kept.
+    /// There is nothing to read before this time; the waker is stored.
     Wait(Time),
 }
 
 impl Network {
-    /// Sends bytes and returns how many were accepted; `None` if the window is full, and then the waker is kept.
+    /// Sends bytes and returns how many were accepted; `None` if the window is full, and then the waker is stored.
     ///
     /// # Errors
     ///
@@ -79,7 +79,7 @@
         self.change(|state| state.close_write(now, pipe));
     }
 
-    /// Closes the sending side for good.
+    /// Closes and drops the sending side.
     pub fn drop_writer(&self, now: Time, pipe: PipeId) {
         self.change(|state| state.drop_writer(now, pipe));
     }
@@ -95,9 +95,9 @@
     }
 
     /// See [`juniperwing_node::host::SimulatedWriter::set_user_timeout`].
-    pub fn set_user_timeout(&self, pipe: PipeId, time_out: Duration) {
+    pub fn set_user_timeout(&self, pipe: PipeId, timeout: Duration) {
         if let Some(pipe) = self.lock().pipes.get_mut(&pipe) {
-            pipe.user_timeout = Some(time_out);
+            pipe.user_timeout = Some(timeout);
         }
     }
 }
@@ -147,9 +147,9 @@
         self.remove_if_unused(id);
     }
 
-    /// Sends a segment, or holds it up while its direction is blocked.
+    /// Sends a segment, or queues it while its direction is blocked.
     pub(super) fn dispatch(&mut self, now: Time, id: PipeId, segment: Segment) {
-        let delay = if matches!(segment, Segment::Bytes(_)) { self.delay() } else { MIN_DELAY };
+        let delay = if matches!(segment, Segment::Bytes(_)) { self.random_delay() } else { MIN_DELAY };
         let Some(pipe) = self.pipes.get(&id) else { return };
         let (from, to, reverse) = (pipe.from, pipe.to, pipe.reverse);
         let (receiver_boot_count, is_reader_dropped) = (pipe.receiver_boot_count, pipe.is_reader_dropped);
@@ -162,7 +162,7 @@
         let Some(pipe) = self.pipes.get_mut(&id) else { return };
         if is_unacknowledged && pipe.unacknowledged_since.is_none() && matches!(segment, Segment::Bytes(_)) {
             pipe.unacknowledged_since = Some(now);
-            // Its own reader waits for the timeout as well.
+            // The reader at the sending end waits for the user timeout as well.
             let reader = self.pipes.get_mut(&reverse).and_then(|pipe| pipe.reader.take());
             self.wakers.extend(reader);
         }
@@ -184,23 +184,23 @@
         self.wakers.extend(reader);
     }
 
-    /// The receiving machine resets the connection.
+    /// Resets the connection, as its receiving machine.
     pub(super) fn reset(&mut self, now: Time, id: PipeId) {
-        let learned_at = now + MIN_DELAY;
+        let notified_at = now + MIN_DELAY;
         let Some(pipe) = self.pipes.get_mut(&id) else { return };
         let (reverse, from, to) = (pipe.reverse, pipe.from, pipe.to);
         if self.is_blocked(to, from) || !self.has_power(to) {
             return;
         }
         if let Some(pipe) = self.pipes.get_mut(&id) {
-            pipe.broken_at.get_or_insert(learned_at);
+            pipe.broken_at.get_or_insert(notified_at);
             let writer = pipe.writer.take();
             self.wakers.extend(writer);
         }
-        self.send_reset(learned_at, reverse);
+        self.send_reset(notified_at, reverse);
     }
 
-    /// Sends a reset, as a machine does without any process.
+    /// Sends a reset, as the operating system does even without a process.
     fn send_reset(&mut self, arrival: Time, id: PipeId) {
         let Some(pipe) = self.pipes.get_mut(&id) else { return };
         let arrival = pipe.last_arrival.max(arrival);
@@ -249,8 +249,8 @@
     fn remove_if_unused(&mut self, id: PipeId) {
         let Some(pipe) = self.pipes.get(&id) else { return };
         let reverse = pipe.reverse;
-        let unused = |pipe: &Pipe| pipe.is_reader_dropped && pipe.is_writer_dropped;
-        if unused(pipe) && self.pipes.get(&reverse).is_none_or(unused) {
+        let is_unused = |pipe: &Pipe| pipe.is_reader_dropped && pipe.is_writer_dropped;
+        if is_unused(pipe) && self.pipes.get(&reverse).is_none_or(is_unused) {
             self.pipes.remove(&id);
             self.pipes.remove(&reverse);
         }
--- a/crates/emulator/src/operators.rs
+++ b/crates/emulator/src/operators.rs
@@ -1,4 +1,4 @@
-//! Operators: submit configurations to one keeper after the other until the response is conclusive.
+//! Simulated operators, which submit configurations to one keeper after another until the response is conclusive.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -27,7 +27,7 @@
 const MAX_CONCURRENT_ORDERS: u64 = 8;
 /// One response in this many is lost.
 const RESPONSE_LOSS_INTERVAL: u64 = 8;
-/// The maximum time until a connection breaks whose response is lost, in milliseconds.
+/// The maximum time until the connection of a lost response breaks, in milliseconds.
 const MAX_LOST_RESPONSE_TIMEOUT_MS: u64 = 60;
 /// The text before the identifier of an order in its body.
 const ORDER_NAME_PREFIX: &str = "\"name\":\"order-";
@@ -59,7 +59,7 @@
 struct Operator {
     pool: Arc<OperatorPool>,
     rng: Rng,
-    /// The newest configuration version that it has seen.
+    /// The newest configuration version that it has observed.
     known_version: u64,
 }
 
@@ -186,7 +186,7 @@
         keepers.get(keeper_index % keepers.len().max(1)).copied()
     }
 
-    /// Submits an order to one keeper after the other and returns the conclusive response, if any.
+    /// Submits an order to one keeper after another and returns the conclusive response, if any.
     async fn submit_until_conclusive(
         self: Arc<Self>, order: Order, mut rng: Rng,
     ) -> Option<ConclusiveResponse> {
@@ -200,7 +200,7 @@
         let mut keeper_index = self.random_keeper_index(&mut rng);
         let mut is_lost = false;
         while clock::now() < retry_deadline {
-            // Never two in a row: beside a partitioned keeper, a reply in time would be a matter of luck.
+            // Never two in a row: with a partitioned keeper as well, a reply in time would be left to chance.
             is_lost = !is_lost && rng.one_in(RESPONSE_LOSS_INTERVAL);
             let status = self.submit_once(&order, &put, keeper_index, is_lost, &mut rng).await;
             if let Some(status) = status.filter(|status| is_conclusive(*status)) {
--- a/crates/emulator/src/programs.rs
+++ b/crates/emulator/src/programs.rs
@@ -1,7 +1,8 @@
 //! Clients of agent programs: they send turns to relays, which begin, run and finish them at the stores.
 //!
-//! A program's turns go to any relay, several at once, continue earlier turns of the same or of another program, and
-//! are sent again after an answer that says that they have not run. What is recorded is what a client sees.
+//! The turns of a program are sent to any relay, several of them concurrently. They continue earlier turns of the same
+//! or of another program, and are sent again after a response that says that they were not run. The history records
+//! what a client observes.
 
 mod pool;
 mod turn;
--- a/crates/emulator/src/programs/pool.rs
+++ b/crates/emulator/src/programs/pool.rs
@@ -1,4 +1,4 @@
-//! What clients know: their programs, the turns that were answered, and those to be sent again.
+//! The state that clients share: their programs, the answered turns, and the turns to send again.
 
 use std::sync::{Arc, Mutex};
 
@@ -12,12 +12,12 @@
 
 /// The token budget of a program that has one.
 const BUDGET: u64 = 150;
-/// The most tokens that a turn may ask for.
+/// The maximum number of tokens that a turn may request.
 const MAX_TOKENS_PER_TURN: u64 = 40;
 /// The number of programs that clients run at the same time.
 const ACTIVE_PROGRAMS: usize = 12;
-/// A turn that no client has asked for: the numbers of others are lower.
-const UNKNOWN_TURN: TurnId = 1 << 40;
+/// The first of the turn identifiers that no client requests; those of requested turns are lower.
+const FIRST_UNKNOWN_TURN: TurnId = 1 << 40;
 
 /// A program, as its client knows it.
 #[derive(Clone, Copy, Debug)]
@@ -31,11 +31,11 @@
 struct AnsweredTurn {
     turn: TurnId,
     program: usize,
-    /// When others may know of it.
+    /// When other clients may refer to it.
     visible_at: Time,
 }
 
-/// A request whose answer said that it has not run.
+/// A request whose response said that it was not run.
 #[derive(Clone, Copy, Debug)]
 struct RefusedRequest {
     request: TurnRequest,
@@ -51,11 +51,11 @@
     refused: Vec<RefusedRequest>,
 }
 
-/// What all clients know together. Clones share it.
+/// The state that all clients share. Clones share it as well.
 #[derive(Clone, Debug)]
 pub struct ProgramPool {
     state: Arc<Mutex<PoolState>>,
-    /// Where clients record what they see.
+    /// Where clients record what they observe.
     pub history: History,
     /// The seed of the scenario.
     pub seed: u64,
@@ -67,7 +67,7 @@
         ProgramPool { state: Arc::default(), history, seed }
     }
 
-    /// Chooses what to send next: a new turn, or one whose answer said that it has not run.
+    /// Chooses what to send next: a new turn, or one whose response said that it was not run.
     pub(super) fn choose_request(&self, now: Time, rng: &mut Rng) -> TurnRequest {
         let mut state = lock(&self.state);
         if rng.one_in(5)
@@ -82,20 +82,20 @@
         TurnRequest { turn: state.last_turn, program, budget, max_tokens, previous }
     }
 
-    /// A number for an attempt to run a turn.
+    /// Returns a unique number for an attempt to run a turn.
     pub(super) fn next_attempt(&self) -> u64 {
         let mut state = lock(&self.state);
         state.last_attempt += 1;
         state.last_attempt
     }
 
-    /// Remembers a turn that was answered completely and stored.
+    /// Adds a turn that was answered completely and stored.
     pub(super) fn add_answered(&self, now: Time, request: &TurnRequest) {
         let TurnRequest { turn, program, .. } = *request;
         lock(&self.state).answered.push(AnsweredTurn { turn, program, visible_at: now + MIN_DELAY });
     }
 
-    /// Remembers a request that may be sent again.
+    /// Adds a request that may be sent again.
     pub(super) fn add_refused(&self, now: Time, request: &TurnRequest) {
         lock(&self.state).refused.push(RefusedRequest { request: *request, visible_at: now + MIN_DELAY });
     }
@@ -125,18 +125,20 @@
         active[rng.index(active.len())]
     }
 
-    /// The turn that a new one continues: mostly one of the same program, the newest as often as not.
+    /// The turn that a new one continues: usually one of the same program, and in half of these cases the newest.
     fn choose_previous(&self, program: usize, now: Time, rng: &mut Rng) -> Option<TurnId> {
         if rng.one_in(40) {
-            return Some(UNKNOWN_TURN + rng.below(1_000));
+            return Some(FIRST_UNKNOWN_TURN + rng.below(1_000));
         }
         let is_visible = |answered: &&AnsweredTurn| answered.visible_at <= now;
         if rng.one_in(10) {
-            let any: Vec<TurnId> = self.answered.iter().filter(is_visible).map(|one| one.turn).collect();
+            let any: Vec<TurnId> =
+                self.answered.iter().filter(is_visible).map(|answered| answered.turn).collect();
             return rng.choose(&any).copied();
         }
-        let own = self.answered.iter().filter(is_visible).filter(|one| one.program == program);
-        let own: Vec<TurnId> = own.map(|one| one.turn).collect();
-        if rng.one_in(2) { own.last().copied() } else { rng.choose(&own).copied() }
+        let visible = self.answered.iter().filter(is_visible);
+        let of_program = visible.filter(|answered| answered.program == program);
+        let of_program: Vec<TurnId> = of_program.map(|answered| answered.turn).collect();
+        if rng.one_in(2) { of_program.last().copied() } else { rng.choose(&of_program).copied() }
     }
 }
--- a/crates/emulator/src/programs/turn.rs
+++ b/crates/emulator/src/programs/turn.rs
@@ -1,4 +1,4 @@
-//! Turns as clients know them, and what of them is in the messages to the stores.
+//! Turns as clients identify them, and their encoding in messages to the stores.
 
 use std::sync::Arc;
 
@@ -10,10 +10,10 @@
 
 /// How long turns are stored, in milliseconds; longer than any scenario.
 const RETENTION_MS: u64 = 600_000;
-/// The bytes of a turn's output.
+/// The size of a turn's output, in bytes.
 const OUTPUT_BYTES: usize = 300;
 
-/// A turn that a client asks for.
+/// A turn that a client requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TurnRequest {
     /// The turn.
@@ -22,13 +22,13 @@
     pub program: usize,
     /// The tokens that all turns of the program may generate together.
     pub budget: Option<u64>,
-    /// The most tokens that this turn may generate.
+    /// The maximum number of tokens that this turn may generate.
     pub max_tokens: u64,
     /// The turn that it continues.
     pub previous: Option<TurnId>,
 }
 
-/// What is stored of a turn, as far as clients tell contents apart.
+/// The stored content of a turn, as far as clients distinguish contents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TurnContent {
     /// The turn.
@@ -39,7 +39,7 @@
 
 impl TurnRequest {
     /// The message that begins it.
-    pub(super) fn begin(&self) -> BeginTurn {
+    pub(super) fn begin_message(&self) -> BeginTurn {
         BeginTurn {
             program: program_id(self.program),
             request: request_id(self.turn),
@@ -51,7 +51,7 @@
     }
 
     /// The message that commits `tokens` without storing the turn.
-    pub(super) fn commit(&self, tokens: u64) -> FinishTurn {
+    pub(super) fn commit_message(&self, tokens: u64) -> FinishTurn {
         FinishTurn {
             program: program_id(self.program),
             request: request_id(self.turn),
@@ -61,7 +61,7 @@
     }
 
     /// The message that commits `tokens` and stores the turn with the content of an attempt.
-    pub(super) fn store(&self, tokens: u64, attempt: u64) -> FinishTurn {
+    pub(super) fn store_message(&self, tokens: u64, attempt: u64) -> FinishTurn {
         let mut output = format!("{attempt};").into_bytes();
         output.resize(OUTPUT_BYTES, b'.');
         let turn = Turn {
@@ -72,16 +72,16 @@
             retention_ms: RETENTION_MS,
             endpoint: None,
         };
-        FinishTurn { stored_turn: Some(turn), ..self.commit(tokens) }
+        FinishTurn { stored_turn: Some(turn), ..self.commit_message(tokens) }
     }
 }
 
-/// The contents of a chain that the stores returned; `None` if a turn in it is none that a client asked for.
-pub(super) fn contents(chain: &[Turn]) -> Option<Vec<TurnContent>> {
-    chain.iter().map(content).collect()
+/// Decodes a chain that the stores returned; `None` if it contains a turn that no client requested.
+pub(super) fn decode_chain(chain: &[Turn]) -> Option<Vec<TurnContent>> {
+    chain.iter().map(decode_turn).collect()
 }
 
-fn content(turn: &Turn) -> Option<TurnContent> {
+fn decode_turn(turn: &Turn) -> Option<TurnContent> {
     let output = std::str::from_utf8(&turn.output).ok()?;
     let (attempt, _) = output.split_once(';')?;
     let number = turn.request.0.strip_prefix("turn-")?;
--- a/crates/emulator/src/programs/worker.rs
+++ b/crates/emulator/src/programs/worker.rs
@@ -1,4 +1,4 @@
-//! A client's connection to a relay: one request after the other, each run as a relay runs it.
+//! Client connections to a relay. Each sends one request after another and runs it as a relay does.
 
 use std::time::Duration;
 
@@ -10,23 +10,23 @@
 use tokio::time::sleep;
 
 use super::pool::ProgramPool;
-use super::turn::{TurnRequest, contents};
+use super::turn::{TurnRequest, decode_chain};
 use crate::history::Event;
 
 /// The number of connections to a relay.
 const WORKER_COUNT: u64 = 4;
-/// The longest pause before a request, in milliseconds.
+/// The maximum pause before a request, in milliseconds.
 const MAX_PAUSE_MS: u64 = 600;
-/// The longest pause before a piece of a response, in milliseconds.
-const MAX_PIECE_DELAY_MS: u64 = 60;
-/// The number of pieces of a response.
-const PIECE_COUNT: u64 = 4;
+/// The maximum pause before a chunk of a response, in milliseconds.
+const MAX_CHUNK_DELAY_MS: u64 = 60;
+/// The number of chunks of a response.
+const CHUNK_COUNT: u64 = 4;
 /// How long the stores may take to begin a turn.
 const BEGIN_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How long the end of a response waits until its turn is stored.
+/// The time limit for storing a turn, for which the end of its response waits.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// How a run at an endpoint ends.
+/// How the run of a turn at an endpoint ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Ending {
     /// The response is complete, and the turn is stored.
@@ -45,7 +45,7 @@
     rng: Rng,
 }
 
-/// Runs the connections to a relay, until it is killed.
+/// Runs the client connections to a relay until it is killed.
 pub async fn run_workers(pool: &ProgramPool, client: &SessionsClient, relay: usize, incarnation: Time) {
     let mut workers = JoinSet::new();
     for number in 0..WORKER_COUNT {
@@ -78,17 +78,17 @@
     async fn send(&mut self, request: TurnRequest) {
         let requested_at = clock::now();
         self.record(Event::TurnRequested { request, relay: self.relay });
-        match self.client.begin(request.begin(), BEGIN_TIMEOUT).await {
+        match self.client.begin(request.begin_message(), BEGIN_TIMEOUT).await {
             Ok(begun) => {
-                let chain = contents(&begun.chain);
+                let chain = decode_chain(&begun.chain);
                 self.record(Event::TurnBegun { turn: request.turn, chain });
                 self.run_turn(&request).await;
             }
-            Err(error) => self.refuse(&request, &error, requested_at),
+            Err(error) => self.handle_refusal(&request, &error, requested_at),
         }
     }
 
-    fn refuse(&mut self, request: &TurnRequest, error: &SessionError, requested_at: Time) {
+    fn handle_refusal(&mut self, request: &TurnRequest, error: &SessionError, requested_at: Time) {
         let status = match error {
             SessionError::BudgetExhausted => 402,
             SessionError::UnknownTurn => 404,
@@ -100,17 +100,17 @@
             self.record(Event::Log(line));
         }
         if status == 503 && request.budget.is_some() {
-            // As a relay does: there may be a reservation.
-            self.client.finish_in_background(request.commit(0));
+            // As a relay does: commits no tokens, since the stores may hold a reservation.
+            self.client.finish_in_background(request.commit_message(0));
         }
         self.record(Event::TurnRefused { turn: request.turn, status, requested_at });
-        // After a 503 the commit above usually ends the turn; after a 402 the answer must stay.
+        // After a 503 the commit above usually ends the turn; after a 402 the response must stay the same.
         if status == 402 || (status == 503 && self.rng.one_in(2)) {
             self.pool.add_refused(clock::now(), request);
         }
     }
 
-    /// Runs a turn that has begun: pieces of the response reach the client, then its end.
+    /// Runs a turn that has begun: the client receives the chunks of the response, and then its end.
     async fn run_turn(&mut self, request: &TurnRequest) {
         let ending = match self.rng.below(10) {
             0 => Ending::BrokenOff,
@@ -118,35 +118,39 @@
             _ => Ending::Stored,
         };
         let total = self.rng.below(request.max_tokens + 1);
-        let pieces = if ending == Ending::BrokenOff { self.rng.below(PIECE_COUNT) } else { PIECE_COUNT };
+        let chunks = if ending == Ending::BrokenOff { self.rng.below(CHUNK_COUNT) } else { CHUNK_COUNT };
         let mut sent = 0;
-        for piece in 1..=pieces {
-            self.pause(MAX_PIECE_DELAY_MS).await;
-            let tokens = total * piece / PIECE_COUNT - sent;
+        for chunk in 1..=chunks {
+            self.pause(MAX_CHUNK_DELAY_MS).await;
+            let tokens = total * chunk / CHUNK_COUNT - sent;
             sent += tokens;
             self.record(Event::TokensSent { turn: request.turn, tokens });
         }
-        self.end_turn(request, ending, sent).await;
+        self.finish_turn(request, ending, sent).await;
     }
 
-    async fn end_turn(&mut self, request: &TurnRequest, ending: Ending, tokens: u64) {
+    async fn finish_turn(&mut self, request: &TurnRequest, ending: Ending, tokens: u64) {
         let attempt = self.pool.next_attempt();
         match ending {
-            Ending::Stored => match self.client.finish(request.store(tokens, attempt), STORE_TIMEOUT).await {
+            Ending::Stored => match self
+                .client
+                .finish(request.store_message(tokens, attempt), STORE_TIMEOUT)
+                .await
+            {
                 Ok(()) => {
                     self.record(Event::TurnAnswered { turn: request.turn, stored_attempt: Some(attempt) });
                     self.pool.add_answered(clock::now(), request);
                 }
                 Err(_) => {
                     if request.budget.is_some() {
-                        self.client.finish_in_background(request.commit(tokens));
+                        self.client.finish_in_background(request.commit_message(tokens));
                     }
                     self.record(Event::TurnBrokenOff { turn: request.turn });
                 }
             },
             Ending::NotStored | Ending::BrokenOff => {
                 if request.budget.is_some() {
-                    self.client.finish_in_background(request.commit(tokens));
+                    self.client.finish_in_background(request.commit_message(tokens));
                 }
                 let event = if ending == Ending::BrokenOff {
                     Event::TurnBrokenOff { turn: request.turn }
--- a/crates/emulator/src/relay.rs
+++ b/crates/emulator/src/relay.rs
@@ -1,4 +1,4 @@
-//! A relay as keepers see it: the real subscriber, and a sink that records what it applies.
+//! A simulated relay: the real subscriber, with a sink that records the updates that it applies.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -43,7 +43,7 @@
     fn handle_message(&self, _: &Link, _: Message, _: ReplySender) {}
 }
 
-/// What a relay starts with.
+/// The parameters of a relay.
 pub struct RelaySetup {
     /// Its number, from 1.
     pub number: usize,
@@ -51,9 +51,9 @@
     pub address: SocketAddr,
     /// The addresses at which keepers listen for relays.
     pub seeds: watch::Receiver<Vec<SocketAddr>>,
-    /// How many keepers it subscribes to: one more than may be lost.
+    /// How many keepers it subscribes to: one more than may fail.
     pub subscriptions: usize,
-    /// Where it records what it applies.
+    /// Where it records the changes that it applies.
     pub history: History,
     /// The programs whose turns it runs; `None` if there are no stores.
     pub programs: Option<ProgramPool>,
@@ -72,16 +72,16 @@
         subscriber: SubscriberKind::Relay,
         configuration: Version::default(),
     };
-    let first = seeds.borrow_and_update().clone();
-    let subscriber = Subscriber::start(subscribe, first, subscriptions, Arc::new(recorder));
+    let initial_seeds = seeds.borrow_and_update().clone();
+    let subscriber = Subscriber::start(subscribe, initial_seeds, subscriptions, Arc::new(recorder));
     if let Some(pool) = programs {
         let client = SessionsClient::new(Arc::new(LinkPool::new(Arc::new(NoService))), known_stores);
         let started_at = clock::now();
         tokio::spawn(async move { run_workers(&pool, &client, relay, started_at).await });
     }
     while seeds.changed().await.is_ok() {
-        let changed = seeds.borrow_and_update().clone();
-        subscriber.set_seeds(changed);
+        let new_seeds = seeds.borrow_and_update().clone();
+        subscriber.set_seeds(new_seeds);
     }
 }
 
--- a/crates/emulator/src/retirements.rs
+++ b/crates/emulator/src/retirements.rs
@@ -1,4 +1,5 @@
-//! The operator who retires store machines: orders it until a keeper accepts, and waits until it is completed.
+//! A simulated operator that retires store machines: it submits each retirement until a keeper accepts it, and then polls
+//! until the retirement is completed.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -12,11 +13,11 @@
 use crate::http::{Request, Response};
 use crate::scenario::ProcessId;
 
-/// The interval at which the operator looks for new retirements, and asks for the state of one.
+/// The interval at which the operator checks for new retirements and polls the state of the current one.
 const POLL_INTERVAL: Duration = Duration::from_millis(150);
-/// The timeout of a request, after which another keeper is asked.
+/// The timeout of a request, after which another keeper is tried.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The time limit that the order names, in seconds.
+/// The time limit of a retirement, as sent in the order, in seconds.
 const TIME_LIMIT_S: u64 = 30;
 
 /// Machines to retire, and those whose retirement is completed. Clones share them.
@@ -35,7 +36,7 @@
         lock(&self.0).requested.push(store);
     }
 
-    /// Removes and returns the machines that may be taken away.
+    /// Returns the machines that may be removed, and clears their list.
     pub fn take_completed(&self) -> Vec<ProcessId> {
         std::mem::take(&mut lock(&self.0).completed)
     }
@@ -51,7 +52,8 @@
     loop {
         sleep(POLL_INTERVAL).await;
         if let Some(store) = retirements.next_requested() {
-            let operator = RetiringOperator { keepers: keepers.clone(), history: history.clone(), asked: 0 };
+            let operator =
+                RetiringOperator { keepers: keepers.clone(), history: history.clone(), request_count: 0 };
             if operator.retire(store).await {
                 lock(&retirements.0).completed.push(store);
             }
@@ -63,17 +65,17 @@
 struct RetiringOperator {
     keepers: watch::Receiver<Vec<SocketAddr>>,
     history: History,
-    /// The number of requests so far: each goes to another keeper.
-    asked: usize,
+    /// The number of requests so far, which selects the keeper: each request goes to the next one.
+    request_count: usize,
 }
 
 impl RetiringOperator {
-    /// Retires a machine. Returns whether that is completed; otherwise it was refused.
+    /// Retires a machine. Returns `true` when the retirement is completed, and `false` if it was refused.
     async fn retire(mut self, store: ProcessId) -> bool {
         let body = format!("{{\"durationS\":{TIME_LIMIT_S}}}").into_bytes();
         let order = Request { target: format!("POST /retire/{store}"), body, if_match: None };
         loop {
-            match self.ask(&order).await {
+            match self.send_to_next_keeper(&order).await {
                 Some(Response { status: 200..=299, .. }) => break,
                 Some(Response { status, .. }) if (400..500).contains(&status) => {
                     self.history.record(clock::now(), Event::RetirementRefused { store, status });
@@ -84,7 +86,7 @@
         }
         let query = Request { target: format!("GET /retire/{store}"), body: Vec::new(), if_match: None };
         loop {
-            let reply = self.ask(&query).await;
+            let reply = self.send_to_next_keeper(&query).await;
             if reply.is_some_and(|reply| reply.status == 200 && is_completed(&reply.body)) {
                 self.history.record(clock::now(), Event::RetirementCompleted { store });
                 return true;
@@ -93,12 +95,12 @@
     }
 
     /// Sends a request to the next keeper, after a pause.
-    async fn ask(&mut self, request: &Request) -> Option<Response> {
+    async fn send_to_next_keeper(&mut self, request: &Request) -> Option<Response> {
         sleep(POLL_INTERVAL).await;
-        self.asked += 1;
+        self.request_count += 1;
         let keeper = {
             let keepers = self.keepers.borrow();
-            keepers.get(self.asked % keepers.len().max(1)).copied()?
+            keepers.get(self.request_count % keepers.len().max(1)).copied()?
         };
         request.send(keeper, RESPONSE_TIMEOUT).await
     }
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenarios: the faults of a simulation, generated from a seed within the fault model of the operators' pages.
+//! Scenarios: the faults of a simulation, generated from a seed within the fault model of the operators' documentation.
 
 mod tier;
 
@@ -6,7 +6,7 @@
 
 use juniperwing_random::Rng;
 
-/// How long a machine that lost its disk has to catch up before the next fault, in milliseconds.
+/// How long a machine that lost its disk has to catch up, before another fault may start, in milliseconds.
 pub const CATCH_UP_MS: u64 = 4_100;
 /// The earliest start of a fault, in milliseconds from the start of the scenario.
 const FIRST_FAULT_MS: u64 = 6_000;
@@ -14,7 +14,7 @@
 const FAULT_FREE_TAIL_MS: u64 = 11_000;
 /// The time at the end of a scenario in which operators only read, in milliseconds.
 pub const READ_ONLY_TAIL_MS: u64 = 5_000;
-/// The duration of long partitions, the longest that the operators' pages name, in milliseconds.
+/// The duration of long partitions, which is the longest in the operators' documentation, in milliseconds.
 const LONG_PARTITION_MS: u64 = 20_000;
 /// The number of relays.
 pub const RELAY_COUNT: usize = 2;
@@ -94,7 +94,7 @@
 pub enum FaultKind {
     /// A network partition separates the process from others.
     Partition(PartitionScope, Direction),
-    /// The machine does not run.
+    /// The machine is suspended.
     Freeze,
     /// The process is killed.
     Kill,
@@ -113,17 +113,17 @@
     Stop,
     /// The disk is slow.
     SlowDisk,
-    /// The disk answers nothing until the end of the fault.
+    /// Syncs of the disk do not complete until the end of the fault.
     StallDisk,
-    /// The disk takes no more bytes.
+    /// The disk has no space left.
     FullDisk,
-    /// The process may use the processor only at the beginning of each tenth of a second.
+    /// The process has a CPU quota: it runs only at the beginning of each period of 100 ms.
     Quota,
-    /// The store machine is retired by the operator's order, and taken away when that is completed.
+    /// The operator retires the store machine, which is removed when the retirement is completed.
     Retire,
-    /// Another store machine joins.
+    /// A store machine is added.
     Grow,
-    /// The machine is replaced by an empty one with another address.
+    /// The machine is replaced with an empty one that has another address.
     Replace,
 }
 
@@ -156,12 +156,13 @@
 }
 
 impl FaultKind {
-    /// Whether the machine counts as lost meanwhile. One that has spent its quota runs again before anyone may miss it.
+    /// Whether the machine counts as unavailable during the fault. A throttled process runs again before failure detection
+    /// can consider it lost.
     pub fn makes_unavailable(self) -> bool {
         self != FaultKind::Quota
     }
 
-    /// Whether a machine loses its disk.
+    /// Whether a machine loses the contents of its disk.
     pub fn loses_disk(self) -> bool {
         matches!(self, FaultKind::Wipe | FaultKind::WipeAndLoseAllPower | FaultKind::Replace)
     }
@@ -213,14 +214,14 @@
         (self.keepers - 1) / 2
     }
 
-    /// Creates a scenario that ends some time after the last of these faults.
+    /// Creates a scenario that ends a fault-free period after the last of these faults.
     pub fn new(seed: u64, keepers: usize, faults: Vec<Fault>) -> Scenario {
         let last_end_ms = faults.iter().map(Fault::end_ms).max().unwrap_or(FIRST_FAULT_MS);
         Scenario { seed, keepers, stores: 0, faults, duration_ms: last_end_ms + FAULT_FREE_TAIL_MS }
     }
 }
 
-/// Restarts of relays while a keeper is partitioned, in every second long partition.
+/// Restarts of relays during long partitions of a keeper, in about half of these partitions.
 fn relay_restarts_in_partitions(seed: u64, faults: &[Fault]) -> Vec<Fault> {
     let mut rng = Rng::for_purpose(seed, 3_001);
     let is_long = |fault: &&Fault| {
--- a/crates/emulator/src/scenario/tier.rs
+++ b/crates/emulator/src/scenario/tier.rs
@@ -7,13 +7,13 @@
     RELAY_COUNT, Role, Scenario,
 };
 
-/// In scenarios of seeds that are a multiple of this, the first fault is the loss of power of all stores and of the disks
-/// of some. These scenarios are targeted, so it strikes while a write is on one disk and not on the others.
+/// In scenarios of seeds that are a multiple of this, all stores lose power in the first fault and some of them lose their
+/// disks. These scenarios are also targeted, so the fault starts while a write is on one disk and not on the others.
 const LOST_DISK_INTERVAL: u64 = 6;
 /// The maximum number of faults.
 const MAX_FAULTS: u64 = 6;
 
-/// The numbers of machines that faults may strike, and the times at which they may.
+/// Generates faults. Tracks how many machines there are and when the next fault may start.
 struct FaultGenerator {
     rng: Rng,
     keepers: usize,
@@ -58,17 +58,17 @@
         let role = self.random_role();
         let kind = match role {
             Role::Relay => FaultKind::Kill,
-            Role::Store if self.rng.one_in(8) => self.random_change(),
+            Role::Store if self.rng.one_in(8) => self.random_store_change(),
             Role::Store | Role::Keeper => self.random_kind(),
         };
         self.add(role, kind);
     }
 
-    /// Adds a fault. A disk is lost only when all machines have caught up after the faults before, and nothing else
-    /// begins before they have caught up after that.
+    /// Adds a fault. A fault that loses a disk starts only when all machines have caught up after the earlier faults, and
+    /// no other fault starts until they have caught up again.
     fn add(&mut self, role: Role, kind: FaultKind) {
-        let is_apart = kind.loses_disk() || self.rng.one_in(2);
-        let earliest_ms = if is_apart { self.all_recovered_ms } else { self.next_start_ms };
+        let is_isolated = kind.loses_disk() || self.rng.one_in(2);
+        let earliest_ms = if is_isolated { self.all_recovered_ms } else { self.next_start_ms };
         let start_ms = earliest_ms + self.rng.below(1_500);
         let duration_ms = self.random_duration_ms(kind);
         let fault = Fault { start_ms, duration_ms, process: self.random_process(role), kind };
@@ -79,7 +79,7 @@
         }
         self.all_recovered_ms = self.all_recovered_ms.max(fault.end_ms() + CATCH_UP_MS);
         if matches!(kind, FaultKind::Replace | FaultKind::Grow) {
-            *self.machines(role) += 1;
+            *self.machine_count_mut(role) += 1;
         }
         self.faults.push(fault);
     }
@@ -92,12 +92,12 @@
         }
     }
 
-    fn machines(&mut self, role: Role) -> &mut usize {
+    fn machine_count_mut(&mut self, role: Role) -> &mut usize {
         if role == Role::Store { &mut self.stores } else { &mut self.keepers }
     }
 
     fn random_process(&mut self, role: Role) -> ProcessId {
-        let count = if role == Role::Relay { RELAY_COUNT } else { *self.machines(role) };
+        let count = if role == Role::Relay { RELAY_COUNT } else { *self.machine_count_mut(role) };
         ProcessId { role, number: 1 + self.rng.index(count) }
     }
 
@@ -122,8 +122,8 @@
         }
     }
 
-    /// A planned change of the stores.
-    fn random_change(&mut self) -> FaultKind {
+    /// A planned change of the set of stores.
+    fn random_store_change(&mut self) -> FaultKind {
         if self.rng.one_in(2) { FaultKind::Grow } else { FaultKind::Retire }
     }
 
--- a/crates/emulator/src/shrink.rs
+++ b/crates/emulator/src/shrink.rs
@@ -1,4 +1,4 @@
-//! Shrinks scenarios: removes faults that a violation does not need.
+//! Shrinks scenarios: removes faults that are not needed to reproduce a violation.
 
 use crate::checker::{Property, Violation, check};
 use crate::scenario::{Fault, Scenario};
@@ -23,7 +23,7 @@
     }
 }
 
-/// The scenarios with one fault less.
+/// The scenarios that have one fault less.
 fn candidates(scenario: &Scenario) -> Vec<Scenario> {
     let without = |index: usize| {
         let mut faults: Vec<Fault> = scenario.faults.clone();
--- a/crates/emulator/src/simulation.rs
+++ b/crates/emulator/src/simulation.rs
@@ -39,13 +39,13 @@
     BeginFault(usize),
     /// Ends the fault with this index.
     EndFault(usize),
-    /// Starts the process of a keeper or a store unless it runs.
+    /// Starts the process of a keeper or a store unless it is running.
     StartProcess(ProcessId),
     /// Kills a process that has not shut down within its grace period.
     KillStopping(ProcessId),
     /// Starts a relay's process.
     StartRelay(usize),
-    /// Publishes the present addresses of keepers to all processes.
+    /// Publishes the current addresses of the keepers to all processes.
     PublishSeeds,
 }
 
@@ -57,23 +57,23 @@
     network: Arc<Network>,
     history: History,
     with_logs: bool,
-    /// Keepers and stores; those that were replaced are removed.
+    /// Keepers and stores, without those that were replaced or retired.
     processes: BTreeMap<ProcessId, TierProcess>,
     relays: BTreeMap<usize, Machine>,
     operators: Machine,
     endpoints: Machine,
     programs: ProgramPool,
     retirements: Retirements,
-    /// The processes that may use the processor only at the beginning of each period.
+    /// The processes with a CPU quota, which run only at the beginning of each period.
     throttled: BTreeSet<ProcessId>,
-    /// The numbers of the present keepers.
+    /// The numbers of the current keepers.
     keepers: Vec<usize>,
-    /// The numbers of the present stores.
+    /// The numbers of the current stores.
     stores: Vec<usize>,
     seeds: watch::Sender<Vec<usize>>,
     relay_seeds: watch::Sender<Vec<SocketAddr>>,
     control: watch::Sender<Vec<SocketAddr>>,
-    /// By time in milliseconds, then by order of scheduling.
+    /// The scheduled actions, by time in milliseconds and then in the order in which they were scheduled.
     scheduled_actions: BTreeMap<(u64, u64), Action>,
     action_count: u64,
     /// The directions blocked by each fault that is a partition, by its index.
@@ -110,8 +110,8 @@
         let history = History::default();
         let keepers: Vec<usize> = (1..=scenario.keepers).collect();
         let stores: Vec<usize> = (1..=scenario.stores).collect();
-        let with_disks = keepers.iter().copied().map(ProcessId::keeper);
-        let with_disks = with_disks.chain(stores.iter().copied().map(ProcessId::store));
+        let tier_processes = keepers.iter().copied().map(ProcessId::keeper);
+        let tier_processes = tier_processes.chain(stores.iter().copied().map(ProcessId::store));
         let relay = |number| (number, Machine::new(host(address(ProcessId::relay(number)))));
         Simulation {
             now: time(1),
@@ -120,7 +120,7 @@
             throttled: BTreeSet::new(),
             history,
             with_logs,
-            processes: with_disks
+            processes: tier_processes
                 .map(|process| (process, TierProcess::new(host(address(process)))))
                 .collect(),
             relays: (1..=RELAY_COUNT).map(relay).collect(),
@@ -180,7 +180,7 @@
             && at_ms <= millis(self.now)
         {
             self.scheduled_actions.remove(&(at_ms, count));
-            self.perform(action);
+            self.execute(action);
         }
         self.enforce_quotas();
         let until = self.now + MIN_DELAY;
@@ -203,7 +203,7 @@
         }
     }
 
-    /// The numbers of the present processes of a role that have a disk.
+    /// The numbers of the current keepers or stores.
     fn members(&mut self, role: Role) -> &mut Vec<usize> {
         if role == Role::Store { &mut self.stores } else { &mut self.keepers }
     }
--- a/crates/emulator/src/simulation/faults.rs
+++ b/crates/emulator/src/simulation/faults.rs
@@ -14,19 +14,19 @@
 use crate::network::directions;
 use crate::scenario::{Direction, Fault, FaultKind, PartitionScope, ProcessId, RELAY_COUNT, Role};
 
-/// How long seeds and keeper lists stay stale after a replacement (`seedLagS`), in milliseconds.
+/// How long seeds and lists of keepers stay stale after a replacement (`seedLagS`), in milliseconds.
 const SEED_LAG_MS: u64 = 3_000;
 /// The grace period of a graceful shutdown (`graceS`), in milliseconds.
 const GRACE_MS: u64 = 8_000;
-/// The period of a processor quota, in milliseconds.
+/// The period of a CPU quota, in milliseconds.
 const QUOTA_PERIOD_MS: u64 = 100;
-/// How long a throttled process runs in each period, in milliseconds.
+/// The CPU quota: how long a throttled process runs in each period, in milliseconds.
 const QUOTA_MS: u64 = 10;
-/// How many times slower a slow disk syncs.
+/// The factor by which the syncs of a slow disk take longer.
 const SLOW_DISK_FACTOR: u32 = 30;
 
 impl Simulation {
-    pub(super) fn perform(&mut self, action: Action) {
+    pub(super) fn execute(&mut self, action: Action) {
         match action {
             Action::BeginFault(index) => self.begin_fault(index),
             Action::EndFault(index) => self.end_fault(index),
@@ -46,9 +46,11 @@
             FaultKind::Partition(scope, direction) => self.partition(index, process, scope, direction),
             FaultKind::Freeze => self.freeze(process),
             FaultKind::Kill => self.kill(process),
-            FaultKind::KillAll => self.all_of(process.role).for_each(|one| self.kill(one)),
+            FaultKind::KillAll => self.all_with_role(process.role).for_each(|process| self.kill(process)),
             FaultKind::LosePower => self.lose_power(process, false),
-            FaultKind::LoseAllPower => self.all_of(process.role).for_each(|one| self.lose_power(one, false)),
+            FaultKind::LoseAllPower => {
+                self.all_with_role(process.role).for_each(|process| self.lose_power(process, false))
+            }
             FaultKind::Wipe => self.lose_power(process, true),
             FaultKind::WipeAndLoseAllPower => self.lose_disks_and_power(process),
             FaultKind::Stop => self.stop(fault),
@@ -57,10 +59,10 @@
             }
             FaultKind::StallDisk => self.change_disk(process, |disk| disk.stall_until(time(fault.end_ms()))),
             FaultKind::FullDisk => self.change_disk(process, |disk| disk.set_full(true)),
-            FaultKind::Replace => self.remove(process),
+            FaultKind::Replace => self.remove_machine(process),
             FaultKind::Quota => drop(self.throttled.insert(process)),
             FaultKind::Retire => self.retirements.request(process),
-            FaultKind::Grow => self.grow(process.role),
+            FaultKind::Grow => self.add_machine(process.role),
         }
     }
 
@@ -73,10 +75,12 @@
             FaultKind::Partition(..) => self.heal(index),
             FaultKind::Freeze => self.thaw(process),
             FaultKind::Kill | FaultKind::Stop => self.start_process(process),
-            FaultKind::KillAll => self.all_of(process.role).for_each(|one| self.start_process(one)),
+            FaultKind::KillAll => {
+                self.all_with_role(process.role).for_each(|process| self.start_process(process))
+            }
             FaultKind::LosePower | FaultKind::Wipe => self.power_on(process),
             FaultKind::LoseAllPower | FaultKind::WipeAndLoseAllPower => {
-                self.all_of(process.role).for_each(|one| self.power_on(one));
+                self.all_with_role(process.role).for_each(|process| self.power_on(process));
             }
             FaultKind::SlowDisk => self.change_disk(process, |disk| disk.set_slowdown_factor(1)),
             FaultKind::Quota => self.end_quota(process),
@@ -86,8 +90,8 @@
         }
     }
 
-    /// The present processes of a role that have a disk.
-    fn all_of(&mut self, role: Role) -> impl Iterator<Item = ProcessId> + use<> {
+    /// All current keepers or stores.
+    fn all_with_role(&mut self, role: Role) -> impl Iterator<Item = ProcessId> + use<> {
         self.members(role).clone().into_iter().map(move |number| ProcessId { role, number })
     }
 
@@ -98,9 +102,9 @@
         self.history.record(now, Event::ProcessStopped { process: ProcessId::relay(number) });
     }
 
-    /// Blocks the directions of a partition, adding to other partitions.
+    /// Blocks the directions of a partition, in addition to those of other partitions.
     fn partition(&mut self, index: usize, process: ProcessId, scope: PartitionScope, direction: Direction) {
-        let one = BTreeSet::from([address(process)]);
+        let isolated = BTreeSet::from([address(process)]);
         let mut others: BTreeSet<IpAddr> = self.processes.keys().copied().map(address).collect();
         if scope == PartitionScope::All {
             others.extend((1..=RELAY_COUNT).map(|relay| address(ProcessId::relay(relay))));
@@ -109,10 +113,10 @@
         others.remove(&address(process));
         let mut blocked = Vec::new();
         if direction != Direction::Outbound {
-            blocked.extend(directions(&others, &one));
+            blocked.extend(directions(&others, &isolated));
         }
         if direction != Direction::Inbound {
-            blocked.extend(directions(&one, &others));
+            blocked.extend(directions(&isolated, &others));
         }
         blocked.iter().for_each(|(from, to)| self.network.block(self.now, *from, *to));
         self.partitions.insert(index, blocked);
@@ -143,7 +147,7 @@
         self.processes.entry(process).and_modify(|running| running.machine.thaw(now));
     }
 
-    /// Stops the throttled processes that have spent their quota of the present period, and resumes the others.
+    /// Suspends the throttled processes that have used up their quota of the current period, and resumes the others.
     pub(super) fn enforce_quotas(&mut self) {
         let now = self.now;
         let has_quota = millis(now) % QUOTA_PERIOD_MS < QUOTA_MS;
@@ -191,7 +195,7 @@
         }
     }
 
-    /// The tolerated number of machines of the role, from `first` on, lose their disks; the others lose power.
+    /// The tolerated number of machines of the role, starting with `first`, lose their disks; the others lose power.
     fn lose_disks_and_power(&mut self, first: ProcessId) {
         let members = self.members(first.role).clone();
         for position in 0..members.len() {
@@ -215,8 +219,8 @@
         }
     }
 
-    /// Removes a machine for good.
-    fn remove(&mut self, process: ProcessId) {
+    /// Removes a machine permanently.
+    fn remove_machine(&mut self, process: ProcessId) {
         if self.members(process.role).contains(&process.number) {
             self.lose_power(process, true);
         }
@@ -237,23 +241,23 @@
     }
 
     /// Adds a machine of a role and starts its process.
-    fn grow(&mut self, role: Role) {
+    fn add_machine(&mut self, role: Role) {
         let new = self.new_process(role);
         self.members(role).push(new.number);
         self.add_process(new);
         self.start_process(new);
     }
 
-    /// Takes away the machines whose retirement is completed.
+    /// Removes the machines whose retirement is completed.
     pub(super) fn remove_retired(&mut self) {
         for process in self.retirements.take_completed() {
-            self.remove(process);
+            self.remove_machine(process);
             self.members(process.role).retain(|number| *number != process.number);
             self.processes.remove(&process);
         }
     }
 
-    /// The next process of a role, which does not exist yet.
+    /// The identifier of the next new process of a role.
     fn new_process(&self, role: Role) -> ProcessId {
         let numbers = self.processes.keys().filter(|known| known.role == role).map(|known| known.number);
         ProcessId { role, number: 1 + numbers.max().unwrap_or(0) }
@@ -274,7 +278,7 @@
     }
 }
 
-/// The number of a relay, wrapped around.
+/// The number of a relay, wrapped around to those that exist.
 fn relay_number(process: ProcessId) -> usize {
     1 + (process.number - 1) % RELAY_COUNT
 }
--- a/crates/emulator/src/simulation/processes.rs
+++ b/crates/emulator/src/simulation/processes.rs
@@ -21,9 +21,9 @@
 
 /// The port of a keeper's control listener.
 const CONTROL_PORT: u16 = 8_144;
-/// The first of the ephemeral ports of all processes of the tier.
+/// The first of the ephemeral ports of each process of the tier.
 const FIRST_PORT: u16 = 7_380;
-/// Keepers that start this early bootstrap the tier, in milliseconds.
+/// Keepers that start within this time from the start of the scenario bootstrap the tier, in milliseconds.
 const BOOTSTRAP_PERIOD_MS: u64 = 1_000;
 
 /// A process of the tier that has a disk (a keeper or a store), and its machine.
@@ -89,15 +89,15 @@
 }
 
 fn settings(process: ProcessId, seeds: &[usize], tolerated_failures: usize, bootstrap: bool) -> Settings {
-    let mut listed = String::new();
+    let mut seed_nodes = String::new();
     for seed in seeds.iter().take(3) {
         // Writing to a string does not fail.
-        let _ = write!(listed, "\"{}\",", control_address(*seed));
+        let _ = write!(seed_nodes, "\"{}\",", control_address(*seed));
     }
     let machine = address(process);
     let mut text = format!(
         "nodeName = \"{process}\"\nipAddress = \"{machine}\"\nzone = \"a\"\n\
-         ephemeralPorts = [{FIRST_PORT},{last}]\nseedNodes = [{listed}]\nbootstrap = {bootstrap}\n\
+         ephemeralPorts = [{FIRST_PORT},{last}]\nseedNodes = [{seed_nodes}]\nbootstrap = {bootstrap}\n\
          dataDirectory = \"/data\"\nheartbeatMs = 1200\n",
         last = FIRST_PORT + 15,
     );
@@ -115,7 +115,7 @@
 }
 
 impl Simulation {
-    /// Starts the process of a keeper or a store, unless it runs.
+    /// Starts the process of a keeper or a store unless it is running.
     pub(super) fn start_process(&mut self, process: ProcessId) {
         let bootstrap = process.role == Role::Keeper && millis(self.now) < BOOTSTRAP_PERIOD_MS;
         let seeds = self.seeds.borrow().clone();
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Starts a relay's process, unless it runs.
+    /// Starts the process of a relay unless it is running.
     pub(super) fn start_relay(&mut self, number: usize) {
         let address = SocketAddr::new(address(ProcessId::relay(number)), FIRST_PORT + Port::Relay as u16);
         let setup = RelaySetup {
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Sends the present keepers to the running ones.
+    /// Sends settings with the current keepers to the running keepers.
     pub(super) fn reload_keepers(&self) {
         let tolerated_failures = self.scenario.tolerated_failures();
         let keepers = self.processes.iter().filter(|(process, _)| process.role == Role::Keeper);
--- a/crates/emulator/src/sockets.rs
+++ b/crates/emulator/src/sockets.rs
@@ -31,7 +31,7 @@
 struct Reader {
     context: SocketContext,
     pipe: PipeId,
-    /// Wakes the reading task when the next segment arrives.
+    /// Wakes the reading task when the next segment arrives or the connection times out.
     read_timer: Option<Pin<Box<Sleep>>>,
 }
 
@@ -41,7 +41,7 @@
     pipe: PipeId,
 }
 
-/// The stream of one end of an established connection.
+/// Creates the stream of one end of an established connection.
 pub(crate) fn stream(context: &SocketContext, connection: Connection) -> SimulatedStream {
     let reader = Reader { context: context.clone(), pipe: connection.incoming, read_timer: None };
     let writer = Writer { context: context.clone(), pipe: connection.outgoing };
@@ -110,8 +110,8 @@
 }
 
 impl SimulatedWriter for Writer {
-    fn set_user_timeout(&mut self, time_out: Duration) {
-        self.context.network.set_user_timeout(self.pipe, time_out);
+    fn set_user_timeout(&mut self, timeout: Duration) {
+        self.context.network.set_user_timeout(self.pipe, timeout);
     }
 }
 
@@ -134,7 +134,7 @@
     }
 }
 
-/// The head of the queue of a listening socket.
+/// The first connection in the queue of a listening socket, if any.
 enum PendingConnection {
     Ready(Connection),
     ArrivesAt(Time),
--- a/crates/emulator/src/stability.rs
+++ b/crates/emulator/src/stability.rs
@@ -1,5 +1,6 @@
-//! The periods in which the core, or the whole tier, is stable, as the operators' pages define it. They are computed from
-//! the scenario, and from the exits of processes that were asked to shut down, since these choose how long they take.
+//! The periods in which the core, or the whole tier, is stable, as the operators' documentation defines it. They are
+//! computed from the scenario and from the exits of processes that were asked to shut down, since the scenario does not
+//! determine how long a shutdown takes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,7 +9,7 @@
 use crate::history::{Event, RecordedEvent};
 use crate::scenario::{CATCH_UP_MS, Fault, FaultKind, ProcessId, Role, Scenario};
 
-/// How long the core must have been without a change to be stable (`contactMs`), in milliseconds.
+/// How long the core must have been unchanged to be stable (`contactMs`), in milliseconds.
 const CONTACT_MS: u64 = 3_000;
 /// The interval at which stability is sampled, in milliseconds.
 const SAMPLE_INTERVAL_MS: u64 = 50;
@@ -18,7 +19,7 @@
 pub enum Scope {
     /// The keepers: more than half of them are available.
     Core,
-    /// Keepers and stores: no more of them are lost than may be.
+    /// Keepers and stores: no more of them are lost than tolerated.
     Tier,
 }
 
@@ -30,13 +31,13 @@
         }
     }
 
-    /// Whether a fault makes a machine that counts unavailable.
-    fn counts(self, fault: &Fault) -> bool {
+    /// Whether a fault makes a machine of this scope unavailable.
+    fn is_affected_by(self, fault: &Fault) -> bool {
         self.contains(fault.process.role) && fault.kind.makes_unavailable()
     }
 
-    /// How long nothing must have changed, in milliseconds.
-    fn settling_ms(self) -> u64 {
+    /// How long the scope must have been unchanged to be stable, in milliseconds.
+    fn stabilization_ms(self) -> u64 {
         match self {
             Scope::Core => CONTACT_MS,
             Scope::Tier => CATCH_UP_MS,
@@ -44,7 +45,7 @@
     }
 }
 
-/// The periods in which something is stable.
+/// The periods in which a scope is stable.
 #[derive(Clone, Debug)]
 pub struct Stability {
     /// One sample per [`SAMPLE_INTERVAL_MS`].
@@ -60,8 +61,8 @@
         let samples = (0..sample_count).map(|sample| {
             let now_ms = sample * SAMPLE_INTERVAL_MS;
             if scope == Scope::Tier {
-                // What was lost at once beyond the tolerated number is back only when nothing is lost any more.
-                let lost_count = lost_machines(scenario, &downtimes, now_ms);
+                // After the loss of more machines than tolerated, the tier has recovered only when none is lost.
+                let lost_count = count_lost_machines(scenario, &downtimes, now_ms);
                 is_beyond_tolerance |= lost_count > scenario.tolerated_failures();
                 is_beyond_tolerance &= lost_count > 0;
             }
@@ -70,7 +71,7 @@
         Stability { samples: samples.collect() }
     }
 
-    /// Whether the core is stable throughout a period, in milliseconds from the start of the scenario.
+    /// Whether the scope is stable throughout a period, in milliseconds from the start of the scenario.
     pub fn is_stable_throughout(&self, from_ms: u64, until_ms: u64) -> bool {
         let (first, last) =
             ((from_ms / SAMPLE_INTERVAL_MS) as usize, (until_ms / SAMPLE_INTERVAL_MS) as usize);
@@ -118,11 +119,11 @@
     downtimes
 }
 
-/// The number of keepers and stores that are lost at a moment, those included that have not caught up since.
-fn lost_machines(scenario: &Scenario, downtimes: &[Downtime], now_ms: u64) -> usize {
+/// The number of keepers and stores that are lost at a moment, including those that have not caught up since.
+fn count_lost_machines(scenario: &Scenario, downtimes: &[Downtime], now_ms: u64) -> usize {
     let is_lost =
         |from_ms: u64, until_ms: u64| from_ms <= now_ms && now_ms < until_ms.saturating_add(CATCH_UP_MS);
-    let faults = scenario.faults.iter().filter(|fault| Scope::Tier.counts(fault));
+    let faults = scenario.faults.iter().filter(|fault| Scope::Tier.is_affected_by(fault));
     let mut lost: BTreeSet<ProcessId> = BTreeSet::new();
     for fault in faults.filter(|fault| is_lost(fault.start_ms, fault.end_ms())) {
         match fault.kind {
@@ -137,29 +138,31 @@
     lost.len()
 }
 
-/// Whether what the scope names is stable at a moment.
+/// Whether a scope is stable at a moment.
 fn is_stable(scenario: &Scenario, scope: Scope, downtimes: &[Downtime], now_ms: u64) -> bool {
-    let settling_ms = scope.settling_ms();
-    let core_faults: Vec<&Fault> = scenario.faults.iter().filter(|fault| scope.counts(fault)).collect();
+    let stabilization_ms = scope.stabilization_ms();
+    let faults: Vec<&Fault> = scenario.faults.iter().filter(|fault| scope.is_affected_by(fault)).collect();
     let is_recent = |moment: u64, span: u64| moment <= now_ms && now_ms < moment.saturating_add(span);
-    let is_disturbed = |fault: &&Fault| {
-        // Twice the period after a fault that hit most of the core.
+    let is_recent_fault = |fault: &&Fault| {
+        // A fault that affects most of the scope needs twice the period.
         let span = match fault.kind {
-            FaultKind::KillAll | FaultKind::LoseAllPower | FaultKind::WipeAndLoseAllPower => 2 * settling_ms,
-            _ => settling_ms,
+            FaultKind::KillAll | FaultKind::LoseAllPower | FaultKind::WipeAndLoseAllPower => {
+                2 * stabilization_ms
+            }
+            _ => stabilization_ms,
         };
         is_recent(fault.start_ms, span) || is_recent(fault.end_ms(), span)
     };
     let is_active = |fault: &&&Fault| fault.start_ms <= now_ms && now_ms < fault.end_ms();
     let exits_and_starts = downtimes.iter().flat_map(|downtime| [downtime.from_ms, downtime.until_ms]);
-    let is_disturbed_by_restart = exits_and_starts.into_iter().any(|moment| is_recent(moment, settling_ms));
-    if core_faults.iter().any(is_disturbed) || is_disturbed_by_restart || now_ms < settling_ms {
+    let has_recent_restart = exits_and_starts.into_iter().any(|moment| is_recent(moment, stabilization_ms));
+    if faults.iter().any(is_recent_fault) || has_recent_restart || now_ms < stabilization_ms {
         return false;
     }
     let is_down = |downtime: &&Downtime| downtime.from_ms <= now_ms && now_ms < downtime.until_ms;
     let mut unavailable: Vec<ProcessId> =
         downtimes.iter().filter(is_down).map(|downtime| downtime.process).collect();
-    for fault in core_faults.iter().filter(is_active) {
+    for fault in faults.iter().filter(is_active) {
         match fault.kind {
             FaultKind::KillAll
             | FaultKind::LoseAllPower
--- a/crates/emulator/src/targeting.rs
+++ b/crates/emulator/src/targeting.rs
@@ -13,9 +13,10 @@
 
 /// One seed in this many has a targeted scenario.
 const TARGETED_SEED_INTERVAL: u64 = 3;
-/// How long before the acknowledgement of an order the first fault starts at most, in milliseconds.
+/// The maximum time from the start of the first fault to the acknowledgement of an order, in milliseconds.
 const MAX_ORDER_LEAD_MS: u64 = 45;
-/// The same for the acknowledgement of a turn, which takes fewer steps.
+/// The maximum time from the start of the first fault to the acknowledgement of a turn, in milliseconds. A turn takes
+/// fewer steps than an order.
 const MAX_TURN_LEAD_MS: u64 = 14;
 
 /// What scenarios simulate.
@@ -48,7 +49,7 @@
         .map(|recorded| millis(recorded.at))
         .filter(|at_ms| *at_ms > first.start_ms + max_lead_ms)
         .collect();
-    // Only the next few, to keep the scenario short.
+    // Considers only the first few, to keep the scenario short.
     let candidates = &acknowledged[..acknowledged.len().min(8)];
     let Some(target_ms) = rng.choose(candidates) else { return scenario.clone() };
     let shift_ms = target_ms - rng.below(max_lead_ms) - first.start_ms;
@@ -58,7 +59,7 @@
     Scenario { faults, duration_ms: scenario.duration_ms + shift_ms, ..scenario.clone() }
 }
 
-/// Whether an event follows a write that the scenario is about: of an order, or, where there are stores, of a turn.
+/// Whether an event follows a write that the scenario targets: of an order, or, if there are stores, of a turn.
 fn is_acknowledgement(scenario: &Scenario, event: &Event) -> bool {
     match event {
         Event::OrderReplied { status: 200, .. } => scenario.stores == 0,
--- a/crates/emulator/tests/determinism.rs
+++ b/crates/emulator/tests/determinism.rs
@@ -1,16 +1,16 @@
-//! The same seed gives the same history, whatever process plays it, and the sources avoid what would prevent that.
+//! The same seed gives the same history in different processes, and the sources avoid constructs that would prevent that.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// How many scenarios are played from each first seed.
+/// How many scenarios are run from each first seed.
 const SCENARIOS: &str = "20";
-/// The first seeds. From 478 on are some whose histories once depended on the order in which a killed process dropped
+/// The first seeds. Some histories of the seeds from 478 on once depended on the order in which a killed process dropped
 /// its connections.
 const FIRST_SEEDS: [&str; 2] = ["1", "478"];
 
-/// The digests of the histories of scenarios, played by a process of their own on `threads` threads.
+/// The digests of the histories of scenarios, run in a separate process on `threads` threads.
 fn digests(arguments: &[&str], threads: &str) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_juniperwing-emulator"));
     command.args(["--digest", "--jobs", threads]).args(arguments);
@@ -19,7 +19,7 @@
     String::from_utf8(output.stdout).expect("UTF-8")
 }
 
-/// Two processes differ in what the operating system gives them: addresses, hash keys, identities of threads.
+/// Two processes differ in memory addresses, hash keys and thread ids, none of which may affect a history.
 #[test]
 fn same_seeds_give_same_histories_in_two_processes() {
     for first_seed in FIRST_SEEDS {
@@ -49,8 +49,8 @@
     files.into_iter().filter(is_source).chain(nested).collect()
 }
 
-/// `select!` polls its branches in a random order unless it is told not to. Hash maps and tokio's `watch` are refused
-/// by `clippy.toml`.
+/// `select!` polls its branches in a random order unless it is `biased`. `clippy.toml` disallows hash maps and tokio's
+/// `watch`.
 #[test]
 fn every_select_has_a_fixed_order() {
     let crates = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
--- a/crates/emulator/tests/regressions.rs
+++ b/crates/emulator/tests/regressions.rs
@@ -17,7 +17,7 @@
     assert!(violations.is_empty(), "{violations:#?}");
 }
 
-// Guard: `is_current` in keeper/confirmation.rs; seen to fail without it.
+// Failed without the check `is_current` in keeper/confirmation.rs.
 #[test]
 fn starting_relay_gets_no_stale_configuration_from_partitioned_keeper() {
     let faults = vec![
--- a/crates/emulator/tests/scenarios.rs
+++ b/crates/emulator/tests/scenarios.rs
@@ -43,10 +43,10 @@
     assert!(found.is_empty(), "{found:#?}");
 }
 
-/// Processes that have spent their quota stand still for nine tenths of each tenth of a second. Nobody takes them for
-/// lost: no primary changes, no member is declared dead, no link is given up, and all orders and turns are served.
+/// Throttled processes are suspended for 90 ms of each 100 ms. They must not be considered lost: no primary changes, no
+/// member is declared dead, no link is closed, and all orders and turns are served.
 #[test]
-fn processes_that_spend_their_quota_are_not_taken_for_lost() {
+fn throttled_processes_are_not_considered_lost() {
     let all = (1..=3).flat_map(|number| [ProcessId::keeper(number), ProcessId::store(number)]);
     let throttled = |process| Fault { start_ms: 6_000, duration_ms: 20_000, process, kind: FaultKind::Quota };
     for seed in 9_200..9_203 {
@@ -63,10 +63,10 @@
     }
 }
 
-/// All stores lose power at once and some their disks. Once, the in-sync sets shrank to a store that came back empty.
-/// Guard: `Planner::remove_lost_replicas` removes none while no other in-sync replica is seen.
+/// All stores lose power at once and some lose their disks. An in-sync set once shrank to a store that came back empty;
+/// `Planner::remove_lost_replicas` therefore removes no replica while no other in-sync replica is seen.
 #[test]
-fn turns_survive_the_loss_of_disks_while_all_stores_are_dark() {
+fn turns_survive_disk_loss_while_all_stores_lose_power() {
     for first in 1..=2 {
         for moment in 0..4 {
             let process = ProcessId::store(first);
@@ -89,8 +89,8 @@
     }
 }
 
-/// A keeper takes some time to shut down while another one is partitioned. The core is not stable around its exit and
-/// its start, whatever the scenario had planned.
+/// A keeper takes some time to shut down while another one is partitioned. The core is not stable around its actual exit
+/// and start, which differ from the times in the scenario.
 #[test]
 fn shutdown_time_of_keeper_counts_as_unstable() {
     for seed in [30_635, 32_832] {
@@ -98,8 +98,8 @@
     }
 }
 
-/// Seeds in which a keeper that had just lost contact told relays that live endpoints had expired. Guards:
-/// `Registry::refutation_of`, and `Contact::confirmed_until` in the keeper's `expire_instances`.
+/// In these seeds, a keeper that had just lost contact told relays that live endpoints had expired. Prevented by
+/// `Registry::refutation_of`, and by `Contact::confirmed_until` in the keeper's `expire_instances`.
 #[test]
 fn endpoints_stay_known_while_keeper_loses_contact() {
     for seed in [124, 233] {
@@ -107,8 +107,8 @@
     }
 }
 
-/// The tolerated number of disks is lost, and all other keepers lose power at the same moment; operators then read the
-/// configuration repeatedly. It is the newest acknowledged one, complete.
+/// The tolerated number of disks is lost while all other keepers lose power. Operators then read the configuration
+/// repeatedly, which must be the complete, newest acknowledged one.
 #[test]
 fn acknowledged_orders_survive_disk_loss_with_power_loss() {
     for (seed, keepers) in (1_u64..).zip([3, 3, 3, 5, 5, 5]) {
