--- a/crates/soak/src/command.rs
+++ b/crates/soak/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line of the soak.
+//! Command line of the soak test.
 
 use std::io::{self, Write};
 use std::num::ParseIntError;
@@ -15,7 +15,7 @@
 use crate::play::{Options, Report, play};
 use crate::schedule::Schedule;
 
-/// Exit code of a wrong command line, and of a request for help.
+/// Exit code for an invalid command line, and for a request for help.
 const EXIT_CODE_USAGE: u8 = 2;
 const USAGE: &str = "\
 Usage: juniperwing-soak run [OPTIONS]
@@ -23,7 +23,7 @@
 Plays tiers of real processes on loopback under random troubles, one seed after the other, and prints what must not be.
 Exits with 1 if anything was found.";
 
-/// Runs the soak with the arguments behind `run`.
+/// Runs the soak test with the arguments that follow `run`.
 pub fn run(arguments: &[String]) -> ExitCode {
     let mut flags = Flags::new();
     flags.optopt("", "seed", "the first seed [default: 1]", "NUMBER");
@@ -59,14 +59,14 @@
     let mut out = io::stdout();
     for seed in options.seeds() {
         let schedule = Schedule::draw(seed, options.length_ms);
-        // A reader that has seen enough closes the pipe.
+        // A reader such as `head` closes the pipe early.
         if write!(out, "{schedule}").is_err() {
             break;
         }
     }
 }
 
-/// Why no options could be read from the command line. The text is what is printed.
+/// Reason why the command line was not accepted. The display text is printed as it is.
 #[derive(Debug, Snafu)]
 enum UsageError {
     #[snafu(display("{usage}"))]
@@ -81,7 +81,7 @@
 struct RunOptions {
     first_seed: u64,
     plays: u64,
-    /// No play begins later than this after the first one.
+    /// Plays start only within this time after the first one.
     max_seconds: Option<u64>,
     length_ms: u64,
     network: Option<u64>,
@@ -114,7 +114,7 @@
     }
 }
 
-/// Plays all seeds unless a signal ends the program before. Returns whether nothing was found.
+/// Plays all seeds, or until a signal arrives. Returns whether there were no findings.
 fn run_until_signal(options: &RunOptions) -> io::Result<bool> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
@@ -127,7 +127,7 @@
     })
 }
 
-/// Plays one seed after the other. Returns whether nothing was found.
+/// Plays the seeds in sequence. Returns whether there were no findings.
 async fn play_all(run_options: &RunOptions) -> io::Result<bool> {
     let started_at = Instant::now();
     let mut coverage = Coverage::default();
--- a/crates/soak/src/coverage.rs
+++ b/crates/soak/src/coverage.rs
@@ -1,4 +1,4 @@
-//! Counts which faults, and which overlapping pairs of them, were played.
+//! Counts the kinds of faults, and the overlapping pairs of kinds, that plays injected.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -13,7 +13,7 @@
 }
 
 impl Coverage {
-    /// Counts a schedule.
+    /// Counts the faults of a schedule.
     pub fn add(&mut self, schedule: &Schedule) {
         for (index, fault) in schedule.faults.iter().enumerate() {
             *self.single.entry(name_with_role(fault)).or_default() += 1;
@@ -36,7 +36,7 @@
     }
 }
 
-/// Whether two faults are active at the same time; an instant counts as half a second.
+/// Whether two faults are active at the same time. An instantaneous fault counts as 500 ms long.
 fn is_overlapping(one: &Fault, other: &Fault) -> bool {
     let end = |fault: &Fault| fault.starts_at + fault.duration_ms.max(500);
     one.starts_at < end(other) && other.starts_at < end(one)
--- a/crates/soak/src/fault_injector.rs
+++ b/crates/soak/src/fault_injector.rs
@@ -14,7 +14,7 @@
 use crate::tier::{DelayedSignal, EXIT_DETECTION_DELAY, Tier};
 use juniperwing_random::Rng;
 
-/// Delay until an empty machine replaces one that was retired.
+/// Delay before an empty machine replaces a retired one.
 const REPLACEMENT_DELAY: Duration = Duration::from_millis(700);
 
 /// Injects one scheduled fault.
@@ -22,19 +22,19 @@
     pub(crate) tier: Arc<Tier>,
     pub(crate) shared: Arc<Shared>,
     pub(crate) endpoints: Arc<Endpoints>,
-    /// Whether the schedule stays within the fault tolerance.
+    /// Whether the schedule stays within the fault tolerance of the tier.
     pub(crate) is_within_tolerance: bool,
     pub(crate) rng: Rng,
 }
 
 impl FaultInjector {
-    /// Injects the fault and records the interval for which it lasts.
+    /// Injects the fault and records the interval in which it is active.
     pub(crate) async fn run(mut self, fault: Fault) {
         let history = Arc::clone(&self.shared.history);
         let index = {
             let started_at = history.now();
             let mut record = history.record();
-            // The interval stays open until the fault is over.
+            // The end is set when the fault is over.
             record.fault_intervals.push(FaultInterval {
                 kind: fault.kind,
                 started_at,
@@ -64,7 +64,7 @@
             FaultKind::Reset(machine) => tier.change_rules(machine, |rules| rules.resets += 1),
             FaultKind::SlowLinks(machine) => self.slow_links(machine, duration).await,
             FaultKind::DiskStall(machine) => self.fail_disk(machine, DiskFault::Stalls, duration).await,
-            FaultKind::DiskFull(machine) => self.fail_disk(machine, DiskFault::Refuses, duration).await,
+            FaultKind::DiskFull(machine) => self.fail_disk(machine, DiskFault::Full, duration).await,
             FaultKind::DiskSlow(machine) => self.slow_disk(machine, duration).await,
             FaultKind::DiskPanic(machine) => self.fail_disk(machine, DiskFault::Panics, duration).await,
             FaultKind::ClockStep(machine) => self.step_clock(machine, duration).await,
@@ -125,7 +125,7 @@
         self.shared.set_early_disconnects(false);
     }
 
-    /// Stops a process by SIGTERM and sends two further signals at random times while it ends.
+    /// Stops a process by SIGTERM and sends two further signals at random times while it shuts down.
     async fn stop_repeatedly(&mut self, machine: Machine) {
         let mut delay = || Duration::from_millis(self.rng.below(900));
         let mut delays = [delay(), delay()];
@@ -135,18 +135,20 @@
         self.tier.stop(machine, &further).await;
     }
 
-    /// Retires a store and replaces it by an empty machine. Completion in time is certain only if nothing else fails.
+    /// Retires a store and replaces it by an empty machine. A retirement that is not completed in time is a finding only
+    /// within the fault tolerance: otherwise other failures may delay it.
     async fn retire(&self, machine: Machine, duration: Duration) {
         if retire_store(&self.shared, machine, duration).await {
             self.tier.kill(machine, REPLACEMENT_DELAY, true).await;
         } else if self.is_within_tolerance {
-            self.shared
-                .history
-                .record_finding("a machine is emptied", format!("{machine} in {} s", duration.as_secs()));
+            self.shared.history.record_finding(
+                "a machine is emptied",
+                format!("{machine} was not retired within {} s", duration.as_secs()),
+            );
         }
     }
 
-    /// Partitions a machine from the stateful ones; in half of the cases from relays as well.
+    /// Partitions a machine from the stateful machines and, in half of the cases if it is stateful, also from the relays.
     async fn partition(&mut self, machine: Machine, direction: Direction, duration: Duration) {
         let all = self.tier.machines();
         let from_relays = self.rng.percent(50);
@@ -160,7 +162,7 @@
     }
 
     async fn fail_disk(&self, machine: Machine, fault: DiskFault, duration: Duration) {
-        // Without its disk the process may fail to start, and a panic ends it.
+        // The process may fail to start without its disk, and exits after a panic.
         self.tier.allow_exit(machine);
         self.tier.change_rules(machine, |rules| rules.disk = fault);
         sleep(duration).await;
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -9,7 +9,7 @@
 pub struct Machine {
     /// The role that runs on it.
     pub role: Role,
-    /// Its number among the machines of its role, from 0 on.
+    /// Its number among the machines of its role, starting at 0.
     pub number: usize,
 }
 
@@ -29,9 +29,9 @@
 /// The direction of a network partition, as seen from the partitioned machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// What the machine sends is lost.
+    /// Outbound traffic of the machine is blocked.
     Out,
-    /// What is sent to it is lost.
+    /// Inbound traffic of the machine is blocked.
     In,
     /// Both.
     Both,
@@ -40,90 +40,90 @@
 /// Contents of a settings file that a process reloads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SettingsFile {
-    /// Other seeds.
+    /// Valid, with a different list of seed nodes.
     OtherSeeds,
-    /// Nothing.
+    /// An empty file.
     Empty,
     /// A syntax error.
     Broken,
-    /// Another address and another data folder.
+    /// Valid, with a different address and data directory.
     Moved,
 }
 
-/// How endpoints misbehave towards requests.
+/// How endpoints mishandle requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Misbehaviour {
-    /// They run them and reset the connection without a response.
+    /// They execute the request and reset the connection without a response.
     LoseAnswers,
-    /// They respond twice.
+    /// They send a second, unsolicited response.
     AnswerTwice,
-    /// They reset the connection in the middle of the response.
+    /// They reset the connection in the middle of the response body.
     BreakOff,
-    /// They respond under another request id.
+    /// They respond with the id of another request.
     OtherId,
     /// They never respond.
     Hang,
-    /// They refuse with 503.
+    /// They reject the request with status 503.
     Decline,
 }
 
-/// A kind of fault with the machine that it affects.
+/// A kind of fault and, where it affects a single machine, that machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// SIGKILL; started again after the duration.
+    /// SIGKILL; the process is restarted after the duration.
     Kill(Machine),
-    /// SIGKILL again and again while it starts.
+    /// Repeated SIGKILL during startup.
     KillDuringStart(Machine),
-    /// SIGKILL and an empty disk.
+    /// SIGKILL and loss of the disk.
     Wipe(Machine),
-    /// A store is retired by order; once that is completed it is replaced by an empty one.
+    /// An operator retires a store; once that is completed, an empty machine replaces it.
     Retire(Machine),
-    /// SIGSTOP for a while.
+    /// SIGSTOP, and SIGCONT after the duration.
     Freeze(Machine),
-    /// SIGTERM, and a start once it has ended.
+    /// SIGTERM, and a restart once the process has exited.
     Stop(Machine),
-    /// SIGTERM, then further signals while it ends.
+    /// SIGTERM, then further signals during the shutdown.
     StopRepeatedly(Machine),
-    /// SIGTERM as soon as it has started.
+    /// SIGTERM during startup.
     StopDuringStart(Machine),
-    /// SIGHUP with a settings file that has changed.
+    /// SIGHUP after a change of the settings file.
     Reload(Machine, SettingsFile),
-    /// Partitioned from keepers and stores.
+    /// Network partition from keepers and stores, and possibly from relays.
     Partition(Machine, Direction),
-    /// All of its links are reset.
+    /// All connections of the machine are reset.
     Reset(Machine),
-    /// Its links have a higher latency.
+    /// The links of the machine have a higher latency.
     SlowLinks(Machine),
-    /// Its disk operations block.
+    /// Disk operations block.
     DiskStall(Machine),
-    /// Its disk is full for a while.
+    /// The disk is full.
     DiskFull(Machine),
-    /// Its disk is slow.
+    /// Disk syncs are slow.
     DiskSlow(Machine),
     /// The thread that writes to its disk panics.
     DiskPanic(Machine),
-    /// Its wall clock steps.
+    /// The wall clock is stepped, and stepped back after the duration.
     ClockStep(Machine),
     /// All keepers and stores are killed at once.
     KillAllStateful,
     /// All processes are killed at once.
     KillAll,
-    /// All are killed at once, and one of them loses its disk.
+    /// All processes are killed at once, and one machine loses its disk.
     KillAllWipeOne(Machine),
-    /// Endpoints misbehave.
+    /// Endpoints mishandle requests.
     Endpoints(Misbehaviour),
     /// An endpoint drains and is replaced.
     ReplaceEndpoint,
-    /// An endpoint disappears without draining; another one takes its address.
+    /// An endpoint disappears without draining; an endpoint of another service reuses its address.
     EndpointCrash,
-    /// Many more clients send requests.
+    /// Additional clients send requests.
     Burst,
     /// Clients disconnect before the response is complete.
     ClientsDisconnect,
 }
 
 impl FaultKind {
-    /// Its name, without the machine.
+    /// Name of the kind, without the machine.
     pub fn name(self) -> &'static str {
         match self {
             FaultKind::Kill(_) => "kill",
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Whether it takes down stateful machines: at most one may be down at a time if the tier is to stay available.
+    /// Whether it makes stateful machines unavailable. The tier stays available only while at most one of them is.
     pub fn takes_down_stateful_machine(self) -> bool {
         if self.exceeds_tolerance() {
             return true;
@@ -204,7 +204,7 @@
         matches!(self, FaultKind::Wipe(_) | FaultKind::KillAllWipeOne(_))
     }
 
-    /// Whether it is planned work of the platform, or behaviour of clients: no request that was read may be cut by it.
+    /// Whether it is planned maintenance or client behaviour, neither of which may interrupt a request that was read.
     pub fn is_planned(self) -> bool {
         matches!(
             self,
--- a/crates/soak/src/faulty_host/disk.rs
+++ b/crates/soak/src/faulty_host/disk.rs
@@ -1,7 +1,8 @@
 //! A directory of the real file system that loses unsynced writes when the process ends, and that can be made to fail.
 //!
-//! What is written to a file lies in memory until the file is synced, so a kill costs what a loss of power may cost.
-//! Names last at once: a new file, a renamed or a removed one may be kept by a loss of power, too.
+//! Data written to a file is held in memory until the file is synced, so killing the process loses what a power failure
+//! may lose. Directory changes (creating, renaming and removing files) take effect at once: a power failure may keep
+//! them, too.
 
 use std::collections::BTreeMap;
 use std::ffi::OsString;
@@ -17,11 +18,11 @@
 
 use super::rules::{DiskFault, LiveFaultRules};
 
-/// How long a sync takes.
+/// Duration of a sync on a disk without faults.
 const SYNC_DURATION: Duration = Duration::from_millis(2);
-/// Pause between the two halves of a synced write, so that a kill may tear it.
+/// Pause between the two halves of a synced write, so that killing the process can leave a torn write.
 const TORN_WRITE_GAP: Duration = Duration::from_micros(300);
-/// How often a stalled disk checks whether it may go on.
+/// How often an operation on a stalled disk checks whether the fault is over.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The disk of a process.
@@ -32,12 +33,12 @@
 }
 
 impl FaultyDisk {
-    /// A disk under rules.
+    /// A disk that follows the fault rules.
     pub fn new(rules: LiveFaultRules) -> FaultyDisk {
         FaultyDisk { rules, unsynced: Mutex::default() }
     }
 
-    /// Waits while the disk is stalled. Returns the fault that applies then.
+    /// Blocks while the disk is stalled, then returns the fault that is active.
     fn fault(&self) -> DiskFault {
         loop {
             match self.rules.get(|rules| rules.disk) {
@@ -52,8 +53,8 @@
     }
 }
 
-fn full() -> io::Error {
-    io::Error::new(io::ErrorKind::StorageFull, "the soak lets the disk be full")
+fn storage_full_error() -> io::Error {
+    io::Error::new(io::ErrorKind::StorageFull, "injected fault: disk full")
 }
 
 impl FileSystem for FaultyDisk {
@@ -77,8 +78,8 @@
     }
 
     fn create(&self, path: &Path) -> io::Result<()> {
-        if self.fault() == DiskFault::Refuses {
-            return Err(full());
+        if self.fault() == DiskFault::Full {
+            return Err(storage_full_error());
         }
         self.lock().remove(path);
         File::create(path).map(drop)
@@ -86,10 +87,10 @@
 
     fn append(&self, path: &Path, bytes: &[u8]) -> io::Result<()> {
         let fault = self.fault();
-        assert!(fault != DiskFault::Panics, "the soak has the writing thread panic");
-        let accepted = if fault == DiskFault::Refuses { &bytes[..bytes.len() / 2] } else { bytes };
+        assert!(fault != DiskFault::Panics, "injected fault: the writing thread panics");
+        let accepted = if fault == DiskFault::Full { &bytes[..bytes.len() / 2] } else { bytes };
         self.lock().entry(path.to_owned()).or_default().extend_from_slice(accepted);
-        if accepted.len() < bytes.len() { Err(full()) } else { Ok(()) }
+        if accepted.len() < bytes.len() { Err(storage_full_error()) } else { Ok(()) }
     }
 
     fn sync(&self, path: &Path) -> io::Result<()> {
--- a/crates/soak/src/faulty_host/host.rs
+++ b/crates/soak/src/faulty_host/host.rs
@@ -16,26 +16,26 @@
 use super::link::{apply_rules, wait_until_reachable};
 use super::rules::LiveFaultRules;
 
-/// Connections that wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: i32 = 1_024;
 
-/// A machine of the operating system whose links, clock and disk follow rules.
+/// A host on the real operating system whose links, clock and disk follow fault rules.
 #[derive(Debug)]
 pub struct FaultyHost {
     address: IpAddr,
     rules: LiveFaultRules,
     disk: Arc<FaultyDisk>,
     started_at: Instant,
-    draws: AtomicU64,
+    draw_count: AtomicU64,
     rng: RandomState,
 }
 
 impl FaultyHost {
-    /// The machine at an address.
+    /// The host with an address.
     pub fn new(address: IpAddr, rules: LiveFaultRules) -> FaultyHost {
         let disk = Arc::new(FaultyDisk::new(rules.clone()));
-        let (draws, rng) = (AtomicU64::new(0), RandomState::new());
-        FaultyHost { address, rules, disk, started_at: Instant::now(), draws, rng }
+        let (draw_count, rng) = (AtomicU64::new(0), RandomState::new());
+        FaultyHost { address, rules, disk, started_at: Instant::now(), draw_count, rng }
     }
 }
 
@@ -51,7 +51,7 @@
     }
 
     fn random(&self) -> u64 {
-        self.rng.hash_one(self.draws.fetch_add(1, Ordering::Relaxed))
+        self.rng.hash_one(self.draw_count.fetch_add(1, Ordering::Relaxed))
     }
 
     fn listen(&self, address: SocketAddr) -> io::Result<Arc<dyn SimulatedListener>> {
@@ -67,7 +67,7 @@
         Box::pin(async move {
             wait_until_reachable(&rules, address).await;
             let socket = TcpSocket::new_v4()?;
-            // The peer recognises by this address which rules apply.
+            // The peer selects the rules of this link by the source address.
             socket.bind(from)?;
             apply_rules(socket.connect(address).await?, &rules)
         })
--- a/crates/soak/src/faulty_host/link.rs
+++ b/crates/soak/src/faulty_host/link.rs
@@ -1,8 +1,8 @@
 //! Connections whose bytes can be held back or delayed, and which can be reset.
 //!
-//! A task for each direction copies bytes between the process and the socket. While the link to the peer is cut, bytes
-//! wait; once they have waited for the connection's user timeout, both directions are reset, as the operating system
-//! would do.
+//! A task for each direction copies bytes between the process and the socket. While the link to the peer is blocked,
+//! bytes are buffered; once they have been buffered for the connection's TCP user timeout, the connection is reset, as
+//! the operating system would do.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -21,11 +21,11 @@
 
 use super::rules::LiveFaultRules;
 
-/// Bytes that may wait in each direction, as in a socket's buffers.
+/// Buffer size of each direction, which stands for the socket buffers.
 const BUFFER_BYTES: usize = 128 << 10;
-/// Bytes that are copied at a time.
+/// Maximum number of bytes copied at a time.
 const CHUNK_BYTES: usize = 16 << 10;
-/// How often a link that is cut is checked.
+/// How often a task checks whether its link is blocked or reset.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// State that both directions of a connection share.
@@ -33,7 +33,7 @@
     rules: LiveFaultRules,
     peer: IpAddr,
     user_timeout_ms: AtomicU64,
-    /// The count of resets when the connection came up.
+    /// Value of [`super::FaultRules::resets`] when the connection was established.
     resets: u64,
     broken: watch::Sender<bool>,
 }
@@ -51,7 +51,7 @@
         self.rules.get(|rules| rules.resets) != self.resets
     }
 
-    fn is_overdue(&self, since: Instant) -> bool {
+    fn has_timed_out(&self, since: Instant) -> bool {
         let limit = self.user_timeout_ms.load(Ordering::Relaxed);
         limit > 0 && since.elapsed() >= Duration::from_millis(limit)
     }
@@ -85,7 +85,7 @@
     Ok(SimulatedStream { peer, reader: Box::new(reader), writer: Box::new(Writer { inner: writer, shared }) })
 }
 
-/// Waits until the links to and from a machine are not cut.
+/// Waits until neither direction of the link to a machine is blocked.
 pub async fn wait_until_reachable(rules: &LiveFaultRules, peer: SocketAddr) {
     let is_blocked = || {
         rules.get(|rules| {
@@ -118,12 +118,12 @@
 async fn copy_out(shared: Arc<ConnectionState>, mut from: DuplexStream, mut to: OwnedWriteHalf) {
     if copy_out_until_end(&shared, &mut from, &mut to).await.is_err() {
         shared.mark_broken();
-        // Makes the drop reset the connection: the peer learns of it as soon as the link is back.
+        // Dropping the socket then resets the connection, which the peer sees as soon as the link is restored.
         let _ = socket2::SockRef::from(to.as_ref()).set_linger(Some(Duration::ZERO));
     }
 }
 
-/// Copies bytes out until the process closes its side.
+/// Copies bytes to the socket until the process closes its side.
 async fn copy_out_until_end(
     shared: &ConnectionState, from: &mut DuplexStream, to: &mut OwnedWriteHalf,
 ) -> io::Result<()> {
@@ -136,7 +136,7 @@
         }
         if !shared.is_inbound_blocked() {
             unacknowledged = None;
-        } else if unacknowledged.is_some_and(|since| shared.is_overdue(since)) {
+        } else if unacknowledged.is_some_and(|since| shared.has_timed_out(since)) {
             return timed_out();
         }
         let read = tokio::select! {
@@ -144,12 +144,12 @@
             () = sleep(POLL_INTERVAL) => continue,
         };
         if read == 0 {
-            // The other task ends with the socket.
+            // The task of the other direction ends when the peer closes the connection.
             return to.shutdown().await;
         }
-        let held_since = Instant::now();
+        let blocked_since = Instant::now();
         while shared.is_outbound_blocked() {
-            if shared.is_overdue(held_since) || shared.is_reset() {
+            if shared.has_timed_out(blocked_since) || shared.is_reset() {
                 return timed_out();
             }
             sleep(POLL_INTERVAL).await;
@@ -163,7 +163,7 @@
     }
 }
 
-/// The writing half as the process sees it.
+/// The write half that the process uses.
 struct Writer {
     inner: DuplexStream,
     shared: Arc<ConnectionState>,
--- a/crates/soak/src/faulty_host/node.rs
+++ b/crates/soak/src/faulty_host/node.rs
@@ -14,24 +14,24 @@
 use super::host::FaultyHost;
 use super::rules::LiveFaultRules;
 
-/// Exit code of a process whose parent, the soak, has ended.
+/// Exit code of a process whose parent, the soak test, has exited.
 const ORPHANED_EXIT_CODE: i32 = 9;
 
-/// Runs `ROLE RULES SETTINGS` until the platform ends the process. It ends with the soak, too: its standard input
-/// ends then.
+/// Runs a role with the arguments `ROLE RULES SETTINGS` until the process is stopped. The process also exits when its
+/// standard input is closed, which happens when the soak test exits.
 pub fn run(arguments: &[String]) -> ExitCode {
     let [role, rules, settings] = arguments else {
-        eprintln!("juniperwing-soak node: ROLE RULES SETTINGS");
+        eprintln!("Usage: juniperwing-soak node ROLE RULES SETTINGS");
         return ExitCode::from(2);
     };
     let Some(role) = Role::from_name(role) else {
-        eprintln!("juniperwing-soak node: no role {role:?}");
+        eprintln!("juniperwing-soak node: unknown role {role:?}");
         return ExitCode::from(2);
     };
     exit_with_parent();
     let machine = Settings::read(Some(settings.as_ref())).map(|settings| settings.ip_address);
     let (Ok(address), Ok(rules)) = (machine, LiveFaultRules::follow(PathBuf::from(rules))) else {
-        // The role reports what is wrong with its settings.
+        // The role itself reports what is wrong with its settings.
         return run_role(role, &["--settings".to_owned(), settings.clone()]);
     };
     let _machine = simulate(Arc::new(FaultyHost::new(address, rules)));
@@ -40,9 +40,9 @@
 
 fn exit_with_parent() {
     thread::spawn(|| {
-        let mut nothing = [0; 1];
-        // The soak never writes to the pipe.
-        while matches!(stdin().read(&mut nothing), Ok(length) if length > 0) {}
+        let mut buffer = [0; 1];
+        // The soak test never writes to the pipe.
+        while matches!(stdin().read(&mut buffer), Ok(length) if length > 0) {}
         exit(ORPHANED_EXIT_CODE);
     });
 }
--- a/crates/soak/src/faulty_host/rules.rs
+++ b/crates/soak/src/faulty_host/rules.rs
@@ -1,4 +1,4 @@
-//! Fault rules of a process: a file that the soak replaces and the process polls.
+//! Fault rules of a process: a file that the soak test replaces and the process polls.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -13,66 +13,68 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How often a process reads its file.
+/// How often a process reads its rules file.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// How a disk fails.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DiskFault {
-    /// It works.
+    /// No fault.
     #[default]
     None,
-    /// Its operations block.
+    /// All operations block.
     Stalls,
-    /// It is full: half of a write is accepted, then it fails.
-    Refuses,
-    /// Each sync takes this long.
+    /// The disk is full: half of the bytes of a write are accepted, then it fails.
+    #[serde(rename = "Refuses")]
+    Full,
+    /// Syncs are slow.
     Slow {
-        /// In milliseconds.
+        /// Duration of a sync, in milliseconds.
         ms: u64,
     },
     /// The thread that writes panics.
     Panics,
 }
 
-/// The faults of the host under a process.
+/// Active faults of the host on which a process runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FaultRules {
-    /// Machines that this one's bytes do not reach.
+    /// Machines to which outbound traffic is blocked.
     #[serde(rename = "cut_to")]
     pub blocked_destinations: BTreeSet<IpAddr>,
-    /// Machines whose bytes do not reach this one. The senders hold the bytes back; here only acknowledgements stop.
+    /// Machines from which inbound traffic is blocked. The senders withhold the data; this machine only treats its own
+    /// data as unacknowledged.
     #[serde(rename = "cut_from")]
     pub blocked_sources: BTreeSet<IpAddr>,
     /// Additional latency of links, in milliseconds.
     pub link_delay_ms: u64,
-    /// Incremented to reset all links.
+    /// Counter that is incremented to reset all connections.
     pub resets: u64,
-    /// The fault of the disk.
+    /// Active fault of the disk.
     pub disk: DiskFault,
     /// Offset of the wall clock, in milliseconds.
     pub clock_offset_ms: i64,
 }
 
 impl FaultRules {
-    /// Writes the rules for a process, atomically.
+    /// Atomically replaces the rules file of a process.
     ///
     /// # Errors
     ///
     /// If the file cannot be written.
     pub fn write(&self, path: &Path) -> io::Result<()> {
-        let aside = path.with_extension("aside");
-        fs::write(&aside, serde_json::to_vec(self).map_err(io::Error::other)?)?;
-        fs::rename(&aside, path)
+        let temporary_path = path.with_extension("aside");
+        fs::write(&temporary_path, serde_json::to_vec(self).map_err(io::Error::other)?)?;
+        fs::rename(&temporary_path, path)
     }
 }
 
-/// The present rules of this process.
+/// The current fault rules of this process, updated from its rules file.
 #[derive(Clone, Debug)]
 pub struct LiveFaultRules(Arc<Mutex<FaultRules>>);
 
 impl LiveFaultRules {
-    /// Polls the rules in a file for as long as the process runs.
+    /// Polls a rules file for as long as the process runs.
     ///
     /// # Errors
     ///
@@ -91,7 +93,7 @@
         Ok(rules)
     }
 
-    /// Reads a value from the present rules.
+    /// Reads a value from the current rules.
     pub fn get<T>(&self, read: impl FnOnce(&FaultRules) -> T) -> T {
         read(&lock(&self.0))
     }
--- a/crates/soak/src/play.rs
+++ b/crates/soak/src/play.rs
@@ -104,7 +104,7 @@
     for (name, log) in tier.directories().read_logs()? {
         for line in log.lines() {
             // The message of the fault `DiskPanic` (see `faulty_host::disk`).
-            let is_injected = line.contains("the soak has the writing thread panic");
+            let is_injected = line.contains("injected fault: the writing thread panics");
             if line.contains("\"invariant violated\"") {
                 findings.push(Finding { guarantee: "an invariant", details: format!("{name}: {line}") });
             } else if line.contains("panic") && !is_injected {
