--- a/crates/soak/src/fault_injector.rs
+++ b/crates/soak/src/fault_injector.rs
@@ -135,8 +135,8 @@
         self.tier.stop(machine, &further).await;
     }
 
-    /// Retires a store and replaces it by an empty machine. A retirement that is not completed in time is a finding only
-    /// within the fault tolerance; beyond it other faults may delay the retirement.
+    /// Retires a store and replaces it by an empty machine. A retirement that is not completed in time is a finding
+    /// only within the fault tolerance; beyond it other faults may delay the retirement.
     async fn retire(&self, machine: Machine, duration: Duration) {
         if retire_store(&self.shared, machine, duration).await {
             self.tier.kill(machine, REPLACEMENT_DELAY, true).await;
@@ -148,8 +148,8 @@
         }
     }
 
-    /// Partitions a machine from the stateful ones. In half of the cases a stateful machine is also partitioned from the
-    /// relays.
+    /// Partitions a machine from the stateful ones. In half of the cases a stateful machine is also partitioned from
+    /// the relays.
     async fn partition(&mut self, machine: Machine, direction: Direction, duration: Duration) {
         let all = self.tier.machines();
         let from_relays = self.rng.percent(50);
--- a/crates/soak/src/load/endpoint.rs
+++ b/crates/soak/src/load/endpoint.rs
@@ -171,7 +171,8 @@
             () = &mut heartbeats => return,
             accepted = listener.accept() => {
                 if let Ok((stream, _)) = accepted {
-                    connections.spawn(serve(Arc::clone(&shared), Arc::clone(&instance), Connection::new(stream)));
+                    let connection = Connection::new(stream);
+                    connections.spawn(serve(Arc::clone(&shared), Arc::clone(&instance), connection));
                 }
             }
             Some(_) = connections.join_next() => {}
--- a/crates/soak/src/load/operator.rs
+++ b/crates/soak/src/load/operator.rs
@@ -222,7 +222,8 @@
     let body = serde_json::json!({
         "generation": generation, "routes": routes, "backends": [engine, service(TOOL)],
         "limits": {
-            "maxHeaderBytes": 16_384, "maxBodyBytes": 4_194_304, "headerTimeoutMs": 3_000, "idleTimeoutMs": 15_000,
+            "maxHeaderBytes": 16_384, "maxBodyBytes": 4_194_304,
+            "headerTimeoutMs": 3_000, "idleTimeoutMs": 15_000,
         },
     });
     body.to_string().into_bytes()
--- a/crates/soak/src/node_settings.rs
+++ b/crates/soak/src/node_settings.rs
@@ -1,4 +1,4 @@
-//! Settings files of the processes of a tier, valid ones and faulty ones.
+//! Valid and faulty settings files for the processes of a tier.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -11,24 +11,24 @@
 
 /// `bounds.graceS` of all processes.
 pub const GRACE_PERIOD: Duration = Duration::from_secs(6);
-/// The number of a machine that does not exist.
+/// Number of a machine that does not exist.
 const ABSENT_MACHINE_NUMBER: usize = 100;
-/// Number of seeds of a file with other seeds.
+/// Number of seed nodes in [`SettingsFile::OtherSeeds`].
 const OTHER_SEED_COUNT: usize = 2;
 
-/// Values from which the settings of a process are made.
+/// Values from which the settings file of a process is generated.
 #[derive(Clone, Debug)]
 pub(crate) struct NodeSettings {
     pub(crate) network: Network,
     pub(crate) machine: Machine,
-    /// Its data directory.
+    /// The data directory of the process.
     pub(crate) data: PathBuf,
-    /// Whether it takes part in the bootstrap of the tier.
+    /// Whether the process takes part in the bootstrap of the tier.
     pub(crate) is_bootstrap_member: bool,
 }
 
 impl NodeSettings {
-    /// The text of the settings file; `file` selects contents other than the valid ones.
+    /// The contents of the settings file; `file` selects other contents than the regular ones.
     pub(crate) fn text(&self, file: Option<SettingsFile>) -> String {
         match file {
             None => self.valid_text(self.seeds()),
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The control listeners of all keepers.
+    /// The seed nodes: the control listeners of all keepers.
     fn seeds(&self) -> Vec<String> {
         let listener = |number| self.network.listener(Role::Keeper, number, CONTROL_PORT);
         (0..KEEPER_COUNT).map(|number| format!("\"{}\"", listener(number))).collect()
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -1,4 +1,4 @@
-//! Checks the record of a play. Safety is checked at any moment, availability only where the tier guarantees it.
+//! Checks the record of a play. Safety is checked at all times, availability only where the tier guarantees it.
 
 use std::collections::BTreeMap;
 
@@ -6,20 +6,21 @@
 use crate::load::generation_of;
 use crate::schedule::Schedule;
 
-/// `bounds.contactMs`: for this long after a fault no time bounds are checked.
+/// `bounds.contactMs`. Time bounds are not checked for this long after a fault.
 const CONTACT_TIMEOUT_MS: Millis = 3_000;
 /// `bounds.configApplyMs`.
 const CONFIG_APPLY_TIMEOUT_MS: Millis = 2_000;
-/// `bounds.lossSlackMs`.
+/// `bounds.lossSlackMs`. A connection may be lost within this time after its request was sent, if the request was not
+/// executed and no response has begun.
 const LOSS_SLACK_MS: Millis = 200;
-/// The longest interval without service of a kind while faults are within the tolerance.
+/// Maximum interval without a served request of a kind while faults are within the tolerance.
 const MAX_SERVICE_GAP_MS: Millis = 9_000;
-/// How much later than its deadline a response may arrive.
+/// How long after its deadline a response may still arrive.
 const DEADLINE_SLACK_MS: Millis = 700;
-/// Statuses that guarantee that a request has not run and never will.
+/// Statuses that guarantee that a request was not executed and never will be.
 const NOT_EXECUTED_STATUSES: [u16; 5] = [402, 408, 421, 429, 503];
 
-/// All violations of guarantees: those recorded during the play, then those that the record shows.
+/// Returns all violations of guarantees: those recorded during the play, then those found in the record.
 pub fn check_record(record: &Record, schedule: &Schedule, load_ended_at: Millis) -> Vec<Finding> {
     let mut findings: Vec<Finding> = record.findings.iter().cloned().collect();
     let mut oracle = Oracle { record, findings: Vec::new() };
@@ -46,8 +47,8 @@
         self.findings.push(Finding { guarantee, details });
     }
 
-    /// Whether no fault was active from `CONTACT_TIMEOUT_MS` before `from` until `until`, except those that
-    /// `is_ignored` accepts.
+    /// Whether no fault was active between [`CONTACT_TIMEOUT_MS`] before `from` and `until`. Faults for which
+    /// `is_ignored` returns `true` do not count.
     fn is_fault_free(
         &self, from: Millis, until: Millis, is_ignored: impl Fn(&FaultInterval) -> bool,
     ) -> bool {
@@ -75,7 +76,7 @@
                 && attempt.kind != RequestKind::Idempotent
             {
                 let details = format!(
-                    "{id} by relay {} is answered {status} and ran {:?}",
+                    "{id} by relay {}: status {status}, but it ran {:?}",
                     attempt.relay, attempt.runs
                 );
                 self.add_finding("a refusal means not run", details);
@@ -84,10 +85,10 @@
         }
     }
 
-    /// Checks that a request was not cut, late or unanswered without a fault that explains it.
+    /// Checks that no connection was lost and no response was late or missing without a fault that explains it.
     fn check_outcome(&mut self, id: &str, attempt: &Attempt, at: Millis, outcome: Outcome) {
-        let planned = |interval: &FaultInterval| interval.kind.is_planned();
-        if attempt.has_endpoint_fault || !self.is_fault_free(attempt.sent_at, at, planned) {
+        let is_planned = |interval: &FaultInterval| interval.kind.is_planned();
+        if attempt.has_endpoint_fault || !self.is_fault_free(attempt.sent_at, at, is_planned) {
             return;
         }
         let relay = attempt.relay;
@@ -97,7 +98,8 @@
                 if !attempt.runs.is_empty() || after_head || elapsed_ms > LOSS_SLACK_MS =>
             {
                 let details = format!(
-                    "{id} by relay {relay}, sent at {}, cut after {elapsed_ms} ms, ran {:?}, head {after_head}",
+                    "{id} by relay {relay}, sent at {}, lost after {elapsed_ms} ms, ran {:?}, \
+                     head {after_head}",
                     attempt.sent_at, attempt.runs
                 );
                 self.add_finding("what was read is answered", details);
@@ -131,7 +133,7 @@
             if tokens > budget.tokens + budget.max_turn_tokens {
                 self.add_finding(
                     "a budget holds",
-                    format!("{program} was handed {tokens} of {}", budget.tokens),
+                    format!("program {program} received {tokens} tokens of {}", budget.tokens),
                 );
             }
         }
@@ -140,7 +142,7 @@
     fn check_orders(&mut self) {
         let orders = &self.record.orders;
         let mut acknowledged: BTreeMap<u64, &Order> = BTreeMap::new();
-        // Operators who draw the same change send the same order.
+        // Operators that choose the same change send the same bytes, which is no conflict.
         for order in orders {
             let Some(at) = order.acknowledged_at() else { continue };
             if order.is_rejected() {
@@ -176,7 +178,7 @@
             let newest = before.map(|order| order.generation).max().unwrap_or_default();
             if generation_of(&read.body).unwrap_or_default() < newest {
                 let details = format!(
-                    "keeper {} answers a read of {} at {} with generation {}, {newest} is acknowledged",
+                    "keeper {}: read from {} to {} returned generation {}, {newest} was acknowledged",
                     read.keeper, read.sent_at, read.at, order.generation
                 );
                 self.add_finding("a read is the newest acknowledged", details);
@@ -201,8 +203,10 @@
                 continue;
             }
             if probe.generation <= *newest {
-                let details =
-                    format!("relay {} has served {newest} and denies {}", probe.relay, probe.generation);
+                let details = format!(
+                    "relay {} has served generation {newest}, but has no route for {}",
+                    probe.relay, probe.generation
+                );
                 self.findings.push(Finding { guarantee: "a relay never goes back", details });
             }
             let order = self.record.orders.iter().filter(|order| order.generation == probe.generation);
@@ -213,7 +217,7 @@
                     .is_fault_free(acknowledged_at, probe.sent_at, |interval| !interval.kind.affects_tier())
             {
                 let details = format!(
-                    "relay {} denies {} at {}, acknowledged at {acknowledged_at}",
+                    "relay {} has no route for generation {} at {}, acknowledged at {acknowledged_at}",
                     probe.relay, probe.generation, probe.sent_at
                 );
                 self.findings.push(Finding { guarantee: "a configuration is in force", details });
@@ -224,14 +228,15 @@
     fn check_drains(&mut self) {
         for LateRun { drained_at, started_at, request } in &self.record.late_runs {
             if self.is_fault_free(*drained_at, *started_at, |interval| !interval.kind.affects_tier()) {
-                let details =
-                    format!("{request} runs at {started_at}, the drain was acknowledged at {drained_at}");
+                let details = format!(
+                    "request {request} began at {started_at}, the drain was acknowledged at {drained_at}"
+                );
                 self.findings.push(Finding { guarantee: "nothing reaches what has drained", details });
             }
         }
     }
 
-    /// Checks that no interval without service is too long.
+    /// Checks that there is no interval without service longer than [`MAX_SERVICE_GAP_MS`].
     fn check_service_gaps(&mut self, load_ended_at: Millis) {
         let orders: Vec<Millis> = self.record.orders.iter().filter_map(Order::acknowledged_at).collect();
         let kinds = [
--- a/crates/soak/src/play.rs
+++ b/crates/soak/src/play.rs
@@ -1,4 +1,4 @@
-//! Runs one play: a tier of processes under a schedule of faults and a load, and the checks after it.
+//! Runs one play: a tier of processes under load while a schedule of faults is injected, followed by the checks.
 
 use std::fs;
 use std::io;
@@ -22,15 +22,15 @@
 use crate::tier::Tier;
 use juniperwing_random::Rng;
 
-/// Operators at the same time.
+/// Number of concurrent operators.
 const OPERATOR_COUNT: u64 = 2;
-/// How long the tier may take until it serves for the first time.
+/// How long the tier may take to become ready after its first start.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(20);
 /// `bounds.recoveryS`: how long the tier may take to recover after the last fault.
 const RECOVERY_DURATION: Duration = Duration::from_secs(12);
-/// How long the load goes on after the recovery.
+/// How long the load continues after the recovery time.
 const STEADY_LOAD_DURATION: Duration = Duration::from_secs(4);
-/// How long the load may take to finish once it is stopped.
+/// How long requests in flight may take to complete once the load is stopped.
 const LOAD_FINISH_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Options of a play.
@@ -38,17 +38,17 @@
 pub struct Options {
     /// The seed.
     pub seed: u64,
-    /// About how long faults are injected.
+    /// Approximate time for which faults are injected.
     pub length_ms: Millis,
-    /// The number of the first network that is tried.
+    /// The number of the first network that is tried; see [`Network::reserve`].
     pub network: u64,
     /// The directory of the files of this play.
     pub folder: PathBuf,
-    /// The program that processes run.
+    /// The executable that the processes run.
     pub program: PathBuf,
-    /// Whether files are kept when nothing was found.
+    /// Whether the files are kept even without findings.
     pub keep: bool,
-    /// Faults to inject in place of the drawn ones.
+    /// Faults to inject in place of those drawn from the seed.
     pub faults: Option<Vec<Fault>>,
 }
 
@@ -59,13 +59,13 @@
     pub schedule: Schedule,
     /// Violations of guarantees.
     pub findings: Vec<Finding>,
-    /// Counts of what was done, in one line.
+    /// Number of requests, orders, reads and probes, in one line.
     pub summary: String,
-    /// The directory of its files, if they were kept.
+    /// The directory of the files, if they were kept.
     pub folder: Option<PathBuf>,
 }
 
-/// Plays one schedule.
+/// Runs one play and returns its report.
 ///
 /// # Errors
 ///
@@ -76,7 +76,7 @@
         schedule.faults.clone_from(faults);
         schedule.flavor = Flavor::WithinTolerance;
     }
-    // Files of an earlier play of this seed are obsolete.
+    // Removes the files of an earlier play of this seed.
     let _ = fs::remove_dir_all(&options.folder);
     fs::create_dir_all(&options.folder)?;
     fs::write(options.folder.join("schedule.txt"), schedule.to_string())?;
@@ -90,7 +90,7 @@
     findings.extend(findings_in_logs(&play.tier)?);
     findings.dedup();
     let lines: Vec<String> =
-        findings.iter().map(|found| format!("{}: {}", found.guarantee, found.details)).collect();
+        findings.iter().map(|finding| format!("{}: {}", finding.guarantee, finding.details)).collect();
     fs::write(options.folder.join("findings.txt"), lines.join("\n"))?;
     let keeps_files = options.keep || !findings.is_empty();
     if !keeps_files {
@@ -117,14 +117,14 @@
     Ok(findings)
 }
 
-/// A tier with its users while a schedule is played.
+/// A tier with its load while a schedule is injected.
 struct Play {
     tier: Arc<Tier>,
     shared: Arc<Shared>,
     endpoints: Arc<Endpoints>,
 }
 
-/// Counts of what was done, and when the load ended.
+/// The summary line of a play, and when the load ended.
 struct Summary {
     text: String,
     load_ended_at: Millis,
@@ -144,7 +144,7 @@
 
     async fn run(&self, schedule: &Schedule) -> io::Result<Summary> {
         self.tier.start_all().await?;
-        // Supervision of processes and relays ends with the play: the set aborts its tasks when it is dropped.
+        // Dropping the set, at the end of the play, aborts supervision and readiness probes.
         let mut supervisors = JoinSet::new();
         let tier = Arc::clone(&self.tier);
         supervisors.spawn(async move { tier.supervise().await });
@@ -161,7 +161,9 @@
         let load_ended_at = self.shared.history.now();
         self.shared.stop();
         if timeout(LOAD_FINISH_TIMEOUT, async { while load.join_next().await.is_some() {} }).await.is_err() {
-            self.shared.history.record_finding("the soak itself", "those who work do not finish".to_owned());
+            self.shared
+                .history
+                .record_finding("the soak itself", "the load did not finish in time".to_owned());
         }
         check_service_after_recovery(&self.shared, recovered_at, load_ended_at);
         check_acknowledged_state(&self.shared).await;
@@ -169,12 +171,12 @@
         Ok(Summary { text: self.summary(), load_ended_at })
     }
 
-    /// Applies the first configuration and waits until relays are ready; a timeout is a finding.
+    /// Applies the first configuration and waits until all relays are ready. A timeout is a finding.
     async fn wait_until_ready(&self) {
         let configured = Operators::apply_first_configuration(&self.shared, STARTUP_TIMEOUT).await;
         let ready = self.shared.load_balancer.wait_until_all_ready(STARTUP_TIMEOUT).await;
         if !configured || !ready {
-            let details = format!("configuration taken: {configured}, relays ready: {ready}");
+            let details = format!("configuration acknowledged: {configured}, relays ready: {ready}");
             self.shared.history.record_finding("a tier comes up", details);
         }
     }
@@ -192,7 +194,7 @@
         load
     }
 
-    /// Injects each fault at its time and waits until the last one is over.
+    /// Injects each fault at its scheduled time and waits until all of them are over.
     async fn inject_faults(&self, schedule: &Schedule, load: &mut JoinSet<()>) {
         let started_at = Instant::now();
         let mut injections = JoinSet::new();
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -1,4 +1,4 @@
-//! The schedule of faults of one play, drawn from a seed before the play begins.
+//! The schedule of faults of a play, which is drawn from a seed before the play begins.
 
 use std::fmt;
 
@@ -14,15 +14,15 @@
 pub const STORE_COUNT: usize = 3;
 /// Number of relays of a tier.
 pub const RELAY_COUNT: usize = 2;
-/// Time that a stateful machine needs to catch up after it is back (`catchUpS`).
+/// Time that a stateful machine needs to catch up after a restart (`catchUpS`).
 pub const CATCH_UP_MS: Millis = 4_100;
-/// Downtime of a machine that is stopped, beside the time that its process takes to exit.
+/// Downtime of a stopped machine, in addition to the time that its process takes to exit.
 const STOP_DOWNTIME_MS: Millis = 500;
-/// The longest time that a process takes to exit (`graceS`).
+/// Maximum time that a process takes to exit (`graceS`).
 const GRACE_PERIOD_MS: Millis = 6_000;
-/// How long the retirement of a store may take.
+/// Maximum time that the retirement of a store takes.
 pub const RETIRE_TIMEOUT_MS: Millis = 12_000;
-/// Time before the first fault, so that the tier is bootstrapped and serves.
+/// Time before the first fault, in which the tier completes its bootstrap and begins to serve.
 const INITIAL_QUIET_MS: Millis = 1_500;
 
 /// A scheduled fault.
@@ -30,20 +30,21 @@
 pub struct Fault {
     /// When it begins, in milliseconds since the start of the load.
     pub starts_at: Millis,
-    /// How long it lasts, or how long its machine is down; 0 for a fault that is an instant.
+    /// How long it lasts, or how long its machine is down; 0 for an instantaneous fault.
     pub duration_ms: Millis,
     /// The kind of fault.
     pub kind: FaultKind,
 }
 
-/// The class of faults that a play consists of.
+/// The class of faults that a play injects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Flavor {
-    /// Planned work of the platform and behaviour of clients; no request that was read may be cut.
+    /// Planned maintenance and client behaviour: no request that was read may be interrupted.
     Planned,
-    /// No more machines are down at once than the tier tolerates: its availability is checked throughout.
+    /// At no time are more machines down than the tier tolerates: availability is checked throughout.
     WithinTolerance,
-    /// More machines are down at once, though no more disks are lost: no acknowledged state may be lost.
+    /// More machines are down at once than the tier tolerates, but no more disks are lost than it tolerates: no
+    /// acknowledged state may be lost.
     BeyondTolerance,
 }
 
@@ -56,12 +57,12 @@
     pub flavor: Flavor,
     /// The faults.
     pub faults: Vec<Fault>,
-    /// When the last of them is over.
+    /// When the last fault is over.
     pub ends_at: Millis,
 }
 
 impl Schedule {
-    /// Draws the schedule of a seed, which lasts for about `length_ms`.
+    /// Draws the schedule of a seed, with faults that begin within about `length_ms`.
     pub fn draw(seed: u64, length_ms: Millis) -> Schedule {
         let mut rng = Rng::for_named_purpose(seed, "schedule");
         let flavor = match rng.below(10) {
@@ -86,13 +87,14 @@
         Schedule { seed, flavor, faults, ends_at }
     }
 
-    /// Whether the tier must stay available throughout.
+    /// Whether the tier must stay available during the whole play.
     pub fn is_within_tolerance(&self) -> bool {
         self.flavor != Flavor::BeyondTolerance
     }
 }
 
-/// Draws stops, reloads and replaced endpoints: of stateful machines one after the other, of one relay at any time.
+/// Draws planned faults: stops of stateful machines in sequence, and at any time stops of one relay, reloads, replaced
+/// endpoints and bursts.
 fn draw_planned(rng: &mut Rng, length_ms: Millis, faults: &mut Vec<Fault>) {
     let stop = |rng: &mut Rng, machine| {
         if rng.percent(50) { FaultKind::Stop(machine) } else { FaultKind::StopRepeatedly(machine) }
@@ -101,7 +103,7 @@
     while at < length_ms {
         let machine = draw_stateful_machine(rng);
         faults.push(Fault { starts_at: at, duration_ms: STOP_DOWNTIME_MS, kind: stop(rng, machine) });
-        // A process may use its whole grace period.
+        // A process may use the whole grace period.
         at += STOP_DOWNTIME_MS + GRACE_PERIOD_MS + CATCH_UP_MS;
     }
     let affected_relay = draw_relay(rng);
@@ -120,14 +122,15 @@
     }
 }
 
-/// Draws faults of stateful machines: one after the other with the time to catch up between them, or overlapping.
+/// Draws faults of stateful machines. Within the tolerance they come in sequence, with time to catch up in between;
+/// otherwise they may overlap.
 fn draw_stateful_faults(rng: &mut Rng, length_ms: Millis, within_tolerance: bool, faults: &mut Vec<Fault>) {
     let mut at = INITIAL_QUIET_MS + rng.below(500);
     let mut disk_lost = false;
     while at < length_ms {
         let mut fault = Fault { starts_at: at, duration_ms: 0, kind: draw_stateful_fault(rng) };
         if fault.kind.loses_disk() && !within_tolerance {
-            // A second disk may be lost only after the first one's replicas have been restored.
+            // A second disk may be lost only after the replicas of the first one have been restored.
             if disk_lost {
                 continue;
             }
@@ -141,8 +144,8 @@
     }
 }
 
-/// Draws faults of relays, endpoints and clients, and faults that lose nothing: at any time. Within the tolerance one
-/// relay is left alone, so that it serves.
+/// Draws faults of relays, endpoints and clients, and harmless faults of all machines, at any time. Within the
+/// tolerance only one relay is affected, so that the other one serves.
 fn draw_tolerated_faults(rng: &mut Rng, length_ms: Millis, within_tolerance: bool, faults: &mut Vec<Fault>) {
     let mut at = INITIAL_QUIET_MS / 2 + rng.below(1_000);
     let affected_relay = draw_relay(rng);
@@ -155,7 +158,7 @@
     }
 }
 
-/// Draws faults that exceed the tolerance, once or twice.
+/// Draws one or two faults that exceed the tolerance.
 fn draw_beyond_tolerance(rng: &mut Rng, length_ms: Millis, faults: &mut Vec<Fault>) {
     let has_lost_disk = faults.iter().any(|fault| fault.kind.loses_disk());
     for _ in 0..=rng.below(2) {
--- a/crates/soak/src/tier.rs
+++ b/crates/soak/src/tier.rs
@@ -1,4 +1,4 @@
-//! A tier of real processes: started, supervised as the platform would, and ended.
+//! A tier of real processes: starts, supervises and ends them, as the platform that runs a tier does.
 
 pub mod directories;
 mod node;
@@ -29,11 +29,11 @@
 pub use self::partition::Partition;
 pub use self::process_control::DelayedSignal;
 
-/// Delay before a process that has ended is started again.
+/// Delay before a process that has exited is restarted.
 const RESTART_DELAY: Duration = Duration::from_millis(200);
-/// An upper bound of the time until the exit of a process is noticed.
+/// Upper bound of the time until the exit of a process is detected.
 pub const EXIT_DETECTION_DELAY: Duration = Duration::from_secs(1);
-/// How often processes are checked.
+/// How often the processes are checked for their exit.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A tier of processes.
@@ -43,18 +43,19 @@
     directories: PlayDirectories,
     program: PathBuf,
     nodes: Vec<Node>,
-    /// Links that are cut, once for each partition that cuts them.
+    /// Blocked links. A link that several partitions block is contained once for each of them.
     blocked_links: Mutex<Vec<DirectedLink>>,
     is_ending: AtomicBool,
     history: Arc<History>,
 }
 
 impl Tier {
-    /// A tier that is not started yet. Its files go into `folder`, its processes run `program`.
+    /// A tier that is not started yet. Its files are written to `folder`, and its processes run `program`.
     pub fn new(network: Network, folder: PathBuf, program: PathBuf, history: Arc<History>) -> Tier {
-        let of = |role, count| (0..count).map(move |number| Node::new(Machine { role, number }));
-        let keepers = of(Role::Keeper, KEEPER_COUNT);
-        let nodes = keepers.chain(of(Role::Store, STORE_COUNT)).chain(of(Role::Relay, RELAY_COUNT));
+        let nodes_of = |role, count| (0..count).map(move |number| Node::new(Machine { role, number }));
+        let keepers = nodes_of(Role::Keeper, KEEPER_COUNT);
+        let nodes =
+            keepers.chain(nodes_of(Role::Store, STORE_COUNT)).chain(nodes_of(Role::Relay, RELAY_COUNT));
         Tier {
             network,
             directories: PlayDirectories::new(folder),
@@ -76,7 +77,7 @@
         self.network.machine(machine.role, machine.number)
     }
 
-    /// The incarnation of a machine's process: 1 after its first start.
+    /// The incarnation of a machine's process, which is 1 after the first start.
     pub fn incarnation(&self, machine: Machine) -> u64 {
         self.node(machine).incarnation.load(Ordering::Relaxed)
     }
@@ -97,19 +98,19 @@
         Ok(())
     }
 
-    /// Restarts processes that end by themselves, until the tier is ended. An end that no fault explains is a finding.
+    /// Restarts processes that exit by themselves, until the tier is ended. An exit that no fault explains is a
+    /// finding.
     pub async fn supervise(&self) {
         while !self.is_ending.load(Ordering::Relaxed) {
             for node in &self.nodes {
-                // A fault that holds the lock restarts the process itself.
+                // While a fault holds the lock, it is the fault that restarts the process.
                 let Ok(mut child) = node.control.try_lock() else { continue };
                 let Some(status) = child.as_mut().and_then(|child| child.try_wait().ok().flatten()) else {
                     continue;
                 };
                 if !node.is_exit_expected.load(Ordering::Relaxed) && !node.may_exit_by_itself() {
                     let incarnation = node.incarnation.load(Ordering::Relaxed);
-                    let details =
-                        format!("{} ended by itself with {status}, start {incarnation}", node.machine);
+                    let details = format!("{} exited with {status}, incarnation {incarnation}", node.machine);
                     self.history.record_finding("a process ends by itself", details);
                 }
                 sleep(RESTART_DELAY).await;
@@ -123,21 +124,21 @@
     pub fn change_rules(&self, machine: Machine, change: impl FnOnce(&mut FaultRules)) {
         let node = self.node(machine);
         change(&mut lock(&node.rules));
-        // A file that cannot be written shows in the play: the fault does not come or does not end.
+        // A write error becomes visible in the play: the fault does not begin or does not end.
         let _ = self.write_rules(node);
     }
 
-    /// Allows a process to exit by itself until [`Tier::forbid_exit`]; calls nest.
+    /// Allows a process to exit by itself until [`Tier::forbid_exit`] is called. Calls may nest.
     pub fn allow_exit(&self, machine: Machine) {
         self.node(machine).exit_allowances.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Takes back one [`Tier::allow_exit`].
+    /// Reverts one call of [`Tier::allow_exit`].
     pub fn forbid_exit(&self, machine: Machine) {
         self.node(machine).exit_allowances.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Ends all processes.
+    /// Kills all processes and waits for their exit.
     pub async fn end(&self) {
         self.is_ending.store(true, Ordering::Relaxed);
         for node in &self.nodes {
--- a/crates/soak/src/tier/directories.rs
+++ b/crates/soak/src/tier/directories.rs
@@ -1,4 +1,4 @@
-//! Paths of the files of one play: settings, fault rules, logs and data of each machine.
+//! Paths of the files of a play: settings, fault rules, logs and data of each machine.
 
 use std::fs;
 use std::io;
@@ -13,7 +13,7 @@
 }
 
 impl PlayDirectories {
-    /// Directories below `root`, which need not exist yet.
+    /// The directories below `root`, which need not exist yet.
     pub fn new(root: PathBuf) -> PlayDirectories {
         PlayDirectories { root }
     }
@@ -22,7 +22,7 @@
     ///
     /// # Errors
     ///
-    /// If one of them cannot be created.
+    /// If a directory cannot be created.
     pub fn create_all(&self) -> io::Result<()> {
         for name in ["settings", "rules", "logs", "data"] {
             fs::create_dir_all(self.root.join(name))?;
@@ -55,17 +55,17 @@
         self.root.join("logs").join(format!("{machine}.{incarnation:02}.log"))
     }
 
-    /// Removes the data of a machine, as a replaced disk does.
+    /// Removes the data of a machine, as the replacement of its disk does.
     pub fn wipe_data(&self, machine: Machine) {
-        // A directory that was never created is as empty.
+        // Fails if the directory was never created, which is as good.
         let _ = fs::remove_dir_all(self.data(machine));
     }
 
-    /// Names and contents of all logs, sorted by name.
+    /// Returns the names and contents of all logs, sorted by name.
     ///
     /// # Errors
     ///
-    /// If they cannot be read.
+    /// If a log cannot be read.
     pub fn read_logs(&self) -> io::Result<Vec<(String, String)>> {
         let mut logs = Vec::new();
         for entry in fs::read_dir(self.root.join("logs"))? {
--- a/crates/soak/src/tier/node.rs
+++ b/crates/soak/src/tier/node.rs
@@ -1,4 +1,4 @@
-//! State of one machine of a tier and of the process that runs on it.
+//! State of a machine of a tier and of its process.
 
 use std::fs;
 use std::path::PathBuf;
@@ -12,25 +12,25 @@
 use crate::faults::Machine;
 use crate::faulty_host::FaultRules;
 
-/// One machine of the tier with its process.
+/// A machine of the tier with its process.
 #[derive(Debug)]
 pub(super) struct Node {
     pub(super) machine: Machine,
-    /// The process. The lock is held by whoever ends or starts it, for the whole time in between.
+    /// The process. A task that ends or restarts the process holds the lock from the end to the restart.
     pub(super) control: tokio::sync::Mutex<Option<Child>>,
     pub(super) pid: Mutex<Option<Pid>>,
-    /// The process exits when this pipe closes, also if the soak itself is killed.
+    /// The process exits when this pipe is closed, which also happens if the soak test itself is killed.
     pub(super) stdin: Mutex<Option<ChildStdin>>,
-    /// Number of times that the process was started.
+    /// Number of times the process was started.
     pub(super) incarnation: AtomicU64,
     /// Path of the log of the current incarnation.
     pub(super) log: Mutex<PathBuf>,
-    /// Whether the soak itself has ended the process.
+    /// Whether the soak test itself has ended the process.
     pub(super) is_exit_expected: AtomicBool,
-    /// Number of active faults that may make the process exit by itself: a disk that prevents its start, a broken
-    /// settings file.
+    /// Number of active faults that may make the process exit by itself: a disk fault that prevents its start, or a
+    /// broken settings file.
     pub(super) exit_allowances: AtomicUsize,
-    /// Whether it takes part in the bootstrap of the tier; not after its disk was lost.
+    /// Whether the process takes part in the bootstrap of the tier. It does not after a loss of its disk.
     pub(super) is_bootstrap_member: AtomicBool,
     pub(super) rules: Mutex<FaultRules>,
 }
@@ -56,25 +56,25 @@
         self.exit_allowances.load(Ordering::Relaxed) > 0
     }
 
-    /// Whether the process has installed its signal handlers, as its first log line shows. Before that SIGTERM ends
-    /// it as it ends any program.
+    /// Whether the process has installed its signal handlers, which its first log line shows. Before that, SIGTERM has
+    /// its default action and terminates the process.
     pub(super) fn catches_signals(&self) -> bool {
         fs::metadata(&*lock(&self.log)).is_ok_and(|log| log.len() > 0)
     }
 
-    /// Sends a signal to the process, if there is one.
+    /// Sends a signal to the process, if it has been started.
     pub(super) fn send_signal(&self, signal: Signal) {
         if let Some(pid) = *lock(&self.pid) {
-            // A process that has just ended needs no signal.
+            // Fails if the process has just exited; then there is nothing to signal.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Kills the process and waits for its end. `child` is what `control` guards.
+    /// Kills the process and waits for its exit. `child` is the value that `control` guards.
     pub(super) async fn kill_and_wait(&self, child: &mut Option<Child>) {
         self.is_exit_expected.store(true, Ordering::Relaxed);
         if let Some(mut process) = child.take() {
-            // One that has ended already is waited for all the same.
+            // Fails if the process has already exited; it must be reaped all the same.
             let _ = process.start_kill();
             let _ = process.wait().await;
         }
@@ -82,7 +82,7 @@
     }
 }
 
-/// Whether a process runs.
+/// Whether a process is running.
 pub(super) fn is_running(child: &mut Option<Child>) -> bool {
     child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
 }
--- a/crates/soak/src/tier/partition.rs
+++ b/crates/soak/src/tier/partition.rs
@@ -8,7 +8,7 @@
 use super::Tier;
 use crate::faults::{Direction, Machine};
 
-/// One direction between two machines.
+/// The link between two machines in one direction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct DirectedLink {
     from: IpAddr,
@@ -24,7 +24,7 @@
 
 impl Tier {
     /// Partitions a machine from others until the guard is dropped. Partitions may overlap: a link that two of them
-    /// cut stays cut until both are over.
+    /// block stays blocked until both are over.
     pub fn partition(&self, machine: Machine, others: &[Machine], direction: Direction) -> Partition<'_> {
         let address = self.address(machine);
         let mut links = Vec::new();
@@ -41,7 +41,7 @@
         Partition { tier: self, links }
     }
 
-    /// Writes the links that are cut into the rules of all machines.
+    /// Writes the blocked links into the fault rules of all machines.
     fn apply_blocked_links(&self) {
         let blocked_links = lock(&self.blocked_links).clone();
         for node in &self.nodes {
@@ -63,7 +63,7 @@
         {
             let mut blocked_links = lock(&self.tier.blocked_links);
             for link in &self.links {
-                if let Some(index) = blocked_links.iter().position(|cut| cut == link) {
+                if let Some(index) = blocked_links.iter().position(|blocked| blocked == link) {
                     blocked_links.swap_remove(index);
                 }
             }
--- a/crates/soak/src/tier/process_control.rs
+++ b/crates/soak/src/tier/process_control.rs
@@ -1,4 +1,4 @@
-//! Faults of processes: killed, frozen, stopped, reloaded, and started again.
+//! Process faults: kills, suspends, stops, reloads and restarts the processes of a tier.
 
 use std::fs;
 use std::io;
@@ -17,22 +17,22 @@
 use crate::faults::{Machine, SettingsFile};
 use crate::node_settings::{GRACE_PERIOD, NodeSettings};
 
-/// How long after the grace period the platform kills a process.
+/// Additional time after the grace period before a process is killed.
 const GRACE_PERIOD_SLACK: Duration = Duration::from_millis(700);
-/// The number of the signal by which the soak ends processes.
+/// Number of the signal with which the soak test kills processes.
 const SIGKILL: i32 = 9;
 
 /// A signal that is sent some time after the SIGTERM of a stop.
 #[derive(Clone, Copy, Debug)]
 pub struct DelayedSignal {
-    /// Time since the SIGTERM.
+    /// Delay after the SIGTERM.
     pub delay: Duration,
     /// The signal.
     pub signal: Signal,
 }
 
 impl Tier {
-    /// Kills a process and starts it again after `downtime`; with an empty data directory if `is_wiped`.
+    /// Kills a process and restarts it after `downtime`, with an empty data directory if `is_wiped`.
     pub async fn kill(&self, machine: Machine, downtime: Duration, is_wiped: bool) {
         let node = self.node(machine);
         let mut child = node.control.lock().await;
@@ -44,8 +44,8 @@
         self.start_or_record(node, &mut child);
     }
 
-    /// Kills all stateful processes at the same moment, and relays if `includes_relays`; they are started again after
-    /// `downtime`. One of them may lose its disk.
+    /// Kills all stateful processes at once, and the relays too if `includes_relays`, and restarts them after
+    /// `downtime`. The machine `wiped` loses its disk.
     pub async fn kill_all(&self, includes_relays: bool, downtime: Duration, wiped: Option<Machine>) {
         let nodes: Vec<&Node> =
             self.nodes.iter().filter(|node| includes_relays || node.machine.is_stateful()).collect();
@@ -53,7 +53,7 @@
             node.is_exit_expected.store(true, Ordering::Relaxed);
             node.send_signal(Signal::KILL);
         }
-        // All locks are held until all are back, so that nobody starts one of them meanwhile.
+        // All locks are held until the restart, so that no other task starts one of the processes before.
         let mut children = Vec::new();
         for node in &nodes {
             let mut child = node.control.lock().await;
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Kills a process, then kills it once more after each of `uptimes` while it starts.
+    /// Kills a process, then restarts it and kills it during startup, once after each of `uptimes`.
     pub async fn kill_during_start(&self, machine: Machine, uptimes: &[Duration]) {
         let node = self.node(machine);
         let mut child = node.control.lock().await;
@@ -82,20 +82,20 @@
         self.start_or_record(node, &mut child);
     }
 
-    /// Suspends a process by SIGSTOP for some time.
+    /// Suspends a process by SIGSTOP for a time.
     pub async fn freeze(&self, machine: Machine, duration: Duration) {
         let node = self.node(machine);
         let mut child = node.control.lock().await;
         node.send_signal(Signal::STOP);
         let until = Instant::now() + duration;
-        // Faults of many machines kill without waiting for this lock.
+        // A fault of many machines kills processes without waiting for this lock.
         while Instant::now() < until && is_running(&mut child) {
             sleep(POLL_INTERVAL.min(until - Instant::now())).await;
         }
         node.send_signal(Signal::CONT);
     }
 
-    /// Stops a process by SIGTERM, sends the further signals, and starts it once it has ended.
+    /// Stops a process by SIGTERM, sends the further signals, and restarts it once it has exited.
     pub async fn stop(&self, machine: Machine, further_signals: &[DelayedSignal]) {
         let node = self.node(machine);
         let mut child = node.control.lock().await;
@@ -103,20 +103,20 @@
         self.start_or_record(node, &mut child);
     }
 
-    /// Kills a process, starts it, and stops it by SIGTERM after `uptime`.
+    /// Kills and restarts a process, and stops it by SIGTERM after `uptime`.
     pub async fn stop_during_start(&self, machine: Machine, uptime: Duration) {
         let node = self.node(machine);
         let mut child = node.control.lock().await;
         node.kill_and_wait(&mut child).await;
         self.start_or_record(node, &mut child);
         sleep(uptime).await;
-        // Before it catches signals, SIGTERM ends it as it ends any program.
+        // Before the process has installed its signal handlers, SIGTERM terminates it.
         node.is_exit_expected.store(true, Ordering::Relaxed);
         self.stop_locked(node, &mut child, &[]).await;
         self.start_or_record(node, &mut child);
     }
 
-    /// SIGHUP with another settings file; the valid one is back after `duration`, without a signal.
+    /// Replaces the settings file, sends SIGHUP, and restores the valid file after `duration` without a signal.
     ///
     /// # Errors
     ///
@@ -124,7 +124,7 @@
     pub async fn reload(&self, machine: Machine, file: SettingsFile, duration: Duration) -> io::Result<()> {
         let path = self.directories.settings(machine);
         let node = self.node(machine);
-        // A process that starts just now may read the file.
+        // A process that is just starting may read the file and exit.
         self.allow_exit(machine);
         fs::write(&path, self.settings(node).text(Some(file)))?;
         if node.catches_signals() {
@@ -137,7 +137,7 @@
         restored
     }
 
-    /// Sends SIGTERM and the further signals, and kills the process if it outlives the grace period.
+    /// Sends SIGTERM and the further signals, and kills the process if it does not exit within the grace period.
     async fn stop_locked(&self, node: &Node, child: &mut Option<Child>, further_signals: &[DelayedSignal]) {
         let caught_signals = node.catches_signals();
         node.is_exit_expected.store(true, Ordering::Relaxed);
@@ -152,11 +152,11 @@
         match timeout(remaining, process.wait()).await {
             Err(_) => {
                 let elapsed_ms = stopped_at.elapsed().as_millis();
-                let details = format!("{} runs {elapsed_ms} ms after SIGTERM", node.machine);
+                let details = format!("{} still runs {elapsed_ms} ms after SIGTERM", node.machine);
                 self.history.record_finding("an end within the grace", details);
             }
             Ok(Ok(status)) if caught_signals && is_failure(status) => {
-                let details = format!("{} ends with {status} after SIGTERM", node.machine);
+                let details = format!("{} exited with {status} after SIGTERM", node.machine);
                 self.history.record_finding("an end in order", details);
             }
             Ok(_) => {}
@@ -169,17 +169,17 @@
         self.directories.wipe_data(machine);
     }
 
-    /// Starts a process; a failure is a finding.
+    /// Starts a process. A failure is a finding.
     pub(super) fn start_or_record(&self, node: &Node, child: &mut Option<Child>) {
         if let Err(error) = self.start(node, child) {
-            let details = format!("{} is not started: {error}", node.machine);
+            let details = format!("cannot start {}: {error}", node.machine);
             self.history.record_finding("the soak itself", details);
         }
     }
 
-    /// Starts a process, unless it runs or the tier is being ended.
+    /// Starts a process, unless it is running or the tier is being ended.
     pub(super) fn start(&self, node: &Node, child: &mut Option<Child>) -> io::Result<()> {
-        // Another fault may have started it already.
+        // Another fault may already have started it.
         if is_running(child) || self.is_ending.load(Ordering::Relaxed) {
             return Ok(());
         }
@@ -218,7 +218,8 @@
     }
 }
 
-/// Whether a process ended with a failure of its own: faults of many machines kill without waiting for others.
+/// Whether a process failed by itself. SIGKILL does not count: a fault of many machines may kill the process while
+/// another fault stops it.
 fn is_failure(status: ExitStatus) -> bool {
     !status.success() && status.signal() != Some(SIGKILL)
 }
--- a/crates/soak/tests/command_line.rs
+++ b/crates/soak/tests/command_line.rs
@@ -1,11 +1,11 @@
-//! Commands, options and exit codes of the soak.
+//! Commands, options and exit codes of the soak test.
 
 use std::process::Command;
 
 #[path = "../../relay/tests/golden/mod.rs"]
 mod golden;
 
-/// A command as it is typed, with its output and exit code.
+/// Runs a command line. Returns it together with its output and exit code.
 fn transcript(line: &str) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_juniperwing-soak"));
     let output = command.args(line.split_whitespace()).output().expect("the program runs");
--- a/crates/soak/tests/log.rs
+++ b/crates/soak/tests/log.rs
@@ -1,4 +1,5 @@
-//! A relay serves on while nobody reads its log.
+//! A relay must keep serving when its log is not read. Writes to a full pipe block: a relay that waited for them would
+//! stop answering.
 
 use std::path::PathBuf;
 use std::process::Stdio;
@@ -10,23 +11,24 @@
 use tokio::process::Command;
 use tokio::time::{Instant, sleep};
 
-/// A pipe holds 64 KiB; a relay writes up to a hundred lines of some 300 bytes in a second.
+/// Time to fill a pipe: it holds 64 KiB, and a relay logs up to 100 lines of about 300 bytes per second.
 const FILL_DURATION: Duration = Duration::from_secs(6);
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 #[tokio::test]
 async fn relay_serves_while_its_log_pipe_is_full() {
-    let answer = readiness_after_many_lines(Stdio::piped(), "unread").await;
-    assert!(answer.is_ok(), "the relay stands still: {answer:?}");
+    let response = readiness_after_many_lines(Stdio::piped(), "unread").await;
+    assert!(response.is_ok(), "the relay does not respond: {response:?}");
 }
 
 #[tokio::test]
 async fn relay_serves_while_its_log_is_discarded() {
-    let answer = readiness_after_many_lines(Stdio::null(), "discarded").await;
-    assert!(answer.is_ok(), "the relay stands still: {answer:?}");
+    let response = readiness_after_many_lines(Stdio::null(), "discarded").await;
+    assert!(response.is_ok(), "the relay does not respond: {response:?}");
 }
 
-/// What a relay with this standard error, held open and never read, answers when it has written more than a pipe holds.
+/// Response of a relay to a readiness probe after it has logged more than a pipe holds. Its standard error is held open
+/// and never read.
 async fn readiness_after_many_lines(standard_error: Stdio, name: &str) -> Result<(Head, Vec<u8>), HttpError> {
     let (network, _reservation) =
         Network::reserve(u64::from(std::process::id()) + name.len() as u64).unwrap();
@@ -52,13 +54,13 @@
     let readiness = network.listener(Role::Relay, 0, READINESS_PORT);
     let until = Instant::now() + FILL_DURATION;
     while Instant::now() < until {
-        // Each is refused and logged.
-        let refused = encode_request("GET", "/x", &[("Host", "h"), ("X-Request-Id", "q")], b"");
-        let _ = exchange(frontend, &refused, RESPONSE_TIMEOUT).await;
+        // Each request is rejected and logged.
+        let rejected_request = encode_request("GET", "/x", &[("Host", "h"), ("X-Request-Id", "q")], b"");
+        let _ = exchange(frontend, &rejected_request, RESPONSE_TIMEOUT).await;
         sleep(Duration::from_millis(5)).await;
     }
-    let question = encode_request("GET", "/readyz", &[("Host", "relay")], b"");
-    let answer = exchange(readiness, &question, RESPONSE_TIMEOUT).await;
+    let probe = encode_request("GET", "/readyz", &[("Host", "relay")], b"");
+    let response = exchange(readiness, &probe, RESPONSE_TIMEOUT).await;
     let _ = std::fs::remove_dir_all(&folder);
-    answer
+    response
 }
--- a/crates/soak/tests/schedule.rs
+++ b/crates/soak/tests/schedule.rs
@@ -1,4 +1,4 @@
-//! Schedules are determined by their seeds, and leave stateful machines the time to catch up.
+//! Schedules are determined by their seeds and leave stateful machines time to catch up.
 
 use juniperwing_soak::schedule::{CATCH_UP_MS, Schedule};
 
@@ -16,12 +16,12 @@
         if !schedule.is_within_tolerance() {
             continue;
         }
-        let counted = schedule.faults.iter().filter(|fault| fault.kind.takes_down_stateful_machine());
-        let counted: Vec<_> = counted.collect();
-        for pair in counted.windows(2) {
-            let free = pair[0].starts_at + pair[0].duration_ms + CATCH_UP_MS;
+        let stateful = schedule.faults.iter().filter(|fault| fault.kind.takes_down_stateful_machine());
+        let stateful: Vec<_> = stateful.collect();
+        for pair in stateful.windows(2) {
+            let ready_at = pair[0].starts_at + pair[0].duration_ms + CATCH_UP_MS;
             assert!(
-                pair[1].starts_at >= free,
+                pair[1].starts_at >= ready_at,
                 "seed {}: {} and {}",
                 schedule.seed,
                 pair[0].kind,
--- a/crates/soak/tests/short.rs
+++ b/crates/soak/tests/short.rs
@@ -1,4 +1,4 @@
-//! The short form of the soak, for CI: a few plays side by side, in under two minutes.
+//! The short form of the soak test for CI: a few concurrent plays, in under two minutes.
 
 use std::path::PathBuf;
 use std::sync::{Condvar, Mutex, PoisonError};
@@ -9,14 +9,14 @@
 use juniperwing_soak::play::{Options, Report, play};
 use juniperwing_soak::schedule::{Fault, Flavor, Schedule};
 
-/// About how long faults are injected, in milliseconds.
+/// Approximate time for which faults are injected, in milliseconds.
 const LENGTH_MS: u64 = 9_000;
 
 fn options(name: &str, seed: u64, faults: Option<Vec<Fault>>) -> Options {
     Options {
         seed,
         length_ms: LENGTH_MS,
-        // Apart from the networks of other plays on this machine.
+        // Makes it unlikely that concurrent plays on this host try the same network first.
         network: u64::from(std::process::id()) + seed,
         folder: PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
             .join(format!("soak-{name}-{}", std::process::id())),
@@ -26,10 +26,10 @@
     }
 }
 
-/// Plays at the same time: each takes most of a core in a debug build.
+/// Maximum number of concurrent plays: each takes most of a core in a debug build.
 const MAX_CONCURRENT_PLAYS: usize = 3;
 
-/// A permit to run a play; released when it is dropped.
+/// A permit to run a play, which is released when it is dropped.
 struct PlayPermit;
 
 static PERMITS_TAKEN: Mutex<usize> = Mutex::new(0);
@@ -64,7 +64,9 @@
 
 /// The first seed of a flavor.
 fn first_seed_of(flavor: Flavor) -> u64 {
-    (1..).find(|seed| Schedule::draw(*seed, LENGTH_MS).flavor == flavor).expect("one in three, or more")
+    (1..)
+        .find(|seed| Schedule::draw(*seed, LENGTH_MS).flavor == flavor)
+        .expect("each flavor has a share of at least 20%")
 }
 
 #[test]
@@ -82,7 +84,8 @@
     assert_no_findings(&run_play(&options("beyond", first_seed_of(Flavor::BeyondTolerance), None)));
 }
 
-/// A process that has lost a task does not go on with a part of its work.
+/// A process must exit and be restarted when its writing task panics. Otherwise it would continue with only a part of
+/// its work.
 #[test]
 fn process_restarts_after_panic_of_its_writing_task() {
     let panics = |starts_at, role, number| Fault {
@@ -94,7 +97,7 @@
     assert_no_findings(&run_play(&options("panics", 5, Some(faults))));
 }
 
-/// A disk that answers nothing costs one machine, not the service.
+/// A disk whose operations never return takes down one machine, but must not interrupt the service.
 #[test]
 fn stalled_disk_does_not_interrupt_service() {
     let stalls = |starts_at, role, number| Fault {
@@ -102,7 +105,7 @@
         duration_ms: 12_000,
         kind: FaultKind::DiskStall(Machine { role, number }),
     };
-    // A store that is stopped meanwhile ends within its grace period.
+    // A store that is stopped while its disk is stalled must still exit within its grace period.
     let stop = Fault {
         starts_at: 9_000,
         duration_ms: 0,
