--- a/crates/lab/src/adapter.rs
+++ b/crates/lab/src/adapter.rs
@@ -1,5 +1,5 @@
-//! The decisions of another build, through its adapter: one process for each run, which hosts all relays of the run and
-//! speaks JSON lines. It receives nothing but the events of its relays.
+//! The policies of another build, through its adapter program: one process for each run, which hosts all relays of the
+//! run and exchanges JSON lines. It receives only the events of its relays.
 
 mod wire;
 
@@ -12,7 +12,7 @@
 use juniperwing::interface::{Command, Event};
 use juniperwing::time::Time;
 use juniperwing_model::fleet::Fleet;
-use juniperwing_model::policy::{Policies, Policy, Truth};
+use juniperwing_model::policy::{GroundTruth, Policies, Policy};
 use serde_json::Value;
 use snafu::{OptionExt, ResultExt, Snafu, ensure};
 
@@ -31,11 +31,11 @@
     Io { source: std::io::Error },
     #[snafu(display("it ended in the middle of a run"))]
     Ended,
-    #[snafu(display("its reply is none: {source}"))]
+    #[snafu(display("invalid reply: {source}"))]
     InvalidReply { source: serde_json::Error },
 }
 
-/// The process of an adapter. It is ended with this value.
+/// The process of an adapter. It is killed when this value is dropped.
 struct AdapterProcess {
     child: Child,
     input: ChildStdin,
@@ -44,7 +44,7 @@
 
 impl Drop for AdapterProcess {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // Fails if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -63,9 +63,9 @@
         Ok(AdapterProcess { child, input, output: BufReader::new(output) })
     }
 
-    /// Sends what happened up to `now` and reads the commands that follow.
-    fn exchange(&mut self, now: Time, happened: &[Value]) -> Result<Vec<Command>, AdapterError> {
-        let line = wire::request_line(now, happened);
+    /// Sends the events up to `now` and reads the resulting commands.
+    fn exchange(&mut self, now: Time, events: &[Value]) -> Result<Vec<Command>, AdapterError> {
+        let line = wire::request_line(now, events);
         self.input.write_all(line.as_bytes()).and_then(|()| self.input.flush()).context(IoSnafu)?;
         let mut reply = Vec::new();
         let mut bounded = (&mut self.output).take(MAX_REPLY_BYTES);
@@ -75,7 +75,7 @@
     }
 }
 
-/// An adapter's process, or why there is none any more.
+/// An adapter's process, or the reason why it is unavailable.
 enum Connection {
     Open(AdapterProcess),
     Failed(AdapterError),
@@ -107,7 +107,7 @@
     ///
     /// # Errors
     ///
-    /// If the program failed or broke the protocol during the run, whose metrics are worthless then.
+    /// If the program failed or violated the protocol during the run. The metrics of the run are then invalid.
     pub fn finish(self) -> Result<(), AdapterError> {
         match self.connection.replace(Connection::Closed) {
             Connection::Failed(error) => Err(error),
@@ -132,17 +132,17 @@
 struct AdapterPolicy {
     connection: SharedConnection,
     name: String,
-    /// Its start, until that is sent.
+    /// The message that starts the relay, until it is sent.
     start: Option<Value>,
 }
 
 impl Policy for AdapterPolicy {
-    fn handle(&mut self, now: Time, events: Vec<Event>, _: &dyn Truth) -> Vec<Command> {
-        let mut happened: Vec<Value> = self.start.take().into_iter().collect();
-        events.into_iter().for_each(|event| wire::push_event(&mut happened, &self.name, event));
+    fn handle(&mut self, now: Time, events: Vec<Event>, _: &dyn GroundTruth) -> Vec<Command> {
+        let mut lines: Vec<Value> = self.start.take().into_iter().collect();
+        events.into_iter().for_each(|event| wire::push_event(&mut lines, &self.name, event));
         let mut connection = self.connection.borrow_mut();
         let Connection::Open(process) = &mut *connection else { return Vec::new() };
-        process.exchange(now, &happened).unwrap_or_else(|error| {
+        process.exchange(now, &lines).unwrap_or_else(|error| {
             *connection = Connection::Failed(error);
             Vec::new()
         })
--- a/crates/lab/src/adapter/wire.rs
+++ b/crates/lab/src/adapter/wire.rs
@@ -1,4 +1,4 @@
-//! The JSON lines of an adapter. Keys and words are the adapter's (`crates/adapter`).
+//! The JSON lines of an adapter. Keys and values are those of its protocol (`crates/adapter`).
 
 use std::sync::Arc;
 
@@ -11,9 +11,9 @@
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-/// The line that tells what happened up to `now`.
-pub(super) fn request_line(now: Time, happened: &[Value]) -> String {
-    let mut line = json!({"now": nanos(now), "happened": happened}).to_string();
+/// The line with the events up to `now`.
+pub(super) fn request_line(now: Time, events: &[Value]) -> String {
+    let mut line = json!({"now": nanos(now), "happened": events}).to_string();
     line.push('\n');
     line
 }
@@ -28,37 +28,49 @@
     commands: Vec<WireCommand>,
 }
 
-/// A command of the adapter. Spans are in nanoseconds; a ticket is the id of a notification.
+/// A command of the adapter. Spans are in nanoseconds.
 #[derive(Deserialize)]
-#[serde(tag = "m", rename_all_fields = "kebab-case")]
+#[serde(tag = "m")]
 enum WireCommand {
-    Transmit {
-        ticket: u64,
+    #[serde(rename = "Transmit")]
+    Push {
+        #[serde(rename = "ticket")]
+        notification: u64,
         endpoint: String,
-        give_up_after: u64,
+        #[serde(rename = "give-up-after")]
+        timeout: u64,
     },
-    AbortAttempt {
-        ticket: u64,
-        go: u32,
+    #[serde(rename = "AbortAttempt")]
+    Cancel {
+        #[serde(rename = "ticket")]
+        notification: u64,
+        #[serde(rename = "go")]
+        push_index: u32,
     },
-    Bounce {
-        ticket: u64,
-        #[serde(default)]
-        retry_in: u64,
+    #[serde(rename = "Bounce")]
+    Throttle {
+        #[serde(rename = "ticket")]
+        notification: u64,
+        #[serde(rename = "retry-in", default)]
+        retry_after: u64,
     },
-    Fail {
-        ticket: u64,
+    #[serde(rename = "Fail")]
+    Expire {
+        #[serde(rename = "ticket")]
+        notification: u64,
     },
-    NotifyMe {
-        wait: u64,
-    },
-    Listen {},
-    DropConns {
-        endpoint: String,
+    #[serde(rename = "NotifyMe")]
+    WakeAfter {
+        #[serde(rename = "wait")]
+        after: u64,
     },
+    #[serde(rename = "Listen")]
+    Subscribe {},
+    #[serde(rename = "DropConns")]
+    CloseIdleConnections { endpoint: String },
     /// A command that has no effect in the model.
     #[serde(other)]
-    Other,
+    Ignored,
 }
 
 /// The commands of a reply.
@@ -70,38 +82,37 @@
 fn command(command: WireCommand) -> Option<Command> {
     let endpoint = |name: String| EndpointId(Arc::from(name));
     Some(match command {
-        WireCommand::Transmit { ticket, endpoint: to, give_up_after } => Command::Push {
-            notification: NotificationId(ticket),
+        WireCommand::Push { notification, endpoint: to, timeout } => Command::Push {
+            notification: NotificationId(notification),
             endpoint: endpoint(to),
-            timeout: Span::from_nanos(give_up_after),
-            send_within: Span::from_nanos(give_up_after),
+            timeout: Span::from_nanos(timeout),
+            send_within: Span::from_nanos(timeout),
         },
-        WireCommand::AbortAttempt { ticket, go } => {
-            Command::Cancel { notification: NotificationId(ticket), push_index: go }
+        WireCommand::Cancel { notification, push_index } => {
+            Command::Cancel { notification: NotificationId(notification), push_index }
         }
-        WireCommand::Bounce { ticket, retry_in } => Command::Throttle {
-            notification: NotificationId(ticket),
-            retry_after: Span::from_nanos(retry_in),
+        WireCommand::Throttle { notification, retry_after } => Command::Throttle {
+            notification: NotificationId(notification),
+            retry_after: Span::from_nanos(retry_after),
         },
-        WireCommand::Fail { ticket } => Command::Expire(NotificationId(ticket)),
-        WireCommand::NotifyMe { wait } => Command::WakeAfter(Span::from_nanos(wait)),
-        WireCommand::Listen {} => Command::SubscribeToEndpointList,
-        WireCommand::DropConns { endpoint: to } => Command::CloseIdleConnections(endpoint(to)),
-        WireCommand::Other => return None,
+        WireCommand::Expire { notification } => Command::Expire(NotificationId(notification)),
+        WireCommand::WakeAfter { after } => Command::WakeAfter(Span::from_nanos(after)),
+        WireCommand::Subscribe {} => Command::SubscribeToEndpointList,
+        WireCommand::CloseIdleConnections { endpoint: to } => Command::CloseIdleConnections(endpoint(to)),
+        WireCommand::Ignored => return None,
     })
 }
 
-/// Adds an event to what happened. The adapter takes a final answer for acknowledged at once, so there is no line for
-/// the acknowledgement.
-pub(super) fn push_event(happened: &mut Vec<Value>, relay: &str, event: Event) {
+/// Appends an event. The adapter considers a final answer acknowledged at once, so the acknowledgement is not sent.
+pub(super) fn push_event(lines: &mut Vec<Value>, relay: &str, event: Event) {
     match event {
-        Event::EndpointListUpdated(update) => push_list_update(happened, relay, update),
-        Event::Accepted(notification) => happened.push(accept(relay, notification)),
-        Event::PushEnded(outcome) => happened.push(answer(relay, &outcome)),
+        Event::EndpointListUpdated(update) => push_list_update(lines, relay, update),
+        Event::Accepted(notification) => lines.push(accept(relay, notification)),
+        Event::PushEnded(outcome) => lines.push(answer(relay, &outcome)),
         Event::Withdrawn(notification) => {
-            happened.push(json!({"m": "Withdrawn", "relay": relay, "ticket": notification.0}));
+            lines.push(json!({"m": "Withdrawn", "relay": relay, "ticket": notification.0}));
         }
-        Event::WakeUp => happened.push(json!({"m": "Ring", "relay": relay, "label": "wake"})),
+        Event::WakeUp => lines.push(json!({"m": "Ring", "relay": relay, "label": "wake"})),
         Event::FinalAnswerAcknowledged(_)
         | Event::ConfigChanged(_)
         | Event::SlotLimitChanged(_)
@@ -110,7 +121,7 @@
     }
 }
 
-fn push_list_update(happened: &mut Vec<Value>, relay: &str, update: EndpointListUpdate) {
+fn push_list_update(lines: &mut Vec<Value>, relay: &str, update: EndpointListUpdate) {
     let (kind, entries) = match update {
         EndpointListUpdate::Failed => ("broken", Vec::new()),
         EndpointListUpdate::Changes(entries) => ("patch", entries),
@@ -118,8 +129,8 @@
         EndpointListUpdate::CachedSnapshot(entries) => ("stale_copy", entries),
     };
     let records: Vec<Value> = entries.iter().map(record).collect();
-    happened.push(json!({"m": "Inventory", "bank": 1, "records": records}));
-    happened.push(json!({"m": "Endpoints", "relay": relay, "kind": kind, "bank": 1}));
+    lines.push(json!({"m": "Inventory", "bank": 1, "records": records}));
+    lines.push(json!({"m": "Endpoints", "relay": relay, "kind": kind, "bank": 1}));
 }
 
 fn record(entry: &EndpointEntry) -> Value {
@@ -178,19 +189,19 @@
     })
 }
 
-/// The start of a relay.
+/// The message that starts a relay.
 pub(super) fn start(name: &str, seed: u64, fleet: &Fleet, relay: usize) -> Value {
     json!({"m": "Spawn", "relay": name, "prng": seed, "boot-info": configuration(fleet, relay)})
 }
 
 fn configuration(fleet: &Fleet, relay: usize) -> Value {
-    let RelayConfig { fleet: facts, limits, rules } = fleet.relay_config(relay);
+    let RelayConfig { fleet: fleet_config, limits, rules } = fleet.relay_config(relay);
     let kinds = || fleet.kinds.iter();
     json!({
-        "balancers": facts.relay_count,
+        "balancers": fleet_config.relay_count,
         "discovery": "subscribe",
-        "tick": facts.tick.as_nanos(),
-        "weight-source": if facts.has_listed_rates { "rough" } else { "none" },
+        "tick": fleet_config.tick.as_nanos(),
+        "weight-source": if fleet_config.has_listed_rates { "rough" } else { "none" },
         "classes": fleet.topics.iter().map(class).collect::<Vec<_>>(),
         "accounts": fleet.accounts.iter().map(|account| quota(account)).collect::<Vec<_>>(),
         "kinds": kinds().map(|kind| kind.name.clone()).collect::<Vec<_>>(),
--- a/crates/lab/src/baselines/policy.rs
+++ b/crates/lab/src/baselines/policy.rs
@@ -7,7 +7,7 @@
     RuleParameters,
 };
 use juniperwing::time::{Span, Time};
-use juniperwing_model::policy::{Policy, Truth};
+use juniperwing_model::policy::{GroundTruth, Policy};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -167,7 +167,7 @@
 }
 
 impl Policy for BaselinePolicy {
-    fn handle(&mut self, now: Time, events: Vec<Event>, truth: &dyn Truth) -> Vec<Command> {
+    fn handle(&mut self, now: Time, events: Vec<Event>, truth: &dyn GroundTruth) -> Vec<Command> {
         let mut commands = Vec::new();
         if !std::mem::replace(&mut self.is_subscribed, true) {
             commands.push(Command::SubscribeToEndpointList);
--- a/crates/lab/src/baselines/sending.rs
+++ b/crates/lab/src/baselines/sending.rs
@@ -6,7 +6,7 @@
     Command, DeduplicationScope, EndpointEntry, EndpointId, NotificationId, Semantics,
 };
 use juniperwing::time::{Span, Time};
-use juniperwing_model::policy::{TrueState, Truth};
+use juniperwing_model::policy::{EndpointState, GroundTruth};
 
 use super::Strategy;
 use super::policy::BaselinePolicy;
@@ -68,7 +68,9 @@
 
 impl BaselinePolicy {
     /// Sends what may be sent and answers what cannot be sent any more. Returns when to check again.
-    pub(super) fn send_ready(&mut self, now: Time, truth: &dyn Truth, commands: &mut Vec<Command>) -> Time {
+    pub(super) fn send_ready(
+        &mut self, now: Time, truth: &dyn GroundTruth, commands: &mut Vec<Command>,
+    ) -> Time {
         let candidates = self.candidates(now);
         let mut wake_at = Time::NEVER;
         for candidate in &candidates {
@@ -105,7 +107,7 @@
     }
 
     /// `None` for one that was sent or answered since the candidates were listed.
-    fn decide(&mut self, now: Time, candidate: Candidate, truth: &dyn Truth) -> Option<Decision> {
+    fn decide(&mut self, now: Time, candidate: Candidate, truth: &dyn GroundTruth) -> Option<Decision> {
         let pending = self.pending.get(&candidate.id).filter(|pending| pending.call.is_none())?;
         let at_latest = latest_send_time(pending);
         let Some(permission) = self.permission(now, pending).filter(|_| now < at_latest) else {
@@ -152,7 +154,7 @@
 
     /// The next endpoint in turn that a notification may be sent to now.
     fn choose_endpoint(
-        &mut self, now: Time, id: u64, permission: &Permission, truth: &dyn Truth,
+        &mut self, now: Time, id: u64, permission: &Permission, truth: &dyn GroundTruth,
     ) -> Option<EndpointId> {
         let destination = self.pending.get(&id)?.notification.destination;
         let endpoints = self.list.serving.get(&destination)?;
@@ -169,7 +171,7 @@
         None
     }
 
-    fn is_available(&self, now: Time, entry: &EndpointEntry, truth: &dyn Truth) -> bool {
+    fn is_available(&self, now: Time, entry: &EndpointEntry, truth: &dyn GroundTruth) -> bool {
         let route = (entry.destination, entry.kind.has_separate_routes.then(|| entry.endpoint.clone()));
         let is_waiting = self.wait_until.get(&route).is_some_and(|until| now < *until);
         let breaker = self.breakers.get(&entry.endpoint);
@@ -247,7 +249,7 @@
 
     /// Cancels pushes that will not be answered and may be repeated. Returns when to check again.
     pub(super) fn cancel_unanswered(
-        &mut self, now: Time, truth: &dyn Truth, commands: &mut Vec<Command>,
+        &mut self, now: Time, truth: &dyn GroundTruth, commands: &mut Vec<Command>,
     ) -> Time {
         let mut wake_at = Time::NEVER;
         let in_flight = self.pending.iter_mut().filter(|(_, pending)| pending.call.is_some());
@@ -281,7 +283,7 @@
 }
 
 /// Whether a call to an endpoint in that state would be answered soon.
-fn would_answer(state: &TrueState) -> bool {
+fn would_answer(state: &EndpointState) -> bool {
     state.is_answering
         && (state.free_servers > 0 || state.queued <= 1)
         && state.limit_remaining >= MIN_LIMIT_REMAINING
--- a/crates/lab/src/commands/compare.rs
+++ b/crates/lab/src/commands/compare.rs
@@ -32,7 +32,7 @@
     read: fn(&Metrics) -> f64,
 }
 
-const FIGURES: [Figure; 6] = [
+const COMPARED_METRICS: [Figure; 6] = [
     Figure { name: "served", read: |metrics| metrics.served },
     Figure { name: "worst 10 s", read: |metrics| metrics.worst_window.served },
     Figure { name: "worst topic type", read: |metrics| metrics.worst_topic },
@@ -75,7 +75,7 @@
 /// Prints each figure and writes the table of the page.
 fn write_differences(body: &mut String, pairs: &[Pair<'_>]) -> LabResult {
     *body += "<table><tr><th>Figure<th>A<th>B<th>B less A<th>95 %</tr>";
-    for Figure { name, read } in FIGURES {
+    for Figure { name, read } in COMPARED_METRICS {
         let values: Vec<(f64, f64)> = pairs.iter().map(|pair| (read(pair.a), read(pair.b))).collect();
         let difference = Difference::of_pairs(&values);
         let (a, b) = difference.means;
--- a/crates/lab/src/commands/hunt.rs
+++ b/crates/lab/src/commands/hunt.rs
@@ -1,4 +1,4 @@
-//! `hunt`: a search for a scenario in which a rule is violated or much is lost.
+//! `hunt`: a search for a scenario with a rule violation or a large loss of benefit.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -9,62 +9,62 @@
 use super::check_policy;
 use crate::cli::RunOptions;
 use crate::error::{LabResult, UnknownFaultSnafu};
-use crate::hunt::{Finding, hunted_faults, hunted_runs, shrink};
+use crate::hunt::{Finding, draw_runs, searched_fault_kinds, shrink};
 use crate::runner::Run;
 use crate::{report, scenario_file};
 
-/// What a hunt looks for.
+/// What the search looks for.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Goal {
-    /// Violations of rules alone.
+    /// Rule violations only.
     Violation,
-    /// The loss against an oracle too.
+    /// Rule violations, and the loss against an oracle.
     ViolationOrLoss,
 }
 
-/// Plays combinations of faults, shrinks the worst and writes it as a scenario file.
+/// Runs combinations of faults, shrinks the worst and writes it as a scenario file.
 pub(super) fn hunt(
     scenario: &Path, options: &RunOptions, budget: usize, only: &[String], goal: Goal, policy: &str,
 ) -> LabResult<ExitCode> {
     check_policy(policy)?;
     let (scenario, kinds) = (scenario_file::read(scenario)?, fault_kinds(only)?);
-    let runs: Vec<Run> = hunted_runs(&scenario, &kinds, options.seed, budget)
+    let runs: Vec<Run> = draw_runs(&scenario, &kinds, options.seed, budget)
         .into_iter()
         .map(|run| Run { policy: policy.to_owned(), ..run })
         .collect();
-    let findings = play_findings(&runs, options, goal)?;
-    let violating = findings.iter().filter(|finding| matches!(finding, Finding::Broken(_))).count();
+    let findings = run_and_classify(&runs, options, goal)?;
+    let violating = findings.iter().filter(|finding| matches!(finding, Finding::Violations(_))).count();
     println!("{} days played, {violating} with a broken rule", runs.len());
     let worst = worst(&findings).filter(|_| goal == Goal::ViolationOrLoss || violating > 0);
     let Some(worst) = worst else { return Ok(ExitCode::SUCCESS) };
     let (run, finding) = (&runs[worst], &findings[worst]);
-    println!("the worst: {finding:?}, seed {}; it is cut down ...", run.seed);
+    println!("the worst: {finding}, seed {}; it is cut down ...", run.seed);
     let quiet = RunOptions { quiet: true, out: options.out.clone(), ..*options };
     let evaluate = |scenario: &Scenario| {
         let run = Run { scenario: scenario.clone(), ..run.clone() };
-        Ok(play_findings(&[run], &quiet, goal)?.remove(0))
+        Ok(run_and_classify(&[run], &quiet, goal)?.remove(0))
     };
     let (mut smallest, finding) = shrink(&run.scenario, finding, evaluate)?;
     smallest.name = format!("{}-found-{}", scenario.name, run.seed);
-    smallest.about = format!("Found by a hunt with {policy}: {finding:?}");
+    smallest.about = format!("Found by a hunt with {policy}: {finding}");
     smallest.seed = Some(run.seed);
     let path = write_found(&smallest, &options.out)?;
     print_found(&smallest, &finding, &path);
     Ok(if violating > 0 { ExitCode::FAILURE } else { ExitCode::SUCCESS })
 }
 
-/// Faults by their names in scenarios; all that a hunt draws from if none is named.
+/// Parses kinds of faults by their names in scenarios; returns all kinds that the search draws if none is named.
 fn fault_kinds(names: &[String]) -> LabResult<Vec<FaultKind>> {
     let named = |name: &String| {
-        let found = hunted_faults().find(|kind| report::fault_name(*kind) == *name);
-        let known = || hunted_faults().map(report::fault_name).collect::<Vec<_>>();
+        let found = searched_fault_kinds().find(|kind| report::fault_name(*kind) == *name);
+        let known = || searched_fault_kinds().map(report::fault_name).collect::<Vec<_>>();
         found.ok_or_else(|| UnknownFaultSnafu { name, known: known() }.build())
     };
-    if names.is_empty() { Ok(hunted_faults().collect()) } else { names.iter().map(named).collect() }
+    if names.is_empty() { Ok(searched_fault_kinds().collect()) } else { names.iter().map(named).collect() }
 }
 
-/// Plays runs, and for a loss the oracle beside each.
-fn play_findings(runs: &[Run], options: &RunOptions, goal: Goal) -> LabResult<Vec<Finding>> {
+/// Executes runs, each also with the oracle if losses count, and classifies the results.
+fn run_and_classify(runs: &[Run], options: &RunOptions, goal: Goal) -> LabResult<Vec<Finding>> {
     let metrics = options.play(runs)?;
     let oracle: Vec<Option<Metrics>> = if goal == Goal::Violation {
         runs.iter().map(|_| None).collect()
@@ -91,7 +91,7 @@
 fn print_found(scenario: &Scenario, finding: &Finding, path: &Path) {
     let faults: Vec<String> = scenario.faults.iter().map(|fault| report::fault_name(fault.kind)).collect();
     println!(
-        "{finding:?} with {} relays, {} destinations, {:.1} s, troubles: {}\n{}",
+        "{finding} with {} relays, {} destinations, {:.1} s, troubles: {}\n{}",
         scenario.relays.count.min,
         scenario.destinations.count.min,
         scenario.duration_s.min,
--- a/crates/lab/src/commands/run.rs
+++ b/crates/lab/src/commands/run.rs
@@ -39,7 +39,7 @@
 /// Plays the first seed on one core and prints where the time goes.
 pub(super) fn run_timed(scenario: &Path, options: &RunOptions, policy: &str) -> LabResult<ExitCode> {
     let run = Run { scenario: scenario_file::read(scenario)?, seed: options.seed, policy: policy.to_owned() };
-    let TimedRun { metrics, decisions, total } = runner::play_timed(&run)?;
+    let TimedRun { metrics, decisions, total } = runner::simulate_timed(&run)?;
     let (model, events) = (total.saturating_sub(decisions), metrics.events.max(1));
     let micros = |time: Duration| time.as_secs_f64() * 1e6;
     println!(
--- a/crates/lab/src/commands/survey.rs
+++ b/crates/lab/src/commands/survey.rs
@@ -11,7 +11,7 @@
 
 use crate::cli::RunOptions;
 use crate::error::LabResult;
-use crate::hunt::{draw_fault, hunted_faults};
+use crate::hunt::{draw_fault, searched_fault_kinds};
 use crate::plots::{self, Line};
 use crate::runner::{POLICIES, Run};
 use crate::{report, scenario_file};
@@ -58,7 +58,7 @@
 
 /// No fault, each fault, and with `pairs` each pair.
 fn fault_sets(pairs: bool) -> Vec<Vec<FaultKind>> {
-    let all: Vec<FaultKind> = hunted_faults().collect();
+    let all: Vec<FaultKind> = searched_fault_kinds().collect();
     let mut sets = vec![Vec::new()];
     sets.extend(all.iter().map(|kind| vec![*kind]));
     if pairs {
--- a/crates/lab/src/commands/sweep.rs
+++ b/crates/lab/src/commands/sweep.rs
@@ -16,18 +16,18 @@
 use crate::{report, scenario_file};
 
 /// The figure that is swept.
-struct SweptFigure<'a> {
+struct SweptParameter<'a> {
     /// Keys and indices joined by dots.
     path: &'a str,
     values: Vec<f64>,
 }
 
-impl SweptFigure<'_> {
+impl SweptParameter<'_> {
     /// Parses `KEY=VALUE,VALUE,..`.
-    fn parse(argument: &str) -> LabResult<SweptFigure<'_>> {
+    fn parse(argument: &str) -> LabResult<SweptParameter<'_>> {
         let (path, values) = argument.split_once('=').context(SweepSyntaxSnafu)?;
         let parse = |value: &str| value.trim().parse::<f64>().context(SweepValueSnafu { value });
-        Ok(SweptFigure { path, values: values.split(',').map(parse).collect::<Result<_, _>>()? })
+        Ok(SweptParameter { path, values: values.split(',').map(parse).collect::<Result<_, _>>()? })
     }
 }
 
@@ -37,7 +37,7 @@
 ) -> LabResult<ExitCode> {
     policies.iter().try_for_each(|policy| check_policy(policy))?;
     let scenario = scenario_file::read(scenario)?;
-    let figure = SweptFigure::parse(over)?;
+    let figure = SweptParameter::parse(over)?;
     let metrics = options.play(&runs(&scenario, &figure, options, policies)?)?;
     std::fs::create_dir_all(&options.out)?;
     let mut table = csv::Writer::from_path(options.out.join("sweep.csv"))?;
@@ -72,12 +72,12 @@
 
 /// By policy, value and seed.
 fn runs(
-    scenario: &Scenario, figure: &SweptFigure<'_>, options: &RunOptions, policies: &[String],
+    scenario: &Scenario, figure: &SweptParameter<'_>, options: &RunOptions, policies: &[String],
 ) -> LabResult<Vec<Run>> {
     let mut runs = Vec::new();
     for policy in policies {
         for value in &figure.values {
-            let scenario = with_figure(scenario, figure.path, *value)?;
+            let scenario = with_parameter(scenario, figure.path, *value)?;
             let run = |seed| Run { scenario: scenario.clone(), seed, policy: policy.clone() };
             runs.extend(options.seeds().map(run));
         }
@@ -100,7 +100,7 @@
 }
 
 /// A scenario with the figure at a path of keys set.
-fn with_figure(scenario: &Scenario, path: &str, value: f64) -> LabResult<Scenario> {
+fn with_parameter(scenario: &Scenario, path: &str, value: f64) -> LabResult<Scenario> {
     let mut document = toml::Value::try_from(scenario)?;
     let mut figure = &mut document;
     for key in path.split('.') {
--- a/crates/lab/src/error.rs
+++ b/crates/lab/src/error.rs
@@ -1,4 +1,4 @@
-//! The errors of the laboratory. What they say goes to standard error as it is.
+//! The errors of the lab. Their messages are written to standard error.
 
 use std::path::PathBuf;
 
@@ -7,14 +7,14 @@
 use crate::adapter::AdapterError;
 use crate::scenario_file::ScenarioFileError;
 
-/// Why a command could not be carried out.
+/// Why a command failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 #[allow(missing_docs, reason = "the message says what each field is")]
 pub enum LabError {
     #[snafu(transparent)]
     ScenarioFile { source: ScenarioFileError },
-    #[snafu(display("there is no policy {name:?}; there are {} and adapter:PROGRAM", known.join(", ")))]
+    #[snafu(display("unknown policy {name:?}; known policies: {} and adapter:PROGRAM", known.join(", ")))]
     UnknownPolicy { name: String, known: &'static [&'static str] },
     #[snafu(display("no trouble {name:?}: {}", known.join(", ")))]
     UnknownFault { name: String, known: Vec<String> },
@@ -50,7 +50,7 @@
     TomlValue { source: toml::ser::Error },
     #[snafu(transparent)]
     Format { source: std::fmt::Error },
-    /// An error of the drawing library, whose type depends on its back end.
+    /// An error of the plotting library, as text because its type depends on the back end.
     #[snafu(display("{message}"))]
     Plot { message: String },
 }
@@ -61,5 +61,5 @@
     }
 }
 
-/// The result of a step of the laboratory.
+/// The result of an operation of the lab.
 pub type LabResult<T = ()> = Result<T, LabError>;
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -1,10 +1,11 @@
-//! The search over seeds and combinations of faults for a violated rule or a great loss, and the shrinking of what is
-//! found to the fewest faults and the smallest size that still show it.
+//! The search over seeds and combinations of faults for a rule violation or a large loss of benefit, and the shrinking
+//! of the scenario found to fewer faults and a smaller size that still show it.
 //!
-//! What is reported has been played in exactly the form in which it is reported.
+//! Each reported scenario has been run in exactly the form in which it is reported.
 
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
+use std::fmt;
 
 use juniperwing_model::scenario::{Fault, FaultKind, Range};
 use juniperwing_model::{Metrics, Rule, Scenario};
@@ -15,61 +16,61 @@
 use crate::error::LabResult;
 use crate::runner::Run;
 
-/// A kind of fault that is drawn, with the range of its sizes.
-struct HuntedFault {
+/// A kind of fault that the search draws, with the range of its sizes.
+struct FaultTemplate {
     kind: FaultKind,
     min_size: f64,
     max_size: f64,
 }
 
-const fn hunted(kind: FaultKind, min_size: f64, max_size: f64) -> HuntedFault {
-    HuntedFault { kind, min_size, max_size }
+const fn template(kind: FaultKind, min_size: f64, max_size: f64) -> FaultTemplate {
+    FaultTemplate { kind, min_size, max_size }
 }
 
-/// All kinds of faults that are drawn.
-const HUNTED_FAULTS: [HuntedFault; 22] = [
-    hunted(FaultKind::Slow, 3.0, 20.0),
-    hunted(FaultKind::Silent, 1.0, 1.0),
-    hunted(FaultKind::Errors, 1.0, 1.0),
-    hunted(FaultKind::Rejections, 1.0, 1.0),
-    hunted(FaultKind::Down, 1.0, 1.0),
-    hunted(FaultKind::Pauses, 0.2, 2.0),
-    hunted(FaultKind::TopicFails, 1.0, 1.0),
-    hunted(FaultKind::Limit, 0.2, 0.7),
-    hunted(FaultKind::Handshakes, 3.0, 20.0),
-    hunted(FaultKind::Burst, 1.2, 2.0),
-    hunted(FaultKind::HotDestinations, 2.0, 5.0),
-    hunted(FaultKind::TrafficRelease, 1.0, 1.0),
-    hunted(FaultKind::HotRelays, 0.1, 0.3),
-    hunted(FaultKind::ListDown, 1.0, 1.0),
-    hunted(FaultKind::ListStale, 3.0, 10.0),
-    hunted(FaultKind::Deploy, 2.0, 6.0),
-    hunted(FaultKind::RequestLoss, 1.0, 1.0),
-    hunted(FaultKind::ResponseLoss, 1.0, 1.0),
-    hunted(FaultKind::Resets, 0.05, 0.5),
-    hunted(FaultKind::ShortenedTtl, 0.2, 0.6),
-    hunted(FaultKind::RelayKill, 1.0, 5.0),
-    hunted(FaultKind::RelayLoss, 1.0, 5.0),
+/// All kinds of faults that the search draws.
+const FAULT_TEMPLATES: [FaultTemplate; 22] = [
+    template(FaultKind::Slow, 3.0, 20.0),
+    template(FaultKind::Silent, 1.0, 1.0),
+    template(FaultKind::Errors, 1.0, 1.0),
+    template(FaultKind::Rejections, 1.0, 1.0),
+    template(FaultKind::Down, 1.0, 1.0),
+    template(FaultKind::Pauses, 0.2, 2.0),
+    template(FaultKind::TopicFails, 1.0, 1.0),
+    template(FaultKind::Limit, 0.2, 0.7),
+    template(FaultKind::Handshakes, 3.0, 20.0),
+    template(FaultKind::Burst, 1.2, 2.0),
+    template(FaultKind::HotDestinations, 2.0, 5.0),
+    template(FaultKind::TrafficRelease, 1.0, 1.0),
+    template(FaultKind::HotRelays, 0.1, 0.3),
+    template(FaultKind::ListDown, 1.0, 1.0),
+    template(FaultKind::ListStale, 3.0, 10.0),
+    template(FaultKind::Deploy, 2.0, 6.0),
+    template(FaultKind::RequestLoss, 1.0, 1.0),
+    template(FaultKind::ResponseLoss, 1.0, 1.0),
+    template(FaultKind::Resets, 0.05, 0.5),
+    template(FaultKind::ShortenedTtl, 0.2, 0.6),
+    template(FaultKind::RelayKill, 1.0, 5.0),
+    template(FaultKind::RelayLoss, 1.0, 5.0),
 ];
-/// Faults of one scenario, at most.
+/// The maximum of faults in a scenario.
 const MAX_FAULTS: usize = 3;
-/// A smaller scenario shows the same loss if it shows this fraction of it.
+/// A smaller scenario shows the same finding if its loss is at least this fraction of the original loss.
 const SAME_LOSS_FRACTION: f64 = 0.7;
-/// The time of a scenario is not shrunk below this.
+/// The duration of a scenario is not shrunk below this.
 pub const MIN_SCENARIO_SPAN_S: f64 = 4.0;
 /// The duration of a fault is not shrunk below half of this.
 const MIN_SHRINKABLE_FAULT_S: f64 = 2.0;
 
-/// All kinds of faults that are drawn.
-pub fn hunted_faults() -> impl Iterator<Item = FaultKind> {
-    HUNTED_FAULTS.iter().map(|fault| fault.kind)
+/// All kinds of faults that the search draws.
+pub fn searched_fault_kinds() -> impl Iterator<Item = FaultKind> {
+    FAULT_TEMPLATES.iter().map(|fault| fault.kind)
 }
 
-/// A fault of that kind for a scenario, with figures drawn from `rng`.
+/// Draws the parameters of a fault of that kind for a scenario.
 pub fn draw_fault(scenario: &Scenario, kind: FaultKind, rng: &mut ChaCha8Rng) -> Fault {
     let span_s = scenario.duration_s.min;
-    let hunted = HUNTED_FAULTS.iter().find(|hunted| hunted.kind == kind);
-    let (min_size, max_size) = hunted.map_or((1.0, 1.0), |hunted| (hunted.min_size, hunted.max_size));
+    let template = FAULT_TEMPLATES.iter().find(|template| template.kind == kind);
+    let (min_size, max_size) = template.map_or((1.0, 1.0), |template| (template.min_size, template.max_size));
     let mut between = |min: f64, max: f64| Range::from(Range { min, max }.draw(rng));
     let start_s = between(0.15 * span_s, 0.5 * span_s);
     let duration_s = between(0.1 * span_s, 0.35 * span_s);
@@ -92,8 +93,8 @@
     }
 }
 
-/// The runs of a hunt: the scenario with one to three faults of `kinds`, each with a seed of its own.
-pub fn hunted_runs(scenario: &Scenario, kinds: &[FaultKind], seed: u64, budget: usize) -> Vec<Run> {
+/// Draws the runs of a search: the scenario with one to three faults of `kinds`, each run with its own seed.
+pub fn draw_runs(scenario: &Scenario, kinds: &[FaultKind], seed: u64, budget: usize) -> Vec<Run> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut draw_run = |n: usize| {
         let count = rng.random_range(1..=MAX_FAULTS);
@@ -105,22 +106,41 @@
     (0..budget).map(&mut draw_run).collect()
 }
 
-/// What a run shows. The names of the variants are printed.
+/// The result of a run in a search.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Finding {
     /// Violations of these rules.
-    Broken(BTreeSet<Rule>),
-    /// A served fraction lower by so much than with the policy compared with.
-    Loses(f64),
+    Violations(BTreeSet<Rule>),
+    /// The difference by which the served fraction is below that of the reference policy.
+    Loss(f64),
+}
+
+/// The terms of reports, which differ from the names of the variants.
+impl fmt::Display for Finding {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Finding::Violations(rules) => {
+                let rules: Vec<String> = rules.iter().map(|rule| capitalize(&rule.to_string())).collect();
+                write!(f, "Broken({{{}}})", rules.join(", "))
+            }
+            Finding::Loss(loss) => write!(f, "Loses({loss:?})"),
+        }
+    }
+}
+
+fn capitalize(word: &str) -> String {
+    let mut letters = word.chars();
+    letters.next().map(|first| first.to_ascii_uppercase()).into_iter().chain(letters).collect()
 }
 
 impl Finding {
-    /// What a run shows, by its metrics and those of the policy compared with; without one, of serving everything.
+    /// The finding of a run, by its metrics and those of the reference policy. Without a reference the loss is that
+    /// against a served fraction of 1.
     pub fn of(metrics: &Metrics, reference: Option<&Metrics>) -> Finding {
         if metrics.violation_count > 0 {
-            return Finding::Broken(metrics.violations.iter().map(|violation| violation.rule).collect());
+            return Finding::Violations(metrics.violations.iter().map(|violation| violation.rule).collect());
         }
-        Finding::Loses(reference.map_or(1.0 - metrics.served, |other| other.served - metrics.served))
+        Finding::Loss(reference.map_or(1.0 - metrics.served, |other| other.served - metrics.served))
     }
 
     /// Orders findings by severity: any violation above any loss.
@@ -133,23 +153,23 @@
     /// The number of violated rules, and the loss.
     fn severity(&self) -> (usize, f64) {
         match self {
-            Finding::Broken(rules) => (1 + rules.len(), 0.0),
-            Finding::Loses(loss) => (0, *loss),
+            Finding::Violations(rules) => (1 + rules.len(), 0.0),
+            Finding::Loss(loss) => (0, *loss),
         }
     }
 
-    /// Whether the finding of a smaller scenario is the same.
+    /// Whether the finding of a smaller scenario counts as the same.
     pub fn is_shown_by(&self, other: &Finding) -> bool {
         match (self, other) {
-            (Finding::Broken(rules), Finding::Broken(others)) => !rules.is_disjoint(others),
-            (Finding::Loses(loss), Finding::Loses(other)) => *other >= loss * SAME_LOSS_FRACTION,
-            (Finding::Loses(_), Finding::Broken(_)) => true,
-            (Finding::Broken(_), Finding::Loses(_)) => false,
+            (Finding::Violations(rules), Finding::Violations(others)) => !rules.is_disjoint(others),
+            (Finding::Loss(loss), Finding::Loss(other)) => *other >= loss * SAME_LOSS_FRACTION,
+            (Finding::Loss(_), Finding::Violations(_)) => true,
+            (Finding::Violations(_), Finding::Loss(_)) => false,
         }
     }
 }
 
-/// Smaller scenarios, the boldest step first: a fault less, half the size, half the time.
+/// Smaller scenarios, the largest reduction first: one fault fewer, half the size, half the duration.
 fn smaller_scenarios(scenario: &Scenario) -> Vec<Scenario> {
     let mut smaller = Vec::new();
     let mut add = |change: &dyn Fn(&mut Scenario)| {
@@ -187,7 +207,8 @@
     smaller
 }
 
-/// Shrinks a scenario as long as `evaluate` finds the same in a smaller one. It ends: each step takes something away.
+/// Shrinks a scenario as long as `evaluate` has the same finding for a smaller one. It terminates, because each step
+/// removes a fault or reduces the size or a duration.
 ///
 /// # Errors
 ///
--- a/crates/lab/src/runner.rs
+++ b/crates/lab/src/runner.rs
@@ -9,7 +9,7 @@
 use juniperwing::interface::{Command, Event};
 use juniperwing::time::Time;
 use juniperwing_model::fleet::Fleet;
-use juniperwing_model::policy::Truth;
+use juniperwing_model::policy::GroundTruth;
 use juniperwing_model::scenario::FaultKind;
 use juniperwing_model::{Core, Metrics, Policies, Policy, Scenario, simulate};
 use rayon::prelude::*;
@@ -73,7 +73,7 @@
 /// # Errors
 ///
 /// As [`play`].
-pub fn play_timed(run: &Run) -> LabResult<TimedRun> {
+pub fn simulate_timed(run: &Run) -> LabResult<TimedRun> {
     let (start, decisions) = (Instant::now(), Rc::new(Cell::new(Duration::ZERO)));
     let metrics = with_policies(run, |policies| {
         let timed = TimedPolicies { policies, decisions: decisions.clone() };
@@ -132,7 +132,7 @@
 }
 
 impl Policy for TimedPolicy {
-    fn handle(&mut self, now: Time, events: Vec<Event>, truth: &dyn Truth) -> Vec<Command> {
+    fn handle(&mut self, now: Time, events: Vec<Event>, truth: &dyn GroundTruth) -> Vec<Command> {
         let start = Instant::now();
         let commands = self.policy.handle(now, events, truth);
         self.decisions.set(self.decisions.get() + start.elapsed());
--- a/crates/lab/tests/cli.rs
+++ b/crates/lab/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The lab as a program: what it rejects, what it writes, and that results depend on scenario and seed alone.
+//! The lab as a program: rejected input, written files, and the reproducibility of results.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -34,7 +34,7 @@
 
 impl Drop for TestDirectory {
     fn drop(&mut self) {
-        // A directory that is left behind does no harm.
+        // A failure only leaves a temporary directory behind.
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
@@ -48,10 +48,10 @@
 }
 
 fn small_scenario() -> String {
-    std::fs::read_to_string(SMALL).expect("the scenario kept here")
+    std::fs::read_to_string(SMALL).expect("the bundled scenario")
 }
 
-/// The kept scenario made shorter, for fast tests.
+/// The bundled scenario with a shorter duration, for fast tests.
 fn short_scenario() -> String {
     small_scenario().replace("span_s = 45", "span_s = 16").replace("start_s = 12", "start_s = 4")
 }
@@ -81,7 +81,7 @@
     );
     let rows = std::fs::read_to_string(of.join("seconds.csv")).expect("a table");
     assert!(rows.lines().count() > 16, "{rows}");
-    // The resolved scenario is a scenario, and with its seed it runs the same.
+    // The resolved scenario is a valid scenario; a run of it with the same seed has the same results.
     let again = directory.path("again");
     let resolved = of.join("scenario.toml").display().to_string();
     assert!(lab(&["run", &resolved, "--seed", "4", "--out", &again, "--quiet"]).status.success());
@@ -185,19 +185,19 @@
     }
     expect![[r#"
         0.toml:11: unknown field `zipfian`, expected one of `count`, `zipf`, `slots_room`, `least_slots`, `hold_s`, `least_held`, `tick_ms`, `pushes`, `notice_ms`
-        1.toml:12: relays.slots_room: the range is upside down: 2 is above 1.6
-        2.toml:102: trouble.0.zone: there is no zone "b"
+        1.toml:12: relays.slots_room: the range is reversed: the minimum 2 is above the maximum 1.6
+        2.toml:102: trouble.0.zone: unknown zone "b"
         3.toml:102: trouble.0.extent: must be from 0 to 1
-        4.toml:102: trouble.0.kind: there is no kind "triple"
+        4.toml:102: trouble.0.kind: unknown kind "triple"
         5.toml:99: unknown variant `loud`, expected one of `slow`, `silent`, `errors`, `refuses`, `down`, `pauses`, `topic-fails`, `limit`, `handshakes`, `burst`, `hot`, `account-burst`, `release`, `hot-relays`, `list-down`, `list-stale`, `deploy`, `cut-there`, `cut-back`, `resets`, `hurry`, `kill`, `lose`
         6.toml:99: trouble.0.what: topic-fails needs the topic type that fails: topic = ".."
-        7.toml:56: topic.1.kinds.1: there is no kind "odd"
+        7.toml:56: topic.1.kinds.1: unknown kind "odd"
         8.toml:35: topic.0.window_ms: a collapsible topic type needs a window above 0
         9.toml:39: topic.0.ttl_ms: the TTL is shorter than the latency objective
-        10.toml:59: kind.0.name: "bulk" is named twice
-        10.toml:73: kind.1.name: "bulk" is named twice
+        10.toml:59: kind.0.name: duplicate name "bulk"
+        10.toml:73: kind.1.name: duplicate name "bulk"
         11.toml:10: relays.count: must be from 1 to 20000
-        12.toml:27: destinations.count: there must be a destination of each kind at least
+        12.toml:27: destinations.count: must not be less than the number of kinds
         13.toml:18: expected a number, or a range of two numbers such as [2, 5]
         14.toml:18: traffic.rate: must be from 0 to 1000000
         15.toml:1: missing field `span_s`
@@ -224,14 +224,14 @@
     }
     let output = lab(&["run", SMALL, "--policy", "magic", "--quiet"]);
     assert!(
-        output_text(&output).contains("there is no policy \"magic\"; there are core, one-try"),
+        output_text(&output).contains("unknown policy \"magic\"; known policies: core, one-try"),
         "{}",
         output_text(&output)
     );
 }
 
-/// The backoff baseline overloads recovering destinations: the hunt finds a run that shows it, shrinks it, and the file
-/// that it writes shows it again.
+/// The backoff baseline overloads recovering destinations. The hunt must find a run with that violation and shrink it, and
+/// a replay of the file that it writes must show the violation again.
 #[test]
 fn hunt_finds_a_violation_and_its_file_reproduces_it() {
     let directory = TestDirectory::new();
@@ -259,7 +259,7 @@
     let again = lab(&["replay", &found, "--policy", "backoff", "--out", &out]);
     assert_eq!(again.status.code(), Some(1), "{}", output_text(&again));
     assert!(output_text(&again).contains("BROKEN (return"), "{}", output_text(&again));
-    // The same hunt finds the same.
+    // The same hunt has the same result.
     assert_eq!(text, output_text(&lab(&hunt)));
     assert_eq!(lab(&["replay", &file]).status.code(), Some(2));
     assert_eq!(lab(&["hunt", &file, "--only", "bad-luck"]).status.code(), Some(2));
@@ -270,11 +270,9 @@
 fn failed_adapter_fails_the_run_with_a_reason() {
     let directory = TestDirectory::new();
     let file = directory.write("short.toml", &short_scenario());
-    for (program, part) in [
-        ("/bin/cat", "its reply is none"),
-        ("/bin/true", "/bin/true: "),
-        ("/no/adapter", "cannot be started"),
-    ] {
+    for (program, part) in
+        [("/bin/cat", "invalid reply"), ("/bin/true", "/bin/true: "), ("/no/adapter", "cannot be started")]
+    {
         let output = lab(&[
             "run",
             &file,
--- a/crates/model/src/endpoint.rs
+++ b/crates/model/src/endpoint.rs
@@ -10,7 +10,7 @@
 use crate::faults::FaultSet;
 use crate::fleet::EndpointPlan;
 use crate::limit::Limit;
-use crate::random::{Concern, RngStreams, lognormal};
+use crate::random::{RngStreams, StreamPurpose, lognormal};
 
 /// Identifies a call within a run.
 pub(crate) type CallId = u64;
@@ -28,7 +28,7 @@
     pub(crate) queue: VecDeque<CallId>,
     /// Open connections of all relays.
     pub(crate) connections: usize,
-    /// It has been replaced and answers nothing any more.
+    /// Whether it has terminated; it answers no more calls.
     pub(crate) is_terminated: bool,
     service_rng: ChaCha8Rng,
     noise_rng: ChaCha8Rng,
@@ -45,7 +45,7 @@
 }
 
 impl Endpoint {
-    /// The endpoint with that index.
+    /// Creates the endpoint with index `index`, idle and without connections.
     pub(crate) fn new(plan: EndpointPlan, faults: FaultSet, index: usize, rng: &RngStreams) -> Endpoint {
         Endpoint {
             plan,
@@ -54,8 +54,8 @@
             queue: VecDeque::new(),
             connections: 0,
             is_terminated: false,
-            service_rng: rng.stream(Concern::Service, index),
-            noise_rng: rng.stream(Concern::Reports, index),
+            service_rng: rng.stream(StreamPurpose::Service, index),
+            noise_rng: rng.stream(StreamPurpose::Reports, index),
             reports: VecDeque::new(),
         }
     }
@@ -92,16 +92,17 @@
         self.service_rng.random()
     }
 
-    /// Makes a load report on a limit, which stands at `factor` of its usual rate, if one is due.
+    /// Makes a load report on a limit, which is at `factor` of its configured rate, if one is due.
     pub(crate) fn make_report(&mut self, now: Time, noise: f64, limit: &mut Limit, factor: f64) {
         let last = self.reports.back();
         let is_due = last.is_none_or(|(at, _)| now.since(*at) >= self.plan.report_interval);
         let Some(rate) = limit.calls_per_s(factor).filter(|_| is_due) else { return };
         let remaining = limit.remaining_fraction(now, factor);
-        let mut blur = |value: f64| value * (1.0 + noise * (2.0 * self.noise_rng.random::<f64>() - 1.0));
+        let mut with_noise =
+            |value: f64| value * (1.0 + noise * (2.0 * self.noise_rng.random::<f64>() - 1.0));
         let report = RateLimitReport {
-            remaining_fraction: blur(remaining).clamp(0.0, 1.0),
-            rate_per_second: blur(rate),
+            remaining_fraction: with_noise(remaining).clamp(0.0, 1.0),
+            rate_per_second: with_noise(rate),
         };
         self.reports.push_back((now, report));
         if self.reports.len() > MAX_REPORTS {
@@ -109,7 +110,7 @@
         }
     }
 
-    /// The latest report that is as old as the report delay.
+    /// The latest report that is at least as old as the report delay.
     pub(crate) fn latest_report(&self, now: Time) -> Option<RateLimitReport> {
         let is_published = |at: &Time| now.since(*at) >= self.plan.report_delay;
         self.reports.iter().rev().find(|(at, _)| is_published(at)).map(|(_, report)| *report)
--- a/crates/model/src/event_queue.rs
+++ b/crates/model/src/event_queue.rs
@@ -1,13 +1,13 @@
-//! The queue of events to come, ordered by time and, at one instant, by the order in which they were scheduled.
+//! The queue of pending events, ordered by time; events of the same time are in the order of scheduling.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
 use juniperwing::time::Time;
 
-/// An event with its key, which alone orders it.
+/// An event with its key; items are compared by the key alone.
 struct Item<E> {
-    /// Its time, and a number that rises with each event scheduled.
+    /// Its time, and a sequence number that breaks ties.
     key: (Time, u64),
     event: E,
 }
@@ -32,7 +32,7 @@
     }
 }
 
-/// Events to come, and the time of the latest one that was taken.
+/// The pending events, and the time of the latest one that was popped.
 pub struct EventQueue<E> {
     heap: BinaryHeap<Reverse<Item<E>>>,
     scheduled: u64,
@@ -46,12 +46,13 @@
 }
 
 impl<E> EventQueue<E> {
-    /// The time of the latest event that was taken.
+    /// The time of the latest event that was popped.
     pub fn now(&self) -> Time {
         self.now
     }
 
-    /// Schedules an event. One in the past comes now: time never goes back. One at [`Time::NEVER`] is dropped.
+    /// Schedules an event. A time in the past is replaced by the present time, so that time never goes back. An event
+    /// at [`Time::NEVER`] is dropped.
     pub fn schedule(&mut self, at: Time, event: E) {
         if at < Time::NEVER {
             self.scheduled += 1;
@@ -59,19 +60,19 @@
         }
     }
 
-    /// Takes the next event and moves the clock to its time.
+    /// Removes the next event and advances the clock to its time.
     pub fn pop(&mut self) -> Option<(Time, E)> {
         let Reverse(item) = self.heap.pop()?;
         self.now = item.key.0;
         Some((self.now, item.event))
     }
 
-    /// The number of events to come.
+    /// The number of pending events.
     pub fn len(&self) -> usize {
         self.heap.len()
     }
 
-    /// Whether there are no events to come.
+    /// Whether no event is pending.
     pub fn is_empty(&self) -> bool {
         self.heap.is_empty()
     }
--- a/crates/model/src/faults.rs
+++ b/crates/model/src/faults.rs
@@ -1,22 +1,21 @@
 //! The effect of the faults that act on an endpoint, a destination or the traffic at a moment.
 //!
-//! A fault is data: which faults apply to a thing, with their sizes and times, is looked up here, and the effect is
-//! computed from all that are active. Faults may therefore overlap and end in any order, and nothing that a fault
-//! changed needs to be restored.
+//! A fault changes no state: its effect is computed on each query from all faults that are active at that time.
+//! Faults may therefore overlap and end in any order, and nothing has to be restored at the end of one.
 
 use juniperwing::time::{Span, Time};
 
 use crate::scenario::{Fault, FaultKind, Scenario};
 
-/// A pausing fault stands still for its size in seconds, once in so many times that.
+/// The period of a pausing fault, as a multiple of the pause, whose length in seconds is the size of the fault.
 const PAUSE_PERIOD_SIZES: u64 = 4;
-/// The least factor, so that what is divided by it stays finite.
+/// The lowest factor; it keeps quotients by a factor finite.
 const MIN_FACTOR: f64 = 1e-6;
 
 /// A fault of a resolved scenario, with its start and end as points in time.
 #[derive(Clone, Debug)]
 pub struct FaultWindow {
-    /// What goes wrong.
+    /// The kind of fault.
     pub kind: FaultKind,
     /// When it begins.
     pub from: Time,
@@ -24,9 +23,9 @@
     pub to: Time,
     /// How long its factor takes to rise from 1 to its size.
     pub ramp: Span,
-    /// How much; see [`FaultKind`] for its meaning and unit.
+    /// The magnitude; see [`FaultKind`] for its meaning and unit.
     pub size: f64,
-    /// The fraction affected, of all that it could affect.
+    /// The affected fraction of what is in the fault's scope.
     pub extent: f64,
     /// Index of the topic type concerned.
     pub topic: Option<usize>,
@@ -78,7 +77,7 @@
     }
 }
 
-/// The faults that apply to a thing, as indices into the fault windows of the run.
+/// The faults that apply to an endpoint or a destination, as indices into the fault windows of the run.
 #[derive(Clone, Debug, Default)]
 pub struct FaultSet(Vec<usize>);
 
@@ -88,12 +87,12 @@
         self.0.push(fault);
     }
 
-    /// Whether no fault ever applies.
+    /// Whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Whether a fault ever applies.
+    /// Whether the set contains a fault.
     pub fn contains(&self, fault: usize) -> bool {
         self.0.contains(&fault)
     }
@@ -112,7 +111,8 @@
 
     /// The product of the factors of all active faults of that kind.
     pub fn factor(&self, windows: &[FaultWindow], kind: FaultKind, now: Time) -> f64 {
-        // In order of size: the product must not depend on the order of the scenario, not even in its last bit.
+        // Sorted, because a floating-point product depends on the order of its factors in the last bit, and the result
+        // must not depend on the order of faults in the scenario.
         let mut factors: Vec<f64> =
             self.active(windows, kind, now).map(|window| window.factor(now)).collect();
         factors.sort_by(f64::total_cmp);
@@ -134,7 +134,7 @@
         self.active(windows, kind, now).map(|window| (1.0 - window.size).clamp(0.0, 1.0)).product()
     }
 
-    /// Whether no call at all succeeds.
+    /// Whether every call fails.
     pub fn is_outage(&self, windows: &[FaultWindow], now: Time) -> bool {
         [FaultKind::Silent, FaultKind::Errors, FaultKind::Rejections, FaultKind::Down]
             .into_iter()
--- a/crates/model/src/fleet.rs
+++ b/crates/model/src/fleet.rs
@@ -18,19 +18,19 @@
 
 use crate::limit::Limit;
 use crate::random::RngStreams;
-use crate::scenario::{LatencyDistribution, Scenario};
+use crate::scenario::{Scenario, ServiceTimeDistribution};
 
-/// A topic type, for the core and for the model.
+/// A topic type, with the parameters of its service times.
 #[derive(Clone, Debug)]
 pub struct TopicPlan {
-    /// The type as the core has it.
+    /// The type as the core represents it.
     pub topic: Arc<TopicType>,
     /// Mean service time at a speed of 1, in seconds.
     pub mean_work_s: f64,
     /// Coefficient of variation of the work from one notification to another.
     pub work_cv: f64,
     /// The distribution of the work.
-    pub work_distribution: LatencyDistribution,
+    pub work_distribution: ServiceTimeDistribution,
     /// Coefficient of variation of the service time from one attempt for a notification to the next.
     pub attempt_cv: f64,
 }
@@ -48,7 +48,7 @@
     pub cumulative_rates: Vec<f64>,
     /// Indices of its endpoints at the start.
     pub endpoints: Vec<usize>,
-    /// Service times are divided by it.
+    /// The speed; service times are divided by it.
     pub speed: f64,
     /// Mean service time of its notifications at its speed, in seconds.
     pub mean_work_s: f64,
@@ -82,9 +82,9 @@
     pub error_rate: f64,
     /// The time between two load reports.
     pub report_interval: Span,
-    /// The age that a load report must have before it is sent.
+    /// The minimum age at which a load report is sent.
     pub report_delay: Span,
-    /// Its position between the nearest and the farthest, from 0 to 1.
+    /// Its position in the range of network delays, from 0 (nearest) to 1 (farthest).
     pub distance: f64,
 }
 
@@ -93,12 +93,12 @@
 pub struct WarmUp {
     /// The fraction of the capacity right after the outage.
     pub initial_fraction: f64,
-    /// How long until the whole capacity is back; it rises evenly.
+    /// How long until the full capacity is available; it rises linearly.
     pub duration: Span,
 }
 
-/// What a rate limit, a wait and an outage apply to: a destination or, where its endpoints are separate routes, one
-/// endpoint.
+/// The unit that a rate limit, a retry-after and an outage apply to: a destination or, where its endpoints are
+/// separate routes, one endpoint.
 #[derive(Clone, Debug)]
 pub struct RoutePlan {
     /// The rate limit without faults.
@@ -107,7 +107,7 @@
     pub capacity: f64,
     /// The recovery after an outage.
     pub warm_up: WarmUp,
-    /// The rate that the endpoint list states for it.
+    /// The rate that the endpoint list publishes for it.
     pub listed_rate: f64,
 }
 
@@ -120,24 +120,24 @@
     pub zone: usize,
     /// Its limits.
     pub limits: RelayLimits,
-    /// Its position between the nearest and the farthest, from 0 to 1.
+    /// Its position in the range of network delays, from 0 (nearest) to 1 (farthest).
     pub distance: f64,
-    /// The seed that it is started with.
+    /// The seed of its policy.
     pub seed: u64,
 }
 
-/// All that a run consists of. Indices into its lists name destinations, endpoints, routes and relays.
+/// The components of a run. Destinations, endpoints, routes and relays are identified by their indices in these lists.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     /// Topic types.
     pub topics: Vec<TopicPlan>,
-    /// Kinds of destination, as the core has them.
+    /// Kinds of destination, as the core represents them.
     pub kinds: Vec<Arc<interface::DestinationKind>>,
     /// Names of zones.
     pub zones: Vec<Arc<str>>,
-    /// Accounts, as the core has them.
+    /// Accounts, as the core represents them.
     pub accounts: Vec<Arc<interface::Account>>,
-    /// Destinations, the busiest first.
+    /// Destinations, by descending traffic.
     pub destinations: Vec<DestinationPlan>,
     /// Endpoints at the start.
     pub endpoints: Vec<EndpointPlan>,
@@ -163,7 +163,7 @@
     DestinationId(index as u64)
 }
 
-/// A span of milliseconds, with their fraction.
+/// Converts milliseconds, including their fraction, to a span.
 pub(crate) fn span_ms(ms: f64) -> Span {
     Span::from_secs_f64(ms / 1_000.0)
 }
@@ -189,7 +189,7 @@
         fleet
     }
 
-    /// The configuration of the relay with that index. Crossing zones has no price in the model.
+    /// The configuration of the relay with that index. The model has no cost for traffic between zones.
     pub fn relay_config(&self, relay: usize) -> RelayConfig {
         let fleet = interface::Fleet {
             relay_count: self.relays.len(),
--- a/crates/model/src/fleet/allocation.rs
+++ b/crates/model/src/fleet/allocation.rs
@@ -8,13 +8,14 @@
     let weights: Vec<f64> = weights.collect();
     let total: f64 = weights.iter().sum();
     let mut allocated = vec![0.0; weights.len()];
-    let neediest = |allocated: &[f64], so_far: usize| {
+    let most_underallocated = |allocated: &[f64], so_far: usize| {
         let deficit = |index: &usize| weights[*index] / total * (so_far + 1) as f64 - allocated[*index];
         (0..weights.len()).max_by(|a, b| deficit(a).total_cmp(&deficit(b)).then(b.cmp(a)))
     };
     let mut indices = Vec::new();
     for so_far in 0..count {
-        let next = if so_far < weights.len() { Some(so_far) } else { neediest(&allocated, so_far) };
+        let next =
+            if so_far < weights.len() { Some(so_far) } else { most_underallocated(&allocated, so_far) };
         let Some(index) = next else { break };
         allocated[index] += 1.0;
         indices.push(index);
--- a/crates/model/src/fleet/convert.rs
+++ b/crates/model/src/fleet/convert.rs
@@ -1,4 +1,4 @@
-//! Topic types, kinds, accounts and rule parameters of a scenario in the types of the core.
+//! Conversion of topic types, kinds, accounts and rule parameters of a scenario to the types of the core.
 
 use std::sync::Arc;
 
@@ -66,7 +66,8 @@
     scenario.accounts.iter().map(account).collect()
 }
 
-/// The parameters of the rules in the configuration of relays: of a range, the end that asks more of a relay.
+/// The parameters of the rules in the configuration of relays. Where the scenario has a range, relays are given its
+/// stricter end.
 pub(super) fn rule_parameters(scenario: &Scenario) -> RuleParameters {
     let rules = &scenario.rules;
     RuleParameters {
--- a/crates/model/src/fleet/draw.rs
+++ b/crates/model/src/fleet/draw.rs
@@ -1,7 +1,6 @@
-//! The draws that give destinations, endpoints and relays their sizes, speeds and positions.
+//! Random draws of the sizes, speeds and positions of destinations, endpoints and relays.
 //!
-//! The order of the draws within a stream is part of what a seed means: a reordered draw changes the results of every
-//! seed.
+//! Reordering the draws within a stream changes the results of every seed.
 
 use juniperwing::interface::RelayLimits;
 use juniperwing::time::Span;
@@ -14,10 +13,10 @@
     DestinationPlan, EndpointPlan, Fleet, RelayPlan, RoutePlan, TopicPlan, WarmUp, endpoint_id, span_ms,
 };
 use crate::limit::Limit;
-use crate::random::{Concern, RngStreams, cumulative_sums};
-use crate::scenario::{Kind, LimitForm, Scenario};
+use crate::random::{RngStreams, StreamPurpose, cumulative_sums};
+use crate::scenario::{Kind, LimitKind, Scenario};
 
-/// What the endpoints of a destination have in common.
+/// The properties that all endpoints of a destination share.
 struct DestinationShape<'a> {
     destination: usize,
     plan: &'a Kind,
@@ -26,7 +25,7 @@
 }
 
 impl DestinationShape<'_> {
-    /// Routes of the destination: one, or one for each endpoint.
+    /// The number of routes of the destination: one, or one for each endpoint.
     fn routes(&self) -> usize {
         if self.plan.has_separate_routes { self.endpoints } else { 1 }
     }
@@ -36,13 +35,13 @@
     pub(super) fn draw_destinations(&mut self, scenario: &Scenario, rng: &RngStreams) {
         let count = scenario.destinations.count.min as usize;
         let mut kinds = allocate_by_weight(count, scenario.kinds.iter().map(|kind| kind.weight));
-        kinds.shuffle(&mut rng.stream(Concern::Destinations, 0));
+        kinds.shuffle(&mut rng.stream(StreamPurpose::Destinations, 0));
         let accounts = allocate_by_weight(count, scenario.accounts.iter().map(|account| account.weight));
         let weights = zipf_weights(count, scenario.destinations.zipf_exponent.min);
         let rates = rates_per_s(scenario, &kinds, &weights);
         for (index, (kind, rates)) in kinds.into_iter().zip(rates).enumerate() {
-            // A stream for each, so that one destination more leaves the others as they are.
-            let mut draws = rng.stream(Concern::Destinations, index + 1);
+            // Each destination has its own stream, so that adding one does not change the others.
+            let mut draws = rng.stream(StreamPurpose::Destinations, index + 1);
             self.draw_destination(scenario, kind, accounts.get(index).copied(), rates, &mut draws);
         }
     }
@@ -109,13 +108,13 @@
         let (plan, network) = (&scenario.relays, &scenario.network);
         let weights = zipf_weights(plan.count.min as usize, plan.zipf_exponent.min);
         let total: f64 = weights.iter().sum();
-        // Slots in use at full load: each call takes its work and a round trip.
+        // Slots in use at full load: each call occupies one for its service time and a round trip.
         let round_trip_s = (network.same_zone_delay_ms.min + network.same_zone_delay_ms.max) / 1_000.0;
         let busy_slots: f64 =
             self.destinations.iter().map(|d| d.rate() * (d.mean_work_s + round_trip_s)).sum();
         let rate = scenario.traffic.rate.min;
         for (index, weight) in weights.into_iter().enumerate() {
-            let mut draws = rng.stream(Concern::Relays, index);
+            let mut draws = rng.stream(StreamPurpose::Relays, index);
             let traffic_share = weight / total;
             let slots = (plan.slot_headroom.draw(&mut draws) * busy_slots * traffic_share)
                 .max(plan.min_slots)
@@ -132,15 +131,15 @@
                 can_cancel: true,
                 idle_timeout: Span::from_secs_f64(network.idle_timeout_s),
             };
-            let seed = rng.stream(Concern::Policies, index).random();
+            let seed = rng.stream(StreamPurpose::Policies, index).random();
             let (zone, distance) = (index % self.zones.len(), draws.random());
             self.relays.push(RelayPlan { traffic_share, zone, limits, distance, seed });
         }
     }
 }
 
-/// Mean work of the notifications that come at these rates by topic type, at a speed of 1. Without traffic it is the
-/// mean over topic types.
+/// Mean service time at a speed of 1, weighted by the rates of topic types. Without traffic it is the unweighted mean
+/// over topic types.
 fn mean_work_s(topics: &[TopicPlan], rates: &[f64]) -> f64 {
     let rate: f64 = rates.iter().sum();
     if rate > 0.0 {
@@ -150,7 +149,7 @@
     }
 }
 
-/// The limit and the capacity that each route of a destination has.
+/// The rate limit, warm-up and capacity of each route of a destination.
 fn draw_route(
     scenario: &Scenario, shape: &DestinationShape<'_>, rate: f64, mean_work_s: f64, draws: &mut ChaCha8Rng,
 ) -> RoutePlan {
@@ -158,9 +157,9 @@
     let limited_rate = (plan.limit_headroom.draw(draws) * rate).max(plan.min_limit_rate.draw(draws));
     let (depth_s, window) = (plan.bucket_depth_s.draw(draws), span_ms(plan.limit_window_ms.draw(draws)));
     let limit = match plan.limit {
-        LimitForm::None => Limit::None,
-        LimitForm::Rate => Limit::rate(limited_rate / routes, depth_s),
-        LimitForm::Window => Limit::window(limited_rate / routes, window),
+        LimitKind::None => Limit::None,
+        LimitKind::Rate => Limit::rate(limited_rate / routes, depth_s),
+        LimitKind::Window => Limit::window(limited_rate / routes, window),
     };
     let warm_up = WarmUp {
         initial_fraction: scenario.rules.warm_up_initial_fraction.draw(draws),
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,26 +1,26 @@
-//! A discrete-event emulator of what a juniperwing relay serves, with a judge of the six rules.
+//! A discrete-event simulator of the environment of juniperwing relays, with a checker of the six rules.
 //!
-//! It hosts any number of relays, each with its own decisions behind [`policy::Policy`], and models the rest:
-//! destinations, clients, the list of endpoints, the network, and what goes wrong. A run is a function of its
-//! [`scenario::Scenario`] and its seed alone: no I/O, no threads, no wall clock. The figures are those of models,
-//! not measurements of real destinations.
+//! It hosts any number of relays, each with a policy behind [`policy::Policy`], and models their environment:
+//! destinations, clients, the endpoint list, the network and faults. A run is a function of its
+//! [`scenario::Scenario`] and its seed alone: it uses no I/O, no threads and no wall clock. Its metrics are those of
+//! a model, not measurements of real destinations.
 
 mod endpoint;
 pub mod event_queue;
 pub mod faults;
 pub mod fleet;
-pub mod judge;
 pub mod limit;
 pub mod metrics;
 pub mod policy;
 pub mod random;
 pub mod route;
+pub mod rule_checker;
 pub mod scenario;
 pub mod simulation;
 mod traffic;
 
-pub use judge::{Rule, Violation};
 pub use metrics::Metrics;
 pub use policy::{Core, Policies, Policy};
+pub use rule_checker::{Rule, Violation};
 pub use scenario::{Scenario, ScenarioError};
 pub use simulation::simulate;
--- a/crates/model/src/limit.rs
+++ b/crates/model/src/limit.rs
@@ -1,13 +1,13 @@
-//! The rate limit of a destination for all relays together: a token bucket, or a count in fixed windows.
+//! The rate limit of a destination, shared by all relays: a token bucket, or a count in fixed windows.
 //!
-//! Its methods take a `factor` of the usual rate, which faults and a warm-up lower.
+//! Methods take a `factor` of the configured rate, which faults and a warm-up reduce.
 
 use juniperwing::time::{Span, Time};
 
-/// A rate limit and what is left of it.
+/// A rate limit and its state.
 #[derive(Clone, Debug)]
 pub enum Limit {
-    /// No limit but capacity.
+    /// No limit.
     None,
     /// A token bucket.
     Rate {
@@ -15,12 +15,12 @@
         rate: f64,
         /// The depth of the bucket, in seconds of the rate.
         depth_s: f64,
-        /// Calls that are allowed at once now; below 0 where rejected calls count.
+        /// Calls that are allowed immediately; below 0 where rejected calls count.
         tokens: f64,
         /// The time at which `tokens` was computed.
         refilled_at: Time,
     },
-    /// A count in each of fixed windows, which start at the zero of the clock.
+    /// A count in fixed windows, the first of which starts at time zero.
     Window {
         /// Calls a second.
         rate: f64,
@@ -28,17 +28,17 @@
         window: Span,
         /// The index of the present window.
         index: u64,
-        /// The calls counted in it.
+        /// The calls counted in the present window.
         count: f64,
     },
 }
 
-/// The depth of a token bucket in calls, one at least.
+/// The depth of a token bucket in calls, at least one.
 fn bucket_depth(rate: f64, depth_s: f64, factor: f64) -> f64 {
     (rate * factor * depth_s).max(1.0)
 }
 
-/// The calls allowed in a window, one at least.
+/// The calls allowed in a window, at least one.
 fn window_limit(rate: f64, window: Span, factor: f64) -> f64 {
     (rate * factor * window.as_secs_f64()).max(1.0)
 }
@@ -105,7 +105,7 @@
         }
     }
 
-    /// The fraction of the limit that is left, from 0 to 1; 0 without a limit.
+    /// The remaining fraction of the limit, from 0 to 1; 0 without a limit.
     pub fn remaining_fraction(&mut self, now: Time, factor: f64) -> f64 {
         self.advance(now, factor);
         match self {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// The time until a call is within the limit again, unless others come first.
+    /// The time until a call is within the limit again if no other call is made before.
     pub fn time_until_available(&mut self, now: Time, factor: f64) -> Span {
         self.advance(now, factor);
         match self {
--- a/crates/model/src/metrics.rs
+++ b/crates/model/src/metrics.rs
@@ -1,8 +1,8 @@
 //! The metrics of a run: benefit by topic type, account and window, latencies, outcomes of pushes, connections, and the
-//! load of a few destinations beside their capacity.
+//! load and capacity of a few destinations.
 //!
-//! Metrics are written to `figures.json`; where the name of a field differs from its key there, the key stands beside
-//! it.
+//! Metrics are written to `figures.json`; where a key in that file differs from the name of the field, the field has
+//! a `serde` attribute with the key.
 
 mod recorder;
 
@@ -11,7 +11,7 @@
 
 pub use recorder::{MetricsRecorder, Submission, UndeliveredReason};
 
-use crate::judge::Violation;
+use crate::rule_checker::Violation;
 use crate::scenario::{Decay, Topic};
 
 /// The metrics of a topic type or an account.
@@ -26,17 +26,17 @@
     /// Notifications delivered within the latency objective.
     #[serde(rename = "in_objective")]
     pub within_objective: u64,
-    /// Notifications never delivered whose last answer was a throttling.
+    /// Notifications never delivered whose last answer was that they are throttled.
     pub throttled: u64,
     /// Notifications never delivered that expired.
     pub expired: u64,
     /// Notifications never delivered that were withdrawn, or lost with a relay.
     #[serde(rename = "gone")]
     pub abandoned: u64,
-    /// The benefit of delivering all in time.
+    /// The benefit of delivering all of them in time.
     #[serde(rename = "asked")]
     pub requested_benefit: f64,
-    /// The benefit of what was delivered.
+    /// The benefit of the deliveries.
     #[serde(rename = "benefit")]
     pub delivered_benefit: f64,
     /// Latencies of delivered notifications at the [`QUANTILES`], in milliseconds.
@@ -69,7 +69,7 @@
     pub cancelled: u64,
     /// Never sent.
     pub skipped: u64,
-    /// Executions that delivered nothing new.
+    /// Executions of a notification that was already delivered or had expired.
     pub wasted: u64,
 }
 
@@ -81,7 +81,7 @@
     /// The benefit of delivering these in time.
     #[serde(rename = "asked")]
     pub requested_benefit: f64,
-    /// The benefit of their delivery, whenever that was.
+    /// The benefit of their delivery, at whatever time they were delivered.
     #[serde(rename = "benefit")]
     pub delivered_benefit: f64,
     /// Pushes sent.
@@ -92,12 +92,12 @@
     /// Calls in flight at its end.
     #[serde(rename = "out")]
     pub in_flight_calls: usize,
-    /// Notifications that relays held at its end.
+    /// Notifications pending at relays at its end.
     #[serde(rename = "held")]
     pub pending_notifications: usize,
 }
 
-/// The load of a destination beside its capacity, second by second.
+/// The load and the capacity of a destination in each second.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct DestinationSeries {
     /// Index of the destination.
@@ -144,13 +144,13 @@
     }
 }
 
-/// What became of routes after outages; a list of two in JSON.
+/// The outcomes of recoveries of routes; a list of two in JSON.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 #[serde(into = "(usize, usize)")]
 pub struct RouteRecoveries {
     /// Routes that recovered from an outage.
     pub recovered: usize,
-    /// Routes that were overloaded then.
+    /// Routes that were overloaded during the warm-up.
     pub overloaded: usize,
 }
 
@@ -173,11 +173,11 @@
     pub size: FleetSize,
     /// Delivered over requested benefit.
     pub served: f64,
-    /// The same in the worst window of 10 s.
+    /// The lowest served fraction of any window of 10 s.
     pub worst_window: WorstWindow,
-    /// The same of the worst topic type.
+    /// The lowest served fraction of any topic type.
     pub worst_topic: f64,
-    /// The same of the worst account.
+    /// The lowest served fraction of any account.
     pub worst_account: f64,
     /// By topic type.
     pub topics: Vec<GroupMetrics>,
@@ -185,22 +185,22 @@
     pub accounts: Vec<GroupMetrics>,
     /// Pushes by outcome.
     pub pushes: PushMetrics,
-    /// Submissions throttled because a relay held as many notifications as it may.
+    /// Submissions rejected because the relay was at its maximum of pending notifications.
     #[serde(rename = "hold_full")]
     pub rejected_at_capacity: u64,
-    /// Submissions after a throttling.
+    /// Resubmissions of throttled notifications.
     #[serde(rename = "again")]
     pub resubmissions: u64,
     /// Connections that relays opened.
     pub connections: u64,
-    /// Probes that relays asked for.
+    /// Probes that relays requested.
     pub probes: u64,
     /// Requests for the endpoint list.
     pub list_requests: u64,
-    /// Routes that recovered from an outage, and routes that were overloaded then.
+    /// The outcomes of recoveries of routes.
     #[serde(rename = "returns")]
     pub recoveries: RouteRecoveries,
-    /// Commands that could not be executed, such as a push to an endpoint of another destination.
+    /// Invalid commands, such as a push to an endpoint of another destination.
     #[serde(rename = "faults")]
     pub invalid_commands: u64,
     /// Violations of rules.
@@ -214,17 +214,17 @@
     /// A few destinations: those with faults, then the busiest.
     #[serde(rename = "watched")]
     pub destination_series: Vec<DestinationSeries>,
-    /// Events that the model handled.
+    /// Events that the simulation processed.
     pub events: u64,
     /// Turns of relays.
     pub turns: u64,
-    /// Whether the run was stopped early, at more events than one of its size can have.
+    /// Whether the run was stopped early because it exceeded the maximum of events for its size.
     #[serde(rename = "cut")]
     pub is_truncated: bool,
 }
 
 /// The benefit of a delivery `latency` after the submission, as a fraction of the full benefit.
-pub fn value_fraction(topic: &Topic, latency: Span) -> f64 {
+pub fn benefit_fraction(topic: &Topic, latency: Span) -> f64 {
     let (latency_ms, objective_ms, ttl_ms) =
         (latency.as_secs_f64() * 1_000.0, topic.latency_target_ms, topic.ttl_ms);
     if latency_ms <= objective_ms {
@@ -238,7 +238,7 @@
             1.0 - (1.0 - topic.late_benefit_fraction) * (latency_ms - objective_ms)
                 / (ttl_ms - objective_ms).max(1e-9)
         }
-        Decay::Halves => {
+        Decay::Exponential => {
             0.5f64.powf((latency_ms - objective_ms) / objective_ms).max(topic.late_benefit_fraction)
         }
     }
--- a/crates/model/src/metrics/recorder.rs
+++ b/crates/model/src/metrics/recorder.rs
@@ -1,4 +1,4 @@
-//! Counting of metrics while a run goes on.
+//! The recording of metrics during a run.
 
 use hdrhistogram::Histogram;
 use juniperwing::interface::CallStatus;
@@ -6,14 +6,14 @@
 
 use super::{GroupMetrics, Metrics, QUANTILES, SecondMetrics, WorstWindow};
 
-/// Seconds of the windows of which the worst is reported.
+/// The length of the windows of which the worst is reported, in seconds.
 const WORST_WINDOW_S: usize = 10;
 /// The upper limit of recorded latencies: a day.
 const MAX_LATENCY_US: u64 = 86_400_000_000;
-/// Significant decimal digits of latencies.
+/// Significant decimal digits of recorded latencies.
 const LATENCY_DIGITS: u8 = 3;
 
-/// What metrics need to know of a notification.
+/// The properties of a notification that metrics depend on.
 #[derive(Clone, Copy, Debug)]
 pub struct Submission {
     /// When it was submitted for the first time.
@@ -29,19 +29,19 @@
 /// Why a notification was never delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UndeliveredReason {
-    /// The last answer was a throttling.
+    /// The last answer was that it is throttled.
     Throttled,
-    /// Its time was up.
+    /// It expired.
     Expired,
     /// It was withdrawn, or lost with its relay.
     Abandoned,
 }
 
-/// Counts the metrics of a run.
+/// Records the metrics of a run.
 pub struct MetricsRecorder {
     /// The metrics so far.
     pub metrics: Metrics,
-    /// Of topic types and then of accounts.
+    /// Those of topic types, followed by those of accounts.
     latencies: Vec<Histogram<u64>>,
 }
 
@@ -82,7 +82,7 @@
         metrics.topics.get_mut(topic).into_iter().chain(account)
     }
 
-    /// A notification is submitted for the first time.
+    /// Records the first submission of a notification.
     pub fn record_submission(&mut self, submission: &Submission) {
         for group in self.groups(submission.topic, submission.account) {
             group.offered += 1;
@@ -93,13 +93,13 @@
         second.requested_benefit += submission.benefit;
     }
 
-    /// A notification is delivered `latency` after its submission, which earns a fraction of its benefit.
-    pub fn record_delivery(&mut self, submission: &Submission, latency: Span, value_fraction: f64) {
+    /// Records the delivery of a notification `latency` after its submission, which earns a fraction of its benefit.
+    pub fn record_delivery(&mut self, submission: &Submission, latency: Span, benefit_fraction: f64) {
         let Submission { at, topic, account, benefit } = *submission;
         for group in self.groups(topic, account) {
             group.delivered += 1;
-            group.within_objective += u64::from(value_fraction >= 1.0);
-            group.delivered_benefit += benefit * value_fraction;
+            group.within_objective += u64::from(benefit_fraction >= 1.0);
+            group.delivered_benefit += benefit * benefit_fraction;
         }
         let topics = self.metrics.topics.len();
         let latency_us = (latency.as_nanos() / 1_000).clamp(1, MAX_LATENCY_US);
@@ -108,10 +108,10 @@
                 latencies.saturating_record(latency_us);
             }
         }
-        self.second_at(at).delivered_benefit += benefit * value_fraction;
+        self.second_at(at).delivered_benefit += benefit * benefit_fraction;
     }
 
-    /// A notification will never be delivered.
+    /// Records a notification that will never be delivered.
     pub fn record_undelivered(&mut self, topic: usize, account: Option<usize>, reason: UndeliveredReason) {
         for group in self.groups(topic, account) {
             match reason {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// A relay receives the outcome of a push.
+    /// Records the outcome of a push that a relay received.
     pub fn record_push_outcome(&mut self, at: Time, status: CallStatus) {
         let pushes = &mut self.metrics.pushes;
         let count = match status {
@@ -141,7 +141,7 @@
         }
     }
 
-    /// The metrics of the run, with those that are computed from others.
+    /// Returns the metrics of the run, including those that are derived from others.
     pub fn finish(mut self) -> Metrics {
         let groups = self.metrics.topics.iter_mut().chain(&mut self.metrics.accounts);
         for (group, latencies) in groups.zip(&self.latencies).filter(|(_, latencies)| !latencies.is_empty()) {
@@ -173,7 +173,7 @@
 }
 
 /// The served fraction of the worst window, and the second in which that begins. Windows with less benefit than the
-/// busiest second are left out: one at the end with hardly any traffic says nothing.
+/// busiest second are left out: the result of a window with little traffic, such as one at the end, is not significant.
 fn worst_window(seconds: &[SecondMetrics]) -> Option<WorstWindow> {
     let busiest = seconds.iter().map(|second| second.requested_benefit).fold(0.0, f64::max);
     let windows = seconds.windows(WORST_WINDOW_S.min(seconds.len().max(1))).enumerate();
--- a/crates/model/src/policy.rs
+++ b/crates/model/src/policy.rs
@@ -1,6 +1,6 @@
-//! The interface of decisions: those of the core, or of another policy for comparison.
+//! The interface of relay policies: the core, or another policy to compare it with.
 //!
-//! A policy that a relay could run must never look at the [`Truth`]; that is for oracles.
+//! Only an oracle may use the [`GroundTruth`]; a policy that a relay could run must not.
 
 use juniperwing::Relay;
 use juniperwing::interface::{Command, EndpointId, Event};
@@ -8,35 +8,34 @@
 
 use crate::fleet::Fleet;
 
-/// The true state of an endpoint, which no relay knows.
+/// The actual state of an endpoint, which relays cannot observe.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct TrueState {
+pub struct EndpointState {
     /// Whether it answers calls now.
     pub is_answering: bool,
-    /// Calls that it could start to serve at once.
+    /// Calls that it could start to serve immediately.
     pub free_servers: usize,
     /// Calls in its queue.
     pub queued: usize,
-    /// The fraction of its rate limit that is left; 1 without a limit.
+    /// The remaining fraction of its rate limit; 1 without a limit.
     pub limit_remaining: f64,
-    /// How much more a recovering destination may be sent before it is overloaded, in notifications; infinite for a
-    /// warm one.
+    /// Notifications that a recovering destination can still receive before it is overloaded; infinite for a warm one.
     pub remaining_load: f64,
 }
 
-/// The true state of everything.
-pub trait Truth {
-    /// The true state of an endpoint; `None` if there is no such endpoint.
-    fn endpoint(&self, endpoint: &EndpointId) -> Option<TrueState>;
+/// Access to the actual state of the simulation.
+pub trait GroundTruth {
+    /// The actual state of an endpoint; `None` if there is no such endpoint.
+    fn endpoint(&self, endpoint: &EndpointId) -> Option<EndpointState>;
 }
 
-/// The decisions of one relay.
+/// The policy of one relay.
 pub trait Policy {
-    /// Handles all events up to `now` and returns the commands that follow from them.
-    fn handle(&mut self, now: Time, events: Vec<Event>, truth: &dyn Truth) -> Vec<Command>;
+    /// Handles all events up to `now` and returns the resulting commands.
+    fn handle(&mut self, now: Time, events: Vec<Event>, truth: &dyn GroundTruth) -> Vec<Command>;
 }
 
-/// Starts the policies of a run.
+/// Creates the policies of the relays of a run.
 pub trait Policies {
     /// The name of the policy in metrics and reports.
     fn name(&self) -> &str;
@@ -45,7 +44,7 @@
     fn start(&self, now: Time, relay: usize, seed: u64, fleet: &Fleet) -> Box<dyn Policy>;
 }
 
-/// The decisions of juniperwing's own core.
+/// The core of juniperwing.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Core;
 
@@ -60,7 +59,7 @@
 }
 
 impl Policy for Relay {
-    fn handle(&mut self, now: Time, events: Vec<Event>, _: &dyn Truth) -> Vec<Command> {
+    fn handle(&mut self, now: Time, events: Vec<Event>, _: &dyn GroundTruth) -> Vec<Command> {
         Relay::handle(self, now, events)
     }
 }
--- a/crates/model/src/random.rs
+++ b/crates/model/src/random.rs
@@ -1,17 +1,17 @@
-//! Random streams, one for each concern and item, all derived from one seed.
+//! Independent random streams, one for each purpose and item, all derived from one seed.
 //!
-//! What one concern draws never shifts the draws of another: a fault added to a scenario leaves every other draw as it
-//! was. No stream may serve two purposes.
+//! Draws for one purpose do not affect the draws for another: adding a fault to a scenario changes no other draw. A
+//! stream must not be used for two purposes.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, LogNormal};
 
-/// The purpose of a random stream. The number is part of what a seed means: never reuse one.
+/// The purpose of a random stream. The numbers determine the results of a seed: never change or reuse one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u32)]
-pub enum Concern {
-    /// Figures of the scenario that are drawn once for a run.
+pub enum StreamPurpose {
+    /// Parameters of the scenario that are drawn once for a run.
     Scenario = 1,
     /// The distribution of traffic over relays.
     Relays = 2,
@@ -19,23 +19,23 @@
     Destinations = 3,
     /// Service times at an endpoint.
     Service = 4,
-    /// Ordinary arrivals.
+    /// Single arrivals.
     Arrivals = 5,
-    /// Clumps of arrivals.
-    Clumps = 6,
+    /// Batch arrivals.
+    BatchArrivals = 6,
     /// Keys and the relays that they are sent to.
     Keys = 7,
     /// One-way delays of a relay's messages.
     Network = 8,
-    /// What clients do after an answer.
+    /// The reactions of clients to answers.
     Clients = 9,
     /// When relays are notified of changes of the endpoint list.
     List = 10,
     /// Noise of load reports at an endpoint.
     Reports = 11,
-    /// What a fault affects, and the traffic that it adds.
+    /// The targets of a fault, and the traffic that it adds.
     Faults = 12,
-    /// The seeds that relays are started with.
+    /// The seeds of policies.
     Policies = 13,
 }
 
@@ -51,20 +51,20 @@
         RngStreams { seed }
     }
 
-    /// The stream that chooses what a fault affects, from its start.
+    /// The stream that selects the targets of a fault, from its start.
     pub(crate) fn fault(&self, fault: usize) -> ChaCha8Rng {
-        self.stream(Concern::Faults, fault << 1)
+        self.stream(StreamPurpose::Faults, fault << 1)
     }
 
     /// The stream of the traffic that a fault adds or moves, from its start.
     pub(crate) fn fault_traffic(&self, fault: usize) -> ChaCha8Rng {
-        self.stream(Concern::Faults, fault << 1 | 1)
+        self.stream(StreamPurpose::Faults, fault << 1 | 1)
     }
 
-    /// The stream of one item (a relay, an endpoint, ...) of a concern, from its start.
-    pub fn stream(&self, concern: Concern, item: usize) -> ChaCha8Rng {
+    /// The stream of one item (a relay, an endpoint, ...) for a purpose, from its start.
+    pub fn stream(&self, purpose: StreamPurpose, item: usize) -> ChaCha8Rng {
         let mut stream = ChaCha8Rng::seed_from_u64(self.seed);
-        stream.set_stream((concern as u64) << 32 | item as u64 & 0xffff_ffff);
+        stream.set_stream((purpose as u64) << 32 | item as u64 & 0xffff_ffff);
         stream
     }
 }
@@ -74,7 +74,7 @@
     min + (max - min) * rng.random::<f64>()
 }
 
-/// An index chosen in proportion to weights, given as their [`cumulative_sums`]. 0 if there are none.
+/// Draws an index in proportion to weights, given as their [`cumulative_sums`]. Returns 0 if there are none.
 pub fn weighted_index(rng: &mut ChaCha8Rng, cumulative: &[f64]) -> usize {
     let total = cumulative.last().copied().unwrap_or(0.0);
     let at = rng.random::<f64>() * total;
@@ -98,6 +98,6 @@
     }
     let sigma = (1.0 + cv * cv).ln().sqrt();
     let mu = mean.ln() - sigma * sigma / 2.0;
-    // Fails only for parameters that are not finite, which a checked scenario does not have.
+    // Fails only for parameters that are not finite, which the check of a scenario rules out.
     LogNormal::new(mu, sigma).map_or(mean, |distribution| distribution.sample(rng))
 }
--- a/crates/model/src/route.rs
+++ b/crates/model/src/route.rs
@@ -1,4 +1,4 @@
-//! The state of a route during a run: its rate limit, its outages, and how it warms up after one.
+//! The state of a route during a run: its rate limit, outages and warm-up.
 
 use std::collections::VecDeque;
 
@@ -7,36 +7,36 @@
 use crate::fleet::{RoutePlan, WarmUp};
 use crate::limit::Limit;
 
-/// How much load overloads a route that warms up.
+/// The load that overloads a route during its warm-up.
 #[derive(Clone, Copy, Debug)]
 pub struct OverloadThreshold {
-    /// The multiple of the present capacity...
+    /// The multiple of the present capacity that a route may receive within `duration`.
     pub factor: f64,
-    /// ...that it may receive within this time...
+    /// The length of the window.
     pub duration: Span,
-    /// ...and this many calls more.
+    /// Calls allowed beyond that multiple.
     pub slack: f64,
 }
 
-/// Work that reached a route.
+/// The load of a call that reached a route.
 struct LoadSample {
     at: Time,
     weight: f64,
 }
 
-/// A route: what a rate limit and an outage apply to.
+/// A route: the unit that a rate limit and an outage apply to.
 pub struct Route {
     /// Its plan.
     pub plan: RoutePlan,
-    /// Its rate limit with the calls of this run.
+    /// Its rate limit, with the calls counted in this run.
     pub limit: Limit,
-    /// Indices of its endpoints, those that were replaced included.
+    /// Indices of its endpoints, including those that were replaced.
     pub endpoints: Vec<usize>,
     out_since: Option<Time>,
-    /// The end of its last outage that was not brief.
+    /// The end of its latest outage that was not brief.
     recovered_at: Option<Time>,
     is_overloaded: bool,
-    /// Work within the overload window while it warms up, the latest last.
+    /// The load within the overload window during its warm-up, the latest last.
     recent_load: VecDeque<LoadSample>,
     /// The sum of `recent_load`.
     recent_weight: f64,
@@ -45,16 +45,16 @@
 /// A change of a route's outage state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutageTransition {
-    /// All its endpoints are out.
+    /// All its endpoints are unavailable.
     Began,
-    /// It serves again, and starts cold.
+    /// It serves again and warms up.
     Ended,
-    /// It serves again after so short a time that it is still warm.
+    /// It serves again after a short outage, and is still warm.
     Brief,
 }
 
 impl Route {
-    /// A route without outage.
+    /// Creates a route that is available and warm.
     pub fn new(plan: RoutePlan) -> Route {
         Route {
             limit: plan.limit.clone(),
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Sets whether all its endpoints are out. An outage shorter than `min_outage` leaves it warm.
+    /// Sets whether all its endpoints are unavailable. An outage shorter than `min_outage` leaves it warm.
     pub fn set_outage(&mut self, is_out: bool, now: Time, min_outage: Span) -> Option<OutageTransition> {
         match (self.out_since, is_out) {
             (None, true) => {
@@ -88,22 +88,22 @@
         }
     }
 
-    /// Whether nothing is answered there.
+    /// Whether no call to it is answered.
     pub fn is_out(&self) -> bool {
         self.out_since.is_some() || self.is_overloaded
     }
 
-    /// Whether it was overloaded while it warmed up; it stays out for the rest of the run.
+    /// Whether it was overloaded during a warm-up; it is then unavailable for the rest of the run.
     pub fn is_overloaded(&self) -> bool {
         self.is_overloaded
     }
 
-    /// Whether it has come back from an outage that was not brief.
+    /// Whether it has recovered from an outage that was not brief.
     pub fn has_recovered(&self) -> bool {
         self.recovered_at.is_some()
     }
 
-    /// The fraction of its capacity that it has now, from 0 to 1.
+    /// The available fraction of its capacity, from 0 to 1.
     pub fn capacity_fraction(&self, now: Time) -> f64 {
         let Some(since) = self.recovered_at else { return 1.0 };
         let WarmUp { initial_fraction, duration } = self.plan.warm_up;
@@ -116,13 +116,13 @@
         self.recovered_at.is_none() || self.capacity_fraction(now) >= 1.0
     }
 
-    /// What it may receive within the overload window now, without slack.
+    /// The load that it may receive within an overload window that ends now, without slack.
     fn load_limit(&self, now: Time, threshold: &OverloadThreshold) -> f64 {
         let capacity = threshold.factor * self.plan.capacity * self.capacity_fraction(now);
         capacity * threshold.duration.as_secs_f64()
     }
 
-    /// How much more it may be sent now; infinite for a warm route.
+    /// The load that it may still receive now; infinite for a warm route.
     pub fn remaining_load(&self, now: Time, threshold: &OverloadThreshold) -> f64 {
         if self.is_warm(now) {
             return f64::INFINITY;
@@ -131,7 +131,7 @@
         self.load_limit(now, threshold) - recent.map(|sample| sample.weight).sum::<f64>()
     }
 
-    /// Records work that reaches it. Returns whether the work overloads it now.
+    /// Records load that reaches it. Returns whether the load overloads it.
     pub fn record_load(&mut self, now: Time, weight: f64, threshold: &OverloadThreshold) -> bool {
         if self.is_warm(now) || self.is_overloaded {
             return false;
--- a/crates/model/src/judge.rs
+++ b/crates/model/src/rule_checker.rs
@@ -1,8 +1,8 @@
-//! The judge of the six rules.
+//! The checker of the six rules.
 //!
-//! It observes the inputs and the actions of relays, at the moment they happen, and reports each violation with its
-//! time, its ids and what was observed before. It is written from the wording of the rules and keeps its own record
-//! of everything; it shares no code with the core and tells relays nothing.
+//! It observes the inputs and the actions of relays as they occur, and reports each violation with its time, its ids
+//! and the observations before it. It implements the rules independently: it keeps its own records, shares no code
+//! with the core and gives relays no feedback.
 
 mod deliveries;
 mod records;
@@ -18,25 +18,26 @@
 use recovery::RouteRecord;
 pub use violation::{Rule, Violation};
 
-/// Violations of one rule that are described; more are only counted. One rule must not hide another.
+/// Violations of one rule that are described; further ones are only counted. The limit applies to each rule, so that
+/// many violations of one rule do not hide those of another.
 const MAX_DESCRIBED_PER_RULE: usize = 10;
-/// Observations and pushes that the description of a violation lists.
+/// The maximum of observations, and of pushes, in the description of a violation.
 const MAX_HISTORY: usize = 12;
 
 /// The tolerances of the rules.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RuleTolerances {
-    /// How long after the end of its validity a final answer is still in time.
+    /// How long after the TTL of a notification its final answer is still in time.
     pub(crate) answer_slack: Span,
     /// How long after the notice of a drain a push is still allowed.
     pub(crate) drain_grace: Span,
     /// How long a key waits after a push that may still be executing.
     pub(crate) key_cooldown: Span,
-    /// A recovering route is overloaded by more than this multiple of its present capacity...
+    /// The multiple of its present capacity that a recovering route may receive within `overload_duration`.
     pub(crate) overload_factor: f64,
-    /// ...within this time...
+    /// The length of the overload window.
     pub(crate) overload_duration: Span,
-    /// ...and this many calls.
+    /// Calls allowed beyond that multiple.
     pub(crate) overload_slack: f64,
 }
 
@@ -45,32 +46,32 @@
 struct KeyQueue {
     /// In the order of acceptance.
     notifications: VecDeque<u64>,
-    /// Until then a push of the key may still be executing.
-    settles_at: Time,
+    /// The time until which a push of the key may still be executing.
+    cooldown_until: Time,
 }
 
-/// The judge of one run.
-pub(crate) struct Judge {
+/// The rule checker of one run.
+pub(crate) struct RuleChecker {
     tolerances: RuleTolerances,
     notifications: BTreeMap<u64, NotificationRecord>,
     /// By relay and key.
     key_queues: BTreeMap<(usize, String), KeyQueue>,
-    /// By relay and endpoint: when the relay was notified that the endpoint drains or has terminated.
+    /// By relay and endpoint: when the relay was notified that the endpoint is draining or has terminated.
     draining_since: BTreeMap<(usize, usize), Time>,
-    /// By relay and route: the end of the wait that was announced to the relay.
+    /// By relay and route: the end of the retry-after that the relay received.
     wait_until: BTreeMap<(usize, usize), Time>,
     routes: Vec<RouteRecord>,
-    /// By the client's notification, whatever ids relays gave it.
+    /// By index of the client's notification, which is independent of the ids that relays assign.
     first_effect_at: BTreeMap<usize, Time>,
-    /// The latest observations with their time and relay; formatted only when a rule is violated.
+    /// The latest observations with their time and relay; they are formatted only when a rule is violated.
     recent: VecDeque<(Time, usize, Observation)>,
     violations: Vec<Violation>,
     violation_count: usize,
 }
 
-impl Judge {
-    pub(crate) fn new(tolerances: RuleTolerances, routes: usize) -> Judge {
-        Judge {
+impl RuleChecker {
+    pub(crate) fn new(tolerances: RuleTolerances, routes: usize) -> RuleChecker {
+        RuleChecker {
             tolerances,
             notifications: BTreeMap::new(),
             key_queues: BTreeMap::new(),
@@ -109,7 +110,7 @@
         });
     }
 
-    /// What was observed of a notification, and lately of all.
+    /// The observations of a notification, and the latest observations of all notifications.
     fn history(&self, notification_id: Option<u64>) -> Vec<String> {
         let mut lines: Vec<String> = Vec::new();
         if let Some(record) =
@@ -134,20 +135,21 @@
         lines
     }
 
-    fn remember(&mut self, now: Time, relay: usize, observation: Observation) {
+    fn record_observation(&mut self, now: Time, relay: usize, observation: Observation) {
         self.recent.push_back((now, relay, observation));
         if self.recent.len() > MAX_HISTORY {
             self.recent.pop_front();
         }
     }
 
-    /// A wait was announced to a relay. Called after the turn that received it: pushes of that turn are excused.
+    /// Records a retry-after. Called after the turn in which the relay received it, since that turn's pushes may ignore
+    /// it.
     pub(crate) fn handle_wait(&mut self, relay: usize, route: usize, until: Time) {
         let known = self.wait_until.entry((relay, route)).or_default();
         *known = (*known).max(until);
     }
 
-    /// A relay is notified that an endpoint serves, or that it drains or has terminated.
+    /// Records that a relay is notified that an endpoint is serving, or that it is draining or has terminated.
     pub(crate) fn handle_readiness(&mut self, now: Time, relay: usize, endpoint: usize, is_serving: bool) {
         if is_serving {
             self.draining_since.remove(&(relay, endpoint));
@@ -156,8 +158,8 @@
         }
     }
 
-    /// A relay's process ends; `kept` if its storage outlasts it. Pushes in flight may still be executing.
-    pub(crate) fn handle_relay_stop(&mut self, now: Time, relay: usize, kept: bool) {
+    /// Records the end of a relay's process. Pushes in flight may still be executing.
+    pub(crate) fn handle_relay_stop(&mut self, now: Time, relay: usize, is_storage_kept: bool) {
         let of_relay = self.notifications.iter().filter(|(_, record)| record.relay == relay);
         let owned: Vec<u64> = of_relay.map(|(notification_id, _)| *notification_id).collect();
         for notification_id in owned {
@@ -166,19 +168,20 @@
             for push in record.pushes.iter_mut().filter(|push| push.is_in_flight()) {
                 push.execution = Some(ExecutionStatus::MayBeExecuting);
             }
-            record.has_final_answer |= !kept;
+            record.has_final_answer |= !is_storage_kept;
             let key = record.accepted.key.clone().filter(|_| was_in_flight);
-            self.delay_key(now, relay, key);
-            self.forget(notification_id);
+            self.extend_key_cooldown(now, relay, key);
+            self.prune(notification_id);
         }
         self.draining_since.retain(|(of, _), _| *of != relay);
         self.wait_until.retain(|(of, _), _| *of != relay);
         for route in &mut self.routes {
-            route.witnesses.remove(&relay);
+            route.informed_relays.remove(&relay);
         }
     }
 
-    /// A relay's process starts on its storage: final answers that fell due meanwhile are due `allowance` later.
+    /// Records the start of a relay's process from its storage. Final answers that fell due while it was down are due
+    /// `allowance` after the start.
     pub(crate) fn handle_relay_start(&mut self, now: Time, relay: usize, allowance: Span) {
         let due_at = now + allowance;
         let records = self.notifications.values_mut();
@@ -187,14 +190,19 @@
         }
     }
 
-    /// Ends the run: each final answer that is still owed is a violation. Returns the violations that are described,
-    /// and the number of all.
+    /// Ends the run: each missing final answer is a violation. Returns the described violations and the number of all.
     pub(crate) fn finish(mut self, now: Time) -> (Vec<Violation>, usize) {
         let owed = self.notifications.iter().filter(|(_, record)| !record.has_final_answer);
         let owed: Vec<(u64, usize)> =
             owed.map(|(notification_id, record)| (*notification_id, record.relay)).collect();
         for (notification_id, relay) in owed {
-            self.report_for(Rule::Lost, now, relay, notification_id, "never had a final answer");
+            self.report_for(
+                Rule::FinalAnswer,
+                now,
+                relay,
+                notification_id,
+                "no final answer by the end of the run",
+            );
         }
         (self.violations, self.violation_count)
     }
--- a/crates/model/src/judge/deliveries.rs
+++ b/crates/model/src/rule_checker/deliveries.rs
@@ -1,4 +1,4 @@
-//! Checks of single notifications: final answers, repeats, order, waits and drains.
+//! Checks of single notifications: final answers, repeats, order, retry-after and drains.
 
 use juniperwing::time::Time;
 
@@ -6,10 +6,10 @@
     AcceptedNotification, ExecutionStatus, FinalAnswer, NotificationRecord, Observation, PushRecord,
     PushTarget, RepeatSemantics,
 };
-use super::{Judge, Rule, as_secs};
+use super::{Rule, RuleChecker, as_secs};
 
-impl Judge {
-    /// A relay has accepted a notification and from now on owes a final answer.
+impl RuleChecker {
+    /// Records that a relay has accepted a notification, for which it must give a final answer.
     pub(crate) fn handle_accepted(
         &mut self, now: Time, relay: usize, notification_id: u64, accepted: AcceptedNotification,
     ) {
@@ -18,18 +18,18 @@
         }
         let due_at = accepted.valid_until + self.tolerances.answer_slack;
         if self.notifications.contains_key(&notification_id) {
-            self.report_for(Rule::Lost, now, relay, notification_id, "an id was taken twice");
+            self.report_for(Rule::FinalAnswer, now, relay, notification_id, "an id was taken twice");
         }
         let record =
             NotificationRecord { accepted, relay, pushes: Vec::new(), has_final_answer: false, due_at };
         self.notifications.insert(notification_id, record);
     }
 
-    /// A relay pushes a notification.
+    /// Checks and records a push.
     pub(crate) fn handle_push(
         &mut self, now: Time, relay: usize, notification_id: u64, push: u32, target: PushTarget,
     ) {
-        self.remember(
+        self.record_observation(
             now,
             relay,
             Observation::Push { notification: notification_id, endpoint: target.endpoint },
@@ -37,12 +37,18 @@
         self.check_drain(now, relay, notification_id, target.endpoint);
         self.check_wait(now, relay, notification_id, target.route);
         let Some(record) = self.notifications.get(&notification_id) else {
-            return self.report_for(Rule::Lost, now, relay, notification_id, "sent what nobody handed in");
+            return self.report_for(
+                Rule::FinalAnswer,
+                now,
+                relay,
+                notification_id,
+                "sent what nobody handed in",
+            );
         };
         if record.has_final_answer {
-            self.report_for(Rule::Lost, now, relay, notification_id, "sent after its final answer");
+            self.report_for(Rule::FinalAnswer, now, relay, notification_id, "sent after its final answer");
         } else if record.relay != relay {
-            self.report_for(Rule::Lost, now, relay, notification_id, "sent what another relay took");
+            self.report_for(Rule::FinalAnswer, now, relay, notification_id, "sent what another relay took");
         }
         self.check_repeat(now, relay, notification_id, target.zone);
         self.check_order(now, relay, notification_id);
@@ -56,7 +62,8 @@
         if let Some(since) = self.draining_since.get(&(relay, endpoint))
             && now > *since + self.tolerances.drain_grace
         {
-            let what = format!("sent to endpoint {endpoint}, told to drain at {:.3} s", as_secs(*since));
+            let what =
+                format!("sent to endpoint {endpoint}, reported as draining at {:.3} s", as_secs(*since));
             self.report_for(Rule::Drain, now, relay, notification_id, what);
         }
     }
@@ -65,19 +72,23 @@
         if let Some(until) = self.wait_until.get(&(relay, route))
             && now < *until
         {
-            let what = format!("sent to lane {route} in a wait until {:.3} s", as_secs(*until));
-            self.report_for(Rule::Wait, now, relay, notification_id, what);
+            let what =
+                format!("sent to route {route} before its retry-after ends at {:.3} s", as_secs(*until));
+            self.report_for(Rule::RetryAfter, now, relay, notification_id, what);
         }
     }
 
-    /// After a push that may have been executed, another one is allowed only if the effect stays single.
+    /// After a push that may have been executed, another one is allowed only if the effect cannot occur twice.
     fn check_repeat(&mut self, now: Time, relay: usize, notification_id: u64, zone: usize) {
         let Some(record) = self.notifications.get(&notification_id) else { return };
         let Some(first) = record.pushes.iter().find(|push| push.may_have_executed()) else { return };
         let what = match record.accepted.repeat {
             RepeatSemantics::Harmless => return,
             RepeatSemantics::Forbidden => {
-                format!("a once-only one sent again, though push {} may have run", first.number)
+                format!(
+                    "non-idempotent notification sent again, although push {} may have been executed",
+                    first.number
+                )
             }
             RepeatSemantics::Deduplicated { window, .. } if now >= first.sent_at + window => {
                 format!("sent again outside its window, first sent at {:.3} s", as_secs(first.sent_at))
@@ -87,11 +98,11 @@
             }
             RepeatSemantics::Deduplicated { .. } => return,
         };
-        self.report_for(Rule::Twice, now, relay, notification_id, what);
+        self.report_for(Rule::SingleEffect, now, relay, notification_id, what);
     }
 
     /// A push must be for the first unfinished notification of its key, with no other of the key in flight, and
-    /// after the settle delay of the key.
+    /// after the cooldown of the key.
     fn check_order(&mut self, now: Time, relay: usize, notification_id: u64) {
         let Some(record) = self.notifications.get(&notification_id) else { return };
         let Some(key) = record.accepted.key.clone() else { return };
@@ -103,20 +114,20 @@
         let mut earlier = queue.notifications.iter().take_while(|other| **other != notification_id);
         let is_first = queue.notifications.front() == Some(&notification_id);
         let what = if let Some(other) = earlier.find(is_unfinished) {
-            format!("sent while {other} of key {key}, taken before, is not over")
-        } else if now < queue.settles_at && is_first && record.pushes.is_empty() {
-            format!("sent while key {key} rests until {:.3} s", as_secs(queue.settles_at))
+            format!("sent while the earlier notification {other} of key {key} is unfinished")
+        } else if now < queue.cooldown_until && is_first && record.pushes.is_empty() {
+            format!("sent while key {key} rests until {:.3} s", as_secs(queue.cooldown_until))
         } else {
             return;
         };
         self.report_for(Rule::Order, now, relay, notification_id, what);
     }
 
-    /// A relay receives the outcome of a push.
+    /// Records the outcome of a push that a relay received.
     pub(crate) fn handle_outcome(
         &mut self, now: Time, relay: usize, notification_id: u64, push: u32, execution: ExecutionStatus,
     ) {
-        self.remember(
+        self.record_observation(
             now,
             relay,
             Observation::PushOutcome { notification: notification_id, push, execution },
@@ -127,30 +138,34 @@
         }
         let (key, has_final_answer) = (record.accepted.key.clone(), record.has_final_answer);
         if execution == ExecutionStatus::MayBeExecuting {
-            self.delay_key(now, relay, key);
+            self.extend_key_cooldown(now, relay, key);
         }
         if has_final_answer {
-            self.forget(notification_id);
+            self.prune(notification_id);
         }
     }
 
-    /// Starts the settle delay of a key: a push of it may still be executing.
-    pub(super) fn delay_key(&mut self, now: Time, relay: usize, key: Option<String>) {
+    /// Starts or extends the cooldown of a key, a push of which may still be executing.
+    pub(super) fn extend_key_cooldown(&mut self, now: Time, relay: usize, key: Option<String>) {
         if let Some(key) = key
             && let Some(queue) = self.key_queues.get_mut(&(relay, key))
         {
-            queue.settles_at = queue.settles_at.max(now + self.tolerances.key_cooldown);
+            queue.cooldown_until = queue.cooldown_until.max(now + self.tolerances.key_cooldown);
         }
     }
 
-    /// A relay gives a final answer.
+    /// Checks and records a final answer.
     pub(crate) fn handle_final_answer(
         &mut self, now: Time, relay: usize, notification_id: u64, answer: FinalAnswer,
     ) {
-        self.remember(now, relay, Observation::FinalAnswer { notification: notification_id, answer });
+        self.record_observation(
+            now,
+            relay,
+            Observation::FinalAnswer { notification: notification_id, answer },
+        );
         let Some(record) = self.notifications.get_mut(&notification_id) else {
             return self.report_for(
-                Rule::Lost,
+                Rule::FinalAnswer,
                 now,
                 relay,
                 notification_id,
@@ -159,7 +174,7 @@
         };
         if record.has_final_answer {
             return self.report_for(
-                Rule::Lost,
+                Rule::FinalAnswer,
                 now,
                 relay,
                 notification_id,
@@ -170,31 +185,31 @@
         let due_at = record.due_at;
         let may_repeat_effect = answer == FinalAnswer::Throttled && record.may_repeat_effect();
         if now > due_at {
-            let what = format!("{answer} too late: its end was due by {:.3} s", as_secs(due_at));
-            self.report_for(Rule::Lost, now, relay, notification_id, what);
+            let what = format!("{answer} too late: the final answer was due by {:.3} s", as_secs(due_at));
+            self.report_for(Rule::FinalAnswer, now, relay, notification_id, what);
         }
         if may_repeat_effect {
-            let what = "throttled, as if trying again were harmless, though a push may have run";
-            self.report_for(Rule::Twice, now, relay, notification_id, what);
+            let what = "throttled, which permits a repeat, although a push may have been executed";
+            self.report_for(Rule::SingleEffect, now, relay, notification_id, what);
         }
-        self.forget(notification_id);
+        self.prune(notification_id);
     }
 
-    /// The client has withdrawn a notification: no final answer is owed any more.
+    /// Records that the client has withdrawn a notification, which then needs no final answer.
     pub(crate) fn handle_withdrawal(&mut self, notification_id: u64) {
         if let Some(record) = self.notifications.get_mut(&notification_id) {
             record.has_final_answer = true;
-            self.forget(notification_id);
+            self.prune(notification_id);
         }
     }
 
     /// Drops the pushes and the key of a notification that has its final answer and no push in flight.
-    pub(super) fn forget(&mut self, notification_id: u64) {
+    pub(super) fn prune(&mut self, notification_id: u64) {
         let Some(record) = self.notifications.get_mut(&notification_id) else { return };
         if !record.has_final_answer || record.is_in_flight() {
             return;
         }
-        // The record itself stays until the end of the run: a later answer or push must still be recognized.
+        // The record itself is kept until the end of the run, to detect a later answer or push.
         record.pushes = Vec::new();
         if let Some(key) = record.accepted.key.take()
             && let Some(queue) = self.key_queues.get_mut(&(record.relay, key))
@@ -203,13 +218,13 @@
         }
     }
 
-    /// An endpoint has executed a notification of a client; `notification_id` is the id that its relay knows it by.
+    /// Records that an endpoint has executed a notification of a client; `notification_id` is its id at the relay.
     pub(crate) fn record_effect(
-        &mut self, now: Time, notification: usize, notification_id: u64, once_only: bool,
+        &mut self, now: Time, notification: usize, notification_id: u64, is_non_idempotent: bool,
     ) {
-        if let Some(first) = self.first_effect_at.get(&notification).copied().filter(|_| once_only) {
+        if let Some(first) = self.first_effect_at.get(&notification).copied().filter(|_| is_non_idempotent) {
             let what = format!("a once-only effect took place again, first at {:.3} s", as_secs(first));
-            self.report(Rule::Twice, now, None, Some(notification_id), what);
+            self.report(Rule::SingleEffect, now, None, Some(notification_id), what);
         }
         self.first_effect_at.entry(notification).or_insert(now);
     }
--- a/crates/model/src/judge/records.rs
+++ b/crates/model/src/rule_checker/records.rs
@@ -1,19 +1,19 @@
-//! The records of notifications and pushes, and the input that they are made from.
+//! The records of notifications and pushes, and the observations that they are made from.
 
 use std::fmt;
 
 use juniperwing::time::{Span, Time};
 
-/// What a second execution of a notification would do.
+/// The effect of a second execution of a notification.
 #[derive(Clone, Debug)]
 pub(crate) enum RepeatSemantics {
     /// A repeat has no further effect.
     Harmless,
     /// A repeat is dropped within a time window.
     Deduplicated {
-        /// Counted from the first push that may have been executed.
+        /// Starts with the first push that may have been executed.
         window: Span,
-        /// Only endpoints in the zone of that push drop the repeat.
+        /// Whether only endpoints in the zone of that push drop the repeat.
         same_zone_only: bool,
     },
     /// A repeat takes effect again.
@@ -33,13 +33,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ExecutionStatus {
     NotExecuted,
-    /// It was or may have been executed, and is over.
+    /// It was or may have been executed, and is not executing any more.
     MayHaveExecuted,
     /// It may have been executed, or may still be executing.
     MayBeExecuting,
 }
 
-/// The words of the reports, which predate the names of the variants.
+/// The terms of reports, which differ from the names of the variants.
 impl fmt::Display for ExecutionStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -77,7 +77,7 @@
     pub(crate) route: usize,
 }
 
-/// An action or an input of a relay, kept for the report of a later violation.
+/// An action or an input of a relay, kept for the history in the report of a later violation.
 pub(super) enum Observation {
     Push { notification: u64, endpoint: usize },
     PushOutcome { notification: u64, push: u32, execution: ExecutionStatus },
@@ -117,14 +117,13 @@
     }
 }
 
-/// All that the judge knows of a notification.
+/// The state of a notification.
 pub(super) struct NotificationRecord {
     pub(super) accepted: AcceptedNotification,
     pub(super) relay: usize,
     pub(super) pushes: Vec<PushRecord>,
     pub(super) has_final_answer: bool,
-    /// The latest time of the final answer. After a restart of the relay it is a moment after the start at the
-    /// earliest.
+    /// The deadline of the final answer. A restart of the relay extends it to a short time after the start.
     pub(super) due_at: Time,
 }
 
@@ -133,7 +132,7 @@
         self.pushes.iter().any(PushRecord::is_in_flight)
     }
 
-    /// Whether the effect could take place twice if the client submitted the notification again anywhere.
+    /// Whether the effect could occur twice if the client submitted the notification again to any relay.
     pub(super) fn may_repeat_effect(&self) -> bool {
         let repeat_takes_effect = match self.accepted.repeat {
             RepeatSemantics::Harmless => false,
--- a/crates/model/src/judge/violation.rs
+++ b/crates/model/src/rule_checker/violation.rs
@@ -4,33 +4,37 @@
 
 use serde::Serialize;
 
-/// One of the six rules.
+/// One of the six rules. Reports name rules by the terms of [`fmt::Display`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
     /// Each notification has exactly one final answer, in time, and is not pushed after it.
-    Lost,
-    /// No effect takes place twice.
-    Twice,
-    /// No new push to an endpoint that drains or has terminated.
+    #[serde(rename = "lost")]
+    FinalAnswer,
+    /// No effect occurs twice.
+    #[serde(rename = "twice")]
+    SingleEffect,
+    /// No new push to an endpoint that is draining or has terminated.
     Drain,
     /// A destination that recovers from an outage is not overloaded.
-    Return,
+    #[serde(rename = "return")]
+    Recovery,
     /// Notifications with one key are delivered in order.
     Order,
-    /// A wait that a destination asked for is observed.
-    Wait,
+    /// A retry-after of a destination is respected.
+    #[serde(rename = "wait")]
+    RetryAfter,
 }
 
 impl fmt::Display for Rule {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Rule::Lost => "lost",
-            Rule::Twice => "twice",
+            Rule::FinalAnswer => "lost",
+            Rule::SingleEffect => "twice",
             Rule::Drain => "drain",
-            Rule::Return => "return",
+            Rule::Recovery => "return",
             Rule::Order => "order",
-            Rule::Wait => "wait",
+            Rule::RetryAfter => "wait",
         })
     }
 }
@@ -46,8 +50,8 @@
     pub relay: Option<usize>,
     /// The id of the notification, if one is concerned.
     pub notification: Option<u64>,
-    /// A description for people.
+    /// A description.
     pub what: String,
-    /// What was observed before, the latest last.
+    /// The observations before it, the latest last.
     pub before: Vec<String>,
 }
--- a/crates/model/src/scenario.rs
+++ b/crates/model/src/scenario.rs
@@ -1,8 +1,9 @@
-//! The scenario of a run: sizes, destinations, clients and faults as data, with its check and the draw of its ranges.
+//! The scenario of a run: sizes, destinations, clients and faults, with its validation and the draw of its ranges.
 //!
-//! Where the name of a field differs from its key in scenario files, the key stands beside it. A number may be written
-//! as a range: a range of type [`Once`] is drawn once for a run, one of type [`Each`] anew for each thing that it
-//! describes (a destination, a call). Every figure has its unit in its name; without one it is a ratio or a count.
+//! Where a key in scenario files differs from the name of the field, the field has a `serde` attribute with the key. A
+//! number may be written as a range: a range of type [`PerRun`] is drawn once for a run, one of type [`PerItem`] for
+//! each item that it describes (a destination, a call). The unit of a parameter is part of its name; a parameter without
+//! unit is a ratio or a count.
 
 mod check;
 mod defaults;
@@ -17,33 +18,33 @@
 pub use check::ScenarioError;
 pub use fault::{Fault, FaultKind};
 pub use plan::{Clients, Destinations, List, Network, Relays, Rules, Traffic};
-pub use range::{Each, Once, Range};
+pub use range::{PerItem, PerRun, Range};
 pub(crate) use resolve::FAULT_RANGES;
-pub use service::{Account, Decay, Kind, LatencyDistribution, LimitForm, Semantics, Topic};
+pub use service::{Account, Decay, Kind, LimitKind, Semantics, ServiceTimeDistribution, Topic};
 
-/// All that determines a run but its seed.
+/// The input of a run, apart from its seed.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
     /// Its name.
     pub name: String,
-    /// Its purpose, in a sentence.
+    /// A one-sentence description.
     #[serde(default)]
     pub about: String,
-    /// The seed for which it shows what it was kept for.
+    /// The seed with which it reproduces the finding that it was saved for.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub seed: Option<u64>,
-    /// For how long notifications are submitted; the run goes on until all have their final answer.
+    /// For how long notifications are submitted; the run continues until all have their final answer.
     #[serde(rename = "span_s")]
-    pub duration_s: Once,
-    /// Names of zones; endpoints and relays are placed in them in turn.
+    pub duration_s: PerRun,
+    /// Names of zones; endpoints and relays are placed in them round-robin.
     #[serde(default = "defaults::zones")]
     pub zones: Vec<String>,
     /// The relays.
     pub relays: Relays,
     /// The notifications that are submitted.
     pub traffic: Traffic,
-    /// How many destinations and endpoints there are.
+    /// The numbers of destinations and endpoints.
     pub destinations: Destinations,
     /// Connections between relays and endpoints.
     #[serde(default)]
--- a/crates/model/src/scenario/check.rs
+++ b/crates/model/src/scenario/check.rs
@@ -1,4 +1,4 @@
-//! The check of a scenario: all errors in it, each with its position.
+//! The validation of a scenario, which reports all errors with their positions.
 
 mod faults;
 mod plans;
@@ -13,43 +13,44 @@
 pub struct ScenarioError {
     /// Its position: keys and indices joined by dots, such as `trouble.2.zone`.
     pub path: String,
-    /// What is wrong, for people.
+    /// A description of the error.
     pub reason: String,
 }
 
-/// The longest time that a scenario may cover: a day. More than that, here and below, is taken for a typing error.
+/// The maximum duration of a scenario: a day. A value above this limit, as above the other limits of this check, is
+/// considered a typing error.
 const MAX_SPAN_S: f64 = 86_400.0;
 
-/// A figure of a scenario: a number or a range.
-trait Figure {
+/// A parameter of a scenario: a number or a range.
+trait Parameter {
     fn to_range(&self) -> Range;
 }
 
-impl Figure for Range {
+impl Parameter for Range {
     fn to_range(&self) -> Range {
         *self
     }
 }
 
-impl Figure for f64 {
+impl Parameter for f64 {
     fn to_range(&self) -> Range {
         Range::from(*self)
     }
 }
 
-impl Figure for u32 {
+impl Parameter for u32 {
     fn to_range(&self) -> Range {
         Range::from(f64::from(*self))
     }
 }
 
-impl Figure for usize {
+impl Parameter for usize {
     fn to_range(&self) -> Range {
         Range::from(*self as f64)
     }
 }
 
-/// Checks the bounds of keys of one table, in this order.
+/// Checks the bounds of keys of one table, in the given order.
 macro_rules! check_bounds {
     ($checker:ident, $table:expr, { $($key:literal => $field:ident: $bounds:expr,)* }) => {
         $($checker.bounds($key, &$table.$field, $bounds);)*
@@ -74,31 +75,31 @@
         self.errors.push(ScenarioError { path, reason: reason.into() });
     }
 
-    /// A figure must lie within bounds, and its range must not be reversed.
-    fn bounds(&mut self, key: &str, figure: &impl Figure, bounds: RangeInclusive<f64>) {
-        let Range { min, max } = figure.to_range();
+    /// Checks that a parameter is within bounds and that its range is not reversed.
+    fn bounds(&mut self, key: &str, parameter: &impl Parameter, bounds: RangeInclusive<f64>) {
+        let Range { min, max } = parameter.to_range();
         if min > max {
-            self.error(key, format!("the range is upside down: {min} is above {max}"));
+            self.error(key, format!("the range is reversed: the minimum {min} is above the maximum {max}"));
         } else if !bounds.contains(&min) || !bounds.contains(&max) {
             self.error(key, format!("must be from {} to {}", bounds.start(), bounds.end()));
         }
     }
 
-    /// A name must be one of those defined; `what` says of what.
+    /// Checks that a name is defined; `what` names the kind of item in the error.
     fn defined_name<'n>(
         &mut self, key: &str, name: &str, mut names: impl Iterator<Item = &'n str>, what: &str,
     ) {
         if !names.any(|defined| defined == name) {
-            self.error(key, format!("there is no {what} {name:?}"));
+            self.error(key, format!("unknown {what} {name:?}"));
         }
     }
 
-    /// A name must not be empty, nor occur twice.
+    /// Checks that a name is not empty and occurs once.
     fn unique_name<'n>(&mut self, key: &str, name: &str, names: impl Iterator<Item = &'n str>) {
         if name.is_empty() {
             self.error(key, "must not be empty");
         } else if names.filter(|other| *other == name).count() > 1 {
-            self.error(key, format!("{name:?} is named twice"));
+            self.error(key, format!("duplicate name {name:?}"));
         }
     }
 
@@ -110,7 +111,7 @@
 }
 
 impl Scenario {
-    /// All errors in it; none if it can be run.
+    /// Returns all errors of the scenario; none if it can be run.
     pub fn check(&self) -> Vec<ScenarioError> {
         let mut errors = Vec::new();
         let mut checker = Checker::new(&mut errors, "");
--- a/crates/model/src/scenario/check/faults.rs
+++ b/crates/model/src/scenario/check/faults.rs
@@ -1,4 +1,4 @@
-//! The check of faults.
+//! The validation of faults.
 
 use super::{Checker, MAX_SPAN_S, ScenarioError, check_bounds};
 use crate::scenario::{Fault, FaultKind, Scenario};
@@ -21,7 +21,7 @@
         }
     }
 
-    /// What a fault is restricted to must exist.
+    /// Checks that everything that a fault is restricted to exists.
     fn check_fault_scope(&self, fault: &Fault, checker: &mut Checker<'_>) {
         if let Some(kind) = &fault.destination_kind {
             checker.defined_name("kind", kind, self.kind_names(), "kind");
--- a/crates/model/src/scenario/check/plans.rs
+++ b/crates/model/src/scenario/check/plans.rs
@@ -1,4 +1,4 @@
-//! The check of the tables that lay out a run: relays, traffic, destinations, network, list, clients and rules.
+//! The validation of the tables of a run: relays, traffic, destinations, network, list, clients and rules.
 
 use super::{Checker, MAX_SPAN_S, ScenarioError, check_bounds};
 use crate::scenario::Scenario;
@@ -41,8 +41,8 @@
             "load" => load: 0.0..=100.0,
             "swing" => swing_amplitude: 0.0..=1.0,
             "swing_s" => swing_period_s: 0.1..=MAX_SPAN_S,
-            "clumps" => clumped_fraction: 0.0..=1.0,
-            "clump_s" => clump_size_s: 0.0..=1_000.0,
+            "clumps" => batched_fraction: 0.0..=1.0,
+            "clump_s" => batch_size_s: 0.0..=1_000.0,
             "keys" => keys_per_destination: 1.0..=1e6,
             "key_life_s" => key_lifetime_s: 0.1..=MAX_SPAN_S,
         });
@@ -53,7 +53,7 @@
         let destinations = &self.destinations;
         checker.bounds("count", &destinations.count, 1.0..=MAX_DESTINATIONS);
         if (self.kinds.len() as f64) > destinations.count.min {
-            checker.error("count", "there must be a destination of each kind at least");
+            checker.error("count", "must not be less than the number of kinds");
         }
         check_bounds!(checker, destinations, {
             "endpoints" => endpoints: 1.0..=100.0,
--- a/crates/model/src/scenario/check/service.rs
+++ b/crates/model/src/scenario/check/service.rs
@@ -1,4 +1,4 @@
-//! The check of topic types, kinds of destination and accounts.
+//! The validation of topic types, kinds of destination and accounts.
 
 use super::{Checker, ScenarioError, check_bounds};
 use crate::scenario::{Scenario, Semantics};
--- a/crates/model/src/scenario/defaults.rs
+++ b/crates/model/src/scenario/defaults.rs
@@ -1,4 +1,4 @@
-//! The values of keys that a scenario leaves out, named after the key.
+//! Default values of optional keys of a scenario. Functions are named after the keys.
 
 use super::range::Range;
 
--- a/crates/model/src/scenario/fault.rs
+++ b/crates/model/src/scenario/fault.rs
@@ -1,11 +1,11 @@
-//! Faults: what goes wrong, when, and what it affects.
+//! Faults: their kind, time and scope.
 
 use serde::{Deserialize, Serialize};
 
 use super::defaults;
-use super::range::Once;
+use super::range::PerRun;
 
-/// What goes wrong.
+/// The kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
@@ -20,44 +20,44 @@
     Rejections,
     /// Connections are refused.
     Down,
-    /// Service stands still for `size` seconds, again and again, once in four times that.
+    /// Service pauses for `size` seconds periodically, with a period of four times that.
     Pauses,
     /// One topic type fails.
     TopicFails,
-    /// Rate limits are `size` times the usual.
+    /// Rate limits are `size` times the configured ones.
     Limit,
     /// Opening a connection takes `size` times as long.
     Handshakes,
-    /// All traffic is `size` times the usual.
+    /// All traffic is `size` times the normal.
     Burst,
-    /// The traffic of the affected destinations is `size` times the usual.
+    /// The traffic of the affected destinations is `size` times the normal.
     #[serde(rename = "hot")]
     HotDestinations,
-    /// The traffic of one account is `size` times the usual.
+    /// The traffic of one account is `size` times the normal.
     AccountBurst,
-    /// The traffic of the affected destinations is held back and comes all at once at the end.
+    /// The traffic of the affected destinations is held back and released at once at the end.
     #[serde(rename = "release")]
     TrafficRelease,
     /// A few relays get the fraction `size` of all traffic.
     HotRelays,
-    /// The endpoint list cannot be reached.
+    /// The endpoint list is unreachable.
     ListDown,
     /// Changes of the endpoint list are reported `size` seconds later.
     ListStale,
     /// Endpoints are replaced one after the other; each terminates `size` seconds after it starts to drain.
     Deploy,
-    /// A one-way partition: what relays send to the affected endpoints is lost.
+    /// A one-way partition: requests of relays to the affected endpoints are lost.
     #[serde(rename = "cut-there")]
     RequestLoss,
-    /// A one-way partition: the answers of the affected endpoints are lost.
+    /// A one-way partition: responses of the affected endpoints are lost.
     #[serde(rename = "cut-back")]
     ResponseLoss,
     /// The fraction `size` of connections to the affected endpoints break during calls.
     Resets,
-    /// TTLs are `size` times the usual, and at their end notifications are withdrawn.
+    /// TTLs are `size` times the normal, and clients withdraw notifications when they expire.
     #[serde(rename = "hurry")]
     ShortenedTtl,
-    /// Relays are killed and start again on their storage after `size` seconds.
+    /// Relays are killed and restart with their storage after `size` seconds.
     #[serde(rename = "kill")]
     RelayKill,
     /// Relays are lost with their storage; new ones replace them after `size` seconds.
@@ -65,28 +65,28 @@
     RelayLoss,
 }
 
-/// A fault: what, when and where.
+/// A fault.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What goes wrong.
+    /// Its kind.
     #[serde(rename = "what")]
     pub kind: FaultKind,
     /// When it begins.
-    pub start_s: Once,
+    pub start_s: PerRun,
     /// Its duration.
     #[serde(rename = "span_s", default)]
-    pub duration_s: Once,
-    /// How long its effect takes to rise to its size.
+    pub duration_s: PerRun,
+    /// How long its effect takes to reach its size.
     #[serde(default)]
-    pub ramp_s: Once,
-    /// How much; see [`FaultKind`].
+    pub ramp_s: PerRun,
+    /// The magnitude; see [`FaultKind`].
     #[serde(default = "defaults::size")]
-    pub size: Once,
-    /// The fraction of the traffic whose destinations it affects, of those that it is restricted to; for relays, the
+    pub size: PerRun,
+    /// The affected fraction of the traffic in its scope, by whole destinations; for faults of relays, the affected
     /// fraction of relays.
     #[serde(default = "defaults::extent")]
-    pub extent: Once,
+    pub extent: PerRun,
     /// Whether it affects all endpoints of a destination, or one of each.
     #[serde(rename = "whole", default = "defaults::whole")]
     pub affects_all_endpoints: bool,
--- a/crates/model/src/scenario/plan.rs
+++ b/crates/model/src/scenario/plan.rs
@@ -1,29 +1,29 @@
-//! The tables that lay out a run: relays, traffic, destinations, network, list, clients and rules.
+//! The tables of a run: relays, traffic, destinations, network, list, clients and rules.
 
 use serde::{Deserialize, Serialize};
 
 use super::defaults;
-use super::range::{Each, Once, Range};
+use super::range::{PerItem, PerRun, Range};
 
 /// The relays.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Relays {
     /// The number of relays.
-    pub count: Once,
+    pub count: PerRun,
     /// The exponent of the Zipf distribution of traffic over relays; 0: all have the same.
     #[serde(rename = "zipf", default)]
     pub zipf_exponent: Range,
-    /// Slots of a relay, over those that its share of full load keeps busy.
+    /// Slots of a relay, as a multiple of those that its share of full load keeps busy.
     #[serde(rename = "slots_room")]
-    pub slot_headroom: Each,
+    pub slot_headroom: PerItem,
     /// The minimum of slots.
     #[serde(rename = "least_slots")]
     pub min_slots: f64,
-    /// Notifications that a relay may hold, in seconds of its share of full load.
+    /// The maximum of pending notifications of a relay, in seconds of its share of full load.
     #[serde(rename = "hold_s")]
-    pub pending_capacity_s: Each,
-    /// The minimum of notifications that a relay may hold.
+    pub pending_capacity_s: PerItem,
+    /// The lower limit of that maximum.
     #[serde(rename = "least_held")]
     pub min_pending_capacity: f64,
     /// The shortest time between two turns of a relay.
@@ -32,9 +32,9 @@
     /// The maximum of pushes of one notification.
     #[serde(rename = "pushes", default = "defaults::pushes")]
     pub max_pushes: u32,
-    /// How long it takes until a relay knows that a client has its notice.
+    /// The delay until a relay learns that a client has received its notice.
     #[serde(rename = "notice_ms", default = "defaults::notice_ms")]
-    pub notice_delay_ms: Each,
+    pub notice_delay_ms: PerItem,
 }
 
 /// The notifications that are submitted.
@@ -42,27 +42,27 @@
 #[serde(deny_unknown_fields)]
 pub struct Traffic {
     /// Notifications a second at full load.
-    pub rate: Once,
+    pub rate: PerRun,
     /// The mean load, as a fraction of full load.
-    pub load: Once,
+    pub load: PerRun,
     /// The amplitude of the sine wave of load about its mean, as a fraction of the mean.
     #[serde(rename = "swing", default)]
-    pub swing_amplitude: Once,
+    pub swing_amplitude: PerRun,
     /// The period of that wave.
     #[serde(rename = "swing_s", default = "defaults::swing_s")]
-    pub swing_period_s: Once,
-    /// The fraction of notifications that come in clumps for one destination.
+    pub swing_period_s: PerRun,
+    /// The fraction of notifications that arrive in batches for one destination.
     #[serde(rename = "clumps", default)]
-    pub clumped_fraction: Once,
-    /// The size of a clump, in seconds of its destination's traffic.
+    pub batched_fraction: PerRun,
+    /// The size of a batch, in seconds of its destination's traffic.
     #[serde(rename = "clump_s", default = "defaults::clump_s")]
-    pub clump_size_s: Each,
-    /// Keys of a destination that are in use at a time, for ordered topic types.
+    pub batch_size_s: PerItem,
+    /// Keys of a destination in use at the same time, for ordered topic types.
     #[serde(rename = "keys", default = "defaults::keys")]
-    pub keys_per_destination: Each,
+    pub keys_per_destination: PerItem,
     /// For how long a key is in use.
     #[serde(rename = "key_life_s", default = "defaults::key_life_s")]
-    pub key_lifetime_s: Each,
+    pub key_lifetime_s: PerItem,
 }
 
 /// The number of destinations and endpoints, and the distribution of traffic over them.
@@ -70,12 +70,12 @@
 #[serde(deny_unknown_fields)]
 pub struct Destinations {
     /// The number of destinations.
-    pub count: Once,
+    pub count: PerRun,
     /// Endpoints of each destination; a fractional part is the fraction of destinations with one more.
-    pub endpoints: Once,
+    pub endpoints: PerRun,
     /// The exponent of the Zipf distribution of traffic over destinations.
     #[serde(rename = "zipf", default)]
-    pub zipf_exponent: Once,
+    pub zipf_exponent: PerRun,
 }
 
 /// Connections between relays and endpoints.
@@ -84,15 +84,15 @@
 pub struct Network {
     /// The one-way delay within a zone.
     #[serde(rename = "near_ms")]
-    pub same_zone_delay_ms: Each,
+    pub same_zone_delay_ms: PerItem,
     /// The one-way delay between zones.
     #[serde(rename = "far_ms")]
-    pub cross_zone_delay_ms: Each,
+    pub cross_zone_delay_ms: PerItem,
     /// The largest addition to a one-way delay, as a fraction of it.
     pub jitter: f64,
     /// Round trips that opening a connection takes.
     pub handshake_rtts: f64,
-    /// A connection that is not open by then is given up.
+    /// The timeout for opening a connection.
     pub connect_timeout_ms: f64,
     /// Endpoints close connections that have been idle for this long.
     #[serde(rename = "idle_s")]
@@ -118,11 +118,11 @@
 pub struct List {
     /// The delay until a relay is notified of a change.
     #[serde(rename = "notice_s")]
-    pub change_delay_s: Each,
+    pub change_delay_s: PerItem,
     /// How long a request for the list takes.
     #[serde(rename = "answer_ms")]
-    pub response_ms: Each,
-    /// Whether entries carry a rate, which is wrong by up to a half.
+    pub response_ms: PerItem,
+    /// Whether entries have a rate, which has an error of up to 50 %.
     #[serde(rename = "rates")]
     pub has_rates: bool,
 }
@@ -137,12 +137,12 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Clients {
-    /// Resubmissions of a throttled notification, at most.
+    /// The maximum of resubmissions of a throttled notification.
     #[serde(rename = "again")]
     pub max_resubmissions: u32,
-    /// The first backoff before a resubmission, doubled each time; used where no time was announced.
-    pub backoff_ms: Each,
-    /// The fraction of clients that heed an announced time.
+    /// The first backoff before a resubmission, doubled each time; used without an announced time.
+    pub backoff_ms: PerItem,
+    /// The fraction of clients that respect an announced time.
     #[serde(rename = "honour")]
     pub compliant_fraction: f64,
     /// The longest time that may be announced; 0: none.
@@ -151,12 +151,12 @@
     /// The fraction of notifications that are withdrawn.
     #[serde(rename = "impatient")]
     pub withdrawn_fraction: f64,
-    /// After which fraction of their TTL.
+    /// The fraction of the TTL after which they are withdrawn.
     #[serde(rename = "patience")]
-    pub withdrawal_ttl_fraction: Each,
+    pub withdrawal_ttl_fraction: PerItem,
     /// How long until a client of a failed relay submits its notification to another one.
     #[serde(rename = "orphan_ms")]
-    pub failover_delay_ms: Each,
+    pub failover_delay_ms: PerItem,
 }
 
 impl Default for Clients {
@@ -181,28 +181,28 @@
     pub answer_slack_ms: f64,
     /// How long after the notice of a drain a relay may still push to the endpoint.
     pub drain_grace_ms: f64,
-    /// The fraction of its capacity that a destination has right after an outage.
+    /// The fraction of its capacity that a destination has immediately after an outage.
     #[serde(rename = "cold_from")]
-    pub warm_up_initial_fraction: Each,
-    /// How long after an outage it has its whole capacity.
+    pub warm_up_initial_fraction: PerItem,
+    /// How long after an outage it has its full capacity.
     #[serde(rename = "cold_s")]
-    pub warm_up_duration_s: Each,
+    pub warm_up_duration_s: PerItem,
     /// A shorter outage leaves a destination warm.
     #[serde(rename = "least_outage_s")]
     pub min_outage_s: f64,
-    /// A cold destination is overloaded by more than this multiple of its present capacity...
+    /// The multiple of its present capacity that a recovering destination may receive within `overload_duration_ms`.
     #[serde(rename = "fall_multiple")]
     pub overload_factor: f64,
-    /// ...over this time.
+    /// The length of the overload window.
     #[serde(rename = "tip_after_ms")]
     pub overload_duration_ms: f64,
-    /// Calls allowed beyond that.
+    /// Calls allowed beyond that multiple.
     #[serde(rename = "fall_slack")]
     pub overload_slack: f64,
     /// How long a key waits after a push that may still be executing.
     #[serde(rename = "settle_ms")]
     pub key_cooldown_ms: f64,
-    /// A relay without subscription that has not asked for the list for this long counts as notified of its changes.
+    /// A relay without subscription that has not requested the list for this long counts as notified of its changes.
     #[serde(rename = "ask_every_s")]
     pub list_refresh_interval_s: f64,
 }
--- a/crates/model/src/scenario/range.rs
+++ b/crates/model/src/scenario/range.rs
@@ -1,4 +1,4 @@
-//! Figures of a scenario: a number or a range of numbers.
+//! Parameters of a scenario that are a number or a range of numbers.
 
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
@@ -7,7 +7,7 @@
 
 /// A number or a range of numbers, written `3` or `[2, 5]`.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, Serialize)]
-#[serde(from = "Written", into = "Written")]
+#[serde(from = "RangeForm", into = "RangeForm")]
 pub struct Range {
     /// The lower end.
     pub min: f64,
@@ -17,23 +17,27 @@
 
 #[derive(Clone, Copy, Deserialize, Serialize)]
 #[serde(untagged, expecting = "expected a number, or a range of two numbers such as [2, 5]")]
-enum Written {
-    One(f64),
-    Two([f64; 2]),
+enum RangeForm {
+    Number(f64),
+    Bounds([f64; 2]),
 }
 
-impl From<Written> for Range {
-    fn from(written: Written) -> Range {
-        match written {
-            Written::One(value) => Range { min: value, max: value },
-            Written::Two([least, most]) => Range { min: least, max: most },
+impl From<RangeForm> for Range {
+    fn from(form: RangeForm) -> Range {
+        match form {
+            RangeForm::Number(value) => Range { min: value, max: value },
+            RangeForm::Bounds([min, max]) => Range { min, max },
         }
     }
 }
 
-impl From<Range> for Written {
-    fn from(range: Range) -> Written {
-        if range.min == range.max { Written::One(range.min) } else { Written::Two([range.min, range.max]) }
+impl From<Range> for RangeForm {
+    fn from(range: Range) -> RangeForm {
+        if range.min == range.max {
+            RangeForm::Number(range.min)
+        } else {
+            RangeForm::Bounds([range.min, range.max])
+        }
     }
 }
 
@@ -50,14 +54,14 @@
 }
 
 impl Range {
-    /// Draws a number from the range, also where the range is one number.
+    /// Draws a number from the range. Consumes one draw even if the range is a single number.
     pub fn draw(&self, rng: &mut ChaCha8Rng) -> f64 {
         uniform(rng, self.min, self.max)
     }
 }
 
-/// A range that is drawn once for a run; in a resolved scenario it is one number.
-pub type Once = Range;
+/// A range that is drawn once for a run; in a resolved scenario it is a single number.
+pub type PerRun = Range;
 
-/// A range that is drawn for each thing that it describes; a resolved scenario keeps it.
-pub type Each = Range;
+/// A range that is drawn for each item that it describes; a resolved scenario keeps the range.
+pub type PerItem = Range;
--- a/crates/model/src/scenario/resolve.rs
+++ b/crates/model/src/scenario/resolve.rs
@@ -1,38 +1,38 @@
-//! The draw of the ranges of a scenario that are drawn once for a run.
+//! The draw of the [`PerRun`](super::PerRun) ranges of a scenario.
 
 use rand_chacha::ChaCha8Rng;
 
 use super::{Fault, Range, Scenario};
-use crate::random::{Concern, RngStreams};
+use crate::random::{RngStreams, StreamPurpose};
 
-/// Ranges of a fault, each of which takes one number of its stream.
+/// The number of ranges of a fault, each of which consumes one draw of its stream.
 pub(crate) const FAULT_RANGES: usize = 5;
 
 impl Scenario {
-    /// The scenario with the ranges of type [`Once`](super::Once) drawn. With the same seed it resolves to itself.
+    /// Returns the scenario with its [`PerRun`](super::PerRun) ranges drawn. A resolved scenario resolves to itself.
     #[must_use]
     pub fn resolve(&self, seed: u64) -> Scenario {
-        let mut rng = RngStreams::new(seed).stream(Concern::Scenario, 0);
+        let mut rng = RngStreams::new(seed).stream(StreamPurpose::Scenario, 0);
         let mut drawn = self.clone();
-        let mut fix = |range: &mut Range| resolve_range(range, &mut rng);
-        fix(&mut drawn.duration_s);
-        fix(&mut drawn.relays.count);
-        fix(&mut drawn.relays.zipf_exponent);
+        let mut resolve = |range: &mut Range| resolve_range(range, &mut rng);
+        resolve(&mut drawn.duration_s);
+        resolve(&mut drawn.relays.count);
+        resolve(&mut drawn.relays.zipf_exponent);
         let traffic = &mut drawn.traffic;
-        fix(&mut traffic.rate);
-        fix(&mut traffic.load);
-        fix(&mut traffic.swing_amplitude);
-        fix(&mut traffic.swing_period_s);
-        fix(&mut traffic.clumped_fraction);
-        fix(&mut drawn.destinations.count);
-        fix(&mut drawn.destinations.endpoints);
-        fix(&mut drawn.destinations.zipf_exponent);
+        resolve(&mut traffic.rate);
+        resolve(&mut traffic.load);
+        resolve(&mut traffic.swing_amplitude);
+        resolve(&mut traffic.swing_period_s);
+        resolve(&mut traffic.batched_fraction);
+        resolve(&mut drawn.destinations.count);
+        resolve(&mut drawn.destinations.endpoints);
+        resolve(&mut drawn.destinations.zipf_exponent);
         for topic in &mut drawn.topics {
-            fix(&mut topic.traffic_weight);
-            fix(&mut topic.mean_work_ms);
-            fix(&mut topic.work_cv);
+            resolve(&mut topic.traffic_weight);
+            resolve(&mut topic.mean_work_ms);
+            resolve(&mut topic.work_cv);
         }
-        // Each has a stream of its own: a fault more or less leaves the others as they were.
+        // Each fault has its own stream, so that adding or removing one does not change the others.
         for (n, fault) in drawn.faults.iter_mut().enumerate() {
             resolve_fault(fault, &mut RngStreams::new(seed).fault(n));
         }
@@ -48,7 +48,7 @@
     ranges.into_iter().for_each(|range| resolve_range(range, rng));
 }
 
-/// Draws a range, also where it is one number, so that a fixed figure shifts no other draw.
+/// Draws a range. A single number consumes a draw too, so that fixing a parameter does not change other draws.
 fn resolve_range(range: &mut Range, rng: &mut ChaCha8Rng) {
     let value = range.draw(rng);
     *range = Range::from(if range.min == range.max { range.min } else { value });
--- a/crates/model/src/scenario/service.rs
+++ b/crates/model/src/scenario/service.rs
@@ -3,22 +3,22 @@
 use serde::{Deserialize, Serialize};
 
 use super::defaults;
-use super::range::{Each, Once};
+use super::range::{PerItem, PerRun};
 
-/// What a second execution of a notification does.
+/// The effect of a second execution of a notification.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Semantics {
-    /// It has no further effect.
+    /// No further effect.
     #[serde(rename = "repeatable")]
     Idempotent,
-    /// All endpoints of the destination drop it for a window.
+    /// All endpoints of the destination drop repeats within a time window.
     #[serde(rename = "collapsible")]
     Deduplicated,
-    /// The endpoints in the zone of the first execution drop it for a window.
+    /// The endpoints in the zone of the first execution drop repeats within a time window.
     #[serde(rename = "collapsible-in-zone")]
     DeduplicatedInZone,
-    /// It takes effect again and must not happen.
+    /// A further effect; a repeat is not allowed.
     #[serde(rename = "once-only")]
     NonIdempotent,
 }
@@ -27,12 +27,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Decay {
-    /// Linearly, to the late share at the TTL.
+    /// Linearly, to the late benefit fraction at the TTL.
     #[serde(rename = "even")]
     #[default]
     Linear,
-    /// By half with each further objective, to the late share at the lowest.
-    Halves,
+    /// By half with each further latency objective, but not below the late benefit fraction.
+    #[serde(rename = "halves")]
+    Exponential,
 }
 
 /// A topic type.
@@ -43,11 +44,11 @@
     pub name: String,
     /// The weight of its traffic.
     #[serde(rename = "share")]
-    pub traffic_weight: Once,
-    /// What a second execution does.
+    pub traffic_weight: PerRun,
+    /// The effect of a second execution.
     #[serde(rename = "effect")]
     pub semantics: Semantics,
-    /// For how long repeats of a collapsible topic type are dropped.
+    /// For how long repeats of a deduplicated topic type are dropped.
     #[serde(rename = "window_ms", default)]
     pub deduplication_window_ms: f64,
     /// Whether notifications with one key are delivered one after the other.
@@ -55,13 +56,13 @@
     pub is_ordered: bool,
     /// Mean service time at a speed of 1.
     #[serde(rename = "work_ms")]
-    pub mean_work_ms: Once,
+    pub mean_work_ms: PerRun,
     /// Coefficient of variation of the service time, where it is lognormal.
     #[serde(default = "defaults::work_cv")]
-    pub work_cv: Once,
+    pub work_cv: PerRun,
     /// The distribution of the service time over notifications.
     #[serde(rename = "work_law", default)]
-    pub work_distribution: LatencyDistribution,
+    pub work_distribution: ServiceTimeDistribution,
     /// Coefficient of variation of the service time over attempts for one notification.
     #[serde(rename = "try_cv", default = "defaults::try_cv")]
     pub attempt_cv: f64,
@@ -76,7 +77,7 @@
     /// The fraction of the benefit at the TTL.
     #[serde(rename = "late_share", default = "defaults::late_share")]
     pub late_benefit_fraction: f64,
-    /// How the benefit decays between.
+    /// How the benefit decays between the latency objective and the TTL.
     #[serde(default)]
     pub decay: Decay,
     /// The kinds of destination that it is for; empty: all.
@@ -87,19 +88,19 @@
 /// The distribution of service times.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum LatencyDistribution {
+pub enum ServiceTimeDistribution {
     /// Lognormal, with a heavy tail.
     #[default]
     Lognormal,
-    /// Exponential, for which queueing theory has closed formulas.
+    /// Exponential, for which queueing theory has closed-form results.
     Exponential,
 }
 
 /// How a destination limits the rate of calls of all relays together.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum LimitForm {
-    /// By its capacity alone.
+pub enum LimitKind {
+    /// No limit other than its capacity.
     #[default]
     None,
     /// By a token bucket.
@@ -117,42 +118,42 @@
     /// The weight of its number of destinations.
     #[serde(rename = "share")]
     pub weight: f64,
-    /// Service times are divided by it.
+    /// The speed; service times are divided by it.
     #[serde(default = "defaults::speed")]
-    pub speed: Each,
-    /// The capacity of its destinations, over their traffic at full load.
+    pub speed: PerItem,
+    /// The capacity of its destinations, as a multiple of their traffic at full load.
     #[serde(rename = "spare", default = "defaults::spare")]
-    pub capacity_headroom: Each,
-    /// The form of the rate limit.
+    pub capacity_headroom: PerItem,
+    /// The kind of rate limit.
     #[serde(default)]
-    pub limit: LimitForm,
-    /// The rate limit, over the traffic at full load.
+    pub limit: LimitKind,
+    /// The rate limit, as a multiple of the traffic at full load.
     #[serde(rename = "headroom", default = "defaults::headroom")]
-    pub limit_headroom: Each,
+    pub limit_headroom: PerItem,
     /// The minimum of the rate limit, in calls a second.
     #[serde(rename = "least_rate", default = "defaults::least_rate")]
-    pub min_limit_rate: Each,
+    pub min_limit_rate: PerItem,
     /// The depth of a token bucket, in seconds of its rate.
     #[serde(rename = "depth_s", default = "defaults::depth_s")]
-    pub bucket_depth_s: Each,
+    pub bucket_depth_s: PerItem,
     /// The length of a window.
     #[serde(rename = "window_ms", default = "defaults::window_ms")]
-    pub limit_window_ms: Each,
-    /// The probability that a rejection above the limit announces how long to wait.
+    pub limit_window_ms: PerItem,
+    /// The probability that a rejection by the rate limit has a retry-after.
     #[serde(rename = "tells_wait", default)]
     pub announced_wait_fraction: f64,
     /// Whether rejected calls count towards the limit.
     #[serde(rename = "refused_count", default)]
     pub counts_rejected: bool,
-    /// Whether answers carry load reports.
+    /// Whether responses include load reports.
     #[serde(rename = "reports", default = "defaults::reports")]
     pub has_load_reports: bool,
     /// The time between two load reports.
     #[serde(rename = "report_ms", default = "defaults::report_ms")]
-    pub report_interval_ms: Each,
+    pub report_interval_ms: PerItem,
     /// The age at which a load report is sent.
     #[serde(rename = "report_late_ms", default = "defaults::report_late_ms")]
-    pub report_delay_ms: Each,
+    pub report_delay_ms: PerItem,
     /// The largest error of a load report, as a fraction.
     #[serde(default)]
     pub report_noise: f64,
@@ -164,22 +165,22 @@
     pub max_notifications_per_call: usize,
     /// The service time that each further notification adds to a call, as a fraction of its own.
     #[serde(default = "defaults::item_cost")]
-    pub item_cost: Each,
-    /// The queue of an endpoint, in calls for each call that it serves at once.
+    pub item_cost: PerItem,
+    /// The queue capacity of an endpoint, in calls for each server.
     #[serde(rename = "queue", default = "defaults::queue")]
-    pub queue_per_server: Each,
-    /// The maximum of connections of an endpoint, for each call that it serves at once; 0: no maximum.
+    pub queue_per_server: PerItem,
+    /// The maximum of connections of an endpoint, for each server; 0: no maximum.
     #[serde(rename = "connections", default)]
-    pub connections_per_server: Each,
-    /// The lowest such maximum.
+    pub connections_per_server: PerItem,
+    /// The lower limit of that maximum.
     #[serde(rename = "least_connections", default = "defaults::least_connections")]
     pub min_connections: f64,
-    /// How long an endpoint works to open a connection.
+    /// The processing time of an endpoint for opening a connection.
     #[serde(default)]
     pub handshake_work_ms: f64,
     /// The fraction of calls answered with an error.
     #[serde(default)]
-    pub error_rate: Each,
+    pub error_rate: PerItem,
     /// Whether cancelled calls leave the queue.
     #[serde(default)]
     pub drops_cancelled: bool,
@@ -194,10 +195,10 @@
     /// The weight of its quota and of its number of destinations.
     #[serde(rename = "share")]
     pub weight: f64,
-    /// Its quota, over its share of full load.
+    /// Its quota, as a multiple of its share of full load.
     #[serde(rename = "quota", default = "defaults::quota")]
     pub quota_fraction: f64,
-    /// The fraction of its benefit that a notification beyond the quota earns.
+    /// The fraction of its benefit that a notification above the quota earns.
     #[serde(rename = "over_share", default = "defaults::over_share")]
     pub over_quota_benefit_fraction: f64,
 }
--- a/crates/model/src/simulation.rs
+++ b/crates/model/src/simulation.rs
@@ -1,7 +1,7 @@
-//! The simulation of a run: relays accept notifications and push them, event by event.
+//! The discrete-event simulation of a run, in which relays accept notifications and push them.
 //!
-//! It keeps the clock, the calls in flight, the connections and the storage of each relay; it gives relays their
-//! events and executes their commands as the relay on sockets does. It decides nothing for a relay.
+//! It maintains the clock, the calls in flight, the connections and the storage of each relay. It passes events to
+//! relays and executes their commands as the relay on sockets does, and takes no decisions for them.
 
 #![expect(clippy::disallowed_types, reason = "only looked up by key")]
 
@@ -30,29 +30,29 @@
 use crate::event_queue::EventQueue;
 use crate::faults::{FaultSet, FaultWindow};
 use crate::fleet::{Fleet, span_ms};
-use crate::judge::Judge;
 use crate::metrics::{DestinationSeries, Metrics, MetricsRecorder, RouteRecoveries, UndeliveredReason};
 use crate::policy::Policies;
 use crate::random::RngStreams;
 use crate::route::{OverloadThreshold, Route};
+use crate::rule_checker::RuleChecker;
 use crate::scenario::{FaultKind, Scenario};
 use crate::traffic::Traffic;
 use affected::Affected;
 use state::{Call, ClientNotification, QuotaBucket, RelayProcess, SimulationEvent};
 
-/// Idle connections are closed after this fraction of the time after which their endpoint closes them.
+/// Relays close idle connections after this fraction of the idle timeout of the endpoint.
 const IDLE_CLOSE_FRACTION: f64 = 0.9;
-/// How long a relay that starts on its storage may take for final answers that fell due while it was down.
+/// How long after a restart a relay may take for final answers that fell due while it was down.
 const RESTART_ALLOWANCE: Span = Span::from_millis(1_000);
 /// Destinations whose load is recorded.
-const MAX_SERIES: usize = 8;
-/// A run ends this long after the last arrival and the longest TTL at the latest.
+const MAX_RECORDED_DESTINATIONS: usize = 8;
+/// The time after the last arrival and the longest TTL at which a run ends at the latest.
 const MAX_TAIL: Span = Span::from_millis(60_000);
-/// Guards against a policy that never rests, for each relay and simulated second.
+/// The maximum of events for each relay and simulated second, which stops the run of a policy that loops.
 const MAX_EVENTS_PER_RELAY_SECOND: f64 = 5_000.0;
 /// The same, for each arrival.
 const MAX_EVENTS_PER_ARRIVAL: f64 = 2_000.0;
-/// The shortest time between two turns of a relay, whatever it asks for.
+/// The lower limit of the tick of relays.
 const MIN_TICK: Span = Span::from_nanos(1_000);
 const SAMPLE_INTERVAL: Span = Span::from_millis(1_000);
 
@@ -63,7 +63,7 @@
     simulation.finish()
 }
 
-/// The state of a run. Lists are indexed by relay, endpoint, route, account, notification and fault.
+/// The state of a run. Relays, endpoints, routes, accounts, notifications and faults are identified by index.
 struct Simulation<'a> {
     scenario: Scenario,
     fleet: Fleet,
@@ -72,14 +72,14 @@
     queue: EventQueue<SimulationEvent>,
     now: Time,
     fault_windows: Vec<FaultWindow>,
-    /// What each fault affects.
+    /// The targets of each fault.
     affected: Vec<Affected>,
     destination_faults: Vec<FaultSet>,
     traffic: Traffic,
-    nodes: Vec<RelayProcess>,
+    relays: Vec<RelayProcess>,
     endpoints: Vec<Endpoint>,
     routes: Vec<Route>,
-    /// What the endpoint list says of each endpoint.
+    /// The published readiness of each endpoint.
     readiness: Vec<Readiness>,
     endpoint_indices: HashMap<Arc<str>, usize>,
     notifications: Vec<ClientNotification>,
@@ -88,11 +88,11 @@
     last_call: CallId,
     last_notification_id: u64,
     client_rng: ChaCha8Rng,
-    /// Notifications that are neither delivered nor given up.
+    /// The number of notifications that are neither delivered nor given up.
     unfinished: usize,
-    /// Traffic sources that have more notifications.
+    /// The number of traffic sources that are not exhausted.
     active_sources: usize,
-    judge: Judge,
+    rule_checker: RuleChecker,
     overload_threshold: OverloadThreshold,
     recorder: MetricsRecorder,
     /// By destination: the index of its series in the metrics.
@@ -101,7 +101,7 @@
     max_events: u64,
 }
 
-/// The second that a time lies in.
+/// The index of the second that contains a time.
 fn second_index(at: Time) -> usize {
     at.since(Time::default()).as_secs_f64() as usize
 }
@@ -130,7 +130,7 @@
     }
 
     fn schedule_first_events(&mut self) {
-        for relay in 0..self.nodes.len() {
+        for relay in 0..self.relays.len() {
             self.start_relay(relay);
         }
         for source in 0..self.traffic.sources() {
@@ -148,7 +148,7 @@
         for notification in 0..self.notifications.len() {
             self.give_up(notification, UndeliveredReason::Abandoned);
         }
-        let (violations, violation_count) = self.judge.finish(self.now);
+        let (violations, violation_count) = self.rule_checker.finish(self.now);
         let metrics = &mut self.recorder.metrics;
         (metrics.violations, metrics.violation_count) = (violations, violation_count);
         metrics.events = self.events;
@@ -170,7 +170,7 @@
             SimulationEvent::RelayTurn { relay, incarnation } => self.handle_turn(relay, incarnation),
             SimulationEvent::Wake { relay, incarnation } => self.handle_wake(relay, incarnation),
             SimulationEvent::RelayInput { relay, incarnation, input } => {
-                if self.is_current(relay, incarnation) && self.nodes[relay].is_running {
+                if self.is_current(relay, incarnation) && self.relays[relay].is_running {
                     self.enqueue_input(relay, input);
                 }
             }
@@ -198,7 +198,7 @@
     /// Records the state at the end of a second.
     fn sample_second(&mut self) {
         let in_flight_calls = self.calls.len();
-        let pending_notifications = self.nodes.iter().map(|node| node.pending.len()).sum();
+        let pending_notifications = self.relays.iter().map(|process| process.pending.len()).sum();
         let within_second = self.now - Span::from_nanos(1);
         let second = self.recorder.second_at(within_second);
         (second.in_flight_calls, second.pending_notifications) = (in_flight_calls, pending_notifications);
@@ -218,7 +218,7 @@
         self.queue.schedule(self.now + SAMPLE_INTERVAL, SimulationEvent::SampleSecond);
     }
 
-    /// Notifications a second that the routes of a destination can do now.
+    /// The present capacity of the routes of a destination, in notifications a second.
     fn present_capacity(&self, destination: usize) -> f64 {
         let endpoints = self.fleet.destinations[destination].endpoints.iter();
         let routes: BTreeSet<usize> =
@@ -234,7 +234,7 @@
         capacity
     }
 
-    /// Adds to the present second of a series of a destination, if its load is recorded.
+    /// Adds to the present second of a series of a destination, if the destination is recorded.
     fn add_to_series(
         &mut self, destination: usize, values: impl Fn(&mut DestinationSeries) -> &mut Vec<f64>, count: f64,
     ) {
--- a/crates/model/src/simulation/affected.rs
+++ b/crates/model/src/simulation/affected.rs
@@ -1,4 +1,4 @@
-//! The choice of what a fault affects.
+//! The selection of the targets of a fault.
 
 use rand::Rng;
 use rand::seq::SliceRandom;
@@ -9,15 +9,15 @@
 use crate::random::RngStreams;
 use crate::scenario::{FAULT_RANGES, Fault, FaultKind, Scenario};
 
-/// Indices of what a fault affects; its kind says which of them matter.
+/// Indices of the targets of a fault; which of the lists apply depends on its kind.
 pub(super) struct Affected {
     pub(super) destinations: Vec<usize>,
-    /// Of these destinations; in the order of replacement for a deployment.
+    /// Endpoints of these destinations; for a deployment in the order of replacement.
     pub(super) endpoints: Vec<usize>,
     pub(super) relays: Vec<usize>,
 }
 
-/// A fault with what it may affect.
+/// A fault with its scope: what it is restricted to.
 struct Scope<'a> {
     scenario: &'a Scenario,
     fleet: &'a Fleet,
@@ -28,7 +28,7 @@
 }
 
 impl Affected {
-    /// Chooses what the fault with that index affects.
+    /// Selects the targets of the fault with that index.
     pub(super) fn select(
         scenario: &Scenario, fleet: &Fleet, index: usize, window: &FaultWindow, rng: &RngStreams,
     ) -> Affected {
@@ -36,7 +36,7 @@
         let zone = fault.zone.as_ref().and_then(|name| scenario.zones.iter().position(|zone| zone == name));
         let scope = Scope { scenario, fleet, fault, window, zone };
         let mut draws = rng.fault(index);
-        // The first draws of this stream were the ranges of the fault.
+        // Skips the draws of this stream that resolved the ranges of the fault.
         for _ in 0..FAULT_RANGES {
             let _: f64 = draws.random();
         }
@@ -62,7 +62,7 @@
         self.zone.is_none_or(|zone| self.fleet.endpoints[endpoint].zone == zone)
     }
 
-    /// Destinations that together carry about the extent of the traffic, in order of index.
+    /// Selects destinations that together have about the fraction `extent` of the traffic, in order of index.
     fn select_destinations(&self, draws: &mut ChaCha8Rng) -> Vec<usize> {
         let rate = |destination: usize| self.fleet.destinations[destination].rate();
         let extent = self.fault.extent.min;
@@ -72,7 +72,7 @@
         let total: f64 = candidates.iter().map(|destination| rate(*destination)).sum();
         let (mut wanted, mut selected) = (extent * total, Vec::new());
         for destination in candidates {
-            // One that would exceed the extent by more than half of its rate is left out, unless it is the only one.
+            // Skips a destination that would exceed the extent by more than half of its rate, unless it is the first.
             if selected.is_empty() || wanted >= rate(destination) / 2.0 {
                 wanted -= rate(destination);
                 selected.push(destination);
@@ -85,7 +85,7 @@
         selected
     }
 
-    /// All endpoints of the destinations, or one of each.
+    /// Selects all endpoints of the destinations, or one of each.
     fn select_endpoints(&self, destinations: &[usize], draws: &mut ChaCha8Rng) -> Vec<usize> {
         let mut selected = Vec::new();
         for destination in destinations {
@@ -100,7 +100,7 @@
         selected
     }
 
-    /// The extent of all relays, one at least.
+    /// Selects the fraction `extent` of all relays, at least one.
     fn select_relays(&self, draws: &mut ChaCha8Rng) -> Vec<usize> {
         let mut relays: Vec<usize> = (0..self.fleet.relays.len()).collect();
         relays.shuffle(draws);
--- a/crates/model/src/simulation/call_ends.rs
+++ b/crates/model/src/simulation/call_ends.rs
@@ -1,4 +1,4 @@
-//! Ends of calls and pushes as the relay sees them, and its connections.
+//! Outcomes of calls and pushes at the relay, and its connections.
 
 use juniperwing::interface::{CallStatus, NotificationId, PushOutcome};
 use juniperwing::time::Span;
@@ -8,7 +8,7 @@
 use crate::endpoint::CallId;
 
 impl Simulation<'_> {
-    /// A response reaches the relay.
+    /// Handles a response that reaches the relay.
     pub(super) fn handle_response(&mut self, id: CallId, response: Response) {
         if self.calls.get(&id).is_some_and(|call| call.is_awaited) {
             self.finish_all_items(id, response);
@@ -23,14 +23,14 @@
         }
     }
 
-    /// All pushes of a call that are in flight have their outcome.
+    /// Reports the outcome of all pushes of a call that are in flight.
     fn finish_all_items(&mut self, id: CallId, response: Response) {
         let Some(call) = self.calls.get(&id) else { return };
         let in_flight: Vec<usize> = (0..call.items.len()).filter(|n| call.items[*n].is_in_flight).collect();
         in_flight.into_iter().for_each(|item| self.finish_item(id, item, response));
     }
 
-    /// One push of a call has its outcome.
+    /// Reports the outcome of one push of a call.
     fn finish_item(&mut self, id: CallId, item: usize, response: Response) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         let item = &mut call.items[item];
@@ -63,19 +63,20 @@
         }
     }
 
-    /// Cancels a push by command of its relay.
+    /// Cancels a push on command of its relay.
     pub(super) fn cancel_push(&mut self, relay: usize, notification_id: u64, push: u32) {
         let is_of = |item: &CallItem| {
             item.notification_id == notification_id && item.push == push && item.is_in_flight
         };
-        for id in &self.nodes[relay].calls {
+        for id in &self.relays[relay].calls {
             if let Some(item) = self.calls.get(id).and_then(|call| call.items.iter().position(is_of)) {
                 return self.abort_item(*id, item, CallStatus::Cancelled);
             }
         }
     }
 
-    /// Ends a push before its call. The call ends with its last push in flight, and with an ordered one.
+    /// Ends a push before its call has a response. The call is aborted with its last push in flight, and with any push
+    /// of an ordered notification.
     fn abort_item(&mut self, id: CallId, item: usize, status: CallStatus) {
         self.finish_item(id, item, Response::of(status));
         let Some(call) = self.calls.get(&id) else { return };
@@ -84,13 +85,13 @@
         }
     }
 
-    /// Ends a call that has no response.
+    /// Ends a call without response.
     fn abort_call(&mut self, id: CallId, status: CallStatus) {
         self.finish_all_items(id, Response::of(status));
         self.close_call(id, false);
     }
 
-    /// The relay no longer waits for a call; its connection is kept or closed.
+    /// Ends the relay's wait for a call, and keeps or closes its connection.
     pub(super) fn close_call(&mut self, id: CallId, keeps_connection: bool) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.is_awaited = false;
@@ -103,10 +104,10 @@
         if leaves_queue || state == CallState::Done {
             self.calls.remove(&id);
         }
-        let node = &mut self.nodes[relay];
-        node.calls.remove(&id);
+        let process = &mut self.relays[relay];
+        process.calls.remove(&id);
         if is_connected && keeps_connection {
-            let idle = node.idle_connections.entry(endpoint).or_default();
+            let idle = process.idle_connections.entry(endpoint).or_default();
             idle.push(self.now);
             if idle.len() == 1 {
                 let at = self.now + self.max_idle_time();
@@ -125,7 +126,7 @@
     /// Closes connections that have been idle for too long.
     pub(super) fn close_idle_connections(&mut self, relay: usize, endpoint: usize) {
         let max_idle = self.max_idle_time();
-        let connections = &mut self.nodes[relay].idle_connections;
+        let connections = &mut self.relays[relay].idle_connections;
         let Some(idle) = connections.get_mut(&endpoint) else { return };
         let before = idle.len();
         idle.retain(|since| *since + max_idle > self.now);
--- a/crates/model/src/simulation/calls.rs
+++ b/crates/model/src/simulation/calls.rs
@@ -1,4 +1,4 @@
-//! Calls on their way from a relay to an endpoint.
+//! Calls in transit from a relay to an endpoint.
 
 use juniperwing::interface::{CallStatus, EndpointId};
 use juniperwing::time::Span;
@@ -8,7 +8,7 @@
 use super::state::{Call, CallItem, CallState, PushRequest, Response, SentPush, SimulationEvent};
 use crate::endpoint::CallId;
 use crate::fleet::span_ms;
-use crate::judge::PushTarget;
+use crate::rule_checker::PushTarget;
 use crate::scenario::FaultKind;
 
 impl Simulation<'_> {
@@ -41,9 +41,9 @@
             state: CallState::InTransit,
             breaks_after_service: false,
         };
-        let node = &mut self.nodes[relay];
-        let has_slot = node.calls.len() < node.plan.limits.slots;
-        node.calls.insert(id);
+        let process = &mut self.relays[relay];
+        let has_slot = process.calls.len() < process.plan.limits.slots;
+        process.calls.insert(id);
         if has_slot {
             self.send_call(id, call, pushes);
         } else {
@@ -56,16 +56,16 @@
     fn start_push(&mut self, relay: usize, endpoint: usize, notification_id: u64) -> Option<CallItem> {
         let plan = &self.endpoints[endpoint].plan;
         let target = PushTarget { endpoint, zone: plan.zone, route: plan.route };
-        let Some(pending) = self.nodes[relay].pending.get_mut(&notification_id) else {
-            // Only the judge records a push for a notification that is over.
-            self.judge.handle_push(self.now, relay, notification_id, 0, target);
+        let Some(pending) = self.relays[relay].pending.get_mut(&notification_id) else {
+            // A push of a finished notification is recorded by the rule checker only.
+            self.rule_checker.handle_push(self.now, relay, notification_id, 0, target);
             self.recorder.metrics.invalid_commands += 1;
             return None;
         };
         let (push, index) = (pending.push_count, pending.notification);
         pending.push_count += 1;
         pending.in_flight = Some(SentPush { at: self.now, zone: target.zone });
-        self.judge.handle_push(self.now, relay, notification_id, push, target);
+        self.rule_checker.handle_push(self.now, relay, notification_id, push, target);
         let notification = &self.notifications[index];
         if notification.destination != plan.destination {
             self.recorder.metrics.invalid_commands += 1;
@@ -77,7 +77,7 @@
     /// Sends a call over an idle connection, or opens one for it.
     fn send_call(&mut self, id: CallId, call: Call, pushes: &[PushRequest]) {
         let (relay, endpoint, one_way_delay) = (call.relay, call.endpoint, call.one_way_delay);
-        let idle = &mut self.nodes[relay].idle_connections;
+        let idle = &mut self.relays[relay].idle_connections;
         let is_connected = idle.get_mut(&endpoint).and_then(Vec::pop).is_some();
         self.calls.insert(id, Call { is_connected, ..call });
         for push in pushes {
@@ -90,7 +90,7 @@
             self.queue.schedule(self.now + timeout, SimulationEvent::ConnectTimeout(id));
         }
         if self.endpoints[endpoint].faults.is_active(&self.fault_windows, FaultKind::RequestLoss, self.now) {
-            // Lost on the way to the endpoint.
+            // The request is lost.
             return self.set_call_state(id, CallState::Done);
         }
         let next = if is_connected {
@@ -103,18 +103,18 @@
 
     fn draw_one_way_delay(&mut self, relay: usize, endpoint: usize) -> Span {
         let network = &self.scenario.network;
-        let (node, plan) = (&mut self.nodes[relay], &self.endpoints[endpoint].plan);
-        let range = if node.plan.zone == plan.zone {
+        let (process, plan) = (&mut self.relays[relay], &self.endpoints[endpoint].plan);
+        let range = if process.plan.zone == plan.zone {
             network.same_zone_delay_ms
         } else {
             network.cross_zone_delay_ms
         };
-        let distance = node.plan.distance + plan.distance;
+        let distance = process.plan.distance + plan.distance;
         let base_ms = range.min + (range.max - range.min) * distance / 2.0;
-        span_ms(base_ms * (1.0 + network.jitter * node.network_rng.random::<f64>()))
+        span_ms(base_ms * (1.0 + network.jitter * process.network_rng.random::<f64>()))
     }
 
-    /// A connection request reaches its endpoint.
+    /// Handles a connection request that reaches its endpoint.
     pub(super) fn handle_connection_request(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         if !call.is_awaited {
@@ -140,7 +140,7 @@
         self.queue.schedule(ready_at, SimulationEvent::RequestReceived(id));
     }
 
-    /// Sets the state of a call; one that is done and that no relay waits for is forgotten.
+    /// Sets the state of a call, and removes a finished one that no relay waits for.
     pub(super) fn set_call_state(&mut self, id: CallId, state: CallState) {
         if let Some(call) = self.calls.get_mut(&id) {
             call.state = state;
--- a/crates/model/src/simulation/clients.rs
+++ b/crates/model/src/simulation/clients.rs
@@ -1,4 +1,4 @@
-//! Notifications as their clients have them: drawn, submitted, submitted again, withdrawn and given up.
+//! The behaviour of clients: submission, resubmission and withdrawal of notifications, and giving up.
 
 use juniperwing::time::Span;
 use rand::Rng;
@@ -56,34 +56,34 @@
         if self.now >= submitted.valid_until {
             return self.give_up(notification, UndeliveredReason::Abandoned);
         }
-        let node = &mut self.nodes[relay];
-        if !node.is_running {
+        let process = &mut self.relays[relay];
+        if !process.is_running {
             return self.resubmit_elsewhere(notification);
         }
-        if node.pending.len() >= node.plan.limits.max_pending {
+        if process.pending.len() >= process.plan.limits.max_pending {
             self.recorder.metrics.rejected_at_capacity += 1;
             return self.resubmit_or_give_up(notification, relay, None);
         }
         self.last_notification_id += 1;
         let notification_id = self.last_notification_id;
-        node.pending.insert(notification_id, PendingNotification::new(notification));
+        process.pending.insert(notification_id, PendingNotification::new(notification));
         self.notifications[notification].pending_at = Some(PendingAt { relay, notification_id });
         self.enqueue_input(relay, RelayInput::Accepted(notification_id));
     }
 
-    /// The relay is down: the client submits the notification to one that runs after a while.
+    /// Resubmits a notification, whose relay is down, to a running relay after the failover delay.
     pub(super) fn resubmit_elsewhere(&mut self, notification: usize) {
         let running: Vec<usize> =
-            (0..self.nodes.len()).filter(|relay| self.nodes[*relay].is_running).collect();
+            (0..self.relays.len()).filter(|relay| self.relays[*relay].is_running).collect();
         let after = span_ms(self.scenario.clients.failover_delay_ms.draw(&mut self.client_rng));
         let choice = self.client_rng.random::<u32>() as usize;
-        // With none running any relay will do: its client tries again.
+        // If none is running, any relay is chosen, and the client will fail over again.
         let relay =
-            if running.is_empty() { choice % self.nodes.len() } else { running[choice % running.len()] };
+            if running.is_empty() { choice % self.relays.len() } else { running[choice % running.len()] };
         self.queue.schedule(self.now + after, SimulationEvent::Submit { notification, relay });
     }
 
-    /// The relay has throttled a notification: its client submits it again, or gives up.
+    /// Resubmits a throttled notification, or gives it up.
     pub(super) fn resubmit_or_give_up(
         &mut self, notification: usize, relay: usize, retry_after: Option<Span>,
     ) {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// The client is done with a notification, which counts as undelivered unless it was delivered.
+    /// Finishes a notification for its client, and records it as undelivered unless it was delivered.
     pub(super) fn give_up(&mut self, notification: usize, reason: UndeliveredReason) {
         let notification = &mut self.notifications[notification];
         if !std::mem::replace(&mut notification.is_finished, true) {
@@ -117,15 +117,16 @@
         }
     }
 
-    /// The client withdraws a notification.
+    /// Handles the withdrawal of a notification by its client.
     pub(super) fn handle_withdrawal(&mut self, notification: usize) {
         if let Some(PendingAt { relay, notification_id }) = self.notifications[notification].pending_at.take()
         {
-            let node = &mut self.nodes[relay];
-            let is_owed = node.pending.get(&notification_id).is_some_and(|pending| !pending.has_final_answer);
-            if is_owed && node.is_running {
-                node.pending.remove(&notification_id);
-                self.judge.handle_withdrawal(notification_id);
+            let process = &mut self.relays[relay];
+            let is_owed =
+                process.pending.get(&notification_id).is_some_and(|pending| !pending.has_final_answer);
+            if is_owed && process.is_running {
+                process.pending.remove(&notification_id);
+                self.rule_checker.handle_withdrawal(notification_id);
                 self.enqueue_input(relay, RelayInput::Withdrawn(notification_id));
             }
         }
--- a/crates/model/src/simulation/commands.rs
+++ b/crates/model/src/simulation/commands.rs
@@ -1,4 +1,4 @@
-//! The commands of relays, executed in order as the relay on sockets does.
+//! The execution of commands of relays, in order, as by the relay on sockets.
 
 use juniperwing::interface::{Command, EndpointId};
 use juniperwing::time::Span;
@@ -6,8 +6,8 @@
 use super::Simulation;
 use super::state::{PushRequest, RelayInput, SimulationEvent};
 use crate::fleet::span_ms;
-use crate::judge::FinalAnswer;
 use crate::metrics::UndeliveredReason;
+use crate::rule_checker::FinalAnswer;
 
 impl Simulation<'_> {
     pub(super) fn execute_commands(&mut self, relay: usize, commands: &[Command]) {
@@ -24,7 +24,7 @@
         }
     }
 
-    /// The pushes at the start of `commands` that travel to one endpoint in one call.
+    /// The pushes at the start of `commands` that are sent to one endpoint in one call.
     fn pushes_of_call(&self, to: &EndpointId, commands: &[Command]) -> Vec<PushRequest> {
         let pushes = commands.iter().map_while(|command| match command {
             Command::Push { notification, endpoint, timeout, .. } if endpoint == to => {
@@ -35,7 +35,7 @@
         pushes.take(self.max_pushes_per_call(to)).collect()
     }
 
-    /// One at least.
+    /// The maximum of pushes in a call to an endpoint, at least 1.
     fn max_pushes_per_call(&self, endpoint: &EndpointId) -> usize {
         let Some(endpoint) = self.endpoint_indices.get(&endpoint.0) else { return 1 };
         let destination = self.endpoints[*endpoint].plan.destination;
@@ -56,21 +56,22 @@
             Command::Probe(_) => self.recorder.metrics.probes += 1,
             Command::CloseIdleConnections(endpoint) => {
                 if let Some(endpoint) = self.endpoint_indices.get(&endpoint.0).copied() {
-                    let idle = self.nodes[relay].idle_connections.remove(&endpoint).unwrap_or_default();
+                    let idle = self.relays[relay].idle_connections.remove(&endpoint).unwrap_or_default();
                     self.endpoints[endpoint].connections -= idle.len();
                 }
             }
-            // Pushes are sent in batches, and a call is in flight at once: there is none to withhold.
+            // Pushes are handled by `execute_commands`. A call is in flight as soon as it is commanded, so `CancelUnsent`
+            // finds no unsent push.
             Command::Push { .. } | Command::Log(_) | Command::CancelUnsent(_) => {}
         }
     }
 
     fn schedule_wake(&mut self, relay: usize, after: Span) {
         let at = self.now + after;
-        let node = &mut self.nodes[relay];
-        if at < node.wake_at {
-            node.wake_at = at;
-            let incarnation = node.incarnation;
+        let process = &mut self.relays[relay];
+        if at < process.wake_at {
+            process.wake_at = at;
+            let incarnation = process.incarnation;
             self.queue.schedule(at, SimulationEvent::Wake { relay, incarnation });
         }
     }
@@ -88,16 +89,16 @@
         }
     }
 
-    /// A final answer that is no delivery. Returns the notification unless it has an answer already.
+    /// Records a final answer other than a delivery. Returns the notification unless it already has a final answer.
     fn answer(&mut self, relay: usize, notification_id: u64, answer: FinalAnswer) -> Option<usize> {
-        self.judge.handle_final_answer(self.now, relay, notification_id, answer);
-        let pending = self.nodes[relay]
+        self.rule_checker.handle_final_answer(self.now, relay, notification_id, answer);
+        let pending = self.relays[relay]
             .pending
             .get_mut(&notification_id)
             .filter(|pending| !pending.has_final_answer)?;
         pending.has_final_answer = true;
         let (notification, is_unanswered) = (pending.notification, pending.is_unanswered);
-        // In the turn that accepts it the response itself carries the answer; later a notice does.
+        // In the turn that accepts the notification, the answer is part of the response; later it is sent as a notice.
         if is_unanswered {
             self.enqueue_input(relay, RelayInput::NoticeDelivered(notification_id));
         } else {
@@ -108,9 +109,9 @@
 
     /// Schedules the time at which a relay learns that the client has its notice.
     pub(super) fn schedule_notice(&mut self, relay: usize, notification_id: u64) {
-        let node = &mut self.nodes[relay];
-        let at = self.now + span_ms(self.scenario.relays.notice_delay_ms.draw(&mut node.network_rng));
-        let (incarnation, input) = (node.incarnation, RelayInput::NoticeDelivered(notification_id));
+        let process = &mut self.relays[relay];
+        let at = self.now + span_ms(self.scenario.relays.notice_delay_ms.draw(&mut process.network_rng));
+        let (incarnation, input) = (process.incarnation, RelayInput::NoticeDelivered(notification_id));
         self.queue.schedule(at, SimulationEvent::RelayInput { relay, incarnation, input });
     }
 }
--- a/crates/model/src/simulation/endpoint_list.rs
+++ b/crates/model/src/simulation/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The list of endpoints: its changes, and when relays are notified of them.
+//! The endpoint list: its changes, and their propagation to relays.
 
 use juniperwing::interface::Readiness;
 use juniperwing::time::Span;
@@ -15,19 +15,19 @@
         windows.any(|window| window.kind == FaultKind::ListDown && window.is_active(self.now))
     }
 
-    /// A relay subscribes to the list and receives the changes that it has missed, or that the list cannot be reached.
+    /// Subscribes a relay to the list. It receives the changes that it has missed, or a failure if the list is down.
     pub(super) fn subscribe(&mut self, relay: usize) {
         self.recorder.metrics.list_requests += 1;
         let is_down = self.is_list_down();
-        let node = &mut self.nodes[relay];
-        let at = self.now + span_ms(self.scenario.list.response_ms.draw(&mut node.list_rng));
-        let incarnation = node.incarnation;
+        let process = &mut self.relays[relay];
+        let at = self.now + span_ms(self.scenario.list.response_ms.draw(&mut process.list_rng));
+        let incarnation = process.incarnation;
         let input = if is_down {
             RelayInput::SubscriptionLost
         } else {
-            node.is_subscribed = true;
-            node.last_list_update_at = node.last_list_update_at.max(at);
-            let missed = std::mem::take(&mut node.unreported_changes);
+            process.is_subscribed = true;
+            process.last_list_update_at = process.last_list_update_at.max(at);
+            let missed = std::mem::take(&mut process.unreported_changes);
             let changes = missed.into_iter().map(|endpoint| (endpoint, self.readiness[endpoint]));
             RelayInput::EndpointChanges(changes.collect())
         };
@@ -36,15 +36,15 @@
 
     /// Ends the subscriptions of all relays.
     pub(super) fn end_subscriptions(&mut self) {
-        for relay in 0..self.nodes.len() {
-            let node = &mut self.nodes[relay];
-            if node.is_running && std::mem::take(&mut node.is_subscribed) {
+        for relay in 0..self.relays.len() {
+            let process = &mut self.relays[relay];
+            if process.is_running && std::mem::take(&mut process.is_subscribed) {
                 self.enqueue_input(relay, RelayInput::SubscriptionLost);
             }
         }
     }
 
-    /// Changes the list; each relay is notified after a delay of its own, of one change after the other.
+    /// Changes the list. Each relay is notified after a randomly drawn delay, and receives changes in order.
     fn publish_readiness(&mut self, endpoint: usize, readiness: Readiness) {
         self.readiness[endpoint] = readiness;
         let windows = self.fault_windows.iter();
@@ -52,21 +52,21 @@
             windows.filter(|window| window.kind == FaultKind::ListStale && window.is_active(self.now));
         let staleness = Span::from_secs_f64(stale.map(|window| window.size).sum());
         let is_down = self.is_list_down();
-        for (relay, node) in self.nodes.iter_mut().enumerate() {
-            let delay =
-                Span::from_secs_f64(self.scenario.list.change_delay_s.draw(&mut node.list_rng)) + staleness;
-            if !node.is_running || !node.is_subscribed || is_down {
-                node.unreported_changes.insert(endpoint);
+        for (relay, process) in self.relays.iter_mut().enumerate() {
+            let delay = Span::from_secs_f64(self.scenario.list.change_delay_s.draw(&mut process.list_rng))
+                + staleness;
+            if !process.is_running || !process.is_subscribed || is_down {
+                process.unreported_changes.insert(endpoint);
                 continue;
             }
-            node.last_list_update_at = node.last_list_update_at.max(self.now + delay);
-            let (at, incarnation) = (node.last_list_update_at, node.incarnation);
+            process.last_list_update_at = process.last_list_update_at.max(self.now + delay);
+            let (at, incarnation) = (process.last_list_update_at, process.incarnation);
             let input = RelayInput::EndpointChanges(vec![(endpoint, readiness)]);
             self.queue.schedule(at, SimulationEvent::RelayInput { relay, incarnation, input });
         }
     }
 
-    /// An endpoint drains, and a new one replaces it.
+    /// Drains an endpoint and adds a new one that replaces it.
     pub(super) fn replace_endpoint(&mut self, endpoint: usize, terminates_after: Span) {
         if self.readiness[endpoint] != Readiness::Serving {
             return;
--- a/crates/model/src/simulation/faults.rs
+++ b/crates/model/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that begin and end, and the outages of routes that follow from them.
+//! The begin and end of faults, and the resulting outages of routes.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +11,7 @@
 use crate::scenario::FaultKind;
 
 impl Simulation<'_> {
-    /// A fault begins or ends.
+    /// Handles the begin or the end of a fault.
     pub(super) fn handle_fault_boundary(&mut self, fault: usize) {
         let window = self.fault_windows[fault].clone();
         if self.now < window.to {
@@ -23,15 +23,15 @@
         routes.into_iter().for_each(|route| self.update_route_outage(route));
     }
 
-    /// Does what a fault does once; the effect of others is computed while they are active.
+    /// Executes the actions of a fault at its begin. Other effects are computed while the fault is active.
     fn begin_fault(&mut self, fault: usize, window: &FaultWindow) {
         match window.kind {
             FaultKind::ListDown => self.end_subscriptions(),
             FaultKind::RelayKill | FaultKind::RelayLoss => {
-                let (kept, restart_after) =
+                let (is_storage_kept, restart_after) =
                     (window.kind == FaultKind::RelayKill, Span::from_secs_f64(window.size));
                 for relay in self.affected[fault].relays.clone() {
-                    self.stop_relay(relay, kept, restart_after);
+                    self.stop_relay(relay, is_storage_kept, restart_after);
                 }
             }
             FaultKind::Deploy => self.schedule_deployment(fault, window),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Schedules the replacement of endpoints, one after the other over the time of the fault.
+    /// Schedules the replacement of endpoints, one after the other, evenly over the duration of the fault.
     fn schedule_deployment(&mut self, fault: usize, window: &FaultWindow) {
         let endpoints = &self.affected[fault].endpoints;
         let interval = window.to.since(window.from).mul_f64(1.0 / endpoints.len().max(1) as f64);
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Updates whether all endpoints of a route are out; the judge records outages and recoveries.
+    /// Updates whether all endpoints of a route are unavailable, and passes outages and recoveries to the rule checker.
     pub(super) fn update_route_outage(&mut self, route: usize) {
         let (now, windows) = (self.now, &self.fault_windows);
         let endpoints = self.routes[route].endpoints.iter().map(|endpoint| &self.endpoints[*endpoint]);
@@ -59,11 +59,11 @@
         let min_outage = Span::from_secs_f64(self.scenario.rules.min_outage_s);
         let state = &mut self.routes[route];
         match state.set_outage(is_out, now, min_outage) {
-            Some(OutageTransition::Began) => self.judge.handle_route_outage(route),
+            Some(OutageTransition::Began) => self.rule_checker.handle_route_outage(route),
             Some(OutageTransition::Ended) => {
-                self.judge.handle_route_recovery(now, route, Some(&state.plan));
+                self.rule_checker.handle_route_recovery(now, route, Some(&state.plan));
             }
-            Some(OutageTransition::Brief) => self.judge.handle_route_recovery(now, route, None),
+            Some(OutageTransition::Brief) => self.rule_checker.handle_route_recovery(now, route, None),
             None => {}
         }
     }
