--- a/crates/model/src/simulation/inputs.rs
+++ b/crates/model/src/simulation/inputs.rs
@@ -1,4 +1,4 @@
-//! The inputs of relays as events of the core; the judge and the relay's storage record them.
+//! Conversion of the inputs of relays to events of the core. The rule checker and the relay's storage record them.
 
 use juniperwing::interface::{
     CallStatus, EndpointEntry, EndpointListUpdate, Event, Notification, NotificationHistory, NotificationId,
@@ -9,16 +9,16 @@
 use super::Simulation;
 use super::state::{PendingNotification, RelayInput, SentPush};
 use crate::fleet::{destination_id, span_ms};
-use crate::judge::{AcceptedNotification, ExecutionStatus, FinalAnswer, RepeatSemantics};
 use crate::metrics::UndeliveredReason;
+use crate::rule_checker::{AcceptedNotification, ExecutionStatus, FinalAnswer, RepeatSemantics};
 use crate::scenario::Semantics;
 
-/// What takes effect at the end of the turn that the inputs are for.
+/// Effects of the inputs that apply at the end of the turn.
 #[derive(Default)]
 pub(super) struct TurnEffects {
-    /// Waits that are announced to the relay, by route.
+    /// Retry-after times that the relay receives, by route.
     pub(super) waits: Vec<(usize, Time)>,
-    /// Submissions that the relay answers with this turn.
+    /// Submissions that the relay responds to in this turn.
     pub(super) accepted: Vec<u64>,
 }
 
@@ -34,7 +34,7 @@
 }
 
 impl Simulation<'_> {
-    /// The event for an input; `None` for a notification that is not pending any more.
+    /// Converts an input to an event. Returns `None` for a notification that is no longer pending.
     pub(super) fn convert_input(
         &mut self, relay: usize, input: RelayInput, effects: &mut TurnEffects,
     ) -> Option<Event> {
@@ -60,49 +60,50 @@
             RelayInput::SubscriptionLost => Event::EndpointListUpdated(EndpointListUpdate::Failed),
             RelayInput::Withdrawn(notification_id) => Event::Withdrawn(NotificationId(notification_id)),
             RelayInput::NoticeDelivered(notification_id) => {
-                self.nodes[relay].pending.remove(&notification_id);
+                self.relays[relay].pending.remove(&notification_id);
                 Event::FinalAnswerAcknowledged(NotificationId(notification_id))
             }
         })
     }
 
-    /// A submission, or after a restart what the storage holds of one.
+    /// Converts a submission or, after a restart, a notification recovered from storage.
     fn convert_accepted(
         &mut self, relay: usize, notification_id: u64, effects: &mut TurnEffects,
     ) -> Option<Event> {
-        let pending = self.nodes[relay].pending.get_mut(&notification_id)?;
+        let pending = self.relays[relay].pending.get_mut(&notification_id)?;
         if pending.is_unanswered {
             let notification = pending.notification;
             effects.accepted.push(notification_id);
             let accepted = self.accepted_notification(notification);
-            self.judge.handle_accepted(self.now, relay, notification_id, accepted);
+            self.rule_checker.handle_accepted(self.now, relay, notification_id, accepted);
         } else {
-            // An earlier process pushed it: what was in flight then may have been executed and may execute still.
+            // A push that was in flight when the previous process ended may have been executed, or may still be
+            // executing.
             pending.first_executed = pending.first_executed.or(pending.in_flight);
             if pending.in_flight.take().is_some() {
                 pending.uncertain_since = Some(self.now);
             }
         }
         Some(Event::Accepted(
-            self.core_notification(notification_id, &self.nodes[relay].pending[&notification_id]),
+            self.core_notification(notification_id, &self.relays[relay].pending[&notification_id]),
         ))
     }
 
-    /// A relay receives the outcome of a push; sets whether the notification has its final answer.
+    /// Records the outcome of a push at the relay, and sets whether the notification has its final answer.
     fn handle_push_outcome(
         &mut self, relay: usize, route: usize, outcome: &mut PushOutcome, effects: &mut TurnEffects,
     ) {
         let (notification_id, status) = (outcome.notification.0, outcome.status);
         let execution = execution_status(status);
-        self.judge.handle_outcome(self.now, relay, notification_id, outcome.push_index, execution);
+        self.rule_checker.handle_outcome(self.now, relay, notification_id, outcome.push_index, execution);
         if !matches!(status, CallStatus::Delivered | CallStatus::Cancelled | CallStatus::Skipped) {
-            self.judge.record_failure_seen(relay, route);
+            self.rule_checker.record_failure_seen(relay, route);
         }
         if let Some(wait) = outcome.retry_after {
             effects.waits.push((route, self.now + wait));
         }
         self.recorder.record_push_outcome(self.now, status);
-        let Some(pending) = self.nodes[relay].pending.get_mut(&notification_id) else {
+        let Some(pending) = self.relays[relay].pending.get_mut(&notification_id) else {
             outcome.has_final_answer = true;
             return;
         };
@@ -119,21 +120,21 @@
         }
     }
 
-    /// A relay receives the outcome of a delivery.
+    /// Finishes a notification whose delivery the relay has learned of.
     fn handle_delivery(&mut self, relay: usize, notification_id: u64) {
-        let Some(pending) = self.nodes[relay].pending.remove(&notification_id) else { return };
+        let Some(pending) = self.relays[relay].pending.remove(&notification_id) else { return };
         self.notifications[pending.notification].pending_at = None;
         if !pending.has_final_answer {
-            self.judge.handle_final_answer(self.now, relay, notification_id, FinalAnswer::Delivered);
+            self.rule_checker.handle_final_answer(self.now, relay, notification_id, FinalAnswer::Delivered);
         }
         self.give_up(pending.notification, UndeliveredReason::Abandoned);
     }
 
-    /// Entries of the endpoint list; the judge records what the relay is notified of.
+    /// Returns entries of the endpoint list for a relay; the rule checker records that the relay is notified of them.
     fn report_endpoints(&mut self, relay: usize, changes: &[(usize, Readiness)]) -> Vec<EndpointEntry> {
         for (endpoint, readiness) in changes {
             let is_serving = *readiness == Readiness::Serving;
-            self.judge.handle_readiness(self.now, relay, *endpoint, is_serving);
+            self.rule_checker.handle_readiness(self.now, relay, *endpoint, is_serving);
         }
         changes.iter().map(|(endpoint, readiness)| self.list_entry(*endpoint, *readiness)).collect()
     }
@@ -150,7 +151,7 @@
         }
     }
 
-    /// A notification as the judge has it.
+    /// A notification as the rule checker represents it.
     fn accepted_notification(&self, notification: usize) -> AcceptedNotification {
         let notification = &self.notifications[notification];
         let topic = &self.scenario.topics[notification.submission.topic];
@@ -170,7 +171,7 @@
         }
     }
 
-    /// A notification as the core has it.
+    /// A notification as the core represents it.
     fn core_notification(&self, notification_id: u64, pending: &PendingNotification) -> Notification {
         let notification = &self.notifications[pending.notification];
         let submission = &notification.submission;
--- a/crates/model/src/simulation/oracle.rs
+++ b/crates/model/src/simulation/oracle.rs
@@ -1,4 +1,4 @@
-//! The true state of endpoints, for a policy that may see it.
+//! The actual state of endpoints, for oracles.
 
 #![expect(clippy::disallowed_types, reason = "only looked up by key")]
 
@@ -10,11 +10,11 @@
 
 use crate::endpoint::Endpoint;
 use crate::faults::FaultWindow;
-use crate::policy::{TrueState, Truth};
+use crate::policy::{EndpointState, GroundTruth};
 use crate::route::{OverloadThreshold, Route};
 use crate::scenario::FaultKind;
 
-/// What an oracle may see of a simulation.
+/// The state of a simulation that oracles have access to.
 pub(super) struct OracleView<'a> {
     pub(super) now: Time,
     pub(super) endpoints: &'a [Endpoint],
@@ -24,8 +24,8 @@
     pub(super) overload_threshold: OverloadThreshold,
 }
 
-impl Truth for OracleView<'_> {
-    fn endpoint(&self, endpoint: &EndpointId) -> Option<TrueState> {
+impl GroundTruth for OracleView<'_> {
+    fn endpoint(&self, endpoint: &EndpointId) -> Option<EndpointState> {
         let endpoint = &self.endpoints[*self.endpoint_indices.get(&endpoint.0)?];
         let (route, faults, now) = (&self.routes[endpoint.plan.route], &endpoint.faults, self.now);
         let is_partitioned = [FaultKind::RequestLoss, FaultKind::ResponseLoss]
@@ -36,7 +36,7 @@
             || faults.resumes_at(self.fault_windows, now).is_some();
         let factor = faults.factor(self.fault_windows, FaultKind::Limit, now) * route.capacity_fraction(now);
         let has_limit = route.limit.calls_per_s(1.0).is_some();
-        Some(TrueState {
+        Some(EndpointState {
             is_answering: !endpoint.is_terminated && !route.is_overloaded() && !is_out,
             free_servers: endpoint.plan.servers.saturating_sub(endpoint.running),
             queued: endpoint.queue.len(),
--- a/crates/model/src/simulation/relays.rs
+++ b/crates/model/src/simulation/relays.rs
@@ -1,4 +1,4 @@
-//! The processes of relays: start, end and turns.
+//! The processes of relays: start, stop and turns.
 
 use std::collections::BTreeMap;
 
@@ -15,29 +15,29 @@
 use crate::scenario::Semantics;
 
 impl Simulation<'_> {
-    /// Whether an event was meant for the present process of a relay.
+    /// Whether an event is for the present process of a relay, not for an earlier one.
     pub(super) fn is_current(&self, relay: usize, incarnation: u32) -> bool {
-        self.nodes[relay].incarnation == incarnation
+        self.relays[relay].incarnation == incarnation
     }
 
-    /// A relay's process starts on what its storage holds.
+    /// Starts a relay's process, which recovers the notifications in its storage.
     pub(super) fn start_relay(&mut self, relay: usize) {
-        let (seed, incarnation) = (self.nodes[relay].plan.seed, self.nodes[relay].incarnation);
+        let (seed, incarnation) = (self.relays[relay].plan.seed, self.relays[relay].incarnation);
         let seed = seed.wrapping_add(u64::from(incarnation));
         let policy = self.policies.start(self.now, relay, seed, &self.fleet);
-        let node = &mut self.nodes[relay];
-        node.policy = Some(policy);
-        node.is_running = true;
-        node.wake_at = self.now;
-        node.next_turn_at = None;
-        node.is_subscribed = false;
-        node.last_list_update_at = self.now;
-        node.unreported_changes.clear();
+        let process = &mut self.relays[relay];
+        process.policy = Some(policy);
+        process.is_running = true;
+        process.wake_at = self.now;
+        process.next_turn_at = None;
+        process.is_subscribed = false;
+        process.last_list_update_at = self.now;
+        process.unreported_changes.clear();
         self.enqueue_input(relay, RelayInput::EndpointSnapshot);
-        self.judge.handle_relay_start(self.now, relay, RESTART_ALLOWANCE);
-        let pending: Vec<u64> = self.nodes[relay].pending.keys().copied().collect();
+        self.rule_checker.handle_relay_start(self.now, relay, RESTART_ALLOWANCE);
+        let pending: Vec<u64> = self.relays[relay].pending.keys().copied().collect();
         for notification_id in pending {
-            let has_final_answer = self.nodes[relay].pending[&notification_id].has_final_answer;
+            let has_final_answer = self.relays[relay].pending[&notification_id].has_final_answer;
             self.enqueue_input(relay, RelayInput::Accepted(notification_id));
             if has_final_answer {
                 self.schedule_notice(relay, notification_id);
@@ -46,42 +46,43 @@
         self.schedule_turn(relay);
     }
 
-    /// A relay's process ends at once and starts again after a while; `kept` if its storage outlasts it.
-    pub(super) fn stop_relay(&mut self, relay: usize, kept: bool, restart_after: Span) {
-        if !self.nodes[relay].is_running {
+    /// Kills a relay's process and schedules its restart, with its storage or without.
+    pub(super) fn stop_relay(&mut self, relay: usize, is_storage_kept: bool, restart_after: Span) {
+        if !self.relays[relay].is_running {
             return;
         }
-        let calls: Vec<CallId> = self.nodes[relay].calls.iter().copied().collect();
+        let calls: Vec<CallId> = self.relays[relay].calls.iter().copied().collect();
         calls.into_iter().for_each(|call| self.close_call(call, false));
-        let idle = std::mem::take(&mut self.nodes[relay].idle_connections);
+        let idle = std::mem::take(&mut self.relays[relay].idle_connections);
         for (endpoint, since) in idle {
             self.endpoints[endpoint].connections -= since.len();
         }
-        let node = &mut self.nodes[relay];
-        node.policy = None;
-        node.is_running = false;
-        node.incarnation += 1;
-        // An answer that no turn has seen is lost with the process.
-        node.inputs.clear();
-        let lost = self.take_lost_notifications(relay, kept);
-        self.judge.handle_relay_stop(self.now, relay, kept);
+        let process = &mut self.relays[relay];
+        process.policy = None;
+        process.is_running = false;
+        process.incarnation += 1;
+        // Inputs that no turn has handled are lost with the process.
+        process.inputs.clear();
+        let lost = self.take_lost_notifications(relay, is_storage_kept);
+        self.rule_checker.handle_relay_stop(self.now, relay, is_storage_kept);
         lost.iter().for_each(|pending| self.handle_lost_notification(pending));
         self.queue.schedule(self.now + restart_after, SimulationEvent::RelayStart(relay));
     }
 
-    /// What is lost with a process: all without its storage, else what was not answered yet and is not owed.
-    fn take_lost_notifications(&mut self, relay: usize, kept: bool) -> Vec<PendingNotification> {
-        let pending = std::mem::take(&mut self.nodes[relay].pending);
-        if !kept {
+    /// Removes and returns the notifications that are lost with a process: all of them if the storage is lost, else
+    /// those whose submission has no response yet.
+    fn take_lost_notifications(&mut self, relay: usize, is_storage_kept: bool) -> Vec<PendingNotification> {
+        let pending = std::mem::take(&mut self.relays[relay].pending);
+        if !is_storage_kept {
             return pending.into_values().collect();
         }
-        let (lost, owed): (BTreeMap<_, _>, BTreeMap<_, _>) =
+        let (lost, stored): (BTreeMap<_, _>, BTreeMap<_, _>) =
             pending.into_iter().partition(|(_, pending)| pending.is_unanswered);
-        self.nodes[relay].pending = owed;
+        self.relays[relay].pending = stored;
         lost.into_values().collect()
     }
 
-    /// The client submits a lost notification again, unless that could repeat an effect.
+    /// Resubmits a lost notification on behalf of its client, unless that could repeat an effect.
     fn handle_lost_notification(&mut self, pending: &PendingNotification) {
         let notification = &mut self.notifications[pending.notification];
         notification.pending_at = None;
@@ -98,35 +99,35 @@
     }
 
     pub(super) fn enqueue_input(&mut self, relay: usize, input: RelayInput) {
-        self.nodes[relay].inputs.push(input);
+        self.relays[relay].inputs.push(input);
         self.schedule_turn(relay);
     }
 
-    /// Schedules a turn as soon as the tick of relays allows, unless one is scheduled.
+    /// Schedules a turn as soon as the tick of relays permits, unless one is already scheduled.
     pub(super) fn schedule_turn(&mut self, relay: usize) {
-        let node = &mut self.nodes[relay];
-        if node.next_turn_at.is_none() && node.is_running {
+        let process = &mut self.relays[relay];
+        if process.next_turn_at.is_none() && process.is_running {
             let tick = span_ms(self.scenario.relays.tick_ms).max(MIN_TICK);
-            let at = node.last_turn_at.map_or(self.now, |last| (last + tick).max(self.now));
-            node.next_turn_at = Some(at);
-            let incarnation = node.incarnation;
+            let at = process.last_turn_at.map_or(self.now, |last| (last + tick).max(self.now));
+            process.next_turn_at = Some(at);
+            let incarnation = process.incarnation;
             self.queue.schedule(at, SimulationEvent::RelayTurn { relay, incarnation });
         }
     }
 
     pub(super) fn handle_wake(&mut self, relay: usize, incarnation: u32) {
-        if self.is_current(relay, incarnation) && self.nodes[relay].wake_at <= self.now {
+        if self.is_current(relay, incarnation) && self.relays[relay].wake_at <= self.now {
             self.schedule_turn(relay);
         }
     }
 
     pub(super) fn handle_turn(&mut self, relay: usize, incarnation: u32) {
-        if self.is_current(relay, incarnation) && self.nodes[relay].is_running {
+        if self.is_current(relay, incarnation) && self.relays[relay].is_running {
             self.run_turn(relay);
         }
     }
 
-    /// Gives a relay its inputs and executes its commands.
+    /// Passes the pending inputs to a relay's policy and executes its commands.
     fn run_turn(&mut self, relay: usize) {
         let mut effects = TurnEffects::default();
         let events = self.take_events(relay, &mut effects);
@@ -134,7 +135,7 @@
             return;
         }
         self.recorder.metrics.turns += 1;
-        let Some(mut policy) = self.nodes[relay].policy.take() else { return };
+        let Some(mut policy) = self.relays[relay].policy.take() else { return };
         let view = OracleView {
             now: self.now,
             endpoints: &self.endpoints,
@@ -144,29 +145,29 @@
             overload_threshold: self.overload_threshold,
         };
         let commands = policy.handle(self.now, events, &view);
-        self.nodes[relay].policy = Some(policy);
+        self.relays[relay].policy = Some(policy);
         self.execute_commands(relay, &commands);
         for notification_id in effects.accepted {
-            if let Some(pending) = self.nodes[relay].pending.get_mut(&notification_id) {
+            if let Some(pending) = self.relays[relay].pending.get_mut(&notification_id) {
                 pending.is_unanswered = false;
             }
         }
         for (route, until) in effects.waits {
-            self.judge.handle_wait(relay, route, until);
+            self.rule_checker.handle_wait(relay, route, until);
         }
     }
 
     fn take_events(&mut self, relay: usize, effects: &mut TurnEffects) -> Vec<Event> {
-        let node = &mut self.nodes[relay];
-        (node.next_turn_at, node.last_turn_at) = (None, Some(self.now));
-        let inputs = std::mem::take(&mut node.inputs);
+        let process = &mut self.relays[relay];
+        (process.next_turn_at, process.last_turn_at) = (None, Some(self.now));
+        let inputs = std::mem::take(&mut process.inputs);
         let mut events = Vec::new();
         for input in inputs {
             events.extend(self.convert_input(relay, input, effects));
         }
-        let node = &mut self.nodes[relay];
-        if node.wake_at <= self.now {
-            node.wake_at = Time::NEVER;
+        let process = &mut self.relays[relay];
+        if process.wake_at <= self.now {
+            process.wake_at = Time::NEVER;
             events.push(Event::WakeUp);
         }
         events
--- a/crates/model/src/simulation/service.rs
+++ b/crates/model/src/simulation/service.rs
@@ -6,16 +6,16 @@
 use super::Simulation;
 use super::state::{CallState, Response, SimulationEvent};
 use crate::endpoint::{Admission, CallId};
-use crate::metrics::value_fraction;
+use crate::metrics::benefit_fraction;
 use crate::scenario::{FaultKind, Kind, Semantics};
 
-/// What faults make of a call that reaches its endpoint.
+/// The effect of faults on a call that reaches its endpoint.
 enum FaultEffect {
     None,
-    /// It is never answered.
+    /// It gets no response.
     NoResponse,
     Response(CallStatus),
-    /// It is served, and then its connection breaks.
+    /// It is served, and its connection breaks before the response.
     BreaksAfterService,
 }
 
@@ -29,7 +29,7 @@
         self.endpoints[endpoint].faults.is_active(&self.fault_windows, kind, self.now)
     }
 
-    /// The last byte of a call reaches its endpoint.
+    /// Handles a call that has fully reached its endpoint.
     pub(super) fn handle_request(&mut self, id: CallId) {
         let Some(call) = self.calls.get(&id) else { return };
         let (endpoint, route, relay, count) = (call.endpoint, call.route, call.relay, call.items.len());
@@ -41,7 +41,7 @@
             return self.respond(id, CallStatus::Reset, None);
         }
         if !self.routes[route].is_out() {
-            self.judge.record_route_load(self.now, relay, route, weight);
+            self.rule_checker.record_route_load(self.now, relay, route, weight);
         }
         self.routes[route].record_load(self.now, weight, &self.overload_threshold);
         match self.fault_effect(id, endpoint, route) {
@@ -73,7 +73,7 @@
         if unaffected >= 1.0 {
             return FaultEffect::None;
         }
-        // Of the connections that break, one half break before the service and one half after it.
+        // Half of the broken connections break before the service and half after it.
         let (affected, drawn) = (1.0 - unaffected, endpoint.draw_fraction());
         if drawn < affected / 2.0 {
             FaultEffect::Response(CallStatus::Reset)
@@ -94,11 +94,11 @@
         })
     }
 
-    /// Serves, queues or rejects a call by the limit of its route and the capacity of its endpoint.
+    /// Serves, queues or rejects a call, according to the limit of its route and the capacity of its endpoint.
     fn admit(&mut self, id: CallId, endpoint: usize, route: usize) {
         let now = self.now;
         let kind = self.kind_of(endpoint);
-        let (announces_wait, counts_rejected, noise) =
+        let (announced_wait_fraction, counts_rejected, noise) =
             (kind.announced_wait_fraction, kind.counts_rejected, kind.report_noise);
         let (endpoint, route) = (&mut self.endpoints[endpoint], &mut self.routes[route]);
         let fault_factor = endpoint.faults.factor(&self.fault_windows, FaultKind::Limit, now);
@@ -106,7 +106,7 @@
         let is_within_limit = route.limit.try_acquire(now, factor, counts_rejected);
         endpoint.make_report(now, noise, &mut route.limit, factor);
         if !is_within_limit {
-            let is_announced = endpoint.draw_fraction() < announces_wait;
+            let is_announced = endpoint.draw_fraction() < announced_wait_fraction;
             let wait = is_announced.then(|| route.limit.time_until_available(now, factor));
             return self.respond(id, CallStatus::Busy, wait.filter(|wait| *wait > Span::ZERO));
         }
@@ -133,7 +133,7 @@
             };
             work_s += self.notifications[item.notification].work_s * cost;
         }
-        // Attempts for the same notification differ a little.
+        // The service times of attempts for one notification vary by `attempt_cv`.
         let first = call.items.first();
         let topic = first.map_or(0, |item| self.notifications[item.notification].submission.topic);
         let work_s =
@@ -169,7 +169,7 @@
         self.respond(id, if breaks_after_service { CallStatus::Reset } else { status }, None);
     }
 
-    /// All notifications of a call have been executed.
+    /// Records the execution of all notifications of a call.
     fn record_executions(&mut self, id: CallId) {
         let Some(call) = self.calls.get(&id) else { return };
         let destination = self.endpoints[call.endpoint].plan.destination;
@@ -184,7 +184,7 @@
         let notification = &mut self.notifications[index];
         let submission = notification.submission;
         let topic = &self.scenario.topics[submission.topic];
-        self.judge.record_effect(
+        self.rule_checker.record_effect(
             self.now,
             index,
             notification_id,
@@ -195,20 +195,20 @@
             self.recorder.metrics.pushes.wasted += 1;
             return;
         }
-        // The delivery of a notification that its client has given up earns no benefit.
+        // A delivery after the client has given up earns no benefit.
         if !notification.is_finished {
             let latency = self.now.since(submission.at);
-            self.recorder.record_delivery(&submission, latency, value_fraction(topic, latency));
+            self.recorder.record_delivery(&submission, latency, benefit_fraction(topic, latency));
             self.add_to_series(destination, |series| &mut series.delivered, 1.0);
         }
     }
 
-    /// The endpoint answers a call, or its connection breaks.
+    /// Sends the response of an endpoint, or breaks the connection.
     fn respond(&mut self, id: CallId, status: CallStatus, wait: Option<Span>) {
         let Some(call) = self.calls.get(&id) else { return };
         let (is_awaited, at) = (call.is_awaited, self.now + call.one_way_delay);
-        let reports = self.kind_of(call.endpoint).has_load_reports && status != CallStatus::Reset;
-        let limit = if reports { self.endpoints[call.endpoint].latest_report(self.now) } else { None };
+        let has_report = self.kind_of(call.endpoint).has_load_reports && status != CallStatus::Reset;
+        let limit = if has_report { self.endpoints[call.endpoint].latest_report(self.now) } else { None };
         if is_awaited && !self.has_fault(call.endpoint, FaultKind::ResponseLoss) {
             self.schedule_response(id, at, Response { status, wait, limit });
         }
--- a/crates/model/src/simulation/setup.rs
+++ b/crates/model/src/simulation/setup.rs
@@ -1,4 +1,4 @@
-//! The state of a simulation before its first event, made from a scenario and a seed.
+//! The initial state of a simulation, from a scenario and a seed.
 
 #![expect(clippy::disallowed_types, reason = "only looked up by key")]
 
@@ -9,21 +9,21 @@
 
 use super::affected::Affected;
 use super::state::{QuotaBucket, RelayProcess};
-use super::{MAX_EVENTS_PER_ARRIVAL, MAX_EVENTS_PER_RELAY_SECOND, MAX_SERIES, Simulation};
+use super::{MAX_EVENTS_PER_ARRIVAL, MAX_EVENTS_PER_RELAY_SECOND, MAX_RECORDED_DESTINATIONS, Simulation};
 use crate::endpoint::Endpoint;
 use crate::event_queue::EventQueue;
 use crate::faults::{FaultSet, FaultWindow};
 use crate::fleet::{Fleet, span_ms};
-use crate::judge::{Judge, RuleTolerances};
 use crate::metrics::{DestinationSeries, FleetSize, MetricsRecorder};
 use crate::policy::Policies;
-use crate::random::{Concern, RngStreams};
+use crate::random::{RngStreams, StreamPurpose};
 use crate::route::{OverloadThreshold, Route};
+use crate::rule_checker::{RuleChecker, RuleTolerances};
 use crate::scenario::{FaultKind, Rules, Scenario};
 use crate::traffic::{HotRelays, Traffic};
 
 impl<'a> Simulation<'a> {
-    /// A simulation of a resolved scenario.
+    /// Creates a simulation of a resolved scenario.
     pub(super) fn new(scenario: &Scenario, seed: u64, policies: &'a dyn Policies) -> Simulation<'a> {
         let rng = RngStreams::new(seed);
         let fleet = Fleet::draw(scenario, &rng);
@@ -37,16 +37,16 @@
         Simulation {
             readiness: vec![Readiness::Serving; fleet.endpoints.len()],
             endpoint_indices: endpoint_indices(&fleet),
-            judge: Judge::new(rule_tolerances(&scenario.rules), fleet.routes.len()),
+            rule_checker: RuleChecker::new(rule_tolerances(&scenario.rules), fleet.routes.len()),
             overload_threshold: overload_threshold(&scenario.rules),
-            client_rng: rng.stream(Concern::Clients, 0),
+            client_rng: rng.stream(StreamPurpose::Clients, 0),
             scenario: scenario.clone(),
             policies,
             queue: EventQueue::default(),
             now: Time::default(),
             endpoints: endpoints(&fleet, &affected, &rng),
             routes: routes(&fleet),
-            nodes: nodes(&fleet, &rng),
+            relays: relay_processes(&fleet, &rng),
             quotas: quotas(scenario, &fleet),
             fault_windows,
             affected,
@@ -102,13 +102,14 @@
     routes
 }
 
-fn nodes(fleet: &Fleet, rng: &RngStreams) -> Vec<RelayProcess> {
-    let mut nodes = Vec::new();
+fn relay_processes(fleet: &Fleet, rng: &RngStreams) -> Vec<RelayProcess> {
+    let mut processes = Vec::new();
     for (index, plan) in fleet.relays.iter().enumerate() {
-        let (network, list) = (rng.stream(Concern::Network, index), rng.stream(Concern::List, index));
-        nodes.push(RelayProcess::new(plan.clone(), network, list));
+        let (network, list) =
+            (rng.stream(StreamPurpose::Network, index), rng.stream(StreamPurpose::List, index));
+        processes.push(RelayProcess::new(plan.clone(), network, list));
     }
-    nodes
+    processes
 }
 
 fn quotas(scenario: &Scenario, fleet: &Fleet) -> Vec<QuotaBucket> {
@@ -155,11 +156,11 @@
     DestinationSeries { destination, ..DestinationSeries::default() }
 }
 
-/// Those with faults first, then the busiest.
+/// The destinations that are recorded: those with faults first, then the busiest.
 fn destinations_with_series(destination_faults: &[FaultSet]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..destination_faults.len()).collect();
     order.sort_by_key(|destination| (destination_faults[*destination].is_empty(), *destination));
-    order.truncate(MAX_SERIES);
+    order.truncate(MAX_RECORDED_DESTINATIONS);
     order
 }
 
@@ -182,7 +183,8 @@
     }
 }
 
-/// More events than a run of that size can have, for a policy that never rests.
+/// The number of events at which a run is stopped, above that of any regular run of its size. It stops the run of a
+/// policy that loops.
 fn max_events(scenario: &Scenario, fleet: &Fleet) -> u64 {
     let span_s = scenario.duration_s.min;
     let rate = scenario.traffic.rate.min * scenario.traffic.load.min;
--- a/crates/model/src/simulation/state.rs
+++ b/crates/model/src/simulation/state.rs
@@ -1,4 +1,4 @@
-//! The state that a simulation keeps of events to come, notifications, calls and relays.
+//! The state of a simulation: pending events, notifications, calls and relays.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,9 +12,9 @@
 use crate::policy::Policy;
 use crate::traffic::Arrival;
 
-/// An event of the simulation. Relays, endpoints, notifications and faults are named by index.
+/// An event of the simulation. Relays, endpoints, notifications and faults are identified by index.
 pub(super) enum SimulationEvent {
-    /// A traffic source yields its next notification.
+    /// A traffic source generates its next notification.
     Arrival {
         source: usize,
         arrival: Box<Arrival>,
@@ -32,7 +32,7 @@
         relay: usize,
         incarnation: u32,
     },
-    /// The time at which a relay asked to be woken.
+    /// A wake-up that a relay requested.
     Wake {
         relay: usize,
         incarnation: u32,
@@ -58,7 +58,7 @@
         notification_id: u64,
     },
     ConnectTimeout(CallId),
-    /// Connections between a relay and an endpoint may have been idle for too long.
+    /// Connections between a relay and an endpoint may have reached the idle timeout.
     CloseIdleConnections {
         relay: usize,
         endpoint: usize,
@@ -71,27 +71,27 @@
     },
     EndpointTerminated(usize),
     RelayStart(usize),
-    /// A second is over.
+    /// The end of a second.
     SampleSecond,
 }
 
-/// How an endpoint answers a call.
+/// The response of an endpoint to a call.
 #[derive(Clone, Copy)]
 pub(super) struct Response {
     pub(super) status: CallStatus,
-    /// How long the relay is asked to wait.
+    /// The retry-after, if the response has one.
     pub(super) wait: Option<Span>,
     pub(super) limit: Option<RateLimitReport>,
 }
 
 impl Response {
-    /// A response that carries nothing but its status.
+    /// A response with a status only.
     pub(super) fn of(status: CallStatus) -> Response {
         Response { status, wait: None, limit: None }
     }
 }
 
-/// An input of a relay, handled with its next turn.
+/// An input of a relay, handled in its next turn.
 pub(super) enum RelayInput {
     Accepted(u64),
     PushEnded {
@@ -102,18 +102,18 @@
     EndpointSnapshot,
     SubscriptionLost,
     Withdrawn(u64),
-    /// The client has the final answer.
+    /// The client has received the final answer.
     NoticeDelivered(u64),
 }
 
-/// Where a notification is pending.
+/// The relay at which a notification is pending, and its id there.
 #[derive(Clone, Copy)]
 pub(super) struct PendingAt {
     pub(super) relay: usize,
     pub(super) notification_id: u64,
 }
 
-/// A notification as its client has it, over all its submissions.
+/// The state of a notification at its client, over all its submissions.
 pub(super) struct ClientNotification {
     pub(super) submission: Submission,
     pub(super) destination: usize,
@@ -122,7 +122,7 @@
     /// Service time at a speed of 1, in seconds.
     pub(super) work_s: f64,
     pub(super) resubmissions: u32,
-    /// It was delivered, or its client has given up.
+    /// Whether it was delivered or its client has given up.
     pub(super) is_finished: bool,
     pub(super) is_delivered: bool,
     pub(super) pending_at: Option<PendingAt>,
@@ -135,7 +135,7 @@
     pub(super) zone: usize,
 }
 
-/// What the storage of a relay keeps of a notification.
+/// The state of a notification in the storage of a relay.
 #[derive(Clone, Debug)]
 pub(super) struct PendingNotification {
     pub(super) notification: usize,
@@ -143,10 +143,10 @@
     /// The first push that may have been executed.
     pub(super) first_executed: Option<SentPush>,
     pub(super) in_flight: Option<SentPush>,
-    /// When a push ended that may still be executing.
+    /// When the latest push ended that may still be executing.
     pub(super) uncertain_since: Option<Time>,
     pub(super) has_final_answer: bool,
-    /// The relay has not answered the submission yet.
+    /// Whether the relay has not yet responded to the submission.
     pub(super) is_unanswered: bool,
 }
 
@@ -164,7 +164,7 @@
     }
 }
 
-/// A push that a relay commands.
+/// A push that a relay requests.
 #[derive(Clone, Copy)]
 pub(super) struct PushRequest {
     pub(super) notification_id: u64,
@@ -176,7 +176,7 @@
     pub(super) notification_id: u64,
     pub(super) notification: usize,
     pub(super) push: u32,
-    /// The relay has no outcome of the push yet.
+    /// Whether the relay has no outcome of the push yet.
     pub(super) is_in_flight: bool,
     pub(super) is_ordered: bool,
 }
@@ -188,11 +188,11 @@
     /// In the queue of the endpoint.
     Queued,
     Running,
-    /// The endpoint has no part in it any more.
+    /// The endpoint has finished with it, or never received it.
     Done,
 }
 
-/// A call: pushes that travel together.
+/// A call, which carries one or more pushes.
 pub(super) struct Call {
     pub(super) relay: usize,
     pub(super) endpoint: usize,
@@ -200,12 +200,12 @@
     pub(super) items: Vec<CallItem>,
     pub(super) sent_at: Time,
     pub(super) one_way_delay: Span,
-    /// It has a connection.
+    /// Whether it has a connection.
     pub(super) is_connected: bool,
-    /// The relay still waits for it.
+    /// Whether the relay still waits for it.
     pub(super) is_awaited: bool,
     pub(super) state: CallState,
-    /// Its connection breaks once it has been executed.
+    /// Whether its connection breaks after the service.
     pub(super) breaks_after_service: bool,
 }
 
@@ -214,7 +214,7 @@
     pub(super) plan: RelayPlan,
     /// `None` while the process is down.
     pub(super) policy: Option<Box<dyn Policy>>,
-    /// Rises with each end of the process; events for an earlier one are dropped.
+    /// Incremented whenever the process stops; events for an earlier process are dropped.
     pub(super) incarnation: u32,
     pub(super) is_running: bool,
     /// Inputs for the next turn.
@@ -222,18 +222,18 @@
     pub(super) next_turn_at: Option<Time>,
     pub(super) last_turn_at: Option<Time>,
     pub(super) wake_at: Time,
-    /// Outlasts the process unless its storage is lost.
+    /// The contents of its storage, kept across restarts unless the storage is lost.
     pub(super) pending: BTreeMap<u64, PendingNotification>,
     pub(super) calls: BTreeSet<CallId>,
     /// By endpoint: since when each idle connection has been idle, the oldest first.
     pub(super) idle_connections: BTreeMap<usize, Vec<Time>>,
     pub(super) network_rng: ChaCha8Rng,
     pub(super) list_rng: ChaCha8Rng,
-    /// It is subscribed to changes of the endpoint list.
+    /// Whether it is subscribed to changes of the endpoint list.
     pub(super) is_subscribed: bool,
-    /// Endpoints whose changes could not be reported.
+    /// Endpoints with changes that it has not been notified of.
     pub(super) unreported_changes: BTreeSet<usize>,
-    /// When the latest change of the list reaches it: changes arrive in order.
+    /// When the latest change of the list reaches it. Later changes arrive no earlier, to keep their order.
     pub(super) last_list_update_at: Time,
 }
 
@@ -266,14 +266,19 @@
     pub(super) rate_per_s: f64,
     pub(super) tokens: f64,
     pub(super) refilled_at: Time,
-    /// The fraction of its benefit that a notification beyond the quota earns.
-    pub(super) over_quota_value: f64,
+    /// The fraction of its benefit that a notification above the quota earns.
+    pub(super) over_quota_benefit_fraction: f64,
 }
 
 impl QuotaBucket {
-    /// A full bucket.
-    pub(super) fn new(rate_per_s: f64, over_quota_value: f64) -> QuotaBucket {
-        QuotaBucket { rate_per_s, tokens: rate_per_s, refilled_at: Time::default(), over_quota_value }
+    /// Creates a full bucket.
+    pub(super) fn new(rate_per_s: f64, over_quota_benefit_fraction: f64) -> QuotaBucket {
+        QuotaBucket {
+            rate_per_s,
+            tokens: rate_per_s,
+            refilled_at: Time::default(),
+            over_quota_benefit_fraction,
+        }
     }
 
     /// Counts a notification and returns the fraction of its benefit that it earns.
@@ -282,7 +287,7 @@
         self.tokens = (self.tokens + refill).min(self.rate_per_s.max(1.0));
         self.refilled_at = self.refilled_at.max(at);
         if self.tokens < 1.0 {
-            return self.over_quota_value;
+            return self.over_quota_benefit_fraction;
         }
         self.tokens -= 1.0;
         1.0
--- a/crates/model/src/traffic.rs
+++ b/crates/model/src/traffic.rs
@@ -1,6 +1,6 @@
-//! The notifications that clients submit, drawn ahead: arrivals never wait for an answer.
+//! The generation of the notifications that clients submit, as an open-loop workload: arrivals do not depend on answers.
 //!
-//! What a client does after an answer is drawn here too; the outcome of a notification is not considered.
+//! The delay of a resubmission after an answer is drawn here too.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -12,24 +12,24 @@
 
 use crate::faults::{FaultSet, FaultWindow};
 use crate::fleet::{Fleet, TopicPlan};
-use crate::random::{Concern, RngStreams, cumulative_sums, lognormal, weighted_index};
-use crate::scenario::{Clients, FaultKind, LatencyDistribution, Range, Scenario};
+use crate::random::{RngStreams, StreamPurpose, cumulative_sums, lognormal, weighted_index};
+use crate::scenario::{Clients, FaultKind, Range, Scenario, ServiceTimeDistribution};
 
-/// The arrivals of one clump come within this time.
-const CLUMP_SPREAD_MS: f64 = 100.0;
-/// A clump has this many arrivals at least.
-const MIN_CLUMP_SIZE: f64 = 2.0;
-/// Generations of keys that are kept: sources draw ahead of each other, but never so far.
+/// The arrivals of one batch are within this time.
+const BATCH_SPREAD_MS: f64 = 100.0;
+/// The minimum of arrivals in a batch.
+const MIN_BATCH_SIZE: f64 = 2.0;
+/// The number of generations of keys that are kept. Sources draw ahead of each other, but by fewer generations.
 const KEY_GENERATIONS: usize = 4;
-/// A client's backoff doubles with each resubmission up to this one.
+/// The number of resubmissions after which a client's backoff doubles no further.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
 
-/// A notification that is to be submitted.
+/// A notification to be submitted.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Arrival {
-    /// When its source drew it.
+    /// The time of arrival that its source drew.
     pub(crate) drawn_at: Time,
-    /// When it is submitted: later than drawn while a fault holds traffic back.
+    /// When it is submitted; later than `drawn_at` while a fault holds traffic back.
     pub(crate) submitted_at: Time,
     pub(crate) destination: usize,
     pub(crate) topic: usize,
@@ -38,51 +38,51 @@
     /// Service time at a speed of 1, in seconds.
     pub(crate) work_s: f64,
     pub(crate) ttl: Span,
-    /// How long after its submission its client withdraws it.
+    /// The time from its submission to its withdrawal, if its client withdraws it.
     pub(crate) withdrawn_after: Option<Span>,
 }
 
-/// What a source yields.
+/// The arrivals of a source.
 enum SourceKind {
     /// Single arrivals.
     Single,
-    /// Clumps for one destination: the rest of the present clump, the next arrival last.
-    Clumps(Vec<Arrival>),
+    /// Batches, each for one destination: the remaining arrivals of the present batch, the next one last.
+    Batches(Vec<Arrival>),
 }
 
 /// A Poisson process of arrivals.
 struct Source {
     kind: SourceKind,
     rng: ChaCha8Rng,
-    /// The destinations that it is for...
+    /// Its destinations.
     destinations: Vec<usize>,
-    /// ...and running sums of their rates.
+    /// Running sums of the rates of its destinations.
     cumulative_rates: Vec<f64>,
-    /// Arrivals or clumps a second at the peak.
+    /// Arrivals or batches a second at the peak.
     peak_rate: f64,
     /// The time of the latest arrival.
     at: Time,
     to: Time,
-    /// The fault that adds this traffic.
+    /// The fault that adds this traffic; `None` for the normal traffic.
     fault: Option<usize>,
 }
 
-/// The keys of one destination. Each of its slots has one key at a time; all keys change together.
+/// The keys of one destination. Each of its slots has one key at a time; all keys are replaced at the same time.
 struct Keys {
     rng: ChaCha8Rng,
     slots: usize,
     lifetime: Span,
     /// Generations drawn so far.
     generations: u64,
-    /// The relay of each slot, by generation; the latest ones only.
+    /// The relay of each slot, for the latest generations.
     relays: BTreeMap<u64, Vec<usize>>,
 }
 
 impl Keys {
-    /// The key that a slot has at a time, and its relay.
+    /// The key of a slot at a time, and the relay of the key.
     fn key(&mut self, at: Time, slot: usize, destination: usize, relay_sums: &[f64]) -> (String, usize) {
         let generation = at.since(Time::default()).as_nanos() / self.lifetime.as_nanos().max(1);
-        // Drawn one after the other, so that the draws of one generation do not depend on arrivals.
+        // Generations are drawn in order, so that their draws do not depend on arrivals.
         while self.generations <= generation {
             let relays = (0..self.slots).map(|_| weighted_index(&mut self.rng, relay_sums)).collect();
             self.relays.insert(self.generations, relays);
@@ -104,7 +104,7 @@
 }
 
 impl HotRelays {
-    /// The relay that the fault moves an arrival to. It draws for each arrival, whether or not the fault is active.
+    /// The relay that the fault moves an arrival to, if any. Consumes the same draws whether or not the fault is active.
     fn draw_relay(&mut self, at: Time, window: &FaultWindow) -> Option<usize> {
         let (draw, choice): (f64, u32) = (self.rng.random(), self.rng.random());
         let is_moved = window.is_active(at) && draw < window.size && !self.relays.is_empty();
@@ -112,14 +112,14 @@
     }
 }
 
-/// A change of load about its mean as a sine wave.
-struct Swing {
+/// A sinusoidal variation of load about its mean.
+struct SineModulation {
     amplitude: f64,
     period_s: f64,
 }
 
-impl Swing {
-    /// The load at a time, over its mean.
+impl SineModulation {
+    /// The load at a time, as a multiple of its mean.
     fn factor(&self, at: Time) -> f64 {
         let phase = std::f64::consts::TAU * at.since(Time::default()).as_secs_f64() / self.period_s;
         1.0 + self.amplitude * phase.sin()
@@ -130,7 +130,7 @@
     }
 }
 
-/// The faults of a run as traffic needs them.
+/// The faults of a run, with those of each destination.
 struct Faults<'a> {
     windows: &'a [FaultWindow],
     of_destinations: &'a [FaultSet],
@@ -143,12 +143,12 @@
     keys: Vec<Keys>,
     /// Running sums of the relays' shares of the traffic.
     relay_sums: Vec<f64>,
-    swing: Swing,
-    /// The size of a clump, in seconds of what its destination gets.
-    clump_s: Range,
-    /// The fraction of notifications that is withdrawn.
+    modulation: SineModulation,
+    /// The size of a batch, in seconds of its destination's traffic.
+    batch_s: Range,
+    /// The fraction of notifications that are withdrawn.
     withdrawn_fraction: f64,
-    /// After which fraction of the TTL.
+    /// The fraction of the TTL after which they are withdrawn.
     withdrawn_after: Range,
     hot_relays: Vec<HotRelays>,
     /// Faults that shorten TTLs.
@@ -166,30 +166,33 @@
             sources: Vec::new(),
             keys: (0..fleet.destinations.len()).map(|index| keys(scenario, index, rng)).collect(),
             relay_sums: cumulative_sums(fleet.relays.iter().map(|relay| relay.traffic_share)),
-            swing: Swing { amplitude: plan.swing_amplitude.min, period_s: plan.swing_period_s.min },
-            clump_s: plan.clump_size_s,
+            modulation: SineModulation {
+                amplitude: plan.swing_amplitude.min,
+                period_s: plan.swing_period_s.min,
+            },
+            batch_s: plan.batch_size_s,
             withdrawn_fraction: scenario.clients.withdrawn_fraction,
             withdrawn_after: scenario.clients.withdrawal_ttl_fraction,
             hot_relays,
             ttl_faults: (0..windows.len()).filter(is_ttl_fault).collect(),
         };
-        traffic.add_ordinary_sources(scenario, fleet, rng);
+        traffic.add_normal_sources(scenario, fleet, rng);
         let faults = Faults { windows, of_destinations: destination_faults };
         traffic.add_fault_sources(scenario, fleet, rng, &faults);
         traffic
     }
 
-    /// Single arrivals and clumps over the whole run.
-    fn add_ordinary_sources(&mut self, scenario: &Scenario, fleet: &Fleet, rng: &RngStreams) {
+    /// Adds the sources of single arrivals and batches, which are active during the whole run.
+    fn add_normal_sources(&mut self, scenario: &Scenario, fleet: &Fleet, rng: &RngStreams) {
         let plan = &scenario.traffic;
         let rates: Vec<f64> = fleet.destinations.iter().map(super::fleet::DestinationPlan::rate).collect();
         let total: f64 = rates.iter().sum();
-        let peak = total * plan.load.min * self.swing.peak();
-        // Busy destinations have more clumps and larger ones.
+        let peak = total * plan.load.min * self.modulation.peak();
+        // Batches of busy destinations are more frequent and larger.
         let squares: f64 = rates.iter().map(|rate| rate * rate).sum();
-        let mean_clump_size =
-            (plan.clump_size_s.min + plan.clump_size_s.max) / 2.0 * squares / total.max(1e-9);
-        let clump_rate = peak * plan.clumped_fraction.min / mean_clump_size.max(MIN_CLUMP_SIZE);
+        let mean_batch_size =
+            (plan.batch_size_s.min + plan.batch_size_s.max) / 2.0 * squares / total.max(1e-9);
+        let batch_rate = peak * plan.batched_fraction.min / mean_batch_size.max(MIN_BATCH_SIZE);
         let source = |kind, peak_rate, rng| Source {
             kind,
             rng,
@@ -200,13 +203,13 @@
             to: Time::default() + Span::from_secs_f64(scenario.duration_s.min),
             fault: None,
         };
-        let single_rate = peak * (1.0 - plan.clumped_fraction.min);
-        self.sources.push(source(SourceKind::Single, single_rate, rng.stream(Concern::Arrivals, 0)));
-        let clumps = SourceKind::Clumps(Vec::new());
-        self.sources.push(source(clumps, clump_rate, rng.stream(Concern::Clumps, 0)));
+        let single_rate = peak * (1.0 - plan.batched_fraction.min);
+        self.sources.push(source(SourceKind::Single, single_rate, rng.stream(StreamPurpose::Arrivals, 0)));
+        let batches = SourceKind::Batches(Vec::new());
+        self.sources.push(source(batches, batch_rate, rng.stream(StreamPurpose::BatchArrivals, 0)));
     }
 
-    /// The traffic that faults add.
+    /// Adds the sources of the traffic that faults add.
     fn add_fault_sources(
         &mut self, scenario: &Scenario, fleet: &Fleet, rng: &RngStreams, faults: &Faults<'_>,
     ) {
@@ -243,32 +246,32 @@
         self.sources.len()
     }
 
-    /// The next notification of a source; `None` when it has no more.
+    /// The next notification of a source; `None` if the source is exhausted.
     pub(crate) fn next(
         &mut self, source: usize, fleet: &Fleet, windows: &[FaultWindow], destination_faults: &[FaultSet],
     ) -> Option<Arrival> {
-        if let SourceKind::Clumps(rest) = &mut self.sources[source].kind
+        if let SourceKind::Batches(rest) = &mut self.sources[source].kind
             && let Some(next) = rest.pop()
         {
             return Some(next);
         }
         let faults = Faults { windows, of_destinations: destination_faults };
-        let (at, destination) = self.sources[source].next_arrival(&self.swing, windows)?;
+        let (at, destination) = self.sources[source].next_arrival(&self.modulation, windows)?;
         if matches!(self.sources[source].kind, SourceKind::Single) {
             return Some(self.draw_arrival(source, destination, at, fleet, &faults));
         }
-        let clump_s = self.clump_s.draw(&mut self.sources[source].rng);
-        let size = (clump_s * fleet.destinations[destination].rate()).max(MIN_CLUMP_SIZE) as usize;
-        let mut clump: Vec<Arrival> = (0..size)
+        let batch_s = self.batch_s.draw(&mut self.sources[source].rng);
+        let size = (batch_s * fleet.destinations[destination].rate()).max(MIN_BATCH_SIZE) as usize;
+        let mut batch: Vec<Arrival> = (0..size)
             .map(|_| {
-                let delay_s = self.sources[source].rng.random::<f64>() * CLUMP_SPREAD_MS / 1_000.0;
+                let delay_s = self.sources[source].rng.random::<f64>() * BATCH_SPREAD_MS / 1_000.0;
                 let at = at + Span::from_secs_f64(delay_s);
                 self.draw_arrival(source, destination, at, fleet, &faults)
             })
             .collect();
-        clump.sort_by_key(|arrival| Reverse(arrival.drawn_at));
-        let next = clump.pop();
-        self.sources[source].kind = SourceKind::Clumps(clump);
+        batch.sort_by_key(|arrival| Reverse(arrival.drawn_at));
+        let next = batch.pop();
+        self.sources[source].kind = SourceKind::Batches(batch);
         next
     }
 
@@ -308,7 +311,7 @@
         }
     }
 
-    /// The TTL of a notification that a fault affects, by a number drawn from 0 to 1.
+    /// The TTL of a notification if a fault shortens it, which `drawn`, a random number from 0 to 1, decides.
     fn shortened_ttl(&self, ttl: Span, drawn: f64, at: Time, faults: &Faults<'_>) -> Option<Span> {
         let windows = self.ttl_faults.iter().map(|fault| &faults.windows[*fault]);
         let mut affecting = windows.filter(|window| window.is_active(at) && drawn < window.extent);
@@ -318,7 +321,9 @@
 
 impl Source {
     /// Draws the time and the destination of the next arrival.
-    fn next_arrival(&mut self, swing: &Swing, windows: &[FaultWindow]) -> Option<(Time, usize)> {
+    fn next_arrival(
+        &mut self, modulation: &SineModulation, windows: &[FaultWindow],
+    ) -> Option<(Time, usize)> {
         if self.peak_rate <= 0.0 || self.cumulative_rates.last().is_none_or(|sum| *sum <= 0.0) {
             return None;
         }
@@ -328,10 +333,10 @@
             if self.at >= self.to {
                 return None;
             }
-            // Thinning: drawn at the peak, each is kept with the present load's fraction of it.
+            // Thinning: arrivals are drawn at the peak rate, and each is kept with the probability present / peak.
             let (present, peak) = match self.fault.map(|fault| &windows[fault]) {
                 Some(window) => (window.factor(self.at) - 1.0, window.size - 1.0),
-                None => (swing.factor(self.at), swing.peak()),
+                None => (modulation.factor(self.at), modulation.peak()),
             };
             if self.rng.random::<f64>() * peak < present {
                 let destination = weighted_index(&mut self.rng, &self.cumulative_rates);
@@ -342,7 +347,7 @@
 }
 
 impl Faults<'_> {
-    /// When an arrival is submitted: at the end of a fault that holds its destination's traffic back, else at once.
+    /// When an arrival is submitted: at the end of a fault that holds back its destination's traffic, else immediately.
     fn release_time(&self, destination: usize, at: Time) -> Time {
         let is_held = |(fault, window): &(usize, &FaultWindow)| {
             window.kind == FaultKind::TrafficRelease
@@ -355,7 +360,7 @@
 
 fn keys(scenario: &Scenario, destination: usize, rng: &RngStreams) -> Keys {
     let plan = &scenario.traffic;
-    let mut rng = rng.stream(Concern::Keys, destination);
+    let mut rng = rng.stream(StreamPurpose::Keys, destination);
     let slots = (plan.keys_per_destination.draw(&mut rng).round() as usize).max(1);
     let lifetime = Span::from_secs_f64(plan.key_lifetime_s.draw(&mut rng));
     Keys { rng, slots, lifetime, generations: 0, relays: BTreeMap::new() }
@@ -363,21 +368,22 @@
 
 fn draw_work_s(topic: &TopicPlan, rng: &mut ChaCha8Rng) -> f64 {
     match topic.work_distribution {
-        LatencyDistribution::Lognormal => lognormal(rng, topic.mean_work_s, topic.work_cv),
-        LatencyDistribution::Exponential => topic.mean_work_s * Distribution::<f64>::sample(&Exp1, rng),
+        ServiceTimeDistribution::Lognormal => lognormal(rng, topic.mean_work_s, topic.work_cv),
+        ServiceTimeDistribution::Exponential => topic.mean_work_s * Distribution::<f64>::sample(&Exp1, rng),
     }
 }
 
-/// How long a client waits before it submits a throttled notification again, by its own backoff or by the time that
-/// the relay announced. `None` if it gives up after so many resubmissions.
+/// How long a client waits before it resubmits a throttled notification: the time that the relay announced, or the
+/// client's own backoff. `None` if the client gives up after the maximum of resubmissions.
 pub(crate) fn resubmit_delay(
     plan: &Clients, rng: &mut ChaCha8Rng, resubmissions: u32, announced: Option<Span>,
 ) -> Option<Span> {
-    let (backoff_ms, heeds) = (plan.backoff_ms.draw(rng), rng.random::<f64>() < plan.compliant_fraction);
+    let (backoff_ms, is_compliant) =
+        (plan.backoff_ms.draw(rng), rng.random::<f64>() < plan.compliant_fraction);
     if resubmissions >= plan.max_resubmissions {
         return None;
     }
     let doublings = f64::from(1u32 << resubmissions.min(MAX_BACKOFF_DOUBLINGS));
     let backoff = Span::from_secs_f64(backoff_ms / 1_000.0 * doublings);
-    Some(announced.filter(|span| heeds && *span > Span::ZERO).unwrap_or(backoff))
+    Some(announced.filter(|span| is_compliant && *span > Span::ZERO).unwrap_or(backoff))
 }
--- a/crates/model/tests/common/mod.rs
+++ b/crates/model/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Scenarios for tests, and a policy that only forwards.
+//! Scenarios for tests, and a policy that pushes each notification once.
 
 #![allow(dead_code, reason = "each test uses what it needs")]
 
@@ -7,7 +7,7 @@
 use juniperwing::interface::{Command, DestinationId, EndpointId, EndpointListUpdate, Event, Readiness};
 use juniperwing::time::Time;
 use juniperwing_model::fleet::Fleet;
-use juniperwing_model::policy::{Policies, Policy, Truth};
+use juniperwing_model::policy::{GroundTruth, Policies, Policy};
 use juniperwing_model::{Metrics, Scenario};
 
 /// Two kinds of destination, a deduplicated and an ordered non-idempotent topic type, and `faults` in TOML.
@@ -76,7 +76,7 @@
     scenario
 }
 
-/// Each notification that was submitted is counted in exactly one outcome.
+/// Asserts that each submitted notification is counted in exactly one outcome.
 pub fn assert_notifications_conserved(metrics: &Metrics) {
     for group in metrics.topics.iter().chain(&metrics.accounts) {
         let outcomes = group.delivered + group.throttled + group.expired + group.abandoned;
@@ -94,7 +94,8 @@
     assert!(ended <= pushes.sent, "{pushes:?}");
 }
 
-/// Pushes each notification at once, to the endpoints of its destination in turn, and gives no final answer itself.
+/// Pushes each notification on acceptance, to the endpoints of its destination in round-robin order, and gives no final
+/// answer itself.
 pub struct Forwarding;
 
 #[derive(Default)]
@@ -105,7 +106,7 @@
 
 impl Policies for Forwarding {
     fn name(&self) -> &str {
-        "passes-on"
+        "forwarding"
     }
 
     fn start(&self, _: Time, _: usize, _: u64, _: &Fleet) -> Box<dyn Policy> {
@@ -114,7 +115,7 @@
 }
 
 impl Policy for ForwardingRelay {
-    fn handle(&mut self, now: Time, events: Vec<Event>, _: &dyn Truth) -> Vec<Command> {
+    fn handle(&mut self, now: Time, events: Vec<Event>, _: &dyn GroundTruth) -> Vec<Command> {
         let mut commands = Vec::new();
         for event in events {
             match event {
--- a/crates/model/tests/event_queue.rs
+++ b/crates/model/tests/event_queue.rs
@@ -1,4 +1,4 @@
-//! The order of events.
+//! The order of events in the queue.
 
 use juniperwing::time::Time;
 use juniperwing_model::event_queue::EventQueue;
@@ -32,7 +32,7 @@
 }
 
 proptest! {
-    /// By time, and at one instant in the order scheduled.
+    /// Events are ordered by time, and those of the same time by the order of scheduling.
     #[test]
     fn events_come_in_the_order_of_a_stable_sort(times in prop::collection::vec(0u64..20, 0..200)) {
         let mut queue = EventQueue::default();
--- a/crates/model/tests/faults.rs
+++ b/crates/model/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that overlap, and their ramps.
+//! Overlapping faults, and the ramps of faults.
 
 use juniperwing::time::{Span, Time};
 use juniperwing_model::faults::{FaultSet, FaultWindow};
--- a/crates/model/tests/limit.rs
+++ b/crates/model/tests/limit.rs
@@ -28,7 +28,7 @@
         }
     }
 
-    /// A window allows its count in each window, and no more.
+    /// A window limit allows no more than its count in each window.
     #[test]
     fn window_limit_is_never_exceeded(gaps in prop::collection::vec(0u64..200, 1..300), rate in 1.0f64..30.0) {
         let mut limit = Limit::window(rate, Span::from_millis(1_500));
@@ -43,7 +43,7 @@
         prop_assert!(counts.values().all(|count| *count <= most));
     }
 
-    /// After the wait that the limit announces a call is allowed.
+    /// A call is allowed after the wait that the limit announces.
     #[test]
     fn call_is_allowed_after_the_announced_wait(
         calls in 1u64..60, rate in 0.5f64..20.0, windowed: bool, factor in 0.2f64..2.0, counts_rejected: bool,
--- a/crates/model/tests/metrics.rs
+++ b/crates/model/tests/metrics.rs
@@ -1,8 +1,8 @@
-//! The computation of metrics from what happened in a run.
+//! The computation of metrics from recorded events.
 
 use juniperwing::time::{Span, Time};
-use juniperwing_model::metrics::{MetricsRecorder, Submission, WorstWindow, value_fraction};
-use juniperwing_model::scenario::{Decay, LatencyDistribution, Semantics, Topic};
+use juniperwing_model::metrics::{MetricsRecorder, Submission, WorstWindow, benefit_fraction};
+use juniperwing_model::scenario::{Decay, Semantics, ServiceTimeDistribution, Topic};
 
 fn topic(decay: Decay) -> Topic {
     Topic {
@@ -13,7 +13,7 @@
         is_ordered: false,
         mean_work_ms: 10.0.into(),
         work_cv: 1.0.into(),
-        work_distribution: LatencyDistribution::Lognormal,
+        work_distribution: ServiceTimeDistribution::Lognormal,
         attempt_cv: 0.2,
         latency_target_ms: 2_000.0,
         ttl_ms: 16_000.0,
@@ -26,9 +26,9 @@
 
 #[test]
 fn value_decays_after_the_objective() {
-    let at = |decay, ms| (value_fraction(&topic(decay), Span::from_millis(ms)) * 1_000.0).round() / 1_000.0;
+    let at = |decay, ms| (benefit_fraction(&topic(decay), Span::from_millis(ms)) * 1_000.0).round() / 1_000.0;
     assert_eq!([0, 2_000, 9_000, 16_000, 16_001].map(|ms| at(Decay::Linear, ms)), [1.0, 1.0, 0.6, 0.2, 0.0]);
-    assert_eq!([2_000, 4_000, 6_000, 12_000].map(|ms| at(Decay::Halves, ms)), [1.0, 0.5, 0.25, 0.2]);
+    assert_eq!([2_000, 4_000, 6_000, 12_000].map(|ms| at(Decay::Exponential, ms)), [1.0, 0.5, 0.25, 0.2]);
 }
 
 #[test]
--- a/crates/model/tests/model.rs
+++ b/crates/model/tests/model.rs
@@ -1,4 +1,4 @@
-//! The model against theory where there is one, and what must hold for every run.
+//! The simulation compared with queueing theory, and invariants of every run.
 
 mod common;
 
@@ -6,13 +6,13 @@
 use juniperwing::interface::{Command, Event};
 use juniperwing::time::{Span, Time};
 use juniperwing_model::fleet::Fleet;
-use juniperwing_model::policy::{Policies, Policy, Truth};
-use juniperwing_model::scenario::{LatencyDistribution, LimitForm, Range, Scenario};
+use juniperwing_model::policy::{GroundTruth, Policies, Policy};
+use juniperwing_model::scenario::{LimitKind, Range, Scenario, ServiceTimeDistribution};
 use juniperwing_model::{Core, Metrics, simulate};
 use proptest::prelude::*;
 
-/// The metrics of one destination with one endpoint and no network delay, where each notification is sent at once.
-fn simulate_queue(rate: f64, work_ms: f64, law: LatencyDistribution, cv: f64, servers: f64) -> Metrics {
+/// Simulates one destination with one endpoint and no network delay, where each notification is pushed immediately.
+fn simulate_queue(rate: f64, work_ms: f64, law: ServiceTimeDistribution, cv: f64, servers: f64) -> Metrics {
     let mut plain: Scenario = scenario(3_000, "");
     plain.zones.truncate(1);
     plain.accounts.clear();
@@ -22,13 +22,13 @@
     (topic.mean_work_ms, topic.work_distribution, topic.work_cv, topic.attempt_cv) =
         (work_ms.into(), law, cv.into(), 0.0);
     (topic.ttl_ms, topic.latency_target_ms) = (600_000.0, 600_000.0);
-    kind.limit = LimitForm::None;
+    kind.limit = LimitKind::None;
     kind.max_notifications_per_call = 1;
     kind.queue_per_server = Range::from(1e6);
-    // The number of servers that was asked for: those that are busy at full load, and spare ones.
+    // Sets the headroom that yields `servers` servers, which are rounded up from those busy at full load.
     kind.capacity_headroom = Range::from((servers - 0.5) / (rate * work_ms / 1_000.0));
     (plain.destinations.count, plain.destinations.endpoints) = (1.0.into(), 1.0.into());
-    (plain.traffic.rate, plain.traffic.load, plain.traffic.clumped_fraction) =
+    (plain.traffic.rate, plain.traffic.load, plain.traffic.batched_fraction) =
         (rate.into(), 1.0.into(), 0.0.into());
     plain.relays.count = 1.0.into();
     (plain.relays.min_slots, plain.relays.min_pending_capacity, plain.relays.tick_ms) = (1e5, 1e6, 0.0);
@@ -43,7 +43,7 @@
     steady.iter().map(|second| second.in_flight_calls as f64).sum::<f64>() / steady.len() as f64
 }
 
-/// The probability to wait with `servers` servers at offered load `a`.
+/// The probability that a call has to wait with `servers` servers at offered load `a`.
 fn erlang_c(servers: u32, a: f64) -> f64 {
     let (mut term, mut sum) = (1.0, 0.0);
     for n in 0..servers {
@@ -58,7 +58,7 @@
 #[test]
 fn single_server_queue_matches_theory() {
     let (rate, work) = (7.0, 0.1);
-    let metrics = simulate_queue(rate, work * 1_000.0, LatencyDistribution::Exponential, 1.0, 1.0);
+    let metrics = simulate_queue(rate, work * 1_000.0, ServiceTimeDistribution::Exponential, 1.0, 1.0);
     let (rho, number) = (rate * work, mean_number(&metrics));
     let expected = rho / (1.0 - rho);
     assert!((number / expected - 1.0).abs() < 0.10, "{number} for {expected}");
@@ -67,34 +67,34 @@
     assert!((median / expected - 1.0).abs() < 0.10, "{median} for {expected}");
 }
 
-/// M/M/c, by Erlang's formula.
+/// M/M/c, by the Erlang C formula.
 #[test]
 fn multi_server_queue_matches_theory() {
     let (rate, work, servers) = (32.0, 0.1, 4);
     let metrics =
-        simulate_queue(rate, work * 1_000.0, LatencyDistribution::Exponential, 1.0, f64::from(servers));
+        simulate_queue(rate, work * 1_000.0, ServiceTimeDistribution::Exponential, 1.0, f64::from(servers));
     let a = rate * work;
     let mean_wait_s = erlang_c(servers, a) * work / (f64::from(servers) - a);
     let (number, expected) = (mean_number(&metrics), rate * (mean_wait_s + work));
     assert!((number / expected - 1.0).abs() < 0.10, "{number} for {expected}");
 }
 
-/// M/G/1 with lognormal work, by Pollaczek and Khinchine.
+/// M/G/1 with lognormal service times, by the Pollaczek-Khinchine formula.
 #[test]
 fn lognormal_service_queue_matches_theory() {
     let (rate, work, cv) = (6.0, 0.1, 1.5);
-    let metrics = simulate_queue(rate, work * 1_000.0, LatencyDistribution::Lognormal, cv, 1.0);
+    let metrics = simulate_queue(rate, work * 1_000.0, ServiceTimeDistribution::Lognormal, cv, 1.0);
     let rho = rate * work;
     let mean_wait_s = rho / (1.0 - rho) * (1.0 + cv * cv) / 2.0 * work;
     let (number, expected) = (mean_number(&metrics), rate * (mean_wait_s + work));
     assert!((number / expected - 1.0).abs() < 0.15, "{number} for {expected}");
 }
 
-/// The number of notifications is that of a Poisson process of the rate, within its deviation.
+/// The number of notifications is that of a Poisson process with the configured rate, within a tolerance.
 #[test]
 fn arrivals_match_the_rate() {
     let mut plain = scenario(400, "");
-    (plain.traffic.swing_amplitude, plain.traffic.clumped_fraction) = (0.4.into(), 0.3.into());
+    (plain.traffic.swing_amplitude, plain.traffic.batched_fraction) = (0.4.into(), 0.3.into());
     let offered: u64 = simulate(&plain, 5, &Forwarding).topics.iter().map(|topic| topic.offered).sum();
     let expected = 60.0 * 0.75 * 400.0;
     assert!((offered as f64 / expected - 1.0).abs() < 0.06, "{offered} for {expected}");
@@ -122,7 +122,7 @@
     assert_eq!(metrics(&ranged), metrics(&read));
 }
 
-/// A fault that is added leaves the submissions as they were.
+/// Adding a fault changes no submission.
 #[test]
 fn added_fault_changes_no_other_draw() {
     let slow = "[[trouble]]\nwhat = \"slow\"\nstart_s = 4\nspan_s = 4\nsize = 5\nextent = 0.5\n";
@@ -180,7 +180,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(24))]
 
-    /// Whatever faults overlap: each notification has one outcome, and the run is not truncated.
+    /// With any overlapping faults, each notification has one outcome, and the run is not truncated.
     #[test]
     fn notifications_are_conserved(
         faults in prop::collection::vec((0..FAULT_KINDS.len(), 0.0f64..6.0, 0.1f64..6.0, 0.05f64..0.9), 0..4), seed in 0u64..1_000,
@@ -196,37 +196,37 @@
         let metrics = simulate(&scenario(8, &faults_toml), seed, &Core);
         assert_notifications_conserved(&metrics);
         prop_assert!(!metrics.is_truncated && metrics.invalid_commands == 0);
-        let violations: Vec<_> = metrics.violations.iter().filter(|b| b.rule != juniperwing_model::Rule::Return).collect();
+        let violations: Vec<_> = metrics.violations.iter().filter(|b| b.rule != juniperwing_model::Rule::Recovery).collect();
         prop_assert!(violations.is_empty(), "{:#?}", violations);
     }
 }
 
-/// Asks to be woken at once in each turn.
-struct Restless;
+/// Requests an immediate wake-up in each turn.
+struct BusyLoopPolicy;
 
-impl Policies for Restless {
+impl Policies for BusyLoopPolicy {
     fn name(&self) -> &str {
         "restless"
     }
 
     fn start(&self, _: Time, _: usize, _: u64, _: &Fleet) -> Box<dyn Policy> {
-        Box::new(Restless)
+        Box::new(BusyLoopPolicy)
     }
 }
 
-impl Policy for Restless {
-    fn handle(&mut self, _: Time, _: Vec<Event>, _: &dyn Truth) -> Vec<Command> {
+impl Policy for BusyLoopPolicy {
+    fn handle(&mut self, _: Time, _: Vec<Event>, _: &dyn GroundTruth) -> Vec<Command> {
         vec![Command::WakeAfter(Span::ZERO)]
     }
 }
 
-/// It has one turn each tick; without a tick the run is truncated, and its metrics say so.
+/// Such a policy has one turn each tick. Without a tick, its run is truncated and marked as such in the metrics.
 #[test]
-fn restless_policy_does_not_stop_the_clock() {
+fn busy_loop_policy_does_not_stop_the_clock() {
     let mut idle = scenario(10, "");
     (idle.traffic.rate, idle.relays.count) = (0.0.into(), 1.0.into());
-    let metrics = simulate(&idle, 1, &Restless);
+    let metrics = simulate(&idle, 1, &BusyLoopPolicy);
     assert!(!metrics.is_truncated && (1_990..=2_010).contains(&metrics.turns), "{}", metrics.turns);
     idle.relays.tick_ms = 0.0;
-    assert!(simulate(&idle, 1, &Restless).is_truncated);
+    assert!(simulate(&idle, 1, &BusyLoopPolicy).is_truncated);
 }
--- a/crates/model/tests/judge.rs
+++ b/crates/model/tests/rule_checker.rs
@@ -1,5 +1,5 @@
-//! Mutation tests of the judge: for each rule there is a relay that violates it, made from the core by altering its
-//! events or commands, and the judge must report the violation.
+//! Mutation tests of the rule checker: for each rule, the core is mutated to violate it by altering its events or
+//! commands, and the rule checker must report the violation.
 
 mod common;
 
@@ -11,13 +11,13 @@
 };
 use juniperwing::time::{Span, Time};
 use juniperwing_model::fleet::Fleet;
-use juniperwing_model::policy::{Policies, Policy, Truth};
+use juniperwing_model::policy::{GroundTruth, Policies, Policy};
 use juniperwing_model::{Core, Rule, Scenario, simulate};
 
-/// What is altered.
+/// A mutation of the core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutation {
-    /// Gives no final answer for what expired.
+    /// Gives no final answer for expired notifications.
     NoAnswer,
     /// Gives each final answer twice.
     AnswersTwice,
@@ -27,16 +27,16 @@
     PushesAfterAnswer,
     /// Pushes an expired notification once more, whatever its semantics.
     RepeatsExpired,
-    /// Throttles what may have been executed.
+    /// Throttles notifications that may have been executed.
     ThrottlesExecuted,
-    /// Never learns that an endpoint drains.
+    /// Receives no report that an endpoint is draining.
     IgnoresDrains,
-    /// Learns of no failure, and retries soon.
+    /// Receives no failure, and retries soon.
     IgnoresFailures,
-    /// Learns of no keys.
+    /// Receives no keys.
     IgnoresKeys,
-    /// Learns of no waits.
-    IgnoresWaits,
+    /// Receives no retry-after.
+    IgnoresRetryAfter,
 }
 
 struct MutatedCore(Mutation);
@@ -66,7 +66,9 @@
         match (&mut event, self.mutation) {
             (Event::Accepted(ntf), Mutation::IgnoresKeys) => ntf.key = None,
             // A rejection looks as if the call had never been sent: no backoff, no wait.
-            (Event::PushEnded(outcome), Mutation::IgnoresWaits) if outcome.status == CallStatus::Busy => {
+            (Event::PushEnded(outcome), Mutation::IgnoresRetryAfter)
+                if outcome.status == CallStatus::Busy =>
+            {
                 (outcome.retry_after, outcome.status) = (None, CallStatus::Skipped);
             }
             // A failure looks as if the call had never been sent.
@@ -124,7 +126,7 @@
 }
 
 impl Policy for MutatedRelay {
-    fn handle(&mut self, now: Time, events: Vec<Event>, _: &dyn Truth) -> Vec<Command> {
+    fn handle(&mut self, now: Time, events: Vec<Event>, _: &dyn GroundTruth) -> Vec<Command> {
         let events: Vec<Event> = events.into_iter().map(|event| self.mutate_event(event)).collect();
         let commands = self.core.handle(now, events);
         let mut altered: Vec<Command> =
@@ -136,7 +138,7 @@
     }
 }
 
-/// Faults that lead to final answers, waits, drains and recoveries.
+/// Faults that lead to final answers, retry-after, drains and recoveries.
 const FAULTS: &str = r#"
 [[trouble]]
 what = "errors"
@@ -163,7 +165,7 @@
 size = 12
 "#;
 
-/// A scenario in which each rule can be violated: so busy that a recovery is critical.
+/// A scenario in which each rule can be violated. Its load is so high that a recovering destination can be overloaded.
 fn busy_scenario(faults: &str) -> Scenario {
     let mut scenario = common::scenario(24, faults);
     scenario.traffic.load = 1.1.into();
@@ -183,51 +185,61 @@
 
 #[test]
 fn missing_final_answer_is_caught() {
-    assert_caught(Mutation::NoAnswer, FAULTS, Rule::Lost, "never had a final answer");
+    assert_caught(Mutation::NoAnswer, FAULTS, Rule::FinalAnswer, "no final answer by the end of the run");
 }
 
 #[test]
 fn second_final_answer_is_caught() {
-    assert_caught(Mutation::AnswersTwice, FAULTS, Rule::Lost, "after another final answer");
+    assert_caught(Mutation::AnswersTwice, FAULTS, Rule::FinalAnswer, "after another final answer");
 }
 
 #[test]
 fn late_final_answer_is_caught() {
-    assert_caught(Mutation::AnswersLate, FAULTS, Rule::Lost, "too late");
+    assert_caught(Mutation::AnswersLate, FAULTS, Rule::FinalAnswer, "too late: the final answer was due by");
 }
 
 #[test]
 fn push_after_final_answer_is_caught() {
-    assert_caught(Mutation::PushesAfterAnswer, FAULTS, Rule::Lost, "sent after its final answer");
+    assert_caught(Mutation::PushesAfterAnswer, FAULTS, Rule::FinalAnswer, "sent after its final answer");
 }
 
 #[test]
 fn repeat_of_non_idempotent_notification_is_caught() {
-    assert_caught(Mutation::RepeatsExpired, FAULTS, Rule::Twice, "a once-only one sent again");
+    assert_caught(
+        Mutation::RepeatsExpired,
+        FAULTS,
+        Rule::SingleEffect,
+        "non-idempotent notification sent again",
+    );
 }
 
 #[test]
 fn throttling_of_executed_notification_is_caught() {
-    assert_caught(Mutation::ThrottlesExecuted, FAULTS, Rule::Twice, "as if trying again were harmless");
+    assert_caught(Mutation::ThrottlesExecuted, FAULTS, Rule::SingleEffect, "which permits a repeat");
 }
 
 #[test]
 fn push_to_draining_endpoint_is_caught() {
-    assert_caught(Mutation::IgnoresDrains, FAULTS, Rule::Drain, "told to drain");
+    assert_caught(Mutation::IgnoresDrains, FAULTS, Rule::Drain, "reported as draining");
 }
 
 #[test]
 fn push_out_of_order_is_caught() {
-    assert_caught(Mutation::IgnoresKeys, FAULTS, Rule::Order, "is not over");
+    assert_caught(Mutation::IgnoresKeys, FAULTS, Rule::Order, "is unfinished");
 }
 
 #[test]
-fn push_within_a_wait_is_caught() {
-    assert_caught(Mutation::IgnoresWaits, FAULTS, Rule::Wait, "in a wait until");
+fn push_before_retry_after_is_caught() {
+    assert_caught(Mutation::IgnoresRetryAfter, FAULTS, Rule::RetryAfter, "before its retry-after ends");
 }
 
 #[test]
 fn overload_of_recovering_destination_is_caught() {
     let outage = "[[trouble]]\nwhat = \"silent\"\nstart_s = 3\nspan_s = 7\nextent = 0.5\n";
-    assert_caught(Mutation::IgnoresFailures, outage, Rule::Return, "its present capacity");
+    assert_caught(
+        Mutation::IgnoresFailures,
+        outage,
+        Rule::Recovery,
+        "% of it from relays that observed the outage",
+    );
 }
