--- a/crates/lab/src/baselines.rs
+++ b/crates/lab/src/baselines.rs
@@ -1,8 +1,8 @@
-//! Baseline policies to compare the core with: one attempt in the order of arrival; a fixed timeout with backoff; that
-//! with a circuit breaker and a retry budget; and an oracle that sees the true state of everything.
+//! Baseline policies to compare the core with: one attempt in the order of arrival; a fixed timeout with backoff; the
+//! same with a circuit breaker and a retry budget; and an oracle with access to the actual state of the simulation.
 //!
-//! They keep the rules that a single relay can keep by bookkeeping (lost, twice, drain, order, wait). No relay in
-//! service uses them.
+//! They comply with the rules that need only the state of a single relay (lost, twice, drain, order, wait). They are
+//! not used in production.
 
 mod policy;
 mod sending;
@@ -14,12 +14,12 @@
 
 use policy::BaselinePolicy;
 
-/// What distinguishes one baseline from another.
+/// The strategy of a baseline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Strategy {
-    OneTry,
+    SingleAttempt,
     Backoff,
-    Breaker,
+    BackoffWithBreaker,
     Oracle,
 }
 
@@ -43,12 +43,12 @@
 }
 
 baselines! {
-    /// One attempt for each notification, in the order of arrival, with all the time that is left.
-    OneTry, "one-try";
+    /// One attempt for each notification, in the order of arrival, with a timeout of all the remaining time.
+    SingleAttempt, "one-try";
     /// A fixed timeout and exponential backoff with full jitter.
     Backoff, "backoff";
     /// Backoff with a circuit breaker for each endpoint and a retry budget.
-    Breaker, "breaker";
-    /// Sends only what will be answered: it sees the true state of every destination.
+    BackoffWithBreaker, "breaker";
+    /// Pushes only to endpoints that will answer, by the actual state of every endpoint.
     Oracle, "oracle";
 }
--- a/crates/lab/src/baselines/policy.rs
+++ b/crates/lab/src/baselines/policy.rs
@@ -1,4 +1,4 @@
-//! The events of a baseline.
+//! The event handling of a baseline.
 
 use std::collections::BTreeMap;
 
@@ -16,13 +16,13 @@
     CircuitBreaker, EndpointList, KeyQueue, PendingNotification, PossibleExecution, RetryBudget,
 };
 
-/// The first backoff; it doubles with each push, as textbooks have it.
+/// The first backoff; it doubles with each push.
 const FIRST_BACKOFF: Span = Span::from_millis(100);
 const MAX_BACKOFF: Span = Span::from_millis(5_000);
-/// Pushes after which the backoff doubles no more, so that it stays finite.
+/// The number of pushes after which the backoff doubles no further, which keeps it finite.
 const MAX_BACKOFF_PUSHES: u32 = 16;
 
-/// What a wait of a destination applies to: all of it, or one endpoint where its routes are separate.
+/// The scope of a retry-after: a destination, or one endpoint where endpoints are separate routes.
 pub(super) type Route = (DestinationId, Option<EndpointId>);
 
 /// A baseline policy of one relay.
@@ -33,13 +33,13 @@
     rng: ChaCha8Rng,
     is_subscribed: bool,
     pub(super) list: EndpointList,
-    /// By destination: the index of the endpoint that is tried first.
+    /// By destination: the index of the next endpoint in round-robin order.
     pub(super) next_endpoint: BTreeMap<DestinationId, usize>,
     pub(super) wait_until: BTreeMap<Route, Time>,
     pub(super) breakers: BTreeMap<EndpointId, CircuitBreaker>,
     pub(super) pending: BTreeMap<u64, PendingNotification>,
     pub(super) key_queues: BTreeMap<String, KeyQueue>,
-    /// Calls in flight, with the pushes in each that have no outcome yet.
+    /// Calls in flight, with the number of pushes in each that have no outcome yet.
     pub(super) calls: BTreeMap<u64, usize>,
     pub(super) last_call: u64,
     pub(super) retry_budget: RetryBudget,
@@ -77,7 +77,7 @@
             Event::Accepted(notification) => self.handle_accepted(now, notification),
             Event::PushEnded(outcome) => self.handle_push_outcome(now, &outcome),
             Event::Withdrawn(notification) | Event::FinalAnswerAcknowledged(notification) => {
-                self.forget(notification.0);
+                self.remove(notification.0);
             }
             Event::SlotLimitChanged(slots) => self.limits.slots = slots,
             Event::WakeUp
@@ -127,7 +127,7 @@
             queue.extend_cooldown(now + self.rules.key_cooldown);
         }
         if outcome.has_final_answer && !pending.has_final_answer {
-            return self.forget(outcome.notification.0);
+            return self.remove(outcome.notification.0);
         }
         pending.ready_at = match self.strategy {
             Strategy::Oracle => now,
@@ -135,7 +135,7 @@
         };
     }
 
-    /// Records the wait that a destination asked for.
+    /// Records the retry-after of a destination.
     fn record_wait(&mut self, now: Time, outcome: &PushOutcome) {
         if let Some(entry) = self.list.entries.get(&outcome.endpoint)
             && let Some(wait) = outcome.retry_after
@@ -146,8 +146,8 @@
         }
     }
 
-    /// Drops a notification that needs no answer and that no other waits for.
-    fn forget(&mut self, id: u64) {
+    /// Removes a notification, and the queue of its key if that is no longer needed.
+    fn remove(&mut self, id: u64) {
         let Some(pending) = self.pending.remove(&id) else { return };
         if let Some(key) = pending.notification.key
             && let Some(queue) = self.key_queues.get_mut(&key)
@@ -160,7 +160,7 @@
     }
 }
 
-/// The longest backoff after so many pushes, one at least.
+/// The maximum backoff after `push_count` pushes, which must be at least 1.
 fn max_backoff(push_count: u32) -> Span {
     let doublings = push_count.min(MAX_BACKOFF_PUSHES) as i32 - 1;
     FIRST_BACKOFF.mul_f64(2f64.powi(doublings)).min(MAX_BACKOFF)
--- a/crates/lab/src/baselines/sending.rs
+++ b/crates/lab/src/baselines/sending.rs
@@ -1,4 +1,4 @@
-//! The choice of what a baseline sends, where to and when.
+//! The decisions of a baseline on which notifications it pushes, when and to which endpoint.
 
 use std::sync::Arc;
 
@@ -12,23 +12,23 @@
 use super::policy::BaselinePolicy;
 use super::state::{CircuitBreaker, LatestPush, PendingNotification, PossibleExecution};
 
-/// With less time left a notification is not pushed.
+/// The minimum remaining time for a push of a notification.
 const MIN_TIME_LEFT: Span = Span::from_millis(20);
 /// The timeout of a push, as a multiple of the latency target.
-const TIMEOUT_TARGETS: f64 = 1.0;
-/// How often a baseline checks again what it cannot send yet.
+const TIMEOUT_FACTOR: f64 = 1.0;
+/// The interval at which a baseline checks again whether it can send a notification.
 const RETRY_INTERVAL: Span = Span::from_millis(20);
-/// How often an oracle checks the endpoints of pushes in flight.
+/// The interval at which an oracle checks the endpoints of pushes in flight.
 const IN_FLIGHT_CHECK_INTERVAL: Span = Span::from_millis(200);
-/// An oracle sends nothing to a recovering destination that may be sent fewer notifications than this.
+/// An oracle sends nothing to a recovering destination that can receive fewer notifications than this.
 const MIN_REMAINING_LOAD: f64 = 4.0;
-/// An oracle sends nothing to a destination with a lower fraction of its limit left.
+/// An oracle sends nothing to a destination with a lower remaining fraction of its limit.
 const MIN_LIMIT_REMAINING: f64 = 0.02;
 
-/// Where another push of a notification may go.
+/// The zones that another push of a notification is allowed to.
 enum Permission {
     AnyZone,
-    /// Only there a repeat is dropped.
+    /// Only this zone, since repeats are deduplicated within a zone.
     OnlyZone(Arc<str>),
 }
 
@@ -44,21 +44,21 @@
 /// A notification in the order of sending.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
-    /// An oracle sends first what can still meet its latency target.
+    /// Whether it is past its latency target; an oracle sends such notifications last.
     is_late: bool,
     ready_at: Time,
     id: u64,
 }
 
-/// What became of a candidate.
+/// The decision on a candidate.
 enum Decision {
-    /// It cannot be sent any more.
+    /// It can no longer be sent.
     End,
     /// It waits for another event.
     Wait {
         at_latest: Time,
     },
-    /// It is checked again then.
+    /// It is checked again at this time.
     CheckAt(Time),
     Send {
         endpoint: EndpointId,
@@ -67,7 +67,8 @@
 }
 
 impl BaselinePolicy {
-    /// Sends what may be sent and answers what cannot be sent any more. Returns when to check again.
+    /// Sends the notifications that may be sent, and gives final answers for those that can no longer be sent. Returns
+    /// when to check again.
     pub(super) fn send_ready(
         &mut self, now: Time, truth: &dyn GroundTruth, commands: &mut Vec<Command>,
     ) -> Time {
@@ -106,7 +107,7 @@
         candidates
     }
 
-    /// `None` for one that was sent or answered since the candidates were listed.
+    /// Returns `None` for a candidate that was sent or answered since the candidates were listed.
     fn decide(&mut self, now: Time, candidate: Candidate, truth: &dyn GroundTruth) -> Option<Decision> {
         let pending = self.pending.get(&candidate.id).filter(|pending| pending.call.is_none())?;
         let at_latest = latest_send_time(pending);
@@ -130,14 +131,16 @@
     }
 
     fn is_budgeted_retry(&self, pending: &PendingNotification) -> bool {
-        self.strategy == Strategy::Breaker && pending.push_count > 0
+        self.strategy == Strategy::BackoffWithBreaker && pending.push_count > 0
     }
 
-    /// Whether another push is allowed, and where.
+    /// Returns the zones that another push is allowed to; `None` if no push is allowed.
     fn permission(&self, now: Time, pending: &PendingNotification) -> Option<Permission> {
         let executed = pending.first_possible_execution.as_ref();
         let is_first = executed.is_none() && pending.push_count == 0;
-        if pending.push_count >= self.limits.max_pushes || self.strategy == Strategy::OneTry && !is_first {
+        if pending.push_count >= self.limits.max_pushes
+            || self.strategy == Strategy::SingleAttempt && !is_first
+        {
             return None;
         }
         let Some(PossibleExecution { sent_at, zone }) = executed else { return Some(Permission::AnyZone) };
@@ -152,7 +155,7 @@
         }
     }
 
-    /// The next endpoint in turn that a notification may be sent to now.
+    /// The next endpoint in round-robin order that a notification may be sent to now.
     fn choose_endpoint(
         &mut self, now: Time, id: u64, permission: &Permission, truth: &dyn GroundTruth,
     ) -> Option<EndpointId> {
@@ -175,14 +178,14 @@
         let route = (entry.destination, entry.kind.has_separate_routes.then(|| entry.endpoint.clone()));
         let is_waiting = self.wait_until.get(&route).is_some_and(|until| now < *until);
         let breaker = self.breakers.get(&entry.endpoint);
-        let is_open =
-            self.strategy == Strategy::Breaker && breaker.is_some_and(|b: &CircuitBreaker| b.is_open(now));
+        let is_open = self.strategy == Strategy::BackoffWithBreaker
+            && breaker.is_some_and(|b: &CircuitBreaker| b.is_open(now));
         let is_bad = self.strategy == Strategy::Oracle
             && truth.endpoint(&entry.endpoint).is_none_or(|state| !would_answer(&state));
         !(is_waiting || is_open || is_bad)
     }
 
-    /// The notification and all others that are ready for the endpoint and fit into the same call.
+    /// The notification, and others that are ready for the endpoint, up to the maximum of the call.
     fn call(&self, now: Time, id: u64, endpoint: &EndpointId, candidates: &[Candidate]) -> Vec<u64> {
         let entry = &self.list.entries[endpoint];
         let others = candidates.iter().map(|candidate| candidate.id).filter(|other| *other != id);
@@ -211,10 +214,10 @@
             let topic = &pending.notification.topic;
             let time_left = pending.notification.valid_until.since(now);
             let timeout = match self.strategy {
-                Strategy::OneTry | Strategy::Oracle => time_left,
-                // There is no second attempt, so the first is given all the time.
+                Strategy::SingleAttempt | Strategy::Oracle => time_left,
+                // There may be no second attempt, so the first has all the remaining time.
                 _ if topic.semantics == Semantics::NonIdempotent => time_left,
-                _ => topic.latency_target.mul_f64(TIMEOUT_TARGETS).min(time_left),
+                _ => topic.latency_target.mul_f64(TIMEOUT_FACTOR).min(time_left),
             };
             if pending.push_count > 0 {
                 self.retry_budget.spend();
@@ -232,7 +235,7 @@
         }
     }
 
-    /// Gives the final answer for a notification that cannot be sent any more.
+    /// Gives the final answer for a notification that can no longer be sent.
     fn answer(&mut self, id: u64, commands: &mut Vec<Command>) {
         let Some(pending) = self.pending.get_mut(&id) else { return };
         let notification = NotificationId(id);
@@ -247,7 +250,7 @@
         }
     }
 
-    /// Cancels pushes that will not be answered and may be repeated. Returns when to check again.
+    /// Cancels pushes that will not be answered and can be repeated. Returns when to check again.
     pub(super) fn cancel_unanswered(
         &mut self, now: Time, truth: &dyn GroundTruth, commands: &mut Vec<Command>,
     ) -> Time {
@@ -270,7 +273,7 @@
         wake_at
     }
 
-    /// Until when a push of the same key may still be executing.
+    /// The time until which a push of the same key may still be executing.
     fn cooldown_end(&self, pending: &PendingNotification) -> Time {
         let queue = pending.ordering_key().and_then(|key| self.key_queues.get(key));
         queue.map_or(Time::default(), |queue| queue.cooldown_until)
@@ -290,7 +293,7 @@
         && state.remaining_load >= MIN_REMAINING_LOAD
 }
 
-/// The time after which a notification is not pushed any more.
+/// The time from which a notification is no longer pushed.
 fn latest_send_time(pending: &PendingNotification) -> Time {
     pending.notification.valid_until - MIN_TIME_LEFT
 }
--- a/crates/lab/src/baselines/state.rs
+++ b/crates/lab/src/baselines/state.rs
@@ -1,4 +1,4 @@
-//! What a baseline keeps of notifications, keys, endpoints and retries.
+//! The state of a baseline: notifications, keys, endpoints and retries.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -8,14 +8,14 @@
 };
 use juniperwing::time::{Span, Time};
 
-/// Failures in a row that open a circuit breaker.
+/// The number of consecutive failures that open a circuit breaker.
 const BREAKER_FAILURES: u32 = 5;
 /// How long it stays open.
 const BREAKER_OPEN_TIME: Span = Span::from_millis(5_000);
-/// The retries that a first attempt earns.
+/// The retries that an accepted notification adds to the budget.
 const RETRIES_PER_NOTIFICATION: f64 = 0.1;
-/// Retries that may be saved up.
-const MAX_SAVED_RETRIES: f64 = 10.0;
+/// The maximum of the retry budget.
+const MAX_RETRY_BUDGET: f64 = 10.0;
 
 /// A push that may have been executed.
 #[derive(Clone)]
@@ -24,15 +24,15 @@
     pub(super) zone: Arc<str>,
 }
 
-/// The push of a notification that was sent last.
+/// The latest push of a notification.
 pub(super) struct LatestPush {
     pub(super) sent_at: Time,
     pub(super) endpoint: EndpointId,
-    /// The relay has cancelled it.
+    /// Whether the relay has cancelled it.
     pub(super) is_cancelled: bool,
 }
 
-/// A notification that the relay owes an answer for, or that the next of its key waits for.
+/// A notification without final answer, or one that the next of its key still waits for.
 pub(super) struct PendingNotification {
     pub(super) notification: Notification,
     /// The end of its backoff.
@@ -74,7 +74,7 @@
 pub(super) struct KeyQueue {
     /// In the order of acceptance.
     pub(super) waiting: VecDeque<u64>,
-    /// Until then a push of the key may still be executing.
+    /// The time until which a push of the key may still be executing.
     pub(super) cooldown_until: Time,
 }
 
@@ -99,7 +99,7 @@
         }
         self.failures += 1;
         if self.failures >= BREAKER_FAILURES {
-            // Half open after its time: one more failure opens it again.
+            // Half-open after the open time: one further failure opens it again.
             (self.failures, self.open_until) = (BREAKER_FAILURES - 1, now + BREAKER_OPEN_TIME);
         }
     }
@@ -109,28 +109,28 @@
     }
 }
 
-/// The retries that may be sent, earned by first attempts.
+/// The budget of retries, to which each accepted notification adds.
 pub(super) struct RetryBudget {
-    saved: f64,
+    available: f64,
 }
 
 impl Default for RetryBudget {
     fn default() -> RetryBudget {
-        RetryBudget { saved: MAX_SAVED_RETRIES }
+        RetryBudget { available: MAX_RETRY_BUDGET }
     }
 }
 
 impl RetryBudget {
     pub(super) fn earn(&mut self) {
-        self.saved = (self.saved + RETRIES_PER_NOTIFICATION).min(MAX_SAVED_RETRIES);
+        self.available = (self.available + RETRIES_PER_NOTIFICATION).min(MAX_RETRY_BUDGET);
     }
 
     pub(super) fn spend(&mut self) {
-        self.saved -= 1.0;
+        self.available -= 1.0;
     }
 
     pub(super) fn is_exhausted(&self) -> bool {
-        self.saved < 1.0
+        self.available < 1.0
     }
 }
 
--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -132,12 +132,12 @@
         self.seed..self.seed.saturating_add(self.seeds)
     }
 
-    /// Plays runs on the cores that the options allow.
+    /// Executes runs on the cores that the options allow.
     ///
     /// # Errors
     ///
-    /// As [`runner::play`].
-    pub fn play(&self, runs: &[Run]) -> LabResult<Vec<Metrics>> {
-        runner::play(runs, self.jobs, self.quiet)
+    /// As [`runner::simulate_all`].
+    pub fn simulate_all(&self, runs: &[Run]) -> LabResult<Vec<Metrics>> {
+        runner::simulate_all(runs, self.jobs, self.quiet)
     }
 }
--- a/crates/lab/src/commands.rs
+++ b/crates/lab/src/commands.rs
@@ -15,7 +15,7 @@
 use crate::error::{LabResult, UnknownPolicySnafu};
 use crate::runner;
 
-/// Executes a command. Exit code 0, or 1 where a rule was violated or a run was stopped early.
+/// Executes a command. The exit code is 1 if a rule was violated or a run was stopped early, else 0.
 ///
 /// # Errors
 ///
@@ -41,7 +41,7 @@
     }
 }
 
-/// The exit code for these runs.
+/// The exit code of a command with these runs.
 fn exit_code(metrics: &[Metrics]) -> ExitCode {
     let is_bad = metrics.iter().any(|metrics| metrics.violation_count > 0 || metrics.is_truncated);
     if is_bad { ExitCode::FAILURE } else { ExitCode::SUCCESS }
@@ -54,7 +54,7 @@
     UnknownPolicySnafu { name, known: &runner::POLICIES[..] }.fail()
 }
 
-/// Arithmetic mean; 0 of nothing.
+/// The arithmetic mean; 0 without values.
 fn mean(values: impl ExactSizeIterator<Item = f64>) -> f64 {
     let count = values.len().max(1) as f64;
     values.sum::<f64>() / count
--- a/crates/lab/src/commands/compare.rs
+++ b/crates/lab/src/commands/compare.rs
@@ -26,19 +26,19 @@
     b: &'a Metrics,
 }
 
-/// A figure that is compared.
-struct Figure {
+/// A metric that is compared.
+struct ComparedMetric {
     name: &'static str,
     read: fn(&Metrics) -> f64,
 }
 
-const COMPARED_METRICS: [Figure; 6] = [
-    Figure { name: "served", read: |metrics| metrics.served },
-    Figure { name: "worst 10 s", read: |metrics| metrics.worst_window.served },
-    Figure { name: "worst topic type", read: |metrics| metrics.worst_topic },
-    Figure { name: "worst account", read: |metrics| metrics.worst_account },
-    Figure { name: "pushes for each handed in", read: pushes_per_notification },
-    Figure { name: "rules broken", read: |metrics| metrics.violation_count as f64 },
+const COMPARED_METRICS: [ComparedMetric; 6] = [
+    ComparedMetric { name: "served", read: |metrics| metrics.served },
+    ComparedMetric { name: "worst 10 s", read: |metrics| metrics.worst_window.served },
+    ComparedMetric { name: "worst topic type", read: |metrics| metrics.worst_topic },
+    ComparedMetric { name: "worst account", read: |metrics| metrics.worst_account },
+    ComparedMetric { name: "pushes for each handed in", read: pushes_per_notification },
+    ComparedMetric { name: "rules broken", read: |metrics| metrics.violation_count as f64 },
 ];
 
 fn pushes_per_notification(metrics: &Metrics) -> f64 {
@@ -52,7 +52,7 @@
     let run = |side: &Side, seed| Run { scenario: side.scenario.clone(), seed, policy: side.policy.clone() };
     let runs: Vec<Run> =
         options.seeds().flat_map(|seed| sides.each_ref().map(|side| run(side, seed))).collect();
-    let metrics = options.play(&runs)?;
+    let metrics = options.simulate_all(&runs)?;
     let pairs: Vec<Pair<'_>> = metrics.chunks(2).map(|pair| Pair { a: &pair[0], b: &pair[1] }).collect();
     let mut body = format!("<p>A: {}<br>B: {}</p>", report::escape_html(a), report::escape_html(b));
     println!("A: {a}\nB: {b}\n{:<26} {:>9} {:>9} {:>9}  95 % of the mean", "figure", "A", "B", "B - A");
@@ -72,10 +72,10 @@
     Ok(Side { scenario: scenario_file::read(Path::new(path))?, policy: policy.to_owned() })
 }
 
-/// Prints each figure and writes the table of the page.
+/// Prints each metric and writes the table of the page.
 fn write_differences(body: &mut String, pairs: &[Pair<'_>]) -> LabResult {
     *body += "<table><tr><th>Figure<th>A<th>B<th>B less A<th>95 %</tr>";
-    for Figure { name, read } in COMPARED_METRICS {
+    for ComparedMetric { name, read } in COMPARED_METRICS {
         let values: Vec<(f64, f64)> = pairs.iter().map(|pair| (read(pair.a), read(pair.b))).collect();
         let difference = Difference::of_pairs(&values);
         let (a, b) = difference.means;
--- a/crates/lab/src/commands/hunt.rs
+++ b/crates/lab/src/commands/hunt.rs
@@ -65,13 +65,13 @@
 
 /// Executes runs, each also with the oracle if losses count, and classifies the results.
 fn run_and_classify(runs: &[Run], options: &RunOptions, goal: Goal) -> LabResult<Vec<Finding>> {
-    let metrics = options.play(runs)?;
+    let metrics = options.simulate_all(runs)?;
     let oracle: Vec<Option<Metrics>> = if goal == Goal::Violation {
         runs.iter().map(|_| None).collect()
     } else {
         let runs: Vec<Run> =
             runs.iter().map(|run| Run { policy: "oracle".to_owned(), ..run.clone() }).collect();
-        options.play(&runs)?.into_iter().map(Some).collect()
+        options.simulate_all(&runs)?.into_iter().map(Some).collect()
     };
     Ok(metrics.iter().zip(&oracle).map(|(metrics, oracle)| Finding::of(metrics, oracle.as_ref())).collect())
 }
--- a/crates/lab/src/commands/run.rs
+++ b/crates/lab/src/commands/run.rs
@@ -12,15 +12,15 @@
 use crate::runner::{self, Run, TimedRun};
 use crate::{report, scenario_file};
 
-/// Violations that are printed for a run.
+/// The maximum of violations that are printed for a run.
 const MAX_PRINTED_VIOLATIONS: usize = 3;
 
-/// Plays a scenario with each seed and writes a report for each.
+/// Runs a scenario with each seed and writes a report for each run.
 pub(super) fn run(scenario: &Path, options: &RunOptions, policy: &str) -> LabResult<ExitCode> {
     check_policy(policy)?;
     let scenario = scenario_file::read(scenario)?;
     let run = |seed| Run { scenario: scenario.clone(), seed, policy: policy.to_owned() };
-    let metrics = options.play(&options.seeds().map(run).collect::<Vec<_>>())?;
+    let metrics = options.simulate_all(&options.seeds().map(run).collect::<Vec<_>>())?;
     for metrics in &metrics {
         let directory = run_directory(&options.out, metrics);
         report::write_run(&directory, &scenario, metrics)?;
@@ -36,7 +36,7 @@
     out.join(format!("{}-{}-{}", metrics.scenario, metrics.policy, metrics.seed))
 }
 
-/// Plays the first seed on one core and prints where the time goes.
+/// Runs the first seed on one core and prints the time spent in the policy and in the model.
 pub(super) fn run_timed(scenario: &Path, options: &RunOptions, policy: &str) -> LabResult<ExitCode> {
     let run = Run { scenario: scenario_file::read(scenario)?, seed: options.seed, policy: policy.to_owned() };
     let TimedRun { metrics, decisions, total } = runner::simulate_timed(&run)?;
@@ -53,7 +53,7 @@
     Ok(exit_code(&[metrics]))
 }
 
-/// Plays a scenario with the seed that it names.
+/// Runs a scenario with the seed in its file.
 pub(super) fn replay(path: &Path, out: &Path, policy: &str) -> LabResult<ExitCode> {
     let seed = scenario_file::read(path)?.seed.ok_or(LabError::NoSeed)?;
     let options = RunOptions { seed, seeds: 1, jobs: 1, out: out.to_owned(), quiet: true };
--- a/crates/lab/src/commands/scenarios.rs
+++ b/crates/lab/src/commands/scenarios.rs
@@ -1,4 +1,4 @@
-//! `check` and `scenarios`: files without a run.
+//! `check` and `scenarios`: commands on scenario files that need no run.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/lab/src/commands/survey.rs
+++ b/crates/lab/src/commands/survey.rs
@@ -20,7 +20,7 @@
 const CORE: usize = 0;
 const BASELINES: std::ops::Range<usize> = 1..4;
 const ORACLE: usize = 4;
-/// Rows that are printed.
+/// The maximum of rows that are printed.
 const MAX_PRINTED_ROWS: usize = 30;
 
 /// The results with one set of faults.
@@ -29,20 +29,20 @@
     faults: String,
     /// The mean served fraction of each policy.
     served: Vec<f64>,
-    /// How far the core is behind the best baseline that violated no rule.
+    /// The difference between the best baseline without rule violations and the core.
     behind_best: f64,
-    /// How far the core is behind the oracle.
+    /// The difference between the oracle and the core.
     behind_oracle: f64,
     /// Runs in which the core violated a rule.
     violating: usize,
 }
 
-/// Plays all policies with each fault, or each pair too; writes a table and a page.
+/// Runs all policies with each fault, and with `pairs` each pair of faults; writes a table and a page.
 pub(super) fn survey(scenario: &Path, options: &RunOptions, pairs: bool) -> LabResult<ExitCode> {
     let mut scenario = scenario_file::read(scenario)?;
     scenario.faults.clear();
     let sets = fault_sets(pairs);
-    let metrics = options.play(&runs(&scenario, &sets, options))?;
+    let metrics = options.simulate_all(&runs(&scenario, &sets, options))?;
     std::fs::create_dir_all(&options.out)?;
     let runs_of_set = POLICIES.len() * options.seeds as usize;
     let sets = sets.iter().zip(metrics.chunks(runs_of_set));
@@ -69,7 +69,7 @@
     sets
 }
 
-/// By set, seed and policy.
+/// The runs, ordered by set, seed and policy.
 fn runs(scenario: &Scenario, sets: &[Vec<FaultKind>], options: &RunOptions) -> Vec<Run> {
     let mut runs = Vec::new();
     for set in sets {
@@ -90,7 +90,7 @@
     let served: Vec<f64> = (0..POLICIES.len())
         .map(|policy| of(policy).map(|metrics| metrics.served).sum::<f64>() / seeds as f64)
         .collect();
-    // Being behind a baseline that violates rules says nothing.
+    // A comparison with a baseline that violates rules is not meaningful.
     let compliant = BASELINES.filter(|policy| violating(*policy) == 0);
     let best = compliant.map(|policy| served[policy]).fold(0.0, f64::max);
     let names: Vec<String> = set.iter().map(|kind| report::fault_name(*kind)).collect();
--- a/crates/lab/src/commands/sweep.rs
+++ b/crates/lab/src/commands/sweep.rs
@@ -1,4 +1,4 @@
-//! `sweep`: a scenario with one of its figures at several values.
+//! `sweep`: a scenario with one of its parameters at several values.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -15,7 +15,7 @@
 use crate::runner::Run;
 use crate::{report, scenario_file};
 
-/// The figure that is swept.
+/// The parameter that is swept.
 struct SweptParameter<'a> {
     /// Keys and indices joined by dots.
     path: &'a str,
@@ -31,22 +31,22 @@
     }
 }
 
-/// Plays a scenario with each value, policy and seed; writes a table and a plot.
+/// Runs a scenario with each value, policy and seed; writes a table and a plot.
 pub(super) fn sweep(
     scenario: &Path, over: &str, options: &RunOptions, policies: &[String],
 ) -> LabResult<ExitCode> {
     policies.iter().try_for_each(|policy| check_policy(policy))?;
     let scenario = scenario_file::read(scenario)?;
-    let figure = SweptParameter::parse(over)?;
-    let metrics = options.play(&runs(&scenario, &figure, options, policies)?)?;
+    let parameter = SweptParameter::parse(over)?;
+    let metrics = options.simulate_all(&runs(&scenario, &parameter, options, policies)?)?;
     std::fs::create_dir_all(&options.out)?;
     let mut table = csv::Writer::from_path(options.out.join("sweep.csv"))?;
-    table.write_record(["policy", figure.path, "seed", "served", "worst_window", "broken"])?;
+    table.write_record(["policy", parameter.path, "seed", "served", "worst_window", "broken"])?;
     let mut lines = Vec::new();
-    let runs_of_policy = figure.values.len() * options.seeds as usize;
+    let runs_of_policy = parameter.values.len() * options.seeds as usize;
     for (policy, metrics) in policies.iter().zip(metrics.chunks(runs_of_policy)) {
         let mut line = Line { name: policy.clone(), points: Vec::new(), band: Vec::new() };
-        for (value, metrics) in figure.values.iter().zip(metrics.chunks(options.seeds as usize)) {
+        for (value, metrics) in parameter.values.iter().zip(metrics.chunks(options.seeds as usize)) {
             for run in metrics {
                 table.serialize((
                     policy,
@@ -57,27 +57,27 @@
                     run.violation_count,
                 ))?;
             }
-            add_point(&mut line, figure.path, *value, metrics);
+            add_point(&mut line, parameter.path, *value, metrics);
         }
         lines.push(line);
     }
     table.flush()?;
-    let title = format!("Served over {}: mean, least and most of {} seeds", figure.path, options.seeds);
-    let body = plots::line_plot(&title, figure.path, "share", &lines, &[])?;
+    let title = format!("Served over {}: mean, least and most of {} seeds", parameter.path, options.seeds);
+    let body = plots::line_plot(&title, parameter.path, "share", &lines, &[])?;
     let path = options.out.join("sweep.html");
     std::fs::write(&path, report::page(&format!("Sweep of {}", scenario.name), &body))?;
     println!("{}", path.display());
     Ok(exit_code(&metrics))
 }
 
-/// By policy, value and seed.
+/// The runs, ordered by policy, value and seed.
 fn runs(
-    scenario: &Scenario, figure: &SweptParameter<'_>, options: &RunOptions, policies: &[String],
+    scenario: &Scenario, parameter: &SweptParameter<'_>, options: &RunOptions, policies: &[String],
 ) -> LabResult<Vec<Run>> {
     let mut runs = Vec::new();
     for policy in policies {
-        for value in &figure.values {
-            let scenario = with_parameter(scenario, figure.path, *value)?;
+        for value in &parameter.values {
+            let scenario = with_parameter(scenario, parameter.path, *value)?;
             let run = |seed| Run { scenario: scenario.clone(), seed, policy: policy.clone() };
             runs.extend(options.seeds().map(run));
         }
@@ -99,18 +99,18 @@
     line.band.push((value, min, max));
 }
 
-/// A scenario with the figure at a path of keys set.
+/// Returns the scenario with the parameter at `path` set to `value`.
 fn with_parameter(scenario: &Scenario, path: &str, value: f64) -> LabResult<Scenario> {
     let mut document = toml::Value::try_from(scenario)?;
-    let mut figure = &mut document;
+    let mut parameter = &mut document;
     for key in path.split('.') {
         let next = match key.parse::<usize>() {
-            Ok(index) => figure.get_mut(index),
-            Err(_) => figure.get_mut(key),
+            Ok(index) => parameter.get_mut(index),
+            Err(_) => parameter.get_mut(key),
         };
-        figure = next.context(UnknownKeySnafu { path })?;
+        parameter = next.context(UnknownKeySnafu { path })?;
     }
-    *figure = match figure {
+    *parameter = match parameter {
         toml::Value::Integer(_) if value.fract() == 0.0 => toml::Value::Integer(value as i64),
         toml::Value::Integer(_) | toml::Value::Float(_) | toml::Value::Array(_) => toml::Value::Float(value),
         _ => return NotANumberSnafu { path }.fail(),
--- a/crates/lab/src/difference.rs
+++ b/crates/lab/src/difference.rs
@@ -1,31 +1,31 @@
-//! The difference between two sides on the same seeds: by pairs, with a bootstrap interval, not by two means.
+//! Paired comparison of two sides on the same seeds, with a bootstrap confidence interval of the mean difference.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
 
-/// Resamples that an interval is computed from.
+/// The number of resamples of the bootstrap.
 const RESAMPLES: usize = 4_000;
 /// The confidence level of the interval.
 const CONFIDENCE: f64 = 0.95;
-/// The resamples have a seed of their own: the same pairs have the same interval.
+/// The seed of the resamples, which is constant so that the same pairs have the same interval.
 const RESAMPLING_SEED: u64 = 1;
 
-/// The difference of a figure between two sides.
+/// The difference of a metric between two sides.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Difference {
     /// The number of pairs.
     pub pairs: usize,
     /// The means of the first and the second side.
     pub means: (f64, f64),
-    /// The mean of second less first.
+    /// The mean difference, second minus first.
     pub mean: f64,
     /// The ends of the confidence interval of that mean, at 95 %.
     pub interval: (f64, f64),
 }
 
 impl Difference {
-    /// The difference over pairs of figures, each of one seed.
+    /// The difference over pairs of values, one pair for each seed.
     pub fn of_pairs(pairs: &[(f64, f64)]) -> Difference {
         let differences: Vec<f64> = pairs.iter().map(|(first, second)| second - first).collect();
         let mut means = resampled_means(&differences);
@@ -65,7 +65,7 @@
     (0..RESAMPLES).map(|_| resample()).collect()
 }
 
-/// The value at a fraction of sorted values; 0 of none.
+/// The quantile of sorted values; 0 without values.
 fn quantile(sorted: &[f64], fraction: f64) -> f64 {
     let index = (fraction * (sorted.len().max(1) - 1) as f64) as usize;
     sorted.get(index).copied().unwrap_or(0.0)
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,6 +1,6 @@
-//! The laboratory: runs scenarios with the core or another policy, compares and sweeps them, and writes reports.
+//! The lab: runs simulated scenarios with the core or another policy, compares and sweeps them, and writes reports.
 //!
-//! All its figures are of models. It reads and writes no files but those that it is given.
+//! All results are those of a model. The lab reads and writes only files that it is given.
 
 pub mod adapter;
 pub mod baselines;
--- a/crates/lab/src/plots.rs
+++ b/crates/lab/src/plots.rs
@@ -17,7 +17,7 @@
 const BAND_OPACITY: f64 = 0.18;
 /// The y axis ends this much above the highest value.
 const HEADROOM: f64 = 1.08;
-/// The least length of an axis, so that one without values can be drawn.
+/// The minimum length of an axis, needed to draw one without values.
 const MIN_AXIS_LENGTH: f64 = 1e-9;
 
 /// A line of a plot.
@@ -26,7 +26,7 @@
     pub name: String,
     /// Its points.
     pub points: Vec<(f64, f64)>,
-    /// A band around it: x, the lower and the upper end; empty for none.
+    /// A band around it as (x, lower end, upper end); empty for no band.
     pub band: Vec<(f64, f64, f64)>,
 }
 
@@ -81,7 +81,7 @@
     Ok(svg)
 }
 
-/// What the axes cover, but for their least length.
+/// The ranges of the axes before the minimum length is applied.
 struct Extent {
     min_x: f64,
     max_x: f64,
@@ -103,7 +103,7 @@
     lower.chain(upper).collect()
 }
 
-/// The least and the greatest of the finite values; 0 and 1 if there are none.
+/// The minimum and the maximum of the finite values; 0 and 1 if there are none.
 fn bounds(values: impl Iterator<Item = f64>) -> (f64, f64) {
     let finite: Vec<f64> = values.filter(|value| value.is_finite()).collect();
     let min = finite.iter().copied().fold(f64::INFINITY, f64::min);
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,4 +1,4 @@
-//! Reports: the metrics of a run as JSON and CSV, and an HTML page with its plots inside.
+//! Reports: the metrics of a run as JSON and CSV, and an HTML page with embedded plots.
 
 mod html;
 
@@ -34,7 +34,7 @@
     )
 }
 
-/// Writes the directory of one run. The report comes last: a directory with a report is complete.
+/// Writes the directory of one run. The report is written last, so that a directory with a report is complete.
 ///
 /// # Errors
 ///
@@ -69,7 +69,7 @@
     Ok(())
 }
 
-/// One line about a run.
+/// A one-line summary of a run.
 pub fn summary(metrics: &Metrics) -> String {
     let FleetSize { relays, destinations, endpoints } = metrics.size;
     let truncated = if metrics.is_truncated { ", CUT OFF: too many events" } else { "" };
--- a/crates/lab/src/report/html.rs
+++ b/crates/lab/src/report/html.rs
@@ -28,7 +28,7 @@
     Ok(page(&format!("{}, seed {}, {}", metrics.scenario, metrics.seed, metrics.policy), &body))
 }
 
-/// When each fault that takes time is active, in seconds.
+/// The active times of faults with a duration, in seconds.
 fn fault_spans(scenario: &Scenario) -> Vec<(f64, f64)> {
     let span = |fault: &Fault| (fault.start_s.min, fault.start_s.min + fault.duration_s.min);
     scenario.faults.iter().map(span).filter(|(from, to)| from < to).collect()
--- a/crates/lab/src/runner.rs
+++ b/crates/lab/src/runner.rs
@@ -1,4 +1,4 @@
-//! Plays runs on several cores. Results are in the order of the runs, whichever finishes first; no run sees another.
+//! Executes independent runs on several cores. Results are in the order of the runs.
 
 use std::cell::Cell;
 use std::path::Path;
@@ -19,15 +19,15 @@
 use crate::baselines;
 use crate::error::{AdapterCannotRestartSnafu, AdapterFailedSnafu, LabResult, UnknownPolicySnafu};
 
-/// The names of the policies of the laboratory, the core's own first.
+/// The names of the built-in policies, the core first.
 pub const POLICIES: [&str; 5] = ["core", "one-try", "backoff", "breaker", "oracle"];
 
-/// Precedes the program of an adapter in place of a policy's name.
+/// The prefix of a policy name that is the program of an adapter.
 const ADAPTER_PREFIX: &str = "adapter:";
 
 const PROGRESS_TEMPLATE: &str = "{bar:40} {pos}/{len} runs, {elapsed} gone, {eta} to go";
 
-/// A run to be played.
+/// A run to be executed.
 #[derive(Clone, Debug)]
 pub struct Run {
     /// The scenario, resolved or not.
@@ -38,41 +38,41 @@
     pub policy: String,
 }
 
-/// A run with the time that it took.
+/// The result of a run with its execution time.
 pub struct TimedRun {
-    /// Its metrics, the same as those of an ordinary run.
+    /// Its metrics, the same as those without time measurement.
     pub metrics: Metrics,
-    /// The time spent in decisions of the policy.
+    /// The time spent in the policy.
     pub decisions: Duration,
     /// The time of the whole run.
     pub total: Duration,
 }
 
-/// Whether there is such a policy. The program of an adapter is looked for only when it is started.
+/// Whether there is such a policy. Whether the program of an adapter exists is checked only when it is started.
 pub fn is_known_policy(name: &str) -> bool {
     POLICIES.contains(&name) || name.strip_prefix(ADAPTER_PREFIX).is_some_and(|path| !path.is_empty())
 }
 
-/// Plays all runs on `cores` cores (0: all there are), with a progress bar on standard error unless `quiet`.
+/// Executes all runs on `cores` cores (0: all available), with a progress bar on standard error unless `quiet`.
 ///
 /// # Errors
 ///
 /// If the program of an adapter cannot be started, or fails during a run.
-pub fn play(runs: &[Run], cores: usize, quiet: bool) -> LabResult<Vec<Metrics>> {
+pub fn simulate_all(runs: &[Run], cores: usize, quiet: bool) -> LabResult<Vec<Metrics>> {
     let bar = if quiet { ProgressBar::hidden() } else { ProgressBar::new(runs.len() as u64) };
     bar.set_style(ProgressStyle::with_template(PROGRESS_TEMPLATE)?);
     let pool = rayon::ThreadPoolBuilder::new().num_threads(cores).build()?;
-    let play = |run: &Run| with_policies(run, |policies| simulate(&run.scenario, run.seed, policies));
-    let metrics = pool.install(|| runs.par_iter().progress_with(bar.clone()).map(play).collect());
+    let execute = |run: &Run| with_policies(run, |policies| simulate(&run.scenario, run.seed, policies));
+    let metrics = pool.install(|| runs.par_iter().progress_with(bar.clone()).map(execute).collect());
     bar.finish_and_clear();
     metrics
 }
 
-/// Plays one run and measures its time.
+/// Executes one run and measures its time.
 ///
 /// # Errors
 ///
-/// As [`play`].
+/// As [`simulate_all`].
 pub fn simulate_timed(run: &Run) -> LabResult<TimedRun> {
     let (start, decisions) = (Instant::now(), Rc::new(Cell::new(Duration::ZERO)));
     let metrics = with_policies(run, |policies| {
@@ -82,34 +82,34 @@
     Ok(TimedRun { metrics, decisions: decisions.get(), total: start.elapsed() })
 }
 
-/// Plays a run with the policies that it names.
-fn with_policies(run: &Run, play: impl Fn(&dyn Policies) -> Metrics) -> LabResult<Metrics> {
+/// Executes a run with its policy.
+fn with_policies(run: &Run, execute: impl Fn(&dyn Policies) -> Metrics) -> LabResult<Metrics> {
     if let Some(program) = run.policy.strip_prefix(ADAPTER_PREFIX) {
-        return with_adapter(Path::new(program), &run.scenario, play);
+        return with_adapter(Path::new(program), &run.scenario, execute);
     }
     let policies: &dyn Policies = match run.policy.as_str() {
         "core" => &Core,
-        "one-try" => &baselines::OneTry,
+        "one-try" => &baselines::SingleAttempt,
         "backoff" => &baselines::Backoff,
-        "breaker" => &baselines::Breaker,
+        "breaker" => &baselines::BackoffWithBreaker,
         "oracle" => &baselines::Oracle,
         name => return UnknownPolicySnafu { name, known: &POLICIES[..] }.fail(),
     };
-    Ok(play(policies))
+    Ok(execute(policies))
 }
 
 fn with_adapter(
-    program: &Path, scenario: &Scenario, play: impl Fn(&dyn Policies) -> Metrics,
+    program: &Path, scenario: &Scenario, execute: impl Fn(&dyn Policies) -> Metrics,
 ) -> LabResult<Metrics> {
     let kills = scenario.faults.iter().any(|fault| fault.kind == FaultKind::RelayKill);
     ensure!(!kills, AdapterCannotRestartSnafu);
     let adapter = Adapter::start(program)?;
-    let metrics = play(&adapter);
+    let metrics = execute(&adapter);
     adapter.finish().context(AdapterFailedSnafu { program })?;
     Ok(metrics)
 }
 
-/// Policies whose decisions are timed.
+/// Policies whose execution time is measured.
 struct TimedPolicies<'a> {
     policies: &'a dyn Policies,
     decisions: Rc<Cell<Duration>>,
--- a/crates/lab/src/scenario_file.rs
+++ b/crates/lab/src/scenario_file.rs
@@ -1,6 +1,6 @@
-//! Scenario files: TOML, read, checked and written.
+//! Reading, validation and writing of scenario files in TOML.
 //!
-//! A file is never corrected or completed, beyond the defaults that a scenario itself has.
+//! Errors in a file are never corrected, and missing keys have no defaults other than those of the scenario itself.
 
 use std::fmt;
 use std::ops::Range;
@@ -10,7 +10,7 @@
 use snafu::{ResultExt, Snafu, ensure};
 use toml_edit::{Document, Item};
 
-/// The largest file that is read; scenarios are far smaller.
+/// The maximum size of a file, far above that of any scenario.
 const MAX_FILE_BYTES: u64 = 1 << 20;
 
 /// Why a scenario file cannot be used.
@@ -25,10 +25,10 @@
     TooLarge { path: String },
     #[snafu(display("{path}: is not UTF-8: {source}"))]
     NotUtf8 { path: String, source: std::string::FromUtf8Error },
-    /// It is no scenario in TOML.
+    /// The text is not TOML or not a scenario.
     #[snafu(display("{error}"))]
     Syntax { error: ErrorAtLine },
-    /// It is a scenario that cannot be run.
+    /// The scenario is not valid.
     #[snafu(display("{}", join_lines(errors)))]
     Invalid { errors: Vec<ErrorAtLine> },
     #[snafu(display("{source}"))]
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 pub struct ErrorAtLine {
     file: String,
-    /// Counted from 1.
+    /// The line number, from 1.
     line: usize,
     message: String,
 }
@@ -54,7 +54,7 @@
     errors.iter().map(ErrorAtLine::to_string).collect::<Vec<_>>().join("\n")
 }
 
-/// Reads a scenario: a file or, if there is none of that name, one of `lab/scenarios`.
+/// Reads a scenario from a file or, if there is no file of that name, from `lab/scenarios`.
 ///
 /// # Errors
 ///
@@ -71,8 +71,8 @@
 }
 
 fn find(name: &Path) -> PathBuf {
-    let kept = Path::new("lab/scenarios").join(name).with_extension("toml");
-    if !name.exists() && kept.exists() { kept } else { name.to_owned() }
+    let bundled = Path::new("lab/scenarios").join(name).with_extension("toml");
+    if !name.exists() && bundled.exists() { bundled } else { name.to_owned() }
 }
 
 /// Reads a scenario from its text; `file` is its name in errors.
@@ -94,7 +94,7 @@
     Ok(scenario)
 }
 
-/// Finds the lines of errors.
+/// Adds line numbers to errors.
 fn locate(errors: &[ScenarioError], text: &str, file: &str) -> Vec<ErrorAtLine> {
     let document = Document::parse(text).ok();
     let locate = |error: &ScenarioError| {
@@ -107,18 +107,18 @@
     errors.iter().map(locate).collect()
 }
 
-/// The line of a byte, counted from 1.
+/// The line number of a byte offset, from 1.
 fn line_of(text: &str, offset: usize) -> usize {
     text.as_bytes().iter().take(offset).filter(|byte| **byte == b'\n').count() + 1
 }
 
-/// The first byte of the item at a path of keys and indices, or of the nearest item above it that the file has.
+/// The start of the item at a path of keys and indices or, if the file does not contain it, of its nearest ancestor.
 fn start_of(item: &Item, path: &[&str]) -> Option<usize> {
     let start = |span: Option<Range<usize>>| span.map(|span| span.start);
     let Some((key, below)) = path.split_first() else { return start(item.span()) };
     let inner = match (item, key.parse::<usize>()) {
         (Item::ArrayOfTables(tables), Ok(index)) => tables.get(index).and_then(|table| {
-            // A table of an array is no item itself.
+            // An element of an array of tables is not an `Item`.
             let inner = below.split_first().and_then(|(key, below)| start_of(table.get(key)?, below));
             inner.or(start(table.span()))
         }),
@@ -130,7 +130,7 @@
     inner.or(start(item.span()))
 }
 
-/// The text of a scenario file.
+/// Converts a scenario to the text of a scenario file.
 ///
 /// # Errors
 ///
--- a/crates/model/src/metrics.rs
+++ b/crates/model/src/metrics.rs
@@ -173,11 +173,11 @@
     pub size: FleetSize,
     /// Delivered over requested benefit.
     pub served: f64,
-    /// The lowest served fraction of any window of 10 s.
+    /// The served fraction of the worst window of 10 s.
     pub worst_window: WorstWindow,
-    /// The lowest served fraction of any topic type.
+    /// The served fraction of the worst topic type.
     pub worst_topic: f64,
-    /// The lowest served fraction of any account.
+    /// The served fraction of the worst account.
     pub worst_account: f64,
     /// By topic type.
     pub topics: Vec<GroupMetrics>,
