--- a/crates/model/src/rule_checker.rs
+++ b/crates/model/src/rule_checker.rs
@@ -59,7 +59,7 @@
     /// By relay and endpoint: when the relay was notified that the endpoint is draining or has terminated.
     draining_since: BTreeMap<(usize, usize), Time>,
     /// By relay and route: the end of the retry-after that the relay received.
-    wait_until: BTreeMap<(usize, usize), Time>,
+    retry_after_until: BTreeMap<(usize, usize), Time>,
     routes: Vec<RouteRecord>,
     /// By index of the client's notification, which is independent of the ids that relays assign.
     first_effect_at: BTreeMap<usize, Time>,
@@ -76,7 +76,7 @@
             notifications: BTreeMap::new(),
             key_queues: BTreeMap::new(),
             draining_since: BTreeMap::new(),
-            wait_until: BTreeMap::new(),
+            retry_after_until: BTreeMap::new(),
             routes: (0..routes).map(|_| RouteRecord::default()).collect(),
             first_effect_at: BTreeMap::new(),
             recent: VecDeque::new(),
@@ -144,8 +144,8 @@
 
     /// Records a retry-after. Called after the turn in which the relay received it, since that turn's pushes may ignore
     /// it.
-    pub(crate) fn handle_wait(&mut self, relay: usize, route: usize, until: Time) {
-        let known = self.wait_until.entry((relay, route)).or_default();
+    pub(crate) fn handle_retry_after(&mut self, relay: usize, route: usize, until: Time) {
+        let known = self.retry_after_until.entry((relay, route)).or_default();
         *known = (*known).max(until);
     }
 
@@ -174,7 +174,7 @@
             self.prune(notification_id);
         }
         self.draining_since.retain(|(of, _), _| *of != relay);
-        self.wait_until.retain(|(of, _), _| *of != relay);
+        self.retry_after_until.retain(|(of, _), _| *of != relay);
         for route in &mut self.routes {
             route.informed_relays.remove(&relay);
         }
--- a/crates/model/src/rule_checker/deliveries.rs
+++ b/crates/model/src/rule_checker/deliveries.rs
@@ -35,7 +35,7 @@
             Observation::Push { notification: notification_id, endpoint: target.endpoint },
         );
         self.check_drain(now, relay, notification_id, target.endpoint);
-        self.check_wait(now, relay, notification_id, target.route);
+        self.check_retry_after(now, relay, notification_id, target.route);
         let Some(record) = self.notifications.get(&notification_id) else {
             return self.report_for(
                 Rule::FinalAnswer,
@@ -68,8 +68,8 @@
         }
     }
 
-    fn check_wait(&mut self, now: Time, relay: usize, notification_id: u64, route: usize) {
-        if let Some(until) = self.wait_until.get(&(relay, route))
+    fn check_retry_after(&mut self, now: Time, relay: usize, notification_id: u64, route: usize) {
+        if let Some(until) = self.retry_after_until.get(&(relay, route))
             && now < *until
         {
             let what =
--- a/crates/model/src/scenario/range.rs
+++ b/crates/model/src/scenario/range.rs
@@ -7,7 +7,7 @@
 
 /// A number or a range of numbers, written `3` or `[2, 5]`.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, Serialize)]
-#[serde(from = "RangeForm", into = "RangeForm")]
+#[serde(from = "Written", into = "Written")]
 pub struct Range {
     /// The lower end.
     pub min: f64,
@@ -17,26 +17,26 @@
 
 #[derive(Clone, Copy, Deserialize, Serialize)]
 #[serde(untagged, expecting = "expected a number, or a range of two numbers such as [2, 5]")]
-enum RangeForm {
+enum Written {
     Number(f64),
     Bounds([f64; 2]),
 }
 
-impl From<RangeForm> for Range {
-    fn from(form: RangeForm) -> Range {
-        match form {
-            RangeForm::Number(value) => Range { min: value, max: value },
-            RangeForm::Bounds([min, max]) => Range { min, max },
+impl From<Written> for Range {
+    fn from(written: Written) -> Range {
+        match written {
+            Written::Number(value) => Range { min: value, max: value },
+            Written::Bounds([min, max]) => Range { min, max },
         }
     }
 }
 
-impl From<Range> for RangeForm {
-    fn from(range: Range) -> RangeForm {
+impl From<Range> for Written {
+    fn from(range: Range) -> Written {
         if range.min == range.max {
-            RangeForm::Number(range.min)
+            Written::Number(range.min)
         } else {
-            RangeForm::Bounds([range.min, range.max])
+            Written::Bounds([range.min, range.max])
         }
     }
 }
--- a/crates/model/src/simulation/call_ends.rs
+++ b/crates/model/src/simulation/call_ends.rs
@@ -42,8 +42,8 @@
             status: response.status,
             elapsed: self.now.since(call.sent_at),
             has_final_answer: false,
-            retry_after: response.wait,
-            rate_limit: response.limit,
+            retry_after: response.retry_after,
+            rate_limit: response.rate_limit,
         };
         let (relay, route) = (call.relay, call.route);
         self.enqueue_input(relay, RelayInput::PushEnded { outcome: Box::new(outcome), route });
--- a/crates/model/src/simulation/inputs.rs
+++ b/crates/model/src/simulation/inputs.rs
@@ -17,7 +17,7 @@
 #[derive(Default)]
 pub(super) struct TurnEffects {
     /// Retry-after times that the relay receives, by route.
-    pub(super) waits: Vec<(usize, Time)>,
+    pub(super) retry_after: Vec<(usize, Time)>,
     /// Submissions that the relay responds to in this turn.
     pub(super) accepted: Vec<u64>,
 }
@@ -100,7 +100,7 @@
             self.rule_checker.record_failure_seen(relay, route);
         }
         if let Some(wait) = outcome.retry_after {
-            effects.waits.push((route, self.now + wait));
+            effects.retry_after.push((route, self.now + wait));
         }
         self.recorder.record_push_outcome(self.now, status);
         let Some(pending) = self.relays[relay].pending.get_mut(&notification_id) else {
--- a/crates/model/src/simulation/relays.rs
+++ b/crates/model/src/simulation/relays.rs
@@ -152,8 +152,8 @@
                 pending.is_unanswered = false;
             }
         }
-        for (route, until) in effects.waits {
-            self.rule_checker.handle_wait(relay, route, until);
+        for (route, until) in effects.retry_after {
+            self.rule_checker.handle_retry_after(relay, route, until);
         }
     }
 
--- a/crates/model/src/simulation/service.rs
+++ b/crates/model/src/simulation/service.rs
@@ -107,8 +107,8 @@
         endpoint.make_report(now, noise, &mut route.limit, factor);
         if !is_within_limit {
             let is_announced = endpoint.draw_fraction() < announced_wait_fraction;
-            let wait = is_announced.then(|| route.limit.time_until_available(now, factor));
-            return self.respond(id, CallStatus::Busy, wait.filter(|wait| *wait > Span::ZERO));
+            let retry_after = is_announced.then(|| route.limit.time_until_available(now, factor));
+            return self.respond(id, CallStatus::Busy, retry_after.filter(|span| *span > Span::ZERO));
         }
         match endpoint.admit(id) {
             Admission::Started => self.start_service(id),
@@ -204,13 +204,14 @@
     }
 
     /// Sends the response of an endpoint, or breaks the connection.
-    fn respond(&mut self, id: CallId, status: CallStatus, wait: Option<Span>) {
+    fn respond(&mut self, id: CallId, status: CallStatus, retry_after: Option<Span>) {
         let Some(call) = self.calls.get(&id) else { return };
         let (is_awaited, at) = (call.is_awaited, self.now + call.one_way_delay);
         let has_report = self.kind_of(call.endpoint).has_load_reports && status != CallStatus::Reset;
-        let limit = if has_report { self.endpoints[call.endpoint].latest_report(self.now) } else { None };
+        let rate_limit =
+            if has_report { self.endpoints[call.endpoint].latest_report(self.now) } else { None };
         if is_awaited && !self.has_fault(call.endpoint, FaultKind::ResponseLoss) {
-            self.schedule_response(id, at, Response { status, wait, limit });
+            self.schedule_response(id, at, Response { status, retry_after, rate_limit });
         }
         self.set_call_state(id, CallState::Done);
     }
--- a/crates/model/src/simulation/state.rs
+++ b/crates/model/src/simulation/state.rs
@@ -80,14 +80,14 @@
 pub(super) struct Response {
     pub(super) status: CallStatus,
     /// The retry-after, if the response has one.
-    pub(super) wait: Option<Span>,
-    pub(super) limit: Option<RateLimitReport>,
+    pub(super) retry_after: Option<Span>,
+    pub(super) rate_limit: Option<RateLimitReport>,
 }
 
 impl Response {
     /// A response with a status only.
     pub(super) fn of(status: CallStatus) -> Response {
-        Response { status, wait: None, limit: None }
+        Response { status, retry_after: None, rate_limit: None }
     }
 }
 
