--- a/crates/lab/src/baselines/sending.rs
+++ b/crates/lab/src/baselines/sending.rs
@@ -44,7 +44,7 @@
 /// A notification in the order of sending.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
-    /// Whether it is past its latency target; an oracle sends such notifications last.
+    /// Whether it is past its latency target; an oracle sends such notifications last. False for other baselines.
     is_late: bool,
     ready_at: Time,
     id: u64,
--- a/crates/lab/src/baselines/state.rs
+++ b/crates/lab/src/baselines/state.rs
@@ -39,7 +39,7 @@
     pub(super) ready_at: Time,
     pub(super) push_count: u32,
     pub(super) first_possible_execution: Option<PossibleExecution>,
-    /// The call that it is in flight in.
+    /// The call with its push in flight.
     pub(super) call: Option<u64>,
     pub(super) latest_push: LatestPush,
     pub(super) has_final_answer: bool,
--- a/crates/lab/tests/cli.rs
+++ b/crates/lab/tests/cli.rs
@@ -230,8 +230,8 @@
     );
 }
 
-/// The backoff baseline overloads recovering destinations. The hunt must find a run with that violation and shrink it, and
-/// a replay of the file that it writes must show the violation again.
+/// The backoff baseline overloads recovering destinations. The hunt must find a run with that violation and shrink it,
+/// and a replay of the file that it writes must show the violation again.
 #[test]
 fn hunt_finds_a_violation_and_its_file_reproduces_it() {
     let directory = TestDirectory::new();
--- a/crates/model/src/scenario.rs
+++ b/crates/model/src/scenario.rs
@@ -2,8 +2,8 @@
 //!
 //! Where a key in scenario files differs from the name of the field, the field has a `serde` attribute with the key. A
 //! number may be written as a range: a range of type [`PerRun`] is drawn once for a run, one of type [`PerItem`] for
-//! each item that it describes (a destination, a call). The unit of a parameter is part of its name; a parameter without
-//! unit is a ratio or a count.
+//! each item that it describes (a destination, a call). The unit of a parameter is part of its name; a parameter
+//! without unit is a ratio or a count.
 
 mod check;
 mod defaults;
