--- a/crates/lab/src/baselines/policy.rs
+++ b/crates/lab/src/baselines/policy.rs
@@ -93,7 +93,7 @@
         if let Some(key) = pending.ordering_key() {
             let queue = self.key_queues.entry(key.clone()).or_default();
             queue.waiting.push_back(id);
-            if let Some(ended_at) = pending.notification.history.last_doubtful_end {
+            if let Some(ended_at) = pending.notification.history.last_uncertain_end {
                 queue.extend_cooldown(ended_at + self.rules.key_cooldown);
             }
         }
@@ -114,13 +114,13 @@
                 self.calls.remove(&call);
             }
         }
-        if outcome.status.may_have_run() && pending.first_possible_execution.is_none() {
+        if outcome.status.may_have_executed() && pending.first_possible_execution.is_none() {
             let entry = self.list.entries.get(&outcome.endpoint);
             let zone = entry.map(|entry| entry.zone.clone()).unwrap_or_default();
             let sent_at = pending.latest_push.sent_at;
             pending.first_possible_execution = Some(PossibleExecution { sent_at, zone });
         }
-        if outcome.status.may_be_running()
+        if outcome.status.may_be_executing()
             && let Some(key) = &pending.notification.key
             && let Some(queue) = self.key_queues.get_mut(key)
         {
--- a/crates/lab/src/baselines/state.rs
+++ b/crates/lab/src/baselines/state.rs
@@ -49,7 +49,7 @@
     pub(super) fn new(now: Time, notification: Notification) -> PendingNotification {
         let history = &notification.history;
         let first_possible_execution = history
-            .first_possible_run
+            .first_possible_execution
             .clone()
             .map(|run| PossibleExecution { sent_at: run.sent_at, zone: run.zone });
         PendingNotification {
--- a/crates/model/src/simulation/inputs.rs
+++ b/crates/model/src/simulation/inputs.rs
@@ -2,7 +2,7 @@
 
 use juniperwing::interface::{
     CallStatus, EndpointEntry, EndpointListUpdate, Event, Notification, NotificationHistory, NotificationId,
-    PossibleRun, PushOutcome, Readiness,
+    PossibleExecution, PushOutcome, Readiness,
 };
 use juniperwing::time::Time;
 
@@ -185,11 +185,10 @@
             history: NotificationHistory {
                 is_recovered: true,
                 push_count: pending.push_count,
-                first_possible_run: pending.first_executed.map(|SentPush { at, zone }| PossibleRun {
-                    sent_at: at,
-                    zone: self.fleet.zones[zone].clone(),
+                first_possible_execution: pending.first_executed.map(|SentPush { at, zone }| {
+                    PossibleExecution { sent_at: at, zone: self.fleet.zones[zone].clone() }
                 }),
-                last_doubtful_end: pending.uncertain_since,
+                last_uncertain_end: pending.uncertain_since,
                 has_final_answer: pending.has_final_answer,
             },
         }
--- a/crates/relay/src/journal.rs
+++ b/crates/relay/src/journal.rs
@@ -132,11 +132,11 @@
                     entry.decided_pushes = entry.decided_pushes.max(history.push_count);
                 }
             }
-            Record::PushEnded(number, may_have_run, may_run_since_ns) => {
+            Record::PushEnded(number, may_have_executed, may_run_since_ns) => {
                 if let Some(entry) = self.live.get_mut(&number) {
                     let history = &mut entry.notification.history;
-                    let ended = history.in_flight.take().filter(|_| may_have_run);
-                    history.first_may_have_run = history.first_may_have_run.take().or(ended);
+                    let ended = history.in_flight.take().filter(|_| may_have_executed);
+                    history.first_possible_execution = history.first_possible_execution.take().or(ended);
                     history.may_run_since_ns = may_run_since_ns.or(history.may_run_since_ns);
                 }
             }
@@ -213,8 +213,8 @@
     }
 
     /// Records the end of a push: whether it may have run, and, if it may still be running, when it ended.
-    pub fn record_push_ended(&mut self, number: u64, may_have_run: bool, may_run_since: Option<Time>) {
-        self.append(Record::PushEnded(number, may_have_run, may_run_since.map(unix_nanos)), Vec::new());
+    pub fn record_push_ended(&mut self, number: u64, may_have_executed: bool, may_run_since: Option<Time>) {
+        self.append(Record::PushEnded(number, may_have_executed, may_run_since.map(unix_nanos)), Vec::new());
     }
 
     /// Records that a notification ended undelivered; its client has yet to be notified.
--- a/crates/relay/src/journal/record.rs
+++ b/crates/relay/src/journal/record.rs
@@ -53,7 +53,7 @@
     pub in_flight: Option<SentPush>,
     /// The first push that may have run.
     #[serde(rename = "ran")]
-    pub first_may_have_run: Option<SentPush>,
+    pub first_possible_execution: Option<SentPush>,
     /// The end of the last push that may still be running at its endpoint.
     #[serde(rename = "doubt")]
     pub may_run_since_ns: Option<u64>,
--- a/crates/relay/src/server/outcomes.rs
+++ b/crates/relay/src/server/outcomes.rs
@@ -40,8 +40,8 @@
             "duration_ms" => elapsed.as_nanos() / 1_000_000,
             "limit_remaining" => limit.map(|limit| limit.remaining_fraction),
             "limit_rate" => limit.map(|limit| limit.rate_per_second));
-        let may_run_since = status.may_be_running().then_some(now);
-        self.journal.record_push_ended(notification.0, status.may_have_run(), may_run_since);
+        let may_run_since = status.may_be_executing().then_some(now);
+        self.journal.record_push_ended(notification.0, status.may_have_executed(), may_run_since);
         if result.is_final {
             self.close_notification(notification);
         }
--- a/crates/relay/src/server/recovery.rs
+++ b/crates/relay/src/server/recovery.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use juniperwing::interface::{
-    Event, Notification, NotificationHistory, NotificationId, PossibleRun, TopicType,
+    Event, Notification, NotificationHistory, NotificationId, PossibleExecution, TopicType,
 };
 use juniperwing::time::Time;
 use slog::info;
@@ -98,18 +98,18 @@
 /// Converts the history of a recovered notification for the core. A push that was in flight when the earlier process
 /// ended may have run, and may still be running.
 fn recovered_history(history: &History, now: Time) -> NotificationHistory {
-    let first_may_have_run = history.first_may_have_run.as_ref().or(history.in_flight.as_ref());
+    let first_possible_execution = history.first_possible_execution.as_ref().or(history.in_flight.as_ref());
     let may_run_since = match history.in_flight {
         Some(_) => Some(now),
         None => history.may_run_since_ns.map(Time::from_nanos),
     };
     NotificationHistory {
         push_count: history.push_count,
-        first_possible_run: first_may_have_run.map(|push| PossibleRun {
+        first_possible_execution: first_possible_execution.map(|push| PossibleExecution {
             sent_at: Time::from_nanos(push.sent_at_ns),
             zone: Arc::from(push.zone.as_str()),
         }),
-        last_doubtful_end: may_run_since,
+        last_uncertain_end: may_run_since,
         has_final_answer: history.end.is_some(),
         is_recovered: true,
     }
--- a/crates/relay/tests/journal.rs
+++ b/crates/relay/tests/journal.rs
@@ -129,7 +129,7 @@
     let in_flight = || History { push_count: 1, in_flight: push(), ..none() };
     let ended = |end| History { end: Some(end), ..none() };
     let may_run_since_ns = Some(SENT_AT_NS + MINUTE_NS);
-    let timed_out = History { push_count: 1, first_may_have_run: push(), may_run_since_ns, ..none() };
+    let timed_out = History { push_count: 1, first_possible_execution: push(), may_run_since_ns, ..none() };
     let all = [
         safe("waiting"),
         with(mark("out", true), in_flight()),
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -15,5 +15,5 @@
 pub use event::{CallStatus, Event, PushOutcome, RateLimitReport};
 pub use ids::{DestinationId, EndpointId, NotificationId};
 pub use notification::{
-    Account, DeduplicationScope, Notification, NotificationHistory, PossibleRun, Semantics, TopicType,
+    Account, DeduplicationScope, Notification, NotificationHistory, PossibleExecution, Semantics, TopicType,
 };
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -28,7 +28,7 @@
 
 impl CallStatus {
     /// Whether a push with this status may have been executed.
-    pub const fn may_have_run(self) -> bool {
+    pub const fn may_have_executed(self) -> bool {
         !matches!(
             self,
             CallStatus::Busy
@@ -39,7 +39,7 @@
     }
 
     /// Whether a push with this status may still be executing.
-    pub const fn may_be_running(self) -> bool {
+    pub const fn may_be_executing(self) -> bool {
         matches!(self, CallStatus::TimedOut | CallStatus::Reset | CallStatus::Cancelled)
     }
 }
--- a/src/interface/notification.rs
+++ b/src/interface/notification.rs
@@ -76,7 +76,7 @@
 
 /// A push that may have been executed.
 #[derive(Clone, Debug, PartialEq)]
-pub struct PossibleRun {
+pub struct PossibleExecution {
     /// When the push was sent.
     pub sent_at: Time,
     /// The zone of its endpoint.
@@ -89,9 +89,9 @@
     /// The number of pushes so far.
     pub push_count: u32,
     /// The first push that may have been executed.
-    pub first_possible_run: Option<PossibleRun>,
+    pub first_possible_execution: Option<PossibleExecution>,
     /// The latest time at which a push ended while possibly still executing.
-    pub last_doubtful_end: Option<Time>,
+    pub last_uncertain_end: Option<Time>,
     /// Whether it has a final answer that its client has not acknowledged.
     pub has_final_answer: bool,
     /// Whether it was accepted by an earlier process.
--- a/src/message.rs
+++ b/src/message.rs
@@ -38,12 +38,12 @@
     },
     /// The notification is the first of its key and may be pushed.
     KeyGranted(NotificationId),
-    /// A notification is removed from the queue of its key. `last_doubtful_end` is the latest time at which one of
+    /// A notification is removed from the queue of its key. `last_uncertain_end` is the latest time at which one of
     /// its pushes ended while possibly still executing.
     KeyReleased {
         key: String,
         notification: NotificationId,
-        last_doubtful_end: Option<Time>,
+        last_uncertain_end: Option<Time>,
     },
     /// A destination has something to send.
     SlotRequested(DestinationId),
--- a/src/rules/destination.rs
+++ b/src/rules/destination.rs
@@ -104,13 +104,13 @@
                 outbox.set_timer(component, due);
                 continue;
             }
-            let is_cancelled = pending.history.last_doubtful_end.is_some_and(|at| at >= sent_at);
+            let is_cancelled = pending.history.last_uncertain_end.is_some_and(|at| at >= sent_at);
             if !is_cancelled && (blocks_key || pending.is_retryable() || includes_non_idempotent) {
                 outbox.commands.push(Command::Cancel {
                     notification: pending.notification.id,
                     push_index: pending.history.push_count - 1,
                 });
-                self.pending[index].history.last_doubtful_end = Some(now);
+                self.pending[index].history.last_uncertain_end = Some(now);
             }
         }
     }
@@ -169,16 +169,17 @@
         let Some(pending) = self.pending.iter_mut().find(is_pushed) else { return };
         let run = pending.in_flight.take();
         pending.is_finished |= outcome.has_final_answer;
-        if status.may_have_run() {
+        if status.may_have_executed() {
             let topic = pending.notification.topic.name.clone();
             let key = TopicAtEndpoint { endpoint: outcome.endpoint.clone(), topic };
             let failures = self.topic_failures.entry(key).or_default();
             failures.count = if was_delivered { 0 } else { failures.count + 1 };
             failures.last_at = now;
-            pending.history.first_possible_run = pending.history.first_possible_run.take().or(run);
+            pending.history.first_possible_execution =
+                pending.history.first_possible_execution.take().or(run);
         }
-        if status.may_be_running() {
-            pending.history.last_doubtful_end = Some(now);
+        if status.may_be_executing() {
+            pending.history.last_uncertain_end = Some(now);
         }
     }
 
@@ -211,7 +212,7 @@
         let pending = &mut self.pending[index];
         let (notification, key) = (pending.notification.id, pending.ordering_key());
         if !pending.is_finished {
-            outbox.commands.push(if pending.history.first_possible_run.is_some() {
+            outbox.commands.push(if pending.history.first_possible_execution.is_some() {
                 Command::Expire(notification)
             } else {
                 Command::Throttle { notification, retry_after }
@@ -219,9 +220,9 @@
             (pending.is_finished, pending.history.has_final_answer) = (true, key.is_some());
         }
         if !pending.history.has_final_answer {
-            let last_doubtful_end = self.pending.remove(index).history.last_doubtful_end;
+            let last_uncertain_end = self.pending.remove(index).history.last_uncertain_end;
             if let Some(key) = key {
-                let message = Message::KeyReleased { key, notification, last_doubtful_end };
+                let message = Message::KeyReleased { key, notification, last_uncertain_end };
                 outbox.send(Component::KeyQueues, message);
             }
         }
--- a/src/rules/key_queues.rs
+++ b/src/rules/key_queues.rs
@@ -16,11 +16,11 @@
                     .waiting
                     .push_back(QueuedNotification { id: notification, destination });
             }
-            Message::KeyReleased { key, notification, last_doubtful_end } => {
+            Message::KeyReleased { key, notification, last_uncertain_end } => {
                 let Some(queue) = self.queues.get_mut(&key) else { return };
                 queue.is_granted &= queue.waiting.front().is_some_and(|first| first.id != notification);
                 queue.waiting.retain(|waiting| waiting.id != notification);
-                let cooldown_until = last_doubtful_end.map_or(Time::default(), |at| at + key_cooldown);
+                let cooldown_until = last_uncertain_end.map_or(Time::default(), |at| at + key_cooldown);
                 queue.cooldown_until = queue.cooldown_until.max(cooldown_until);
             }
             _ => {}
--- a/src/rules/selection.rs
+++ b/src/rules/selection.rs
@@ -2,7 +2,7 @@
 //! outage.
 
 use super::tuning::*;
-use crate::interface::{DeduplicationScope, EndpointId, PossibleRun, Semantics};
+use crate::interface::{DeduplicationScope, EndpointId, PossibleExecution, Semantics};
 use crate::message::{Call, PlannedPush, RecentLoad};
 use crate::state::{Destination, PendingNotification, ServingEndpoint, TopicAtEndpoint};
 use crate::time::{Span, Time};
@@ -152,10 +152,10 @@
     /// Whether a push to `endpoint`, or to any endpoint if `None`, is allowed. Every push is checked here against its
     /// semantics, so that no notification is executed twice if they forbid it.
     pub(super) fn can_run(&self, now: Time, endpoint: Option<&ServingEndpoint>, max_pushes: u32) -> bool {
-        let is_safe = match (&self.history.first_possible_run, self.notification.topic.semantics) {
+        let is_safe = match (&self.history.first_possible_execution, self.notification.topic.semantics) {
             (None, _) | (Some(_), Semantics::Idempotent) => true,
             (Some(_), Semantics::NonIdempotent) => false,
-            (Some(PossibleRun { zone, .. }), Semantics::Deduplicated { scope, .. }) => {
+            (Some(PossibleExecution { zone, .. }), Semantics::Deduplicated { scope, .. }) => {
                 let is_open = self.window_end().is_some_and(|end| now + DUPLICATE_ARRIVAL_MARGIN < end);
                 let is_in_scope = scope == DeduplicationScope::All
                     || endpoint.is_none_or(|endpoint| endpoint.zone == *zone);
@@ -167,7 +167,7 @@
 
     /// The end of the deduplication window; `None` if no push may have been executed or duplicates are not dropped.
     fn window_end(&self) -> Option<Time> {
-        let run = self.history.first_possible_run.as_ref()?;
+        let run = self.history.first_possible_execution.as_ref()?;
         Some(run.sent_at + self.notification.topic.semantics.deduplication_window()?)
     }
 
--- a/src/state/destination.rs
+++ b/src/state/destination.rs
@@ -6,8 +6,8 @@
 use juniperwing_restart::LatencyModel;
 
 use crate::interface::{
-    DestinationId, EndpointEntry, EndpointId, Notification, NotificationHistory, NotificationId, PossibleRun,
-    Readiness, RelayConfig,
+    DestinationId, EndpointEntry, EndpointId, Notification, NotificationHistory, NotificationId,
+    PossibleExecution, Readiness, RelayConfig,
 };
 use crate::message::Call;
 use crate::time::Time;
@@ -23,7 +23,7 @@
     /// Whether it may be pushed as far as ordering is concerned: it is unordered, or its key was granted to it.
     pub(crate) is_key_granted: bool,
     /// The push in flight.
-    pub(crate) in_flight: Option<PossibleRun>,
+    pub(crate) in_flight: Option<PossibleExecution>,
     /// The endpoint of the latest push.
     pub(crate) last_endpoint: Option<EndpointId>,
     /// Whether no further push is needed.
@@ -127,7 +127,8 @@
         let is_in_call = |id: NotificationId| call.pushes.iter().any(|push| push.notification == id);
         for pending in self.pending.iter_mut().filter(|pending| is_in_call(pending.notification.id)) {
             pending.history.push_count += 1;
-            pending.in_flight = Some(PossibleRun { sent_at: now, zone: self.endpoints[index].zone.clone() });
+            pending.in_flight =
+                Some(PossibleExecution { sent_at: now, zone: self.endpoints[index].zone.clone() });
             pending.last_endpoint = Some(call.endpoint.clone());
         }
         true
--- a/tests/rules/harness.rs
+++ b/tests/rules/harness.rs
@@ -233,8 +233,8 @@
     }
 
     /// A push sent to zone `z` `age_ms` milliseconds ago.
-    pub fn possible_run(&self, age_ms: u64) -> PossibleRun {
-        PossibleRun { sent_at: time(self.now_ms - age_ms), zone: Arc::from("z") }
+    pub fn possible_execution(&self, age_ms: u64) -> PossibleExecution {
+        PossibleExecution { sent_at: time(self.now_ms - age_ms), zone: Arc::from("z") }
     }
 
     /// Ends the push of `id` that is in flight.
--- a/tests/rules/restarts.rs
+++ b/tests/rules/restarts.rs
@@ -67,8 +67,8 @@
     relay.advance(5_000);
     let in_flight = |relay: &RelayHarness, ms| NotificationHistory {
         push_count: 1,
-        first_possible_run: Some(relay.possible_run(ms)),
-        last_doubtful_end: Some(relay.possible_run(0).sent_at),
+        first_possible_execution: Some(relay.possible_execution(ms)),
+        last_uncertain_end: Some(relay.possible_execution(0).sent_at),
         has_final_answer: false,
         is_recovered: true,
     };
