--- a/crates/relay/src/upstream.rs
+++ b/crates/relay/src/upstream.rs
@@ -11,7 +11,7 @@
 
 use juniperwing::interface::{CallStatus, EndpointId, NotificationId};
 use juniperwing::time::{Span, Time};
-use juniperwing_settings::Connections;
+use juniperwing_settings::ConnectionSettings;
 
 use crate::discovery::KnownEndpoint;
 use crate::event_loop::{ConnectionRole, Net, Token};
@@ -42,7 +42,7 @@
 
 /// The calls in progress and all connections to endpoints.
 pub struct Upstream {
-    settings: Connections,
+    settings: ConnectionSettings,
     calls: BTreeMap<Token, Call>,
     /// Established connections whose calls have not been written.
     writable_calls: Vec<Token>,
@@ -55,7 +55,7 @@
 
 impl Upstream {
     /// Creates an instance without calls that opens up to `max_connections` connections.
-    pub fn new(settings: Connections, max_connections: usize) -> Upstream {
+    pub fn new(settings: ConnectionSettings, max_connections: usize) -> Upstream {
         Upstream {
             settings,
             calls: BTreeMap::new(),
@@ -69,8 +69,8 @@
 
     /// Applies new settings. Deadlines already set stay unchanged, so idle connections are closed if the idle timeout
     /// becomes shorter.
-    pub fn apply_settings(&mut self, net: &mut Net, settings: Connections) {
-        let idle_nanos = |settings: &Connections| match settings.idle_timeout {
+    pub fn apply_settings(&mut self, net: &mut Net, settings: ConnectionSettings) {
+        let idle_nanos = |settings: &ConnectionSettings| match settings.idle_timeout {
             Span::ZERO => u64::MAX,
             idle => idle.as_nanos(),
         };
--- a/crates/settings/src/conversion.rs
+++ b/crates/settings/src/conversion.rs
@@ -11,7 +11,7 @@
 use crate::raw::{
     RawAccount, RawLimits, RawRules, RawSettings, RawTopicType, deduplication_scope, semantics,
 };
-use crate::settings::{Connections, LoadReportLayout, Settings, default_kind};
+use crate::settings::{ConnectionSettings, LoadReportLayout, Settings, default_kind};
 
 /// The value of `discovery` if the list is sent to subscribers only.
 const DISCOVERY_BY_SUBSCRIPTION: &str = "subscribe";
@@ -29,7 +29,7 @@
                 limits: limits(&raw.limits, raw.kind_info.slots),
                 rules: rules(&raw.rules),
             },
-            connections: Connections {
+            connections: ConnectionSettings {
                 idle_timeout: Span::from_nanos(raw.limits.idle_timeout_ns),
                 connect_timeout: Span::from_nanos(raw.limits.connect_timeout_ns),
                 is_hedging_allowed: raw.limits.is_hedging_allowed,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -12,4 +12,4 @@
 
 pub use error::{IncompatibleSettings, InvalidSetting, SettingProblem};
 pub use raw::RawSettings;
-pub use settings::{Connections, Settings};
+pub use settings::{ConnectionSettings, Settings};
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -9,7 +9,7 @@
 
 /// Settings of connections to endpoints.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Connections {
+pub struct ConnectionSettings {
     /// The time after which endpoints close idle connections; zero if unknown.
     pub idle_timeout: Span,
     /// A connection that is not established within this time never will be; zero if unknown.
@@ -24,7 +24,7 @@
     /// The core's configuration.
     pub relay_config: RelayConfig,
     /// Settings of connections to endpoints.
-    pub connections: Connections,
+    pub connections: ConnectionSettings,
     pub(crate) topic_types: Vec<Arc<TopicType>>,
     pub(crate) kinds: Vec<Arc<DestinationKind>>,
     pub(crate) accounts: Vec<Arc<Account>>,
