--- a/crates/control/src/order.rs
+++ b/crates/control/src/order.rs
@@ -12,7 +12,7 @@
 
 /// The decision on a submitted configuration.
 #[derive(Clone, Debug, PartialEq)]
-pub enum PutDecision {
+pub enum ConfigurationDecision {
     /// The same order was accepted before, even if others have been accepted since.
     AlreadyAccepted,
     /// Valid, and based on the active configuration: propose this change.
@@ -35,27 +35,27 @@
 }
 
 /// Decides on the configuration `body` (JSON), which is based on the generation `base` (0 for the first).
-pub fn decide_put(state: &ControlState, base: u64, body: &[u8]) -> PutDecision {
+pub fn decide_configuration(state: &ControlState, base: u64, body: &[u8]) -> ConfigurationDecision {
     let digest = digest(base, body);
     if state.has_accepted(digest) {
-        return PutDecision::AlreadyAccepted;
+        return ConfigurationDecision::AlreadyAccepted;
     }
     let current = state.generation();
     if base < current || state.has_rejected(digest) {
-        return PutDecision::Stale { current };
+        return ConfigurationDecision::Stale { current };
     }
     let validated_generation = Configuration::read(body).and_then(|configuration| {
         configuration.check_generation_follows(base)?;
         Ok(configuration.generation)
     });
     match validated_generation {
-        Err(findings) => PutDecision::Invalid(findings),
+        Err(findings) => ConfigurationDecision::Invalid(findings),
         Ok(_) if base > current => {
-            PutDecision::Reject { current, change: ControlChange::RejectConfiguration(digest) }
+            ConfigurationDecision::Reject { current, change: ControlChange::RejectConfiguration(digest) }
         }
         Ok(generation) => {
             let configuration = ActiveConfiguration { generation, body: body.into() };
-            PutDecision::Accept(ControlChange::ApplyConfiguration { digest, configuration })
+            ConfigurationDecision::Accept(ControlChange::ApplyConfiguration { digest, configuration })
         }
     }
 }
--- a/crates/control/src/retire.rs
+++ b/crates/control/src/retire.rs
@@ -61,7 +61,7 @@
 
 /// Extends an active retirement to the machine's new disk, if it has returned with one. The new disk must not
 /// be assigned replicas either.
-pub fn retirement_of_replaced_disk(state: &ControlState, view: &StoreView) -> Option<ControlChange> {
+pub fn extend_retirement_to_new_disk(state: &ControlState, view: &StoreView) -> Option<ControlChange> {
     let needs_retirement =
         |store: &&StoreNode| !state.is_retiring(store.disk) && has_active_retirement(state, &store.node);
     let store = view.alive.values().find(needs_retirement)?;
--- a/crates/control/tests/orders.rs
+++ b/crates/control/tests/orders.rs
@@ -1,7 +1,9 @@
 //! Tests of the decisions on submitted configurations and of the history of accepted and rejected orders.
 
 use juniperwing_configuration::digest;
-use juniperwing_control::{ControlChange, ControlState, OrderHistory, PutDecision, decide_put};
+use juniperwing_control::{
+    ConfigurationDecision, ControlChange, ControlState, OrderHistory, decide_configuration,
+};
 use juniperwing_replication::ReplicatedState;
 
 fn configuration(generation: u64) -> Vec<u8> {
@@ -9,16 +11,16 @@
 }
 
 fn accept(state: &mut ControlState, base: u64, body: &[u8]) {
-    match decide_put(state, base, body) {
-        PutDecision::Accept(change) => state.apply(&change),
+    match decide_configuration(state, base, body) {
+        ConfigurationDecision::Accept(change) => state.apply(&change),
         other => panic!("{other:?}"),
     }
 }
 
 /// Rejects an order that is based on a generation that is not active yet.
 fn reject(state: &mut ControlState, base: u64, body: &[u8]) {
-    match decide_put(state, base, body) {
-        PutDecision::Reject { current, change } => {
+    match decide_configuration(state, base, body) {
+        ConfigurationDecision::Reject { current, change } => {
             assert_eq!(current, state.generation());
             state.apply(&change);
         }
@@ -30,7 +32,10 @@
 fn the_first_configuration_builds_on_generation_zero() {
     let mut state = ControlState::default();
     reject(&mut state, 1, &configuration(3));
-    assert_eq!(decide_put(&state, 1, &configuration(3)), PutDecision::Stale { current: 0 });
+    assert_eq!(
+        decide_configuration(&state, 1, &configuration(3)),
+        ConfigurationDecision::Stale { current: 0 }
+    );
     accept(&mut state, 0, &configuration(3));
     assert_eq!(state.generation(), 3);
     assert_eq!(&*state.configuration.as_ref().unwrap().body, configuration(3));
@@ -42,10 +47,13 @@
     accept(&mut state, 0, &configuration(3));
     accept(&mut state, 3, &configuration(7));
     accept(&mut state, 7, &configuration(8));
-    assert_eq!(decide_put(&state, 0, &configuration(3)), PutDecision::AlreadyAccepted);
-    assert_eq!(decide_put(&state, 3, &configuration(7)), PutDecision::AlreadyAccepted);
+    assert_eq!(decide_configuration(&state, 0, &configuration(3)), ConfigurationDecision::AlreadyAccepted);
+    assert_eq!(decide_configuration(&state, 3, &configuration(7)), ConfigurationDecision::AlreadyAccepted);
     // The same body on another base is another order.
-    assert_eq!(decide_put(&state, 0, &configuration(7)), PutDecision::Stale { current: 8 });
+    assert_eq!(
+        decide_configuration(&state, 0, &configuration(7)),
+        ConfigurationDecision::Stale { current: 8 }
+    );
 }
 
 #[test]
@@ -53,20 +61,20 @@
     let mut state = ControlState::default();
     accept(&mut state, 0, &configuration(3));
     let conflicting = b" {\"generation\":3,\"routes\":[],\"backends\":[]}";
-    assert_eq!(decide_put(&state, 0, conflicting), PutDecision::Stale { current: 3 });
-    assert!(matches!(decide_put(&state, 3, conflicting), PutDecision::Invalid(_)));
+    assert_eq!(decide_configuration(&state, 0, conflicting), ConfigurationDecision::Stale { current: 3 });
+    assert!(matches!(decide_configuration(&state, 3, conflicting), ConfigurationDecision::Invalid(_)));
 }
 
 #[test]
 fn a_generation_that_does_not_increase_is_invalid() {
     let mut state = ControlState::default();
     accept(&mut state, 0, &configuration(3));
-    assert!(matches!(decide_put(&state, 3, &configuration(3)), PutDecision::Invalid(_)));
-    assert!(matches!(decide_put(&state, 3, &configuration(2)), PutDecision::Invalid(_)));
-    assert!(matches!(decide_put(&state, 3, b"{"), PutDecision::Invalid(_)));
+    assert!(matches!(decide_configuration(&state, 3, &configuration(3)), ConfigurationDecision::Invalid(_)));
+    assert!(matches!(decide_configuration(&state, 3, &configuration(2)), ConfigurationDecision::Invalid(_)));
+    assert!(matches!(decide_configuration(&state, 3, b"{"), ConfigurationDecision::Invalid(_)));
 }
 
-/// Guard: `has_rejected` in `decide_put`.
+/// Guard: `has_rejected` in `decide_configuration`.
 #[test]
 fn an_order_rejected_before_its_base_was_accepted_is_never_accepted() {
     let mut state = ControlState::default();
@@ -75,7 +83,10 @@
     reject(&mut state, 5, &configuration(8));
     assert_eq!(state.configuration_version(), before);
     accept(&mut state, 3, &configuration(5));
-    assert_eq!(decide_put(&state, 5, &configuration(8)), PutDecision::Stale { current: 5 });
+    assert_eq!(
+        decide_configuration(&state, 5, &configuration(8)),
+        ConfigurationDecision::Stale { current: 5 }
+    );
     // Another order on that base is not affected.
     accept(&mut state, 5, &configuration(9));
 }
@@ -84,8 +95,8 @@
 fn an_invalid_configuration_is_invalid_before_its_base_is_accepted() {
     let mut state = ControlState::default();
     accept(&mut state, 0, &configuration(3));
-    assert!(matches!(decide_put(&state, 5, &configuration(5)), PutDecision::Invalid(_)));
-    assert!(matches!(decide_put(&state, 5, b"{"), PutDecision::Invalid(_)));
+    assert!(matches!(decide_configuration(&state, 5, &configuration(5)), ConfigurationDecision::Invalid(_)));
+    assert!(matches!(decide_configuration(&state, 5, b"{"), ConfigurationDecision::Invalid(_)));
 }
 
 #[test]
--- a/crates/control/tests/orders_model.rs
+++ b/crates/control/tests/orders_model.rs
@@ -5,12 +5,12 @@
 //! a decision is executed (possibly much later), or a write is committed or lost with its primary. The oracle
 //! observes only what operators observe: replies, and configurations read back.
 //!
-//! Guards: `has_accepted` and `has_rejected` in `decide_put`, and its decision `Reject` (the test fails if it
+//! Guards: `has_accepted` and `has_rejected` in `decide_configuration`, and its decision `Reject` (the test fails if it
 //! is replaced by `Stale`).
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use juniperwing_control::{ControlChange, ControlState, PutDecision, decide_put};
+use juniperwing_control::{ConfigurationDecision, ControlChange, ControlState, decide_configuration};
 use juniperwing_replication::ReplicatedState;
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -55,7 +55,7 @@
 struct PendingDecision {
     order: Order,
     version: u64,
-    decision: PutDecision,
+    decision: ConfigurationDecision,
 }
 
 #[derive(Clone, Debug)]
@@ -139,7 +139,7 @@
             Step::Deliver(index) => {
                 let Some(position) = index_of(&self.in_flight, index) else { return };
                 let order = self.in_flight.remove(position);
-                let decision = decide_put(&self.state, order.base, &order.body());
+                let decision = decide_configuration(&self.state, order.base, &order.body());
                 self.pending_decisions.push(PendingDecision { order, version: self.version, decision });
             }
             Step::Execute(index) => {
@@ -159,11 +159,11 @@
 
     fn execute(&mut self, PendingDecision { order, version, decision }: PendingDecision) {
         let (change, status) = match decision {
-            PutDecision::AlreadyAccepted => return self.oracle.record_reply(order, 200),
-            PutDecision::Stale { .. } => return self.oracle.record_reply(order, 412),
-            PutDecision::Invalid(_) => return self.oracle.record_reply(order, 400),
-            PutDecision::Accept(change) => (change, 200),
-            PutDecision::Reject { change, .. } => (change, 412),
+            ConfigurationDecision::AlreadyAccepted => return self.oracle.record_reply(order, 200),
+            ConfigurationDecision::Stale { .. } => return self.oracle.record_reply(order, 412),
+            ConfigurationDecision::Invalid(_) => return self.oracle.record_reply(order, 400),
+            ConfigurationDecision::Accept(change) => (change, 200),
+            ConfigurationDecision::Reject { change, .. } => (change, 412),
         };
         if version == self.version && self.pending_write.is_none() {
             self.pending_write = Some(PendingWrite { order, change, status });
--- a/crates/control/tests/retire.rs
+++ b/crates/control/tests/retire.rs
@@ -5,7 +5,7 @@
 use common::{REQUIRED_REPLICAS, Tier, store_on};
 use juniperwing_control::{
     ControlChange, ControlState, RetireDecision, RetirementState, StoreView, completed_retirements,
-    decide_retire, retirement_of_replaced_disk, retirement_state,
+    decide_retire, extend_retirement_to_new_disk, retirement_state,
 };
 use juniperwing_protocol::{DiskId, NodeName};
 use juniperwing_replication::ReplicatedState;
@@ -166,7 +166,7 @@
 
 #[test]
 fn a_retirement_continues_after_the_machine_lost_its_disk() {
-    // Guards: `has_active_retirement` in `decide_retire`, and `retirement_of_replaced_disk`.
+    // Guards: `has_active_retirement` in `decide_retire`, and `extend_retirement_to_new_disk`.
     let mut tier = Tier::with_first_map(1..=3);
     begin(&mut tier, 1);
     tier.view.alive.remove(&DiskId(1));
@@ -176,9 +176,9 @@
     assert_eq!(decide(&tier, 1), RetireDecision::AlreadyAccepted);
     tier.add_live_store(common::store(3));
     let extended =
-        retirement_of_replaced_disk(&tier.state, &tier.view).expect("the retirement of the new disk");
+        extend_retirement_to_new_disk(&tier.state, &tier.view).expect("the retirement of the new disk");
     tier.state.apply(&extended);
-    assert_eq!(retirement_of_replaced_disk(&tier.state, &tier.view), None);
+    assert_eq!(extend_retirement_to_new_disk(&tier.state, &tier.view), None);
     tier.plan_until_stable();
     complete(&mut tier);
     assert!(!tier.replica_disks().contains(&DiskId(1)) && !tier.replica_disks().contains(&DiskId(11)));
--- a/crates/node/src/keeper/order_execution.rs
+++ b/crates/node/src/keeper/order_execution.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use juniperwing_control::{
-    ControlChange, ControlState, PutDecision, RetireDecision, RetirementState, decide_put, decide_retire,
-    retirement_state,
+    ConfigurationDecision, ControlChange, ControlState, RetireDecision, RetirementState,
+    decide_configuration, decide_retire, retirement_state,
 };
 use juniperwing_invariants::{Invariant, check};
 use juniperwing_protocol::NodeName;
@@ -78,18 +78,20 @@
     async fn put_configuration(
         self: &Arc<Self>, confirmed: &Versioned<ControlState>, base: u64, body: &[u8], deadline: Instant,
     ) -> OrderAttempt {
-        match decide_put(&confirmed.state, base, body) {
-            PutDecision::Accept(change) => self.apply_configuration(confirmed, change, deadline).await,
-            PutDecision::AlreadyAccepted => {
+        match decide_configuration(&confirmed.state, base, body) {
+            ConfigurationDecision::Accept(change) => {
+                self.apply_configuration(confirmed, change, deadline).await
+            }
+            ConfigurationDecision::AlreadyAccepted => {
                 self.distribute_configuration(confirmed.state.configuration_version(), deadline).await;
                 OrderAttempt::Replied(accepted_reply())
             }
-            PutDecision::Stale { current } => OrderAttempt::Replied(stale_reply(current)),
-            PutDecision::Reject { current, change } => {
+            ConfigurationDecision::Stale { current } => OrderAttempt::Replied(stale_reply(current)),
+            ConfigurationDecision::Reject { current, change } => {
                 let is_committed = self.commit_change(confirmed.version, change, deadline).await;
                 OrderAttempt::replied_if_committed(is_committed, || stale_reply(current))
             }
-            PutDecision::Invalid(findings) => OrderAttempt::Replied(json_reply(400, &findings)),
+            ConfigurationDecision::Invalid(findings) => OrderAttempt::Replied(json_reply(400, &findings)),
         }
     }
 
--- a/crates/node/src/keeper/store_placement.rs
+++ b/crates/node/src/keeper/store_placement.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use juniperwing_control::{
-    ControlChange, ControlState, PlanInput, completed_retirements, plan_store_map,
-    retirement_of_replaced_disk, unrecoverable_partitions,
+    ControlChange, ControlState, PlanInput, completed_retirements, extend_retirement_to_new_disk,
+    plan_store_map, unrecoverable_partitions,
 };
 use juniperwing_protocol::replication::Version;
 use juniperwing_replication::Versioned;
@@ -50,7 +50,7 @@
         if !replica.is_primary() || replica.latest().version != committed.version {
             return None;
         }
-        let change = match retirement_of_replaced_disk(&committed.state, &state.store_view) {
+        let change = match extend_retirement_to_new_disk(&committed.state, &state.store_view) {
             Some(change) => change,
             None => {
                 self.log_unrecoverable_partitions(state);
--- a/crates/node/tests/keeper_orders.rs
+++ b/crates/node/tests/keeper_orders.rs
@@ -91,7 +91,7 @@
     }
 }
 
-/// Fails if `decide_put` returns `Stale` in place of `Reject`, so that the rejection is not recorded.
+/// Fails if `decide_configuration` returns `Stale` in place of `Reject`, so that the rejection is not recorded.
 #[tokio::test]
 async fn an_order_rejected_before_its_base_was_accepted_stays_rejected_at_all_keepers() {
     let mut keepers = Keepers::start(3).await;
--- a/crates/node/tests/keepers/peer.rs
+++ b/crates/node/tests/keepers/peer.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use juniperwing_clock::{Span, Time};
-use juniperwing_control::{ControlState, PutDecision, decide_put};
+use juniperwing_control::{ConfigurationDecision, ControlState, decide_configuration};
 use juniperwing_node::link::{Link, LinkPool, ReplySender, Service, serve};
 use juniperwing_node::settings::{Port, Settings};
 use juniperwing_protocol::registry::{Instance, InstanceState, RegistryMessage};
@@ -177,7 +177,9 @@
         let event = {
             let mut state = self.shared.lock();
             let latest = state.replica.latest().clone();
-            let PutDecision::Accept(change) = decide_put(&latest.state, base, body.as_bytes()) else {
+            let ConfigurationDecision::Accept(change) =
+                decide_configuration(&latest.state, base, body.as_bytes())
+            else {
                 panic!("the configuration is not accepted");
             };
             Event::Propose { token: ProposeToken(state.next_token()), base: latest.version, change }
--- a/crates/sessions/tests/simulation/keepers.rs
+++ b/crates/sessions/tests/simulation/keepers.rs
@@ -5,7 +5,7 @@
 use juniperwing_clock::Time;
 use juniperwing_control::{
     ControlChange, ControlState, PlanInput, RetireDecision, RetirementState, StoreTracker,
-    completed_retirements, decide_retire, plan_store_map, retirement_of_replaced_disk, retirement_state,
+    completed_retirements, decide_retire, extend_retirement_to_new_disk, plan_store_map, retirement_state,
 };
 use juniperwing_protocol::subscription::{CaughtUp, StoreMap, StoreNode};
 use juniperwing_protocol::{DiskId, NodeName};
@@ -32,7 +32,7 @@
     ) -> Option<Arc<StoreMap>> {
         self.tracker.record_report(now, KEEPER, reachable);
         let view = self.tracker.tick(now, &self.state.store_map.stores);
-        if let Some(renewal) = retirement_of_replaced_disk(&self.state, &view) {
+        if let Some(renewal) = extend_retirement_to_new_disk(&self.state, &view) {
             self.state.apply(&renewal);
         }
         let input = PlanInput {
