--- a/crates/node/src/relay/gauges.rs
+++ b/crates/node/src/relay/gauges.rs
@@ -53,7 +53,7 @@
             Metric::counter(
                 "settlements_lost",
                 "Turns that could not be settled: they count at their most",
-                self.sessions.lost_commits(),
+                self.sessions.failed_commits(),
             ),
         ]
     }
--- a/crates/node/src/relay/sessions.rs
+++ b/crates/node/src/relay/sessions.rs
@@ -51,7 +51,7 @@
     }
 
     /// The number of turns that could not be committed in the background, whose reservations count in full.
-    fn lost_commits(&self) -> u64 {
+    fn failed_commits(&self) -> u64 {
         0
     }
 }
@@ -90,7 +90,7 @@
         self.background_commits()
     }
 
-    fn lost_commits(&self) -> u64 {
-        self.lost_commits()
+    fn failed_commits(&self) -> u64 {
+        self.failed_commits()
     }
 }
--- a/crates/node/src/sessions_client/background.rs
+++ b/crates/node/src/sessions_client/background.rs
@@ -61,7 +61,7 @@
     }
 
     /// The number of background commits that failed or were dropped.
-    pub fn lost_commits(&self) -> u64 {
+    pub fn failed_commits(&self) -> u64 {
         self.background.failed.load(Ordering::Relaxed)
     }
 }
--- a/crates/node/tests/store.rs
+++ b/crates/node/tests/store.rs
@@ -88,7 +88,7 @@
     assert_eq!(next("denied".to_owned()).await, Err(SessionError::BudgetExhausted));
     let committed = FinishTurn { stored_turn: None, ..finish_stored("p", "a", None) };
     cluster.client.finish_in_background(committed);
-    assert_eq!(cluster.client.lost_commits(), 0);
+    assert_eq!(cluster.client.failed_commits(), 0);
     let begun = async {
         let mut number = 0;
         while next(format!("c-{number}")).await.is_err() {
