--- a/crates/emulator/src/scenario/tier.rs
+++ b/crates/emulator/src/scenario/tier.rs
@@ -102,7 +102,7 @@
     }
 
     fn random_kind(&mut self) -> FaultKind {
-        let direction = self.rng.pick(&[Direction::Inbound, Direction::Outbound, Direction::Both]);
+        let direction = self.rng.choose_copied(&[Direction::Inbound, Direction::Outbound, Direction::Both]);
         let scope = if self.rng.one_in(2) { PartitionScope::All } else { PartitionScope::Core };
         match self.rng.below(20) {
             0..=3 => FaultKind::Partition(scope, direction),
--- a/crates/membership/src/jitter.rs
+++ b/crates/membership/src/jitter.rs
@@ -5,5 +5,5 @@
 
 /// `span` lengthened or shortened by up to `fraction` of itself.
 pub(crate) fn jitter(rng: &mut Rng, span: Span, fraction: f64) -> Span {
-    span.mul_f64(1.0 - fraction + 2.0 * fraction * rng.unit())
+    span.mul_f64(1.0 - fraction + 2.0 * fraction * rng.next_f64())
 }
--- a/crates/random/src/lib.rs
+++ b/crates/random/src/lib.rs
@@ -40,7 +40,7 @@
     }
 
     /// A number in `[0, 1)`, in steps of 2^-53.
-    pub fn unit(&mut self) -> f64 {
+    pub fn next_f64(&mut self) -> f64 {
         (self.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
@@ -83,7 +83,7 @@
     /// # Panics
     ///
     /// If there is none.
-    pub fn pick<T: Copy>(&mut self, items: &[T]) -> T {
+    pub fn choose_copied<T: Copy>(&mut self, items: &[T]) -> T {
         *self.choose(items).expect("something to pick from")
     }
 
--- a/crates/random/tests/random.rs
+++ b/crates/random/tests/random.rs
@@ -26,7 +26,7 @@
         assert!(rng.below(7) < 7);
         assert!((5..9).contains(&rng.between(5, 9)));
         assert!(rng.index(7) < 7);
-        assert!((0.0..1.0).contains(&rng.unit()));
+        assert!((0.0..1.0).contains(&rng.next_f64()));
     }
     assert_eq!((rng.below(0), rng.between(9, 5), rng.index(0)), (0, 9, 0));
     assert_eq!(rng.choose::<u8>(&[]), None);
--- a/crates/soak/src/fault_injector.rs
+++ b/crates/soak/src/fault_injector.rs
@@ -95,19 +95,19 @@
     }
 
     async fn slow_links(&mut self, machine: Machine, duration: Duration) {
-        let delay = self.rng.pick(&[20, 60, 150]);
+        let delay = self.rng.choose_copied(&[20, 60, 150]);
         self.tier.change_rules(machine, |rules| rules.link_delay_ms = delay);
         sleep(duration).await;
         self.tier.change_rules(machine, |rules| rules.link_delay_ms = 0);
     }
 
     async fn slow_disk(&mut self, machine: Machine, duration: Duration) {
-        let ms = self.rng.pick(&[40, 150]);
+        let ms = self.rng.choose_copied(&[40, 150]);
         self.fail_disk(machine, DiskFault::Slow { ms }, duration).await;
     }
 
     async fn step_clock(&mut self, machine: Machine, duration: Duration) {
-        let offset = self.rng.pick(&[-2_000, 2_000]);
+        let offset = self.rng.choose_copied(&[-2_000, 2_000]);
         self.tier.change_rules(machine, |rules| rules.clock_offset_ms = offset);
         sleep(duration).await;
         self.tier.change_rules(machine, |rules| rules.clock_offset_ms = 0);
@@ -131,7 +131,7 @@
         let mut delays = [delay(), delay()];
         delays.sort_unstable();
         let signals = [Signal::HUP, Signal::TERM, Signal::INT];
-        let further = delays.map(|delay| DelayedSignal { delay, signal: self.rng.pick(&signals) });
+        let further = delays.map(|delay| DelayedSignal { delay, signal: self.rng.choose_copied(&signals) });
         self.tier.stop(machine, &further).await;
     }
 
--- a/crates/soak/src/load/load_balancer.rs
+++ b/crates/soak/src/load/load_balancer.rs
@@ -69,7 +69,7 @@
     /// Chooses a random ready relay for a new connection, or any relay if none is known to be ready.
     pub fn choose(&self, rng: &mut Rng) -> usize {
         let ready: Vec<usize> = (0..RELAY_COUNT).filter(|relay| self.is_ready(*relay)).collect();
-        if ready.is_empty() { rng.below(RELAY_COUNT as u64) as usize } else { rng.pick(&ready) }
+        if ready.is_empty() { rng.below(RELAY_COUNT as u64) as usize } else { rng.choose_copied(&ready) }
     }
 
     /// The client-facing address of a relay.
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -186,7 +186,7 @@
         7 => FaultKind::StopDuringStart(machine),
         8 | 9 => FaultKind::Partition(
             machine,
-            rng.pick(&[Direction::Out, Direction::In, Direction::Both, Direction::Both]),
+            rng.choose_copied(&[Direction::Out, Direction::In, Direction::Both, Direction::Both]),
         ),
         10 => FaultKind::DiskStall(machine),
         11 => FaultKind::DiskFull(machine),
@@ -212,7 +212,9 @@
         2 => FaultKind::Freeze(relay),
         3 | 4 => FaultKind::Stop(relay),
         5 => FaultKind::StopRepeatedly(relay),
-        6 => FaultKind::Partition(relay, rng.pick(&[Direction::Out, Direction::In, Direction::Both])),
+        6 => {
+            FaultKind::Partition(relay, rng.choose_copied(&[Direction::Out, Direction::In, Direction::Both]))
+        }
         7..=9 => FaultKind::Reload(any, draw_settings_file(rng)),
         10 => FaultKind::Reset(any),
         11 => FaultKind::ClockStep(any),
@@ -226,11 +228,16 @@
 }
 
 fn draw_settings_file(rng: &mut Rng) -> SettingsFile {
-    rng.pick(&[SettingsFile::OtherSeeds, SettingsFile::Empty, SettingsFile::Broken, SettingsFile::Moved])
+    rng.choose_copied(&[
+        SettingsFile::OtherSeeds,
+        SettingsFile::Empty,
+        SettingsFile::Broken,
+        SettingsFile::Moved,
+    ])
 }
 
 fn draw_misbehaviour(rng: &mut Rng) -> Misbehaviour {
-    rng.pick(&[
+    rng.choose_copied(&[
         Misbehaviour::LoseAnswers,
         Misbehaviour::AnswerTwice,
         Misbehaviour::BreakOff,
@@ -254,11 +261,11 @@
         FaultKind::Kill(_) | FaultKind::Wipe(_) => 200 + rng.below(2_500),
         FaultKind::KillDuringStart(_) => 600 + rng.below(600),
         FaultKind::Stop(_) | FaultKind::StopRepeatedly(_) | FaultKind::StopDuringStart(_) => STOP_DOWNTIME_MS,
-        FaultKind::Freeze(_) => rng.pick(&[300, 900, 1_800, 4_000, 7_000]),
-        FaultKind::Partition(..) => rng.pick(&[300, 900, 2_000, 5_000, 9_000]),
-        FaultKind::DiskStall(_) => rng.pick(&[800, 2_500, 9_500]),
-        FaultKind::DiskFull(_) => rng.pick(&[500, 1_500, 5_000]),
-        FaultKind::DiskSlow(_) | FaultKind::SlowLinks(_) => rng.pick(&[1_500, 4_000]),
+        FaultKind::Freeze(_) => rng.choose_copied(&[300, 900, 1_800, 4_000, 7_000]),
+        FaultKind::Partition(..) => rng.choose_copied(&[300, 900, 2_000, 5_000, 9_000]),
+        FaultKind::DiskStall(_) => rng.choose_copied(&[800, 2_500, 9_500]),
+        FaultKind::DiskFull(_) => rng.choose_copied(&[500, 1_500, 5_000]),
+        FaultKind::DiskSlow(_) | FaultKind::SlowLinks(_) => rng.choose_copied(&[1_500, 4_000]),
         FaultKind::ClockStep(_) => 3_000,
         FaultKind::Reload(..) => 300,
         FaultKind::Endpoints(_) | FaultKind::Burst | FaultKind::ClientsDisconnect => 1_000 + rng.below(3_000),
