--- a/crates/relay/src/server/outcomes.rs
+++ b/crates/relay/src/server/outcomes.rs
@@ -82,7 +82,7 @@
 
     /// Closes a notification whose final outcome is acknowledged.
     pub(super) fn handle_end_acknowledged(&mut self, notification: NotificationId) {
-        debug!(self.log, "final outcome acknowledged"; "notification" => notification.0);
+        debug!(self.log, "final answer acknowledged"; "notification" => notification.0);
         self.close_notification(notification);
         self.core.enqueue(Event::FinalAnswerAcknowledged(notification));
     }
--- a/crates/relay/tests/serve/races/exchanges.rs
+++ b/crates/relay/tests/serve/races/exchanges.rs
@@ -125,14 +125,14 @@
         let since = Instant::now();
         if id == "1" {
             first.respond("204 No Content", "", "");
-            harness.wait_for_log("final outcome acknowledged");
+            harness.wait_for_log("final answer acknowledged");
         } else {
             let (mut again, end) = harness.next_notice();
             assert_eq!(end["message"], id);
             assert!(since.elapsed() < Duration::from_millis(300), "{:?}", since.elapsed());
             assert!(first.is_closed());
             again.respond("204 No Content", "", "");
-            harness.wait_for_log("final outcome acknowledged");
+            harness.wait_for_log("final answer acknowledged");
         }
     }
 }
--- a/crates/relay/tests/serve/restarts.rs
+++ b/crates/relay/tests/serve/restarts.rs
@@ -31,7 +31,7 @@
     harness.wait_for_log("notification accepted");
     message.respond("204 No Content", "", "");
     assert_eq!(harness.endpoint.next_message().id(), "2");
-    assert!(harness.is_logged_before("final outcome acknowledged", "push started"));
+    assert!(harness.is_logged_before("final answer acknowledged", "push started"));
 }
 
 #[test]
@@ -61,7 +61,7 @@
     message.respond("204 No Content", "", "");
     let second = harness.endpoint.next_message();
     assert_eq!((second.id(), &*second.body), ("2", &b"second"[..]));
-    assert!(harness.is_logged_before("final outcome acknowledged", "push started"));
+    assert!(harness.is_logged_before("final answer acknowledged", "push started"));
 }
 
 #[test]
