--- a/crates/emulator/src/relay.rs
+++ b/crates/emulator/src/relay.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 
 use juniperwing_node::clock;
-use juniperwing_node::link::{Link, LinkPool, ReplySender, Service};
+use juniperwing_node::link::{Link, LinkPool, MessageHandler, ReplySender};
 use juniperwing_node::sessions_client::SessionsClient;
 use juniperwing_node::subscriber::{Subscriber, UpdateSink};
 use juniperwing_node::sync::{lock, watch};
@@ -37,9 +37,9 @@
 }
 
 /// Handles no messages: stores reply to calls only.
-struct NoService;
+struct IgnoreMessages;
 
-impl Service for NoService {
+impl MessageHandler for IgnoreMessages {
     fn handle_message(&self, _: &Link, _: Message, _: ReplySender) {}
 }
 
@@ -75,7 +75,7 @@
     let initial_seeds = seeds.borrow_and_update().clone();
     let subscriber = Subscriber::start(subscribe, initial_seeds, subscriptions, Arc::new(recorder));
     if let Some(pool) = programs {
-        let client = SessionsClient::new(Arc::new(LinkPool::new(Arc::new(NoService))), known_stores);
+        let client = SessionsClient::new(Arc::new(LinkPool::new(Arc::new(IgnoreMessages))), known_stores);
         let started_at = clock::now();
         tokio::spawn(async move { run_workers(&pool, &client, relay, started_at).await });
     }
--- a/crates/emulator/src/simulation/processes.rs
+++ b/crates/emulator/src/simulation/processes.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use juniperwing_node::clock;
-use juniperwing_node::settings::{Port, Settings};
+use juniperwing_node::settings::{InternalPort, Settings};
 use juniperwing_node::sync::watch;
 use juniperwing_node::{keeper, store};
 use slog::{Discard, Logger, o};
@@ -84,7 +84,7 @@
 
 /// The addresses at which keepers listen for relays.
 pub(super) fn keeper_addresses(keepers: &[usize]) -> Vec<SocketAddr> {
-    let port = FIRST_PORT + Port::Keeper as u16;
+    let port = FIRST_PORT + InternalPort::Keeper as u16;
     keepers.iter().take(3).map(|number| SocketAddr::new(address(ProcessId::keeper(*number)), port)).collect()
 }
 
@@ -150,7 +150,8 @@
 
     /// Starts the process of a relay unless it is running.
     pub(super) fn start_relay(&mut self, number: usize) {
-        let address = SocketAddr::new(address(ProcessId::relay(number)), FIRST_PORT + Port::Relay as u16);
+        let address =
+            SocketAddr::new(address(ProcessId::relay(number)), FIRST_PORT + InternalPort::Relay as u16);
         let setup = RelaySetup {
             number,
             address,
--- a/crates/node/src/command.rs
+++ b/crates/node/src/command.rs
@@ -65,7 +65,7 @@
 
 /// Prints a description of the settings, or the keys that the role lacks.
 fn check(role: Role, settings: &Settings) -> ExitCode {
-    let missing = settings.missing_for(role);
+    let missing = settings.missing_keys(role);
     if missing.is_empty() {
         print!("{}", settings.describe(role));
         return ExitCode::SUCCESS;
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -25,7 +25,7 @@
 use crate::clock::{duration, now, random};
 use crate::host::Datagrams;
 use crate::panics::spawn_essential;
-use crate::settings::{Port, Settings};
+use crate::settings::{InternalPort, Settings};
 use crate::sync::lock;
 
 /// Interval between probes. Failures that need a fast reaction are detected by links, so probes can be infrequent.
@@ -42,7 +42,7 @@
 
 /// Properties of this process that are announced to other members.
 #[derive(Clone, Copy, Debug)]
-pub struct LocalProcess {
+pub struct LocalMember {
     /// The role of the process.
     pub role: Role,
     /// The identity of its data directory, if it has one.
@@ -77,9 +77,9 @@
     ///
     /// If the socket cannot be opened or the settings do not describe a valid member.
     pub async fn start(
-        settings: &Settings, process: LocalProcess, log: Logger, observer: KeepersObserver,
+        settings: &Settings, local: LocalMember, log: Logger, observer: KeepersObserver,
     ) -> io::Result<Gossip> {
-        let local_member = member(settings, process);
+        let local_member = member(settings, local);
         let socket = Datagrams::bind(local_member.gossip_address).await?;
         let view = MemberView::new(&local_member.id);
         let membership_settings =
@@ -204,23 +204,23 @@
     }
 }
 
-fn member(settings: &Settings, process: LocalProcess) -> Member {
-    let address = settings.own_address(port(process.role));
+fn member(settings: &Settings, local: LocalMember) -> Member {
+    let address = settings.own_address(port(local.role));
     Member {
-        id: MemberId { node: NodeName::from(settings.node_name.as_str()), role: process.role },
+        id: MemberId { node: NodeName::from(settings.node_name.as_str()), role: local.role },
         run_id: RunId(random()),
         zone: settings.zone.as_str().into(),
         gossip_address: address,
         address,
-        disk: process.disk,
+        disk: local.disk,
     }
 }
 
-fn port(role: Role) -> Port {
+fn port(role: Role) -> InternalPort {
     match role {
-        Role::Relay => Port::Relay,
-        Role::Keeper => Port::Keeper,
-        Role::Store => Port::Store,
+        Role::Relay => InternalPort::Relay,
+        Role::Keeper => InternalPort::Keeper,
+        Role::Store => InternalPort::Store,
     }
 }
 
--- a/crates/node/src/keeper.rs
+++ b/crates/node/src/keeper.rs
@@ -38,7 +38,7 @@
 use self::startup::StartupResources;
 use crate::process::Process;
 use crate::settings::Settings;
-use crate::signals::ShutdownOrReload;
+use crate::signals::SignalRequest;
 use crate::sync::watch;
 
 /// Runs until the process receives a shutdown signal. A reload signal reloads the settings file.
@@ -57,7 +57,7 @@
     let (changed, changes) = watch::channel(settings.clone());
     let reload_log = log.clone();
     let shutdown = async move {
-        while signals.next().await == ShutdownOrReload::Reload {
+        while signals.next().await == SignalRequest::Reload {
             match Settings::read(settings_file.as_deref()) {
                 Ok(settings) => drop(changed.send_replace(settings)),
                 Err(error) => warn!(reload_log, "settings reload failed"; "error" => error.to_string()),
--- a/crates/node/src/keeper/controller.rs
+++ b/crates/node/src/keeper/controller.rs
@@ -13,7 +13,7 @@
 use tokio::time::{Instant, timeout_at};
 
 use super::consensus::Consensus;
-use super::message_handler::MessageHandler;
+use super::message_handler::KeeperMessageHandler;
 use super::metrics::OrderReplyCounters;
 use super::orders::MAX_ORDER_LOG_LINES_PER_SECOND;
 use super::peers::Peers;
@@ -86,7 +86,7 @@
             control_timings,
             log,
             state: Mutex::new(state),
-            peers: Arc::new(Peers::new(Arc::new(MessageHandler::new(controller.clone())))),
+            peers: Arc::new(Peers::new(Arc::new(KeeperMessageHandler::new(controller.clone())))),
             order_replies: OrderReplyCounters::default(),
             order_log_limit: RateLimit::per_second(MAX_ORDER_LOG_LINES_PER_SECOND),
             state_changed: Notify::new(),
--- a/crates/node/src/keeper/message_handler.rs
+++ b/crates/node/src/keeper/message_handler.rs
@@ -15,23 +15,23 @@
 use super::controller::Controller;
 use super::subscribers::subscribing_store;
 use crate::clock;
-use crate::link::{Link, ReplySender, Service};
+use crate::link::{Link, MessageHandler, ReplySender};
 
 /// The maximum time for which a keeper waits for its subscribers on another keeper's request.
 const MAX_DISTRIBUTION_WAIT_MS: u32 = 1_000;
 
 /// The receiver of messages on a keeper's links.
-pub(super) struct MessageHandler {
+pub(super) struct KeeperMessageHandler {
     controller: Weak<Controller>,
 }
 
-impl MessageHandler {
+impl KeeperMessageHandler {
     pub(super) fn new(controller: Weak<Controller>) -> Self {
-        MessageHandler { controller }
+        KeeperMessageHandler { controller }
     }
 }
 
-impl Service for MessageHandler {
+impl MessageHandler for KeeperMessageHandler {
     fn handle_message(&self, link: &Link, message: Message, reply: ReplySender) {
         let Some(controller) = self.controller.upgrade() else { return link.close() };
         match message {
--- a/crates/node/src/keeper/peer_discovery.rs
+++ b/crates/node/src/keeper/peer_discovery.rs
@@ -10,7 +10,7 @@
 use juniperwing_replication::Event;
 
 use super::controller::Controller;
-use crate::gossip::{Gossip, LocalProcess};
+use crate::gossip::{Gossip, LocalMember};
 use crate::settings::Settings;
 use crate::sync::{lock, watch};
 
@@ -48,8 +48,8 @@
             let all = update(&known_to_observer, |known| known.members = members);
             receiver.step_replica(Event::ContactsChanged(all));
         });
-        let local_process = LocalProcess { role: Role::Keeper, disk: Some(controller.local_voter.disk) };
-        let gossip = Gossip::start(settings, local_process, controller.log.clone(), observer).await?;
+        let local_member = LocalMember { role: Role::Keeper, disk: Some(controller.local_voter.disk) };
+        let gossip = Gossip::start(settings, local_member, controller.log.clone(), observer).await?;
         Ok(Arc::new(PeerDiscovery { controller: Arc::clone(controller), gossip, known }))
     }
 
--- a/crates/node/src/keeper/peers.rs
+++ b/crates/node/src/keeper/peers.rs
@@ -7,7 +7,7 @@
 
 use juniperwing_protocol::Message;
 
-use crate::link::{CallError, Link, LinkPool, Service};
+use crate::link::{CallError, Link, LinkPool, MessageHandler};
 use crate::sync::lock;
 
 /// The maximum number of messages queued for a keeper until its link is established; the oldest are dropped.
@@ -31,9 +31,9 @@
 }
 
 impl Peers {
-    /// A pool without links; `service` handles messages from other keepers.
-    pub(super) fn new(service: Arc<dyn Service>) -> Self {
-        Peers { pool: LinkPool::new(service), peers: Mutex::default() }
+    /// A pool without links; `handler` handles messages from other keepers.
+    pub(super) fn new(handler: Arc<dyn MessageHandler>) -> Self {
+        Peers { pool: LinkPool::new(handler), peers: Mutex::default() }
     }
 
     /// Sends a message that has no reply. It may be lost.
--- a/crates/node/src/keeper/startup.rs
+++ b/crates/node/src/keeper/startup.rs
@@ -18,7 +18,7 @@
 use super::consensus::{Consensus, MAX_QUEUED_WRITES, RecordWrite, run_record_writer, run_replica_timer};
 use super::control_listener::{self, ControlServer};
 use super::controller::Controller;
-use super::message_handler::MessageHandler;
+use super::message_handler::KeeperMessageHandler;
 use super::peer_discovery::PeerDiscovery;
 use super::record_file::{self, OpenedRecordFile, RecordFile};
 use super::shutdown::RunningKeeper;
@@ -26,7 +26,7 @@
 use crate::host::{Listener, run_disk_work};
 use crate::metrics::{self, MetricSource};
 use crate::panics::spawn_essential;
-use crate::settings::{Port, Settings};
+use crate::settings::{InternalPort, Settings};
 use crate::sync::watch;
 
 /// A setting that a keeper requires is missing.
@@ -69,7 +69,7 @@
         let Some(data_directory) = settings.data_directory.clone() else {
             return Err(MissingSettingError { key: "dataDirectory" }.into());
         };
-        let internal_listener = Listener::bind(settings.own_address(Port::Keeper)).await?;
+        let internal_listener = Listener::bind(settings.own_address(InternalPort::Keeper)).await?;
         let control_listener = control_listener::bind(control_address).await?;
         let (disk_settings, disk_log) = (settings.clone(), log.clone());
         let restored = run_disk_work(move || open_disk(&disk_settings, &data_directory, &disk_log));
@@ -86,7 +86,7 @@
         self, settings: &Settings, settings_changes: watch::Receiver<Settings>, log: Logger,
     ) -> io::Result<RunningKeeper> {
         let RestoredReplica { replica, record_file, local_voter } = self.restored;
-        for finding in settings.bounds.too_short() {
+        for finding in settings.bounds.unachievable_bounds() {
             warn!(log, "configured bound cannot be met"; "bound" => finding);
         }
         info!(log, "starting"; "disk" => local_voter.disk.0, "seeds" => settings.seed_nodes.len());
@@ -108,7 +108,7 @@
 }
 
 fn start_tasks(controller: &Arc<Controller>, internal_listener: Listener) -> [JoinHandle<()>; 5] {
-    let handler = Arc::new(MessageHandler::new(Arc::downgrade(controller)));
+    let handler = Arc::new(KeeperMessageHandler::new(Arc::downgrade(controller)));
     let shared = || Arc::clone(controller);
     [
         spawn_essential("links", crate::link::serve(internal_listener, handler)),
@@ -138,7 +138,7 @@
     let local_voter = Voter {
         disk,
         node: NodeName::from(settings.node_name.as_str()),
-        address: settings.own_address(Port::Keeper),
+        address: settings.own_address(InternalPort::Keeper),
     };
     let replica_settings = juniperwing_replication::Settings {
         local_voter: local_voter.clone(),
--- a/crates/node/src/link.rs
+++ b/crates/node/src/link.rs
@@ -7,7 +7,7 @@
 mod connection;
 mod pool;
 
-pub use connection::{CallError, Link, LinkId, ReplySender, Service, serve};
+pub use connection::{CallError, Link, LinkId, MessageHandler, ReplySender, serve};
 pub use pool::LinkPool;
 pub(crate) use pool::connect;
 
--- a/crates/node/src/link/connection.rs
+++ b/crates/node/src/link/connection.rs
@@ -21,7 +21,7 @@
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
 /// Handler of the messages that a process receives over its links.
-pub trait Service: Send + Sync + 'static {
+pub trait MessageHandler: Send + Sync + 'static {
     /// Handles a message. If it is a call, the reply is sent through `reply`, immediately or later.
     fn handle_message(&self, link: &Link, message: Message, reply: ReplySender);
 
@@ -88,7 +88,7 @@
     ///
     /// If the connection is closed already.
     pub fn start(
-        stream: impl Into<Stream>, is_initiator: bool, service: Arc<dyn Service>,
+        stream: impl Into<Stream>, is_initiator: bool, handler: Arc<dyn MessageHandler>,
     ) -> io::Result<Link> {
         static NEXT: AtomicU64 = AtomicU64::new(1);
         let mut stream = stream.into();
@@ -108,7 +108,7 @@
         };
         let (reader, writer) = stream.into_split();
         tokio::spawn(run_writer(link.clone(), writer));
-        tokio::spawn(run_reader(link.clone(), reader, is_initiator, service));
+        tokio::spawn(run_reader(link.clone(), reader, is_initiator, handler));
         Ok(link)
     }
 
@@ -191,7 +191,7 @@
         self.shared.wake_writer.notify_one();
     }
 
-    fn dispatch(&self, envelope: Envelope, service: &Arc<dyn Service>) {
+    fn dispatch(&self, envelope: Envelope, handler: &Arc<dyn MessageHandler>) {
         match envelope.message {
             Message::Ping => {
                 self.enqueue(&Envelope { call: envelope.call, is_reply: true, message: Message::Pong })
@@ -203,7 +203,7 @@
                 }
             }
             message => {
-                service.handle_message(self, message, ReplySender { link: self.clone(), call: envelope.call })
+                handler.handle_message(self, message, ReplySender { link: self.clone(), call: envelope.call })
             }
         }
     }
@@ -222,13 +222,13 @@
 }
 
 /// Accepts links at a listener; never returns.
-pub async fn serve(listener: impl Into<Listener>, service: Arc<dyn Service>) {
+pub async fn serve(listener: impl Into<Listener>, handler: Arc<dyn MessageHandler>) {
     const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
     let listener = listener.into();
     loop {
         match listener.accept().await {
             // The connection may be closed already.
-            Ok(stream) => drop(Link::start(stream, false, Arc::clone(&service))),
+            Ok(stream) => drop(Link::start(stream, false, Arc::clone(&handler))),
             Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
@@ -257,7 +257,7 @@
 }
 
 /// Reads and dispatches envelopes until the link is closed.
-async fn run_reader(link: Link, mut reader: ReadHalf, is_initiator: bool, service: Arc<dyn Service>) {
+async fn run_reader(link: Link, mut reader: ReadHalf, is_initiator: bool, handler: Arc<dyn MessageHandler>) {
     let mut buffer = Vec::with_capacity(READ_BUFFER_BYTES);
     let mut last_received_at = Instant::now();
     let mut last_ping_at = Instant::now();
@@ -276,7 +276,7 @@
             Err(_) if last_received_at.elapsed() >= LINK_TIMEOUT => break,
             Err(_) => link.send(Message::Ping),
         }
-        if !dispatch_envelopes(&link, &mut buffer, &service) {
+        if !dispatch_envelopes(&link, &mut buffer, &handler) {
             break;
         }
         // A peer that sends a large envelope over a slow link must receive something in the meantime, or it closes the
@@ -287,17 +287,17 @@
         }
     }
     link.close();
-    service.handle_closed(&link);
+    handler.handle_closed(&link);
 }
 
 /// Dispatches every complete envelope; returns `false` if the bytes are invalid.
-fn dispatch_envelopes(link: &Link, buffer: &mut Vec<u8>, service: &Arc<dyn Service>) -> bool {
+fn dispatch_envelopes(link: &Link, buffer: &mut Vec<u8>, handler: &Arc<dyn MessageHandler>) -> bool {
     let mut consumed = 0;
     let is_valid = loop {
         match Envelope::decode(&buffer[consumed..]) {
             Ok(Some((envelope, bytes))) => {
                 consumed += bytes;
-                link.dispatch(envelope, service);
+                link.dispatch(envelope, handler);
             }
             Ok(None) => break true,
             Err(_) => break false,
--- a/crates/node/src/link/pool.rs
+++ b/crates/node/src/link/pool.rs
@@ -8,7 +8,7 @@
 use juniperwing_protocol::Message;
 use tokio::time::timeout;
 
-use super::connection::{CallError, Link, Service};
+use super::connection::{CallError, Link, MessageHandler};
 use super::{CONNECT_TIMEOUT, LINK_TIMEOUT};
 use crate::host::Stream;
 use crate::sync::lock;
@@ -17,14 +17,14 @@
 
 /// A pool with one link per remote process.
 pub struct LinkPool {
-    service: Arc<dyn Service>,
+    handler: Arc<dyn MessageHandler>,
     slots: Mutex<BTreeMap<SocketAddr, Slot>>,
 }
 
 impl LinkPool {
-    /// Creates a pool whose links pass received messages to `service`.
-    pub fn new(service: Arc<dyn Service>) -> Self {
-        LinkPool { service, slots: Mutex::default() }
+    /// Creates a pool whose links pass received messages to `handler`.
+    pub fn new(handler: Arc<dyn MessageHandler>) -> Self {
+        LinkPool { handler, slots: Mutex::default() }
     }
 
     /// Returns the link to a process, and opens one if there is none.
@@ -50,7 +50,7 @@
         }
         let stream = connect(address).await.ok_or(CallError::NotConnected)?;
         let link =
-            Link::start(stream, true, Arc::clone(&self.service)).map_err(|_| CallError::NotConnected)?;
+            Link::start(stream, true, Arc::clone(&self.handler)).map_err(|_| CallError::NotConnected)?;
         *slot = Some(link.clone());
         Ok(link)
     }
--- a/crates/node/src/local.rs
+++ b/crates/node/src/local.rs
@@ -18,7 +18,7 @@
 use self::role_process::RoleProcess;
 use self::roles::MAX_ROLES;
 pub use self::roles::{LocalError, LocalRole, read_roles};
-use crate::signals::{ShutdownOrReload, Signals};
+use crate::signals::{SignalRequest, Signals};
 
 const USAGE: &str = "\
 Usage: juniperwing local FOLDER [--log-level LEVEL]
@@ -80,8 +80,8 @@
         tokio::select! {
             biased;
             signal = signals.next() => match signal {
-                ShutdownOrReload::Shutdown => break true,
-                ShutdownOrReload::Reload => supervised.iter().for_each(|(process, _)| process.send_signal(Signal::HUP)),
+                SignalRequest::Shutdown => break true,
+                SignalRequest::Reload => supervised.iter().for_each(|(process, _)| process.send_signal(Signal::HUP)),
             },
             _ = failures.recv() => break false,
         }
--- a/crates/node/src/relay/server.rs
+++ b/crates/node/src/relay/server.rs
@@ -28,15 +28,15 @@
 use super::upstream::ConnectionPool;
 use super::{frontend, maintenance, readiness};
 use crate::clock::random;
-use crate::gossip::{Gossip, LocalProcess};
+use crate::gossip::{Gossip, LocalMember};
 use crate::host::with_address;
-use crate::link::{Link, LinkPool, ReplySender, Service};
+use crate::link::{Link, LinkPool, MessageHandler, ReplySender};
 use crate::metrics::MetricSource;
 use crate::panics::spawn_essential;
 use crate::process::Process;
 use crate::sessions_client::SessionsClient;
-use crate::settings::{Port, Settings};
-use crate::signals::ShutdownOrReload;
+use crate::settings::{InternalPort, Settings};
+use crate::signals::SignalRequest;
 use crate::subscriber::{Subscriber, UpdateSink};
 
 /// How long connections are still accepted after a shutdown is requested. The platform checks readiness every second
@@ -71,11 +71,11 @@
     let subscriber = relay.subscribe();
     let keepers_subscriber = Arc::clone(&subscriber);
     let observer = Box::new(move |keepers| keepers_subscriber.set_discovered(keepers));
-    let local_process = LocalProcess { role: Role::Relay, disk: None };
-    let gossip = Gossip::start(&relay.settings, local_process, log.clone(), observer).await?;
+    let local_member = LocalMember { role: Role::Relay, disk: None };
+    let gossip = Gossip::start(&relay.settings, local_member, log.clone(), observer).await?;
     relay
         .serve(async move {
-            while signals.next().await == ShutdownOrReload::Reload {
+            while signals.next().await == SignalRequest::Reload {
                 match Settings::read(settings_file.as_deref()) {
                     Ok(settings) => {
                         subscriber.set_seeds(settings.seed_keepers());
@@ -126,7 +126,7 @@
         let subscribe = Subscribe {
             node: NodeName::from(settings.node_name.as_str()),
             zone: settings.zone.as_str().into(),
-            address: settings.own_address(Port::Relay),
+            address: settings.own_address(InternalPort::Relay),
             subscriber: SubscriberKind::Relay,
             configuration: self.state.cluster.configuration_version(),
         };
@@ -215,7 +215,7 @@
 /// Ignores messages from stores that are not replies, because a relay expects none.
 struct IgnoreUnsolicited;
 
-impl Service for IgnoreUnsolicited {
+impl MessageHandler for IgnoreUnsolicited {
     fn handle_message(&self, _: &Link, _: Message, _: ReplySender) {}
 }
 
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -185,7 +185,7 @@
 
 /// Ports for messages between processes of the tier, one per role, as offsets from the first ephemeral port.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Port {
+pub enum InternalPort {
     /// The port of a relay.
     Relay = 0,
     /// The port of a keeper.
@@ -222,7 +222,7 @@
     fn findings(&self) -> Vec<String> {
         let mut findings = Vec::new();
         let (first, last) = self.ephemeral_ports;
-        if last < first.saturating_add(Port::Store as u16) {
+        if last < first.saturating_add(InternalPort::Store as u16) {
             findings.push(format!("ephemeralPorts: three ports are needed, {first} to {last} are given"));
         }
         if self.heartbeat_ms == 0 {
@@ -238,18 +238,18 @@
     }
 
     /// The address of a role's internal listener on `machine`.
-    pub fn internal_address(&self, machine: IpAddr, port: Port) -> SocketAddr {
+    pub fn internal_address(&self, machine: IpAddr, port: InternalPort) -> SocketAddr {
         SocketAddr::new(machine, self.ephemeral_ports.0 + port as u16)
     }
 
     /// The address of a role's internal listener on this machine.
-    pub fn own_address(&self, port: Port) -> SocketAddr {
+    pub fn own_address(&self, port: InternalPort) -> SocketAddr {
         self.internal_address(self.ip_address, port)
     }
 
     /// The internal addresses of the seed keepers.
     pub fn seed_keepers(&self) -> Vec<SocketAddr> {
-        self.seed_nodes.iter().map(|seed| self.internal_address(seed.ip(), Port::Keeper)).collect()
+        self.seed_nodes.iter().map(|seed| self.internal_address(seed.ip(), InternalPort::Keeper)).collect()
     }
 
     /// Number of replicas that must store a write before it is acknowledged.
--- a/crates/node/src/settings/control_timings.rs
+++ b/crates/node/src/settings/control_timings.rs
@@ -69,15 +69,15 @@
 
 impl Bounds {
     /// Describes the bounds that keepers cannot meet, with their keys. Keepers run nevertheless, on a best-effort basis.
-    pub fn too_short(&self) -> Vec<String> {
+    pub fn unachievable_bounds(&self) -> Vec<String> {
         let minimums = [
             ("contactMs", self.contact_ms, MIN_CONTACT_MS),
             ("drainMs", self.drain_ms, MIN_PROPAGATION_MS),
             ("configApplyMs", self.config_apply_ms, MIN_PROPAGATION_MS),
             ("ackMs", self.ack_ms, CALLER_TIMEOUT.as_millis() as u64),
         ];
-        let too_short = minimums.into_iter().filter(|(_, given, minimum)| given < minimum);
-        too_short
+        let unachievable = minimums.into_iter().filter(|(_, given, minimum)| given < minimum);
+        unachievable
             .map(|(key, given, minimum)| format!("bounds.{key}: {given} is too short, {minimum} at least"))
             .collect()
     }
--- a/crates/node/src/settings/describe.rs
+++ b/crates/node/src/settings/describe.rs
@@ -2,12 +2,12 @@
 
 use std::net::SocketAddr;
 
-use super::{Port, Settings};
+use super::{InternalPort, Settings};
 use crate::role::Role;
 
 impl Settings {
     /// The missing keys that a role requires.
-    pub fn missing_for(&self, role: Role) -> Vec<&'static str> {
+    pub fn missing_keys(&self, role: Role) -> Vec<&'static str> {
         let listeners = &self.listeners_map;
         let required = match role {
             Role::Relay => vec![
@@ -59,9 +59,9 @@
             }
             Role::Keeper => vec![
                 line("endpoints and operators", listeners.control_plane),
-                line("the tier", Some(self.own_address(Port::Keeper))),
+                line("the tier", Some(self.own_address(InternalPort::Keeper))),
             ],
-            Role::Store => vec![line("the tier", Some(self.own_address(Port::Store)))],
+            Role::Store => vec![line("the tier", Some(self.own_address(InternalPort::Store)))],
         };
         lines.into_iter().flatten().collect()
     }
--- a/crates/node/src/signals.rs
+++ b/crates/node/src/signals.rs
@@ -14,7 +14,7 @@
 
 /// The request that a signal represents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ShutdownOrReload {
+pub enum SignalRequest {
     /// Shut down gracefully (SIGTERM, SIGINT).
     Shutdown,
     /// Reload the settings (SIGHUP).
@@ -37,16 +37,16 @@
 
     /// Waits for a shutdown signal; reload signals are ignored meanwhile.
     pub async fn wait_for_shutdown(&mut self) {
-        while self.next().await != ShutdownOrReload::Shutdown {}
+        while self.next().await != SignalRequest::Shutdown {}
     }
 
     /// Waits for the next signal.
-    pub async fn next(&mut self) -> ShutdownOrReload {
+    pub async fn next(&mut self) -> SignalRequest {
         tokio::select! {
             biased;
-            _ = self.terminate.recv() => ShutdownOrReload::Shutdown,
-            _ = self.interrupt.recv() => ShutdownOrReload::Shutdown,
-            _ = self.hangup.recv() => ShutdownOrReload::Reload,
+            _ = self.terminate.recv() => SignalRequest::Shutdown,
+            _ = self.interrupt.recv() => SignalRequest::Shutdown,
+            _ = self.hangup.recv() => SignalRequest::Reload,
         }
     }
 }
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -27,14 +27,14 @@
 use self::disk::{RecoveredStore, StoreDisk};
 use self::driver::StoreDriver;
 use self::links::StoreHandle;
-use crate::gossip::{Gossip, LocalProcess};
+use crate::gossip::{Gossip, LocalMember};
 use crate::host::{Listener, run_disk_work};
 use crate::link::serve;
 use crate::metrics::{self as metrics_endpoint, MetricSource};
 use crate::panics::spawn_essential;
 use crate::process::Process;
-use crate::settings::{Port, Settings};
-use crate::signals::ShutdownOrReload;
+use crate::settings::{InternalPort, Settings};
+use crate::signals::SignalRequest;
 use crate::subscriber::Subscriber;
 
 /// The maximum number of keepers that a store subscribes to; usually there are fewer.
@@ -65,8 +65,8 @@
     };
     loop {
         match process.signals.next().await {
-            ShutdownOrReload::Shutdown => break,
-            ShutdownOrReload::Reload => match Settings::read(process.settings_file.as_deref()) {
+            SignalRequest::Shutdown => break,
+            SignalRequest::Reload => match Settings::read(process.settings_file.as_deref()) {
                 Ok(settings) => store.reload(&settings),
                 Err(error) => warn!(process.log, "settings reload failed"; "error" => error.to_string()),
             },
@@ -104,7 +104,7 @@
 impl StoreProcess {
     async fn start(settings: &Settings, log: Logger) -> io::Result<Self> {
         let RecoveredStore { disk, is_new, files, store } = recover(settings, &log).await?;
-        let listener = Listener::bind(settings.own_address(Port::Store)).await?;
+        let listener = Listener::bind(settings.own_address(InternalPort::Store)).await?;
         let driver = StoreDriver::start(store, files, log.clone());
         let metric_source = Arc::clone(&driver) as Arc<dyn MetricSource>;
         metrics_endpoint::start(settings, metric_source, &log).await;
@@ -115,7 +115,7 @@
         driver.set_subscriber(&subscriber);
         let discovering = Arc::clone(&subscriber);
         let observer = Box::new(move |keepers| discovering.set_discovered(keepers));
-        let local = LocalProcess { role: Role::Store, disk: Some(disk) };
+        let local = LocalMember { role: Role::Store, disk: Some(disk) };
         let gossip = Gossip::start(settings, local, log.clone(), observer).await?;
         info!(log, "serving"; "disk" => disk.0, "new" => is_new);
         let handover_timeout = handover_timeout(settings);
@@ -159,7 +159,7 @@
     Subscribe {
         node: NodeName::from(settings.node_name.as_str()),
         zone: settings.zone.as_str().into(),
-        address: settings.own_address(Port::Store),
+        address: settings.own_address(InternalPort::Store),
         subscriber: SubscriberKind::Store { disk },
         configuration: Version::default(),
     }
--- a/crates/node/src/store/driver.rs
+++ b/crates/node/src/store/driver.rs
@@ -17,7 +17,7 @@
 use super::disk::{DiskJob, DiskObserver, StoreDisk};
 use super::disk_health::DiskHealth;
 use crate::clock::{duration, now};
-use crate::link::{Link, LinkPool, ReplySender, Service};
+use crate::link::{Link, LinkPool, MessageHandler, ReplySender};
 use crate::panics::spawn_essential;
 use crate::subscriber::Subscriber;
 use crate::sync::lock;
@@ -55,9 +55,9 @@
 }
 
 /// Ignores all messages: other stores send their requests over connections that they open themselves.
-struct NoService;
+struct IgnoreMessages;
 
-impl Service for NoService {
+impl MessageHandler for IgnoreMessages {
     fn handle_message(&self, _: &Link, _: Message, _: ReplySender) {}
 }
 
@@ -75,7 +75,7 @@
         };
         let driver = Arc::new(StoreDriver {
             state: Mutex::new(state),
-            pool: LinkPool::new(Arc::new(NoService)),
+            pool: LinkPool::new(Arc::new(IgnoreMessages)),
             disk_jobs,
             timer_changed: Notify::new(),
             event_handled: Notify::new(),
--- a/crates/node/src/store/links.rs
+++ b/crates/node/src/store/links.rs
@@ -8,13 +8,13 @@
 use juniperwing_sessions::Event;
 
 use super::driver::StoreDriver;
-use crate::link::{Link, ReplySender, Service};
+use crate::link::{Link, MessageHandler, ReplySender};
 use crate::subscriber::UpdateSink;
 
 /// Passes messages from relays and stores, and updates from keepers, to the driver.
 pub(super) struct StoreHandle(pub(super) Arc<StoreDriver>);
 
-impl Service for StoreHandle {
+impl MessageHandler for StoreHandle {
     fn handle_message(&self, link: &Link, message: Message, sender: ReplySender) {
         match message {
             Message::SessionRequest(request) => {
--- a/crates/node/src/subscriber.rs
+++ b/crates/node/src/subscriber.rs
@@ -16,7 +16,7 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::timeout;
 
-use crate::link::{Link, ReplySender, Service, connect};
+use crate::link::{Link, MessageHandler, ReplySender, connect};
 use crate::panics::spawn_essential;
 use crate::sync::lock;
 
@@ -210,12 +210,12 @@
     async fn connect(self: &Arc<Self>, address: SocketAddr) -> Option<(Link, oneshot::Receiver<()>)> {
         let stream = connect(address).await?;
         let (first_update, first_update_received) = oneshot::channel();
-        let service = Subscription {
+        let handler = Subscription {
             subscriber: Arc::clone(self),
             first_update: Mutex::new(Some(first_update)),
             highest_instances_revision: Mutex::new(0),
         };
-        let link = Link::start(stream, true, Arc::new(service)).ok()?;
+        let link = Link::start(stream, true, Arc::new(handler)).ok()?;
         let mut subscribe = self.subscribe.clone();
         subscribe.configuration = self.sink.configuration_version();
         link.send(Message::Subscribe(subscribe));
@@ -242,7 +242,7 @@
     highest_instances_revision: Mutex<u64>,
 }
 
-impl Service for Subscription {
+impl MessageHandler for Subscription {
     fn handle_message(&self, link: &Link, message: Message, _: ReplySender) {
         let Message::Update(update) = message else { return };
         let first_update = lock(&self.first_update).take();
--- a/crates/node/tests/gossip.rs
+++ b/crates/node/tests/gossip.rs
@@ -8,9 +8,9 @@
 use std::sync::Arc;
 
 use juniperwing_membership::Role;
-use juniperwing_node::gossip::{Gossip, LocalProcess};
+use juniperwing_node::gossip::{Gossip, LocalMember};
 use juniperwing_node::keeper::run_with;
-use juniperwing_node::settings::{Port, Settings};
+use juniperwing_node::settings::{InternalPort, Settings};
 use juniperwing_node::subscriber::{Subscriber, UpdateSink};
 use juniperwing_node::sync::watch;
 use juniperwing_protocol::NodeName;
@@ -51,7 +51,7 @@
     }
 
     fn keeper(&self, machine: u8) -> SocketAddr {
-        self.settings(machine, &[]).own_address(Port::Keeper)
+        self.settings(machine, &[]).own_address(InternalPort::Keeper)
     }
 }
 
@@ -66,7 +66,7 @@
         let (sender, keepers) = watch::channel(Vec::new());
         let observer = Box::new(move |keepers| drop(sender.send_replace(keepers)));
         let log = Logger::root(Discard, o!());
-        let gossip = Gossip::start(settings, LocalProcess { role, disk: None }, log, observer).await.unwrap();
+        let gossip = Gossip::start(settings, LocalMember { role, disk: None }, log, observer).await.unwrap();
         Node { gossip, keepers }
     }
 
@@ -96,7 +96,7 @@
     drop(relay);
     // The socket is closed only when the aborted task has been dropped.
     let settings = machines.settings(2, &[DEAD_MACHINE]);
-    let address = settings.own_address(Port::Relay);
+    let address = settings.own_address(InternalPort::Relay);
     while tokio::net::UdpSocket::bind(address).await.is_err() {
         tokio::task::yield_now().await;
     }
@@ -149,7 +149,7 @@
     let subscribe = Subscribe {
         node: NodeName::from("machine-2"),
         zone: "a".into(),
-        address: settings.own_address(Port::Relay),
+        address: settings.own_address(InternalPort::Relay),
         subscriber: Kind::Relay,
         configuration: Version::default(),
     };
@@ -163,7 +163,7 @@
     let keepers = Keepers::start(3).await;
     assert_eq!(keepers.put(0, 0, &configuration(3)).await.status, 200);
     let (fresh, stale) = settings_of_joining_keeper(&keepers);
-    let address = fresh.own_address(Port::Keeper);
+    let address = fresh.own_address(InternalPort::Keeper);
     let (changed, changes) = watch::channel(stale.clone());
     let log = Logger::root(Discard, o!());
     let running = tokio::spawn(run_with(stale, changes, log, std::future::pending()));
@@ -176,7 +176,9 @@
 /// The settings of a joining keeper: with live seeds, and with one dead seed.
 fn settings_of_joining_keeper(keepers: &Keepers) -> (Settings, Settings) {
     let mut fresh = keepers.settings(0).clone();
-    let SocketAddr::V4(first) = fresh.own_address(Port::Keeper) else { unreachable!("loopback is IPv4") };
+    let SocketAddr::V4(first) = fresh.own_address(InternalPort::Keeper) else {
+        unreachable!("loopback is IPv4")
+    };
     let [one, two, three, _] = first.ip().octets();
     let at = |machine| Ipv4Addr::new(one, two, three, machine);
     fresh.node_name = "core-9".to_owned();
--- a/crates/node/tests/keepers/mod.rs
+++ b/crates/node/tests/keepers/mod.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use juniperwing_node::keeper::run_until;
-use juniperwing_node::settings::{Port, Settings};
+use juniperwing_node::settings::{InternalPort, Settings};
 use slog::{Discard, Logger, o};
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::JoinHandle;
@@ -189,7 +189,7 @@
 
     /// The address at which a keeper listens for relays, stores and other keepers.
     pub fn internal(&self, keeper: usize) -> SocketAddr {
-        self.settings[keeper].own_address(Port::Keeper)
+        self.settings[keeper].own_address(InternalPort::Keeper)
     }
 
     /// Sends a configuration until there is a definite response.
--- a/crates/node/tests/keepers/observer.rs
+++ b/crates/node/tests/keepers/observer.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
-use juniperwing_node::link::{Link, ReplySender, Service};
+use juniperwing_node::link::{Link, MessageHandler, ReplySender};
 use juniperwing_protocol::registry::InstanceState;
 use juniperwing_protocol::replication::Version;
 use juniperwing_protocol::subscription::{
@@ -53,7 +53,7 @@
     }
 }
 
-impl Service for Recorder {
+impl MessageHandler for Recorder {
     fn handle_message(&self, link: &Link, message: Message, _: ReplySender) {
         let Message::Update(update) = message else { return };
         let mut observed = self.observed.lock().unwrap();
--- a/crates/node/tests/keepers/peer.rs
+++ b/crates/node/tests/keepers/peer.rs
@@ -9,8 +9,8 @@
 
 use juniperwing_clock::{Span, Time};
 use juniperwing_control::{ConfigurationDecision, ControlState, decide_configuration};
-use juniperwing_node::link::{Link, LinkPool, ReplySender, Service, serve};
-use juniperwing_node::settings::{Port, Settings};
+use juniperwing_node::link::{Link, LinkPool, MessageHandler, ReplySender, serve};
+use juniperwing_node::settings::{InternalPort, Settings};
 use juniperwing_protocol::registry::{Instance, InstanceState, RegistryMessage};
 use juniperwing_protocol::replication::{ReplicationBody, ReplicationMessage, Voter};
 use juniperwing_protocol::{DiskId, InstanceId, Message, NodeName};
@@ -79,16 +79,16 @@
     instances: BTreeMap<InstanceId, InstanceState>,
 }
 
-struct MessageHandler(Arc<Shared>);
+struct PeerMessageHandler(Arc<Shared>);
 
 /// Handles links that a peer opened: only replies come over them, which the link delivers to their callers.
 struct NoRequests;
 
-impl Service for NoRequests {
+impl MessageHandler for NoRequests {
     fn handle_message(&self, _: &Link, _: Message, _: ReplySender) {}
 }
 
-impl Service for MessageHandler {
+impl MessageHandler for PeerMessageHandler {
     fn handle_message(&self, _: &Link, message: Message, reply: ReplySender) {
         match message {
             Message::Replication(message) => self.0.handle_replication_message(message),
@@ -103,7 +103,7 @@
 impl Peer {
     /// Starts the keeper of these settings with an empty disk. `peers` are the addresses of all simulated keepers.
     pub async fn start(settings: &Settings, peers: &[SocketAddr]) -> Peer {
-        let address = settings.own_address(Port::Keeper);
+        let address = settings.own_address(InternalPort::Keeper);
         let node = NodeName::from(settings.node_name.as_str());
         let me = Voter { disk: DiskId(1_000 + machine_number(address)), node, address };
         let replica_settings = juniperwing_replication::Settings {
@@ -134,7 +134,7 @@
             timer_changed: Notify::new(),
         });
         let listener = TcpListener::bind(address).await.unwrap();
-        let serving = tokio::spawn(serve(listener, Arc::new(MessageHandler(Arc::clone(&shared)))));
+        let serving = tokio::spawn(serve(listener, Arc::new(PeerMessageHandler(Arc::clone(&shared)))));
         let ticking = tokio::spawn(Arc::clone(&shared).tick());
         Peer { shared, tasks: vec![serving, ticking] }
     }
--- a/crates/node/tests/link.rs
+++ b/crates/node/tests/link.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use juniperwing_node::link::{CallError, Link, LinkPool, ReplySender, Service, serve};
+use juniperwing_node::link::{CallError, Link, LinkPool, MessageHandler, ReplySender, serve};
 use juniperwing_protocol::registry::{Order, RegistryMessage};
 use juniperwing_protocol::{CallId, Envelope, Message};
 use tokio::net::TcpListener;
@@ -12,14 +12,14 @@
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A service that replies to a request for distribution, closes the link on [`Message::Pong`], and records all other
+/// A handler that replies to a request for distribution, closes the link on [`Message::Pong`], and records all other
 /// messages.
 #[derive(Default)]
 struct Recorder {
     messages: Mutex<Vec<Message>>,
 }
 
-impl Service for Recorder {
+impl MessageHandler for Recorder {
     fn handle_message(&self, link: &Link, message: Message, reply: ReplySender) {
         match message {
             Message::Registry(RegistryMessage::DistributeConfiguration { .. }) => {
--- a/crates/node/tests/link_replies.rs
+++ b/crates/node/tests/link_replies.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use juniperwing_node::link::{CallError, Link, LinkPool, ReplySender, Service};
+use juniperwing_node::link::{CallError, Link, LinkPool, MessageHandler, ReplySender};
 use juniperwing_protocol::registry::RegistryMessage;
 use juniperwing_protocol::{CallId, Envelope, Message};
 use proptest::prelude::*;
@@ -19,7 +19,7 @@
 
 struct IgnoreMessages;
 
-impl Service for IgnoreMessages {
+impl MessageHandler for IgnoreMessages {
     fn handle_message(&self, _: &Link, _: Message, _: ReplySender) {}
 }
 
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -4,7 +4,7 @@
 
 use juniperwing_clock::Span;
 use juniperwing_node::link::LINK_TIMEOUT;
-use juniperwing_node::settings::{CALLER_TIMEOUT, Port, Settings, SettingsError};
+use juniperwing_node::settings::{CALLER_TIMEOUT, InternalPort, Settings, SettingsError};
 
 const CORE: &str = r#"
 nodeName = "core-a-1"
@@ -49,7 +49,7 @@
 fn the_settings_of_the_platform_are_parsed() {
     let settings = parse(CORE).unwrap();
     assert_eq!(settings.node_name, "core-a-1");
-    assert_eq!(settings.own_address(Port::Keeper).to_string(), "10.1.0.41:7381");
+    assert_eq!(settings.own_address(InternalPort::Keeper).to_string(), "10.1.0.41:7381");
     let seeds: Vec<String> = settings.seed_keepers().iter().map(ToString::to_string).collect();
     assert_eq!(seeds, ["10.1.0.41:7381", "10.2.0.43:7381"]);
     assert_eq!(settings.required_replicas(), 2);
@@ -115,13 +115,13 @@
         .replace("drainMs = 2000", "drainMs = 699")
         .replace("configApplyMs = 1500", "configApplyMs = 0");
     let settings = parse(&text).unwrap();
-    let too_short = settings.bounds.too_short().join("; ");
+    let unachievable = settings.bounds.unachievable_bounds().join("; ");
     for key in ["bounds.contactMs", "bounds.ackMs", "bounds.drainMs", "bounds.configApplyMs"] {
-        assert!(too_short.contains(key), "{too_short}");
+        assert!(unachievable.contains(key), "{unachievable}");
     }
     // Two reports between keepers fit in the window, so contact is not lost between them.
     assert!(settings.control_timings().contact_window >= Span::from_millis(900));
-    assert!(parse(CORE).unwrap().bounds.too_short().is_empty());
+    assert!(parse(CORE).unwrap().bounds.unachievable_bounds().is_empty());
 }
 
 #[test]
--- a/crates/node/tests/stores/mod.rs
+++ b/crates/node/tests/stores/mod.rs
@@ -7,7 +7,7 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-use juniperwing_node::link::{Link, LinkPool, ReplySender, Service, serve};
+use juniperwing_node::link::{Link, LinkPool, MessageHandler, ReplySender, serve};
 use juniperwing_node::sessions_client::SessionsClient;
 use juniperwing_node::settings::Settings;
 use juniperwing_node::sync::watch;
@@ -49,7 +49,7 @@
     applied_version: u64,
 }
 
-impl Service for TestKeeper {
+impl MessageHandler for TestKeeper {
     fn handle_message(&self, link: &Link, message: Message, _: ReplySender) {
         let mut state = self.state.lock().unwrap();
         match message {
--- a/crates/node/tests/subscriber.rs
+++ b/crates/node/tests/subscriber.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use juniperwing_node::link::{Link, ReplySender, Service, serve};
+use juniperwing_node::link::{Link, MessageHandler, ReplySender, serve};
 use juniperwing_node::subscriber::{Subscriber, UpdateSink};
 use juniperwing_protocol::replication::Version;
 use juniperwing_protocol::subscription::{self, AppliedVersions, InstancesUpdate, Subscribe, Update};
@@ -25,7 +25,7 @@
     subscribed: Notify,
 }
 
-impl Service for Keeper {
+impl MessageHandler for Keeper {
     fn handle_message(&self, link: &Link, message: Message, _: ReplySender) {
         if !matches!(message, Message::Subscribe(_)) {
             return;
