--- a/crates/control/tests/growth.rs
+++ b/crates/control/tests/growth.rs
@@ -55,7 +55,7 @@
     }
 }
 
-/// Guard: the limit in `OrderHistory::insert`.
+/// Covers the limit in `OrderHistory::insert`, without which the state grows with every order.
 #[test]
 fn the_state_size_is_bounded_by_the_remembered_orders() {
     let mut state = ControlState::default();
--- a/crates/control/tests/orders.rs
+++ b/crates/control/tests/orders.rs
@@ -74,7 +74,7 @@
     assert!(matches!(decide_configuration(&state, 3, b"{"), ConfigurationDecision::Invalid(_)));
 }
 
-/// Guard: `has_rejected` in `decide_configuration`.
+/// Relies on the check of `has_rejected` in `decide_configuration`.
 #[test]
 fn an_order_rejected_before_its_base_was_accepted_is_never_accepted() {
     let mut state = ControlState::default();
--- a/crates/control/tests/orders_model.rs
+++ b/crates/control/tests/orders_model.rs
@@ -5,8 +5,8 @@
 //! a decision is executed (possibly much later), or a write is committed or lost with its primary. The oracle
 //! observes only what operators observe: replies, and configurations read back.
 //!
-//! Guards: `has_accepted` and `has_rejected` in `decide_configuration`, and its decision `Reject` (the test fails if it
-//! is replaced by `Stale`).
+//! Covers the checks of `has_accepted` and `has_rejected` in `decide_configuration`, and its decision
+//! `Reject`: the test fails if `Reject` is replaced by `Stale`.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/control/tests/plan.rs
+++ b/crates/control/tests/plan.rs
@@ -142,7 +142,7 @@
 
 #[test]
 fn fewer_replicas_suffice_only_while_the_loss_of_the_others_is_certain() {
-    // Guards: `are_others_lost` and `others_reported` in `allowed_lost_replicas`.
+    // Covers the conditions `are_others_lost` and `others_reported` in `allowed_lost_replicas`.
     let mut tier = Tier::with_first_map(1..=2);
     let allows_lost = |tier: &Tier, replicas: u16| {
         tier.partitions().iter().all(|assignment| assignment.lost_replicas == replicas)
@@ -186,7 +186,7 @@
 
 #[test]
 fn a_keeper_without_reports_keeps_the_allowed_lost_replicas() {
-    // Guard: `missing <= previously_allowed` in `allowed_lost_replicas`.
+    // Covers the condition `missing <= previously_allowed` in `allowed_lost_replicas`.
     let mut tier = Tier::with_first_map(1..=2);
     tier.lose_store(1);
     tier.plan_and_commit(&[]).unwrap();
--- a/crates/control/tests/retire.rs
+++ b/crates/control/tests/retire.rs
@@ -120,7 +120,7 @@
 
 #[test]
 fn a_keeper_without_reports_rejects_no_retirement() {
-    // Guard: `is_past_grace_period` in `decide_retire`.
+    // Covers the checks of `is_past_grace_period` in `decide_retire`.
     let tier = Tier::with_first_map(1..=2);
     let empty = StoreView::default();
     let unknown = decide_retire(&ControlState::default(), &empty, &node(1), REQUIRED_REPLICAS);
@@ -143,7 +143,7 @@
 
 #[test]
 fn a_new_machine_under_the_name_of_a_retired_one_is_not_retired() {
-    // Guard: `is_new_machine` in `retirement_state`.
+    // Covers the check of `is_new_machine` in `retirement_state`.
     let mut tier = Tier::with_first_map(1..=4);
     begin(&mut tier, 1);
     tier.plan_until_stable();
@@ -166,7 +166,7 @@
 
 #[test]
 fn a_retirement_continues_after_the_machine_lost_its_disk() {
-    // Guards: `has_active_retirement` in `decide_retire`, and `extend_retirement_to_new_disk`.
+    // Covers the check of `has_active_retirement` in `decide_retire`, and `extend_retirement_to_new_disk`.
     let mut tier = Tier::with_first_map(1..=3);
     begin(&mut tier, 1);
     tier.view.alive.remove(&DiskId(1));
--- a/crates/replication/tests/consecutive_losses.rs
+++ b/crates/replication/tests/consecutive_losses.rs
@@ -135,9 +135,10 @@
     simulation.remove(member);
 }
 
-// Guards: `epoch_plan.rs`, `drop_surplus_voters` and `find_replaced_voter` (a member that is leaving is
-// treated like one that has timed out); `replica/join.rs`, `must_request_join` (it sends no join request);
-// `replica/handover.rs`, `can_shut_down` (it waits until its vote is no longer needed).
+// Covers the handling of a member that is leaving: it is treated like one that has timed out
+// (`drop_surplus_voters` and `find_replaced_voter` in `epoch_plan.rs`), sends no join request
+// (`must_request_join` in `replica/join.rs`) and waits until its vote is no longer needed (`can_shut_down`
+// in `replica/handover.rs`).
 #[test]
 fn loss_after_a_planned_replacement_is_tolerated() {
     run_all_losses(3, 3, 2, |simulation, seed| {
@@ -212,8 +213,8 @@
     });
 }
 
-// Guards: `settings.rs`, `can_drop_one_of` and `epoch_plan.rs`, `drop_surplus_voters`: five of six voters
-// remain.
+// Relies on five of six voters remaining: `can_drop_one_of` in `settings.rs` and `drop_surplus_voters` in
+// `epoch_plan.rs`.
 #[test]
 fn simultaneous_loss_of_two_of_five_after_a_replacement_is_tolerated() {
     for seed in 0..60 {
@@ -236,9 +237,9 @@
 /// Guards against a shutdown that leaves the newest state on a single disk: the member that shuts down and
 /// one backup have the newest state, while the third member was isolated and returns during the shutdown.
 /// Then the backup loses its disk.
-// Guards: `replica/handover.rs`, `find_successor` (a primary continues while no other keeper can take over)
-// and `can_shut_down` (`has_enough_replicas`); `replica/epoch_change.rs`, `change_epoch` (the primary admits
-// replicas meanwhile).
+// Relies on three rules: a primary continues while no other keeper can take over (`find_successor` in
+// `replica/handover.rs`), it admits replicas meanwhile (`change_epoch` in `replica/epoch_change.rs`), and a
+// backup shuts down only if enough replicas remain (`has_enough_replicas` in `can_shut_down`).
 #[test]
 fn member_that_shuts_down_leaves_more_than_one_replica() {
     for seed in 0..120 {
@@ -309,7 +310,8 @@
 
 /// A member that was isolated for hundreds of changes catches up while more are made, and cannot become
 /// primary before that.
-// Guard: `replica.rs`, `is_eligible`, `in_sync`: a member that is out of sync starts no election.
+// Covers the check of `in_sync` in `is_eligible` (`replica.rs`): a member that is out of sync starts no
+// election.
 #[test]
 fn isolated_member_catches_up_before_it_becomes_primary() {
     for seed in 0..30 {
@@ -355,8 +357,8 @@
 }
 
 /// A member with a high latency gets in sync although changes are made faster than the state reaches it.
-// Guard: `replica/proposals.rs`, `must_pause_writes_for_lagging_replica`: without it, the member always lacks
-// some changes.
+// Relies on `must_pause_writes_for_lagging_replica` (`replica/proposals.rs`): without it, the member always
+// lacks some changes.
 #[test]
 fn distant_member_gets_in_sync_under_constant_load() {
     for seed in 0..30 {
--- a/crates/replication/tests/guards.rs
+++ b/crates/replication/tests/guards.rs
@@ -266,8 +266,9 @@
     assert_eq!(epoch.previous_voters, vec![voter(1), voter(2), voter(3)]);
 }
 
-// Guard: `replica/primary.rs`, `advance_primary`, `is_superseded`. Without it, the primary would change the
-// higher epoch as if it were its own, with a state that lacks the changes acknowledged in it.
+// Covers the check of `is_superseded` in `advance_primary` (`replica/primary.rs`). Without it, the primary
+// would change the higher epoch as if it were its own, although its state lacks the changes acknowledged
+// in that epoch.
 #[test]
 fn primary_steps_down_on_a_late_reply_with_a_higher_epoch() {
     let mut keeper = Keeper::new(epoch(1));
@@ -287,8 +288,8 @@
     assert_eq!(keeper.replica.epoch(), &higher);
 }
 
-// Guard: `replica/join.rs`, `must_request_join`, `is_shutting_down`: a keeper that shuts down does not
-// request to join.
+// Covers the check of `is_shutting_down` in `must_request_join` (`replica/join.rs`): a keeper that shuts
+// down does not request to join.
 #[test]
 fn keeper_that_shuts_down_sends_no_join_request() {
     let mut epoch_without_it = epoch(2);
@@ -308,8 +309,8 @@
     assert!(!sent.iter().any(|body| matches!(body, ReplicationBody::Join { .. })), "{sent:?}");
 }
 
-// Guard: `replica/handover.rs`, `can_shut_down`, `can_drop_one_of`: one of four voters waits until it is
-// no longer a voter, even if it is no longer in sync.
+// Covers the check of `can_drop_one_of` in `can_shut_down` (`replica/handover.rs`): one of four voters
+// waits until it is no longer a voter, even if it is no longer in sync.
 #[test]
 fn keeper_with_a_surplus_vote_shuts_down_only_after_its_removal() {
     let mut four = epoch(2);
