--- a/crates/relay/src/server/outcomes.rs
+++ b/crates/relay/src/server/outcomes.rs
@@ -40,8 +40,8 @@
             "duration_ms" => elapsed.as_nanos() / 1_000_000,
             "limit_remaining" => limit.map(|limit| limit.remaining_fraction),
             "limit_rate" => limit.map(|limit| limit.rate_per_second));
-        let may_run_since = status.may_be_running().then_some(now);
-        self.journal.record_push_ended(notification.0, status.may_have_run(), may_run_since);
+        let may_run_since = status.may_be_executing().then_some(now);
+        self.journal.record_push_ended(notification.0, status.may_have_executed(), may_run_since);
         if result.is_final {
             self.close_notification(notification);
         }
@@ -82,7 +82,7 @@
 
     /// Closes a notification whose final outcome is acknowledged.
     pub(super) fn handle_end_acknowledged(&mut self, notification: NotificationId) {
-        debug!(self.log, "final outcome acknowledged"; "notification" => notification.0);
+        debug!(self.log, "final answer acknowledged"; "notification" => notification.0);
         self.close_notification(notification);
         self.core.enqueue(Event::FinalAnswerAcknowledged(notification));
     }
