--- a/crates/emulator/src/stability.rs
+++ b/crates/emulator/src/stability.rs
@@ -140,23 +140,21 @@
 
 /// Whether a scope is stable at a moment.
 fn is_stable(scenario: &Scenario, scope: Scope, downtimes: &[Downtime], now_ms: u64) -> bool {
-    let stabilization_ms = scope.stabilization_ms();
+    let period_ms = scope.stabilization_ms();
     let faults: Vec<&Fault> = scenario.faults.iter().filter(|fault| scope.is_affected_by(fault)).collect();
     let is_recent = |moment: u64, span: u64| moment <= now_ms && now_ms < moment.saturating_add(span);
     let is_recent_fault = |fault: &&Fault| {
         // A fault that affects most of the scope needs twice the period.
         let span = match fault.kind {
-            FaultKind::KillAll | FaultKind::LoseAllPower | FaultKind::WipeAndLoseAllPower => {
-                2 * stabilization_ms
-            }
-            _ => stabilization_ms,
+            FaultKind::KillAll | FaultKind::LoseAllPower | FaultKind::WipeAndLoseAllPower => 2 * period_ms,
+            _ => period_ms,
         };
         is_recent(fault.start_ms, span) || is_recent(fault.end_ms(), span)
     };
     let is_active = |fault: &&&Fault| fault.start_ms <= now_ms && now_ms < fault.end_ms();
     let exits_and_starts = downtimes.iter().flat_map(|downtime| [downtime.from_ms, downtime.until_ms]);
-    let has_recent_restart = exits_and_starts.into_iter().any(|moment| is_recent(moment, stabilization_ms));
-    if faults.iter().any(is_recent_fault) || has_recent_restart || now_ms < stabilization_ms {
+    let has_recent_restart = exits_and_starts.into_iter().any(|moment| is_recent(moment, period_ms));
+    if faults.iter().any(is_recent_fault) || has_recent_restart || now_ms < period_ms {
         return false;
     }
     let is_down = |downtime: &&Downtime| downtime.from_ms <= now_ms && now_ms < downtime.until_ms;
--- a/crates/soak/src/load/endpoint.rs
+++ b/crates/soak/src/load/endpoint.rs
@@ -309,15 +309,9 @@
         }
         _ => usize::MAX,
     };
-    let sent = send_response(
-        connection,
-        response_id,
-        &chunks,
-        closes_connection,
-        reset_after,
-        instance.service == ENGINE,
-    )
-    .await;
+    let is_streamed = instance.service == ENGINE;
+    let sent =
+        send_response(connection, response_id, &chunks, closes_connection, reset_after, is_streamed).await;
     if sent && misbehaviour == Some(Misbehaviour::AnswerTwice) {
         let extra_response = response_head("surplus", "Content-Length: 2\r\n", false);
         let _ = connection.write(&[extra_response.as_bytes(), b"no"].concat()).await;
