--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -1,9 +1,9 @@
 //! SWIM membership of all processes of the tier, over UDP.
 //!
-//! Every role runs one [`Gossip`], on the UDP port with the number of its internal TCP port. It discovers which
-//! processes are alive and where keepers listen, beyond the seeds of the settings. The protocol is
-//! `juniperwing-membership`; this module adds its socket and its timer. Whether a store is lost is decided by its links,
-//! not here.
+//! Every process runs one [`Gossip`], on the UDP port with the same number as its internal TCP port. It discovers which
+//! processes are alive and at which addresses keepers listen, including keepers that the settings do not name. The
+//! protocol is implemented by `juniperwing-membership`; this module adds the socket and the timer. Whether a store is
+//! lost is decided by its links, not by this protocol.
 
 mod view;
 
@@ -25,12 +25,12 @@
 use crate::clock::{duration, now, random};
 use crate::host::Datagrams;
 use crate::panics::spawn_essential;
-use crate::settings::{Port, Settings};
+use crate::settings::{InternalPort, Settings};
 use crate::sync::lock;
 
-/// Interval between probes. Failures that matter at once are detected by links, so probes can be infrequent.
+/// Interval between probes. Failures that need a fast reaction are detected by links, so probes can be infrequent.
 const PROBE_INTERVAL: Span = Span::from_millis(1_000);
-/// Time-out of a direct probe, after which indirect probes are requested.
+/// Timeout of a direct probe, after which indirect probes are requested.
 const PROBE_TIMEOUT: Span = Span::from_millis(300);
 /// Maximum number of datagrams read before the timer is checked.
 const MAX_DATAGRAMS_PER_BATCH: usize = 64;
@@ -40,16 +40,16 @@
 /// Callback with the addresses of live keepers, called whenever they change.
 pub type KeepersObserver = Box<dyn Fn(Vec<SocketAddr>) + Send + Sync>;
 
-/// Properties of this process that other members learn.
+/// Properties of this process that are announced to other members.
 #[derive(Clone, Copy, Debug)]
-pub struct LocalProcess {
+pub struct LocalMember {
     /// The role of the process.
     pub role: Role,
     /// The identity of its data directory, if it has one.
     pub disk: Option<DiskId>,
 }
 
-/// This process as a member; it stops when dropped, without leaving.
+/// The membership of this process. Dropping it stops the protocol without announcing a leave.
 pub struct Gossip {
     shared: Arc<Shared>,
     task: JoinHandle<()>,
@@ -58,7 +58,7 @@
 struct Shared {
     socket: Datagrams,
     state: Mutex<State>,
-    /// Notified when the time of the next tick has changed.
+    /// Notified when `wake_at` has changed.
     wake_up_changed: Notify,
     observer: KeepersObserver,
     log: Logger,
@@ -71,15 +71,15 @@
 }
 
 impl Gossip {
-    /// Opens the socket and starts to join the other members through the seeds.
+    /// Opens the socket and starts to join the tier through the seeds.
     ///
     /// # Errors
     ///
     /// If the socket cannot be opened or the settings do not describe a valid member.
     pub async fn start(
-        settings: &Settings, process: LocalProcess, log: Logger, observer: KeepersObserver,
+        settings: &Settings, local: LocalMember, log: Logger, observer: KeepersObserver,
     ) -> io::Result<Gossip> {
-        let local_member = member(settings, process);
+        let local_member = member(settings, local);
         let socket = Datagrams::bind(local_member.gossip_address).await?;
         let view = MemberView::new(&local_member.id);
         let membership_settings =
@@ -125,7 +125,7 @@
 
 impl Shared {
     async fn run(self: Arc<Self>) {
-        // One byte more than allowed, so that oversized datagrams are recognized.
+        // One byte larger than the limit, so that oversized datagrams are detected.
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let delay = duration(self.lock().wake_at.since(now()));
@@ -135,7 +135,7 @@
                 () = tokio::time::sleep(delay) => Ok(()),
                 () = self.wake_up_changed.notified() => continue,
             };
-            // Datagrams in the socket are handled before any ack counts as missing.
+            // Received datagrams are handled before the tick, so that an ack among them does not count as missing.
             if readable.and_then(|()| self.read_datagrams(&mut buffer)).is_err() {
                 tokio::time::sleep(SOCKET_RETRY_DELAY).await;
             }
@@ -204,23 +204,23 @@
     }
 }
 
-fn member(settings: &Settings, process: LocalProcess) -> Member {
-    let address = settings.own_address(port(process.role));
+fn member(settings: &Settings, local: LocalMember) -> Member {
+    let address = settings.own_address(port(local.role));
     Member {
-        id: MemberId { node: NodeName::from(settings.node_name.as_str()), role: process.role },
+        id: MemberId { node: NodeName::from(settings.node_name.as_str()), role: local.role },
         run_id: RunId(random()),
         zone: settings.zone.as_str().into(),
         gossip_address: address,
         address,
-        disk: process.disk,
+        disk: local.disk,
     }
 }
 
-fn port(role: Role) -> Port {
+fn port(role: Role) -> InternalPort {
     match role {
-        Role::Relay => Port::Relay,
-        Role::Keeper => Port::Keeper,
-        Role::Store => Port::Store,
+        Role::Relay => InternalPort::Relay,
+        Role::Keeper => InternalPort::Keeper,
+        Role::Store => InternalPort::Store,
     }
 }
 
--- a/crates/node/src/link/connection.rs
+++ b/crates/node/src/link/connection.rs
@@ -1,4 +1,4 @@
-//! One link: its reader, its writer and its pending calls.
+//! A link with its reader task, its writer task and its pending calls.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -21,8 +21,8 @@
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
 /// Handler of the messages that a process receives over its links.
-pub trait Service: Send + Sync + 'static {
-    /// Handles a message. If the sender waits for a reply, it is sent through `reply`, now or later.
+pub trait MessageHandler: Send + Sync + 'static {
+    /// Handles a message. If it is a call, the reply is sent through `reply`, immediately or later.
     fn handle_message(&self, link: &Link, message: Message, reply: ReplySender);
 
     /// Handles the closing of a link.
@@ -35,16 +35,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkId(u64);
 
-/// Why a call has no reply.
+/// Why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum CallError {
-    /// No connection could be established: the call was not sent.
+    /// No connection could be established; the call was not sent.
     #[snafu(display("no connection"))]
     NotConnected,
-    /// The link was closed: the call may have been handled.
+    /// The link was closed; the call may have been handled.
     #[snafu(display("link closed"))]
     LinkClosed,
-    /// No reply was received in time: the call may have been handled.
+    /// No reply was received in time; the call may have been handled.
     #[snafu(display("call timed out"))]
     TimedOut,
 }
@@ -82,13 +82,13 @@
 }
 
 impl Link {
-    /// Runs a link over an established connection; `is_initiator` says whether this end opened it.
+    /// Starts a link over an established connection; `is_initiator` is whether this end opened the connection.
     ///
     /// # Errors
     ///
     /// If the connection is closed already.
     pub fn start(
-        stream: impl Into<Stream>, is_initiator: bool, service: Arc<dyn Service>,
+        stream: impl Into<Stream>, is_initiator: bool, handler: Arc<dyn MessageHandler>,
     ) -> io::Result<Link> {
         static NEXT: AtomicU64 = AtomicU64::new(1);
         let mut stream = stream.into();
@@ -108,7 +108,7 @@
         };
         let (reader, writer) = stream.into_split();
         tokio::spawn(run_writer(link.clone(), writer));
-        tokio::spawn(run_reader(link.clone(), reader, is_initiator, service));
+        tokio::spawn(run_reader(link.clone(), reader, is_initiator, handler));
         Ok(link)
     }
 
@@ -165,7 +165,7 @@
             lock(&self.shared.pending_calls).remove(&call);
             return Err(CallError::LinkClosed);
         }
-        // The call must not stay in the table when this future is dropped.
+        // Removes the pending call even if this future is dropped.
         let _guard = PendingCallGuard { link: self, call };
         self.enqueue(&Envelope { call, is_reply: false, message });
         match timeout(call_timeout, receiver).await {
@@ -191,7 +191,7 @@
         self.shared.wake_writer.notify_one();
     }
 
-    fn dispatch(&self, envelope: Envelope, service: &Arc<dyn Service>) {
+    fn dispatch(&self, envelope: Envelope, handler: &Arc<dyn MessageHandler>) {
         match envelope.message {
             Message::Ping => {
                 self.enqueue(&Envelope { call: envelope.call, is_reply: true, message: Message::Pong })
@@ -203,7 +203,7 @@
                 }
             }
             message => {
-                service.handle_message(self, message, ReplySender { link: self.clone(), call: envelope.call })
+                handler.handle_message(self, message, ReplySender { link: self.clone(), call: envelope.call })
             }
         }
     }
@@ -222,13 +222,13 @@
 }
 
 /// Accepts links at a listener; never returns.
-pub async fn serve(listener: impl Into<Listener>, service: Arc<dyn Service>) {
+pub async fn serve(listener: impl Into<Listener>, handler: Arc<dyn MessageHandler>) {
     const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
     let listener = listener.into();
     loop {
         match listener.accept().await {
             // The connection may be closed already.
-            Ok(stream) => drop(Link::start(stream, false, Arc::clone(&service))),
+            Ok(stream) => drop(Link::start(stream, false, Arc::clone(&handler))),
             Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
@@ -257,12 +257,12 @@
 }
 
 /// Reads and dispatches envelopes until the link is closed.
-async fn run_reader(link: Link, mut reader: ReadHalf, is_initiator: bool, service: Arc<dyn Service>) {
+async fn run_reader(link: Link, mut reader: ReadHalf, is_initiator: bool, handler: Arc<dyn MessageHandler>) {
     let mut buffer = Vec::with_capacity(READ_BUFFER_BYTES);
     let mut last_received_at = Instant::now();
     let mut last_ping_at = Instant::now();
     loop {
-        // The accepting end only waits; the connecting end wakes up to ping.
+        // The accepting end waits until the link times out; the connecting end wakes up earlier to send pings.
         let wake_at =
             if is_initiator { Instant::now() + PING_INTERVAL } else { last_received_at + LINK_TIMEOUT };
         let received = tokio::select! {
@@ -276,27 +276,28 @@
             Err(_) if last_received_at.elapsed() >= LINK_TIMEOUT => break,
             Err(_) => link.send(Message::Ping),
         }
-        if !dispatch_envelopes(&link, &mut buffer, &service) {
+        if !dispatch_envelopes(&link, &mut buffer, &handler) {
             break;
         }
-        // A peer that sends a large envelope over a slow link must receive something meanwhile.
+        // A peer that sends a large envelope over a slow link must receive something in the meantime, or it closes the
+        // link.
         if !buffer.is_empty() && last_ping_at.elapsed() >= PING_INTERVAL {
             link.send(Message::Ping);
             last_ping_at = Instant::now();
         }
     }
     link.close();
-    service.handle_closed(&link);
+    handler.handle_closed(&link);
 }
 
 /// Dispatches every complete envelope; returns `false` if the bytes are invalid.
-fn dispatch_envelopes(link: &Link, buffer: &mut Vec<u8>, service: &Arc<dyn Service>) -> bool {
+fn dispatch_envelopes(link: &Link, buffer: &mut Vec<u8>, handler: &Arc<dyn MessageHandler>) -> bool {
     let mut consumed = 0;
     let is_valid = loop {
         match Envelope::decode(&buffer[consumed..]) {
             Ok(Some((envelope, bytes))) => {
                 consumed += bytes;
-                link.dispatch(envelope, service);
+                link.dispatch(envelope, handler);
             }
             Ok(None) => break true,
             Err(_) => break false,
--- a/crates/node/src/link/pool.rs
+++ b/crates/node/src/link/pool.rs
@@ -1,4 +1,4 @@
-//! Pool of links to other processes, opened on demand.
+//! A pool of links to other processes, opened on demand.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,26 +8,26 @@
 use juniperwing_protocol::Message;
 use tokio::time::timeout;
 
-use super::connection::{CallError, Link, Service};
+use super::connection::{CallError, Link, MessageHandler};
 use super::{CONNECT_TIMEOUT, LINK_TIMEOUT};
 use crate::host::Stream;
 use crate::sync::lock;
 
 type Slot = Arc<tokio::sync::Mutex<Option<Link>>>;
 
-/// One link per process that this one sends messages to.
+/// A pool with one link per remote process.
 pub struct LinkPool {
-    service: Arc<dyn Service>,
+    handler: Arc<dyn MessageHandler>,
     slots: Mutex<BTreeMap<SocketAddr, Slot>>,
 }
 
 impl LinkPool {
-    /// A pool whose links pass received messages to `service`.
-    pub fn new(service: Arc<dyn Service>) -> Self {
-        LinkPool { service, slots: Mutex::default() }
+    /// Creates a pool whose links pass received messages to `handler`.
+    pub fn new(handler: Arc<dyn MessageHandler>) -> Self {
+        LinkPool { handler, slots: Mutex::default() }
     }
 
-    /// The link to a process; it is opened if there is none.
+    /// Returns the link to a process, and opens one if there is none.
     ///
     /// # Errors
     ///
@@ -35,7 +35,8 @@
     pub async fn link(&self, address: SocketAddr) -> Result<Link, CallError> {
         let slot = {
             let mut slots = lock(&self.slots);
-            // Slots are keyed by address; those of closed links that nobody uses are removed here.
+            // Slots are keyed by address. Those of closed links that are not in use are removed, so that slots of former
+            // addresses do not accumulate.
             slots.retain(|known, slot| {
                 *known == address
                     || Arc::strong_count(slot) > 1
@@ -49,7 +50,7 @@
         }
         let stream = connect(address).await.ok_or(CallError::NotConnected)?;
         let link =
-            Link::start(stream, true, Arc::clone(&self.service)).map_err(|_| CallError::NotConnected)?;
+            Link::start(stream, true, Arc::clone(&self.handler)).map_err(|_| CallError::NotConnected)?;
         *slot = Some(link.clone());
         Ok(link)
     }
--- a/crates/node/src/settings/describe.rs
+++ b/crates/node/src/settings/describe.rs
@@ -1,13 +1,13 @@
-//! Description of settings in words, for `--check`.
+//! Human-readable description of settings, for `--check`.
 
 use std::net::SocketAddr;
 
-use super::{Port, Settings};
+use super::{InternalPort, Settings};
 use crate::role::Role;
 
 impl Settings {
-    /// The keys that a role requires and that are missing.
-    pub fn missing_for(&self, role: Role) -> Vec<&'static str> {
+    /// The missing keys that a role requires.
+    pub fn missing_keys(&self, role: Role) -> Vec<&'static str> {
         let listeners = &self.listeners_map;
         let required = match role {
             Role::Relay => vec![
@@ -23,7 +23,7 @@
         required.into_iter().filter(|(_, is_given)| !is_given).map(|(key, _)| key).collect()
     }
 
-    /// Describes the settings that a role uses, one line each.
+    /// Describes the settings that a role uses, one per line.
     pub fn describe(&self, role: Role) -> String {
         let mut lines = vec![format!("{} {} in zone {}", role.name(), self.node_name, self.zone)];
         lines.extend(self.describe_listeners(role));
@@ -59,9 +59,9 @@
             }
             Role::Keeper => vec![
                 line("endpoints and operators", listeners.control_plane),
-                line("the tier", Some(self.own_address(Port::Keeper))),
+                line("the tier", Some(self.own_address(InternalPort::Keeper))),
             ],
-            Role::Store => vec![line("the tier", Some(self.own_address(Port::Store)))],
+            Role::Store => vec![line("the tier", Some(self.own_address(InternalPort::Store)))],
         };
         lines.into_iter().flatten().collect()
     }
